--- a/gullyoke/core/desk.py
+++ b/gullyoke/core/desk.py
@@ -49,7 +49,8 @@
         self.lock, self.answering = threading.Lock(), threading.Lock()
         self.server: Server | None = None
         self.door = None
-        self.flush: Callable[[], None] = lambda: None # what was given under the lock goes out after it
+        # What was given under the lock goes out after it.
+        self.flush: Callable[[], None] = lambda: None
         self.reqs: dict[str, Taken] = {}
         self.repeats = Repeats(facts.fleet.fresh_for)
         self.later: deque[tuple[Taken, Word]] = deque()
