--- a/benchmarks/disk.py
+++ b/benchmarks/disk.py
@@ -4,6 +4,7 @@
 
 `--short` takes under 50 s on eight cores. The last line is one JSON object. `crash_states` are walked;
 `cold_*` is simulated; all else is of real processes on this machine's disk, with faults by a layer under it."""
+
 from __future__ import annotations
 
 import argparse
@@ -25,8 +26,8 @@
 from gullyoke.store import cold
 from gullyoke.walk import notes
 
-LOAD = 24.0                            # reqs a second: what the play's servers do with ease
-QUEUE, RESULTS = 4, 16                 # MB that may wait for the disk, and that notes and results may take
+LOAD = 24.0  # reqs a second: what the play's servers do with ease
+QUEUE, RESULTS = 4, 16  # MB that may wait for the disk, and that notes and results may take
 
 
 @contextmanager
@@ -40,8 +41,10 @@
 
 
 def script(uniqued: float, faults: str, go_on: int = 0, end: float = 8, load: float = LOAD) -> str:
-    return (f"members 1 seed 3 load {load} uniqued {uniqued} go_on {go_on}\nat 0.1 heal\n{faults}\n"
-            f"end {end}\n")
+    return (
+        f"members 1 seed 3 load {load} uniqued {uniqued} go_on {go_on}\nat 0.1 heal\n{faults}\n"
+        f"end {end}\n"
+    )
 
 
 def played(text: str) -> Play:
@@ -67,9 +70,14 @@
     play = played(script(1.0, "\n".join(lines), end=at + 2))
     again = sum(n - 1 for p in play.processes.values() for n in p.keyed.values() if n > 1)
     rows = play.verdict.reqs
-    return {"kills": kills, "keys": sum(n for what, n in rows.items() if what.startswith("keyed")),
-            "second_runs": again, "lost": rows.get("lost", 0), "unknown": rows.get("keyed errored", 0),
-            "bad": rows.get("none", 0) + rows.get("late", 0)}
+    return {
+        "kills": kills,
+        "keys": sum(n for what, n in rows.items() if what.startswith("keyed")),
+        "second_runs": again,
+        "lost": rows.get("lost", 0),
+        "unknown": rows.get("keyed errored", 0),
+        "bad": rows.get("none", 0) + rows.get("late", 0),
+    }
 
 
 def took(uniqued: bool, seconds: float) -> tuple[list[float], dict]:
@@ -78,6 +86,7 @@
 
     from gullyoke.lab.world import asked
     from gullyoke.rig.load import KEYED, UNIQUED
+
     text = f"members 1 seed 3 load 0.01 uniqued 0.01\nat 0.1 heal\nend {seconds + 1.5}\n"
     if not uniqued:
         text = text.replace("uniqued 0.01", "uniqued 0")
@@ -105,33 +114,56 @@
 
         with ThreadPoolExecutor(8) as pool:
             list(pool.map(ask_on, range(1, 9)))
-    said = [line for line in play.processes["m0"].lines if line.get("event") == "keys" and "group" in line]
+    said = [
+        line
+        for line in play.processes["m0"].lines
+        if line.get("event") == "keys" and "group" in line
+    ]
     return times, said[-1] if said else {}
 
 
 def hung() -> dict:
     """A sync that hangs for 4 s under load, and the drain of one whose disk hangs."""
-    play = played(script(0.5, "at 2 disk m0 hang\nby 4 disks m0 stalled\nat 6 disk m0 well\n"
-                              "by 14 disks m0 well", end=15))
+    play = played(
+        script(
+            0.5,
+            "at 2 disk m0 hang\nby 4 disks m0 stalled\nat 6 disk m0 well\nby 14 disks m0 well",
+            end=15,
+        )
+    )
     rows, memory = play.verdict.reqs, play.verdict.resident_mb
     back = next(one.after for one in play.verdict.held if "disks m0 well" in one.what)
-    return {"late": rows.get("late", 0) + rows.get("none", 0), "resident_mb": memory, "back": back,
-            "good": play.verdict.good()}
+    return {
+        "late": rows.get("late", 0) + rows.get("none", 0),
+        "resident_mb": memory,
+        "back": back,
+        "good": play.verdict.good(),
+    }
 
 
 def full(go_on: int) -> tuple[Play, float]:
-    play = played(script(0.5, "at 0.5 disk m0 full\nby 2 disks m0 full\nat 7 disk m0 well\n"
-                              "by 14 disks m0 well", go_on, end=11))
+    play = played(
+        script(
+            0.5,
+            "at 0.5 disk m0 full\nby 2 disks m0 full\nat 7 disk m0 well\nby 14 disks m0 well",
+            go_on,
+            end=11,
+        )
+    )
     return play, next(one.after for one in play.verdict.held if "disks m0 well" in one.what)
 
 
 def promises() -> dict:
     """Three voters whose disks are full: the holder is killed, and the next one has to be promised it."""
-    play = played("members 4 zones 2 seed 5 load 4 voters 3 lease_ms 1000\nat 0 heal\nby 6 held\n"
-                  "at 4 disk m0..m2 full\nby 6 disks m0..m2 full\nat 6.5 holder kill\nby 12 moved\nend 10")
+    play = played(
+        "members 4 zones 2 seed 5 load 4 voters 3 lease_ms 1000\nat 0 heal\nby 6 held\n"
+        "at 4 disk m0..m2 full\nby 6 disks m0..m2 full\nat 6.5 holder kill\nby 12 moved\nend 10"
+    )
     done = {one.what: one.held for one in play.verdict.held}
-    return {"kept": all(done.values()), "moved_s": next(one.after for one in play.verdict.held
-                                                        if "moved" in one.what)}
+    return {
+        "kept": all(done.values()),
+        "moved_s": next(one.after for one in play.verdict.held if "moved" in one.what),
+    }
 
 
 def coldly(given: tuple[int, float]) -> float:
@@ -139,7 +171,9 @@
     seed, load = given
 
     def day(seed: int) -> Running:
-        return Running(drawn(W, Machines(servers=1, fresh=True), load, 30 * SECOND, seed), deciding(False))
+        return Running(
+            drawn(W, Machines(servers=1, fresh=True), load, 30 * SECOND, seed), deciding(False)
+        )
 
     curve, first = cold.Curve(), day(500 + seed)
     server = first.nodes[0].server
@@ -176,33 +210,50 @@
     short = parser.parse_args().short
     out: dict = {"short": short}
     with ThreadPoolExecutor(8) as plays:
-        kills = [plays.submit(killed, seed, 5 if short else 40) for seed in range(2 if short else 8)]
+        kills = [
+            plays.submit(killed, seed, 5 if short else 40) for seed in range(2 if short else 8)
+        ]
         hang, shed, going_on = plays.submit(hung), plays.submit(full, 0), plays.submit(full, 1)
         well = plays.submit(played, script(0.5, "", end=10))
         voters = plays.submit(promises)
         rows = [one.result() for one in kills]
-        out |= {"kills": sum(r["kills"] for r in rows), "keys": sum(r["keys"] for r in rows),
-                "second_runs": sum(r["second_runs"] for r in rows),
-                "lost_outcomes": sum(r["lost"] for r in rows),
-                "unknown_as_errored": sum(r["unknown"] for r in rows)}
+        out |= {
+            "kills": sum(r["kills"] for r in rows),
+            "keys": sum(r["keys"] for r in rows),
+            "second_runs": sum(r["second_runs"] for r in rows),
+            "lost_outcomes": sum(r["lost"] for r in rows),
+            "unknown_as_errored": sum(r["unknown"] for r in rows),
+        }
         one = hang.result()
-        out |= {"reqs_late": one["late"], "hung_resident_mb": round(one["resident_mb"], 1),
-                "seconds_to_well_after_hang": one["back"], "hung_held": one["good"]}
+        out |= {
+            "reqs_late": one["late"],
+            "hung_resident_mb": round(one["resident_mb"], 1),
+            "seconds_to_well_after_hang": one["back"],
+            "hung_held": one["good"],
+        }
         base, bound = value(well.result()), well.result().verdict.resident_mb + QUEUE + RESULTS
-        out |= {"hung_resident_over_bound": round(one["resident_mb"] / bound, 2), "value_well": round(base, 3),
-                "value_full_shed": round(value(shed.result()[0]) / base, 3),
-                "value_full_go_on": round(value(going_on.result()[0]) / base, 3),
-                "seconds_to_well": shed.result()[1],
-                "full_second_runs": sum(n > 1 for p in shed.result()[0].processes.values()
-                                        for n in p.keyed.values())}
+        out |= {
+            "hung_resident_over_bound": round(one["resident_mb"] / bound, 2),
+            "value_well": round(base, 3),
+            "value_full_shed": round(value(shed.result()[0]) / base, 3),
+            "value_full_go_on": round(value(going_on.result()[0]) / base, 3),
+            "seconds_to_well": shed.result()[1],
+            "full_second_runs": sum(
+                n > 1 for p in shed.result()[0].processes.values() for n in p.keyed.values()
+            ),
+        }
         out["promises_kept_when_full"] = voters.result()["kept"]
         out["promised_when_full_s"] = voters.result()["moved_s"]
     with_, said = took(True, 4 if short else 20)
     without, _ = took(False, 4 if short else 20)
-    out |= {"p50_ms": round(quantile(with_, 0.5), 2), "p99_ms": round(quantile(with_, 0.99), 2),
-            "added_p50_ms": round(quantile(with_, 0.5) - quantile(without, 0.5), 2),
-            "added_p99_ms": round(quantile(with_, 0.99) - quantile(without, 0.99), 2),
-            "group_size": said.get("group"), "asked": len(with_)}
+    out |= {
+        "p50_ms": round(quantile(with_, 0.5), 2),
+        "p99_ms": round(quantile(with_, 0.99), 2),
+        "added_p50_ms": round(quantile(with_, 0.5) - quantile(without, 0.5), 2),
+        "added_p99_ms": round(quantile(with_, 0.99) - quantile(without, 0.99), 2),
+        "group_size": said.get("group"),
+        "asked": len(with_),
+    }
     with ProcessPoolExecutor(os.cpu_count()) as pool:
         states = [pool.submit(notes.found, None, 40, without_) for without_ in Without]
         mutants = [pool.submit(notes.found, guard, 8) for guard in notes.MUTANTS]
@@ -210,9 +261,12 @@
             gains = list(pool.map(coldly, [(seed, load) for seed in range(1, 31)]))
             half = 2.05 * statistics.stdev(gains) / len(gains) ** 0.5
             out[f"cold_start_gain_{load}"] = [round(statistics.mean(gains), 4), round(half, 4)]
-        out |= {"crash_states": sum(one.result()[0] for one in states),
-                "violations": sum(one.result()[1] is not None for one in states),
-                "mutants": len(mutants), "mutants_found": sum(one.result()[1] is not None for one in mutants)}
+        out |= {
+            "crash_states": sum(one.result()[0] for one in states),
+            "violations": sum(one.result()[1] is not None for one in states),
+            "mutants": len(mutants),
+            "mutants_found": sum(one.result()[1] is not None for one in mutants),
+        }
     print(json.dumps(out))
 
 
--- a/benchmarks/duty.py
+++ b/benchmarks/duty.py
@@ -3,7 +3,8 @@
     python -m benchmarks.duty [--short]
 
 `--short` takes under 50 s on eight cores. The last line is one JSON object; all of it but the `real_` figures
-is simulated. """
+is simulated."""
+
 from __future__ import annotations
 
 import argparse
@@ -38,8 +39,11 @@
     play = Play(seed, voters=3 + 2 * (seed % 2), members=7)
     play.run(6 * SECOND)
     play.trouble(60 * SECOND)
-    return {"most": play.most, "faults": len(history.faults(play.acts)),
-            "stale": sum(not act.taken for act in play.acts)}
+    return {
+        "most": play.most,
+        "faults": len(history.faults(play.acts)),
+        "stale": sum(not act.taken for act in play.acts),
+    }
 
 
 def handed(seed: int, how: str) -> float:
@@ -141,38 +145,61 @@
         mutants = {guard: pool.submit(walk.found, guard, 3) for guard in walk.MUTANTS}
         plays = [pool.submit(troubled, seed) for seed in range(24 if short else 400)]
         n = range(30 if short else 300)
-        handovers = {how: [pool.submit(handed, seed, how) for seed in n]
-                     for how in ("asked", "killed", "in", "out")}
+        handovers = {
+            how: [pool.submit(handed, seed, how) for seed in n]
+            for how in ("asked", "killed", "in", "out")
+        }
         epochs = [pool.submit(one_sided, seed) for seed in range(4 if short else 40)]
         shares = [pool.submit(held, seed) for seed in range(3 if short else 30)]
         states, wrong = right.result()
-        out |= {"states_walked": states, "violations": int(wrong is not None),
-                "mutants_found": sum(one.result()[1] is not None for one in mutants.values()),
-                "mutants": len(mutants)}
+        out |= {
+            "states_walked": states,
+            "violations": int(wrong is not None),
+            "mutants_found": sum(one.result()[1] is not None for one in mutants.values()),
+            "mutants": len(mutants),
+        }
         done = [one.result() for one in plays]
-        out |= {"plays": len(done), "overlapping_acts": sum(x["faults"] for x in done),
-                "most_holders": max(x["most"] for x in done), "stale_acts_refused": sum(x["stale"] for x in done)}
+        out |= {
+            "plays": len(done),
+            "overlapping_acts": sum(x["faults"] for x in done),
+            "most_holders": max(x["most"] for x in done),
+            "stale_acts_refused": sum(x["stale"] for x in done),
+        }
         took = {how: [one.result() for one in row] for how, row in handovers.items()}
-        out |= {"handover_asked_ms": [round(1000 * quantile(took["asked"], q)) for q in (0.5, 0.99)],
-                "handover_killed_s": [quantile(took["killed"], q) for q in (0.5, 0.99)],
-                "handover_one_sided_s": {"hears": quantile(took["out"], 0.99),
-                                         "is_heard": quantile(took["in"], 0.99)},
-                "epochs_a_minute_one_sided": max(one.result() for one in epochs),
-                "held_share": round(min(one.result() for one in shares), 4)}
+        out |= {
+            "handover_asked_ms": [round(1000 * quantile(took["asked"], q)) for q in (0.5, 0.99)],
+            "handover_killed_s": [quantile(took["killed"], q) for q in (0.5, 0.99)],
+            "handover_one_sided_s": {
+                "hears": quantile(took["out"], 0.99),
+                "is_heard": quantile(took["in"], 0.99),
+            },
+            "epochs_a_minute_one_sided": max(one.result() for one in epochs),
+            "held_share": round(min(one.result() for one in shares), 4),
+        }
     for servers in (10, 100):
-        out[f"asks_a_minute_{servers}"] = {"with": asks(servers, True), "without": asks(servers, False)}
+        out[f"asks_a_minute_{servers}"] = {
+            "with": asks(servers, True),
+            "without": asks(servers, False),
+        }
     acts = play.shared.resource.acts
     rolled = [row for row in verdict.faults if row[1].startswith("roll")]
     ended = next((one.after for one in verdict.held if "rolled done" in one.what), None)
-    out |= {"real_held": verdict.good(), "real_roll_servers_s": round(ended / 4, 2) if ended and rolled else None,
-            "real_reqs": sum(verdict.reqs.values()),
-            "real_reqs_without_answer": verdict.reqs.get("none", 0) + verdict.reqs.get("late", 0),
-            "real_value_lost": round(1 - verdict.reqs["done"] / max(1, sum(
-                verdict.reqs.get(what, 0) for what in ("done", "shed", "errored"))), 4),
-            "real_overlapping_acts": len(history.faults(acts)), "real_longest_gap_s": round(
-                max(history.gaps(acts, DUTY), default=0.0), 2),
-            "real_cpu_share": [round(plain.cpu_share, 4), round(verdict.cpu_share, 4)],
-            "real_resident_mb": [round(plain.resident_mb, 1), round(verdict.resident_mb, 1)]}
+    out |= {
+        "real_held": verdict.good(),
+        "real_roll_servers_s": round(ended / 4, 2) if ended and rolled else None,
+        "real_reqs": sum(verdict.reqs.values()),
+        "real_reqs_without_answer": verdict.reqs.get("none", 0) + verdict.reqs.get("late", 0),
+        "real_value_lost": round(
+            1
+            - verdict.reqs["done"]
+            / max(1, sum(verdict.reqs.get(what, 0) for what in ("done", "shed", "errored"))),
+            4,
+        ),
+        "real_overlapping_acts": len(history.faults(acts)),
+        "real_longest_gap_s": round(max(history.gaps(acts, DUTY), default=0.0), 2),
+        "real_cpu_share": [round(plain.cpu_share, 4), round(verdict.cpu_share, 4)],
+        "real_resident_mb": [round(plain.resident_mb, 1), round(verdict.resident_mb, 1)],
+    }
     print(json.dumps(out))
 
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -6,6 +6,7 @@
 `--against` plays the published detectors on the same network instead (docs/members-design.md has the table).
 The last line is one JSON object; all of it but the `real_` figures is simulated.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -37,7 +38,9 @@
     for name in gone:
         seen = {s.by: s.at - began for s in net.removed(name)}
         others = [h.name for h in net.up()]
-        out.append(max(seen[n] for n in others) / 1e6 if all(n in seen for n in others) else float("inf"))
+        out.append(
+            max(seen[n] for n in others) / 1e6 if all(n in seen for n in others) else float("inf")
+        )
     return out
 
 
@@ -80,7 +83,7 @@
 def heal(size: int, seed: int) -> float:
     """Seconds from the end of a cut in halves of 10 s until all views are one again."""
     net = fleet(size, seed, joined=True, settle=2 * SECOND)
-    left = set(list(net.hosts)[:size // 2])
+    left = set(list(net.hosts)[: size // 2])
     net.cut = lambda now, a, b: 1.0 if (a.name in left) != (b.name in left) else 0.0
     net.run(net.now + 10 * SECOND)
     net.cut, began = None, net.now
@@ -99,25 +102,38 @@
     """Five processes: idle first, then one killed, with a few reqs a second beside."""
     from gullyoke.rig.play import Play
     from gullyoke.rig.script import read
+
     idle = Play(read("members 5 zones 5 seed 2\nat 0.1 heal\nend 2.5")).run()
     alone = Play(read("members 1 seed 2\nat 0.1 heal\nend 2.5")).run()
-    play = Play(read("members 5 zones 5 seed 2 load 10\nat 0.5 kill m1\nby 6 gone m1\n"
-                     "never removed m0 m2 m3 m4\nend 4")).run()
-    wrong = {e.name for v in (idle, play) for e in v.events if e.what == "removed" and e.at >= 0} - {"m1"}
-    code = ("import sys, gullyoke.daemon.start; print(sum(m.startswith(('gullyoke.members', 'gullyoke.peers',"
-            " 'gullyoke.features', 'msgspec')) for m in sys.modules))")
+    play = Play(
+        read(
+            "members 5 zones 5 seed 2 load 10\nat 0.5 kill m1\nby 6 gone m1\n"
+            "never removed m0 m2 m3 m4\nend 4"
+        )
+    ).run()
+    wrong = {
+        e.name for v in (idle, play) for e in v.events if e.what == "removed" and e.at >= 0
+    } - {"m1"}
+    code = (
+        "import sys, gullyoke.daemon.start; print(sum(m.startswith(('gullyoke.members', 'gullyoke.peers',"
+        " 'gullyoke.features', 'msgspec')) for m in sys.modules))"
+    )
     foreign = int(subprocess.check_output([sys.executable, "-c", code], text=True))
-    return {"real_detect_s": next(h.after for h in play.held if "gone" in h.what),
-            "real_false_removals": len(wrong),
-            "reqs_without_answer": play.reqs.get("none", 0) + play.reqs.get("late", 0),
-            "reqs_done": play.reqs.get("done", 0),
-            "cpu_share": round(idle.cpu_share - alone.cpu_share, 4),
-            "resident_mb": round(idle.resident_mb - lean_mb(), 1), "lean_start_foreign": foreign}
+    return {
+        "real_detect_s": next(h.after for h in play.held if "gone" in h.what),
+        "real_false_removals": len(wrong),
+        "reqs_without_answer": play.reqs.get("none", 0) + play.reqs.get("late", 0),
+        "reqs_done": play.reqs.get("done", 0),
+        "cpu_share": round(idle.cpu_share - alone.cpu_share, 4),
+        "resident_mb": round(idle.resident_mb - lean_mb(), 1),
+        "lean_start_foreign": foreign,
+    }
 
 
 def lean_mb() -> float:
     """Resident memory of an idle daemon with an operator's file that names no fleet."""
     from benchmarks.scgi import daemon
+
     with daemon(True) as scene:
         time.sleep(1)
         return usage.resident(scene.process.pid) / 1024
@@ -125,13 +141,17 @@
 
 def quantile(values: list[float], share: float) -> float:
     ranked = sorted(values)
-    return round(ranked[min(len(ranked) - 1, int(share * len(ranked)))], 2) if ranked else float("nan")
+    return (
+        round(ranked[min(len(ranked) - 1, int(share * len(ranked)))], 2) if ranked else float("nan")
+    )
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--short", action="store_true", help="under 50 s on eight cores")
-    parser.add_argument("--against", action="store_true", help="the published detectors beside ours")
+    parser.add_argument(
+        "--against", action="store_true", help="the published detectors beside ours"
+    )
     given = parser.parse_args()
     with ProcessPoolExecutor(os.cpu_count()) as pool:
         against(pool) if given.against else measure(pool, given.short)
@@ -160,13 +180,18 @@
         messages, size_bytes = done["costs", size][0]
         wrong = [n for loss in (0.0, 0.1, 0.3) for n in done["wrongly", size, loss]]
         out[str(size)] = {
-            "detect_p50_s": quantile(refused, 0.5), "detect_p99_s": quantile(refused, 0.99),
-            "detect_silent_p50_s": quantile(silent, 0.5), "detect_silent_p99_s": quantile(silent, 0.99),
-            "false_removals": sum(wrong) if wrong else None, "plays": len(wrong),
+            "detect_p50_s": quantile(refused, 0.5),
+            "detect_p99_s": quantile(refused, 0.99),
+            "detect_silent_p50_s": quantile(silent, 0.5),
+            "detect_silent_p99_s": quantile(silent, 0.99),
+            "false_removals": sum(wrong) if wrong else None,
+            "plays": len(wrong),
             "flaps": done["flaps", size][0][0] if done["flaps", size] else None,
             "flaps_of_the_bad": done["flaps", size][0][1] if done["flaps", size] else None,
-            "messages_s": round(messages, 1), "bytes_s": round(size_bytes),
-            "heal_s": quantile(done["heal", size], 0.99) if done["heal", size] else None}
+            "messages_s": round(messages, 1),
+            "bytes_s": round(size_bytes),
+            "heal_s": quantile(done["heal", size], 0.99) if done["heal", size] else None,
+        }
     out["ratio_messages_1000_to_10"] = round(out["1000"]["messages_s"] / out["10"]["messages_s"], 2)
     out["ratio_bytes_1000_to_10"] = round(out["1000"]["bytes_s"] / out["10"]["bytes_s"], 2)
     out["join_s"] = quantile(done["join", 200], 0.99)
@@ -180,15 +205,24 @@
         for make in MAKES:
             n = range(seeds)
             silent = [pool.submit(detect, size, s, False, make) for s in n]
-            cases = {name: [pool.submit(wrongly, size, s, loss, pauses, 40 * SECOND, make) for s in n]
-                     for name, loss, pauses in (("pauses", 0.0, True), ("loss 10% and pauses", 0.1, True),
-                                                ("loss 30%", 0.3, False))}
-            flapping = [pool.submit(flaps, size, s, 60 * SECOND, make) for s in n] if size > 10 else []
+            cases = {
+                name: [pool.submit(wrongly, size, s, loss, pauses, 40 * SECOND, make) for s in n]
+                for name, loss, pauses in (
+                    ("pauses", 0.0, True),
+                    ("loss 10% and pauses", 0.1, True),
+                    ("loss 30%", 0.3, False),
+                )
+            }
+            flapping = (
+                [pool.submit(flaps, size, s, 60 * SECOND, make) for s in n] if size > 10 else []
+            )
             found = sum((one.result() for one in silent), [])
             out[f"{make} {size}"] = {
-                "silent_p50_s": round(statistics.median(found), 2), "silent_p99_s": quantile(found, 0.99),
+                "silent_p50_s": round(statistics.median(found), 2),
+                "silent_p99_s": quantile(found, 0.99),
                 **{name: sum(one.result() for one in row) for name, row in cases.items()},
-                "well removed beside ten half deaf": sum(one.result()[0] for one in flapping)}
+                "well removed beside ten half deaf": sum(one.result()[0] for one in flapping),
+            }
             print(size, make, out[f"{make} {size}"])
     print(json.dumps(out))
 
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -1,7 +1,8 @@
 """What pools and the reserve are worth, and what they cost. Values are simulated on the emulator.
 
-    python -m benchmarks.pools [--short]
+python -m benchmarks.pools [--short]
 """
+
 from __future__ import annotations
 
 import argparse
@@ -14,12 +15,19 @@
 from gullyoke.emulator.day import SECOND, Machines, Work, drawn
 from gullyoke.emulator.fleet import Running, deciding
 
-W = (Work("box-view", .57, 280_000, .6, 1_700_000, 4_100_000, 1.0, .1),
-     Work("schedule-set", .30, 385_000, .6, 2_300_000, 5_700_000, 2.0, .1),
-     Work("drop-status", .13, 165_000, .6, 1_000_000, 2_500_000, 3.0, .1))
-DROP = ((7 * SECOND, .33), (14 * SECOND, 1.0))
-DAYS = {"steady": (2.0, {}, ()), "swinging": (2.0, {"swing": 2 * SECOND}, ()), "drop": (2.0, {}, DROP),
-        "five": (5.0, {}, ()), "ten": (10.0, {}, ())}
+W = (
+    Work("box-view", 0.57, 280_000, 0.6, 1_700_000, 4_100_000, 1.0, 0.1),
+    Work("schedule-set", 0.30, 385_000, 0.6, 2_300_000, 5_700_000, 2.0, 0.1),
+    Work("drop-status", 0.13, 165_000, 0.6, 1_000_000, 2_500_000, 3.0, 0.1),
+)
+DROP = ((7 * SECOND, 0.33), (14 * SECOND, 1.0))
+DAYS = {
+    "steady": (2.0, {}, ()),
+    "swinging": (2.0, {"swing": 2 * SECOND}, ()),
+    "drop": (2.0, {}, DROP),
+    "five": (5.0, {}, ()),
+    "ten": (10.0, {}, ()),
+}
 
 
 def play(kind: str, seed: int) -> dict:
@@ -48,6 +56,7 @@
             began = time.perf_counter()
             call(*given)
             spent += time.perf_counter() - began
+
         return wrapped
 
     for name in ("read", "tell", "settle", "gauges"):
@@ -66,15 +75,20 @@
     out: dict = {"seeds": seeds}
     for kind in DAYS:
         own = [r for r in rows if r["kind"] == kind]
-        out[kind] = {key: round(statistics.mean(r[key] for r in own), 3)
-                     for key in [name + part for name in ("without", "with")
-                                 for part in ("", "_blind", "_reserve")]}
+        out[kind] = {
+            key: round(statistics.mean(r[key] for r in own), 3)
+            for key in [
+                name + part for name in ("without", "with") for part in ("", "_blind", "_reserve")
+            ]
+        }
         print(kind, out[kind])
     worst = [r[name + "_worst"] for r in rows for name in ("without", "with")]
-    out |= {"worst_memory": round(max(w[0] for w in worst), 3),
-            "worst_crowd": round(max(w[1] for w in worst), 3),
-            "unanswered_or_late": sum(w[2] for w in worst),
-            "decision_us": {"without": round(cost(False), 1), "with": round(cost(True), 1)}}
+    out |= {
+        "worst_memory": round(max(w[0] for w in worst), 3),
+        "worst_crowd": round(max(w[1] for w in worst), 3),
+        "unanswered_or_late": sum(w[2] for w in worst),
+        "decision_us": {"without": round(cost(False), 1), "with": round(cost(True), 1)},
+    }
     print(json.dumps(out))
 
 
--- a/benchmarks/scgi.py
+++ b/benchmarks/scgi.py
@@ -5,6 +5,7 @@
 Blocks of reqs go through HTTP/1.1 and SCGI in turn, each on a connection of its own, so that both do the
 same; HTTP/1.1 on kept connections is beside them. The engine is a stand-in that answers at once.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -71,7 +72,7 @@
     found = {way: {"cpu": [], "took": []} for way in ("close", "scgi", "kept")}
     with daemon(True) as scene:
         for way in found:
-            block(scene, way, 200, 0)                 # warm
+            block(scene, way, 200, 0)  # warm
         number = 1000
         for _ in range(blocks):
             for way, row in found.items():
@@ -82,10 +83,12 @@
     out = {}
     for way, row in found.items():
         took = sorted(t for t in row["took"] if t >= 0)
-        out[way] = {"cpu_us": round(statistics.median(row["cpu"]), 1),
-                    "p50_ms": round(1e3 * took[len(took) // 2], 3),
-                    "p99_ms": round(1e3 * took[len(took) * 99 // 100], 3),
-                    "lost": sum(t < 0 for t in row["took"])}
+        out[way] = {
+            "cpu_us": round(statistics.median(row["cpu"]), 1),
+            "p50_ms": round(1e3 * took[len(took) // 2], 3),
+            "p99_ms": round(1e3 * took[len(took) * 99 // 100], 3),
+            "lost": sum(t < 0 for t in row["took"]),
+        }
     return out
 
 
@@ -102,24 +105,35 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--short", action="store_true", help="under 50 s")
-    parser.add_argument("--before", default="ab97135", help="the commit whose idle memory stands beside ours")
+    parser.add_argument(
+        "--before", default="ab97135", help="the commit whose idle memory stands beside ours"
+    )
     given = parser.parse_args()
     ways = measured(6 if given.short else 20, 500)
     for way, row in ways.items():
         print(way, row)
     with tempfile.TemporaryDirectory() as folder:
-        tree = subprocess.run(["git", "archive", given.before, "gullyoke"], cwd=ROOT, stdout=subprocess.PIPE)
+        tree = subprocess.run(
+            ["git", "archive", given.before, "gullyoke"], cwd=ROOT, stdout=subprocess.PIPE
+        )
         before = None
         if tree.returncode == 0:
             subprocess.run(["tar", "-x", "-C", folder], input=tree.stdout, check=True)
             before = idle(pathlib.Path(folder))
         now = idle(ROOT)
-    print(json.dumps({
-        "cpu_us": {way: row["cpu_us"] for way, row in ways.items()},
-        "p50_ms": {way: row["p50_ms"] for way, row in ways.items()},
-        "p99_ms": {way: row["p99_ms"] for way, row in ways.items()},
-        "ratio_scgi_to_http": round(ways["scgi"]["cpu_us"] / ways["close"]["cpu_us"], 3),
-        "lost": sum(row["lost"] for row in ways.values()), "idle_kib": now, "idle_kib_before": before}))
+    print(
+        json.dumps(
+            {
+                "cpu_us": {way: row["cpu_us"] for way, row in ways.items()},
+                "p50_ms": {way: row["p50_ms"] for way, row in ways.items()},
+                "p99_ms": {way: row["p99_ms"] for way, row in ways.items()},
+                "ratio_scgi_to_http": round(ways["scgi"]["cpu_us"] / ways["close"]["cpu_us"], 3),
+                "lost": sum(row["lost"] for row in ways.values()),
+                "idle_kib": now,
+                "idle_kib_before": before,
+            }
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,7 +1,8 @@
 """What the store does on this machine's disk, and what a memory is worth after a restart (simulated).
 
-    python -m benchmarks.store [--short]
+python -m benchmarks.store [--short]
 """
+
 from __future__ import annotations
 
 import argparse
@@ -39,9 +40,12 @@
             thread.join()
         committer.close()
     took.sort()
-    return {"a_second": round(len(took) / seconds), "p50_ms": round(took[len(took) // 2] * 1e3, 3),
-            "p99_ms": round(took[len(took) * 99 // 100] * 1e3, 3),
-            "group": round(committer.put_in / max(1, committer.groups), 1)}
+    return {
+        "a_second": round(len(took) / seconds),
+        "p50_ms": round(took[len(took) // 2] * 1e3, 3),
+        "p99_ms": round(took[len(took) * 99 // 100] * 1e3, 3),
+        "group": round(committer.put_in / max(1, committer.groups), 1),
+    }
 
 
 def recovery(megabytes: int) -> float:
@@ -79,6 +83,7 @@
 def restart(seed: int) -> dict:
     """Share of the value in the first 30 s after a cold start at 1.5 times the load: without a memory, with
     one of such a day, with one of a server that was ten times slower."""
+
     def learned(speed: float) -> remember.Learned:
         machines = Machines(servers=1, speeds=((1, speed),))
         running = Running(drawn(W, machines, 1.5, 30 * SECOND, 500 + seed), deciding(False))
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -6,6 +6,7 @@
 `--short` takes under 50 s on eight cores; without it there are 30 seeds a day; `--large` adds fleets of 10 and
 200. The last line is one JSON object; all of it but the `real_` figures is simulated.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -64,7 +65,9 @@
     play.run(25 * SECOND)
     if not dies:
         return play.lent() / 100
-    for key in list(play.processes)[10:]:             # borrowers: what a home that ends lends is a duty's affair
+    for key in list(play.processes)[
+        10:
+    ]:  # borrowers: what a home that ends lends is a duty's affair
         play.kill(key)
     play.run(play.now + 5 * SECOND)
     return play.lent() / 100
@@ -95,10 +98,15 @@
         servers, back_ends = [f"s{i}" for i in range(n)], [f"b{i}" for i in range(n)]
         whole = apertures(servers, back_ends, k)
         taken = Counter(b for subset in whole.values() for b in subset)
-        gone = [moved(whole, apertures(servers[:i] + servers[i + 1:], back_ends, k))
-                for i in range(0, n, max(1, n // 10))]
-        out[str(n)] = {"subset_imbalance": round(max(taken.values()) / k, 3), "moved_share": round(max(gone), 4),
-                       "ideal": round(1 / n, 4)}
+        gone = [
+            moved(whole, apertures(servers[:i] + servers[i + 1 :], back_ends, k))
+            for i in range(0, n, max(1, n // 10))
+        ]
+        out[str(n)] = {
+            "subset_imbalance": round(max(taken.values()) / k, 3),
+            "moved_share": round(max(gone), 4),
+            "ideal": round(1 / n, 4),
+        }
     return out
 
 
@@ -131,35 +139,57 @@
         walks = {guard: pool.submit(walk.found, guard, 4) for guard in walk.MUTANTS}
         right = pool.submit(walk.found, None, depth)
         sizes = [48, 10, 200] if given.large else [48]
-        plays = {(size, kind, arm, s): pool.submit(day, kind, s, arm, size) for size in sizes for kind in KINDS
-                 for arm in (("today", "together") if given.short else ARMS) for s in seeds if size < 200 or s < 4}
-        bounds = {(kind, s): pool.submit(best, kind, s, 48) for kind in KINDS for s in list(seeds)[:10]}
+        plays = {
+            (size, kind, arm, s): pool.submit(day, kind, s, arm, size)
+            for size in sizes
+            for kind in KINDS
+            for arm in (("today", "together") if given.short else ARMS)
+            for s in seeds
+            if size < 200 or s < 4
+        }
+        bounds = {
+            (kind, s): pool.submit(best, kind, s, 48) for kind in KINDS for s in list(seeds)[:10]
+        }
         use = [[pool.submit(in_use, s, dies) for s in range(4)] for dies in (False, True)]
         states, wrong = right.result()
-        out |= {"states_walked": states, "over_limit": int(wrong is not None),
-                "mutants_found": sum(one.result()[1] is not None for one in walks.values()),
-                "mutants": len(walks)}
+        out |= {
+            "states_walked": states,
+            "over_limit": int(wrong is not None),
+            "mutants_found": sum(one.result()[1] is not None for one in walks.values()),
+            "mutants": len(walks),
+        }
         out["share_in_use"], out["share_in_use_after_a_third_died"] = (
-            round(min(one.result() for one in row), 3) for row in use)
+            round(min(one.result() for one in row), 3) for row in use
+        )
         for size in sizes:
             out[f"days_{size}"] = {kind: compared(plays, size, kind, bounds) for kind in KINDS}
     out["quota_within"] = {
         name: [round(asked(3, 40, hit, 0.9, lent, moves=moves).within, 3) for lent in (False, True)]
-        for name, hit, moves in (("4 of 40 asked", 4, False), ("moves", 4, True), ("all asked", 40, False))}
+        for name, hit, moves in (
+            ("4 of 40 asked", 4, False),
+            ("moves", 4, True),
+            ("all asked", 40, False),
+        )
+    }
     out |= subsets()
     out["decision_us_a_req"] = round(cost(), 2)
     count, size = letters()
     out |= {"letters_s": round(count, 1), "letters_bytes_s": round(size)}
     held = {one.what.partition(" ")[0]: one.held for one in verdict.held}
-    out |= {"real_over_limit": int(not held["in"]), "real_held": verdict.good(),
-            "real_reqs_without_answer": verdict.reqs.get("none", 0) + verdict.reqs.get("late", 0),
-            "real_reqs": sum(verdict.reqs.values())}
+    out |= {
+        "real_over_limit": int(not held["in"]),
+        "real_held": verdict.good(),
+        "real_reqs_without_answer": verdict.reqs.get("none", 0) + verdict.reqs.get("late", 0),
+        "real_reqs": sum(verdict.reqs.values()),
+    }
     print(json.dumps(out))
 
 
 def compared(plays: dict, size: int, kind: str, bounds: dict) -> dict:
     """A kind of day: value before and after, the paired difference of each arm with its interval."""
-    rows = {(arm, s): one.result() for (n, k, arm, s), one in plays.items() if (n, k) == (size, kind)}
+    rows = {
+        (arm, s): one.result() for (n, k, arm, s), one in plays.items() if (n, k) == (size, kind)
+    }
     seeds = sorted({s for _, s in rows})
     before = [rows["today", s]["share"] for s in seeds]
     found: dict = {"value_before": round(mean_of(before).mean, 3), "plays": len(seeds)}
@@ -168,17 +198,25 @@
             gain = mean_of([rows[arm, s]["share"] - rows["today", s]["share"] for s in seeds])
             found[arm] = [round(gain.mean, 3), round(gain.half, 3)]
     after = [rows["together", s]["share"] for s in seeds]
-    found |= {"value_after": round(mean_of(after).mean, 3),
-              "interval": found["together"][1],
-              "jain": [round(mean_of([rows[a, s]["jain"] for s in seeds]).mean, 3)
-                       for a in ("today", "together")],
-              "herd": [round(mean_of([rows[a, s]["herd"] for s in seeds]).mean, 3)
-                       for a in ("today", "together")],
-              "down": sum(row["down"] for row in rows.values())}
+    found |= {
+        "value_after": round(mean_of(after).mean, 3),
+        "interval": found["together"][1],
+        "jain": [
+            round(mean_of([rows[a, s]["jain"] for s in seeds]).mean, 3)
+            for a in ("today", "together")
+        ],
+        "herd": [
+            round(mean_of([rows[a, s]["herd"] for s in seeds]).mean, 3)
+            for a in ("today", "together")
+        ],
+        "down": sum(row["down"] for row in rows.values()),
+    }
     tops = {s: one.result() for (k, s), one in bounds.items() if k == kind and size == 48}
     if tops:
-        found["share_of_bound"] = [round(mean_of([rows[a, s]["share"] / top for s, top in tops.items()]).mean, 3)
-                                   for a in ("today", "together")]
+        found["share_of_bound"] = [
+            round(mean_of([rows[a, s]["share"] / top for s, top in tops.items()]).mean, 3)
+            for a in ("today", "together")
+        ]
     return found
 
 
--- a/gullyoke/below/database.py
+++ b/gullyoke/below/database.py
@@ -1,4 +1,5 @@
 """Send, to the database: one call at a time on a connection, from a pool of few; limits kept here."""
+
 from __future__ import annotations
 
 import queue
@@ -17,17 +18,23 @@
 from gullyoke.core.timer import Timer
 from gullyoke.port import Word
 
-CONNECT = 1.0                          # seconds for a connection to come about
-PIECE = 0.1                            # seconds for the next piece of a reply that has begun
-IDLE = 2_000_000                       # microseconds after which a connection without a call is closed here
+CONNECT = 1.0  # seconds for a connection to come about
+PIECE = 0.1  # seconds for the next piece of a reply that has begun
+IDLE = 2_000_000  # microseconds after which a connection without a call is closed here
 
-CALL_ENDS = {"ROWS": Word.CALL_OK, "FULL": Word.CALL_UNRUN, "FAIL": Word.CALL_LOST, "TIMEOUT": Word.CALL_LOST,
-             "NONE": Word.CALL_UNRUN}
+CALL_ENDS = {
+    "ROWS": Word.CALL_OK,
+    "FULL": Word.CALL_UNRUN,
+    "FAIL": Word.CALL_LOST,
+    "TIMEOUT": Word.CALL_LOST,
+    "NONE": Word.CALL_UNRUN,
+}
 
 
 class Asked:
     """A call in hand. `wire` is the connection that it was written to, None before that; `over` once it has
     ended or is taken back."""
+
     __slots__ = ("data", "over", "req", "wire")
 
     def __init__(self, req, data: bytes) -> None:
@@ -36,11 +43,21 @@
 
 class Wire:
     """A connection, the call on it, and the id of the last one before that. Its reading thread closes it."""
+
     __slots__ = ("address", "asked", "last", "lock", "open", "since", "sock")
 
     def __init__(self, sock: socket.socket, address: tuple[str, int]) -> None:
-        self.sock, self.address, self.asked, self.last, self.since = sock, address, None, "", clock.now()
-        self.lock, self.open = threading.Lock(), True        # no thread may write on a socket that is closed
+        self.sock, self.address, self.asked, self.last, self.since = (
+            sock,
+            address,
+            None,
+            "",
+            clock.now(),
+        )
+        self.lock, self.open = (
+            threading.Lock(),
+            True,
+        )  # no thread may write on a socket that is closed
 
     def sound(self) -> bool:
         """Whether it stands open with nothing to be read: neither closed by the peer nor out of step."""
@@ -56,12 +73,12 @@
         """At most one call is on its way, so it fits what the system buffers, and this does not block."""
         with self.lock:
             if not self.open:
-                return                                # the reading side has ended the call
+                return  # the reading side has ended the call
             try:
                 if self.sock.send(asked.data, socket.MSG_DONTWAIT) < len(asked.data):
                     shut(self.sock)
             except OSError:
-                shut(self.sock)                       # the reading side ends the call
+                shut(self.sock)  # the reading side ends the call
 
     def close(self) -> None:
         with self.lock:
@@ -79,7 +96,13 @@
     """
 
     def __init__(self, address: tuple[str, int], most: int, timer: Timer, book: Book) -> None:
-        self.address, self.most, self.timer, self.book, self.heard = address, most, timer, book, None
+        self.address, self.most, self.timer, self.book, self.heard = (
+            address,
+            most,
+            timer,
+            book,
+            None,
+        )
         self.lock, self.count, self.last = threading.Lock(), 0, None
         self.idle: list[Wire] = []
         self.waiting: deque[Asked] = deque()
@@ -87,8 +110,12 @@
 
     def start(self, heard) -> None:
         self.heard = heard
-        threading.Thread(target=self.book.forever, args=("database", self.open), name="database-open",
-                         daemon=True).start()
+        threading.Thread(
+            target=self.book.forever,
+            args=("database", self.open),
+            name="database-open",
+            daemon=True,
+        ).start()
 
     def move(self, address: tuple[str, int]) -> None:
         """Its address is another from now on: new calls go there, those that are out end where they are."""
@@ -168,7 +195,9 @@
         """Its time is up."""
         if self._ended(asked):
             self.book.add("calls.given_up")
-            self.heard.called(asked.req, Word.CALL_LOST if self._withdraw(asked) else Word.CALL_UNRUN, b"")
+            self.heard.called(
+                asked.req, Word.CALL_LOST if self._withdraw(asked) else Word.CALL_UNRUN, b""
+            )
 
     def _ended(self, asked: Asked) -> bool:
         """Whether this is the first to end the call."""
@@ -185,7 +214,7 @@
         asked = self.opening.get()
         try:
             threading.Thread(target=self.carry, args=(asked,), name="database", daemon=True).start()
-        except RuntimeError as fault:                 # no thread to be had
+        except RuntimeError as fault:  # no thread to be had
             self.over(None, asked, End.UNREACHED, str(fault))
 
     def carry(self, asked: Asked) -> None:
@@ -216,8 +245,11 @@
         self.book.add(f"ends.database.{end.value}")
         if asked is not None or end not in (End.CLOSED, End.DECLARED):
             # A day of broken replies would fill the log with one line; the counters go on counting.
-            log.log(DEBUG if end is self.last else WARNING, "connection to the database ended",
-                    extra=pairs(end=end.value, why=why, used=wire is not None and bool(wire.last)))
+            log.log(
+                DEBUG if end is self.last else WARNING,
+                "connection to the database ended",
+                extra=pairs(end=end.value, why=why, used=wire is not None and bool(wire.last)),
+            )
             self.last = end
         if asked is not None and self._ended(asked):
             self.heard.called(asked.req, outcome(Peer.DATABASE, end), b"")
@@ -229,12 +261,12 @@
             word, body = self.reply(words, buffer)
             asked = wire.asked
             if asked is None or asked.req.tid != words[0]:
-                strange = True                        # not ours, but whole: the one that is ours may follow
+                strange = True  # not ours, but whole: the one that is ours may follow
                 continue
             more = None
             with self.lock:
                 if wire.asked is not asked:
-                    return End.DECLARED               # taken back meanwhile
+                    return End.DECLARED  # taken back meanwhile
                 asked.over, wire.asked, wire.last, wire.since = True, None, words[0], clock.now()
                 strange |= len(buffer) > 0 or wire.address != self.address
                 if not strange:
--- a/gullyoke/choice.py
+++ b/gullyoke/choice.py
@@ -5,6 +5,7 @@
 `settle` after each batch. Decisions go out through the port's `Door`. `Server.life` is a req's path, top
 to bottom; the parts above it decide one thing each. Values marked "ours" are not from the paper.
 """
+
 from __future__ import annotations
 
 import math
@@ -13,8 +14,13 @@
 from gullyoke.port import PAST, Call, Keep, Kind, Shed, Stage, StopMode, Word
 from gullyoke.port import stage as to
 
-TICK = 100_000                     # between wake-ups (ours); one wake-up is out at a time
-HELD, ON, OFF, OVER = "held", "on", "off", "over"   # in the hold; on the cores; at a call; no longer here
+TICK = 100_000  # between wake-ups (ours); one wake-up is out at a time
+HELD, ON, OFF, OVER = (
+    "held",
+    "on",
+    "off",
+    "over",
+)  # in the hold; on the cores; at a call; no longer here
 LOST = (Word.CALL_LOST, Word.CALL_SPOILT)
 ENDS = (Word.DONE, Word.ERRORED, Word.STOPPED, Word.MOOT, Word.UNRUN)
 
@@ -32,22 +38,37 @@
 
     Tables: one row for each pair and module, 2 * 3 * (S + 1), fixed at the start; emptied by a restart."""
 
-    def __init__(self, now: int, top: int, cores: int, work: float, holding: float, modules=3, width=0.02,
-                 prior=4.0) -> None:
+    def __init__(
+        self,
+        now: int,
+        top: int,
+        cores: int,
+        work: float,
+        holding: float,
+        modules=3,
+        width=0.02,
+        prior=4.0,
+    ) -> None:
         self.top, self.cores, self.modules, self.width = top, cores, modules, width
-        self.step = max(1, int(work / cores / 12))    # ours: a dozen steps for each req a full server ends
+        self.step = max(
+            1, int(work / cores / 12)
+        )  # ours: a dozen steps for each req a full server ends
         self.origin, self.steps, self.s, self.busy = now, 0, 0, False
-        self.room = math.inf                          # runs that can be had, where the cores are not its own
-        self.holding = holding * self.step            # cost of a req for a step; a refusal costs 1
+        self.room = math.inf  # runs that can be had, where the cores are not its own
+        self.holding = holding * self.step  # cost of a req for a step; a refusal costs 1
         pairs, rate = 2 * (top + 1), cores * self.step / work
         ends = [rate * min(i // 2, cores) / cores for i in range(pairs)]
         comes = [rate if i % 2 and i // 2 < top else 0.0 for i in range(pairs)]
         shed = [0.0 if i % 2 else rate for i in range(pairs)]
-        self.visits = [[prior] * pairs for _ in range(modules)]     # ours: a full server at load 1
+        self.visits = [[prior] * pairs for _ in range(modules)]  # ours: a full server at load 1
         self.ups, self.downs, self.sheds = (
-            [[prior * x for x in row] for _ in range(modules)] for row in (comes, ends, shed))
+            [[prior * x for x in row] for _ in range(modules)] for row in (comes, ends, shed)
+        )
         self.before = [row[:] for row in self.visits]
-        self.steepness, self.policy = [0.0] * (top + 1), [1] * (top + 1)   # of the bias, from s to s + 1
+        self.steepness, self.policy = (
+            [0.0] * (top + 1),
+            [1] * (top + 1),
+        )  # of the bias, from s to s + 1
         self.episodes, self.bound, self.fresh, self.ramp = 0, 0, True, modules
 
     def admits(self, kept: int = 0) -> bool:
@@ -73,10 +94,10 @@
     def _add(self, n: int, move: int, shed: int) -> None:
         s = min(self.s, self.top)
         pair = 2 * s + (self.policy[s] if self.binds() else 1)
-        if shed and not move:                         # an arrival refused; one given up later is a departure
+        if shed and not move:  # an arrival refused; one given up later is a departure
             pair = 2 * s
         first, self.steps = self.steps, self.steps + n
-        ramping = min(n, self.ramp)                   # the ramping phase's samples are thrown away
+        ramping = min(n, self.ramp)  # the ramping phase's samples are thrown away
         self.ramp -= ramping
         first, n = first + ramping, n - ramping
         for k in range(min(n, self.modules)):
@@ -99,18 +120,33 @@
 
         Widths have UCRL2's form (Jaksch et al. 2010) with the constants of the birth-and-death case (Anselmi
         et al. 2022), scaled by `width` (ours). Tridiagonal; starts from the last bias; stops by span."""
-        log, worst, rows, most = math.log(4 * (self.steps + 2)), 1 + self.holding * self.top, [], 1e-9
+        log, worst, rows, most = (
+            math.log(4 * (self.steps + 2)),
+            1 + self.holding * self.top,
+            [],
+            1e-9,
+        )
         for pair in range(2 * (self.top + 1)):
             s, visits = pair // 2, [row[pair] for row in self.visits]
             n = max(visits)
             m, n = visits.index(n), max(1.0, n)
-            cost, slack = self.holding * s + self.sheds[m][pair] / n, self.width * math.sqrt(8 * log / n) / 2
+            cost, slack = (
+                self.holding * s + self.sheds[m][pair] / n,
+                self.width * math.sqrt(8 * log / n) / 2,
+            )
             gain = min(0.0, self.width * worst * math.sqrt(2 * log / n) - cost)
             up, down = self.ups[m][pair] / n, self.downs[m][pair] / n
             far_down = min(1.0, down + slack) if s else 0.0
             far_up = min(1.0, up + slack) if s < self.top else 0.0
-            rows.append((gain, far_down, min(max(0.0, up - slack), 1 - far_down),
-                         min(max(0.0, down - slack), 1 - far_up), far_up))
+            rows.append(
+                (
+                    gain,
+                    far_down,
+                    min(max(0.0, up - slack), 1 - far_down),
+                    min(max(0.0, down - slack), 1 - far_up),
+                    far_up,
+                )
+            )
             most = max(most, far_down + rows[-1][2], far_up + rows[-1][3])
         # Uniformized at the model's own largest rate: the same policy and bias in fewer sweeps.
         scale = 0.95 / most
@@ -121,7 +157,7 @@
             for (r0, d0, u0, a0, b0), (r1, d1, u1, a1, b1) in both:
                 fuller = steps[len(gains)]
                 q0, q1 = r0 - d0 * emptier + u0 * fuller, r1 - d1 * emptier + u1 * fuller
-                if fuller > 0:                        # unexplored fuller states may look better
+                if fuller > 0:  # unexplored fuller states may look better
                     q0 = max(q0, r0 - a0 * emptier + b0 * fuller)
                     q1 = max(q1, r1 - a1 * emptier + b1 * fuller)
                 policy.append(q1 >= q0)
@@ -136,7 +172,7 @@
 
     def story(self) -> str:
         """Where the threshold stands (the first s refused), for the log."""
-        first = self.policy.index(0, self.cores) if 0 in self.policy[self.cores:] else self.top
+        first = self.policy.index(0, self.cores) if 0 in self.policy[self.cores :] else self.top
         return f"s {self.s} threshold {first} of {self.top} episodes {self.episodes} refused {self.bound}"
 
 
@@ -161,7 +197,7 @@
 
     def __init__(self, handlers, by_work: bool, below: CallsBelow) -> None:
         self.by_work, self.below, self.clock, self.size = by_work, below, 0.0, 0
-        self.cost = {h: h.target / 6 for h in handlers}      # mean time of a run; first guess ours
+        self.cost = {h: h.target / 6 for h in handlers}  # mean time of a run; first guess ours
         self.lines = {h: (deque(), deque()) for h in handlers}
         self.turn = {h: 0.0 for h in handlers}
 
@@ -201,9 +237,13 @@
         if newcomer.over_share:
             return newcomer
         for over in (1, 0):
-            length = {h: len(pair[over]) * self.charge(h) for h, pair in self.lines.items() if pair[over]}
+            length = {
+                h: len(pair[over]) * self.charge(h) for h, pair in self.lines.items() if pair[over]
+            }
             if not over:
-                length[newcomer.handler] = length.get(newcomer.handler, 0.0) + self.charge(newcomer.handler)
+                length[newcomer.handler] = length.get(newcomer.handler, 0.0) + self.charge(
+                    newcomer.handler
+                )
             for h in sorted(length, key=length.get, reverse=True):
                 if not over and h is newcomer.handler:
                     return newcomer
@@ -214,13 +254,21 @@
 
     def hopeless(self, now: int):
         """The held reqs whose run could no longer earn their value."""
-        return [r for pair in self.lines.values() for line in pair for r in line if self.too_late(r, now)]
+        return [
+            r
+            for pair in self.lines.values()
+            for line in pair
+            for r in line
+            if self.too_late(r, now)
+        ]
 
     def ahead(self, h=None) -> float:
         """The time on one core of all that is held, or takes its turn before a newcomer of this handler."""
         turns = (len(self.lines[h][0]) + len(self.lines[h][1])) * self.charge(h) if h else math.inf
-        return sum(self.cost[g] * min(len(pair[0]) + len(pair[1]), turns / self.charge(g))
-                   for g, pair in self.lines.items())
+        return sum(
+            self.cost[g] * min(len(pair[0]) + len(pair[1]), turns / self.charge(g))
+            for g, pair in self.lines.items()
+        )
 
     def too_late(self, req, now: int) -> bool:
         """Whether a run begun then would end too late. The usual time counts to three quarters of the target
@@ -239,10 +287,17 @@
 
     def __init__(self, now: int, share: float | None, span: int, linger: int, slots) -> None:
         self.share, self.span, self.linger, self.slots = share, span, linger, slots
-        self.budget = math.inf if share is None else 0.95 * share * span    # anew at each wake-up
+        self.budget = math.inf if share is None else 0.95 * share * span  # anew at each wake-up
         self.line, self.spent, self.used, self.booked = [], deque(), 0, 0
-        self.window, self.out, self.most = math.inf, 0, 0    # at once: allowed, now, most lately
-        self.usual, self.lately, self.hush, self.told, self.well, self.spoilt = 0.0, 0.0, now, now, 0, False
+        self.window, self.out, self.most = math.inf, 0, 0  # at once: allowed, now, most lately
+        self.usual, self.lately, self.hush, self.told, self.well, self.spoilt = (
+            0.0,
+            0.0,
+            now,
+            now,
+            0,
+            False,
+        )
 
     def left(self, now: int) -> float:
         """The call time that is still ours."""
@@ -253,14 +308,20 @@
     def try_for(self, req, now: int) -> int:
         """The patience with a call: a few usual ones (ours), or a quarter of what is left if more."""
         most = min(req.due, self.slots.until(now) - self.linger) - now
-        if self.share is not None:                # a bound is stated, and its span
-            most = min(most, max(4 * self.lately, self.left(now) / 4), 2 * self.span // 5,
-                       self.budget - self.linger)
+        if self.share is not None:  # a bound is stated, and its span
+            most = min(
+                most,
+                max(4 * self.lately, self.left(now) / 4),
+                2 * self.span // 5,
+                self.budget - self.linger,
+            )
         return max(1, int(most))
 
     def room(self, req, now: int) -> bool:
         """Whether one more stays within our share, however long it takes."""
-        quiet = now < self.hush or self.out >= self.window or not self.slots.free(now, len(self.line))
+        quiet = (
+            now < self.hush or self.out >= self.window or not self.slots.free(now, len(self.line))
+        )
         return not quiet and self.try_for(req, now) + self.linger <= self.left(now)
 
     def began(self, patience: int) -> None:
@@ -273,14 +334,18 @@
         self.share = self.slots.share(now, self.share, self.used + self.booked)
         self.budget = math.inf if self.share is None else 0.95 * self.share * self.span
         most, self.most = min(self.window, self.most or self.window), self.out
-        self.window = max(1.0, 0.9 * most) if self.lately > 8 * self.usual else self.window * 1.125 + 1
+        self.window = (
+            max(1.0, 0.9 * most) if self.lately > 8 * self.usual else self.window * 1.125 + 1
+        )
 
     def ended(self, now: int, word: Word, took: int, patience: int) -> bool:
         """Whether it was lost alone: a younger one went `well`, or its reply was `spoilt` and not the last.
         Guards against a reply that is spoilt or never comes silencing all calls, as trouble below does."""
         self.booked -= patience + self.linger
         self.told, self.out = now, self.out - 1
-        self.slots.ended(now, lost := word not in (Word.CALL_OK, Word.CALL_UNRUN), word is Word.CALL_OK)
+        self.slots.ended(
+            now, lost := word not in (Word.CALL_OK, Word.CALL_UNRUN), word is Word.CALL_OK
+        )
         alone = lost and (self.well > now - took or word is Word.CALL_SPOILT and not self.spoilt)
         self.spoilt = word is Word.CALL_SPOILT
         spent = took + (self.linger if lost else 0)
@@ -289,18 +354,20 @@
         if word is Word.CALL_OK:
             self.well = max(self.well, now - took)
         elif not alone:
-            self.hush = now + TICK                # a failed call is not followed at once by another
-        if word is Word.CALL_OK or lost and not alone and took > self.lately:    # one lost took that at least
+            self.hush = now + TICK  # a failed call is not followed at once by another
+        if (
+            word is Word.CALL_OK or lost and not alone and took > self.lately
+        ):  # one lost took that at least
             self.lately += (took - self.lately) / (8 if self.lately else 1)
         self.usual = min(self.usual or self.lately, self.lately) * 1.001
         return alone
 
     def wait(self, now: int) -> float:
         """How long a call that joins the line now is likely to take: what is ours comes back at our share."""
-        if self.budget <= self.linger:            # none can be made within our share
+        if self.budget <= self.linger:  # none can be made within our share
             return math.inf
         old = not self.booked and not self.line and now > self.told + self.lately
-        call = 0.0 if old else self.lately        # the next call tells how it stands below
+        call = 0.0 if old else self.lately  # the next call tells how it stands below
         if self.share is None:
             return call * (1 + len(self.line) / self.slots.pace(now))
         short = max(0.0, min(self.budget, self.linger + 4 * call) - self.left(now))
@@ -308,11 +375,18 @@
 
     def leave_out(self, now: int):
         """Those in the line that must go on without their call now to be in time."""
-        return [r for r in self.line
-                if r.handler.skip_share and now + self.lately + r.handler.target / 8 > aim(r)]
+        return [
+            r
+            for r in self.line
+            if r.handler.skip_share and now + self.lately + r.handler.target / 8 > aim(r)
+        ]
 
     def pick(self):
-        return max(self.line, key=lambda r: r.handler.value) if self.lately > 2 * self.usual else self.line[0]
+        return (
+            max(self.line, key=lambda r: r.handler.value)
+            if self.lately > 2 * self.usual
+            else self.line[0]
+        )
 
 
 class Guards:
@@ -321,7 +395,7 @@
     def __init__(self, now: int, machine, limits) -> None:
         self.machine, self.limits, self.started = machine, limits, now
         self.kb, self.notice, self.stop_at = 0.0, None, None
-        self.keys: dict = {}                       # kept reqs to the end of their notes; see `expire`
+        self.keys: dict = {}  # kept reqs to the end of their notes; see `expire`
 
     def speed(self, now: int) -> float:
         """The share of its speed that the server has at the least."""
@@ -354,7 +428,7 @@
     def __init__(self, door, permits, beside) -> None:
         self.door, self.permits, self.beside, self.level = door, permits, beside, 1.0
         self.shedding, self.idle, self.told = 0.0, permits.longest_idle / 10, permits.longest_idle
-        door.health(True, True)                              # checks are answered from store, at little cost
+        door.health(True, True)  # checks are answered from store, at little cost
 
     def shed(self, hopeless: bool, leaving: bool = False, ahead: float = 0.0) -> Shed:
         self.saw(True)
@@ -389,17 +463,33 @@
 class Server:
     """One server's decisions."""
 
-    def __init__(self, now, door, chance, handlers, customers, machine, limits, below, permits,
-                 fleet, pools=None) -> None:
-        self.pools = pools                                   # gullyoke/pools.py, or None: off
-        self.now, self.door, self.stage = now, door, Stage(door)    # of `chance` nothing is drawn so far
+    def __init__(
+        self,
+        now,
+        door,
+        chance,
+        handlers,
+        customers,
+        machine,
+        limits,
+        below,
+        permits,
+        fleet,
+        pools=None,
+    ) -> None:
+        self.pools = pools  # gullyoke/pools.py, or None: off
+        self.now, self.door, self.stage = (
+            now,
+            door,
+            Stage(door),
+        )  # of `chance` nothing is drawn so far
         self.machine, self.fleet = machine, fleet
         self.guards, self.advice = Guards(now, machine, limits), Advice(door, permits, fleet.beside)
         self.below = CallsBelow(now, below.share, below.span, below.linger, below.slots)
         self.hold, self.cap = Hold(handlers, fleet.by_work, self.below), RunningCap(machine.cores)
-        self.open: dict = {}                                 # reqs in hand; each leaves at its end
+        self.open: dict = {}  # reqs in hand; each leaves at its end
         self.on = self.off = self.last_read = self.unread = 0
-        self.quota = {c: [1e9, now] for c in customers}      # one row a customer; full at first
+        self.quota = {c: [1e9, now] for c in customers}  # one row a customer; full at first
         self.target, self.learner = sum(h.target for h in handlers) / len(handlers), None
         self.crowd = machine.cores * limits.tip_multiple
         door.wake(TICK)
@@ -408,7 +498,7 @@
 
     def read(self, now: int, req) -> None:
         self.now = now
-        if self.learner is None:                             # S: what memory holds running, above the crowd
+        if self.learner is None:  # S: what memory holds running, above the crowd
             runs = self.machine.memory_kb / (max(req.kb, 0.1) * self.machine.blowup)
             top = int(max(1.25 * self.crowd, min(runs, 2.5 * self.crowd)))
             self.learner = Learner(now, top, self.machine.cores, self.target / 6, 1 / self.target)
@@ -429,13 +519,13 @@
 
     def gauges(self, now: int, gauges) -> None:
         self.now = now
-        self.door.wake(TICK)                                 # first: an error below must not end the beat
-        if gauges.busy is None:                              # no such gauge here: what runs stands for it
+        self.door.wake(TICK)  # first: an error below must not end the beat
+        if gauges.busy is None:  # no such gauge here: what runs stands for it
             gauges = gauges._replace(busy=min(1.0, self.on / self.machine.cores))
         room = math.inf if gauges.room is None else gauges.room
         if self.learner:
             self.learner.count(now)
-            self.learner.busy = gauges.busy > 0.9                    # the design's gauge
+            self.learner.busy = gauges.busy > 0.9  # the design's gauge
             self.learner.room = room
             if now // TICK % 100 == 0:
                 self.door.log(self.learner.story())
@@ -449,8 +539,12 @@
             self.pools.adjust(now, TICK, self.hold.size > 0)
         for req in self.hold.hopeless(now) + self.below.leave_out(now):
             self.step(req, Word.OUT)
-        for req in list(self.open):                          # rule 1: answered before its time is up
-            if not req.answered and not req.gone and (self.guards.closing(now) or req.due <= now + TICK):
+        for req in list(self.open):  # rule 1: answered before its time is up
+            if (
+                not req.answered
+                and not req.gone
+                and (self.guards.closing(now) or req.due <= now + TICK)
+            ):
                 self.step(req, Word.LATE)
             elif self.worthless(req):
                 self.step(req, Word.OUT)
@@ -479,7 +573,7 @@
         """The ordinary path of a req, from its reading to its one final answer and its end."""
         h, guards = req.handler, self.guards
         self.note_share(req)
-        if not guards.may_run(req, self.now):                # a repeat may have run: no promise then
+        if not guards.may_run(req, self.now):  # a repeat may have run: no promise then
             yield to.FAIL if req.prior else self.advice.shed(False, leaving=True)
             return
         fresh = self.fleet.fresh_for if h.kind is Kind.REPLAYABLE else 0
@@ -487,12 +581,14 @@
         if req.prior and (h.kind is Kind.UNIQUED or fresh and begun):
             yield from self.reuse(req)
             return
-        if req.due <= self.now + TICK or not h.open:         # rule 1: too late for the next wake-up, or shut
+        if (
+            req.due <= self.now + TICK or not h.open
+        ):  # rule 1: too late for the next wake-up, or shut
             yield self.advice.shed(h.open, leaving=not h.open)
             return
         ahead = self.hold.ahead(h) / self.machine.cores
         if self.learner.binds() and self.hold.too_late(req, self.now + int(ahead)):
-            self.learner.count(self.now, 0, 1)               # its turn would come too late: told at once
+            self.learner.count(self.now, 0, 1)  # its turn would come too late: told at once
             yield self.advice.shed(self.hold.too_late(req, self.now), ahead=ahead)
             return
         # Pools act where a line stands: what the hold takes in at once is not theirs to refuse.
@@ -503,9 +599,13 @@
             yield self.advice.shed(False, ahead=3 * self.pools.room_in(h))
             return
         keep = h.window if h.kind is Kind.UNIQUED else 0
-        spare = min(0.5 * self.machine.memory_kb,            # held reqs leave room to run some
-                    max(0, self.machine.cores - self.on - self.off) * req.kb * (self.machine.blowup - 1))
-        while not guards.fits(req.kb + spare + (self.machine.key_kb if keep else 0)):    # rule 4: memory
+        spare = min(
+            0.5 * self.machine.memory_kb,  # held reqs leave room to run some
+            max(0, self.machine.cores - self.on - self.off) * req.kb * (self.machine.blowup - 1),
+        )
+        while not guards.fits(
+            req.kb + spare + (self.machine.key_kb if keep else 0)
+        ):  # rule 4: memory
             victim = self.hold.worst(self.now, req)
             if victim is req:
                 self.learner.count(self.now, 0, 1)
@@ -519,7 +619,7 @@
                 yield self.advice.shed(False, ahead=self.hold.ahead() / self.machine.cores)
                 return
             self.move(req, HELD, quiet=True)
-            victim.swapped = True                            # for the newcomer: s stays as it is
+            victim.swapped = True  # for the newcomer: s stays as it is
             self.step(victim, Word.OUT)
         else:
             self.move(req, HELD)
@@ -532,12 +632,14 @@
         self.hold.drop(req)
         if word is not Word.GO:
             self.move(req, OVER, quiet=req.swapped, shed=1)
-            if keep:                                         # unrun: a later try may be the one
+            if keep:  # unrun: a later try may be the one
                 guards.keys.pop(req, None)
                 yield to.FORGET
             if word is not Word.GONE:
-                yield self.advice.shed(word is Word.LATE or self.hold.too_late(req, self.now),
-                                       ahead=self.hold.ahead() / self.machine.cores)
+                yield self.advice.shed(
+                    word is Word.LATE or self.hold.too_late(req, self.now),
+                    ahead=self.hold.ahead() / self.machine.cores,
+                )
             return
         self.hold.took_turn(req)
         self.move(req, ON)
@@ -555,14 +657,16 @@
                 word = yield from self.abandon(req, word)
         self.move(req, OVER)
         if word in (Word.UNRUN, Word.MOOT) and guards.keys.pop(req, None):
-            yield to.FORGET                                  # nothing was begun: a later try may be the one
-        if word is Word.UNRUN:                               # nowhere to run it: as if it had not been let in
+            yield to.FORGET  # nothing was begun: a later try may be the one
+        if word is Word.UNRUN:  # nowhere to run it: as if it had not been let in
             if not req.answered and not req.gone:
                 yield self.advice.shed(False, ahead=self.hold.ahead() / self.machine.cores)
             return
         if word is Word.DONE and self.pools:
             self.pools.ran(h, req.used)
-        if word is Word.DONE or self.now - req.since > self.hold.cost[h]:    # or it took that long at least
+        if (
+            word is Word.DONE or self.now - req.since > self.hold.cost[h]
+        ):  # or it took that long at least
             self.hold.ran(h, self.now - req.since)
 
     def call(self, req, word):
@@ -577,7 +681,7 @@
             return (yield to.SKIP)
         if late and not h.late_share and h.kind is Kind.REPLAYABLE:
             return (yield from self.abandon(req, Word.OUT))
-        if word in LOST and h.kind is not Kind.REPLAYABLE:   # rule 2: it may have had its effect
+        if word in LOST and h.kind is not Kind.REPLAYABLE:  # rule 2: it may have had its effect
             return (yield from self.abandon(req, Word.LATE))
         if not self.below.room(req, self.now) or self.below.line:
             self.below.line.append(req)
@@ -596,7 +700,9 @@
         alone = self.below.ended(self.now, word, self.now - began, patience)
         if word is Word.CALL_OK:
             self.move(req, ON)
-        return Word.NEEDS if alone and word in LOST and h.kind is Kind.REPLAYABLE else word    # made anew
+        return (
+            Word.NEEDS if alone and word in LOST and h.kind is Kind.REPLAYABLE else word
+        )  # made anew
 
     def abandon(self, req, word):
         """A run that nobody waits for: answered if it must be, stopped where that is safe and allowed."""
@@ -624,8 +730,13 @@
     def worthless(self, req) -> bool:
         """A run past its target that can still be stopped, where a late answer earns nothing."""
         h = req.handler
-        return (req.state in (ON, OFF) and not h.late_share and self.stoppable(req) and not req.answered
-                and self.now > aim(req))
+        return (
+            req.state in (ON, OFF)
+            and not h.late_share
+            and self.stoppable(req)
+            and not req.answered
+            and self.now > aim(req)
+        )
 
     def stale(self, now: int) -> bool:
         """Whether what is read has grown old unread: the cores go to reading first, so that what must be shed
--- a/gullyoke/cli/first.py
+++ b/gullyoke/cli/first.py
@@ -1,4 +1,5 @@
 """`gullyoke try`: a real daemon under twice what it can do, for a newcomer to look at."""
+
 from __future__ import annotations
 
 import threading
@@ -11,11 +12,21 @@
 
 @click.command("try")
 @click.option("--seconds", type=click.IntRange(2, 300), default=20, show_default=True)
-@click.option("--load", type=click.FloatRange(0.1, 10), default=2.0, show_default=True,
-              help="Times what its cores can do.")
+@click.option(
+    "--load",
+    type=click.FloatRange(0.1, 10),
+    default=2.0,
+    show_default=True,
+    help="Times what its cores can do.",
+)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--fleet", "members", type=click.IntRange(3, 12), metavar="N",
-              help="Instead: N servers that know each other, one killed and one cut off.")
+@click.option(
+    "--fleet",
+    "members",
+    type=click.IntRange(3, 12),
+    metavar="N",
+    help="Instead: N servers that know each other, one killed and one cut off.",
+)
 def try_(seconds: int, load: float, seed: int, members: int | None) -> None:
     """Start a real daemon on loopback, an emulated engine, database and name service on real sockets, and ask
     it for more than it can do. A live table, then a summary beside a plain pool (simulated).
@@ -35,13 +46,21 @@
     from gullyoke.emulator.day import SECOND, Machines, Work, drawn
     from gullyoke.emulator.fleet import Running
     from gullyoke.lab.world import daemon
-    works = (Work("box-view", .57, 70_000, .6, 1_000_000, 2_500_000, 1.0, .1, True, .3),
-             Work("schedule-set", .30, 95_000, .6, 1_200_000, 3_000_000, 2.0, .1),
-             Work("drop-status", .13, 40_000, .6, 600_000, 1_500_000, 3.0, .1))
+
+    works = (
+        Work("box-view", 0.57, 70_000, 0.6, 1_000_000, 2_500_000, 1.0, 0.1, True, 0.3),
+        Work("schedule-set", 0.30, 95_000, 0.6, 1_200_000, 3_000_000, 2.0, 0.1),
+        Work("drop-status", 0.13, 40_000, 0.6, 600_000, 1_500_000, 3.0, 0.1),
+    )
     day = drawn(works, Machines(servers=1, reading=1), load, seconds * SECOND, seed)
-    click.echo(f"{len(day.arrivals)} reqs in {seconds} s, {load:g} times what 6 emulated cores can do")
+    click.echo(
+        f"{len(day.arrivals)} reqs in {seconds} s, {load:g} times what 6 emulated cores can do"
+    )
     try:
-        with daemon(day) as (gateways, process), Live(table(day, gateways), refresh_per_second=4) as live:
+        with (
+            daemon(day) as (gateways, process),
+            Live(table(day, gateways), refresh_per_second=4) as live,
+        ):
             thread = threading.Thread(target=gateways.play, daemon=True)
             thread.start()
             while thread.is_alive():
@@ -52,15 +71,19 @@
     except ChildProcessError as fault:
         refuse([str(fault)])
     earned, offered = sum(gateways.value.values()), sum(gateways.offered.values())
-    plain = Running(day._replace(callers=day.callers._replace(tries=0)),
-                    lambda node: PlainPool(node, 6, 24)).play()
-    Console().print(f"value earned: {earned / offered:.0%} of what was offered; "
-                    f"a plain pool, simulated on the same reqs: {plain.share():.0%}")
+    plain = Running(
+        day._replace(callers=day.callers._replace(tries=0)), lambda node: PlainPool(node, 6, 24)
+    ).play()
+    Console().print(
+        f"value earned: {earned / offered:.0%} of what was offered; "
+        f"a plain pool, simulated on the same reqs: {plain.share():.0%}"
+    )
 
 
 def table(day, gateways):
     """How it stands, by class."""
     from rich.table import Table
+
     out = Table("class", "asked", "done", "late", "shed", "errored", "value earned")
     with gateways.pen:
         for w in day.works:
@@ -88,8 +111,11 @@
     """A live fleet: who is there as it goes on, and what each fault came to."""
     from gullyoke.rig.play import Play
     from gullyoke.rig.script import read
-    click.echo(f"{members} servers on loopback, 10 reqs a second to each; m1 is killed and comes back, then "
-               "m0 is cut off from all others")
+
+    click.echo(
+        f"{members} servers on loopback, 10 reqs a second to each; m1 is killed and comes back, then "
+        "m0 is cut off from all others"
+    )
     play = Play(read(FLEET.format(n=members, seed=seed)), click.echo)
     try:
         verdict = play.run()
--- a/gullyoke/cli/fleet.py
+++ b/gullyoke/cli/fleet.py
@@ -1,4 +1,5 @@
 """`gullyoke fleet`: the fleet as one server sees it, its keys, and the rig that plays faults."""
+
 from __future__ import annotations
 
 import json
@@ -11,9 +12,16 @@
 
 from gullyoke.cli.say import refuse
 
-AT = click.option("--at", default="127.0.0.1:7990", show_default=True, metavar="ADDRESS",
-                  help="`fleet.status` of the server's operator's file.")
-AS_JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object instead of a table.")
+AT = click.option(
+    "--at",
+    default="127.0.0.1:7990",
+    show_default=True,
+    metavar="ADDRESS",
+    help="`fleet.status` of the server's operator's file.",
+)
+AS_JSON = click.option(
+    "--json", "as_json", is_flag=True, help="One JSON object instead of a table."
+)
 
 
 @click.group()
@@ -37,7 +45,9 @@
             with conn.makefile("rb") as file:
                 return json.loads(file.read())
     except (OSError, ValueError) as fault:
-        refuse([f"{at}: no answer: {fault}; right would be `fleet.status` of a running server's file"])
+        refuse(
+            [f"{at}: no answer: {fault}; right would be `fleet.status` of a running server's file"]
+        )
 
 
 @fleet.command()
@@ -61,19 +71,32 @@
 
 def told(found: dict) -> str:
     """As lines: the whole, then a line a member."""
-    lines = [f"{found['name']} is {found['stage']}; {found['members']} members, {found['seen']} seen, "
-             f"confidence {found['confidence']:.2f}; view {found['view']} {found['digest']}"]
+    lines = [
+        f"{found['name']} is {found['stage']}; {found['members']} members, {found['seen']} seen, "
+        f"confidence {found['confidence']:.2f}; view {found['view']} {found['digest']}"
+    ]
     for row in found["rows"]:
         trip = "-" if row["round_trip_ms"] is None else f"{row['round_trip_ms']:.2f}"
-        lines.append(f"{row['name']:20} {row['state']:12} {row['zone']:12} {row['address']:22} "
-                     f"start {row['start']} refuted {row['refuted']} accused by {row['accused_by']} "
-                     f"round trip {trip} ms"
-                     + ("" if row.get("room") is None else f" room {row['room']:.2f} sheds {row['shed']:.2f} "
-                                                           f"pace {row['pace']:.1f}"))
-    lines += [f"the disk of {folder} is {state}" for folder, state in sorted(found.get("disks", {}).items())
-              if state != "well"]
-    lines += [f"quota of {name}: {one['reqs_a_second']:g} reqs a second here, "
-              f"{one['refused']} times short" for name, one in sorted(found.get("quotas", {}).items())]
+        lines.append(
+            f"{row['name']:20} {row['state']:12} {row['zone']:12} {row['address']:22} "
+            f"start {row['start']} refuted {row['refuted']} accused by {row['accused_by']} "
+            f"round trip {trip} ms"
+            + (
+                ""
+                if row.get("room") is None
+                else f" room {row['room']:.2f} sheds {row['shed']:.2f} pace {row['pace']:.1f}"
+            )
+        )
+    lines += [
+        f"the disk of {folder} is {state}"
+        for folder, state in sorted(found.get("disks", {}).items())
+        if state != "well"
+    ]
+    lines += [
+        f"quota of {name}: {one['reqs_a_second']:g} reqs a second here, "
+        f"{one['refused']} times short"
+        for name, one in sorted(found.get("quotas", {}).items())
+    ]
     return "\n".join(lines)
 
 
@@ -92,8 +115,10 @@
         click.echo(json.dumps(found))
         return
     for e in found["events"]:
-        click.echo(f"{e['ago_ms'] / 1000:9.1f} s ago  view {e['view']:<6} {e['name']} {e['what']} "
-                   f"({e['status']}) by {e['by']}: {e['evidence']}")
+        click.echo(
+            f"{e['ago_ms'] / 1000:9.1f} s ago  view {e['view']:<6} {e['name']} {e['what']} "
+            f"({e['status']}) by {e['by']}: {e['evidence']}"
+        )
 
 
 @fleet.command()
@@ -109,7 +134,9 @@
 
 @fleet.command()
 @click.argument("script", type=click.Path(exists=True, dir_okay=False))
-@click.option("--keep", type=click.Path(file_okay=False), help="A folder for the time line and its chart.")
+@click.option(
+    "--keep", type=click.Path(file_okay=False), help="A folder for the time line and its chart."
+)
 @AS_JSON
 def play(script: str, keep: str | None, as_json: bool) -> None:
     """Play a SCRIPT of faults on real processes on loopback, with gateways' load beside it.
@@ -124,6 +151,7 @@
 
     from gullyoke.rig.play import Play
     from gullyoke.rig.script import Misplayed, read
+
     say = (lambda text: None) if as_json else click.echo
     try:
         found = read(pathlib.Path(script).read_text(encoding="utf-8"))
@@ -132,20 +160,32 @@
         refuse([f"{script}: {fault}"])
     if keep:
         from gullyoke.rig.report import write
+
         for path in write(verdict, found, pathlib.Path(keep)):
             say(f"kept {path}")
     if as_json:
-        click.echo(json.dumps({"good": verdict.good(), "reqs": verdict.reqs, "cpu_share": verdict.cpu_share,
-                               "resident_mb": verdict.resident_mb,
-                               "held": [one._asdict() for one in verdict.held]}))
+        click.echo(
+            json.dumps(
+                {
+                    "good": verdict.good(),
+                    "reqs": verdict.reqs,
+                    "cpu_share": verdict.cpu_share,
+                    "resident_mb": verdict.resident_mb,
+                    "held": [one._asdict() for one in verdict.held],
+                }
+            )
+        )
     else:
-        click.echo("\n".join(verdict.lines())
-                   + f"; a member takes {verdict.cpu_share:.1%} of a core at the most")
+        click.echo(
+            "\n".join(verdict.lines())
+            + f"; a member takes {verdict.cpu_share:.1%} of a core at the most"
+        )
     sys.exit(0 if verdict.good() else 1)
 
 
 # Duties of one.
 
+
 @fleet.command()
 @AT
 @AS_JSON
@@ -162,16 +202,22 @@
         click.echo(json.dumps(found))
     else:
         for name, one in found["duties"].items():
-            click.echo(f"{name:12} {one['holder'] or 'nobody':20} epoch {one['epoch']:<6} here {one['state']}"
-                       + (f", {one['left_ms']} ms left" if one["left_ms"] else ""))
+            click.echo(
+                f"{name:12} {one['holder'] or 'nobody':20} epoch {one['epoch']:<6} here {one['state']}"
+                + (f", {one['left_ms']} ms left" if one["left_ms"] else "")
+            )
         votes = found["votes"]
         if votes is not None:
-            click.echo(f"votes in set {votes['set']}: {'yes' if votes['speaks'] else 'not now'}"
-                       + (", has lost its promises" if votes["fresh"] else "")
-                       + ("" if votes["disk_well"] else ", its disk fails"))
+            click.echo(
+                f"votes in set {votes['set']}: {'yes' if votes['speaks'] else 'not now'}"
+                + (", has lost its promises" if votes["fresh"] else "")
+                + ("" if votes["disk_well"] else ", its disk fails")
+            )
         for turn in found["turns"][-8:]:
-            click.echo(f"{turn['ago_ms'] / 1000:9.1f} s ago  {turn['what']} epoch {turn['epoch']}: "
-                       f"{turn['why']}")
+            click.echo(
+                f"{turn['ago_ms'] / 1000:9.1f} s ago  {turn['what']} epoch {turn['epoch']}: "
+                f"{turn['why']}"
+            )
     sys.exit(0 if all(one["holder"] for one in found["duties"].values()) else 1)
 
 
@@ -194,8 +240,14 @@
       gullyoke fleet hand-over roll --to n3
     """
     found = said(asked(at, f"hand-over {duty} {to}".strip()))
-    click.echo(f"{duty}: " + (f"asked of its holder {found['sent_to']}" if "sent_to" in found
-                              else f"handed to {found['to']}"))
+    click.echo(
+        f"{duty}: "
+        + (
+            f"asked of its holder {found['sent_to']}"
+            if "sent_to" in found
+            else f"handed to {found['to']}"
+        )
+    )
 
 
 @fleet.group()
@@ -211,10 +263,20 @@
 
 @roll.command()
 @AT
-@click.option("--at-once", type=click.FloatRange(0.001, 1), default=0.1, show_default=True,
-              help="The share of the fleet that may be away at once; one at the least.")
-@click.option("--a-zone", type=click.FloatRange(0.001, 1), default=0.5, show_default=True,
-              help="The share of a zone.")
+@click.option(
+    "--at-once",
+    type=click.FloatRange(0.001, 1),
+    default=0.1,
+    show_default=True,
+    help="The share of the fleet that may be away at once; one at the least.",
+)
+@click.option(
+    "--a-zone",
+    type=click.FloatRange(0.001, 1),
+    default=0.5,
+    show_default=True,
+    help="The share of a zone.",
+)
 def start(at: str, at_once: float, a_zone: float) -> None:
     """Restart all who are there now, by turns.
 
@@ -263,8 +325,14 @@
 
 def ordered(at: str, what: str) -> None:
     found = said(asked(at, f"roll {what}"))
-    click.echo(f"roll {what}: " + (f"asked of its conductor {found['sent_to']}" if "sent_to" in found
-                                   else found["plan"]["state"]))
+    click.echo(
+        f"roll {what}: "
+        + (
+            f"asked of its conductor {found['sent_to']}"
+            if "sent_to" in found
+            else found["plan"]["state"]
+        )
+    )
 
 
 @roll.command("status")
@@ -281,10 +349,13 @@
     found = said(asked(at, "roll status"))
     if watch and not as_json:
         found = watched(at, found)
-    click.echo(json.dumps(found) if as_json else
-               f"roll {found['number']} {found['state']}: {len(found['left'])} of {found['members']} left"
-               + "".join(f", {name} is away" for name, *_ in found["doing"])
-               + (f" ({found['why']})" if found["why"] else ""))
+    click.echo(
+        json.dumps(found)
+        if as_json
+        else f"roll {found['number']} {found['state']}: {len(found['left'])} of {found['members']} left"
+        + "".join(f", {name} is away" for name, *_ in found["doing"])
+        + (f" ({found['why']})" if found["why"] else "")
+    )
     sys.exit({"going": 1, "paused": 3, "stopped": 3}.get(found["state"], 0))
 
 
@@ -302,10 +373,19 @@
 @fleet.command()
 @click.argument("folder", type=click.Path(file_okay=False, exists=True))
 @click.option("--name", required=True, help="The voter's name.")
-@click.option("--set", "number", type=click.IntRange(1, 1_000_000), required=True,
-              help="The number of the set of voters from now on; the same on all that are left.")
-@click.option("--yes-a-majority-is-lost", "first", is_flag=True, help="That a majority can't come back.")
-@click.option("--yes-two-may-act", "second", is_flag=True, help="That what they had promised is not known.")
+@click.option(
+    "--set",
+    "number",
+    type=click.IntRange(1, 1_000_000),
+    required=True,
+    help="The number of the set of voters from now on; the same on all that are left.",
+)
+@click.option(
+    "--yes-a-majority-is-lost", "first", is_flag=True, help="That a majority can't come back."
+)
+@click.option(
+    "--yes-two-may-act", "second", is_flag=True, help="That what they had promised is not known."
+)
 def reform(folder: str, name: str, number: int, first: bool, second: bool) -> None:
     """For voters of which a majority is lost for good: let this one vote in a new set, while it is stopped.
 
@@ -319,20 +399,29 @@
       gullyoke fleet reform /var/lib/gullyoke --name n1 --set 9 --yes-a-majority-is-lost --yes-two-may-act
     """
     if not (first and second):
-        refuse(["it asks twice: --yes-a-majority-is-lost and --yes-two-may-act; --help says what may break"])
+        refuse(
+            [
+                "it asks twice: --yes-a-majority-is-lost and --yes-two-may-act; --help says what may break"
+            ]
+        )
     import os
 
     from gullyoke.duty.voter import Row
     from gullyoke.features.duties import FOLDER, OURS
     from gullyoke.peers.duties import row_bytes, rows_in
     from gullyoke.store import Cells, Disk
+
     files = Disk(os.path.join(folder, FOLDER))
     try:
         store = Cells(files)
         promised, _ = rows_in((key, value) for key, value in store.items() if key != OURS)
         raised = {duty: Row(row.epoch + 1_000_000, 0, "") for duty, row in promised.items()}
-        store.put([(OURS, f"{name} {number}".encode()),
-                   *((f"promise {duty}", row_bytes(row)) for duty, row in raised.items())])
+        store.put(
+            [
+                (OURS, f"{name} {number}".encode()),
+                *((f"promise {duty}", row_bytes(row)) for duty, row in raised.items()),
+            ]
+        )
     except OSError as fault:
         refuse([f"{folder}: {fault}"])
     finally:
--- a/gullyoke/cli/lab.py
+++ b/gullyoke/cli/lab.py
@@ -1,4 +1,5 @@
 """`gullyoke lab`: experiments on the emulator. Needs the extra `lab`."""
+
 from __future__ import annotations
 
 import pathlib
@@ -22,10 +23,16 @@
 
 @lab.command("run")
 @click.argument("experiment", type=click.Path(dir_okay=False))
-@click.option("--out", type=click.Path(file_okay=False, path_type=pathlib.Path), required=True,
-              help="The folder for rows, tables, charts and the report.")
+@click.option(
+    "--out",
+    type=click.Path(file_okay=False, path_type=pathlib.Path),
+    required=True,
+    help="The folder for rows, tables, charts and the report.",
+)
 @click.option("--resume", is_flag=True, help="Go on with the rows that are in the folder.")
-@click.option("--workers", type=click.IntRange(1), help="Processes; as many as there are cores if not given.")
+@click.option(
+    "--workers", type=click.IntRange(1), help="Processes; as many as there are cores if not given."
+)
 def run_(experiment: str, out: pathlib.Path, resume: bool, workers: int | None) -> None:
     """Play an EXPERIMENT (protobuf text format, gullyoke/lab/experiment.proto).
 
@@ -39,12 +46,18 @@
     from gullyoke.lab.report import report
     from gullyoke.lab.run import run
     from gullyoke.operator.wanted import Faulty
+
     try:
         found = read(experiment)
         with Progress() as progress:
             task = progress.add_task(found.name)
-            rows = run(experiment, out, resume, workers=workers,
-                       done=lambda n, of: progress.update(task, completed=n, total=of))
+            rows = run(
+                experiment,
+                out,
+                resume,
+                workers=workers,
+                done=lambda n, of: progress.update(task, completed=n, total=of),
+            )
     except Faulty as faulty:
         refuse(faulty.faults)
     except (OSError, ValueError) as fault:
@@ -66,16 +79,21 @@
     from gullyoke.emulator.bound import bound
     from gullyoke.lab.experiment import read
     from gullyoke.operator.wanted import Faulty
+
     try:
         found = read(experiment)
     except Faulty as faulty:
         refuse(faulty.faults)
     if day not in [d.name for d in found.found.day]:
-        refuse([f"no day {day!r}; right would be one of {', '.join(d.name for d in found.found.day)}"])
+        refuse(
+            [f"no day {day!r}; right would be one of {', '.join(d.name for d in found.found.day)}"]
+        )
     drawn = found.day(day, seed)
     best, blind = bound(drawn), bound(drawn, sizes=False)
     click.echo(f"{len(drawn.arrivals)} reqs, {best.offered:.0f} of value offered")
-    click.echo(f"bound {best.value:.0f}, {best.share():.3f} of it; without knowing sizes {blind.share():.3f}")
+    click.echo(
+        f"bound {best.value:.0f}, {best.share():.3f} of it; without knowing sizes {blind.share():.3f}"
+    )
     for work, value in zip(drawn.works, best.by_class, strict=True):
         click.echo(f"  {work.name} {value:.0f}")
     sys.exit(0)
--- a/gullyoke/cli/main.py
+++ b/gullyoke/cli/main.py
@@ -1,4 +1,5 @@
 """`gullyoke`: the sub-commands and what they say. Exit codes: 0 well, 2 what was given can't be right."""
+
 from __future__ import annotations
 
 import os
@@ -29,8 +30,12 @@
 
 
 @main.command()
-@click.option("--config", type=FILE, help="The server's own file; NODE_CONFIG where it is not given.")
-@click.option("--operator", type=FILE, help="The operator's file: listeners, back ends, the log's form.")
+@click.option(
+    "--config", type=FILE, help="The server's own file; NODE_CONFIG where it is not given."
+)
+@click.option(
+    "--operator", type=FILE, help="The operator's file: listeners, back ends, the log's form."
+)
 def serve(config: str | None, operator: str | None) -> None:
     """Run one server in the foreground until SIGTERM.
 
@@ -44,12 +49,14 @@
     """
     signals.hold()
     from gullyoke.daemon.start import serve as run
+
     if config:
         os.environ["NODE_CONFIG"] = config
     if operator is None:
         sys.exit(run())
     from gullyoke.features.file import OperatorFile
     from gullyoke.operator.wanted import Faulty
+
     try:
         extra = OperatorFile(operator)
     except Faulty as faulty:
@@ -57,6 +64,7 @@
     form = None
     if extra.wanted.json_log:
         from gullyoke.features.log_form import Flat
+
         form = Flat()
     sys.exit(run(extra, extra.apart(), form))
 
@@ -72,12 +80,17 @@
     """
     from gullyoke.operator.read import read
     from gullyoke.operator.wanted import Faulty
+
     try:
         found = read(file)
     except Faulty as faulty:
         refuse(faulty.faults)
     pool = f"{len(found.pool.back_ends)} back ends" if found.pool else "the engine"
-    fleet = f", in the fleet {found.fleet.name} by {len(found.fleet.seeds)} seeds" if found.fleet else ""
+    fleet = (
+        f", in the fleet {found.fleet.name} by {len(found.fleet.seeds)} seeds"
+        if found.fleet
+        else ""
+    )
     click.echo(f"{file}: right; {len(found.ways)} further listeners, work at {pool}{fleet}")
 
 
@@ -87,7 +100,6 @@
     click.echo(f"gullyoke {__version__}")
 
 
-
 main.add_command(lab)
 main.add_command(try_)
 main.add_command(store)
--- a/gullyoke/cli/say.py
+++ b/gullyoke/cli/say.py
@@ -1,4 +1,5 @@
 """What the commands say of what can't be right."""
+
 from __future__ import annotations
 
 import sys
--- a/gullyoke/cli/store.py
+++ b/gullyoke/cli/store.py
@@ -1,4 +1,5 @@
 """`gullyoke store`: look into a store's folder, and tidy it, while no daemon writes it."""
+
 from __future__ import annotations
 
 import json
@@ -26,6 +27,7 @@
 def opened(folder: str):
     """The store there, with the lock of a writer."""
     from gullyoke.store import Disk, Store
+
     try:
         disk = Disk(folder)
         click.get_current_context().call_on_close(disk.close)
@@ -37,7 +39,11 @@
 
 
 def told(found: dict, as_json: bool) -> None:
-    click.echo(json.dumps(found) if as_json else "\n".join(f"{key} {value}" for key, value in found.items()))
+    click.echo(
+        json.dumps(found)
+        if as_json
+        else "\n".join(f"{key} {value}" for key, value in found.items())
+    )
 
 
 @store.command()
@@ -47,8 +53,16 @@
     """Read every record; exit 1 where bytes were no whole record."""
     found = opened(folder)
     count = sum(1 for _ in found.items())
-    told({"keys": count, "segments": len(found.plan.segments), "bytes": found.plan.total(),
-          "live_bytes": found.plan.live(), "dropped_bytes": found.dropped}, as_json)
+    told(
+        {
+            "keys": count,
+            "segments": len(found.plan.segments),
+            "bytes": found.plan.total(),
+            "live_bytes": found.plan.live(),
+            "dropped_bytes": found.dropped,
+        },
+        as_json,
+    )
     sys.exit(1 if found.dropped else 0)
 
 
@@ -75,6 +89,7 @@
 def compact(folder: str, as_json: bool) -> None:
     """Copy what is live out of every old segment, and remove these."""
     from rich.progress import Progress
+
     found = opened(folder)
     found.plan.slack = 0.0
     before = found.plan.total()
@@ -82,6 +97,13 @@
         task = progress.add_task("segments", total=len(found.plan.segments))
         while found.compact():
             progress.advance(task)
-    told({"segments_removed": found.compacted, "bytes_before": before, "bytes": found.plan.total(),
-          "faults": found.faults}, as_json)
+    told(
+        {
+            "segments_removed": found.compacted,
+            "bytes_before": before,
+            "bytes": found.plan.total(),
+            "faults": found.faults,
+        },
+        as_json,
+    )
     sys.exit(1 if found.faults else 0)
--- a/gullyoke/codec/buffer.py
+++ b/gullyoke/codec/buffer.py
@@ -1,4 +1,5 @@
 """The one buffer of a connection: grows as it needs, is compacted in place, and never beyond its bound."""
+
 from __future__ import annotations
 
 from collections.abc import Callable
@@ -26,16 +27,16 @@
         """Receive once, waiting for it; False when the peer has closed its side."""
         begun = begun or len(self) > 0
         if self.end == len(self.data):
-            if self.start:                            # compact before growing
+            if self.start:  # compact before growing
                 size = len(self)
-                self.data[:size] = self.data[self.start:self.end]
+                self.data[:size] = self.data[self.start : self.end]
                 self.start, self.end = 0, size
             elif len(self.data) < self.most:
                 self.data.extend(bytes(min(len(self.data), self.most - len(self.data))))
             else:
                 raise Ended(End.GARBLED, f"over {self.most} bytes in one message")
         with memoryview(self.data) as view:
-            got = self.receive(view[self.end:], begun)
+            got = self.receive(view[self.end :], begun)
         self.end += got
         return got > 0
 
@@ -46,7 +47,7 @@
             raise Ended(End.GARBLED, f"a line of over {longest} bytes")
         if at < 0:
             return None
-        text = bytes(self.data[self.start:at]).removesuffix(b"\r")
+        text = bytes(self.data[self.start : at]).removesuffix(b"\r")
         self._took(at + 1 - self.start)
         return text
 
@@ -59,17 +60,17 @@
         """Exactly `size` bytes, or None while they are incomplete."""
         if len(self) < size:
             return None
-        got = bytes(self.data[self.start:self.start + size])
+        got = bytes(self.data[self.start : self.start + size])
         self._took(size)
         return got
 
     def peek(self, most: int) -> bytes:
         """What is there, `most` bytes of it at the most; it stays."""
-        return bytes(self.data[self.start:min(self.end, self.start + most)])
+        return bytes(self.data[self.start : min(self.end, self.start + most)])
 
     def _took(self, size: int) -> None:
         self.start += size
         if self.start == self.end:
             self.start = self.end = 0
-            if len(self.data) > 4 * FIRST:            # a rare large message leaves no large buffer behind
+            if len(self.data) > 4 * FIRST:  # a rare large message leaves no large buffer behind
                 self.data = bytearray(FIRST)
--- a/gullyoke/codec/http.py
+++ b/gullyoke/codec/http.py
@@ -1,4 +1,5 @@
 """HTTP/1.1 messages as the gateways and the name service use them: one at a time, bodies by length."""
+
 from __future__ import annotations
 
 from collections.abc import Callable
@@ -7,11 +8,14 @@
 from gullyoke.core.ends import End, Ended
 from gullyoke.core.message import Answer, Message, Unfit
 
-HEAD, BODY = 4096, 8192                # the longest that are read, in bytes
+HEAD, BODY = 4096, 8192  # the longest that are read, in bytes
 BUFFER = HEAD + BODY
-VERSIONS = ("HTTP/1.0", "HTTP/1.1")     # what an answer begins with, where the request's first word stands
-NAMES: dict[str, str] = {}             # fields' names as they came, and in lower case; kept for good
-MOST = 128                             # of them
+VERSIONS = (
+    "HTTP/1.0",
+    "HTTP/1.1",
+)  # what an answer begins with, where the request's first word stands
+NAMES: dict[str, str] = {}  # fields' names as they came, and in lower case; kept for good
+MOST = 128  # of them
 
 
 def read(buffer: Buffer, begun: Callable[[], None] = lambda: None) -> Message | None:
@@ -27,7 +31,7 @@
             raise Unfit(431, "head too long")
         more(buffer)
     lines = head.decode("latin-1").split("\r\n")[:-2]
-    if head.count(b"\n") != len(lines) + 1 or b"\0" in head:   # an end of line to some readers
+    if head.count(b"\n") != len(lines) + 1 or b"\0" in head:  # an end of line to some readers
         raise Unfit(400, "line ends")
     first = tuple(lines[0].split(" ", 2))
     if len(first) != 3:
@@ -74,4 +78,6 @@
 def answer(given: Answer, close: bool = False) -> bytes:
     """A whole answer, to be written at once."""
     head = f"HTTP/1.1 {given.line()}\r\nContent-Length: {len(given.body)}\r\n{given.head()}"
-    return (head + ("Connection: close\r\n\r\n" if close else "\r\n")).encode("latin-1") + given.body
+    return (head + ("Connection: close\r\n\r\n" if close else "\r\n")).encode(
+        "latin-1"
+    ) + given.body
--- a/gullyoke/codec/lines.py
+++ b/gullyoke/codec/lines.py
@@ -1,10 +1,11 @@
 """Messages in lines of words ending in CR LF, as the engine and the database use them."""
+
 from __future__ import annotations
 
 from gullyoke.codec.buffer import Buffer
 from gullyoke.core.ends import End, Ended
 
-LINE, CONTENT = 4096, 65536            # the longest that are read, in bytes
+LINE, CONTENT = 4096, 65536  # the longest that are read, in bytes
 BUFFER = LINE + CONTENT + 2
 
 
--- a/gullyoke/codec/scgi.py
+++ b/gullyoke/codec/scgi.py
@@ -4,6 +4,7 @@
 then the body; an answer is headers, `Status` among them, a blank line and a body up to its length or the
 close (RFC 3875, section 6). One req a connection.
 """
+
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
@@ -12,17 +13,26 @@
 from gullyoke.core.ends import End, Ended
 from gullyoke.core.message import Answer, Message, Unfit
 
-HEAD, BODY, COUNT = 8192, 8192, 128    # the longest head and body in bytes, and the most headers
-DIGITS = 9                             # the longest netstring length that is looked at
+HEAD, BODY, COUNT = 8192, 8192, 128  # the longest head and body in bytes, and the most headers
+DIGITS = 9  # the longest netstring length that is looked at
 BUFFER = DIGITS + 1 + HEAD + 1 + BODY + 1
 ANSWER_HEAD, ANSWER_BODY = 8192, 2**20  # the longest answer of a back end that is read, in bytes
 ANSWER_BUFFER = ANSWER_HEAD + ANSWER_BODY + 1
-OWN = {"content-length", "connection", "keep-alive", "transfer-encoding", "status", "trailer", "upgrade"}
+OWN = {
+    "content-length",
+    "connection",
+    "keep-alive",
+    "transfer-encoding",
+    "status",
+    "trailer",
+    "upgrade",
+}
 TOKEN = frozenset("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
 
 
 # A req read.
 
+
 def read(buffer: Buffer, begun: Callable[[], None] = lambda: None) -> Message | None:
     """The message of a connection, waiting for it; None if the peer closes before its first byte.
 
@@ -80,7 +90,7 @@
             raise Unfit(400, "a name that is none")
         if name in headers:
             raise Unfit(400, f"two values of {name}")
-        if "\r" in value or "\n" in value:            # could become a field of its own behind us
+        if "\r" in value or "\n" in value:  # could become a field of its own behind us
             raise Unfit(400, f"a line end in {name}")
         headers[name] = value
     if parts[0] != "CONTENT_LENGTH":
@@ -112,7 +122,9 @@
             if field in fields:
                 raise Unfit(400, f"two values of {field}")
             fields[field] = value.strip()
-    if "transfer-encoding" in fields or fields.get("content-length", str(len(body))) != str(len(body)):
+    if "transfer-encoding" in fields or fields.get("content-length", str(len(body))) != str(
+        len(body)
+    ):
         raise Unfit(400, "another length than CONTENT_LENGTH")
     if "CONTENT_TYPE" in headers:
         fields["content-type"] = headers["CONTENT_TYPE"]
@@ -127,6 +139,7 @@
 
 # A req written to a back end, and its answer.
 
+
 def netstring(headers: Iterable[tuple[str, str]]) -> bytes:
     block = "".join(f"{name}\0{value}\0" for name, value in headers).encode("latin-1")
     return b"%d:%b," % (len(block), block)
@@ -135,11 +148,20 @@
 def request(message: Message, over: dict[str, str]) -> bytes:
     """The message whole, with the fields of `over` in the place of its own (an empty one is left out)."""
     method, path, _ = message.first
-    fields = {name: value for name, value in (message.fields | over).items() if value and name not in OWN}
-    headers = [("CONTENT_LENGTH", str(len(message.body))), ("SCGI", "1"), ("REQUEST_METHOD", method),
-               ("REQUEST_URI", path), ("SCRIPT_NAME", ""), ("PATH_INFO", path), ("QUERY_STRING", ""),
-               ("SERVER_PROTOCOL", "HTTP/1.1")]
-    if (kind := fields.pop("content-type", "")):
+    fields = {
+        name: value for name, value in (message.fields | over).items() if value and name not in OWN
+    }
+    headers = [
+        ("CONTENT_LENGTH", str(len(message.body))),
+        ("SCGI", "1"),
+        ("REQUEST_METHOD", method),
+        ("REQUEST_URI", path),
+        ("SCRIPT_NAME", ""),
+        ("PATH_INFO", path),
+        ("QUERY_STRING", ""),
+        ("SERVER_PROTOCOL", "HTTP/1.1"),
+    ]
+    if kind := fields.pop("content-type", ""):
         headers.append(("CONTENT_TYPE", kind))
     headers += [("HTTP_" + name.upper().replace("-", "_"), value) for name, value in fields.items()]
     return netstring(headers) + message.body
@@ -190,7 +212,12 @@
         named.add(low)
         if low == "status":
             digits = value[:3]
-            if not (digits.isascii() and digits.isdigit() and value[3:4] in ("", " ") and digits >= "200"):
+            if not (
+                digits.isascii()
+                and digits.isdigit()
+                and value[3:4] in ("", " ")
+                and digits >= "200"
+            ):
                 raise Ended(End.GARBLED, "status")
             status = int(digits)
         elif low == "content-length":
@@ -209,5 +236,3 @@
 def _plain(value: str) -> bool:
     """Nothing in it that ends a field for some readers."""
     return not any(c in value for c in "\0\r\n")
-
-
--- a/gullyoke/core/book.py
+++ b/gullyoke/core/book.py
@@ -1,4 +1,5 @@
 """Book: what was taken in, sent and answered, counted; the log's form; the log never holds anybody up."""
+
 from __future__ import annotations
 
 import logging
@@ -39,7 +40,9 @@
     def print(self, why: str) -> None:
         with self.lock:
             rows = sorted(self.rows.items())
-        log.info("counters", extra=pairs(why=why, **{name.replace(".", "_"): n for name, n in rows}))
+        log.info(
+            "counters", extra=pairs(why=why, **{name.replace(".", "_"): n for name, n in rows})
+        )
 
 
 log = logging.getLogger("gullyoke")
@@ -54,8 +57,13 @@
     """time=... level=... thread=... event="..." and the line's own pairs."""
 
     def format(self, record: logging.LogRecord) -> str:
-        row = {"time": f"{record.created:.3f}", "level": record.levelname.lower(),
-               "thread": record.threadName, "event": record.getMessage(), **getattr(record, "pairs", {})}
+        row = {
+            "time": f"{record.created:.3f}",
+            "level": record.levelname.lower(),
+            "thread": record.threadName,
+            "event": record.getMessage(),
+            **getattr(record, "pairs", {}),
+        }
         if record.exc_info:
             row["trace"] = self.formatException(record.exc_info)
         return " ".join(f"{key}={quoted(str(value))}" for key, value in row.items())
@@ -98,7 +106,7 @@
             pass
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        return record                                 # formatted by the writing thread, with its pairs
+        return record  # formatted by the writing thread, with its pairs
 
 
 def start_log(level: str, form: logging.Formatter | None = None) -> logging.handlers.QueueListener:
--- a/gullyoke/core/clock.py
+++ b/gullyoke/core/clock.py
@@ -1,4 +1,5 @@
 """Time in whole microseconds that never runs backwards, and stamps of the Unix clock turned into it."""
+
 from __future__ import annotations
 
 import time
--- a/gullyoke/core/crew.py
+++ b/gullyoke/core/crew.py
@@ -1,10 +1,11 @@
 """Threads that do one thing after another and rest in between: starting one costs as much as a refusal."""
+
 from __future__ import annotations
 
 import queue
 from collections.abc import Callable
 
-RESTING, REST = 64, 2.0                # threads that rest at most, and for how many seconds each
+RESTING, REST = 64, 2.0  # threads that rest at most, and for how many seconds each
 
 
 class Crew:
@@ -40,5 +41,5 @@
             try:
                 self.resting.remove(box)
                 return None
-            except ValueError:                        # taken out at this moment: its task is on its way
+            except ValueError:  # taken out at this moment: its task is on its way
                 return box.get()
--- a/gullyoke/core/desk.py
+++ b/gullyoke/core/desk.py
@@ -1,4 +1,5 @@
 """The decisions behind their one lock, and the reqs in hand. Nothing blocks under the lock."""
+
 from __future__ import annotations
 
 import queue
@@ -17,14 +18,29 @@
 from gullyoke.pools import Pools
 from gullyoke.port import FAIL, Gauges, Req, Shed, Word
 
-PAUSE = 0.002                          # seconds between two pieces: others come first where CPU is short
+PAUSE = 0.002  # seconds between two pieces: others come first where CPU is short
 
 
 class Taken(Req):
     """A request with all that the sockets need of it. `gate` is let go when its answer is there; `content`
     is a hash of its body, keyed by this process's own secret."""
-    __slots__ = ("answer", "asked", "asking", "at", "content", "entry", "front", "gate", "key", "message",
-                 "need", "noticed", "outcome", "tid")
+
+    __slots__ = (
+        "answer",
+        "asked",
+        "asking",
+        "at",
+        "content",
+        "entry",
+        "front",
+        "gate",
+        "key",
+        "message",
+        "need",
+        "noticed",
+        "outcome",
+        "tid",
+    )
 
     def carry(self, tid: str, key: str | None, message: Message, front: str) -> None:
         """`front` and `at`, the back end it was last sent to, are for the log alone."""
@@ -70,8 +86,19 @@
         with self.lock:
             f, self.door = self.facts, door
             self.now = clock.now()
-            self.server = Server(began, door, random.Random(self.seed), f.handlers, f.customers, f.machine,
-                                 f.limits, f.below, f.permits, f.fleet, self._pools(began))
+            self.server = Server(
+                began,
+                door,
+                random.Random(self.seed),
+                f.handlers,
+                f.customers,
+                f.machine,
+                f.limits,
+                f.below,
+                f.permits,
+                f.fleet,
+                self._pools(began),
+            )
             if self.stop_at is not None:
                 self.server.leave(self.now, self.stop_at)
 
@@ -82,7 +109,9 @@
         of = {h: classes.get(h.name, h) for h in self.facts.handlers}
         return Pools(began, self.facts.machine.cores, of, minimum)
 
-    def handle(self, act: Callable[[], None], req: Taken | None = None, patience: float = -1) -> None:
+    def handle(
+        self, act: Callable[[], None], req: Taken | None = None, patience: float = -1
+    ) -> None:
         """Let `act` call the decisions; then what came of it, and their turns. `patience` with the lock."""
         if not self.lock.acquire(timeout=patience):
             return
@@ -93,12 +122,14 @@
                 self._try(lambda: self.server.settle(self.now), None)
                 while self.later:
                     late, word = self.later.popleft()
-                    self._try(lambda late=late, word=word: self.server.tell(self.now, late, word), late)
+                    self._try(
+                        lambda late=late, word=word: self.server.tell(self.now, late, word), late
+                    )
                     self._try(lambda: self.server.settle(self.now), None)
         finally:
             gates, self.gates, self.handling = self.gates, [], False
             self.lock.release()
-        for gate in gates:                            # opened earlier, their threads would wait for this one
+        for gate in gates:  # opened earlier, their threads would wait for this one
             gate.release()
         self.flush()
         while self.notes:
@@ -144,8 +175,12 @@
         self.handle(lambda: self.server.tell(self.now, req, word), req)
 
     def gauges(self, got: dict[str, float]) -> None:
-        self.handle(lambda: self.server.gauges(
-            self.now, Gauges(got.get("core_use"), got.get("on_cores"), got.get("links"), got.get("room"))))
+        self.handle(
+            lambda: self.server.gauges(
+                self.now,
+                Gauges(got.get("core_use"), got.get("on_cores"), got.get("links"), got.get("room")),
+            )
+        )
 
     def leave(self, stop_after: int) -> None:
         self.stop_at = clock.now() + stop_after
@@ -165,7 +200,7 @@
 
     def over(self, req: Taken) -> None:
         """Its life has ended; if it got no answer on its way it errored."""
-        if self.reqs.get(req.tid) is req:             # another may have come under its id, and was refused
+        if self.reqs.get(req.tid) is req:  # another may have come under its id, and was refused
             del self.reqs[req.tid]
             self.answer(req, FAIL)
             if req.entry is not None:
--- a/gullyoke/core/ends.py
+++ b/gullyoke/core/ends.py
@@ -1,4 +1,5 @@
 """Every way a connection can end, and what the decisions hear of it: one type, one table."""
+
 from __future__ import annotations
 
 from collections.abc import Callable
@@ -9,19 +10,20 @@
 
 class End(Enum):
     """How a connection ended. The value is what the log and the counters call it."""
-    CLOSED = "closed"          # the peer closed it between two messages
-    CUT = "cut"                # the peer closed it within a message
-    RESET = "reset"            # it broke under reading or writing
-    REFUSED = "refused"        # it never came about, and the peer said so
-    UNREACHED = "unreached"    # it never came about, for any other cause
-    STALLED = "stalled"        # a message or its answer made no way for too long
-    GARBLED = "garbled"        # what came is not the protocol
-    SILENT = "silent"          # closed here: it came and said nothing, or half of something
-    IDLE = "idle"              # closed here: silent for long
-    CROWDED = "crowded"        # closed here: no descriptor is to spare, and no connection is idle
-    DECLARED = "declared"      # closed here, or by the peer, as an answer or a req had said
-    LEAVING = "leaving"        # closed here at the end of the drain
-    FAULT = "fault"            # an error of our own
+
+    CLOSED = "closed"  # the peer closed it between two messages
+    CUT = "cut"  # the peer closed it within a message
+    RESET = "reset"  # it broke under reading or writing
+    REFUSED = "refused"  # it never came about, and the peer said so
+    UNREACHED = "unreached"  # it never came about, for any other cause
+    STALLED = "stalled"  # a message or its answer made no way for too long
+    GARBLED = "garbled"  # what came is not the protocol
+    SILENT = "silent"  # closed here: it came and said nothing, or half of something
+    IDLE = "idle"  # closed here: silent for long
+    CROWDED = "crowded"  # closed here: no descriptor is to spare, and no connection is idle
+    DECLARED = "declared"  # closed here, or by the peer, as an answer or a req had said
+    LEAVING = "leaving"  # closed here at the end of the drain
+    FAULT = "fault"  # an error of our own
 
 
 class Peer(Enum):
@@ -62,7 +64,7 @@
         return ended.end, str(ended)
     except OSError as broken:
         return end_of(broken), str(broken)
-    except Exception as own:                          # it ends this connection and nothing else
+    except Exception as own:  # it ends this connection and nothing else
         fault()
         return End.FAULT, type(own).__name__
 
--- a/gullyoke/core/message.py
+++ b/gullyoke/core/message.py
@@ -1,13 +1,25 @@
 """What a front reads and what it answers, whatever the protocol it came by."""
+
 from __future__ import annotations
 
 from typing import NamedTuple
 
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 409: "Conflict",
-           411: "Length Required", 413: "Content Too Large", 422: "Unprocessable Content",
-           431: "Request Header Fields Too Large",
-           500: "Internal Server Error", 501: "Not Implemented", 502: "Bad Gateway",
-           503: "Service Unavailable", 505: "HTTP Version Not Supported"}
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    409: "Conflict",
+    411: "Length Required",
+    413: "Content Too Large",
+    422: "Unprocessable Content",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    505: "HTTP Version Not Supported",
+}
 
 
 class Unfit(Exception):
@@ -20,6 +32,7 @@
 
 class Message(NamedTuple):
     """A first line in its three parts, the fields by their names in lower case, and the body."""
+
     first: tuple[str, str, str]
     fields: dict[str, str]
     body: bytes
@@ -31,6 +44,7 @@
 
 class Answer(NamedTuple):
     """A whole answer. `fields` are those beside its length, in their order; a name may stand twice."""
+
     status: int
     body: bytes = b""
     fields: tuple[tuple[str, str], ...] = ()
--- a/gullyoke/core/repeats.py
+++ b/gullyoke/core/repeats.py
@@ -1,21 +1,23 @@
 """The table of kept reqs: by which a repeat is known, and from whose results it is answered."""
+
 from __future__ import annotations
 
 from gullyoke.core.message import Answer
 from gullyoke.port import PAST, Handler, Kind
 
-RESULTS = 16 * 2**20                   # bytes of results that are kept at most
+RESULTS = 16 * 2**20  # bytes of results that are kept at most
 
 
 class Entry:
     """A kept request. `holder` is the request while it is in hand; `content` tells what it asked for from
     what others ask for, None where that is not known; `result` is None if it didn't end well."""
+
     __slots__ = ("content", "ended", "holder", "result", "until", "waiting")
 
     def __init__(self, holder, until: int, content: int | None = None) -> None:
         self.holder, self.until, self.content, self.ended = holder, until, content, 0
         self.result: Answer | None = None
-        self.waiting: list = []        # repeats to be answered from it
+        self.waiting: list = []  # repeats to be answered from it
 
 
 class Repeats:
--- a/gullyoke/core/signals.py
+++ b/gullyoke/core/signals.py
@@ -1,4 +1,5 @@
 """The signals that a server takes, and when: its main thread alone, one after the other, once it is up."""
+
 import signal
 
 HANDLED = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
--- a/gullyoke/core/sockets.py
+++ b/gullyoke/core/sockets.py
@@ -1,4 +1,5 @@
 """Opening and ending connections: the few calls on sockets that more than one part needs."""
+
 from __future__ import annotations
 
 import socket
@@ -105,7 +106,7 @@
     """Say that no more comes from here."""
     try:
         sock.shutdown(socket.SHUT_WR)
-    except OSError:                                   # the peer has gone already
+    except OSError:  # the peer has gone already
         pass
 
 
@@ -120,5 +121,5 @@
             most -= got
             if not got:
                 return
-    except OSError:                                   # the time is over, or the peer broke off
+    except OSError:  # the time is over, or the peer broke off
         return
--- a/gullyoke/core/timer.py
+++ b/gullyoke/core/timer.py
@@ -1,4 +1,5 @@
 """One thread for all that is due at a time: the decisions' wake-up, limits of calls, the sweep."""
+
 from __future__ import annotations
 
 import heapq
@@ -17,7 +18,11 @@
     def __init__(self, book: Book) -> None:
         super().__init__(name="timer", daemon=True)
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.bell, self.count, self.book = threading.Condition(threading.Lock()), itertools.count(), book
+        self.bell, self.count, self.book = (
+            threading.Condition(threading.Lock()),
+            itertools.count(),
+            book,
+        )
 
     def at(self, time: int, act: Callable[[], None]) -> None:
         with self.bell:
--- a/gullyoke/daemon/house.py
+++ b/gullyoke/daemon/house.py
@@ -1,4 +1,5 @@
 """The whole server: its parts put together, its start, its notice to leave and its end."""
+
 from __future__ import annotations
 
 import gc
@@ -29,12 +30,17 @@
 from gullyoke.work import Work
 from gullyoke.work.engine import Engine
 
-STACK = 128 * 1024                     # bytes of stack a thread; the deepest path needs under 32 KiB
-SWEEP = 100_000                        # microseconds between looks at the connections
-SPARE = 16                             # descriptors for all but gateways and calls
-CALLS = 6                              # of all descriptors one in so many is for calls
-LAST = 200_000                         # before the stop: no connection is taken any more
-TAKEN = ("engine", "database", "naming", "stop")     # what a new configuration can change in a running server
+STACK = 128 * 1024  # bytes of stack a thread; the deepest path needs under 32 KiB
+SWEEP = 100_000  # microseconds between looks at the connections
+SPARE = 16  # descriptors for all but gateways and calls
+CALLS = 6  # of all descriptors one in so many is for calls
+LAST = 200_000  # before the stop: no connection is taken any more
+TAKEN = (
+    "engine",
+    "database",
+    "naming",
+    "stop",
+)  # what a new configuration can change in a running server
 
 
 class Feature(Protocol):
@@ -62,6 +68,7 @@
 
 class Extra(Protocol):
     """The operator's file: the features that it made, and reading it again, False where it can't be right."""
+
     features: list[Feature]
 
     def reload(self) -> bool: ...
@@ -70,9 +77,11 @@
 class House:
     """`extra` is the operator's file, None where there is none; `form`, the log's where it is not ours."""
 
-    def __init__(self, told: Told, extra: Extra | None = None, form: logging.Formatter | None = None) -> None:
+    def __init__(
+        self, told: Told, extra: Extra | None = None, form: logging.Formatter | None = None
+    ) -> None:
         threading.stack_size(STACK)
-        sys.setswitchinterval(0.001)                  # a thread that solves holds up others this long at most
+        sys.setswitchinterval(0.001)  # a thread that solves holds up others this long at most
         self.told, self.book, self.extra = told, Book(), extra
         self.features: list[Feature] = extra.features if extra else []
         self.logging = start_log(told.level, form)
@@ -80,7 +89,9 @@
         self.desk = Desk(told.facts, told.seed, self.book)
         self.calls = told.sockets // CALLS
         works = [work for one in self.features if (work := one.work(told, self.book)) is not None]
-        self.work: Work = works[0] if works else Engine(told.engine, told.facts.machine.gauges, self.book)
+        self.work: Work = (
+            works[0] if works else Engine(told.engine, told.facts.machine.gauges, self.book)
+        )
         for one in self.features:
             self.work = one.around(self, self.work)
         self.desk.flush = self.work.flush
@@ -92,8 +103,9 @@
         self.room = Room(self.places())
         self.connections = ConnectionTable(self.room, self.desk, self.standing, self.book)
         self.connections.listen(told.listen, Http1(self.intake))
-        self.naming = told.naming and Naming(told.naming, told.name, lambda: self.standing.good,
-                                             random.Random(told.seed), self.book)
+        self.naming = told.naming and Naming(
+            told.naming, told.name, lambda: self.standing.good, random.Random(told.seed), self.book
+        )
         for one in self.features:
             one.join(self)
         self.room.among(len(self.connections.listeners))
@@ -114,12 +126,14 @@
         self.connections.start()
         if self.naming:
             self.naming.start()
-        log.info("started", extra=pairs(name=self.told.name, listen=":".join(map(str, self.told.listen))))
+        log.info(
+            "started", extra=pairs(name=self.told.name, listen=":".join(map(str, self.told.listen)))
+        )
 
     def run(self) -> int:
         """Serve until the notice to leave, and to the end of the drain."""
         self.start()
-        gc.freeze()                                   # what is there now stays; later passes pass it over
+        gc.freeze()  # what is there now stays; later passes pass it over
         while self.heed(signal.sigwait(signals.HANDLED)):
             pass
         return self.leave()
@@ -152,23 +166,37 @@
             log.error("configuration kept", extra=pairs(why=fault))
             return
         if (strange := self.told.strange(new)) is not None:
-            log.error("configuration kept", extra=pairs(why=f"'{strange}' is that of another server"))
+            log.error(
+                "configuration kept", extra=pairs(why=f"'{strange}' is that of another server")
+            )
             return
         if self.extra and not self.extra.reload():
             return
         self.room.state(self.places())
         changed = new.changed(self.told)
-        for part, name in ((self.work, "engine"), (self.database, "database"), (self.naming, "naming")):
+        for part, name in (
+            (self.work, "engine"),
+            (self.database, "database"),
+            (self.naming, "naming"),
+        ):
             if name in changed and part and getattr(new, name):
                 part.move(getattr(new, name))
-        self.told = self.told._replace(**{name: getattr(new, name) for name in changed if name in TAKEN})
-        log.warning("configuration read", extra=pairs(
-            taken=",".join(x for x in changed if x in TAKEN) or "-",
-            ignored=",".join(x for x in changed if x not in TAKEN) or "-"))
+        self.told = self.told._replace(
+            **{name: getattr(new, name) for name in changed if name in TAKEN}
+        )
+        log.warning(
+            "configuration read",
+            extra=pairs(
+                taken=",".join(x for x in changed if x in TAKEN) or "-",
+                ignored=",".join(x for x in changed if x not in TAKEN) or "-",
+            ),
+        )
 
     def leave(self) -> int:
         """The drain: all that comes is still read and answered; at its end no connection is left unread."""
-        log.info("leaving", extra=pairs(stop_ms=self.told.stop // 1000, in_hand=len(self.desk.reqs)))
+        log.info(
+            "leaving", extra=pairs(stop_ms=self.told.stop // 1000, in_hand=len(self.desk.reqs))
+        )
         self.desk.leave(self.told.stop)
         for one in self.features:
             one.leave()
@@ -179,7 +207,9 @@
         self.connections.leave()
         while self.connections.open and clock.now() < stop - LAST // 10:
             time.sleep(0.005)
-        log.info("left", extra=pairs(in_hand=len(self.desk.reqs), connections=len(self.connections.open)))
+        log.info(
+            "left", extra=pairs(in_hand=len(self.desk.reqs), connections=len(self.connections.open))
+        )
         for one in self.features:
             one.end()
         self.print("exit")
--- a/gullyoke/daemon/naming.py
+++ b/gullyoke/daemon/naming.py
@@ -1,4 +1,5 @@
 """Reports to the name service, so that gateways learn of this server. Its absence touches nothing else."""
+
 from __future__ import annotations
 
 import random
@@ -15,13 +16,19 @@
 from gullyoke.core.message import Unfit
 from gullyoke.core.sockets import Until, connected
 
-EVERY, LIMIT = 0.8, 0.5                # seconds between reports, and for each; an entry lapses after 3
-PAUSES = (0.1, 0.8)                    # before the next try after a failure: the first, and the longest
+EVERY, LIMIT = 0.8, 0.5  # seconds between reports, and for each; an entry lapses after 3
+PAUSES = (0.1, 0.8)  # before the next try after a failure: the first, and the longest
 
 
 class Naming(threading.Thread):
-    def __init__(self, address: tuple[str, int], name: str, good: Callable[[], bool], chance: random.Random,
-                 book: Book) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        name: str,
+        good: Callable[[], bool],
+        chance: random.Random,
+        book: Book,
+    ) -> None:
         super().__init__(name="naming", daemon=True)
         self.address, self.path, self.good, self.book = address, f"/ns/hosts/{name}", good, book
         self.chance, self.sock, self.at = chance.uniform, None, address
@@ -37,8 +44,11 @@
             if end is not End.DECLARED:
                 self.close()
                 self.book.add(f"ends.naming.{end.value}")
-                log.log(DEBUG if end is last else WARNING, "report to the name service failed",
-                        extra=pairs(end=end.value, why=why))
+                log.log(
+                    DEBUG if end is last else WARNING,
+                    "report to the name service failed",
+                    extra=pairs(end=end.value, why=why),
+                )
             last = end
             wait = EVERY if end is End.DECLARED else pause
             pause = PAUSES[0] if end is End.DECLARED else min(2 * pause, PAUSES[1])
@@ -65,7 +75,7 @@
         if said.first[1] != "204":
             raise Ended(End.GARBLED, f"answered {said.first[1][:20]}")
         self.book.add("naming.reports")
-        if said.closes() or len(buffer):              # more than one answer: out of step
+        if said.closes() or len(buffer):  # more than one answer: out of step
             self.close()
         return End.DECLARED
 
--- a/gullyoke/daemon/options.py
+++ b/gullyoke/daemon/options.py
@@ -1,4 +1,5 @@
 """The one place where the server's own configuration is read, checked and given defaults."""
+
 from __future__ import annotations
 
 import json
@@ -12,13 +13,14 @@
 
 class Told(NamedTuple):
     """What this server is told at its start."""
+
     name: str
     listen: Address
     engine: Address | None
     naming: Address | None
     database: Address | None
     seed: int
-    stop: int                # microseconds from the notice to leave to the stop
+    stop: int  # microseconds from the notice to leave to the stop
     sockets: int
     facts: Facts
     level: str
@@ -37,8 +39,11 @@
 
     def changed(self, old: Told) -> list[str]:
         """The names of what differs from another configuration. The seed is new with each file."""
-        return [name for name in self._fields
-                if name not in ("facts", "seed") and getattr(self, name) != getattr(old, name)]
+        return [
+            name
+            for name in self._fields
+            if name not in ("facts", "seed") and getattr(self, name) != getattr(old, name)
+        ]
 
 
 def told(env: Mapping[str, str], apart: bool = False) -> Told:
@@ -55,8 +60,11 @@
         raise Misstated(f"NODE_CONFIG: {path} can't be read: {fault}") from None
     if not isinstance(found, dict):
         raise Misstated(f"NODE_CONFIG: {path} holds no object")
-    found = found | {key: env[name] for key, name in (("name", "NODE_NAME"), ("listen", "NODE_LISTEN"))
-                     if env.get(name)}
+    found = found | {
+        key: env[name]
+        for key, name in (("name", "NODE_NAME"), ("listen", "NODE_LISTEN"))
+        if env.get(name)
+    }
     limits = part(found, "limits", {})
     level = env.get("GULLYOKE_LOG", "INFO").upper()
     if level not in ("DEBUG", "INFO", "WARNING", "ERROR"):
@@ -64,12 +72,23 @@
     settings = flat(part(found, "settings"))
     facts = facts_of(settings)
     missing = {"engine": apart, "naming": apart, "db": apart or not facts.below.exists}
-    engine, naming, database = (None if may_miss and key not in found else address(found, key)
-                                for key, may_miss in missing.items())
+    engine, naming, database = (
+        None if may_miss and key not in found else address(found, key)
+        for key, may_miss in missing.items()
+    )
     return Told(
-        word(found, "name"), address(found, "listen"), engine, naming, database, seed(found),
+        word(found, "name"),
+        address(found, "listen"),
+        engine,
+        naming,
+        database,
+        seed(found),
         whole(found, "stop_ms", 1) * 1000,
-        whole(limits, "limits.sockets", 20, 1024), facts, level, settings)
+        whole(limits, "limits.sockets", 20, 1024),
+        facts,
+        level,
+        settings,
+    )
 
 
 def get(found: dict, key: str, default: object = None) -> object:
@@ -88,14 +107,24 @@
 
 def word(found: dict, key: str) -> str:
     value = get(found, key)
-    if not isinstance(value, str) or not value or not value.isprintable() or set(value) & set(" /?#%"):
+    if (
+        not isinstance(value, str)
+        or not value
+        or not value.isprintable()
+        or set(value) & set(" /?#%")
+    ):
         raise Misstated(f"key '{key}' is {value!r}, not a name")
     return value
 
 
 def whole(found: dict, key: str, least: int, default: int | None = None) -> int:
     value = get(found, key, default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or value != int(value) or value < least:
+    if (
+        isinstance(value, bool)
+        or not isinstance(value, int | float)
+        or value != int(value)
+        or value < least
+    ):
         raise Misstated(f"key '{key}' is {value!r}, not a whole number from {least} on")
     return int(value)
 
--- a/gullyoke/daemon/relay.py
+++ b/gullyoke/daemon/relay.py
@@ -1,4 +1,5 @@
 """Relay: what engine and database say becomes the port's words; results and replies go on unchanged."""
+
 from __future__ import annotations
 
 from gullyoke.core import clock
--- a/gullyoke/daemon/route.py
+++ b/gullyoke/daemon/route.py
@@ -1,4 +1,5 @@
 """Route: each command of the decisions goes to whoever carries it out. Only queues are touched."""
+
 from __future__ import annotations
 
 from collections.abc import Iterator
@@ -11,18 +12,19 @@
 from gullyoke.port import FAIL, FORGET, REUSE, RUN, SKIP, STOP, Call, Command, Keep, Shed, Word
 from gullyoke.work import Work
 
-STATS_WAIT = 30_000                    # how long a wake-up waits for the engine's gauges, in microseconds
+STATS_WAIT = 30_000  # how long a wake-up waits for the engine's gauges, in microseconds
 
 
 class Route:
     """The door of one server of decisions. All of it is called under the desk's lock."""
 
-    def __init__(self, desk: Desk, engine: Work, database: Database, timer: Timer,
-                 standing: Standing) -> None:
+    def __init__(
+        self, desk: Desk, engine: Work, database: Database, timer: Timer, standing: Standing
+    ) -> None:
         self.desk, self.engine, self.database, self.timer = desk, engine, database, timer
         self.standing = standing
-        self.awaited = 0               # the wake-up that is out; one at a time
-        self.due = 0                   # when the last one was due
+        self.awaited = 0  # the wake-up that is out; one at a time
+        self.due = 0  # when the last one was due
 
     def do(self, req: Taken, command: Command) -> None:
         desk, engine = self.desk, self.engine
--- a/gullyoke/drill/__main__.py
+++ b/gullyoke/drill/__main__.py
@@ -1,4 +1,5 @@
 """Run the decisions on the bench's wire: `python -m gullyoke.drill`, batches in, replies out."""
+
 import sys
 
 from gullyoke.drill.batches import Malformed, play
--- a/gullyoke/drill/batches.py
+++ b/gullyoke/drill/batches.py
@@ -1,4 +1,5 @@
 """Batches read and replies written; one `Seat` for each server, which shares nothing with the others."""
+
 from __future__ import annotations
 
 import random
@@ -12,11 +13,21 @@
 
 RUN_ENDS = {"200": Word.DONE, "500": Word.ERRORED, "499": Word.STOPPED, "410": Word.MOOT}
 CALL_ENDS = {
-    "200": Word.CALL_OK, "500": Word.CALL_LOST, "503": Word.CALL_UNRUN, "504": Word.CALL_LOST,
-    "502": Word.CALL_UNRUN, "598": Word.CALL_LOST, "499": Word.CALL_LOST, "410": Word.CALL_UNRUN,
+    "200": Word.CALL_OK,
+    "500": Word.CALL_LOST,
+    "503": Word.CALL_UNRUN,
+    "504": Word.CALL_LOST,
+    "502": Word.CALL_UNRUN,
+    "598": Word.CALL_LOST,
+    "499": Word.CALL_LOST,
+    "410": Word.CALL_UNRUN,
 }
 ACTIONS = {
-    "run": "start", "skip": "bypass", "reuse": "answer_from", "stop": "suspend", "forget": "forget",
+    "run": "start",
+    "skip": "bypass",
+    "reuse": "answer_from",
+    "stop": "suspend",
+    "forget": "forget",
     "fail": "error",
 }
 
@@ -27,6 +38,7 @@
 
 class Ticketed(Req):
     """A req with its id on the wire."""
+
     __slots__ = ("tid",)
 
 
@@ -42,8 +54,18 @@
         guarded(self, lambda: self.open(now, seed, facts))
 
     def open(self, now: int, seed: int, facts: Facts) -> None:
-        self.server = Server(now, self, random.Random(seed), facts.handlers, facts.customers, facts.machine,
-                             facts.limits, facts.below, facts.permits, facts.fleet)
+        self.server = Server(
+            now,
+            self,
+            random.Random(seed),
+            facts.handlers,
+            facts.customers,
+            facts.machine,
+            facts.limits,
+            facts.below,
+            facts.permits,
+            facts.fleet,
+        )
 
     # The Door.
 
@@ -83,7 +105,7 @@
         self.lines.append(f"log Words={text}")
 
     def think(self, work: Iterable) -> None:
-        for _ in work:                                # no time passes within a batch
+        for _ in work:  # no time passes within a batch
             pass
 
     # Events.
@@ -94,11 +116,17 @@
         prior = get.get("Forerunner", "0")
         owner = get.get("Owner", "0")
         req = Ticketed(
-            handler, arrived, int(get.get("NotAfterUs", 0)) or arrived + handler.timeout,
-            float(get.get("Footprint", 0)), flag(get.get("Resent", "0")),
-            None if prior == "0" else self.reqs.get(prior, PAST), "NameKey" in get,
-            None if owner == "0" else self.customers[owner], int(get.get("CostUs", 0)),
-            float(get.get("Standing", 0)))
+            handler,
+            arrived,
+            int(get.get("NotAfterUs", 0)) or arrived + handler.timeout,
+            float(get.get("Footprint", 0)),
+            flag(get.get("Resent", "0")),
+            None if prior == "0" else self.reqs.get(prior, PAST),
+            "NameKey" in get,
+            None if owner == "0" else self.customers[owner],
+            int(get.get("CostUs", 0)),
+            float(get.get("Standing", 0)),
+        )
         req.tid = get["Tid"]
         self.reqs[req.tid] = req
         self.server.read(now, req)
@@ -154,7 +182,9 @@
     except Exception as fault:
         where = traceback.extract_tb(fault.__traceback__)[-1]
         text = " ".join(str(fault).split())
-        seat.lines.append(f"bug Words={type(fault).__name__}: {text} in {where.name}, line {where.lineno}")
+        seat.lines.append(
+            f"bug Words={type(fault).__name__}: {text} in {where.name}, line {where.lineno}"
+        )
 
 
 class Checked:
@@ -166,6 +196,7 @@
     def __getattr__(self, name: str) -> Callable[..., None]:
         def call(*given: object) -> None:
             guarded(self.seat, lambda: getattr(self.server, name)(*given))
+
         return call
 
 
--- a/gullyoke/durable/__init__.py
+++ b/gullyoke/durable/__init__.py
@@ -3,6 +3,7 @@
 
 Decisions and state alone; no I/O, no clock and no chance but what is handed in. docs/disk-design.md says what
 was weighed, docs/store.md what an operator sees."""
+
 from gullyoke.durable.condition import Condition, State, Turn
 from gullyoke.durable.ledger import Act, Do, Ledger, Put, Without
 from gullyoke.durable.note import Note, Phase, Verdict, judged
@@ -10,5 +11,23 @@
 from gullyoke.durable.trust import Mark, Trust, trusted
 from gullyoke.durable.waits import Waits
 
-__all__ = ["Act", "Condition", "Do", "Kind", "Ledger", "Mark", "Note", "Phase", "Put", "Rooms", "State",
-           "Trust", "Turn", "Verdict", "Waits", "Without", "judged", "trusted"]
+__all__ = [
+    "Act",
+    "Condition",
+    "Do",
+    "Kind",
+    "Ledger",
+    "Mark",
+    "Note",
+    "Phase",
+    "Put",
+    "Rooms",
+    "State",
+    "Trust",
+    "Turn",
+    "Verdict",
+    "Waits",
+    "Without",
+    "judged",
+    "trusted",
+]
--- a/gullyoke/durable/condition.py
+++ b/gullyoke/durable/condition.py
@@ -6,6 +6,7 @@
 
 The span that grows with each relapse is flap damping (RFC 2439) with a doubling in the place of its penalty;
 the slow return is that of routing's ejected back ends."""
+
 from __future__ import annotations
 
 import errno
@@ -13,18 +14,22 @@
 from enum import Enum
 from typing import NamedTuple
 
-STALL = 1_000_000                      # microseconds that a call may be out
-TRIAL, TRIAL_LONGEST = 500_000, 4_000_000     # between trials of one that is not well
-GOOD = 3                               # trials in a row that must go well
-DWELL, DWELL_LONGEST = 1_000_000, 60_000_000  # it is called bad for so long at the least; doubled by relapses
-RELAPSE = 10_000_000                   # bad again within so long of its return, or twice its last dwell
-RAMP = 4_000_000                       # from its return until all promises are taken again
-NEAR, CLEAR = 0.10, 0.15               # the share left: near full under the first until over the other
-TIGHT, LOOSE = 0.02, 0.04              # full under the first until over the other
+STALL = 1_000_000  # microseconds that a call may be out
+TRIAL, TRIAL_LONGEST = 500_000, 4_000_000  # between trials of one that is not well
+GOOD = 3  # trials in a row that must go well
+DWELL, DWELL_LONGEST = (
+    1_000_000,
+    60_000_000,
+)  # it is called bad for so long at the least; doubled by relapses
+RELAPSE = 10_000_000  # bad again within so long of its return, or twice its last dwell
+RAMP = 4_000_000  # from its return until all promises are taken again
+NEAR, CLEAR = 0.10, 0.15  # the share left: near full under the first until over the other
+TIGHT, LOOSE = 0.02, 0.04  # full under the first until over the other
 
 
 class State(Enum):
     """In the order of how bad they are: of two that hold the later one counts."""
+
     WELL = "well"
     NEAR_FULL = "near full"
     FULL = "full"
@@ -35,15 +40,25 @@
 
 
 BAD = (State.FULL, State.FAILING, State.STALLED, State.READ_ONLY, State.GONE)
-FAULTS = {errno.ENOSPC: State.FULL, errno.EDQUOT: State.FULL, errno.EFBIG: State.FULL,
-          errno.EROFS: State.READ_ONLY, errno.EACCES: State.READ_ONLY, errno.EPERM: State.READ_ONLY,
-          errno.ENOENT: State.GONE, errno.ENOTDIR: State.GONE, errno.ESTALE: State.GONE,
-          errno.ENODEV: State.GONE, errno.ENXIO: State.GONE}
+FAULTS = {
+    errno.ENOSPC: State.FULL,
+    errno.EDQUOT: State.FULL,
+    errno.EFBIG: State.FULL,
+    errno.EROFS: State.READ_ONLY,
+    errno.EACCES: State.READ_ONLY,
+    errno.EPERM: State.READ_ONLY,
+    errno.ENOENT: State.GONE,
+    errno.ENOTDIR: State.GONE,
+    errno.ESTALE: State.GONE,
+    errno.ENODEV: State.GONE,
+    errno.ENXIO: State.GONE,
+}
 ORDER = list(State)
 
 
 class Turn(NamedTuple):
     """From one state to another, with the cause in words."""
+
     at: int
     was: State
     now: State
@@ -56,10 +71,10 @@
 
     def __init__(self, now: int, draw: Callable[[], float]) -> None:
         self.draw, self.out, self.count = draw, {}, 0
-        self.bad: State | None = None                 # by what calls returned; None while they go well
+        self.bad: State | None = None  # by what calls returned; None while they go well
         self.since, self.good, self.next, self.pause = now, 0, now, TRIAL
         self.dwell, self.returned = DWELL, now - RAMP
-        self.free = 1.0                               # the share of the room that is left, as last told
+        self.free = 1.0  # the share of the room that is left, as last told
         self.told = State.WELL
         self.heed: list[Callable[[Turn], None]] = []
 
@@ -75,7 +90,11 @@
         """It returned: `fault` is the system's number for what was wrong, None where it went well."""
         began, what = self.out.pop(number, (now, "a call"))
         if fault is not None:
-            self._worse(now, FAULTS.get(fault, State.FAILING), f"{what}: {errno.errorcode.get(fault, fault)}")
+            self._worse(
+                now,
+                FAULTS.get(fault, State.FAILING),
+                f"{what}: {errno.errorcode.get(fault, fault)}",
+            )
         elif now - began > STALL:
             self._worse(now, State.STALLED, f"{what} took {(now - began) // 1000} ms")
         elif trial:
@@ -120,13 +139,19 @@
     def _by_room(self) -> State:
         low = LOOSE if self.told is State.FULL else TIGHT
         near = CLEAR if self.told in (State.NEAR_FULL, State.FULL) else NEAR
-        return State.FULL if self.free < low else State.NEAR_FULL if self.free < near else State.WELL
+        return (
+            State.FULL if self.free < low else State.NEAR_FULL if self.free < near else State.WELL
+        )
 
     def _worse(self, now: int, state: State, why: str) -> None:
         self.good, self.cause = 0, why
         if self.bad is None:
             soon = now - self.returned < max(RELAPSE, 2 * self.dwell)
-            self.dwell = min(DWELL_LONGEST, 2 * self.dwell) if soon and self.returned >= self.since else DWELL
+            self.dwell = (
+                min(DWELL_LONGEST, 2 * self.dwell)
+                if soon and self.returned >= self.since
+                else DWELL
+            )
             self.since, self.pause, self.next = now, TRIAL, now + TRIAL
             self.bad = state
         elif self.bad is not state:
--- a/gullyoke/durable/ledger.py
+++ b/gullyoke/durable/ledger.py
@@ -7,6 +7,7 @@
 
 A word of the disk that comes after a req was given up starts nothing. Which words can cross which is walked
 through in gullyoke/walk/notes.py."""
+
 from __future__ import annotations
 
 import heapq
@@ -22,16 +23,17 @@
 class Without(Enum):
     """What is done where the disk can't promise in time: `SHED`, the req is turned away unrun, or errored
     where it has run; `GO_ON`, it runs and is answered without the promise."""
+
     SHED = "shed"
     GO_ON = "go on"
 
 
 class Do(Enum):
-    RUN = "run"                        # give the run
-    UNRUN = "unrun"                    # it was not and will not be run
-    KNOWN = "known"                    # it may have run before: errored
-    END = "end"                        # tell how the run ended, as it did
-    UNKNOWN = "unknown"                # tell that it errored: its end is not on the disk
+    RUN = "run"  # give the run
+    UNRUN = "unrun"  # it was not and will not be run
+    KNOWN = "known"  # it may have run before: errored
+    END = "end"  # tell how the run ended, as it did
+    UNKNOWN = "unknown"  # tell that it errored: its end is not on the disk
 
 
 class Act(NamedTuple):
@@ -41,6 +43,7 @@
 
 class Put(NamedTuple):
     """Make this durable (None: take it out), then tell `written` with its number."""
+
     key: str
     note: Note | None
     number: int
@@ -58,6 +61,7 @@
 class Row:
     """`number` is that of the last write that counts; `began`, when the one that is out was asked for;
     `told`, whether the end of the run was told; `due`, by when its answer must go out."""
+
     __slots__ = ("began", "due", "note", "number", "stage", "told")
 
     def __init__(self, stage: Stage, note: Note, number: int, began: int, due: int) -> None:
@@ -106,14 +110,19 @@
             return None
         return row.note
 
-    def asked(self, now: int, key: str, arrived: int, until: int, due: int, run: float,
-              takes: bool) -> Put | Act:
+    def asked(
+        self, now: int, key: str, arrived: int, until: int, due: int, run: float, takes: bool
+    ) -> Put | Act:
         """A req is to run: `run` is how long that usually takes, `takes` whether the disk is fit for a
         promise."""
         if self.past(now, key) is not None:
             return Act(Do.KNOWN, key)
         note = Note(Phase.NOTED, self.life, arrived, until)
-        if not takes or self.bytes + note.size() > self.most or not self.waits.in_time(now, due, run):
+        if (
+            not takes
+            or self.bytes + note.size() > self.most
+            or not self.waits.in_time(now, due, run)
+        ):
             return self._without(now, key, note, due)
         self._put_row(key, Row(Stage.NOTING, note, 0, now, due))
         return self._write(now, key, note)
@@ -130,7 +139,7 @@
         if row.stage is Stage.ENDING:
             row.stage = Stage.NOTED
             return self._unended(row, put.key)
-        if row.stage is Stage.LEFT:                   # what lies there is taken for unknown after a restart
+        if row.stage is Stage.LEFT:  # what lies there is taken for unknown after a restart
             self._drop(put.key)
         return None
 
@@ -144,7 +153,7 @@
                 row.stage = Stage.NOTED
                 return Act(Do.RUN, put.key)
             row.stage = Stage.LEFT
-            return Act(Do.UNRUN, put.key)             # `left` takes out what may lie there
+            return Act(Do.UNRUN, put.key)  # `left` takes out what may lie there
         if row.stage is Stage.ENDING:
             if not durable:
                 row.stage = Stage.NOTED
@@ -165,11 +174,18 @@
         if row.stage is Stage.BARE:
             self._drop(key)
             return None
-        row.stage = Stage.LEFT                        # behind its note, should that be on its way: in order
+        row.stage = Stage.LEFT  # behind its note, should that be on its way: in order
         return self._write(now, key, None)
 
-    def ended(self, now: int, key: str, status: int, fields: tuple[tuple[str, str], ...], body: bytes,
-              takes: bool) -> Put | Act:
+    def ended(
+        self,
+        now: int,
+        key: str,
+        status: int,
+        fields: tuple[tuple[str, str], ...],
+        body: bytes,
+        takes: bool,
+    ) -> Put | Act:
         """Its run is over; `status` 0 where that is not known or it failed."""
         row = self.rows.get(key)
         if row is None:
@@ -177,7 +193,7 @@
         note = row.note._replace(phase=Phase.ENDED, status=status, fields=fields, body=body)
         if self.bytes + note.size() - row.note.size() > self.most:
             note = note._replace(status=0, fields=(), body=b"")
-        if row.stage is Stage.BARE:                   # known while this life lasts
+        if row.stage is Stage.BARE:  # known while this life lasts
             self.bytes += note.size() - row.note.size()
             row.stage, row.note, row.told = Stage.ENDED, note, True
             return Act(Do.END, key)
@@ -194,7 +210,11 @@
         acts = []
         for number, key in self.out.items():
             row = self.rows.get(key)
-            if row is None or row.number != number or not self.waits.overdue(now, row.began, row.due):
+            if (
+                row is None
+                or row.number != number
+                or not self.waits.overdue(now, row.began, row.due)
+            ):
                 continue
             if row.stage is Stage.NOTING:
                 row.stage = Stage.LEFT
@@ -211,7 +231,7 @@
             until, key = heapq.heappop(self.ends)
             row = self.rows.get(key)
             if row is None or row.note.until > until and row.note.until >= now:
-                continue                              # gone, or noted anew since
+                continue  # gone, or noted anew since
             if self._over(row):
                 self._drop(key)
                 past.append(key)
@@ -222,7 +242,7 @@
         return past
 
     def _over(self, row: Row) -> bool:
-        other = row.note.life != self.life            # of an earlier start: it does not run here
+        other = row.note.life != self.life  # of an earlier start: it does not run here
         return row.stage is Stage.ENDED or row.stage is Stage.NOTED and (row.told or other)
 
     def forget_others(self) -> list[str]:
@@ -259,7 +279,7 @@
             self.refused += 1
             return Act(Do.UNRUN, key)
         self.bare += 1
-        if self.bytes + note.size() <= self.most:     # else it runs and is not known afterwards
+        if self.bytes + note.size() <= self.most:  # else it runs and is not known afterwards
             self._put_row(key, Row(Stage.BARE, note, 0, now, due))
         return Act(Do.RUN, key)
 
--- a/gullyoke/durable/note.py
+++ b/gullyoke/durable/note.py
@@ -2,22 +2,24 @@
 
 A note goes to the disk before the req runs, its end before its answer goes out. So a note without an end is
 of a req that may have run, wholly, in part or not at all: it is neither run again nor turned away."""
+
 from __future__ import annotations
 
 from enum import Enum, IntEnum
 from typing import NamedTuple
 
-BARE = 700                             # bytes of a note without a result in memory, with its tables
+BARE = 700  # bytes of a note without a result in memory, with its tables
 
 
 class Phase(IntEnum):
-    NOTED = 1                          # it may run, or may have
-    ENDED = 2                          # its run is over
+    NOTED = 1  # it may run, or may have
+    ENDED = 2  # its run is over
 
 
 class Note(NamedTuple):
     """`life` is the start that wrote it; `arrived`, when the try came that was run, and `until`, the end of
     its window, in microseconds of the Unix clock; `status` 0 where nothing is known of the answer."""
+
     phase: Phase
     life: int
     arrived: int
@@ -28,14 +30,17 @@
 
     def size(self) -> int:
         """What it takes in memory, about, in bytes; on the disk it is less."""
-        return BARE + len(self.body) + sum(len(name) + len(value) + 4 for name, value in self.fields)
+        return (
+            BARE + len(self.body) + sum(len(name) + len(value) + 4 for name, value in self.fields)
+        )
 
 
 class Verdict(Enum):
     """What a repeat hears."""
-    RUNS = "runs"                      # nothing is known of it, or its window is over: it may run
-    UNKNOWN = "unknown"                # errored: whether it ran is not known, or its result is gone
-    RESULT = "result"                  # the answer that was kept
+
+    RUNS = "runs"  # nothing is known of it, or its window is over: it may run
+    UNKNOWN = "unknown"  # errored: whether it ran is not known, or its result is gone
+    RESULT = "result"  # the answer that was kept
 
 
 def judged(note: Note | None, now: int) -> Verdict:
--- a/gullyoke/durable/rooms.py
+++ b/gullyoke/durable/rooms.py
@@ -5,6 +5,7 @@
 record, then the results of ended reqs (a repeat is then answered errored, as unknown, never run again), and
 notes whose window is over. Notes that are in force and promises are never given up for room; promises have
 theirs from the start (gullyoke/store/cells.py)."""
+
 from __future__ import annotations
 
 from enum import IntEnum
@@ -15,6 +16,7 @@
 
 class Kind(IntEnum):
     """What is kept, by worth: the least first."""
+
     MEMORY = 0
     RECORD = 1
     RESULTS = 2
@@ -24,15 +26,22 @@
 
 # The share of the quota that each kind may have; promises stand beside it, in cells of their own.
 SHARES = {Kind.MEMORY: 0.05, Kind.RECORD: 0.15, Kind.RESULTS: 0.5, Kind.NOTES: 0.3}
-GIVEN = (Kind.MEMORY, Kind.RECORD, Kind.RESULTS)       # what may be given up, the least worth first
-STEP = 0.02                            # of the quota, each second that the disk is near full
-STILL = {State.WELL: Kind.MEMORY, State.NEAR_FULL: Kind.RESULTS, State.FULL: Kind.PROMISES,
-         State.FAILING: Kind.PROMISES, State.STALLED: Kind.PROMISES, State.READ_ONLY: Kind.PROMISES,
-         State.GONE: Kind.PROMISES}    # the least kind that is still written in a state
+GIVEN = (Kind.MEMORY, Kind.RECORD, Kind.RESULTS)  # what may be given up, the least worth first
+STEP = 0.02  # of the quota, each second that the disk is near full
+STILL = {
+    State.WELL: Kind.MEMORY,
+    State.NEAR_FULL: Kind.RESULTS,
+    State.FULL: Kind.PROMISES,
+    State.FAILING: Kind.PROMISES,
+    State.STALLED: Kind.PROMISES,
+    State.READ_ONLY: Kind.PROMISES,
+    State.GONE: Kind.PROMISES,
+}  # the least kind that is still written in a state
 
 
 class Goes(NamedTuple):
     """So many bytes of a kind are to go."""
+
     kind: Kind
     bytes: int
 
@@ -57,8 +66,11 @@
 
     def over(self) -> list[Goes]:
         """What is to go because its kind has more than its share."""
-        return [Goes(kind, size - self.most(kind)) for kind, size in self.used.items()
-                if kind in GIVEN and size > self.most(kind)]
+        return [
+            Goes(kind, size - self.most(kind))
+            for kind, size in self.used.items()
+            if kind in GIVEN and size > self.most(kind)
+        ]
 
     def goes(self, state: State) -> list[Goes]:
         """What to give up now, the least worth first: near full a STEP of the quota at a time, else what is
--- a/gullyoke/durable/trust.py
+++ b/gullyoke/durable/trust.py
@@ -4,16 +4,18 @@
 another's, of an older copy, or newer than this program says nothing that may be gone by. What was promised
 under its name then is not known, and for as long as a promise can last the server says so: tries that are
 marked as further ones are errored, and a voter is silent (gullyoke/duty/voter.py waits by itself)."""
+
 from __future__ import annotations
 
 from typing import NamedTuple
 
-FORMAT = 2                             # of a folder; 1 had no mark
-BACK = 5_000_000                       # a clock that is behind the mark by more than this went back
+FORMAT = 2  # of a folder; 1 had no mark
+BACK = 5_000_000  # a clock that is behind the mark by more than this went back
 
 
 class Mark(NamedTuple):
     """`number`: the start's, which never goes back; `at`: Unix microseconds of its writing."""
+
     format: int
     name: str
     number: int
@@ -23,6 +25,7 @@
 class Trust(NamedTuple):
     """`notes`: whether what it says is believed; `writes`: whether it may be written to; `doubts`: whether
     there were notes that are not known, so that further tries must be doubted; `why`, in words."""
+
     notes: bool
     writes: bool
     doubts: bool
--- a/gullyoke/durable/waits.py
+++ b/gullyoke/durable/waits.py
@@ -1,10 +1,11 @@
 """How long a promise takes: from being queued until the disk has it. Smoothed like a round trip, mean and
 deviation (Jacobson 1988), with what is out now: a disk that hangs says nothing, and takes longer each
 moment."""
+
 from __future__ import annotations
 
-FIRST = 5_000                          # microseconds that a promise is taken to need before one was made
-LONGEST = 1_000_000                    # a promise that is not there by then is given up
+FIRST = 5_000  # microseconds that a promise is taken to need before one was made
+LONGEST = 1_000_000  # a promise that is not there by then is given up
 
 
 class Waits:
--- a/gullyoke/duty/__init__.py
+++ b/gullyoke/duty/__init__.py
@@ -4,10 +4,23 @@
 Decisions and state alone; no I/O, no clock and no chance but what is handed in. Safety rests on durable
 promises, majorities and clocks whose rates differ by a stated bound; membership only speeds things up.
 docs/duty-design.md says what was taken from where."""
+
 from gullyoke.duty.candidate import Candidate
 from gullyoke.duty.fence import Fence
 from gullyoke.duty.voter import Voter, Write
 from gullyoke.duty.words import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
 
-__all__ = ["Ask", "Candidate", "Done", "Fence", "Learn", "Learned", "Pass", "Ready", "Said", "Sound", "Voter",
-           "Write"]
+__all__ = [
+    "Ask",
+    "Candidate",
+    "Done",
+    "Fence",
+    "Learn",
+    "Learned",
+    "Pass",
+    "Ready",
+    "Said",
+    "Sound",
+    "Voter",
+    "Write",
+]
--- a/gullyoke/duty/asking.py
+++ b/gullyoke/duty/asking.py
@@ -3,16 +3,17 @@
 A server takes it for dead when its last FAILED calls failed and none went well for SILENT. Then it lets no
 call out while a holder's word that it is dead is young; without such a word it asks for itself, seldom. A
 word that it is well opens it a little at first, so that all servers together do not bring it down again."""
+
 from __future__ import annotations
 
 from collections.abc import Callable
 
-FAILED, SILENT = 5, 500_000            # calls in a row, and microseconds since one went well
-YOUNG = 3_000_000                      # a holder's word counts for so long
-TRIAL = 500_000                        # between the holder's tries
+FAILED, SILENT = 5, 500_000  # calls in a row, and microseconds since one went well
+YOUNG = 3_000_000  # a holder's word counts for so long
+TRIAL = 500_000  # between the holder's tries
 # and between those of one that hears of no holder, half of it by chance
 ALONE = 2_000_000
-OPENING = 3_000_000                    # after the news that it is well: so long until all may call as ever
+OPENING = 3_000_000  # after the news that it is well: so long until all may call as ever
 
 
 class Asking:
@@ -20,9 +21,9 @@
 
     def __init__(self, draw: Callable[[], float]) -> None:
         self.draw, self.failed, self.well_at, self.dead = draw, 0, 0, False
-        self.word: tuple[int, int, bool] | None = None       # epoch, when it came, whether it is dead
+        self.word: tuple[int, int, bool] | None = None  # epoch, when it came, whether it is dead
         self.next, self.opened, self.held = 0, None, False
-        self.asked = 0                                # tries made at one that is taken for dead
+        self.asked = 0  # tries made at one that is taken for dead
 
     def note(self, now: int, well: bool) -> None:
         """A call of this server's ended."""
--- a/gullyoke/duty/candidate.py
+++ b/gullyoke/duty/candidate.py
@@ -4,6 +4,7 @@
 off makes no epochs. Its end is counted from before it asked, and it stops by itself when that comes. One that
 lost it asks for no renewal any more but begins anew: one that is heard but hears nothing would else keep the
 duty from all others."""
+
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
@@ -13,14 +14,18 @@
 from gullyoke.duty.spans import Spans
 from gullyoke.duty.words import Ask, Done, Message, Pass, Ready, Said, Sound
 
-PATIENCE = 300_000                     # microseconds for a round's answers
-AGAIN, LONGEST = 150_000, 2_000_000    # between rounds that came to nothing: the first, and the longest
-EAGER, SOON = 1_500_000, 50_000        # one that is to take over tries so often, for so long
-ILL = 30_000_000                       # one at which the duty failed does not try again for so long
+PATIENCE = 300_000  # microseconds for a round's answers
+AGAIN, LONGEST = (
+    150_000,
+    2_000_000,
+)  # between rounds that came to nothing: the first, and the longest
+EAGER, SOON = 1_500_000, 50_000  # one that is to take over tries so often, for so long
+ILL = 30_000_000  # one at which the duty failed does not try again for so long
 
 
 class Post(NamedTuple):
     """To a voter, or to a member, by name."""
+
     to: str
     message: Message
 
@@ -34,6 +39,7 @@
 
 class Turn(NamedTuple):
     """What became of a duty here: `what` is held, lost, left or passed, with the cause in words."""
+
     at: int
     what: str
     epoch: int
@@ -46,9 +52,17 @@
     second), so that epochs grow even where all voters lost theirs. Tables: `yes` and `no`, voters of a
     round."""
 
-    def __init__(self, duty: str, name: str, life: int, voters: Iterable[str], spans: Spans,
-                 draw: Callable[[], float], number: int = 1,
-                 above: Callable[[], int] = int) -> None:
+    def __init__(
+        self,
+        duty: str,
+        name: str,
+        life: int,
+        voters: Iterable[str],
+        spans: Spans,
+        draw: Callable[[], float],
+        number: int = 1,
+        above: Callable[[], int] = int,
+    ) -> None:
         self.duty, self.name, self.life, self.spans, self.draw = duty, name, life, spans, draw
         self.voters, self.number, self.above = frozenset(voters), number, above
         self.state, self.epoch, self.until, self.asked = State.IDLE, 0, 0, 0
@@ -141,7 +155,7 @@
             self._seen(now, said)
         if said.round != self.round or said.voters != self.number:
             return []
-        (self.yes if said.yes else self.no).add(said.by)      # each voter once, whatever comes twice
+        (self.yes if said.yes else self.no).add(said.by)  # each voter once, whatever comes twice
         if self.state is State.SOUNDING and not said.asked:
             if 2 * len(self.yes) > len(self.voters):
                 self.pause = AGAIN
@@ -180,13 +194,18 @@
     def _granted(self, now: int) -> None:
         if 2 * len(self.yes) <= len(self.voters) or self.state not in (State.ASKING, State.HOLDING):
             return
-        until = self.asked + self.spans.lease         # counted from before it was asked
+        until = self.asked + self.spans.lease  # counted from before it was asked
         if now >= until:
             return
         first = self.state is State.ASKING
         self.state, self.until = State.HOLDING, max(self.until, until) if not first else until
         if first:
-            self.next, self.pause, self.eager, self.free_since = now + self.spans.renew(), AGAIN, 0, None
+            self.next, self.pause, self.eager, self.free_since = (
+                now + self.spans.renew(),
+                AGAIN,
+                0,
+                None,
+            )
             self.holder = self.name
             self._turn(now, "held", f"granted by {', '.join(sorted(self.yes))}")
 
--- a/gullyoke/duty/fence.py
+++ b/gullyoke/duty/fence.py
@@ -1,9 +1,10 @@
 """The side that a duty acts on: it keeps the highest epoch that it has seen of each duty and refuses older
 ones (Chubby's sequencers, Burrows 2006). What can't compare is named in docs/duty-design.md, with what bounds
 the harm there."""
+
 from __future__ import annotations
 
-MOST = 64                              # duties that are kept
+MOST = 64  # duties that are kept
 
 
 class Fence:
@@ -17,8 +18,12 @@
         """Whether an act of this epoch is taken: none older than the newest seen, and one process an
         epoch."""
         known = self.rows.get(duty)
-        if known is None and len(self.rows) >= MOST or known is not None and (
-                epoch < known[0] or epoch == known[0] and life != known[1]):
+        if (
+            known is None
+            and len(self.rows) >= MOST
+            or known is not None
+            and (epoch < known[0] or epoch == known[0] and life != known[1])
+        ):
             self.refused += 1
             return False
         self.rows[duty] = epoch, life
--- a/gullyoke/duty/kept.py
+++ b/gullyoke/duty/kept.py
@@ -4,12 +4,13 @@
 holder reads from a majority before it does anything, takes what has the highest epoch and count, and writes
 that under its own epoch first: an old holder's later write is then refused by a majority (Attiya, Bar-Noy and
 Dolev 1995, with the lease's epoch as the writer's number)."""
+
 from __future__ import annotations
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
-LONGEST = 700                          # bytes that are kept of a duty
+LONGEST = 700  # bytes that are kept of a duty
 
 
 class Keep(NamedTuple):
@@ -22,6 +23,7 @@
 
 class Kept(NamedTuple):
     """A voter's word: it has this, or, where `yes` is False, something newer."""
+
     duty: str
     to: int
     by: str
@@ -38,6 +40,7 @@
 
 class Fetched(NamedTuple):
     """What a voter has kept, and under which epoch and count; empty where it has nothing."""
+
     duty: str
     to: int
     by: str
@@ -61,10 +64,14 @@
     def said(self, keep: Keep, by: str) -> Kept:
         """The word after it is durable, or at once where it does not fit."""
         there = self.rows.get(keep.duty, (0, 0, b""))[:2]
-        return Kept(keep.duty, keep.life, by, keep.epoch, keep.count, there == (keep.epoch, keep.count))
+        return Kept(
+            keep.duty, keep.life, by, keep.epoch, keep.count, there == (keep.epoch, keep.count)
+        )
 
     def fetched(self, fetch: Fetch, by: str) -> Fetched:
-        return Fetched(fetch.duty, fetch.life, by, fetch.epoch, *self.rows.get(fetch.duty, (0, 0, b"")))
+        return Fetched(
+            fetch.duty, fetch.life, by, fetch.epoch, *self.rows.get(fetch.duty, (0, 0, b""))
+        )
 
 
 class Register:
@@ -94,7 +101,11 @@
         self.count, self.body, self.safe, self.yes = self.count + 1, body, False, set()
 
     def kept(self, said: Kept) -> None:
-        if (said.duty, said.to, said.epoch, said.count) == (self.duty, self.life, self.epoch, self.count) \
-                and said.by in self.voters and said.yes:
+        if (
+            (said.duty, said.to, said.epoch, said.count)
+            == (self.duty, self.life, self.epoch, self.count)
+            and said.by in self.voters
+            and said.yes
+        ):
             self.yes.add(said.by)
             self.safe |= 2 * len(self.yes) > len(self.voters)
--- a/gullyoke/duty/notices.py
+++ b/gullyoke/duty/notices.py
@@ -1,5 +1,6 @@
 """What a holder tells all members, and what anybody asks of a holder. Whoever hears a notice or an order
 holds its epoch against the newest it has seen (gullyoke/duty/fence.py)."""
+
 from __future__ import annotations
 
 from typing import NamedTuple
@@ -7,6 +8,7 @@
 
 class Notice(NamedTuple):
     """I hold this duty; `body` is what all should know of it."""
+
     duty: str
     epoch: int
     life: int
@@ -16,6 +18,7 @@
 
 class Order(NamedTuple):
     """From a holder to one member: do this."""
+
     duty: str
     epoch: int
     life: int
@@ -25,18 +28,21 @@
 
 class Plea(NamedTuple):
     """From anybody to the holder: an operator asks this."""
+
     duty: str
     what: str
 
 
 class Known(NamedTuple):
     """The last notice of a duty, and when it came."""
+
     notice: Notice
     at: int
 
 
 class Board:
     """What is known of holders here. Table: one row a duty, at most MOST."""
+
     MOST = 64
 
     def __init__(self) -> None:
@@ -45,8 +51,12 @@
     def take(self, now: int, notice: Notice) -> bool:
         """Whether it is news: not of an older epoch."""
         known = self.rows.get(notice.duty)
-        if known is not None and notice.epoch < known.notice.epoch or \
-                known is None and len(self.rows) >= self.MOST:
+        if (
+            known is not None
+            and notice.epoch < known.notice.epoch
+            or known is None
+            and len(self.rows) >= self.MOST
+        ):
             return False
         self.rows[notice.duty] = Known(notice, now)
         return True
--- a/gullyoke/duty/roll.py
+++ b/gullyoke/duty/roll.py
@@ -4,6 +4,7 @@
 takes the roll over half way needs no list of all. Who was told to go is kept with the epoch by a majority
 before the word goes out, so nobody is drained twice or forgotten. It stops by itself when the fleet sheds or
 errs more than it did, or when a server does not come back in time."""
+
 from __future__ import annotations
 
 import json
@@ -11,11 +12,11 @@
 from typing import NamedTuple
 
 STATES = ("idle", "going", "paused", "stopped", "done", "cancelled")
-CALM = 3_000_000                       # microseconds that a server must be in and calm before the next
-PATIENCE = 60_000_000                  # for one to be back; longer, and the roll stops
-ROSE = 0.15                            # the share shed may be so much over what it was when the roll began
-REASON = 80                            # characters of a reason that are kept
-STRAYS = 8                             # servers whose clocks are behind that a roll bears
+CALM = 3_000_000  # microseconds that a server must be in and calm before the next
+PATIENCE = 60_000_000  # for one to be back; longer, and the roll stops
+ROSE = 0.15  # the share shed may be so much over what it was when the roll began
+REASON = 80  # characters of a reason that are kept
+STRAYS = 8  # servers whose clocks are behind that a roll bears
 
 
 class Plan(NamedTuple):
@@ -23,6 +24,7 @@
     the share of the fleet that may be away at once, one at the least; `a_zone`: of a zone. `doing`: who was
     told to go, when by the conductor's clock, and its start then. `strays`: who is done though its start is
     under `before`. `shed`: what the fleet shed when it began."""
+
     number: int = 0
     state: str = "idle"
     before: int = 0
@@ -53,6 +55,7 @@
 class Seen(NamedTuple):
     """A member as the conductor sees it: its zone, its start's second, whether it is in and answers, since
     when that is so, and whether it is calm (warm, and sheds little)."""
+
     name: str
     zone: str
     start: int
@@ -63,6 +66,7 @@
 
 class Fleet(NamedTuple):
     """What the conductor goes by: all members, and the share shed by the median of them."""
+
     members: tuple[Seen, ...]
     shed: float
 
@@ -109,14 +113,18 @@
     there = {one.name: one for one in fleet.members}
     back = {name for name, _, start in plan.doing if _back(there.get(name), start, now)}
     strays = plan.strays + tuple(name for name in back if there[name].start < plan.before)
-    plan = plan._replace(strays=strays, doing=tuple(row for row in plan.doing if row[0] not in back))
+    plan = plan._replace(
+        strays=strays, doing=tuple(row for row in plan.doing if row[0] not in back)
+    )
     late = [name for name, at, _ in plan.doing if now - at > PATIENCE]
     if late:
         return plan._replace(state="stopped", why=f"{late[0]} did not come back in time"[:REASON])
     if len(strays) > STRAYS:
         return plan._replace(state="stopped", why="too many servers whose clocks are behind")
     if fleet.shed > plan.shed + ROSE:
-        return plan._replace(state="stopped", why=f"the fleet sheds {fleet.shed:.2f}, {plan.shed:.2f} before")
+        return plan._replace(
+            state="stopped", why=f"the fleet sheds {fleet.shed:.2f}, {plan.shed:.2f} before"
+        )
     doing = {name for name, _, _ in plan.doing}
     todo = [one for one in left(plan, fleet) if one.name not in doing]
     if not todo and not doing:
@@ -127,7 +135,13 @@
 
 def _back(seen: Seen | None, start: int, now: int) -> bool:
     """Whether it has started anew, and has been in and calm for a while."""
-    return seen is not None and seen.start > start and seen.there and seen.calm and now - seen.since >= CALM
+    return (
+        seen is not None
+        and seen.start > start
+        and seen.there
+        and seen.calm
+        and now - seen.since >= CALM
+    )
 
 
 def chosen(plan: Plan, doing: Iterable[str], todo: list[Seen], fleet: Fleet, me: str) -> list[str]:
--- a/gullyoke/duty/spans.py
+++ b/gullyoke/duty/spans.py
@@ -1,4 +1,5 @@
 """The times of a lease, and how far clocks may run apart. Microseconds."""
+
 from __future__ import annotations
 
 from typing import NamedTuple
@@ -8,6 +9,7 @@
     """`lease`: how long a grant lasts, by its holder's clock from before it asked. `drift`: by how many parts
     in a million two clocks may run apart at the most; each side counts on its own, steps of the wall clock
     are nothing to it. `margin`: so long before its end a holder does nothing more."""
+
     lease: int = 3_000_000
     drift: int = 1000
     margin: int = 200_000
--- a/gullyoke/duty/voter.py
+++ b/gullyoke/duty/voter.py
@@ -9,6 +9,7 @@
 The lease itself is Gray's and Cheriton's (1989); epochs granted once by a majority, Paxos' (Lamport 1998); no
 word for another while a lease runs, and asking before one asks, Raft's stickiness and pre-vote (Ongaro 2014);
 epochs that acts carry, Chubby's sequencers (Burrows 2006)."""
+
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
@@ -17,14 +18,15 @@
 from gullyoke.duty.spans import Spans
 from gullyoke.duty.words import NOBODY, Ask, Done, Learn, Learned, Said, Sound
 
-DUTIES = 64                            # rows that are kept; there are a few
-LEARN_AGAIN = 500_000                  # between two askings of the others
+DUTIES = 64  # rows that are kept; there are a few
+LEARN_AGAIN = 500_000  # between two askings of the others
 # for so long a duty that was passed on is kept for whom it was passed to
 FAVOUR = 1_000_000
 
 
 class Row(NamedTuple):
     """What is promised of a duty, as it lies on the disk."""
+
     epoch: int
     life: int
     name: str
@@ -35,6 +37,7 @@
 
 class Write(NamedTuple):
     """Make this row durable, then tell `written`."""
+
     duty: str
     row: Row
     then: Said | None
@@ -50,8 +53,16 @@
     voters' names. Tables: `rows`, `until` and `favour`, one row a duty, DUTIES at the most, kept for good:
     they are what voting is; `pending`, writes that are on their way, one a duty."""
 
-    def __init__(self, now: int, name: str, life: int, others: Iterable[str], spans: Spans,
-                 rows: Mapping[str, Row] | None, voters: int = 1) -> None:
+    def __init__(
+        self,
+        now: int,
+        name: str,
+        life: int,
+        others: Iterable[str],
+        spans: Spans,
+        rows: Mapping[str, Row] | None,
+        voters: int = 1,
+    ) -> None:
         self.name, self.life, self.others, self.spans = name, life, frozenset(others), spans
         self.rows: dict[str, Row] = dict(rows or {})
         self.fresh = rows is None
@@ -61,10 +72,10 @@
         self.favour: dict[str, Favoured] = {}
         self.pending: dict[str, Write] = {}
         self.heard: dict[str, tuple[tuple[str, int, int, str], ...]] = {}
-        self.new: set[str] = set()                    # others that are fresh as well
+        self.new: set[str] = set()  # others that are fresh as well
         self.round, self.next, self.well, self.voters = 0, 0, True, voters
-        self.tried = now                              # when a disk that failed was last tried
-        self.refused = 0                              # how often the disk failed a promise
+        self.tried = now  # when a disk that failed was last tried
+        self.refused = 0  # how often the disk failed a promise
 
     def set_others(self, others: Iterable[str], voters: int) -> None:
         """Another set of voters, one more or fewer. What it has promised stays; one that is still learning
@@ -127,7 +138,7 @@
                 elif row.epoch == was.epoch and row.life != was.life:
                     known[duty] = Row(row.epoch, NOBODY, "")
         self.heard.clear()
-        self.round += 1                               # one word more starts it anew, should a write fail
+        self.round += 1  # one word more starts it anew, should a write fail
         if not known:
             self.fresh = False
         return [Write(duty, row, None) for duty, row in known.items()]
@@ -150,17 +161,34 @@
         if ask.duty in self.pending:
             return None
         same = (row.epoch, row.life) == (ask.epoch, ask.life) and ask.voters == self.voters
-        if same and not self.fresh:                   # renewed, or asked twice: it is durable already
+        if same and not self.fresh:  # renewed, or asked twice: it is durable already
             self._grant(now, ask.duty)
             return self._said(now, ask.duty, ask.life, ask.round, True, True)
-        yes = (ask.epoch > row.epoch and ask.voters == self.voters
-               and self._would(now, ask.duty, ask.life, ask.name))
+        yes = (
+            ask.epoch > row.epoch
+            and ask.voters == self.voters
+            and self._would(now, ask.duty, ask.life, ask.name)
+        )
         if not yes or len(self.rows) >= DUTIES and ask.duty not in self.rows:
             return self._said(now, ask.duty, ask.life, ask.round, False, True)
         promised = Row(ask.epoch, ask.life, ask.name)
-        self.pending[ask.duty] = Write(ask.duty, promised, Said(
-            ask.duty, ask.life, ask.round, self.name, True, True, ask.epoch, ask.life, ask.name,
-            self.spans.lease, self.voters))
+        self.pending[ask.duty] = Write(
+            ask.duty,
+            promised,
+            Said(
+                ask.duty,
+                ask.life,
+                ask.round,
+                self.name,
+                True,
+                True,
+                ask.epoch,
+                ask.life,
+                ask.name,
+                self.spans.lease,
+                self.voters,
+            ),
+        )
         return self.pending[ask.duty]
 
     def written(self, now: int, write: Write, durable: bool) -> Said | None:
@@ -209,5 +237,16 @@
     def _said(self, now: int, duty: str, to: int, round_: int, yes: bool, asked: bool) -> Said:
         row = self.rows.get(duty, NONE)
         left = max(0, self.until.get(duty, 0) - now)
-        return Said(duty, to, round_, self.name, yes, asked, row.epoch, row.life if left else NOBODY,
-                    row.name if left else "", left, self.voters)
+        return Said(
+            duty,
+            to,
+            round_,
+            self.name,
+            yes,
+            asked,
+            row.epoch,
+            row.life if left else NOBODY,
+            row.name if left else "",
+            left,
+            self.voters,
+        )
--- a/gullyoke/emulator/baselines.py
+++ b/gullyoke/emulator/baselines.py
@@ -1,4 +1,5 @@
 """Policies to compare with, never to run: a plain pool with a short line, and strict priority by value."""
+
 from __future__ import annotations
 
 from collections import deque
@@ -20,7 +21,9 @@
 
     def read(self, now: int, req) -> None:
         if len(self.line) >= self.most and self.on >= self.runs:
-            worst = min(self.line, key=lambda r: r.handler.value, default=req) if self.strict else req
+            worst = (
+                min(self.line, key=lambda r: r.handler.value, default=req) if self.strict else req
+            )
             if worst.handler.value >= req.handler.value:
                 worst = req
             self.door.do(worst, Shed())
--- a/gullyoke/emulator/beside.py
+++ b/gullyoke/emulator/beside.py
@@ -1,5 +1,6 @@
 """Servers of the model that tell each other how they stand and share the dependency's slots: the same
 modules as on sockets, with delay, loss and cuts between them. All figures from here are simulated."""
+
 from __future__ import annotations
 
 import random
@@ -14,7 +15,11 @@
 from gullyoke.together.slots import UNIT, Mean
 
 SECOND, TURN = 1_000_000, 100_000
-PEERS, HOMES, FLOOR = 16, 5, 0.25      # who hears a signal; who lends; the part that is one's own by right
+PEERS, HOMES, FLOOR = (
+    16,
+    5,
+    0.25,
+)  # who hears a signal; who lends; the part that is one's own by right
 
 Cut = Callable[[int, int, int], bool]  # whether what one sends another at a time is lost
 
@@ -36,8 +41,17 @@
             largest = beside.largest or day.machines.servers + sum(n for _, n in day.machines.join)
             floor, tokens = split(day.shared.survives * UNIT, largest, homes, FLOOR)
             home = str(node.number) if str(node.number) in homes else None
-            part = Sharing(now, chance.getrandbits(40), homes, tokens.get(home, 0), floor, home,
-                           home is not None, below.linger, below.span)
+            part = Sharing(
+                now,
+                chance.getrandbits(40),
+                homes,
+                tokens.get(home, 0),
+                floor,
+                home,
+                home is not None,
+                below.linger,
+                below.span,
+            )
             self.own = below.slots = Mean(part, below.linger, below.span)
         # Those who were there at the start know each other, as after a while of running.
         node.fleet.at(chance.randrange(TURN), self.turn)
@@ -53,7 +67,13 @@
         if not isinstance(server, Server) or server.learner is None:
             return
         cold = server.guards.speed(now) < 1
-        stage = Stage.DRAINING if server.guards.notice is not None else Stage.COLD if cold else Stage.WARM
+        stage = (
+            Stage.DRAINING
+            if server.guards.notice is not None
+            else Stage.COLD
+            if cold
+            else Stage.WARM
+        )
         reading = Reading.of(server, stage)
         judged, was = self.judgement, self.judgement.back
         judged.weigh(now, reading, self.heard.young(now))
@@ -64,7 +84,9 @@
         self.count += 1
         word = self.beside.lie(node.number, self.telling.word(reading))
         for other in self.beside.neighbours(node.number):
-            self.beside.send(node.number, other, lambda peer: peer.hear_word(node.number, self.count, word))
+            self.beside.send(
+                node.number, other, lambda peer: peer.hear_word(node.number, self.count, word)
+            )
 
     def hear_word(self, sender: int, count: int, word: int) -> None:
         self.heard.hear(self.node.fleet.now(), sender, count, word)
@@ -93,8 +115,17 @@
     `liar` the number of one that says it has all room there is. `largest`: the largest fleet stated for
     shares. `frozen`: from when on all signals stay as they were."""
 
-    def __init__(self, seed: int, signals: bool = True, shares: bool = True, loss: float = 0.0,
-                 cut: Cut | None = None, liar: int = -1, largest: int = 0, frozen: int = 0) -> None:
+    def __init__(
+        self,
+        seed: int,
+        signals: bool = True,
+        shares: bool = True,
+        loss: float = 0.0,
+        cut: Cut | None = None,
+        liar: int = -1,
+        largest: int = 0,
+        frozen: int = 0,
+    ) -> None:
         self.chance = random.Random(seed ^ 0xBE51DE)
         self.signals, self.shares, self.loss, self.cut, self.liar = signals, shares, loss, cut, liar
         self.largest, self.frozen = largest, frozen
@@ -114,7 +145,7 @@
         if number == self.liar:
             return Reading(1.0, 0.0, 0.0, Stage.WARM).pack()
         now = self.peers[number].node.fleet.now()
-        if self.frozen and now >= self.frozen:        # all reporters are stuck at what they said then
+        if self.frozen and now >= self.frozen:  # all reporters are stuck at what they said then
             return self.words.setdefault(number, word)
         return word
 
--- a/gullyoke/emulator/bound.py
+++ b/gullyoke/emulator/bound.py
@@ -5,6 +5,7 @@
 needs reading; a call may take its slots' time in the slot of its run or, with the slots doubled, the next.
 What stays: when a req comes, its target and timeout, its own work, the work of the cores in each slot. Solved
 by HiGHS through scipy."""
+
 from __future__ import annotations
 
 from typing import NamedTuple
@@ -18,6 +19,7 @@
 
 class Bound(NamedTuple):
     """The bound on the value earned, by class the value in the plan, and the value offered."""
+
     value: float
     by_class: list[float]
     offered: float
@@ -66,11 +68,20 @@
         rows.append(len(need) + count + k)
         data.append(bare[kinds[i]] * day.shared.span / np.array(need)[i])
         limit.append(np.full(count, 2.0 * day.shared.slots * slot))
-    matrix = coo_array((np.concatenate(data), (np.concatenate(rows), np.tile(np.arange(len(i)), len(rows)))),
-                       shape=(sum(len(x) for x in limit), len(i))).tocsr()
-    found = linprog(-value, A_ub=matrix, b_ub=np.concatenate(limit), bounds=(0, None), method="highs")
+    matrix = coo_array(
+        (np.concatenate(data), (np.concatenate(rows), np.tile(np.arange(len(i)), len(rows)))),
+        shape=(sum(len(x) for x in limit), len(i)),
+    ).tocsr()
+    found = linprog(
+        -value, A_ub=matrix, b_ub=np.concatenate(limit), bounds=(0, None), method="highs"
+    )
     if found.status != 0:
         raise ArithmeticError(f"the planner found no plan: {found.message}")
-    earned = np.bincount([day.arrivals[j][1] for j in req], weights=found.x * value, minlength=len(day.works))
-    return Bound(float(-found.fun), [float(x) for x in earned],
-                 float(sum(day.works[a[1]].value for a in day.arrivals)))
+    earned = np.bincount(
+        [day.arrivals[j][1] for j in req], weights=found.x * value, minlength=len(day.works)
+    )
+    return Bound(
+        float(-found.fun),
+        [float(x) for x in earned],
+        float(sum(day.works[a[1]].value for a in day.arrivals)),
+    )
--- a/gullyoke/emulator/cores.py
+++ b/gullyoke/emulator/cores.py
@@ -1,4 +1,5 @@
 """Cores shared by all that runs on them: equal parts, less in all past some crowd."""
+
 from __future__ import annotations
 
 import heapq
@@ -12,14 +13,20 @@
     with a delay and an act: it is the model's clock; `now()` its time. Table: the heap, left by each job at
     its end."""
 
-    def __init__(self, cores: int, crowd_at: float, loss: float, now: Callable[[], int],
-                 at: Callable[[int, Callable[[], None]], None]) -> None:
+    def __init__(
+        self,
+        cores: int,
+        crowd_at: float,
+        loss: float,
+        now: Callable[[], int],
+        at: Callable[[int, Callable[[], None]], None],
+    ) -> None:
         self.cores, self.crowd_at, self.loss, self.now, self.at = cores, crowd_at, loss, now, at
         self.speed, self.virtual, self.last, self.version = 1.0, 0.0, 0, 0
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.count = itertools.count()
-        self.done = 0.0                               # work done so far
-        self.weighted, self.busy = 0.0, 0.0           # integrals over time: jobs there, cores busy
+        self.done = 0.0  # work done so far
+        self.weighted, self.busy = 0.0, 0.0  # integrals over time: jobs there, cores busy
 
     def __len__(self) -> int:
         return len(self.heap)
--- a/gullyoke/emulator/day.py
+++ b/gullyoke/emulator/day.py
@@ -1,4 +1,5 @@
 """A day: who asks what and when, and on what machines. Drawn by numpy's generator; all arms see the same."""
+
 from __future__ import annotations
 
 from typing import NamedTuple
@@ -13,6 +14,7 @@
 class Work(NamedTuple):
     """A class of work. `work` is its mean time on a core of speed 1, drawn lognormal with `cv`; times in
     microseconds; `calls` whether each run calls below once; `window`, of its keys where it is uniqued."""
+
     name: str
     share: float
     work: int
@@ -26,9 +28,18 @@
     window: int = 0
 
     def handler(self) -> Handler:
-        return Handler(self.name, self.target, self.timeout, self.value,
-                       Kind.UNIQUED if self.window else Kind.REPLAYABLE, self.late_share, self.window,
-                       self.calls, self.skip_share, 0.0)
+        return Handler(
+            self.name,
+            self.target,
+            self.timeout,
+            self.value,
+            Kind.UNIQUED if self.window else Kind.REPLAYABLE,
+            self.late_share,
+            self.window,
+            self.calls,
+            self.skip_share,
+            0.0,
+        )
 
 
 class Machines(NamedTuple):
@@ -38,6 +49,7 @@
     them has half the speed. `leave`: at a time this share of those there has notice to leave, of which
     callers learn 2 s later; `join`: at a time so many more start, cold. `links`: connections that one takes;
     `handshake`: work for a new one. `told`: the size that all are told, where it is another."""
+
     servers: int = 1
     cores: int = 6
     memory_kb: float = 20_000.0
@@ -61,6 +73,7 @@
     """What all servers call below: `slots` at once, `span` each; it takes longer when crowded. `survives`:
     more than so many in hand, in the mean of 5 s, and it is down for good; 0: it bears any number. `slower`:
     from, to, and how many times `span` it takes there."""
+
     slots: int
     span: int
     survives: int = 0
@@ -72,6 +85,7 @@
     the share that heeds advice, and the pause before a further try. `count` of them, the busiest first by
     `skew` (Zipf's exponent); `by_subject`: each has a server that it asks first; `idle`: microseconds for
     which they keep a connection."""
+
     tries: int = 1
     marked: bool = True
     heed: float = 0.7
@@ -84,6 +98,7 @@
 
 class Day(NamedTuple):
     """`arrivals`: rows of time, class, work, and the number of its caller, in the order of time."""
+
     works: tuple[Work, ...]
     machines: Machines
     callers: Callers
@@ -104,16 +119,31 @@
     if shared and shared.slower:
         start, end, times = shared.slower
         shared = shared._replace(slower=(start + lead, end + lead, times))
-    machines = m._replace(speeds=tuple((at + lead, x) for at, x in m.speeds),
-                          leave=tuple((at + lead, x) for at, x in m.leave),
-                          join=tuple((at + lead, x) for at, x in m.join))
-    return day._replace(machines=machines, shared=shared, length=day.length + lead,
-                        arrivals=[(at + lead, *rest) for at, *rest in day.arrivals])
-
-
-def drawn(works: tuple[Work, ...], machines: Machines, load: float, length: int, seed: int,
-          callers: Callers | None = None, shared: Shared | None = None, swing: int = 0,
-          burst: tuple[int, int, float] | None = None, silent: tuple[int, int] | None = None) -> Day:
+    machines = m._replace(
+        speeds=tuple((at + lead, x) for at, x in m.speeds),
+        leave=tuple((at + lead, x) for at, x in m.leave),
+        join=tuple((at + lead, x) for at, x in m.join),
+    )
+    return day._replace(
+        machines=machines,
+        shared=shared,
+        length=day.length + lead,
+        arrivals=[(at + lead, *rest) for at, *rest in day.arrivals],
+    )
+
+
+def drawn(
+    works: tuple[Work, ...],
+    machines: Machines,
+    load: float,
+    length: int,
+    seed: int,
+    callers: Callers | None = None,
+    shared: Shared | None = None,
+    swing: int = 0,
+    burst: tuple[int, int, float] | None = None,
+    silent: tuple[int, int] | None = None,
+) -> Day:
     """A day at `load` times what the cores can do, Poisson arrivals. `swing`: every so many microseconds the
     shares are turned round among the classes. `burst`: from, to, and how many times the rate there.
     `silent`: this class's number says nothing before this time, then comes with ten times its share."""
@@ -142,8 +172,11 @@
         kind = int(chance.choice(len(base), p=shares))
         work = works[kind]
         sigma = np.sqrt(np.log(1 + work.cv**2))
-        size = work.work * chance.lognormal(-sigma**2 / 2, sigma) if work.cv else work.work
-        caller = int(chance.integers(callers.count if callers else 16)) if who is None \
+        size = work.work * chance.lognormal(-(sigma**2) / 2, sigma) if work.cv else work.work
+        caller = (
+            int(chance.integers(callers.count if callers else 16))
+            if who is None
             else int(np.searchsorted(who, chance.random()))
+        )
         rows.append((now, kind, max(1, int(size)), caller))
     return Day(works, machines, callers or Callers(), shared, length, rows, seed)
