--- a/gullyoke/emulator/duty.py
+++ b/gullyoke/emulator/duty.py
@@ -1,5 +1,6 @@
 """Duties without sockets: voters with disks, candidates with clocks of their own, and a network that loses,
 delays, doubles and cuts; a resource that takes acts by their epoch. All figures from here are simulated."""
+
 from __future__ import annotations
 
 import heapq
@@ -53,8 +54,9 @@
         self.paused.pop(name, None)
         self.starts[name] += 1
         life, now = next(self.lives), self.time(name)
-        self.candidates[name] = one = Candidate(DUTY, name, life, self.set, self.spans, self.chance.random,
-                                                self.number)
+        self.candidates[name] = one = Candidate(
+            DUTY, name, life, self.set, self.spans, self.chance.random, self.number
+        )
         one.wants = True
         self.voters.pop(name, None)
         if name in self.set:
@@ -63,8 +65,9 @@
 
     def vote(self, name: str, life: int, now: int) -> None:
         others, disk = [n for n in self.set if n != name], self.disks[name]
-        self.voters[name] = Voter(now, name, life, others, self.spans, None if disk is None else dict(disk),
-                                  self.number)
+        self.voters[name] = Voter(
+            now, name, life, others, self.spans, None if disk is None else dict(disk), self.number
+        )
 
     def kill(self, name: str) -> None:
         self.up.discard(name)
@@ -125,7 +128,9 @@
         epoch = one.holds(now)
         if epoch is not None and self.chance.random() < TURN / ACT:
             # On its way it may be for as long as it likes: the process may stall between looking and acting.
-            self.after(self.chance.randrange(1, max(2, self.slow)), self.act, epoch, one.life, self.now)
+            self.after(
+                self.chance.randrange(1, max(2, self.slow)), self.act, epoch, one.life, self.now
+            )
         self.after(TURN, self.turn, name, starts)
 
     def act(self, epoch: int, life: int, came: int) -> None:
@@ -134,7 +139,11 @@
 
     def post(self, from_: str, posts: list[Post]) -> None:
         for to, message in posts:
-            if self.chance.random() < self.loss or (from_, "out") in self.deaf or (to, "in") in self.deaf:
+            if (
+                self.chance.random() < self.loss
+                or (from_, "out") in self.deaf
+                or (to, "in") in self.deaf
+            ):
                 continue
             for _ in range(1 + (self.chance.random() < 0.05)):
                 self.after(self.chance.randrange(200, 5_000), self.come, from_, to, message)
@@ -232,7 +241,9 @@
     def holders(self) -> list[str]:
         """Who may act at this moment, by its own clock; one that stands still may not: it asks when it
         wakes."""
-        return [name for name in self.up if self.candidates[name].holds(self.time(name)) is not None]
+        return [
+            name for name in self.up if self.candidates[name].holds(self.time(name)) is not None
+        ]
 
     def epochs(self) -> int:
         return max((act.epoch for act in self.acts if act.taken), default=0)
--- a/gullyoke/emulator/fleet.py
+++ b/gullyoke/emulator/fleet.py
@@ -1,4 +1,5 @@
 """The fleet of a day: servers with their cores and decisions, what they call below, and their callers."""
+
 from __future__ import annotations
 
 import random
@@ -31,13 +32,17 @@
 )
 
 TICK, MEAN = 100_000, 5_000_000
-LEARN, STOP = 2_000_000, 4_000_000     # from the notice to leave: when callers know, and when it is over
+LEARN, STOP = (
+    2_000_000,
+    4_000_000,
+)  # from the notice to leave: when callers know, and when it is over
 LIMITS, RESERVE = "limits", "reserve"  # pools with one part only, to see what each does
-COLD, WARM = 0.25, 10_000_000          # a fresh server's speed, and how long until it is warm
+COLD, WARM = 0.25, 10_000_000  # a fresh server's speed, and how long until it is warm
 
 
 class Told(NamedTuple):
     """What a caller was answered at last, for one first try: the time, and `done`, `shed` or `errored`."""
+
     at: int
     what: str
     poorer: bool = False
@@ -89,6 +94,7 @@
 
 class Asked(Req):
     """A req in the model: its work, which first try it stands for, and where it is."""
+
     __slots__ = ("answered_at", "call", "first", "left", "poorer", "read_at", "tries", "work")
 
 
@@ -104,7 +110,7 @@
         self.busy, self.window, self.seen = 0.0, deque(maxlen=20), (0.0, 0.0)
         # Spread evenly over the numbers: so many of any first few are slow.
         self.pace = 0.5 if int((number + 1) * m.slow) > int(number * m.slow) else 1.0
-        self.links: dict[int, int] = {}               # connections by caller, and when each was last used
+        self.links: dict[int, int] = {}  # connections by caller, and when each was last used
         self.keeps, self.listed, self.up, self.good = day.callers.idle, True, True, True
         self.fresh = m.fresh or fleet.now() > 0
         self.server = None
@@ -116,7 +122,9 @@
             self.cores.set_speed(self.pace)
 
     def warm(self, so_far: int) -> None:
-        self.cores.set_speed(min(1.0, COLD + (1 - COLD) * so_far / WARM) * self.fleet.speed * self.pace)
+        self.cores.set_speed(
+            min(1.0, COLD + (1 - COLD) * so_far / WARM) * self.fleet.speed * self.pace
+        )
         if so_far < WARM and self.up:
             self.fleet.at(TICK, lambda: self.warm(so_far + TICK))
 
@@ -133,7 +141,7 @@
     def connected(self, caller: int) -> bool:
         """Whether it has one with this caller now; a new one costs work, and a full table takes none."""
         m, now = self.fleet.day.machines, self.fleet.now()
-        if not m.links or now - self.links.get(caller, -10**12) < self.keeps:
+        if not m.links or now - self.links.get(caller, -(10**12)) < self.keeps:
             self.links[caller] = now
             return True
         self.links.pop(caller, None)
@@ -228,7 +236,9 @@
     def _wake(self) -> None:
         self.cores.catch_up()
         span = self.fleet.day.machines.cores * TICK
-        self.busy += ((self.cores.busy - self.seen[0]) / span - self.busy) / 3   # half a second old, about
+        self.busy += (
+            (self.cores.busy - self.seen[0]) / span - self.busy
+        ) / 3  # half a second old, about
         self.window.append((self.cores.weighted - self.seen[1]) / span)
         self.seen = self.cores.busy, self.cores.weighted
         if len(self.window) == self.window.maxlen:
@@ -237,7 +247,9 @@
         if self.fleet.now() > self.fleet.last:
             return
         links = float(len(self.links)) if self.fleet.day.machines.links else None
-        self.server.gauges(self.fleet.now(), Gauges(min(1.0, self.busy), float(len(self.cores)), links))
+        self.server.gauges(
+            self.fleet.now(), Gauges(min(1.0, self.busy), float(len(self.cores)), links)
+        )
         self.server.settle(self.fleet.now())
 
     def health(self, good: bool, cheap: bool) -> None:
@@ -266,11 +278,11 @@
         self.below = Dependency(day.shared, self.now, self.at) if day.shared else None
         self.handlers = [w.handler() for w in day.works]
         self.answers: list[Told | None] = [None] * len(day.arrivals)
-        self.away: dict[tuple[int, int], int] = {}    # until when a caller stays away from a server
+        self.away: dict[tuple[int, int], int] = {}  # until when a caller stays away from a server
         self.heeds = self.chance.random(day.callers.count) < day.callers.heed
         self.sent = self.overdue = self.handshakes = self.unlinked = 0
         self.make, self.nodes = make, []
-        self.moves: dict[tuple[int, int], int] = {}   # tries by second and server, to see herds
+        self.moves: dict[tuple[int, int], int] = {}  # tries by second and server, to see herds
         for number in range(day.machines.servers):
             self.nodes.append(Node(number, self, make))
         for time, speed in day.machines.speeds:
@@ -294,7 +306,7 @@
 
     def shrink(self, share: float) -> None:
         there = [n for n in self.nodes if n.up and n.listed]
-        for i in self.chance.permutation(len(there))[:int(share * len(there))]:
+        for i in self.chance.permutation(len(there))[: int(share * len(there))]:
             there[i].leave()
 
     def grow(self, count: int) -> None:
@@ -313,15 +325,27 @@
         node = self.chosen(caller, now, avoid)
         if not node.connected(caller):
             self.unlinked += 1
-            if tries <= self.day.callers.tries and now + self.day.callers.pause < time + handler.timeout:
+            if (
+                tries <= self.day.callers.tries
+                and now + self.day.callers.pause < time + handler.timeout
+            ):
                 self.at(self.day.callers.pause, lambda: self.arrive(i, tries + 1, node.number))
             elif self.answers[i] is None:
                 self.answers[i] = Told(now, "errored")
             return
-        self.moves[now // 1_000_000, node.number] = self.moves.get((now // 1_000_000, node.number), 0) + 1
+        self.moves[now // 1_000_000, node.number] = (
+            self.moves.get((now // 1_000_000, node.number), 0) + 1
+        )
         again = tries > 1 and self.day.callers.marked
         req = Asked(handler, now, time + handler.timeout, self.day.machines.held_kb, again)
-        req.work, req.first, req.tries, req.answered_at, req.poorer, req.left = work, i, tries, 0, False, 0
+        req.work, req.first, req.tries, req.answered_at, req.poorer, req.left = (
+            work,
+            i,
+            tries,
+            0,
+            False,
+            0,
+        )
         req.call = self.day.works[kind].calls and self.below is not None
         self.sent += 1
         node.arrive(req)
@@ -335,14 +359,22 @@
             first = caller * 2_654_435_761 % 2**32 * len(nodes) >> 32
             for step in range(len(nodes)):
                 node = nodes[(first + step) % len(nodes)]
-                if node.listed and node.good and node.number != avoid \
-                        and away.get((caller, node.number), 0) <= now:
+                if (
+                    node.listed
+                    and node.good
+                    and node.number != avoid
+                    and away.get((caller, node.number), 0) <= now
+                ):
                     return node
         elif len(nodes) > 16:
             for _ in range(8):
                 node = nodes[int(self.chance.integers(len(nodes)))]
-                if node.listed and node.good and node.number != avoid \
-                        and away.get((caller, node.number), 0) <= now:
+                if (
+                    node.listed
+                    and node.good
+                    and node.number != avoid
+                    and away.get((caller, node.number), 0) <= now
+                ):
                     return node
         there = [n for n in nodes if n.listed and n.good] or [n for n in nodes if n.listed] or nodes
         left = [n for n in there if away.get((caller, n.number), 0) <= now and n.number != avoid]
@@ -365,7 +397,9 @@
             self.away[caller, node.number] = self.now() + what.retry_in
             again &= not what.dont_retry
         if again and self.now() + self.day.callers.pause < req.due:
-            self.at(self.day.callers.pause, lambda: self.arrive(req.first, req.tries + 1, node.number))
+            self.at(
+                self.day.callers.pause, lambda: self.arrive(req.first, req.tries + 1, node.number)
+            )
 
     def play(self) -> Result:
         self.env.run(until=self.last + 1)
@@ -378,6 +412,7 @@
     answers to what was read in time that came after its time. `jain`: fairness of what was done by server,
     for its speed; `herd`: the largest share of all tries that moved between servers from one second to the
     next; `down`: whether what they call did not survive."""
+
     offered: list[float]
     earned: list[float]
     counts: list[dict[str, int]]
@@ -414,21 +449,37 @@
             counts[kind][told.what] += 1
             continue
         late = took > work.target
-        worth = work.value * (work.late_share if late else 1.0) * (work.skip_share if told.poorer else 1.0)
+        worth = (
+            work.value
+            * (work.late_share if late else 1.0)
+            * (work.skip_share if told.poorer else 1.0)
+        )
         worth *= took <= work.timeout
         counts[kind]["late" if late else "done"] += 1
         earned[kind] += worth
         by_second[kind, time // 1_000_000] += worth
         times[kind].append(took)
     m = day.machines
-    return Result(offered, earned, counts, times, max(x.worst_kb for x in run.nodes) / m.memory_kb,
-                  max(x.worst_crowd for x in run.nodes), run.sent / max(1, len(day.arrivals)), unanswered,
-                  run.overdue, by_second, jain(run), herd(run), bool(run.below and run.below.down))
+    return Result(
+        offered,
+        earned,
+        counts,
+        times,
+        max(x.worst_kb for x in run.nodes) / m.memory_kb,
+        max(x.worst_crowd for x in run.nodes),
+        run.sent / max(1, len(day.arrivals)),
+        unanswered,
+        run.overdue,
+        by_second,
+        jain(run),
+        herd(run),
+        bool(run.below and run.below.down),
+    )
 
 
 def jain(run: Running) -> float:
     """Jain's index of what each server of the first did for its speed (Jain, Chiu and Hawe 1984)."""
-    done = [x.done / x.pace for x in run.nodes[:run.day.machines.servers] if x.up]
+    done = [x.done / x.pace for x in run.nodes[: run.day.machines.servers] if x.up]
     return sum(done) ** 2 / max(1e-9, len(done) * sum(x * x for x in done)) if done else 1.0
 
 
@@ -442,16 +493,21 @@
         before = seconds.get(second - 1)
         if before and sum(before.values()) > 50:
             whole, then = sum(counts.values()), sum(before.values())
-            moved = sum(max(0.0, n / whole - before.get(number, 0) / then) for number, n in counts.items())
+            moved = sum(
+                max(0.0, n / whole - before.get(number, 0) / then) for number, n in counts.items()
+            )
             worst = max(worst, moved)
     return worst
 
 
-def deciding(pools: bool | str = True, minimum: float = 0.02,
-             beside: Callable[[Node, Below, Fleet], None] = lambda node, below, fleet: None) \
-        -> Callable[[Node], Server]:
+def deciding(
+    pools: bool | str = True,
+    minimum: float = 0.02,
+    beside: Callable[[Node, Below, Fleet], None] = lambda node, below, fleet: None,
+) -> Callable[[Node], Server]:
     """Makes the module's decisions for a node: with pools, without, or with only one part of them. `beside`
     may put in what other servers state."""
+
     def make(node: Node) -> Server:
         day, m = node.fleet.day, node.fleet.day.machines
         below, size = Below(day.shared is not None, None, 0, 0), m.told or m.servers
@@ -461,12 +517,36 @@
         machine = Machine(m.cores, m.memory_kb, m.blowup, 0.0, node.fresh, StopMode.NEVER, ())
         limits = Limits(100_000, 2_000_000, m.tip_multiple, 1_500_000, COLD, WARM)
         handlers = node.fleet.handlers
-        shares = Pools(node.fleet.now(), m.cores, {h: h for h in handlers}, minimum, pools != RESERVE,
-                       pools != LIMITS) if pools else None
+        shares = (
+            Pools(
+                node.fleet.now(),
+                m.cores,
+                {h: h for h in handlers},
+                minimum,
+                pools != RESERVE,
+                pools != LIMITS,
+            )
+            if pools
+            else None
+        )
         permits = Permits(True, 1_000_000, None, 0, False, True, False, False, 30_000_000)
-        chance, fleet = random.Random(day.seed * 1000 + node.number), Fleet(size, False, 0.0, 0,
-                                                                            day.callers.count)
+        chance, fleet = (
+            random.Random(day.seed * 1000 + node.number),
+            Fleet(size, False, 0.0, 0, day.callers.count),
+        )
         beside(node, below, fleet)
-        return Server(node.fleet.now(), node, chance, handlers, [], machine, limits, below, permits, fleet,
-                      shares)
+        return Server(
+            node.fleet.now(),
+            node,
+            chance,
+            handlers,
+            [],
+            machine,
+            limits,
+            below,
+            permits,
+            fleet,
+            shares,
+        )
+
     return make
--- a/gullyoke/emulator/kinds.py
+++ b/gullyoke/emulator/kinds.py
@@ -1,14 +1,17 @@
 """Kinds of days like those of grown deployments: two thirds of the machines half as fast, four callers a
 server, connections that cost a tenth of a run, a dependency whose limit is shared, and a size told at the
 start that is a third too large, since it is told for the fleet at its largest."""
+
 from __future__ import annotations
 
 from gullyoke.emulator.day import SECOND, Callers, Day, Machines, Shared, Work, drawn, later
 
-WORKS = (Work("box-view", .57, 280_000, .6, 1_700_000, 4_100_000, 1.0, .1, True, .3),
-         Work("schedule-set", .30, 385_000, .6, 2_300_000, 5_700_000, 2.0, .1),
-         Work("drop-status", .13, 165_000, .6, 1_000_000, 2_500_000, 3.0, .1, True, .5))
-LEAD = 14 * SECOND                     # before the first req: what is among the servers has come together
+WORKS = (
+    Work("box-view", 0.57, 280_000, 0.6, 1_700_000, 4_100_000, 1.0, 0.1, True, 0.3),
+    Work("schedule-set", 0.30, 385_000, 0.6, 2_300_000, 5_700_000, 2.0, 0.1),
+    Work("drop-status", 0.13, 165_000, 0.6, 1_000_000, 2_500_000, 3.0, 0.1, True, 0.5),
+)
+LEAD = 14 * SECOND  # before the first req: what is among the servers has come together
 KINDS = ("calm", "shrink", "burst", "subject")
 
 
@@ -17,15 +20,22 @@
     times as much for 5 s, and a dependency that takes four times as long for 6 s. `subject`: 0.8, each caller
     has a server that it asks first, a few ask far more than the rest. Raises `KeyError` for another."""
     s = SECOND
-    callers = Callers(2, True, .65, 50_000, count=4 * servers, skew=.6)
-    shared = Shared(10**6, 60_000, survives=max(2, int(.28 * servers)))
-    machines = Machines(servers=servers, cores=2, links=60, handshake=36_000, slow=.67, reading=15_000,
-                        told=int(1.3 * servers))
-    load, burst = {"calm": .7, "shrink": .85, "burst": .75, "subject": .8}[kind], None
+    callers = Callers(2, True, 0.65, 50_000, count=4 * servers, skew=0.6)
+    shared = Shared(10**6, 60_000, survives=max(2, int(0.28 * servers)))
+    machines = Machines(
+        servers=servers,
+        cores=2,
+        links=60,
+        handshake=36_000,
+        slow=0.67,
+        reading=15_000,
+        told=int(1.3 * servers),
+    )
+    load, burst = {"calm": 0.7, "shrink": 0.85, "burst": 0.75, "subject": 0.8}[kind], None
     if kind == "shrink":
-        machines = machines._replace(leave=((5 * s, .25),))
+        machines = machines._replace(leave=((5 * s, 0.25),))
     elif kind == "burst":
         shared, burst = shared._replace(slower=(8 * s, 14 * s, 4.0)), (5 * s, 10 * s, 1.9)
     elif kind == "subject":
-        callers = callers._replace(by_subject=True, count=20 * servers, skew=.8)
+        callers = callers._replace(by_subject=True, count=20 * servers, skew=0.8)
     return later(drawn(WORKS, machines, load, length, seed, callers, shared, burst=burst), LEAD)
--- a/gullyoke/emulator/peers.py
+++ b/gullyoke/emulator/peers.py
@@ -1,5 +1,6 @@
 """Members without sockets: the decisions of gullyoke/members in the model's clock, and a network between them
 that loses, delays, doubles and cuts. All figures from here are simulated."""
+
 from __future__ import annotations
 
 import heapq
@@ -16,11 +17,12 @@
 from gullyoke.members.words import Message
 
 SECOND = 1_000_000
-HEAD = 130                             # bytes of a datagram beside its news, about
+HEAD = 130  # bytes of a datagram beside its news, about
 
 
 class Seen(NamedTuple):
     """A change in the view of one member."""
+
     at: int
     by: str
     change: Change
@@ -45,21 +47,42 @@
     """`loss`, `doubled`: shares of all datagrams; `delay`: from least to most, in microseconds. `weighed`
     counts bytes, which takes time."""
 
-    def __init__(self, seed: int, loss: float = 0.0, delay: tuple[int, int] = (200, 2_000),
-                 doubled: float = 0.0, weighed: bool = False, make: Callable[..., Member] = Member) -> None:
+    def __init__(
+        self,
+        seed: int,
+        loss: float = 0.0,
+        delay: tuple[int, int] = (200, 2_000),
+        doubled: float = 0.0,
+        weighed: bool = False,
+        make: Callable[..., Member] = Member,
+    ) -> None:
         self.chance = random.Random(seed)
-        self.loss, self.delay, self.doubled, self.weighed, self.make = loss, delay, doubled, weighed, make
+        self.loss, self.delay, self.doubled, self.weighed, self.make = (
+            loss,
+            delay,
+            doubled,
+            weighed,
+            make,
+        )
         self.now, self.count, self.cut = 0, itertools.count(), None
         self.queue: list = []
         self.hosts: dict[str, Host] = {}
         self.at: dict[str, Host] = {}
         self.seen: list[Seen] = []
-        self.clock = 1_800_000_000                    # the wall's seconds when the model starts
+        self.clock = 1_800_000_000  # the wall's seconds when the model starts
 
     # What happens to hosts.
 
-    def start(self, name: str, seeds: Iterable[str] = (), zone: str = "z", kept: int = 0, behind: int = 0,
-              address: str | None = None, host: str | None = None) -> Host:
+    def start(
+        self,
+        name: str,
+        seeds: Iterable[str] = (),
+        zone: str = "z",
+        kept: int = 0,
+        behind: int = 0,
+        address: str | None = None,
+        host: str | None = None,
+    ) -> Host:
         """A process starts under a name, `behind` seconds on a clock that went back; `host` tells two
         processes of one name apart."""
         key = host or name
@@ -68,10 +91,14 @@
         at.starts += 1
         number = began(self.clock + self.now // SECOND - behind, kept)
         row = Row(name, number, Status.JOINING, at.address, zone, self.chance.getrandbits(60))
-        at.member = self.make(self.now, row, tuple(seeds), random.Random(self.chance.getrandbits(60)))
+        at.member = self.make(
+            self.now, row, tuple(seeds), random.Random(self.chance.getrandbits(60))
+        )
         at.up, at.paused, at.inbox = True, 0, []
         if hasattr(at.member, "heed"):
-            at.member.heed.append(lambda change, key=key: self.seen.append(Seen(self.now, key, change)))
+            at.member.heed.append(
+                lambda change, key=key: self.seen.append(Seen(self.now, key, change))
+            )
         self.after(self.chance.randrange(TICK), self._tick, at, at.starts)
         return at
 
@@ -119,7 +146,7 @@
     def _tick(self, host: Host, starts: int) -> None:
         if not host.up or host.starts != starts:
             return
-        if host.paused > self.now:                # it stands still, and wakes with all that came meanwhile
+        if host.paused > self.now:  # it stands still, and wakes with all that came meanwhile
             self.after(host.paused - self.now, self._tick, host, starts)
             return
         inbox, host.inbox = host.inbox, []
@@ -169,15 +196,20 @@
     def equal(self) -> bool:
         """Whether all who are up hold one view, of all of them and nobody else."""
         up = self.up()
-        return (len({h.member.view.digest for h in up}) == 1
-                and all(h.member.entry.stage is Stage.IN for h in up)
-                and len(up[0].member.view) == len({h.name for h in up}))
+        return (
+            len({h.member.view.digest for h in up}) == 1
+            and all(h.member.entry.stage is Stage.IN for h in up)
+            and len(up[0].member.view) == len({h.name for h in up})
+        )
 
     def removed(self, name: str, since: int = 0) -> list[Seen]:
         """Who saw a member removed, and when."""
         member = identity(name)
-        return [s for s in self.seen if s.at >= since and s.change.what == "removed"
-                and s.change.row.id == member]
+        return [
+            s
+            for s in self.seen
+            if s.at >= since and s.change.what == "removed" and s.change.row.id == member
+        ]
 
 
 def weight(message: Message) -> int:
@@ -186,8 +218,9 @@
     return sum(map(size, carried)) + 6 * len(getattr(message, "buckets", ()))
 
 
-def fleet(size: int, seed: int, zones: int = 3, settle: int = 6 * SECOND, joined: bool = False,
-          **network) -> Network:
+def fleet(
+    size: int, seed: int, zones: int = 3, settle: int = 6 * SECOND, joined: bool = False, **network
+) -> Network:
     """A fleet that has come together. `joined`: its members are started knowing each other, which saves the
     time that joining takes in the model."""
     net = Network(seed, **network)
@@ -207,7 +240,7 @@
 
 def acquaint(net: Network, hosts: list[Host]) -> None:
     """All of them are in, and know all."""
-    if not isinstance(hosts[0].member, Member):       # a detector to weigh ours against
+    if not isinstance(hosts[0].member, Member):  # a detector to weigh ours against
         for host in hosts:
             host.member.acquaint([other.member.row for other in hosts], net.now)
         return
--- a/gullyoke/emulator/quotas.py
+++ b/gullyoke/emulator/quotas.py
@@ -1,5 +1,6 @@
 """A customer's quota among servers of the model: what of its reqs counts as within it, where each server goes
 by the fleet's size and where the quota is lent. All figures from here are simulated."""
+
 from __future__ import annotations
 
 from typing import NamedTuple
@@ -28,13 +29,23 @@
 class Counted(NamedTuple):
     """Of the customer's reqs the share that was within its quota; `over`, the most that the parts of all
     servers came to over the quota, at any look; `rate`, what was let in over the quota's rate."""
+
     within: float
     over: float
     rate: float
 
 
-def asked(seed: int, servers: int, hit: int, load: float, lent: bool, quota: float = 400.0,
-          span: int = 30 * SECOND, moves: bool = False, loss: float = 0.0) -> Counted:
+def asked(
+    seed: int,
+    servers: int,
+    hit: int,
+    load: float,
+    lent: bool,
+    quota: float = 400.0,
+    span: int = 30 * SECOND,
+    moves: bool = False,
+    loss: float = 0.0,
+) -> Counted:
     """A customer asks `hit` of `servers` at `load` times its quota for `span`, after a while in which the
     homes come to hold their names; half way it asks others where it `moves`."""
     homes = min(5, servers)
@@ -54,7 +65,10 @@
         rate = process.quota.lent(process.now()) if lent else quota / servers
         counts[0] += 1
         counts[1] += buckets[process.key].within(play.now, rate)
-        play.after(int(play.chance.expovariate(load * quota / hit) * SECOND) + 1, lambda: ask(process, until))
+        play.after(
+            int(play.chance.expovariate(load * quota / hit) * SECOND) + 1,
+            lambda: ask(process, until),
+        )
 
     def look() -> None:
         nonlocal over
--- a/gullyoke/emulator/shares.py
+++ b/gullyoke/emulator/shares.py
@@ -1,6 +1,7 @@
 """Shares without sockets: processes with clocks of their own that lend and borrow, and a network between
 them that loses, delays and doubles. What is in force is summed at every event; where processes use what they
 have, so is what a dependency has in hand. All figures from here are simulated."""
+
 from __future__ import annotations
 
 import heapq
@@ -13,7 +14,7 @@
 
 SECOND = 1_000_000
 TURN = 100_000
-LINGER = 300_000                       # a call given up, or whose process ended, stays below for so long
+LINGER = 300_000  # a call given up, or whose process ended, stays below for so long
 
 
 class Process:
@@ -25,12 +26,20 @@
         self.rate = 1 + chance.uniform(-0.5, 0.5) / RATE
         self.ahead = chance.randrange(10**9)
         self.up, self.paused = True, 0
-        self.part = Sharing(self.now(), chance.getrandbits(40), play.homes, play.tokens, play.floor, home,
-                            votes, LINGER)
+        self.part = Sharing(
+            self.now(),
+            chance.getrandbits(40),
+            play.homes,
+            play.tokens,
+            play.floor,
+            home,
+            votes,
+            LINGER,
+        )
         self.borrower = self.part.borrower
         self.own = Own(self.part, LINGER)
-        self.calls = 0                                # how many it would make at once
-        self.quota: Part | None = None                # what stands on the part instead, if not calls
+        self.calls = 0  # how many it would make at once
+        self.quota: Part | None = None  # what stands on the part instead, if not calls
         self.out: set[Call] = set()
 
     @property
@@ -53,7 +62,9 @@
     def call(self) -> None:
         """Calls as slots are free, each given up by when it has to be over. The dependency keeps that time as
         well: it is told of it, and a process that stands still can't give anything up."""
-        while len(self.out) < self.calls and self.own.free(self.now(), self.calls - len(self.out) - 1):
+        while len(self.out) < self.calls and self.own.free(
+            self.now(), self.calls - len(self.out) - 1
+        ):
             now, call = self.now(), Call(self)
             most = min(self.own.until(now) - now, 60 * SECOND) - LINGER
             self.own.began()
@@ -61,7 +72,7 @@
             span = self.play.chance.randrange(10_000, 6 * SECOND)
             self.play.below += 1
             self.play.worst_below = max(self.play.worst_below, self.play.below)
-            if span <= most:                          # it comes back by itself
+            if span <= most:  # it comes back by itself
                 self.play.after(int(span / self.rate), call.over)
             else:
                 self.play.after(int(most / self.rate), call.given_up)
@@ -117,17 +128,25 @@
     """`homes` are names; a message to one goes to the process at its address, which is that of its first
     start."""
 
-    def __init__(self, seed: int, homes: int, others: int, tokens: int, floor: int = 0, loss: float = 0.0,
-                 slowest: int = 20_000) -> None:
+    def __init__(
+        self,
+        seed: int,
+        homes: int,
+        others: int,
+        tokens: int,
+        floor: int = 0,
+        loss: float = 0.0,
+        slowest: int = 20_000,
+    ) -> None:
         self.chance = random.Random(seed)
         self.homes = [f"h{i}" for i in range(homes)]
         self.tokens, self.floor, self.loss, self.slowest = tokens, floor, loss, slowest
         self.now, self.queue, self.count = 0, [], itertools.count()
         self.processes: dict[str, Process] = {}
         self.cut: set[tuple[str, str]] = set()
-        self.takes: dict[tuple[str, str], str] = {}   # whom a process takes for a home, if another
-        self.worst = 0                                # of one home's tokens, the most that were in force
-        self.below = self.worst_below = 0             # calls in hand there, now and at the most
+        self.takes: dict[tuple[str, str], str] = {}  # whom a process takes for a home, if another
+        self.worst = 0  # of one home's tokens, the most that were in force
+        self.below = self.worst_below = 0  # calls in hand there, now and at the most
         for name in self.homes:
             self.start(name, name)
         for i in range(others):
@@ -142,7 +161,7 @@
     def kill(self, key: str) -> None:
         process = self.processes[key]
         process.up = False
-        for call in process.out:                      # their connections end with it
+        for call in process.out:  # their connections end with it
             self.after(self.chance.randrange(LINGER), call.gone)
 
     def after(self, span: int, act) -> None:
@@ -159,7 +178,9 @@
         if self.chance.random() < self.loss or (from_, to) in self.cut:
             return
         for _ in range(1 + (self.chance.random() < 0.1)):
-            self.after(self.chance.randrange(1, self.slowest), lambda: self.come(from_, to, message))
+            self.after(
+                self.chance.randrange(1, self.slowest), lambda: self.come(from_, to, message)
+            )
 
     def come(self, from_: str, to: str, message) -> None:
         there = self.processes.get(to)
--- a/gullyoke/emulator/swim.py
+++ b/gullyoke/emulator/swim.py
@@ -2,6 +2,7 @@
 suspicion, and Lifeguard's three changes to it (Dadgar et al. 2018), with the constants of their papers'
 evaluations. They know all members from the start; joining is not modelled. All figures from here are
 simulated."""
+
 from __future__ import annotations
 
 import math
@@ -13,12 +14,13 @@
 
 PERIOD, TIMEOUT, GOSSIP = 1_000_000, 500_000, 200_000
 INDIRECT, FANOUT, PICKED, ROUNDS = 3, 3, 6, 4
-SUSPECT, SLOWEST, CONFIRMED, WORST = 4, 6, 3, 8     # suspicion's least and most; confirmations; health
+SUSPECT, SLOWEST, CONFIRMED, WORST = 4, 6, 3, 8  # suspicion's least and most; confirmations; health
 ALIVE, SUSPECTED, DEAD = 0, 1, 2
 
 
 class Said(NamedTuple):
     """News on one member: its state under an incarnation, and who says so."""
+
     id: int
     number: int
     state: int
@@ -28,7 +30,7 @@
 class Probe(NamedTuple):
     row: Row
     seq: int
-    target: int                        # whom to ask for another, 0 where it is the receiver itself
+    target: int  # whom to ask for another, 0 where it is the receiver itself
     news: tuple[Said, ...]
 
 
@@ -41,11 +43,12 @@
 class Swim:
     """One member. Tables: `states`, one a member; `news`, one item a member with its rounds left; `asked`,
     the asking that is out; `relays`, askings for others, emptied each period."""
+
     lifeguard = False
 
     def __init__(self, now: int, row: Row, seeds: tuple[str, ...], chance: random.Random) -> None:
         self.row, self.chance, self.out, self.heed = row, chance, [], []
-        self.states: dict[int, list] = {}             # row, number, state, since, who confirmed
+        self.states: dict[int, list] = {}  # row, number, state, since, who confirmed
         self.news: dict[int, list] = {}
         self.number = self.seq = self.health = 0
         self.next = now + chance.randrange(PERIOD)
@@ -73,7 +76,7 @@
         return 1 + self.health if self.lifeguard else 1
 
     def _probe(self, now: int) -> None:
-        if self.asked is not None:                    # the last one never answered
+        if self.asked is not None:  # the last one never answered
             self._suspect(now, self.asked[0], self.row.id)
             self.health = min(WORST, self.health + 1)
         self.next = now + PERIOD * self._scale()
@@ -149,10 +152,14 @@
             return
         if said.state == SUSPECTED and state[2] == SUSPECTED and said.number == state[1]:
             if said.by not in state[4] and len(state[4]) < CONFIRMED:
-                state[4].add(said.by)                 # an independent one: told on
+                state[4].add(said.by)  # an independent one: told on
                 self._tell(said)
             return
-        if (said.number, said.state) <= (state[1], state[2]) or state[2] == DEAD and said.number <= state[1]:
+        if (
+            (said.number, said.state) <= (state[1], state[2])
+            or state[2] == DEAD
+            and said.number <= state[1]
+        ):
             return
         was, state[1:4] = state[2], [said.number, said.state, now]
         state[4] = {said.by}
@@ -173,12 +180,16 @@
                 self.news.pop(item[0].id, None)
         found = [item[0] for item in picked]
         state = self.states.get(to)
-        if self.lifeguard and state is not None and state[2] == SUSPECTED:    # the suspect is told first
+        if (
+            self.lifeguard and state is not None and state[2] == SUSPECTED
+        ):  # the suspect is told first
             found.append(Said(to, state[1], SUSPECTED, self.row.id))
         return tuple(found)
 
     def _some(self, most: int, but: int) -> list[Row]:
-        rows = [state[0] for member, state in self.states.items() if member != but and state[2] != DEAD]
+        rows = [
+            state[0] for member, state in self.states.items() if member != but and state[2] != DEAD
+        ]
         return self.chance.sample(rows, min(most, len(rows)))
 
     def _send(self, row: Row, message) -> None:
--- a/gullyoke/features/back_ends.py
+++ b/gullyoke/features/back_ends.py
@@ -1,4 +1,5 @@
 """SCGI back ends in the engine's place."""
+
 from __future__ import annotations
 
 import random
@@ -16,13 +17,14 @@
 
 class BackEnds(Plain):
     """`wanted` is what the file says of them, those in force included."""
+
     name, part = "backends", "pool"
 
     def __init__(self, path: str, wanted: Pooled) -> None:
         super().__init__(wanted)
         self.path, self.wanted, self.sockets = path, wanted, 0
         self.backends: Backends | None = None
-        self.only: frozenset[str] | None = None       # of those stated, the subset in use; None: all
+        self.only: frozenset[str] | None = None  # of those stated, the subset in use; None: all
 
     def held(self) -> int:
         return self.wanted.most()
@@ -34,24 +36,43 @@
         machine = told.facts.machine
         # Whether running work can be stopped is the back ends' affair, not the engine's of the settings.
         machine.stop_mode = StopMode.DISCARD if wanted.stops_on_close else StopMode.NEVER
-        told.facts.below.exists, told.facts.below.share = False, None     # their calls do not come by us
-        pool = Pool(random.Random(told.seed ^ 0x5C91), wanted.ejecting.pool_share, wanted.first_limit,
-                    wanted.linger, lambda draw: healthy(wanted, draw))
+        told.facts.below.exists, told.facts.below.share = (
+            False,
+            None,
+        )  # their calls do not come by us
+        pool = Pool(
+            random.Random(told.seed ^ 0x5C91),
+            wanted.ejecting.pool_share,
+            wanted.first_limit,
+            wanted.linger,
+            lambda draw: healthy(wanted, draw),
+        )
         dispatch = Dispatch(pool, Budget(wanted.retry_share, wanted.retry_burst))
-        self.backends = Backends(dispatch, machine.cores, wanted.linger, wanted.stops_on_close,
-                                 wanted.answer_bytes, book, machine.fresh_start)
+        self.backends = Backends(
+            dispatch,
+            machine.cores,
+            wanted.linger,
+            wanted.stops_on_close,
+            wanted.answer_bytes,
+            book,
+            machine.fresh_start,
+        )
         self.state(wanted)
         return self.backends
 
     def roomy(self, wanted: Pooled) -> None:
         if wanted.most() > self.sockets // 2:
-            raise Misstated(f"{self.path}: backends.backend: their `most` come to {wanted.most()} together; "
-                            f"right would be {self.sockets // 2} at most, half of limits.sockets")
+            raise Misstated(
+                f"{self.path}: backends.backend: their `most` come to {wanted.most()} together; "
+                f"right would be {self.sockets // 2} at most, half of limits.sockets"
+            )
 
     def state(self, wanted: Pooled) -> None:
         used = [b for b in wanted.back_ends if self.only is None or b.name in self.only]
-        self.backends.state([At(b.name, b.address) for b in used],
-                            [Stated(b.name, b.weight, b.least, b.most) for b in used])
+        self.backends.state(
+            [At(b.name, b.address) for b in used],
+            [Stated(b.name, b.weight, b.least, b.most) for b in used],
+        )
 
     def use(self, only: frozenset[str]) -> None:
         """These of those stated are used from now on; none of them: all."""
@@ -73,18 +94,27 @@
         if new.pool is not None:
             self.wanted = self.wanted._replace(back_ends=new.pool.back_ends)
             if self.only is not None and not self.only & {b.name for b in self.wanted.back_ends}:
-                self.only = None                      # none of its subset is left: all, until the next look
+                self.only = None  # none of its subset is left: all, until the next look
             self.state(self.wanted)
         return {"back_ends": len(self.wanted.back_ends)}
 
     def ignored(self, new: Wanted) -> list[str]:
         if new.pool is None:
             return [self.name]
-        return [name for name in Pooled._fields
-                if name != "back_ends" and getattr(self.wanted, name) != getattr(new.pool, name)]
+        return [
+            name
+            for name in Pooled._fields
+            if name != "back_ends" and getattr(self.wanted, name) != getattr(new.pool, name)
+        ]
 
 
 def healthy(wanted: Pooled, draw) -> Health:
     e = wanted.ejecting
-    return Health(draw, e.consecutive, e.over_peers, first_out=e.first_out, longest_out=e.longest_out,
-                  slow_start=e.slow_start)
+    return Health(
+        draw,
+        e.consecutive,
+        e.over_peers,
+        first_out=e.first_out,
+        longest_out=e.longest_out,
+        slow_start=e.slow_start,
+    )
--- a/gullyoke/features/charges.py
+++ b/gullyoke/features/charges.py
@@ -1,5 +1,6 @@
 """What is done under a duty: one small unit each. A charge is called by the timer's thread while its duty is
 held here, with the epoch, and asks again after every wait."""
+
 from __future__ import annotations
 
 import json
@@ -27,13 +28,14 @@
 from gullyoke.store.lines import Lines
 from gullyoke.together.fair import split
 
-YOUNG = 6_000_000                      # a notice counts for so long
-LONGEST = 2**20                        # bytes of the record's file
+YOUNG = 6_000_000  # a notice counts for so long
+LONGEST = 2**20  # bytes of the record's file
 
 
 class Charge:
     """Does nothing; a charge says otherwise. `name` is its duty's. `act` comes ten times a second while the
     duty is held here and what was left by the last holder has been read; `idle` while it is not."""
+
     name = ""
 
     def __init__(self, fleet: Fleet, duties: Duties) -> None:
@@ -71,7 +73,7 @@
         if not self.slots.free(now, waiting):
             return False
         if not self.asking.dead and self.asking.opened is None:
-            return True                               # the ordinary case costs no lock
+            return True  # the ordinary case costs no lock
         held = self.holding(now) if self.asking.dead else False
         with self.lock:
             self.asking.hold(held)
@@ -94,6 +96,7 @@
 
 class Ask(Charge):
     """One asks a dead dependency; the rest learn from its notices how it stands."""
+
     name = "ask"
 
     def __init__(self, fleet: Fleet, duties: Duties) -> None:
@@ -101,14 +104,17 @@
         told = fleet.house.told
         self.asking = Asking(random.Random(told.seed ^ 0xA5C).random)
         below = told.facts.below
-        self.gate = below.slots = Gated(below.slots, self.asking,
-                                        lambda now: duties.holds(now, self.name) is not None)
+        self.gate = below.slots = Gated(
+            below.slots, self.asking, lambda now: duties.holds(now, self.name) is not None
+        )
         self.was = False
 
     def act(self, now: int, epoch: int) -> None:
         if self.asking.dead != self.was:
             self.was = self.asking.dead
-            self.fleet.house.book.add("duty.dependency_dead" if self.was else "duty.dependency_well")
+            self.fleet.house.book.add(
+                "duty.dependency_dead" if self.was else "duty.dependency_well"
+            )
             log.warning("dependency", extra=pairs(dead=self.was, epoch=epoch))
 
     def notice(self) -> bytes:
@@ -125,6 +131,7 @@
 class Book(Charge):
     """Lends what homes that ended had to lend. Their names are safe by their own majority; this duty only
     sees to it that no two servers try, and tells all whom to ask."""
+
     name = "book"
 
     def __init__(self, fleet: Fleet, duties: Duties) -> None:
@@ -132,8 +139,9 @@
         wanted = fleet.wanted.shares
         self.shares = next(part for part in fleet.parts if type(part).__name__ == "Shares")
         self.homes = wanted.homes
-        _, self.tokens = split(wanted.slots * self.shares.unit(), wanted.largest, wanted.homes,
-                               wanted.floor_share)
+        _, self.tokens = split(
+            wanted.slots * self.shares.unit(), wanted.largest, wanted.homes, wanted.floor_share
+        )
         self.gone: tuple[str, ...] = ()
 
     def act(self, now: int, epoch: int) -> None:
@@ -173,19 +181,20 @@
 
 class Roll(Charge):
     """A rolling restart, kept by a majority at each step before anything follows from it."""
+
     name = "roll"
 
     def __init__(self, fleet: Fleet, duties: Duties) -> None:
         super().__init__(fleet, duties)
         self.plan, self.next, self.epoch = rolls.Plan(), 0, 0
-        self.since: dict[str, int] = {}               # when each member was last seen to come in or turn well
-        self.ordered: dict[str, int] = {}             # whom, and when the word last went out
+        self.since: dict[str, int] = {}  # when each member was last seen to come in or turn well
+        self.ordered: dict[str, int] = {}  # whom, and when the word last went out
 
     def act(self, now: int, epoch: int) -> None:
         register = self.duties.register(self.name)
         if register is None or register.body is None:
             return
-        if self.epoch != epoch:                       # taken over: what the last holder left
+        if self.epoch != epoch:  # taken over: what the last holder left
             try:
                 self.plan = rolls.unpacked(register.body)
             except (ValueError, TypeError, KeyError):
@@ -199,12 +208,14 @@
         plan = rolls.step(self.plan, now, self.seen(now), self.fleet.house.told.name)
         if plan != self.plan:
             self.take(plan, "step")
-            return                                    # what follows waits until that is kept
+            return  # what follows waits until that is kept
         self.send(now, epoch)
 
     def take(self, plan: rolls.Plan, why: str) -> None:
         if plan.state != self.plan.state:
-            log.warning("roll", extra=pairs(number=plan.number, state=plan.state, why=plan.why or why))
+            log.warning(
+                "roll", extra=pairs(number=plan.number, state=plan.state, why=plan.why or why)
+            )
         self.plan = plan
         register = self.duties.register(self.name)
         if register is not None:
@@ -246,7 +257,10 @@
     def seen(self, now: int) -> rolls.Fleet:
         fleet = self.fleet
         with fleet.link.lock:
-            one, told = fleet.member, fleet.link.signals.rows if fleet.link.signals is not None else {}
+            one, told = (
+                fleet.member,
+                fleet.link.signals.rows if fleet.link.signals is not None else {},
+            )
             rows = list(one.view.rows.values())
             states = {row.id: one.state(now, row) for row in rows}
             readings = {who: reading for who, (_, _, reading) in told.items()}
@@ -260,8 +274,16 @@
             self.since.setdefault(row.name, now)
             if reading is not None:
                 sheds.append(reading.shed)
-            members.append(rolls.Seen(row.name, row.zone, row.number // TURNS,
-                                      there and row.status is Status.ALIVE, self.since[row.name], calm))
+            members.append(
+                rolls.Seen(
+                    row.name,
+                    row.zone,
+                    row.number // TURNS,
+                    there and row.status is Status.ALIVE,
+                    self.since[row.name],
+                    calm,
+                )
+            )
         names = {row.name for row in rows}
         for name in [n for n in self.since if n not in names]:
             del self.since[name]
@@ -301,20 +323,28 @@
     def told(self, now: int) -> dict:
         found = self.plan._asdict()
         fleet = self.seen(now)
-        return found | {"left": [one.name for one in rolls.left(self.plan, fleet)]
-                        if self.plan.state in ("going", "paused", "stopped") else [],
-                        "members": len(fleet.members)}
+        return found | {
+            "left": [one.name for one in rolls.left(self.plan, fleet)]
+            if self.plan.state in ("going", "paused", "stopped")
+            else [],
+            "members": len(fleet.members),
+        }
 
 
 class Record(Charge):
     """The fleet's record: a line for each change of its size and for each hand-over, in the holder's folder,
     under the epoch. The count goes on with the next holder."""
+
     name = "record"
 
     def __init__(self, fleet: Fleet, duties: Duties, room: Room) -> None:
         super().__init__(fleet, duties)
-        self.lines = Lines(os.path.join(room.folder, "record.jsonl"), LONGEST, room.watch,
-                           lambda: room.writes(Kind.RECORD))
+        self.lines = Lines(
+            os.path.join(room.folder, "record.jsonl"),
+            LONGEST,
+            room.watch,
+            lambda: room.writes(Kind.RECORD),
+        )
         room.size[Kind.RECORD] = self.lines.size
         room.give[Kind.RECORD] = lambda size: self.lines.give()
         self.last, self.epoch, self.count = None, 0, 0
@@ -330,7 +360,7 @@
         with self.fleet.link.lock:
             size, view = self.fleet.member.size(now), self.fleet.member.view
             state = size.members, f"{view.digest:016x}"
-        if self.lines.faults:                         # its disk fails: another may do better
+        if self.lines.faults:  # its disk fails: another may do better
             self.fleet.house.book.add("duty.record_faults")
             self.lines.faults = 0
             self.duties.leave(self.name, f"its disk: {self.lines.why}", ill=True)
@@ -343,8 +373,17 @@
     def write(self, now: int, row: dict, register) -> None:
         """One line, of 256 bytes at the most; the count goes on with the next holder."""
         self.count += 1
-        self.lines.add(json.dumps({"n": self.count, "epoch": self.epoch, "by": self.fleet.house.told.name,
-                                   "at": int(time.time()), **row}))
+        self.lines.add(
+            json.dumps(
+                {
+                    "n": self.count,
+                    "epoch": self.epoch,
+                    "by": self.fleet.house.told.name,
+                    "at": int(time.time()),
+                    **row,
+                }
+            )
+        )
         register.put(str(self.count).encode())
 
     def told(self, now: int) -> dict:
@@ -369,7 +408,7 @@
         try:
             with socket.create_connection(self.wanted.address, 1) as conn:
                 conn.settimeout(2)
-                now = clock.now()                     # asked again after the wait for the connection
+                now = clock.now()  # asked again after the wait for the connection
                 if self.duties.holds(now, self.name) != epoch:
                     return
                 left = self.duties.candidates[self.name].left(now) // 1000
@@ -383,7 +422,7 @@
         except OSError as fault:
             self.faults += 1
             self.fleet.house.book.add("duty.untold")
-            if self.faults >= 3:                      # it fails here again and again: it moves on
+            if self.faults >= 3:  # it fails here again and again: it moves on
                 self.faults = 0
                 self.duties.leave(self.name, f"the application: {fault}", ill=True)
         except Exception:
--- a/gullyoke/features/disks.py
+++ b/gullyoke/features/disks.py
@@ -1,4 +1,5 @@
 """The folders that an operator's file names: each watched once, whoever keeps something there."""
+
 from __future__ import annotations
 
 import random
@@ -10,7 +11,7 @@
 from gullyoke.durable.rooms import Kind, Rooms
 from gullyoke.store.watch import Watch
 
-EACH = 1_000_000                       # microseconds between looks at who has how much
+EACH = 1_000_000  # microseconds between looks at who has how much
 
 
 class Room:
--- a/gullyoke/features/duties.py
+++ b/gullyoke/features/duties.py
@@ -1,5 +1,6 @@
 """Duties of one on a fleet's membership: this server votes where it is a voter, tries for duties where it is
 well placed, and does what it holds."""
+
 from __future__ import annotations
 
 import os
@@ -25,11 +26,11 @@
 from gullyoke.options import Misstated
 from gullyoke.peers.duties import TOPIC, Duties, rows_in
 
-ACT = 100_000                          # microseconds between looks at what is held
-NOTICE = 2_000_000                     # and between notices of each duty
+ACT = 100_000  # microseconds between looks at what is held
+NOTICE = 2_000_000  # and between notices of each duty
 FOLDER, QUOTA, OURS = "duties", 4 * 2**20, "voter"
-CLOSE = 0.5                            # seconds that the end waits for a disk that hangs
-HISTORY = 64                           # turns of duties that are shown
+CLOSE = 0.5  # seconds that the end waits for a disk that hangs
+HISTORY = 64  # turns of duties that are shown
 
 
 def ours(mark: bytes) -> tuple[str, int]:
@@ -56,8 +57,10 @@
         name = fleet.house.told.name
         at = self.wanted.voters.get(name)
         if at == fleet.wanted.advertise and not self.wanted.folder:
-            raise Misstated(f"{fleet.path}: duties.folder: {name} is a voter; right would be the path of a "
-                            "folder on a disk that lasts")
+            raise Misstated(
+                f"{fleet.path}: duties.folder: {name} is a voter; right would be the path of a "
+                "folder on a disk that lasts"
+            )
 
     def begin(self, fleet: Fleet) -> None:
         wanted, told = self.wanted, fleet.house.told
@@ -69,13 +72,41 @@
             self.room.start()
         if wanted.voters.get(told.name) == fleet.wanted.advertise:
             voter, shelf = self.voter(told.name, row, spans)
-        names = [name for name, on in (("ask", wanted.ask), ("book", wanted.book), ("roll", wanted.roll),
-                                       ("record", wanted.record)) if on] + [own.name for own in wanted.own]
+        names = [
+            name
+            for name, on in (
+                ("ask", wanted.ask),
+                ("book", wanted.book),
+                ("roll", wanted.roll),
+                ("record", wanted.record),
+            )
+            if on
+        ] + [own.name for own in wanted.own]
         chance = random.Random(told.seed ^ 0xD07)
-        candidates = {name: Candidate(name, told.name, row.life, wanted.voters, spans, chance.random,
-                                      wanted.set, lambda: int(time.time())) for name in names}
-        self.duties = Duties(told.name, row.life, voter, shelf, candidates, wanted.voters, fleet.taken,
-                             self.disk, fleet.house.book)
+        candidates = {
+            name: Candidate(
+                name,
+                told.name,
+                row.life,
+                wanted.voters,
+                spans,
+                chance.random,
+                wanted.set,
+                lambda: int(time.time()),
+            )
+            for name in names
+        }
+        self.duties = Duties(
+            told.name,
+            row.life,
+            voter,
+            shelf,
+            candidates,
+            wanted.voters,
+            fleet.taken,
+            self.disk,
+            fleet.house.book,
+        )
         for name, one in candidates.items():
             one.heed.append(lambda turn, name=name: self.turned(name, turn))
         self.charges = {name: self.charge(name) for name in names}
@@ -84,13 +115,23 @@
         duties.noticed, duties.ordered, duties.pleaded = self.heard, self.obey, self.pleaded
         link.topics[TOPIC] = duties
         link.told["duties"] = lambda now: {name: self.known(now, name)[0] for name in self.charges}
-        link.asked |= {"duties": self.asked_duties, "hand-over": self.asked_hand_over,
-                       "roll": self.asked_roll}
+        link.asked |= {
+            "duties": self.asked_duties,
+            "hand-over": self.asked_hand_over,
+            "roll": self.asked_roll,
+        }
         # A thread of its own: what is done under a duty may wait for a disk or a peer.
         threading.Thread(target=self.run, name="duties", daemon=True).start()
-        log.info("duties", extra=pairs(
-            names=",".join(names) or "-", voters=len(wanted.voters), set=wanted.set,
-            votes=voter is not None, fresh=voter is not None and voter.fresh))
+        log.info(
+            "duties",
+            extra=pairs(
+                names=",".join(names) or "-",
+                voters=len(wanted.voters),
+                set=wanted.set,
+                votes=voter is not None,
+                fresh=voter is not None and voter.fresh,
+            ),
+        )
 
     def charge(self, name: str) -> Charge:
         made = {"ask": Ask, "book": Book, "roll": Roll}
@@ -98,23 +139,28 @@
             return made[name](self.fleet, self.duties)
         if name == "record":
             return Record(self.fleet, self.duties, self.room)
-        return Told(self.fleet, self.duties, next(own for own in self.wanted.own if own.name == name))
+        return Told(
+            self.fleet, self.duties, next(own for own in self.wanted.own if own.name == name)
+        )
 
     # The voter and its disk.
 
     def voter(self, name: str, row: Row, spans: Spans) -> tuple[Voter, Shelf]:
         """With what its folder has; a folder that is new, another's or can't be used makes it begin anew."""
         from gullyoke.store import Cells, Committer
+
         rows, kept, number = None, {}, self.wanted.set
         try:
             self.files = self.room.watch.files(os.path.join(self.wanted.folder, FOLDER))
-            store = Cells(self.files)                 # their room is taken now: a promise fits a full disk
+            store = Cells(self.files)  # their room is taken now: a promise fits a full disk
             found = dict(store.items())
             whose, then = ours(found.pop(OURS, b""))
             if whose == name and then <= number <= then + 1:
                 rows, kept = rows_in(found.items())
             elif whose:
-                log.warning("promises of another not used", extra=pairs(whose=whose, set=then, here=number))
+                log.warning(
+                    "promises of another not used", extra=pairs(whose=whose, set=then, here=number)
+                )
             self.committer = Committer(store)
             self.committer.put(OURS, f"{name} {number}".encode())
         except (OSError, ValueError) as fault:
@@ -137,7 +183,11 @@
             return {}
         wanted, name = new.duties, self.fleet.house.told.name
         self.wanted = self.wanted._replace(voters=wanted.voters, set=wanted.set)
-        votes, duties, now = wanted.voters.get(name) == self.fleet.wanted.advertise, self.duties, clock.now()
+        votes, duties, now = (
+            wanted.voters.get(name) == self.fleet.wanted.advertise,
+            self.duties,
+            clock.now(),
+        )
         if votes and duties.voter is None:
             voter, shelf = self.voter(name, self.fleet.member.row, self.spans)
         with duties.lock:
@@ -151,8 +201,10 @@
                 duties.voter = None
             for one in duties.candidates.values():
                 one.set_voters(now, wanted.voters, wanted.set)
-        log.warning("voters", extra=pairs(set=wanted.set, voters=",".join(sorted(wanted.voters)),
-                                          votes=votes))
+        log.warning(
+            "voters",
+            extra=pairs(set=wanted.set, voters=",".join(sorted(wanted.voters)), votes=votes),
+        )
         return {"set": wanted.set}
 
     def fits(self, new: Dutied) -> bool:
@@ -161,14 +213,22 @@
         old = self.wanted
         moved = set(old.voters.items()) ^ set(new.voters.items())
         folder = new.voters.get(self.fleet.house.told.name) is None or bool(old.folder)
-        return new.set == old.set + 1 and len({name for name, _ in moved}) <= 1 and len(moved) <= 1 and folder
+        return (
+            new.set == old.set + 1
+            and len({name for name, _ in moved}) <= 1
+            and len(moved) <= 1
+            and folder
+        )
 
     def ignored(self, new: Wanted) -> list[str]:
         if new.duties is None:
             return ["duties"]
-        return [f"duties.{name}" for name in Dutied._fields
-                if getattr(self.wanted, name) != getattr(new.duties, name)
-                and not (name in ("voters", "set") and self.fits(new.duties))]
+        return [
+            f"duties.{name}"
+            for name in Dutied._fields
+            if getattr(self.wanted, name) != getattr(new.duties, name)
+            and not (name in ("voters", "set") and self.fits(new.duties))
+        ]
 
     # Who tries.
 
@@ -181,8 +241,17 @@
             rows = [(row, one.state(now, row)) for row in one.view.rows.values()]
             told = fleet.link.signals.rows if fleet.link.signals is not None else {}
             rooms = {who: reading.room for who, (_, _, reading) in told.items()}
-        placed = [Placed(row.name, True, state in ("alive", "joining"), row.status is Status.LEAVING,
-                         rooms.get(row.id, 1.0)) for row, state in rows if row.status is not Status.JOINING]
+        placed = [
+            Placed(
+                row.name,
+                True,
+                state in ("alive", "joining"),
+                row.status is Status.LEAVING,
+                rooms.get(row.id, 1.0),
+            )
+            for row, state in rows
+            if row.status is not Status.JOINING
+        ]
         self.placed = placed
         with self.duties.lock:
             for name, candidate in self.duties.candidates.items():
@@ -193,7 +262,7 @@
 
     def turned(self, name: str, turn: Turn) -> None:
         """Called under the duties' lock."""
-        self.turns = [*self.turns[-HISTORY + 1:], turn]
+        self.turns = [*self.turns[-HISTORY + 1 :], turn]
         self.fleet.house.book.add(f"duty.{turn.what}")
         log.warning("duty", extra=pairs(duty=name, what=turn.what, epoch=turn.epoch, why=turn.why))
 
@@ -204,7 +273,7 @@
             time.sleep(ACT / 1e6)
             try:
                 self.act()
-            except Exception:                         # an error of our own ends one look, not the thread
+            except Exception:  # an error of our own ends one look, not the thread
                 self.fleet.house.book.fault("duties")
 
     def act(self) -> None:
@@ -216,8 +285,12 @@
                 continue
             charge.act(clock.now(), epoch)
             register = self.duties.register(name)
-            if now - self.noticed.get(name, 0) >= NOTICE and register is not None and register.safe \
-                    and self.duties.holds(clock.now(), name) == epoch:
+            if (
+                now - self.noticed.get(name, 0) >= NOTICE
+                and register is not None
+                and register.safe
+                and self.duties.holds(clock.now(), name) == epoch
+            ):
                 self.noticed[name] = now
                 with self.fleet.link.lock:
                     one = self.fleet.member
@@ -290,21 +363,41 @@
 
     def holder(self, now: int, name: str) -> dict:
         one, (holder, epoch) = self.duties.candidates[name], self.known(now, name)
-        return {"holder": holder, "epoch": epoch, "left_ms": one.left(now) // 1000, "state": one.state.value,
-                **self.charges[name].told(now)}
+        return {
+            "holder": holder,
+            "epoch": epoch,
+            "left_ms": one.left(now) // 1000,
+            "state": one.state.value,
+            **self.charges[name].told(now),
+        }
 
     def asked_duties(self, words: list[str]) -> dict:
         now, voter = clock.now(), self.duties.voter
         found = {name: self.holder(now, name) for name in self.charges}
         with self.duties.lock:
-            vote = None if voter is None else {
-                "speaks": voter.speaks(now), "fresh": voter.fresh, "disk_well": voter.well,
-                "refused": voter.refused, "set": voter.voters,
-                "promised": {duty: [row.epoch, row.name] for duty, row in sorted(voter.rows.items())}}
+            vote = (
+                None
+                if voter is None
+                else {
+                    "speaks": voter.speaks(now),
+                    "fresh": voter.fresh,
+                    "disk_well": voter.well,
+                    "refused": voter.refused,
+                    "set": voter.voters,
+                    "promised": {
+                        duty: [row.epoch, row.name] for duty, row in sorted(voter.rows.items())
+                    },
+                }
+            )
             turns = [{"ago_ms": (now - t.at) // 1000, **t._asdict()} for t in self.turns]
-        return {"name": self.fleet.house.told.name, "duties": found, "votes": vote, "turns": turns,
-                "stale_refused": self.duties.fence.refused,
-                "started": self.fleet.member.row.number // TURNS}
+        return {
+            "name": self.fleet.house.told.name,
+            "duties": found,
+            "votes": vote,
+            "turns": turns,
+            "stale_refused": self.duties.fence.refused,
+            "started": self.fleet.member.row.number // TURNS,
+        }
 
     def asked_hand_over(self, words: list[str]) -> dict:
         if not words or words[0] not in self.charges:
@@ -332,8 +425,14 @@
     def print(self) -> None:
         now = clock.now()
         for name in self.charges:
-            log.info("duty stands", extra=pairs(duty=name, **{
-                key: value for key, value in self.holder(now, name).items()
-                if key in ("holder", "epoch", "left_ms", "state")}))
-
-
+            log.info(
+                "duty stands",
+                extra=pairs(
+                    duty=name,
+                    **{
+                        key: value
+                        for key, value in self.holder(now, name).items()
+                        if key in ("holder", "epoch", "left_ms", "state")
+                    },
+                ),
+            )
--- a/gullyoke/features/file.py
+++ b/gullyoke/features/file.py
@@ -1,4 +1,5 @@
 """The operator's file in force, the features that it makes, and reading it again."""
+
 from __future__ import annotations
 
 from typing import Protocol
@@ -53,14 +54,23 @@
             ignored += one.ignored(new)
             taken |= one.take(new)
         # A part that the file did not have at the start has no feature that could take it over.
-        ignored += [name for name, field in PARTS.items()
-                    if getattr(new, field) and not getattr(self.wanted, field)]
+        ignored += [
+            name
+            for name, field in PARTS.items()
+            if getattr(new, field) and not getattr(self.wanted, field)
+        ]
         log.warning("operator's file read", extra=pairs(**taken, ignored=",".join(ignored) or "-"))
         return True
 
 
-PARTS = {"ways": "ways", "classed": "classed", "kept": "kept", "backends": "pool",
-         "fleet": "fleet", "duties": "duties"}             # their names in the log, and what is read
+PARTS = {
+    "ways": "ways",
+    "classed": "classed",
+    "kept": "kept",
+    "backends": "pool",
+    "fleet": "fleet",
+    "duties": "duties",
+}  # their names in the log, and what is read
 
 
 def made(path: str, wanted: Wanted) -> list[Unit]:
@@ -74,14 +84,18 @@
         units.append(ClassPools(path, wanted.classed))
     if wanted.kept is not None or wanted.fleet is not None:
         from gullyoke.features.disks import Disks
+
         disks = Disks()
     if wanted.kept is not None:
         from gullyoke.features.memory import Memory
+
         units.append(Memory(wanted.kept, disks))
     if wanted.fleet is not None:
         from gullyoke.features.fleet import Fleet
+
         units.append(Fleet(path, wanted.fleet, wanted.kept, wanted.pool, wanted.duties, disks))
     if wanted.kept is not None and wanted.kept.without:
         from gullyoke.features.keys import Keys
+
         units.append(Keys(wanted.kept, disks))
     return units
--- a/gullyoke/features/fleet.py
+++ b/gullyoke/features/fleet.py
@@ -2,6 +2,7 @@
 
 Nothing of it is in a req's way: what the decisions get of it is the fleet's size, one figure a second, and
 what its parts state (gullyoke/features/part.py). Whatever fails here, the four rules hold."""
+
 from __future__ import annotations
 
 import random
@@ -22,16 +23,23 @@
 from gullyoke.peers.link import Link
 from gullyoke.peers.seal import Seal, Unusable, keys_in
 
-LOOK = 1_000_000                       # microseconds between looks at the size
-LAST_WORDS, BETWEEN = 3, 0.02          # how often it is said that this one has left, and seconds between
+LOOK = 1_000_000  # microseconds between looks at the size
+LAST_WORDS, BETWEEN = 3, 0.02  # how often it is said that this one has left, and seconds between
 DESCRIPTORS = 4
 
 
 class Fleet(Plain):
     name = part = "fleet"
 
-    def __init__(self, path: str, wanted: Together, kept: Kept | None, pool: Pooled | None = None,
-                 duties: Dutied | None = None, disks: Disks | None = None) -> None:
+    def __init__(
+        self,
+        path: str,
+        wanted: Together,
+        kept: Kept | None,
+        pool: Pooled | None = None,
+        duties: Dutied | None = None,
+        disks: Disks | None = None,
+    ) -> None:
         super().__init__(wanted)
         self.disks = disks or Disks()
         self.path, self.wanted, self.kept = path, wanted, kept
@@ -40,7 +48,7 @@
         self.member: Member | None = None
         self.number: Number | None = None
         self.told = self.size = 0
-        self.read: tuple[bytes, ...] = ()             # the keys of a file that is about to be taken over
+        self.read: tuple[bytes, ...] = ()  # the keys of a file that is about to be taken over
         self.parts: list[Part] = made(wanted, pool, duties)
 
     def held(self) -> int:
@@ -49,8 +57,12 @@
     def join(self, house: House) -> None:
         """Raises `Misstated` for a key file that can't be right, `OSError` where it can't listen."""
         self.house = house
-        self.link = Link(self.wanted.listen, Seal(self.wanted.name, self.keys(self.wanted)), house.book)
-        self.answers = Answers(self.wanted.status, self.link, house.book) if self.wanted.status else None
+        self.link = Link(
+            self.wanted.listen, Seal(self.wanted.name, self.keys(self.wanted)), house.book
+        )
+        self.answers = (
+            Answers(self.wanted.status, self.link, house.book) if self.wanted.status else None
+        )
         for part in self.parts:
             part.join(self)
 
@@ -69,29 +81,52 @@
             files = self.disks.at(self.kept.folder, self.kept.quota, house.book).watch.files
         self.number = Number(self.kept.folder if self.kept else None, house.book, files)
         chance = random.Random(house.told.seed ^ 0x5EED)
-        row = Row(house.told.name, began(int(time.time()), self.number.known()), Status.JOINING,
-                  wanted.advertise, wanted.zone, chance.getrandbits(63))
+        row = Row(
+            house.told.name,
+            began(int(time.time()), self.number.known()),
+            Status.JOINING,
+            wanted.advertise,
+            wanted.zone,
+            chance.getrandbits(63),
+        )
         self.number.keep(row.number)
         self.member = Member(clock.now(), row, wanted.seeds, chance)
         self.member.heed.append(self.changed)
         self.link.told["disks"] = lambda now: {
-            folder: room.watch.state().value for folder, room in self.disks.rooms.items()}
+            folder: room.watch.state().value for folder, room in self.disks.rooms.items()
+        }
         for part in self.parts:
             part.begin(self)
         self.link.begin(self.member)
         if self.answers:
             self.answers.start()
         house.timer.at(clock.now() + LOOK, self.look)
-        log.info("fleet", extra=pairs(name=wanted.name, listen=":".join(map(str, wanted.listen)),
-                                      zone=wanted.zone, number=row.number, seeds=len(wanted.seeds)))
+        log.info(
+            "fleet",
+            extra=pairs(
+                name=wanted.name,
+                listen=":".join(map(str, wanted.listen)),
+                zone=wanted.zone,
+                number=row.number,
+                seeds=len(wanted.seeds),
+            ),
+        )
 
     def changed(self, change: Change) -> None:
         """A line a change; called by the link's thread."""
         row, mark = change.row, change.mark
         self.house.book.add(f"fleet.{change.what}")
-        log.info("member", extra=pairs(
-            what=change.what, name=row.name, status=row.status.name.lower(), zone=row.zone,
-            view=change.number, evidence=f"{mark.accusing}/{mark.standing}" if mark else "own"))
+        log.info(
+            "member",
+            extra=pairs(
+                what=change.what,
+                name=row.name,
+                status=row.status.name.lower(),
+                zone=row.zone,
+                view=change.number,
+                evidence=f"{mark.accusing}/{mark.standing}" if mark else "own",
+            ),
+        )
         if row.id == self.member.id and row.number > self.number.latest:
             self.number.keep(row.number)
 
@@ -108,16 +143,33 @@
             return
         self.size = in_force
         with house.desk.lock:
-            house.told.facts.fleet.size = in_force    # the decisions' own record of the fleet
-        log.info("fleet size", extra=pairs(size=in_force, told=self.told, seen=size.seen,
-                                           age_ms=size.age // 1000, confidence=f"{size.confidence:.2f}"))
+            house.told.facts.fleet.size = in_force  # the decisions' own record of the fleet
+        log.info(
+            "fleet size",
+            extra=pairs(
+                size=in_force,
+                told=self.told,
+                seen=size.seen,
+                age_ms=size.age // 1000,
+                confidence=f"{size.confidence:.2f}",
+            ),
+        )
 
     def print(self) -> None:
         with self.link.lock:
             one, size = self.member, self.member.size(clock.now())
             stage, view, digest = one.entry.stage.value, one.view.number, one.view.digest
-        log.info("fleet", extra=pairs(stage=stage, members=size.members, seen=size.seen, view=view,
-                                      digest=f"{digest:016x}", confidence=f"{size.confidence:.2f}"))
+        log.info(
+            "fleet",
+            extra=pairs(
+                stage=stage,
+                members=size.members,
+                seen=size.seen,
+                view=view,
+                digest=f"{digest:016x}",
+                confidence=f"{size.confidence:.2f}",
+            ),
+        )
         for part in self.parts:
             part.print()
 
@@ -164,9 +216,12 @@
     def ignored(self, new: Wanted) -> list[str]:
         if new.fleet is None:
             return [self.name]
-        return [f"fleet.{name}" for name in Together._fields if name not in ("seeds", "key_file")
-                and getattr(self.wanted, name) != getattr(new.fleet, name)] \
-            + [name for part in self.parts for name in part.ignored(new)]
+        return [
+            f"fleet.{name}"
+            for name in Together._fields
+            if name not in ("seeds", "key_file")
+            and getattr(self.wanted, name) != getattr(new.fleet, name)
+        ] + [name for part in self.parts for name in part.ignored(new)]
 
 
 def made(wanted: Together, pool: Pooled | None, duties: Dutied | None) -> list[Part]:
@@ -174,14 +229,18 @@
     parts: list[Part] = []
     if wanted.signals:
         from gullyoke.features.signals import Signals
+
         parts.append(Signals(wanted.heed))
     if wanted.shares is not None:
         from gullyoke.features.shares import Shares
+
         parts.append(Shares(wanted.shares))
     if pool is not None:
         from gullyoke.features.subsets import Subsets
+
         parts.append(Subsets(pool.subset))
     if duties is not None:
         from gullyoke.features.duties import Duty
+
         parts.append(Duty(duties))
     return parts
--- a/gullyoke/features/keys.py
+++ b/gullyoke/features/keys.py
@@ -4,6 +4,7 @@
 A run is given once its note is on the disk, and its end told once that is; both wait on the committer's
 thread, never under the desk's lock. The decisions hear of a req that could not be promised as of one that
 there was nowhere to run (`UNRUN`), and of the disk's state by their handlers' `open`."""
+
 from __future__ import annotations
 
 import os
@@ -33,9 +34,12 @@
 from gullyoke.work import Work
 
 FOLDER, MARK = "keys", "mark"
-SWEEP, LOOK = 50_000, 1_000_000        # microseconds between looks at what is overdue, and at all the rest
-OPEN, CLOSE = 5.0, 0.5                 # seconds that a start waits for the folder, and an end for the queue
-RESULTS = 16 * 2**20                   # bytes of notes and results in memory at the most
+SWEEP, LOOK = (
+    50_000,
+    1_000_000,
+)  # microseconds between looks at what is overdue, and at all the rest
+OPEN, CLOSE = 5.0, 0.5  # seconds that a start waits for the folder, and an end for the queue
+RESULTS = 16 * 2**20  # bytes of notes and results in memory at the most
 
 decode_mark = msgspec.msgpack.Decoder(tuple[int, str, int, int]).decode
 
@@ -44,8 +48,9 @@
     """Repeats of this life, and behind them what earlier ones noted. `doubts` says whether further tries of
     what is not known are doubted now."""
 
-    def __init__(self, fresh_for: int, past: Callable[[int, str], Note | None],
-                 doubts: Callable[[int], bool]) -> None:
+    def __init__(
+        self, fresh_for: int, past: Callable[[int, str], Note | None], doubts: Callable[[int], bool]
+    ) -> None:
         super().__init__(fresh_for)
         self.past, self.doubts = past, doubts
 
@@ -74,14 +79,16 @@
         self.ready = threading.Event()
         self.trust: Trust | None = None
         self.mark: Mark | None = None
-        self.last = self.doubted = self.next = 0      # `last`: the number of the start before this one
-        self.shut = self.lost = False                 # `lost`: what the folder held is gone
+        self.last = self.doubted = self.next = 0  # `last`: the number of the start before this one
+        self.shut = self.lost = False  # `lost`: what the folder held is gone
 
     # Put together.
 
     def around(self, house: House, work: Work) -> Work:
         self.house = house
-        self.ledger = Ledger(int(time.time()), Without(self.kept.without), min(RESULTS, self.kept.quota // 2))
+        self.ledger = Ledger(
+            int(time.time()), Without(self.kept.without), min(RESULTS, self.kept.quota // 2)
+        )
         self.room = self.disks.at(self.kept.folder, self.kept.quota, house.book)
         self.window = max([h.window for h in house.told.facts.handlers], default=0)
         self.promised = Promised(work, house.desk, self.ledger, self.fit, self.put, house.book)
@@ -95,8 +102,10 @@
             log.error("keys not read yet", extra=pairs(folder=self.kept.folder))
 
     def start(self) -> None:
-        self.room.size |= {What.NOTES: lambda: self.ledger.sizes()[0],
-                           What.RESULTS: lambda: self.ledger.sizes()[1]}
+        self.room.size |= {
+            What.NOTES: lambda: self.ledger.sizes()[0],
+            What.RESULTS: lambda: self.ledger.sizes()[1],
+        }
         self.room.give[What.RESULTS] = self.give
         self.room.tidy.append(self.tidy)
         self.room.start()
@@ -139,10 +148,22 @@
                 self.trust, self.doubted = trust, now + self.window if trust.doubts else 0
             gone = past if trust.notes else [key for key, _ in found]
             first = [(MARK, encode(tuple(self.mark))), *rows, *((key, None) for key in gone)]
-            self.committer, self.lost = Committer(store, first=first) if trust.writes else None, False
+            self.committer, self.lost = (
+                Committer(store, first=first) if trust.writes else None,
+                False,
+            )
         self.ready.set()
-        log.info("keys", extra=pairs(folder=self.kept.folder, notes=len(self.ledger.rows), past=len(past),
-                                     start=self.mark.number, why=trust.why, dropped=store.dropped))
+        log.info(
+            "keys",
+            extra=pairs(
+                folder=self.kept.folder,
+                notes=len(self.ledger.rows),
+                past=len(past),
+                start=self.mark.number,
+                why=trust.why,
+                dropped=store.dropped,
+            ),
+        )
 
     def compare(self, now: int) -> None:
         """Once in a fleet: a copy that is older than what the others know is believed no more, and the mark
@@ -153,7 +174,9 @@
             return
         known, own = member.entry.known // TURNS, member.row.number // TURNS
         if self.trust.notes and older(self.last, known):
-            self.trust = Trust(False, True, True, f"an older copy: start {self.last}, others know {known}")
+            self.trust = Trust(
+                False, True, True, f"an older copy: start {self.last}, others know {known}"
+            )
             self.doubted = now + self.window
             with self.promised.pen:
                 for key in self.ledger.forget_others():
@@ -177,7 +200,9 @@
         """Whether the disk may be asked for a promise now."""
         return self.committer is not None and self.room.watch.takes()
 
-    def put(self, key: str, value: bytes | None, told: Callable[[bool], None] = lambda durable: None) -> bool:
+    def put(
+        self, key: str, value: bytes | None, told: Callable[[bool], None] = lambda durable: None
+    ) -> bool:
         return self.committer is not None and self.committer.put(key, value, told)
 
     # From the timer.
@@ -209,8 +234,11 @@
         with self.promised.pen:
             puts = self.ledger.shrink(clock.now(), size)
             for put in puts:
-                self.put(put.key, packed(put.note),
-                         lambda durable, put=put: self.promised.told(put, durable))
+                self.put(
+                    put.key,
+                    packed(put.note),
+                    lambda durable, put=put: self.promised.told(put, durable),
+                )
         self.house.book.add("keys.results_dropped", len(puts))
 
     def tidy(self) -> None:
@@ -233,16 +261,29 @@
         self.open()
 
     def ignored(self, new: Wanted) -> list[str]:
-        return []                                     # what the file says of it is the memory's part too
+        return []  # what the file says of it is the memory's part too
 
     def print(self) -> None:
         with self.promised.pen:
             one, waits, committer = self.ledger, self.ledger.waits, self.committer
-            row = dict(notes=len(one.rows), bytes=one.bytes, bare=one.bare, lost=one.lost,
-                       refused=one.refused, out=len(one.out), usual_ms=f"{waits.mean / 1000:.2f}")
+            row = dict(
+                notes=len(one.rows),
+                bytes=one.bytes,
+                bare=one.bare,
+                lost=one.lost,
+                refused=one.refused,
+                out=len(one.out),
+                usual_ms=f"{waits.mean / 1000:.2f}",
+            )
         groups = committer.groups if committer else 0
-        log.info("keys", extra=pairs(**row, state=self.room.watch.state().value,
-                                     group=f"{committer.put_in / groups:.1f}" if groups else "-"))
+        log.info(
+            "keys",
+            extra=pairs(
+                **row,
+                state=self.room.watch.state().value,
+                group=f"{committer.put_in / groups:.1f}" if groups else "-",
+            ),
+        )
 
     def end(self) -> None:
         """Never held up for long by a disk that hangs."""
--- a/gullyoke/features/listeners.py
+++ b/gullyoke/features/listeners.py
@@ -1,4 +1,5 @@
 """Further ways in, beside the platform's HTTP/1.1."""
+
 from __future__ import annotations
 
 from gullyoke.daemon.house import House
--- a/gullyoke/features/log_form.py
+++ b/gullyoke/features/log_form.py
@@ -1,4 +1,5 @@
 """The log's lines as JSON objects: one flat object a line, the same names as in key=value lines."""
+
 from __future__ import annotations
 
 import logging
@@ -12,8 +13,12 @@
         super().__init__(reserved_attrs=RESERVED_ATTRS, json_default=str)
 
     def add_fields(self, log_data: dict, record: logging.LogRecord, message_dict: dict) -> None:
-        log_data |= {"time": round(record.created, 3), "level": record.levelname.lower(),
-                     "thread": record.threadName, "event": record.getMessage()}
+        log_data |= {
+            "time": round(record.created, 3),
+            "level": record.levelname.lower(),
+            "thread": record.threadName,
+            "event": record.getMessage(),
+        }
         log_data |= getattr(record, "pairs", {})
         if record.exc_info:
             log_data["trace"] = self.formatException(record.exc_info)
--- a/gullyoke/features/memory.py
+++ b/gullyoke/features/memory.py
@@ -2,6 +2,7 @@
 
 The rules are in gullyoke/store/remember.py; here they meet the store, the clock and the desk's lock. Nothing
 of it stops a server: a folder that can't be used is said and counted, and the server starts with nothing."""
+
 from __future__ import annotations
 
 import time
@@ -19,13 +20,14 @@
 from gullyoke.store import cold as colds
 from gullyoke.store import remember as rules
 
-LOOK, KEEP = 500_000, 5_000_000       # microseconds between looks, and between snapshots
-COLD_LOOK = 50_000                     # and between looks while cold
-LEARNED, STARTS, COLD = "learned", "starts", "cold"    # the keys
+LOOK, KEEP = 500_000, 5_000_000  # microseconds between looks, and between snapshots
+COLD_LOOK = 50_000  # and between looks while cold
+LEARNED, STARTS, COLD = "learned", "starts", "cold"  # the keys
 
 
 class Memory(Plain):
     """The feature: what is remembered lies in the folder that the file names."""
+
     name = part = "kept"
 
     def __init__(self, kept: Kept, disks: Disks) -> None:
@@ -63,8 +65,16 @@
             self.weight = verdict.weight
             self.committer = Committer(store)
             self.committer.put(STARTS, rules.packed(rules.began(self.starts)))
-            log.info("memory", extra=pairs(folder=folder, weight=f"{verdict.weight:.3f}", why=verdict.why,
-                                           dropped=store.dropped, unwell=self.starts.unwell))
+            log.info(
+                "memory",
+                extra=pairs(
+                    folder=folder,
+                    weight=f"{verdict.weight:.3f}",
+                    why=verdict.why,
+                    dropped=store.dropped,
+                    unwell=self.starts.unwell,
+                ),
+            )
         except OSError as fault:
             book.add("memory.faults")
             log.error("memory not used", extra=pairs(folder=folder, why=fault))
@@ -81,7 +91,7 @@
         with desk.lock:
             server = desk.server
             if server is not None and not server.machine.fresh_start:
-                return                                # it began warm
+                return  # it began warm
             age = clock.now() - server.guards.started if server is not None else 0
             step = colds.step(age)
             if server is not None and step != self.step:
@@ -95,7 +105,7 @@
             timer.at(clock.now() + COLD_LOOK, lambda: self.look_cold(desk, timer))
             return
         with desk.lock:
-            del server.hold.ran                       # the class's own again
+            del server.hold.ran  # the class's own again
             row = self.curve.taken(self.stated, time.time(), self.cold)
         if row.costs:
             self.put(COLD, rules.packed(row))
@@ -112,7 +122,7 @@
 
     def look(self, desk: Desk, timer: Timer) -> None:
         timer.at(clock.now() + LOOK, lambda: self.look(desk, timer))
-        with desk.lock:                               # copies of small tables
+        with desk.lock:  # copies of small tables
             server = desk.server
             if server is None or server.learner is None:
                 return
@@ -150,7 +160,9 @@
             self.committer.put(key, None)
 
     def put(self, key: str, data: bytes) -> None:
-        if not self.room.writes(Kind.MEMORY):         # what is worth least is not written where room is short
+        if not self.room.writes(
+            Kind.MEMORY
+        ):  # what is worth least is not written where room is short
             self.book.add("memory.skipped")
             return
 
--- a/gullyoke/features/part.py
+++ b/gullyoke/features/part.py
@@ -1,4 +1,5 @@
 """What stands on a fleet's membership, a unit each: signals, shares, and what later comes to it."""
+
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
--- a/gullyoke/features/pools.py
+++ b/gullyoke/features/pools.py
@@ -1,4 +1,5 @@
 """Class pools, where they are wanted."""
+
 from __future__ import annotations
 
 from gullyoke.daemon.house import House
@@ -19,6 +20,8 @@
         desk = house.desk
         for name in self.classed.classes:
             if name not in desk.handlers:
-                raise Misstated(f"{self.path}: pools.class.handler: {name!r} is no handler of this site; "
-                                f"right would be one of {', '.join(desk.handlers)}")
+                raise Misstated(
+                    f"{self.path}: pools.class.handler: {name!r} is no handler of this site; "
+                    f"right would be one of {', '.join(desk.handlers)}"
+                )
         desk.pool(self.classed.minimum, self.classed.classes)
--- a/gullyoke/features/promised.py
+++ b/gullyoke/features/promised.py
@@ -3,6 +3,7 @@
 Stands before the work for the decisions, and before the relay for the work. What the rules say
 (gullyoke/durable/ledger.py) and what is queued for the disk happen under one small lock, `pen`, so that the
 disk gets the writes of a key in the order of the rules; nothing waits under it."""
+
 from __future__ import annotations
 
 import threading
@@ -19,11 +20,13 @@
 from gullyoke.port import Kind, Word
 from gullyoke.work import Work
 
-NOTE = "n"                             # what a note's key begins with
+NOTE = "n"  # what a note's key begins with
 ENDS = (Word.DONE, Word.ERRORED, Word.STOPPED)
 
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(tuple[int, int, int, int, int, tuple[tuple[str, str], ...], bytes]).decode
+decode = msgspec.msgpack.Decoder(
+    tuple[int, int, int, int, int, tuple[tuple[str, str], ...], bytes]
+).decode
 
 Disk = Callable[[str, bytes | None, Callable[[bool], None]], bool]
 
@@ -63,15 +66,27 @@
     key while their run is promised or goes on, `keys`, their keys by id; `ends`, by key, what is told once an
     end is durable. All of a req leaves at the end of its run, or when it is left unrun."""
 
-    def __init__(self, inner: Work, desk: Desk, ledger: Ledger, fit: Callable[[], bool], disk: Disk,
-                 book: Book) -> None:
+    def __init__(
+        self,
+        inner: Work,
+        desk: Desk,
+        ledger: Ledger,
+        fit: Callable[[], bool],
+        disk: Disk,
+        book: Book,
+    ) -> None:
         self.inner, self.real, self.ledger, self.fit, self.disk = inner, desk, ledger, fit, disk
         self.book, self.pen = book, threading.RLock()
         self.going: dict[str, Taken] = {}
         self.keys: dict[str, str] = {}
         self.ends: dict[str, Callable[[bool], None]] = {}
         self.desk = Ear(desk, self.soon)
-        self.feed, self.skip, self.halt, self.flush = inner.feed, inner.skip, inner.halt, inner.flush
+        self.feed, self.skip, self.halt, self.flush = (
+            inner.feed,
+            inner.skip,
+            inner.halt,
+            inner.flush,
+        )
         self.stat, self.move = inner.stat, inner.move
 
     def start(self, heard) -> None:
@@ -91,11 +106,14 @@
         def asked() -> Put | Act:
             if self.ledger.past(now, key) is None:
                 self.going[key], self.keys[req.tid] = req, key
-            return self.ledger.asked(now, key, req.arrived, until, req.due, self.real.server.hold.cost[h],
-                                     fit)
+            return self.ledger.asked(
+                now, key, req.arrived, until, req.due, self.real.server.hold.cost[h], fit
+            )
 
         said = self.ruled(asked)
-        if said is not None and said.do is Do.KNOWN:  # a non-replayable one that may have run before
+        if (
+            said is not None and said.do is Do.KNOWN
+        ):  # a non-replayable one that may have run before
             self.book.add("keys.known")
             self.real.soon(req, Word.ERRORED)
         elif said is not None:
@@ -114,16 +132,24 @@
             self.left(tid)
             self.heard.done(tid, end, result)
             return
-        self.over(tid, Answer(200 if end == "ok" else 0, result),
-                  lambda well: self.heard.done(tid, end if well else "failed", result if well else b""))
+        self.over(
+            tid,
+            Answer(200 if end == "ok" else 0, result),
+            lambda well: self.heard.done(tid, end if well else "failed", result if well else b""),
+        )
 
     def ran(self, req: Taken, word: Word, answer: Answer | None) -> None:
         if word not in ENDS:
             self.left(req.tid)
             self.heard.ran(req, word, answer)
             return
-        self.over(req.tid, answer if answer is not None and word is Word.DONE else Answer(0),
-                  lambda well: self.heard.ran(req, word if well else Word.ERRORED, answer if well else None))
+        self.over(
+            req.tid,
+            answer if answer is not None and word is Word.DONE else Answer(0),
+            lambda well: self.heard.ran(
+                req, word if well else Word.ERRORED, answer if well else None
+            ),
+        )
 
     def not_done(self, command: str, tid: str) -> None:
         if command == "RUN":
@@ -138,8 +164,14 @@
             self.going.pop(key, None)
             self.ends[key] = tell
             well = answer.status == 200
-            return self.ledger.ended(clock.now(), key, answer.status if well else 0,
-                                     answer.fields if well else (), answer.body if well else b"", fit)
+            return self.ledger.ended(
+                clock.now(),
+                key,
+                answer.status if well else 0,
+                answer.fields if well else (),
+                answer.body if well else b"",
+                fit,
+            )
 
         with self.pen:
             key = self.keys.pop(tid, None)
@@ -167,8 +199,9 @@
             said = rule()
             while isinstance(said, Put):
                 put = said
-                queued = self.disk(put.key, packed(put.note),
-                                   lambda durable, put=put: self.told(put, durable))
+                queued = self.disk(
+                    put.key, packed(put.note), lambda durable, put=put: self.told(put, durable)
+                )
                 said = None if queued else self.ledger.unqueued(clock.now(), put)
             return said
 
--- a/gullyoke/features/shares.py
+++ b/gullyoke/features/shares.py
@@ -1,5 +1,6 @@
 """This server's part in what all servers share, on the members' datagrams: the slots below, and customers'
 quotas."""
+
 from __future__ import annotations
 
 from gullyoke.core import clock
@@ -30,15 +31,21 @@
         """Raises `Misstated` where there is nothing below that could be shared."""
         below, customers = fleet.house.told.facts.below, fleet.house.told.facts.customers
         if self.wanted.quotas and not customers:
-            raise Misstated(f"{fleet.path}: fleet.shares.quotas: the settings name no customers (Orgs); "
-                            "right would be none")
+            raise Misstated(
+                f"{fleet.path}: fleet.shares.quotas: the settings name no customers (Orgs); "
+                "right would be none"
+            )
         if not self.wanted.slots:
             return
         if not below.exists:
-            raise Misstated(f"{fleet.path}: fleet.shares: no calls go below from here; right would be none")
+            raise Misstated(
+                f"{fleet.path}: fleet.shares: no calls go below from here; right would be none"
+            )
         if self.wanted.mean and not below.span:
-            raise Misstated(f"{fleet.path}: fleet.shares.mean: the settings state no span (ShareSpanUs); "
-                            "right would be slots at every moment")
+            raise Misstated(
+                f"{fleet.path}: fleet.shares.mean: the settings state no span (ShareSpanUs); "
+                "right would be slots at every moment"
+            )
 
     def begin(self, fleet: Fleet) -> None:
         if self.wanted.slots:
@@ -52,36 +59,59 @@
         floor, tokens = split(limit, wanted.largest, wanted.homes, wanted.floor_share)
         home = name if name in wanted.homes else None
         votes = home is not None and wanted.homes[home] == fleet.wanted.advertise
-        made = Sharing(clock.now(), fleet.member.row.life, wanted.homes, tokens.get(home, 0), floor, home,
-                       votes, linger, after)
+        made = Sharing(
+            clock.now(),
+            fleet.member.row.life,
+            wanted.homes,
+            tokens.get(home, 0),
+            floor,
+            home,
+            votes,
+            linger,
+            after,
+        )
         made.borrower.weight = wanted.weight
-        log.info("shares", extra=pairs(tokens=limit, floor=floor, homes=len(wanted.homes),
-                                       lends=tokens.get(home, 0), home=home or "-", votes=votes))
+        log.info(
+            "shares",
+            extra=pairs(
+                tokens=limit,
+                floor=floor,
+                homes=len(wanted.homes),
+                lends=tokens.get(home, 0),
+                home=home or "-",
+                votes=votes,
+            ),
+        )
         return made, floor
 
     def begin_quotas(self, fleet: Fleet) -> None:
         """The quotas of those who have most; the others' go by the size agreed on."""
         whole = quotas.tokens(self.wanted.largest)
-        customers = sorted(fleet.house.told.facts.customers, key=lambda c: (-c.quota, c.name))[:quotas.MOST]
+        customers = sorted(fleet.house.told.facts.customers, key=lambda c: (-c.quota, c.name))[
+            : quotas.MOST
+        ]
         for customer in customers:
             made, floor = self.sharing(fleet, whole, 0, quotas.SAVED)
             digest = stated(self.wanted.homes, whole, floor, customer.name, f"{customer.quota:g}")
-            limit = SharedQuota(quotas.Quota(made, customer.quota, whole), self.wanted.homes, digest,
-                                fleet.taken)
+            limit = SharedQuota(
+                quotas.Quota(made, customer.quota, whole), self.wanted.homes, digest, fleet.taken
+            )
             self.quotas[customer.name] = limit
             customer.lent = limit.lent
         fleet.link.topics[QUOTAS] = Quotas(self.quotas.values())
         fleet.link.told["quotas"] = lambda now: {
             name: limit.told(now) | {"reqs_a_second": round(limit.own.part(now), 2)}
-            for name, limit in self.quotas.items()}
+            for name, limit in self.quotas.items()
+        }
 
     def begin_slots(self, fleet: Fleet) -> None:
         wanted, below = self.wanted, fleet.house.told.facts.below
         unit, after = self.unit(), below.span if wanted.mean else 0
         sharing, floor = self.sharing(fleet, wanted.slots * unit, below.linger, after)
         own = Mean(sharing, below.linger, below.span) if wanted.mean else Own(sharing, below.linger)
-        self.shared = SharedSlots(own, wanted.homes, stated(wanted.homes, wanted.slots * unit, floor),
-                                  fleet.taken)
+        self.shared = SharedSlots(
+            own, wanted.homes, stated(wanted.homes, wanted.slots * unit, floor), fleet.taken
+        )
         below.slots = self.shared
         fleet.link.topics[TOPIC] = self.shared
         fleet.link.told["shares"] = self.shared.told
--- a/gullyoke/features/signals.py
+++ b/gullyoke/features/signals.py
@@ -1,5 +1,6 @@
 """How this server stands is told to the others on the members' datagrams, and theirs weighed: is it slow, or
 is the fleet full? Where the file says so, advice and health answers follow."""
+
 from __future__ import annotations
 
 import random
@@ -30,7 +31,7 @@
 
     def look(self, now: int) -> None:
         fleet, desk, judged = self.fleet, self.fleet.house.desk, self.judgement
-        with desk.lock:                               # a few figures
+        with desk.lock:  # a few figures
             reading = None if desk.server is None else standing(desk)
         if reading is None:
             return
@@ -53,9 +54,14 @@
         if self.heed and house.desk.stop_at is None:
             house.standing.good = not judged.back
         house.book.add("fleet.slow_alone" if judged.back else "fleet.well_again")
-        log.warning("slow alone" if judged.back else "no longer slow alone", extra=pairs(
-            pace=f"{reading.pace:.2f}", peers=f"{judged.seen.pace:.2f}" if judged.seen else "-",
-            acted=self.heed))
+        log.warning(
+            "slow alone" if judged.back else "no longer slow alone",
+            extra=pairs(
+                pace=f"{reading.pace:.2f}",
+                peers=f"{judged.seen.pace:.2f}" if judged.seen else "-",
+                acted=self.heed,
+            ),
+        )
 
 
 def standing(desk: Desk) -> Reading:
--- a/gullyoke/features/subsets.py
+++ b/gullyoke/features/subsets.py
@@ -1,5 +1,6 @@
 """Which of the back ends this server uses, where many servers share many of them, and whose turn it is to try
 one that was set aside: both told by the view of the fleet alone."""
+
 from __future__ import annotations
 
 import time
@@ -13,7 +14,7 @@
 from gullyoke.together.subsets import Subset, alone, chosen
 from gullyoke.together.turns import shared
 
-SLOT, ROUND = 250_000, 20              # microseconds of a turn to try a back end, and turns in a round
+SLOT, ROUND = 250_000, 20  # microseconds of a turn to try a back end, and turns in a round
 
 
 class Subsets(Part):
@@ -22,7 +23,7 @@
     def __init__(self, k: int) -> None:
         self.k, self.fleet, self.pool = k, None, None
         self.subset: Subset | None = None
-        self.names: tuple[str, ...] = ()              # the members whose turns go round
+        self.names: tuple[str, ...] = ()  # the members whose turns go round
 
     def begin(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -30,7 +31,7 @@
         self.pool.backends.dispatch.pool.may = self.may
         if self.k:
             zones = self.zones()
-            self.subset = Subset(clock.now(), alone(fleet.house.told.name, list(zones))[:self.k])
+            self.subset = Subset(clock.now(), alone(fleet.house.told.name, list(zones))[: self.k])
             self.pool.use(frozenset(self.subset.held))
             fleet.link.told["subset"] = lambda now: sorted(self.pool.only or ())
 
@@ -40,18 +41,24 @@
     def look(self, now: int) -> None:
         fleet, zones = self.fleet, self.zones()
         with fleet.link.lock:
-            rows = [row for row in fleet.member.view.rows.values()
-                    if row.status in LIVE and row.status is not Status.JOINING]
+            rows = [
+                row
+                for row in fleet.member.view.rows.values()
+                if row.status in LIVE and row.status is not Status.JOINING
+            ]
         self.names = tuple(row.name for row in rows)
         if self.subset is None:
             return
         me, servers = fleet.house.told.name, {row.name: row.zone for row in rows}
         order = chosen(servers, zones, len(zones))[me] if me in servers else alone(me, list(zones))
-        if me in servers:                             # not in: what was chosen last stands
-            self.subset.follow(now, order[:self.k])
+        if me in servers:  # not in: what was chosen last stands
+            self.subset.follow(now, order[: self.k])
         only = frozenset(self.subset.helped(now, order, self.pool.backends.ill()))
         if only != self.pool.only:
-            log.info("subset", extra=pairs(back_ends=",".join(sorted(only)), helping=len(self.subset.help)))
+            log.info(
+                "subset",
+                extra=pairs(back_ends=",".join(sorted(only)), helping=len(self.subset.help)),
+            )
             self.pool.use(only)
 
     def may(self, name: str) -> bool:
@@ -59,8 +66,15 @@
         me, names = self.fleet.house.told.name, self.names
         if me not in names:
             return True
-        return shared(f"trial {name}", len(names), SLOT, ROUND).mine(int(time.time() * 1e6), me, names)
+        return shared(f"trial {name}", len(names), SLOT, ROUND).mine(
+            int(time.time() * 1e6), me, names
+        )
 
     def print(self) -> None:
-        log.info("subset", extra=pairs(back_ends=",".join(sorted(self.pool.only or ())) or "all",
-                                       helping=len(self.subset.help) if self.subset else 0))
+        log.info(
+            "subset",
+            extra=pairs(
+                back_ends=",".join(sorted(self.pool.only or ())) or "all",
+                helping=len(self.subset.help) if self.subset else 0,
+            ),
+        )
--- a/gullyoke/features/unit.py
+++ b/gullyoke/features/unit.py
@@ -1,4 +1,5 @@
 """What a feature does where it has nothing of its own to do."""
+
 from __future__ import annotations
 
 from gullyoke.core.book import Book
@@ -12,6 +13,7 @@
     """Holds no descriptors, does no work in the engine's place, takes nothing over while the server runs.
     `name` is its part's in the log, `part` the field that is read of it; `stated`, what the file said of it
     at the start."""
+
     name = part = ""
 
     def __init__(self, stated: object) -> None:
--- a/gullyoke/front/admit.py
+++ b/gullyoke/front/admit.py
@@ -1,4 +1,5 @@
 """Admit: a message of a gateway becomes a req, is checked and handed to the decisions."""
+
 from __future__ import annotations
 
 import re
@@ -8,14 +9,16 @@
 from gullyoke.core.message import Message, Unfit
 
 PATH = "/call/"
-LONGEST = 24 * 3600 * 1000             # ms; no caller waits longer, and no stamp is older
+LONGEST = 24 * 3600 * 1000  # ms; no caller waits longer, and no stamp is older
 
 
 ID = re.compile(r"[0-9a-fA-F]{16}")
 FIGURE = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 
 
-def number(fields: dict[str, str], name: str, default: float, most: float, least: float = 0.0) -> float:
+def number(
+    fields: dict[str, str], name: str, default: float, most: float, least: float = 0.0
+) -> float:
     """A field's figure, from `least` on, under `most`; guards against what is none or can't be."""
     text = fields.get(name)
     if text is None:
@@ -42,7 +45,7 @@
         raise Unfit(404, "path")
     if method != "POST":
         raise Unfit(405, "method")
-    handler = desk.handlers.get(path[len(PATH):])
+    handler = desk.handlers.get(path[len(PATH) :])
     if handler is None:
         raise Unfit(404, "handler")
     fields = message.fields
@@ -55,9 +58,18 @@
     arrived = clock.now() - stamp(fields, "accepted-at-ms")
     wait = int(number(fields, "max-wait-ms", handler.timeout / 1000, LONGEST) * 1000)
     key = fields.get("replay-key") or fields.get("lookup-key")
-    req = Taken(handler, arrived, arrived + wait, number(fields, "reserve-kb", 0.0, 2000.0, 1e-9),
-                fields.get("is-retry") == "1", None, key is not None, desk.customers.get(customer),
-                int(number(fields, "expected-ms", 0.0, LONGEST) * 1000), number(fields, "standing", 0.0, 1.0))
+    req = Taken(
+        handler,
+        arrived,
+        arrived + wait,
+        number(fields, "reserve-kb", 0.0, 2000.0, 1e-9),
+        fields.get("is-retry") == "1",
+        None,
+        key is not None,
+        desk.customers.get(customer),
+        int(number(fields, "expected-ms", 0.0, LONGEST) * 1000),
+        number(fields, "standing", 0.0, 1.0),
+    )
     req.carry(tid, key, message, front)
     return req
 
--- a/gullyoke/front/connection.py
+++ b/gullyoke/front/connection.py
@@ -4,6 +4,7 @@
 end by `close_idle` or `abort`, which act only in the states named there, under the connection's lock. The
 owner finds the end at its next step and closes.
 """
+
 from __future__ import annotations
 
 import socket
@@ -24,11 +25,11 @@
 class State(Enum):
     """What a connection is doing."""
 
-    IDLE = "idle"              # between two messages
-    READING = "reading"        # a message has begun
-    WAITING = "waiting"        # its request is in hand
-    WRITING = "writing"        # its answer is being written
-    CLOSING = "closing"        # its end is decided: whatever still comes is dropped
+    IDLE = "idle"  # between two messages
+    READING = "reading"  # a message has begun
+    WAITING = "waiting"  # its request is in hand
+    WRITING = "writing"  # its answer is being written
+    CLOSING = "closing"  # its end is decided: whatever still comes is dropped
 
 
 class Connection:
@@ -40,11 +41,11 @@
 
     def __init__(self, sock: socket.socket, listener, table) -> None:
         self.sock, self.listener, self.table = sock, listener, table
-        self.lock = threading.Lock()                  # over `state`, `since` and `end`
+        self.lock = threading.Lock()  # over `state`, `since` and `end`
         self.state = State.IDLE
         self.opened = self.since = clock.now()
         self.request: Taken | None = None
-        self.served = False                           # whether it has had an answer
+        self.served = False  # whether it has had an answer
         self.end: End | None = None
 
     # By its own thread.
--- a/gullyoke/front/connections.py
+++ b/gullyoke/front/connections.py
@@ -1,4 +1,5 @@
 """The connections of all listeners: accepted, a thread each, ended when silent, stalled or at the stop."""
+
 from __future__ import annotations
 
 import select
@@ -20,13 +21,13 @@
 from gullyoke.front.listening import listening
 from gullyoke.front.room import Room
 
-FIRST_MESSAGE_US = 2_500_000           # from connecting to a whole first message
-STALL_US = 5_000_000                   # for a later message to come whole, or an answer to be taken
-LINGER_US = 300_000                    # for a peer to close its side after our half-close
-GREET_US = 50_000                      # where room is short: for a newcomer's first byte
-HALF_MESSAGE_US = 500_000              # and for the rest of its message
-CLOSING_MOST = 8                       # connections that may hold a descriptor without a place, closing
-ACCEPT_RETRY_S = 0.02                  # after an accept that failed
+FIRST_MESSAGE_US = 2_500_000  # from connecting to a whole first message
+STALL_US = 5_000_000  # for a later message to come whole, or an answer to be taken
+LINGER_US = 300_000  # for a peer to close its side after our half-close
+GREET_US = 50_000  # where room is short: for a newcomer's first byte
+HALF_MESSAGE_US = 500_000  # and for the rest of its message
+CLOSING_MOST = 8  # connections that may hold a descriptor without a place, closing
+ACCEPT_RETRY_S = 0.02  # after an accept that failed
 HUNG_UP = select.POLLERR | select.POLLHUP
 
 
@@ -63,15 +64,17 @@
         self.closing: dict[Connection, None] = {}
         self.workers = Crew(self.serve)
         self.listeners: list[Listener] = []
-        self.admission = threading.Lock()             # one newcomer at a time, whichever listener it comes by
-        self.left = threading.Condition(threading.Lock())    # told when a descriptor has come free
+        self.admission = threading.Lock()  # one newcomer at a time, whichever listener it comes by
+        self.left = threading.Condition(threading.Lock())  # told when a descriptor has come free
 
     def listen(self, address: tuple[str, int] | str, front: Front) -> None:
         self.listeners.append(Listener(listening(address), front))
 
     def start(self) -> None:
         for listener in self.listeners:
-            threading.Thread(target=self.accept, args=(listener,), name="accept", daemon=True).start()
+            threading.Thread(
+                target=self.accept, args=(listener,), name="accept", daemon=True
+            ).start()
 
     def accept(self, listener: Listener) -> None:
         """An accepting thread's life. It closes the listening socket once that is shut, and not before:
@@ -81,7 +84,7 @@
             try:
                 sock, _ = listener.sock.accept()
             except OSError as fault:
-                if not self.standing.closing:         # what waits stays in the backlog
+                if not self.standing.closing:  # what waits stays in the backlog
                     # Guards against running out of descriptors or memory.
                     self.book.add("accept.failed")
                     log.warning("accept failed", extra=pairs(why=fault))
@@ -113,8 +116,9 @@
                     self.ended(connection, End.CROWDED, "")
                     return
                 if not self.workers.hand(connection):
-                    threading.Thread(target=self.workers.work, args=(connection,), name="gateway",
-                                     daemon=True).start()
+                    threading.Thread(
+                        target=self.workers.work, args=(connection,), name="gateway", daemon=True
+                    ).start()
                     self.book.add("threads.gateway")
             except (OSError, RuntimeError) as fault:  # no thread to be had, or gone already
                 log.warning("connection not served", extra=pairs(why=fault))
@@ -138,7 +142,7 @@
         now = clock.now()
         for connection in list(self.fresh):
             if now - connection.opened <= GREET_US:
-                break                                 # later ones are younger: a burst costs no look at each
+                break  # later ones are younger: a burst costs no look at each
             since = connection.since
             states = {State.IDLE} if now - since > GREET_US else set()
             states |= {State.READING} if now - since > HALF_MESSAGE_US else set()
@@ -152,7 +156,9 @@
     def end_idle(self, listener: Listener, count: dict[Listener, int]) -> bool:
         """End the one longest idle; whether there was one."""
         for connection in list(self.idle):
-            if self.room.may_lose(connection.listener, listener, count) and connection.close_idle(End.IDLE):
+            if self.room.may_lose(connection.listener, listener, count) and connection.close_idle(
+                End.IDLE
+            ):
                 self.decided(connection)
                 self.hurry()
                 return True
@@ -168,7 +174,7 @@
         """Its end is decided: its place is free, its descriptor will be."""
         connection.listener.placed.pop(connection, None)
         self.closing[connection] = None
-        if connection not in self.open:               # its thread was quicker
+        if connection not in self.open:  # its thread was quicker
             self.closing.pop(connection, None)
 
     def serve(self, connection: Connection) -> None:
@@ -176,7 +182,8 @@
         front = connection.listener.front
         end, why = served(
             lambda: front.exchange(connection, Buffer(Receiver(connection.sock), front.buffer)),
-            lambda: self.book.fault(front.name))
+            lambda: self.book.fault(front.name),
+        )
         self.ended(connection, connection.end or end, why)
 
     def ended(self, connection: Connection, end: End, why: str) -> None:
@@ -184,14 +191,16 @@
         front = connection.listener.front.name
         self.book.add(f"ends.{front}.{end.value}")
         if end in (End.GARBLED, End.STALLED, End.CUT):
-            log.warning("connection of a gateway ended", extra=pairs(end=end.value, why=why, front=front))
+            log.warning(
+                "connection of a gateway ended", extra=pairs(end=end.value, why=why, front=front)
+            )
         word = outcome(Peer.GATEWAY, end)
         if connection.request is not None and word is not None:
             self.desk.tell(connection.request, word)
         for table in (self.fresh, self.idle):
             table.pop(connection, None)
         try:
-            connection.close(end)                     # may take a moment: it keeps its place so long
+            connection.close(end)  # may take a moment: it keeps its place so long
         finally:
             for table in (connection.listener.placed, self.open, self.closing):
                 table.pop(connection, None)
@@ -201,8 +210,10 @@
     def refused(self, connection: Connection, fault: Unfit) -> Answer:
         """What came is no request: counted, said, and what is answered."""
         self.book.add(f"unfit.{fault.status}")
-        log.warning("message refused",
-                    extra=pairs(status=fault.status, why=fault, front=connection.listener.front.name))
+        log.warning(
+            "message refused",
+            extra=pairs(status=fault.status, why=fault, front=connection.listener.front.name),
+        )
         return Answer(fault.status)
 
     # From the timer.
@@ -219,14 +230,16 @@
         since, state = connection.since, connection.state
         spent = now - since
         if state is State.CLOSING:
-            if connection in self.closing and spent > LINGER_US:    # its peer keeps its side open
+            if connection in self.closing and spent > LINGER_US:  # its peer keeps its side open
                 connection.abort(End.IDLE, {state}, since)
             return False
         if state in (State.READING, State.WRITING) and spent > STALL_US:
             return connection.abort(End.STALLED, {state}, since)
         unheard = state in (State.IDLE, State.READING) and not connection.served
         if unheard and now - connection.opened > FIRST_MESSAGE_US:
-            return connection.abort(End.SILENT if state is State.IDLE else End.STALLED, {state}, since)
+            return connection.abort(
+                End.SILENT if state is State.IDLE else End.STALLED, {state}, since
+            )
         if self.standing.closing:
             return connection.close_idle(End.LEAVING)
         return 0 < self.standing.idle < spent and connection.close_idle(End.IDLE)
@@ -244,7 +257,9 @@
                 by_number[number] = connection, connection.request
         for number, seen in look.poll(0):
             connection, request = by_number[number]
-            if not seen & HUNG_UP or connection.sock.fileno() != number:    # its number may be another's now
+            if (
+                not seen & HUNG_UP or connection.sock.fileno() != number
+            ):  # its number may be another's now
                 continue
             if request is not None and not request.gone:
                 self.book.add("reqs.gone")
@@ -263,7 +278,7 @@
                 sock.setblocking(True)
                 self.take(sock, listener)
             listener.shut = True
-            shut(listener.sock)                       # wakes its accepting thread, which closes it
+            shut(listener.sock)  # wakes its accepting thread, which closes it
         with self.left:
             self.left.notify_all()
         self.sweep()
--- a/gullyoke/front/http1.py
+++ b/gullyoke/front/http1.py
@@ -1,4 +1,5 @@
 """The HTTP/1.1 front: one message at a time on a connection, until a side ends it."""
+
 from __future__ import annotations
 
 from gullyoke.codec import http
@@ -13,6 +14,7 @@
 
 class Http1:
     """`name` tells listeners apart in counters and logs."""
+
     buffer = http.BUFFER
 
     def __init__(self, intake: Intake, name: str = "gateway") -> None:
--- a/gullyoke/front/intake.py
+++ b/gullyoke/front/intake.py
@@ -1,4 +1,5 @@
 """Take in: a req of whatever protocol is handed to the decisions, and the one answer to it is waited for."""
+
 from __future__ import annotations
 
 from gullyoke.core import clock
@@ -26,7 +27,7 @@
         """The one final answer to a request; raises `Unfit` where the message is none."""
         request = admit.made(self.desk, message, connection.listener.front.name)
         connection.begin_request(request)
-        if self.desk.server is None:                  # nothing runs before the engine is up
+        if self.desk.server is None:  # nothing runs before the engine is up
             self.book.add("answers.early")
             return Answer(503)
         admit.admit(self.desk, request)
@@ -36,8 +37,12 @@
         self.book.add(f"answers.{told_of(request.outcome)}")
         if isinstance(request.outcome, Shed):
             return Answer(503, b"", self.feedback() + advice(request.outcome))
-        made = request.answer or Answer(500)          # what the run made goes out unchanged
-        return made if self.standing.level is None else made._replace(fields=made.fields + self.feedback())
+        made = request.answer or Answer(500)  # what the run made goes out unchanged
+        return (
+            made
+            if self.standing.level is None
+            else made._replace(fields=made.fields + self.feedback())
+        )
 
     def feedback(self) -> tuple[tuple[str, str], ...]:
         level = self.standing.level
--- a/gullyoke/front/listening.py
+++ b/gullyoke/front/listening.py
@@ -1,4 +1,5 @@
 """Sockets that listen."""
+
 from __future__ import annotations
 
 import os
--- a/gullyoke/front/room.py
+++ b/gullyoke/front/room.py
@@ -1,4 +1,5 @@
 """Who may have a place in the one table of connections. Pure: counts in, a verdict out."""
+
 from __future__ import annotations
 
 from collections.abc import Hashable, Mapping
--- a/gullyoke/front/scgi.py
+++ b/gullyoke/front/scgi.py
@@ -1,4 +1,5 @@
 """The SCGI front: one req a connection, its answer, and a close."""
+
 from __future__ import annotations
 
 from gullyoke.codec import scgi
@@ -12,6 +13,7 @@
 
 class Scgi:
     """`name` tells listeners apart in counters and logs."""
+
     buffer = scgi.BUFFER
 
     def __init__(self, intake: Intake, name: str = "scgi") -> None:
--- a/gullyoke/lab/compare.py
+++ b/gullyoke/lab/compare.py
@@ -1,4 +1,5 @@
 """What the rows of an experiment say: means with intervals, and paired differences between arms."""
+
 from __future__ import annotations
 
 import math
@@ -10,12 +11,15 @@
 
 class Mean(NamedTuple):
     """A mean with the half width of its 95% interval; the width is infinite for one value."""
+
     mean: float
     half: float
     n: int
 
     def __str__(self) -> str:
-        return f"{self.mean:.3f} ± {self.half:.3f}" if math.isfinite(self.half) else f"{self.mean:.3f}"
+        return (
+            f"{self.mean:.3f} ± {self.half:.3f}" if math.isfinite(self.half) else f"{self.mean:.3f}"
+        )
 
 
 def mean_of(values: list[float]) -> Mean:
@@ -30,7 +34,9 @@
 def shares(rows: list[dict]) -> dict[tuple[str, str], Mean]:
     """The share of value earned, by day and arm."""
     kinds = dict.fromkeys((r["day"], r["arm"]) for r in rows)
-    return {key: mean_of([r["share"] for r in rows if (r["day"], r["arm"]) == key]) for key in kinds}
+    return {
+        key: mean_of([r["share"] for r in rows if (r["day"], r["arm"]) == key]) for key in kinds
+    }
 
 
 def differences(rows: list[dict], base: str) -> dict[tuple[str, str], Mean]:
@@ -38,8 +44,11 @@
     at = {(r["day"], r["arm"], r["seed"]): r["share"] for r in rows}
     out = {}
     for day, arm in dict.fromkeys((r["day"], r["arm"]) for r in rows):
-        pairs = [share - at[day, base, seed] for (d, a, seed), share in at.items()
-                 if d == day and a == arm and (day, base, seed) in at]
+        pairs = [
+            share - at[day, base, seed]
+            for (d, a, seed), share in at.items()
+            if d == day and a == arm and (day, base, seed) in at
+        ]
         if arm != base and pairs:
             out[day, arm] = mean_of(pairs)
     return out
--- a/gullyoke/lab/experiment.py
+++ b/gullyoke/lab/experiment.py
@@ -1,4 +1,5 @@
 """Reads an experiment and says what is to be played: jobs of arm, day and seed, the same day for all."""
+
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
@@ -12,11 +13,12 @@
 from gullyoke.lab import experiment_pb2 as schema
 from gullyoke.operator.checked import parsed
 
-LINE = 4                               # reqs a core in the line of the plain pool
+LINE = 4  # reqs a core in the line of the plain pool
 
 
 class Job(NamedTuple):
     """One play; `arm` is empty where the planner's bound is asked for."""
+
     arm: str
     day: str
     seed: int
@@ -24,6 +26,7 @@
 
 class Experiment(NamedTuple):
     """An experiment as it is played; `text` is its file, for the record."""
+
     name: str
     text: str
     found: schema.Experiment
@@ -31,8 +34,12 @@
     def jobs(self) -> list[Job]:
         seeds = self.found.seeds if self.found.HasField("seeds") else 10
         arms = [a.name for a in self.found.arm] + ([""] if self.found.bound else [])
-        return [Job(arm, day.name, seed)
-                for seed in range(1, seeds + 1) for day in self.found.day for arm in arms]
+        return [
+            Job(arm, day.name, seed)
+            for seed in range(1, seeds + 1)
+            for day in self.found.day
+            for arm in arms
+        ]
 
     def day(self, name: str, seed: int) -> Day:
         found = self.found
@@ -41,11 +48,24 @@
         if kind.grown:
             return grown(kind.grown, seed, found.servers or 48, length)
         machines = Machines(
-            servers=found.servers or 3, cores=found.cores or 6, fresh=kind.fresh,
-            speeds=tuple((int(s.from_s * SECOND), s.speed) for s in kind.speed))
-        works = tuple(Work(w.name, w.share, int(w.work_ms * 1000), w.cv if w.HasField("cv") else 0.6,
-                           int(w.target_ms * 1000), int(w.timeout_ms * 1000), w.value, w.late_share)
-                      for w in found.work)
+            servers=found.servers or 3,
+            cores=found.cores or 6,
+            fresh=kind.fresh,
+            speeds=tuple((int(s.from_s * SECOND), s.speed) for s in kind.speed),
+        )
+        works = tuple(
+            Work(
+                w.name,
+                w.share,
+                int(w.work_ms * 1000),
+                w.cv if w.HasField("cv") else 0.6,
+                int(w.target_ms * 1000),
+                int(w.timeout_ms * 1000),
+                w.value,
+                w.late_share,
+            )
+            for w in found.work
+        )
         return drawn(works, machines, kind.load, length, seed, swing=int(kind.swing_s * SECOND))
 
     def policy(self, name: str) -> Callable[[Node], object]:
@@ -53,13 +73,22 @@
         arm = next(a for a in self.found.arm if a.name == name)
         cores = self.found.cores or 6
         if arm.policy in (schema.Arm.PLAIN_POOL, schema.Arm.STRICT):
-            return lambda node: PlainPool(node, cores, LINE * cores, arm.policy == schema.Arm.STRICT)
-        told = {schema.Arm.SIGNALS: (True, False), schema.Arm.SHARES: (False, True),
-                schema.Arm.TOGETHER: (True, True)}.get(arm.policy)
-        if told is not None:                          # made anew for each play
+            return lambda node: PlainPool(
+                node, cores, LINE * cores, arm.policy == schema.Arm.STRICT
+            )
+        told = {
+            schema.Arm.SIGNALS: (True, False),
+            schema.Arm.SHARES: (False, True),
+            schema.Arm.TOGETHER: (True, True),
+        }.get(arm.policy)
+        if told is not None:  # made anew for each play
             return deciding(False, beside=Beside(1, *told))
-        part = {schema.Arm.POOLS: True, schema.Arm.NO_POOLS: False, schema.Arm.LIMITS: LIMITS,
-                schema.Arm.RESERVE: RESERVE}[arm.policy]
+        part = {
+            schema.Arm.POOLS: True,
+            schema.Arm.NO_POOLS: False,
+            schema.Arm.LIMITS: LIMITS,
+            schema.Arm.RESERVE: RESERVE,
+        }[arm.policy]
         return deciding(part, arm.minimum if arm.HasField("minimum") else 0.02)
 
 
@@ -76,8 +105,14 @@
         names: set[str] = set()
         for i, one in enumerate(getattr(found, key)):
             if one.name in names:
-                yield f"{key}[{i}].name", f"{one.name!r} stands twice; right would be a name of its own"
+                yield (
+                    f"{key}[{i}].name",
+                    f"{one.name!r} stands twice; right would be a name of its own",
+                )
             names.add(one.name)
     for i, work in enumerate(found.work):
         if work.timeout_ms < work.target_ms:
-            yield f"work[{i}].timeout_ms", f"{work.timeout_ms:g} is under target_ms; right would be more"
+            yield (
+                f"work[{i}].timeout_ms",
+                f"{work.timeout_ms:g} is under target_ms; right would be more",
+            )
--- a/gullyoke/lab/run.py
+++ b/gullyoke/lab/run.py
@@ -1,4 +1,5 @@
 """Plays an experiment on all cores, row by row into a file, so a cut loses only what was being played."""
+
 from __future__ import annotations
 
 import json
@@ -14,7 +15,7 @@
 from gullyoke.emulator.fleet import Running
 from gullyoke.lab.experiment import Job, read
 
-LONGEST = 600_000_000                  # microseconds that a histogram tells apart, to three digits
+LONGEST = 600_000_000  # microseconds that a histogram tells apart, to three digits
 
 
 def one(path: str, job: Job) -> dict:
@@ -24,7 +25,12 @@
     row = {"arm": job.arm, "day": job.day, "seed": job.seed, "reqs": len(day.arrivals)}
     if not job.arm:
         best, blind = bound(day), bound(day, sizes=False)
-        return row | {"arm": "bound", "share": best.share(), "blind": blind.share(), "earned": best.by_class}
+        return row | {
+            "arm": "bound",
+            "share": best.share(),
+            "blind": blind.share(),
+            "earned": best.by_class,
+        }
     got = Running(day, experiment.policy(job.arm)).play()
     histograms = []
     for times in got.times:
@@ -33,15 +39,29 @@
             histogram.record_value(max(1, took))
         histograms.append(histogram.encode().decode())
     return row | {
-        "share": got.share(), "earned": got.earned, "offered": got.offered, "memory": got.memory,
-        "crowd": got.crowd, "tries": got.tries, "unanswered": got.unanswered, "overdue": got.overdue,
+        "share": got.share(),
+        "earned": got.earned,
+        "offered": got.offered,
+        "memory": got.memory,
+        "crowd": got.crowd,
+        "tries": got.tries,
+        "unanswered": got.unanswered,
+        "overdue": got.overdue,
         "in_target": [c["done"] / max(1, sum(c.values())) for c in got.counts],
-        "shed": [c["shed"] for c in got.counts], "errored": [c["errored"] for c in got.counts],
-        "by_second": np.round(got.by_second, 3).tolist(), "histogram": histograms}
+        "shed": [c["shed"] for c in got.counts],
+        "errored": [c["errored"] for c in got.counts],
+        "by_second": np.round(got.by_second, 3).tolist(),
+        "histogram": histograms,
+    }
 
 
-def run(path: str, folder: pathlib.Path, resume: bool, done: Callable[[int, int], None],
-        workers: int | None = None) -> list[dict]:
+def run(
+    path: str,
+    folder: pathlib.Path,
+    resume: bool,
+    done: Callable[[int, int], None],
+    workers: int | None = None,
+) -> list[dict]:
     """All rows of an experiment, in the order of its jobs. With `resume`, rows that are in the folder stand.
     Raises `FileExistsError` where there are some and they are not to be resumed, and `ValueError` where they
     are of another experiment."""
@@ -56,12 +76,17 @@
         whole = [line for line in file.read_text(encoding="utf-8").split("\n")[:-1] if line]
         for row in map(json.loads, whole):
             rows[Job("" if row["arm"] == "bound" else row["arm"], row["day"], row["seed"])] = row
-        file.write_text("".join(line + "\n" for line in whole), encoding="utf-8")    # less a row cut off
+        file.write_text(
+            "".join(line + "\n" for line in whole), encoding="utf-8"
+        )  # less a row cut off
     record.write_text(experiment.text, encoding="utf-8")
     jobs = experiment.jobs()
     left = [job for job in jobs if job not in rows]
     done(len(jobs) - len(left), len(jobs))
-    with file.open("a", encoding="utf-8") as out, ProcessPoolExecutor(workers or os.cpu_count()) as pool:
+    with (
+        file.open("a", encoding="utf-8") as out,
+        ProcessPoolExecutor(workers or os.cpu_count()) as pool,
+    ):
         going = {pool.submit(one, path, job): job for job in left}
         for future in as_completed(going):
             rows[going[future]] = future.result()
--- a/gullyoke/lab/usage.py
+++ b/gullyoke/lab/usage.py
@@ -1,4 +1,5 @@
 """What the system says of a process: its processor time and its memory."""
+
 from __future__ import annotations
 
 import os
--- a/gullyoke/lab/world.py
+++ b/gullyoke/lab/world.py
@@ -1,5 +1,6 @@
 """A small world for `gullyoke try`: the platform's engine, database and name service on real sockets,
 speaking their published protocols, around the emulator's cores; and gateways that ask."""
+
 from __future__ import annotations
 
 import contextlib
@@ -24,7 +25,7 @@
 from gullyoke.emulator.day import Day
 from gullyoke.lab.ports import free
 
-QUERY = 0.015                          # seconds that the database takes for a call
+QUERY = 0.015  # seconds that the database takes for a call
 
 
 class Peer:
@@ -72,6 +73,7 @@
         def locked() -> None:
             with self.pen:
                 act()
+
         self.timer.at(clock.now() + delay, locked)
 
     def message(self, link, file, words: list[str]) -> None:
@@ -125,7 +127,7 @@
 class Names(Peer):
     def message(self, link, file, words: list[str]) -> None:
         size = 0
-        while (line := file.readline().strip()):
+        while line := file.readline().strip():
             if line.lower().startswith(b"content-length:"):
                 size = int(line.split(b":")[1])
         file.read(size)
@@ -136,42 +138,101 @@
     """The day's fleet as a site's settings, one server."""
     m, calls = day.machines, [w.calls for w in day.works]
     return {
-        "Profiles": [{"Name": w.name, "ObjectiveUs": w.target, "DeadlineUs": w.timeout,
-                      "Importance": w.value, "Semantics": "by_key" if w.window else "repeatable",
-                      "LateWorth": w.late_share, "KeyTtlUs": w.window} for w in day.works],
-        "FamilyInfo": {"Cores": m.cores, "MemoryKb": m.memory_kb, "Blowup": m.blowup, "KeyKb": 1.0,
-                       "FreshStart": False, "StopMode": "off", "DependsOn": "one_for_all", "CallsOut": 50.0,
-                       "OwnStats": ["core_use", "on_cores", "heap_share", "links"],
-                       "CallsByClass": calls, "ClassSkipWorth": [0.3 if c else 0.0 for c in calls],
-                       "ShareSpanUs": 5_000_000, "LingerUs": 200_000, "Say": "off", "PassesDeadline": True,
-                       "CallerIdleUs": 30_000_000, "FreshForUs": 0, "Callers": 16},
-        "Rules": {"AnswerSlackUs": 100_000, "DrainGraceUs": 2_000_000, "TipMultiple": m.tip_multiple,
-                  "TipAfterUs": 1_500_000, "StartCapacity": 0.25, "ColdUs": 10_000_000},
-        "FleetSize": 1, "WorthBy": "request", "Orgs": [],
-        "Permissions": {"RetryAfter": True, "MaxRetryAfterUs": 1_000_000}}
-
-
-def config(name: str, listen: tuple[str, int], peers: tuple[Peer, Peer, Peer], day: Day, seed: int,
-           stop_ms: int = 3000, sockets: int = 1024) -> str:
+        "Profiles": [
+            {
+                "Name": w.name,
+                "ObjectiveUs": w.target,
+                "DeadlineUs": w.timeout,
+                "Importance": w.value,
+                "Semantics": "by_key" if w.window else "repeatable",
+                "LateWorth": w.late_share,
+                "KeyTtlUs": w.window,
+            }
+            for w in day.works
+        ],
+        "FamilyInfo": {
+            "Cores": m.cores,
+            "MemoryKb": m.memory_kb,
+            "Blowup": m.blowup,
+            "KeyKb": 1.0,
+            "FreshStart": False,
+            "StopMode": "off",
+            "DependsOn": "one_for_all",
+            "CallsOut": 50.0,
+            "OwnStats": ["core_use", "on_cores", "heap_share", "links"],
+            "CallsByClass": calls,
+            "ClassSkipWorth": [0.3 if c else 0.0 for c in calls],
+            "ShareSpanUs": 5_000_000,
+            "LingerUs": 200_000,
+            "Say": "off",
+            "PassesDeadline": True,
+            "CallerIdleUs": 30_000_000,
+            "FreshForUs": 0,
+            "Callers": 16,
+        },
+        "Rules": {
+            "AnswerSlackUs": 100_000,
+            "DrainGraceUs": 2_000_000,
+            "TipMultiple": m.tip_multiple,
+            "TipAfterUs": 1_500_000,
+            "StartCapacity": 0.25,
+            "ColdUs": 10_000_000,
+        },
+        "FleetSize": 1,
+        "WorthBy": "request",
+        "Orgs": [],
+        "Permissions": {"RetryAfter": True, "MaxRetryAfterUs": 1_000_000},
+    }
+
+
+def config(
+    name: str,
+    listen: tuple[str, int],
+    peers: tuple[Peer, Peer, Peer],
+    day: Day,
+    seed: int,
+    stop_ms: int = 3000,
+    sockets: int = 1024,
+) -> str:
     """The file that a daemon reads, with this engine, database and name service."""
     engine, database, names = peers
-    return json.dumps({
-        "name": name, "listen": "{}:{}".format(*listen), "engine": engine.address, "db": database.address,
-        "naming": names.address, "stop_ms": stop_ms, "seed": f"{seed:x}", "limits": {"sockets": sockets},
-        "settings": settings(day)})
-
-
-def asked(handler: str, number: int, caller: int, timeout: int, work: int, close: bool = False,
-          key: str = "", again: bool = False) -> bytes:
+    return json.dumps(
+        {
+            "name": name,
+            "listen": "{}:{}".format(*listen),
+            "engine": engine.address,
+            "db": database.address,
+            "naming": names.address,
+            "stop_ms": stop_ms,
+            "seed": f"{seed:x}",
+            "limits": {"sockets": sockets},
+            "settings": settings(day),
+        }
+    )
+
+
+def asked(
+    handler: str,
+    number: int,
+    caller: int,
+    timeout: int,
+    work: int,
+    close: bool = False,
+    key: str = "",
+    again: bool = False,
+) -> bytes:
     """A req as a gateway writes it; `timeout` and `work` in microseconds, `close` for a connection of its
     own, `again` for a further try."""
     body = str(work).encode()
-    return (f"POST /call/{handler} HTTP/1.1\r\nHost: origin.svc\r\n"
-            + ("Connection: close\r\n" if close else "") + (f"Replay-Key: {key}\r\n" if key else "")
-            + ("Is-Retry: 1\r\n" if again else "")
-            + f"Trace-Id: {number:016x}\r\nAccepted-At-Ms: {clock.unix_ms()}\r\nClient-No: {caller}\r\n"
-            f"Reserve-Kb: 30.0\r\nMax-Wait-Ms: {timeout // 1000}\r\n"
-            f"Content-Length: {len(body)}\r\n\r\n").encode() + body
+    return (
+        f"POST /call/{handler} HTTP/1.1\r\nHost: origin.svc\r\n"
+        + ("Connection: close\r\n" if close else "")
+        + (f"Replay-Key: {key}\r\n" if key else "")
+        + ("Is-Retry: 1\r\n" if again else "")
+        + f"Trace-Id: {number:016x}\r\nAccepted-At-Ms: {clock.unix_ms()}\r\nClient-No: {caller}\r\n"
+        f"Reserve-Kb: 30.0\r\nMax-Wait-Ms: {timeout // 1000}\r\n"
+        f"Content-Length: {len(body)}\r\n\r\n"
+    ).encode() + body
 
 
 class Gateways:
@@ -189,7 +250,9 @@
         for number, (at, kind, work, caller) in enumerate(self.day.arrivals):
             if (wait := began + at / 1e6 - time.monotonic()) > 0:
                 time.sleep(wait)
-            thread = threading.Thread(target=self.ask, args=(number, kind, work, caller), daemon=True)
+            thread = threading.Thread(
+                target=self.ask, args=(number, kind, work, caller), daemon=True
+            )
             self.threads.append(thread)
             thread.start()
         for thread in self.threads:
@@ -198,7 +261,9 @@
     def ask(self, number: int, kind: int, work: int, caller: int) -> None:
         w, began = self.day.works[kind], time.monotonic()
         try:
-            status = self.exchange(asked(w.name, number, caller, w.timeout, work), w.timeout / 1e6 + 1)
+            status = self.exchange(
+                asked(w.name, number, caller, w.timeout, work), w.timeout / 1e6 + 1
+            )
         except OSError:
             status = "none"
         took = (time.monotonic() - began) * 1e6
@@ -222,8 +287,11 @@
                 raise ConnectionError("closed")
             got += more
         head, _, body = got.partition(b"\r\n\r\n")
-        size = next(int(x.split(b":")[1]) for x in head.split(b"\r\n")
-                    if x.lower().startswith(b"content-length"))
+        size = next(
+            int(x.split(b":")[1])
+            for x in head.split(b"\r\n")
+            if x.lower().startswith(b"content-length")
+        )
         while len(body) < size:
             body += conn.recv(4096)
         with self.pen:
@@ -241,8 +309,11 @@
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder, "config.json")
         path.write_text(config("try", listen, peers, day, random.Random(day.seed).getrandbits(64)))
-        process = subprocess.Popen([sys.executable, "-m", "gullyoke"], stderr=subprocess.DEVNULL,
-                                   env=os.environ | {"NODE_CONFIG": str(path)})
+        process = subprocess.Popen(
+            [sys.executable, "-m", "gullyoke"],
+            stderr=subprocess.DEVNULL,
+            env=os.environ | {"NODE_CONFIG": str(path)},
+        )
         try:
             until = time.monotonic() + 10
             while not good(listen):
--- a/gullyoke/members/compare.py
+++ b/gullyoke/members/compare.py
@@ -1,4 +1,5 @@
 """Two views made equal: only the parts that differ are told, in datagrams of few rows, a few at a time."""
+
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
@@ -8,10 +9,10 @@
 from gullyoke.members.view import BUCKETS, View
 from gullyoke.members.words import Rows
 
-ROOM = 950                             # bytes of rows in one datagram
-DATAGRAMS = 6                          # for one asking
-EVERY = 1_000_000                      # microseconds between askings of one's own while views differ
-GRACE = 700_000                        # news is given so long to make them equal without
+ROOM = 950  # bytes of rows in one datagram
+DATAGRAMS = 6  # for one asking
+EVERY = 1_000_000  # microseconds between askings of one's own while views differ
+GRACE = 700_000  # news is given so long to make them equal without
 
 
 class Comparing:
--- a/gullyoke/members/edge.py
+++ b/gullyoke/members/edge.py
@@ -3,30 +3,43 @@
 Asked every `PERIOD`, calmly; from the first asking that gets no answer on, more often and by others too, so
 that loss is told from silence. Time counts from that first asking, never from the last answer: who was paused
 just after an answer has the whole span."""
+
 from __future__ import annotations
 
 from gullyoke.members.row import Kind
 
-PERIOD = 800_000                       # microseconds between askings while all is well
-PATIENCE = 200_000                     # for an answer, or four usual round trips if more
-DOUBT = 250_000                        # between askings while there is none
-SILENT = 1_500_000                     # so long without any answer makes it silent
-TRIES = 4                              # of so many askings at the least
-REFUSALS, REFUSED = 2, 150_000         # so many refusals over so long make it refused
-LONG = 10_000_000                      # silent for so long it is asked at the calm pace again
-MOST = 16                              # askings that are remembered
+PERIOD = 800_000  # microseconds between askings while all is well
+PATIENCE = 200_000  # for an answer, or four usual round trips if more
+DOUBT = 250_000  # between askings while there is none
+SILENT = 1_500_000  # so long without any answer makes it silent
+TRIES = 4  # of so many askings at the least
+REFUSALS, REFUSED = 2, 150_000  # so many refusals over so long make it refused
+LONG = 10_000_000  # silent for so long it is asked at the calm pace again
+MOST = 16  # askings that are remembered
 
 
 class Edge:
     """Table: `asked`, askings without an answer and when they went out; emptied by any answer, and the oldest
     goes when there are MOST."""
-    __slots__ = ("asked", "direct", "first", "id", "last", "next", "refusals", "refused_at", "rtt", "tries")
+
+    __slots__ = (
+        "asked",
+        "direct",
+        "first",
+        "id",
+        "last",
+        "next",
+        "refusals",
+        "refused_at",
+        "rtt",
+        "tries",
+    )
 
     def __init__(self, member: int, first_at: int) -> None:
         self.id, self.next, self.last = member, first_at, 0
         self.asked: dict[int, int] = {}
-        self.first: int | None = None                 # the first asking since the last answer
-        self.direct = first_at                        # when it last answered by itself, not by others
+        self.first: int | None = None  # the first asking since the last answer
+        self.direct = first_at  # when it last answered by itself, not by others
         self.tries = self.refusals = self.refused_at = self.rtt = 0
 
     def due(self, now: int) -> bool:
--- a/gullyoke/members/entry.py
+++ b/gullyoke/members/entry.py
@@ -4,6 +4,7 @@
 read. `IN`. `OUT`: it was removed; it stays out until its own askings have been answered for `SETTLE`, longer
 after each removal, so that one with a bad link is removed once and does not come and go. `DISPLACED`:
 another process holds its name."""
+
 from __future__ import annotations
 
 from collections.abc import Callable
@@ -11,14 +12,17 @@
 
 from gullyoke.members.row import Row, Status, began
 
-ASK, ASK_LONGEST = 400_000, 2_000_000  # microseconds between askings of seeds, growing, half of it by chance
-SEEDS = 2                              # asked at once
-READ = 2_000_000                       # the others' view is read for so long at the most
+ASK, ASK_LONGEST = (
+    400_000,
+    2_000_000,
+)  # microseconds between askings of seeds, growing, half of it by chance
+SEEDS = 2  # asked at once
+READ = 2_000_000  # the others' view is read for so long at the most
 SETTLE, SETTLE_LONGEST = 2_000_000, 60_000_000
-WELL = 0.2                             # of its askings may fail while it settles
-REFUTE, REFUTE_LONGEST = 500_000, 8_000_000   # between two refutations
-CHALLENGE = 2_500_000                  # the other holder of its name has so long to answer
-RETRY = 10_000_000                     # between looks for a fleet elsewhere, or at a name that is held
+WELL = 0.2  # of its askings may fail while it settles
+REFUTE, REFUTE_LONGEST = 500_000, 8_000_000  # between two refutations
+CHALLENGE = 2_500_000  # the other holder of its name has so long to answer
+RETRY = 10_000_000  # between looks for a fleet elsewhere, or at a name that is held
 
 
 class Stage(Enum):
@@ -31,10 +35,17 @@
 
 class Entry:
     """Table: `seeds`, as stated, with a few addresses of members lately known; bounded by KNOWN."""
+
     KNOWN = 32
 
-    def __init__(self, now: int, row: Row, seeds: tuple[str, ...], draw: Callable[[int], int],
-                 sample: Callable) -> None:
+    def __init__(
+        self,
+        now: int,
+        row: Row,
+        seeds: tuple[str, ...],
+        draw: Callable[[int], int],
+        sample: Callable,
+    ) -> None:
         self.row, self.seeds, self.stage = row, seeds, Stage.ALONE
         self.draw, self.sample = draw, sample
         self.next, self.pause, self.since, self.removals = now, ASK, now, 0
@@ -42,7 +53,7 @@
         self.refuted_at, self.refute = now - REFUTE, REFUTE
         self.lately: list[str] = []
         self.challenged: tuple[Row, int] | None = None
-        self.known = 0                 # the newest number of our name that others knew before this start
+        self.known = 0  # the newest number of our name that others knew before this start
 
     def asks(self, now: int, live: set[str]) -> list[str]:
         """The addresses to say hello to now. One who is in goes on asking the seeds it does not see, now and
@@ -54,8 +65,11 @@
         else:
             self.next = now + self.pause // 2 + self.draw(self.pause // 2)
             self.pause = min(3 * self.pause // 2, ASK_LONGEST)
-        from_where = [a for a in dict.fromkeys((*self.seeds, *self.lately))
-                      if a != self.row.address and (self.stage is not Stage.IN or a not in live)]
+        from_where = [
+            a
+            for a in dict.fromkeys((*self.seeds, *self.lately))
+            if a != self.row.address and (self.stage is not Stage.IN or a not in live)
+        ]
         return self.sample(from_where, min(SEEDS, len(from_where)))
 
     def welcomed(self, now: int, known: Row | None) -> Row | None:
@@ -67,7 +81,9 @@
             self.known = max(self.known, known.number)
             if known.live() and known.address != self.row.address and not self.outlived(now, known):
                 return None
-            if known.number >= self.row.number:       # an earlier start of ours, on a clock that went ahead
+            if (
+                known.number >= self.row.number
+            ):  # an earlier start of ours, on a clock that went ahead
                 self.row = self.row.now(Status.JOINING, began(0, self.row.number, known.number))
         self.stage, self.since, self.next = Stage.JOINING, now, now
         self.row = self.row.now(Status.JOINING)
--- a/gullyoke/members/history.py
+++ b/gullyoke/members/history.py
@@ -1,4 +1,5 @@
 """The last changes of the view with their evidence, for whoever asks afterwards."""
+
 from __future__ import annotations
 
 from collections import deque
@@ -11,6 +12,7 @@
 
 class Event(NamedTuple):
     """One change as it was seen here. `by` is the name of who saw to it, where that is known."""
+
     at: int
     number: int
     what: str
@@ -28,7 +30,13 @@
 
     def add(self, now: int, change: Change, by: str) -> Event:
         mark, row = change.mark, change.row
-        evidence = f"{mark.accusing} of {mark.standing} observers" if mark and mark.standing else "own word"
-        event = Event(now, change.number, change.what, row.name, row.status.name.lower(), by, evidence)
+        evidence = (
+            f"{mark.accusing} of {mark.standing} observers"
+            if mark and mark.standing
+            else "own word"
+        )
+        event = Event(
+            now, change.number, change.what, row.name, row.status.name.lower(), by, evidence
+        )
         self.events.append(event)
         return event
--- a/gullyoke/members/member.py
+++ b/gullyoke/members/member.py
@@ -4,6 +4,7 @@
 Called with the clock in whole microseconds: `tick` every TICK, `hear` for each message that verified,
 `refused` where a machine says that nobody listens, `leave` and `left` at a drain's two ends. No I/O, no
 clock, no chance but what is handed in."""
+
 from __future__ import annotations
 
 import random
@@ -20,24 +21,37 @@
 from gullyoke.members.tally import Holding, Tally
 from gullyoke.members.trust import Trust
 from gullyoke.members.view import Change, View
-from gullyoke.members.words import SIGNAL, Ack, Ask, Compare, Gossip, Hello, Message, Ping, Rows, Send
-
-TICK = 100_000                         # microseconds between turns
-K = 8                                  # observers of a member
-HELPERS = 2                            # who ask for one whose own asking goes unanswered
-PUSHED = 3                             # members who are told at once what can't wait
-AGAIN, URGENT = 500_000, 4_000_000     # an accusation is told again to those it concerns, for so long
-CONCERNED = 24                         # and to so many at the most
-GREET = 16                             # hellos answered in one turn, so that many who join take turns
-RELAYS = 128                           # askings for others that are remembered
-READING = 200_000                      # between askings of one who reads the others' view
+from gullyoke.members.words import (
+    SIGNAL,
+    Ack,
+    Ask,
+    Compare,
+    Gossip,
+    Hello,
+    Message,
+    Ping,
+    Rows,
+    Send,
+)
+
+TICK = 100_000  # microseconds between turns
+K = 8  # observers of a member
+HELPERS = 2  # who ask for one whose own asking goes unanswered
+PUSHED = 3  # members who are told at once what can't wait
+AGAIN, URGENT = 500_000, 4_000_000  # an accusation is told again to those it concerns, for so long
+CONCERNED = 24  # and to so many at the most
+GREET = 16  # hellos answered in one turn, so that many who join take turns
+RELAYS = 128  # askings for others that are remembered
+READING = 200_000  # between askings of one who reads the others' view
 
 
 class Member:
     """Tables: `edges`, one a subject; `relays`, askings for others, the oldest goes when there are RELAYS;
     `askings`, whom each of one's own went to, bounded like the edges' own; `out`, handed over at once."""
 
-    def __init__(self, now: int, row: Row, seeds: tuple[str, ...], chance: random.Random, k: int = K) -> None:
+    def __init__(
+        self, now: int, row: Row, seeds: tuple[str, ...], chance: random.Random, k: int = K
+    ) -> None:
         self.id, self.view, self.tally = row.id, View(k), Tally()
         self.draw, self.sample = chance.randrange, chance.sample
         self.entry = Entry(now, row, seeds, chance.randrange, chance.sample)
@@ -48,14 +62,14 @@
         self.askings: dict[int, int] = {}
         self.out: list[Send] = []
         self.heed: list[Callable[[Change], None]] = []
-        self.turns, self.signal = 0, None             # the word on how this one stands, if any
+        self.turns, self.signal = 0, None  # the word on how this one stands, if any
         self.signalled: Callable[[int, int, int, int], None] = lambda now, sender, turn, word: None
         self.seq = self.matched = self.greeted = self.report_seq = 0
         self.fresh, self.asked_read, self.accused_at, self.told_at = False, 0, 0, 0
         self.report = Report(self.id, row.number, 0, False, ())
         self.view.merge(now, row)
         if not [s for s in seeds if s != row.address]:
-            self.entry.welcomed(now, None)            # the first of its fleet: nobody else is named
+            self.entry.welcomed(now, None)  # the first of its fleet: nobody else is named
             self._become(now, self.entry.row)
             self._become(now, self.entry.read(now, 0))
 
@@ -149,7 +163,10 @@
             if kind is not None and row is not None:
                 entries.append(Accusation(row.id, row.number, kind))
         said = self.report
-        changed = (unsure, tuple(entries)) != (said.unsure, said.entries) or said.number != self.row.number
+        changed = (unsure, tuple(entries)) != (
+            said.unsure,
+            said.entries,
+        ) or said.number != self.row.number
         concerned = {e.id for e in entries} | {e.id for e in said.entries}
         if changed and (entries or said.entries or unsure or said.unsure):
             self.report_seq += 1
@@ -168,18 +185,24 @@
 
     def _decide(self, now: int) -> None:
         """The one rule, for each subject that this one holds something against."""
-        accused = [] if self.report.unsure else [e for e in self.report.entries if e.id in self.view.rows]
+        accused = (
+            [] if self.report.unsure else [e for e in self.report.entries if e.id in self.view.rows]
+        )
         self.holding.only(e.id for e in accused)
         for entry in accused:
             row = self.view.rows[entry.id]
             count = self.tally.count(row.id, row.number, self.view.rings.observers(row.id))
             if self.holding.passed(now, row.id, count, lambda: self._sees_most(now)):
-                mark = Mark(row.id, row.number, Status.DEAD, self.id, count.accusing, count.standing)
-                self._tell(row.id, (mark,))           # who hears and is not heard learns why nobody asks
+                mark = Mark(
+                    row.id, row.number, Status.DEAD, self.id, count.accusing, count.standing
+                )
+                self._tell(row.id, (mark,))  # who hears and is not heard learns why nobody asks
                 self._learn(now, mark)
 
     def _sees_most(self, now: int) -> bool:
-        return self.trust.sees_most(self.tally.several, self.view.removed_lately(now), len(self.view.rings))
+        return self.trust.sees_most(
+            self.tally.several, self.view.removed_lately(now), len(self.view.rings)
+        )
 
     def _push(self, now: int) -> None:
         if self.fresh:
@@ -215,14 +238,15 @@
                 self.trust.hear(now, sender.id, message.lost, message.digest == self.view.digest)
                 self.comparing.hear(now, sender.id, message.digest == self.view.digest)
                 if message.signal:
-                    self.signalled(now, sender.id, message.signal >> SIGNAL,
-                                   message.signal & (1 << SIGNAL) - 1)
+                    self.signalled(
+                        now, sender.id, message.signal >> SIGNAL, message.signal & (1 << SIGNAL) - 1
+                    )
                 for item in message.news:
                     self._learn(now, item)
             elif self.entry.stage is Stage.OUT:
                 self.trust.hear(now, sender.id, message.lost, False)
             elif self.entry.stage is Stage.ALONE and sender.address not in self.entry.lately:
-                self.entry.lately = [*self.entry.lately[-self.entry.KNOWN:], sender.address]
+                self.entry.lately = [*self.entry.lately[-self.entry.KNOWN :], sender.address]
                 self.entry.next = now
             self._reply(now, sender, message)
 
@@ -230,11 +254,18 @@
         if isinstance(message, Ping):
             self._ack(sender, message.seq, self.id)
         elif isinstance(message, Ask):
-            self.relays[seq := self._asking(message.target.id)] = sender, message.seq, message.target.id
+            self.relays[seq := self._asking(message.target.id)] = (
+                sender,
+                message.seq,
+                message.target.id,
+            )
             if len(self.relays) > RELAYS:
                 del self.relays[next(iter(self.relays))]
-            self._send(message.target.address, Ping(self.row, seq, *self._whole(), self._signal()),
-                       message.target.id)
+            self._send(
+                message.target.address,
+                Ping(self.row, seq, *self._whole(), self._signal()),
+                message.target.id,
+            )
         elif isinstance(message, Ack):
             relayed = self.relays.pop(message.seq, None)
             if relayed is not None and relayed[2] == message.of:
@@ -242,9 +273,13 @@
             asked = self.askings.get(message.seq)
             if asked == message.of and asked in self.edges:
                 self.edges[asked].answer(now, message.seq, message.of == sender.id)
-            elif asked in self.edges and message.of == sender.id and asked in self.view.rows \
-                    and self.view.rows[asked].address == sender.address:
-                self.edges[asked].refuse(now)         # another lives at that address
+            elif (
+                asked in self.edges
+                and message.of == sender.id
+                and asked in self.view.rows
+                and self.view.rows[asked].address == sender.address
+            ):
+                self.edges[asked].refuse(now)  # another lives at that address
 
     def _ack(self, to: Row, seq: int, of: int) -> None:
         """An answer; who is taken for gone learns it with that."""
@@ -266,14 +301,16 @@
         self.greeted += 1
         if self.greeted > GREET or self.entry.stage in (Stage.OUT, Stage.DISPLACED):
             return
-        if sender.status is Status.ALIVE:             # of a fleet that formed apart
+        if sender.status is Status.ALIVE:  # of a fleet that formed apart
             self._meet(now, sender)
         if self.entry.stage is Stage.ALONE and sender.address not in self.entry.lately:
-            self.entry.lately = [*self.entry.lately[-self.entry.KNOWN:], sender.address]
+            self.entry.lately = [*self.entry.lately[-self.entry.KNOWN :], sender.address]
             self.entry.next = min(self.entry.next, now)
         known = self.view.known(sender.id)
         rows = ([known] if known is not None else []) + [self.row] + self._some(6, sender.id)
-        self._send(sender.address, Rows(self.row, (), tuple(rows), True, compare.BUCKETS), sender.id)
+        self._send(
+            sender.address, Rows(self.row, (), tuple(rows), True, compare.BUCKETS), sender.id
+        )
 
     def _rows(self, now: int, message: Rows) -> None:
         stage = self.entry.stage
@@ -283,7 +320,7 @@
             known = next((row for row in message.rows if row.id == self.id), None)
             row = self.entry.welcomed(now, known)
             if row is None:
-                if known is not None:                 # is the other holder of this name there?
+                if known is not None:  # is the other holder of this name there?
                     self._send(known.address, Ping(self.row, 0, 0, 0), self.id)
                 return
             self._become(now, row)
@@ -356,7 +393,9 @@
         elif item.id == self.id:
             if isinstance(item, Row):
                 self._about_me(now, item)
-            elif item.status is Status.DEAD and (item.number >= self.row.number or self.trust.failing > 0.5):
+            elif item.status is Status.DEAD and (
+                item.number >= self.row.number or self.trust.failing > 0.5
+            ):
                 # An older number was contradicted; whose askings fail was not heard with that.
                 self._removed(now, item.number)
         elif isinstance(item, Row):
@@ -364,7 +403,7 @@
             if change is not None:
                 self._changed(now, change, item)
             elif (gone := self.view.gone.get(item.id)) is not None and gone[0].rank() > item.rank():
-                row = gone[0]                         # whoever told this does not know yet
+                row = gone[0]  # whoever told this does not know yet
                 self.news.add(Mark(row.id, row.number, row.status, self.id))
         else:
             change = self.view.mark(now, item)
@@ -413,7 +452,9 @@
 
     def size(self, now: int) -> Size:
         inside = self.entry.stage is Stage.IN
-        return sized(len(self.view), self.trust.lost, now - self.trust.heard, self.trust.equal(), inside)
+        return sized(
+            len(self.view), self.trust.lost, now - self.trust.heard, self.trust.equal(), inside
+        )
 
     def state(self, now: int, row: Row) -> str:
         """How a member of the view stands: its own status, or `suspect` where the rule will remove it if this
--- a/gullyoke/members/news.py
+++ b/gullyoke/members/news.py
@@ -1,5 +1,6 @@
 """What is yet to be told to the others, carried on whatever is sent anyway: the newest first, the rest in
 turn."""
+
 from __future__ import annotations
 
 import math
@@ -8,9 +9,9 @@
 
 from gullyoke.members.row import Mark, News, Report, Row
 
-ROUNDS = 3                             # each item is carried so often, times log2 of the fleet's size
-BUDGET = 900                           # bytes of news in one datagram
-MOST = 64 * 1024                       # bytes that wait at the most; the oldest goes first
+ROUNDS = 3  # each item is carried so often, times log2 of the fleet's size
+BUDGET = 900  # bytes of news in one datagram
+MOST = 64 * 1024  # bytes that wait at the most; the oldest goes first
 
 
 def size(item: News) -> int:
@@ -62,7 +63,7 @@
             if n > budget:
                 if picked:
                     break
-                continue                              # too long beside others: another datagram's
+                continue  # too long beside others: another datagram's
             budget -= n
             picked.append(item)
             again.append((key, item, n, carried + 1))
--- a/gullyoke/members/rings.py
+++ b/gullyoke/members/rings.py
@@ -3,6 +3,7 @@
 On each ring a member is observed by the one before it and observes the one after it (Rapid's expander of
 rings, Suresh et al. 2018). Same view, same observers, nothing asked; one that comes or goes changes `k`
 pairs and no others. In a fleet of `k` + 1 and less everybody observes everybody."""
+
 from __future__ import annotations
 
 from bisect import bisect_left, insort
@@ -10,7 +11,7 @@
 
 from gullyoke.members.row import whole
 
-Place = tuple[int, int]                # where on a ring, and who
+Place = tuple[int, int]  # where on a ring, and who
 
 
 @lru_cache(maxsize=1 << 17)
--- a/gullyoke/members/size.py
+++ b/gullyoke/members/size.py
@@ -1,14 +1,16 @@
 """How large the fleet is, for decisions: never smaller than what all agreed on, and how far to trust it."""
+
 from __future__ import annotations
 
 from typing import NamedTuple
 
-OLD = 30_000_000                       # microseconds after which what was last heard is too old to go by
+OLD = 30_000_000  # microseconds after which what was last heard is too old to go by
 
 
 class Size(NamedTuple):
     """`members`, those who are there, seen from here or not; `seen`, how many of them answer, as all around
     see it; `age`, microseconds since anything was last heard from another; `confidence`, from 0 to 1."""
+
     members: int
     seen: int
     age: int
--- a/gullyoke/members/tally.py
+++ b/gullyoke/members/tally.py
@@ -5,6 +5,7 @@
 refused, one of them says so, and that one still sees six in ten of the fleet (refusals need no such share).
 Observers who are themselves held silent by a third of theirs, and those who are unsure of themselves, do not
 stand. Nothing else removes anybody."""
+
 from __future__ import annotations
 
 import math
@@ -13,15 +14,16 @@
 
 from gullyoke.members.row import Entry, Kind, Report
 
-SHARE, LEAST = 0.6, 2                  # of the standing observers, and how many at the least
-DOUBTED = 3                            # held silent by one in so many of its observers it does not stand
-HOLD = 2_000_000                       # microseconds for which the accusations must stand
-HOLD_REFUSED = 300_000                 # the same where they are refusals
+SHARE, LEAST = 0.6, 2  # of the standing observers, and how many at the least
+DOUBTED = 3  # held silent by one in so many of its observers it does not stand
+HOLD = 2_000_000  # microseconds for which the accusations must stand
+HOLD_REFUSED = 300_000  # the same where they are refusals
 
 
 class Count(NamedTuple):
     """How a subject stands: accusing observers of those standing, refused ones among them, and how many it
     takes."""
+
     accusing: int
     refused: int
     standing: int
@@ -74,8 +76,11 @@
 
     def accusers(self, member: int, number: int) -> dict[int, Kind]:
         """Who accuses it under that number: a refutation voids what was said before."""
-        return {who: entry.kind for who, entry in self.against.get(member, {}).items()
-                if entry.number >= number and not self.unsure(who)}
+        return {
+            who: entry.kind
+            for who, entry in self.against.get(member, {}).items()
+            if entry.number >= number and not self.unsure(who)
+        }
 
     def doubted(self, member: int, observers: int) -> bool:
         """Whether a third of its observers hold something against it."""
@@ -89,7 +94,9 @@
     def count(self, member: int, number: int, observers: set[int]) -> Count:
         """How a subject stands among its observers."""
         accusers = self.accusers(member, number)
-        standing = [o for o in observers if not self.unsure(o) and not self.doubted(o, len(observers))]
+        standing = [
+            o for o in observers if not self.unsure(o) and not self.doubted(o, len(observers))
+        ]
         kinds = [accusers[o] for o in standing if o in accusers]
         need = max(min(LEAST, len(observers)), math.ceil(SHARE * len(standing)))
         return Count(len(kinds), sum(kind is Kind.REFUSED for kind in kinds), len(standing), need)
--- a/gullyoke/members/trust.py
+++ b/gullyoke/members/trust.py
@@ -2,6 +2,7 @@
 
 From Lifeguard (Dadgar et al. 2018): whose own askings fail is likely the one at fault. Here it says so and
 accuses nobody, instead of waiting longer."""
+
 from __future__ import annotations
 
 from collections.abc import Iterable
@@ -11,12 +12,12 @@
 from gullyoke.members.row import Kind
 from gullyoke.members.words import WHOLE
 
-PAUSE = 700_000                        # microseconds without a turn that are a pause
-CALM = 1_000_000                       # after one, nobody is accused for so long
-FAILING = 500_000                      # an asking that is so old has failed
-WINDOW = 1_500_000                     # what others say of the whole counts for so long
-SEEN = 0.6                             # of the fleet: less than this removes nobody for silence
-HEARD = 64                             # so many of them at the most
+PAUSE = 700_000  # microseconds without a turn that are a pause
+CALM = 1_000_000  # after one, nobody is accused for so long
+FAILING = 500_000  # an asking that is so old has failed
+WINDOW = 1_500_000  # what others say of the whole counts for so long
+SEEN = 0.6  # of the fleet: less than this removes nobody for silence
+HEARD = 64  # so many of them at the most
 
 
 class Trust:
@@ -49,15 +50,19 @@
         edges = list(edges)
         verdicts = [e.verdict(now) for e in edges]
         # A refusal is an answer of the machine there: neither one's own fault nor unseen.
-        failing = sum(v is not Kind.REFUSED and e.first is not None and now - e.first > FAILING
-                      for e, v in zip(edges, verdicts, strict=True))
+        failing = sum(
+            v is not Kind.REFUSED and e.first is not None and now - e.first > FAILING
+            for e, v in zip(edges, verdicts, strict=True)
+        )
         silent = sum(v is Kind.SILENT for v in verdicts)
         self.failing = failing / len(edges) if edges else 0.0
-        mine = silent / (len(edges) + 1)              # one sees oneself
+        mine = silent / (len(edges) + 1)  # one sees oneself
         for member in [m for m, (at, *_) in self.said.items() if at < now - WINDOW]:
             del self.said[member]
         # The median, so that a few who hear nobody and take all for lost have no weight.
-        self.lost = 0.3 * mine + 0.7 * median([mine, *(lost / WHOLE for _, lost, _ in self.said.values())])
+        self.lost = 0.3 * mine + 0.7 * median(
+            [mine, *(lost / WHOLE for _, lost, _ in self.said.values())]
+        )
         self.deaf = bool(edges) and failing == len(edges) and now - self.heard > FAILING
 
     def unsure(self, now: int) -> bool:
--- a/gullyoke/members/view.py
+++ b/gullyoke/members/view.py
@@ -1,4 +1,5 @@
 """A member's view: the rows it knows, merged in any order to the same end, numbered and with a digest."""
+
 from __future__ import annotations
 
 from collections import OrderedDict, deque
@@ -8,15 +9,16 @@
 from gullyoke.members.rings import Rings
 from gullyoke.members.row import LIVE, Mark, Row, Status
 
-BUCKETS = 64                           # parts that two views are compared by
-REMEMBER = 120_000_000                 # microseconds that one who is gone is known to be
-LATELY = 30_000_000                    # removals of so long ago are lately
-MOST_GONE = 4096                       # and so many at the most
+BUCKETS = 64  # parts that two views are compared by
+REMEMBER = 120_000_000  # microseconds that one who is gone is known to be
+LATELY = 30_000_000  # removals of so long ago are lately
+MOST_GONE = 4096  # and so many at the most
 
 
 class Change(NamedTuple):
     """One step of the view. `what`: joined, restarted, changed, left or removed; `number`, the view's with
     it; `mark`, the evidence where there is one."""
+
     number: int
     what: str
     row: Row
@@ -33,9 +35,9 @@
         self.gone: OrderedDict[int, tuple[Row, int]] = OrderedDict()
         self.rings, self.number, self.digest = Rings(k), 0, 0
         self.buckets = [0] * BUCKETS
-        self.order: list[int] = []                    # those of `rows`, to draw from
+        self.order: list[int] = []  # those of `rows`, to draw from
         self.at: dict[int, int] = {}
-        self.removals: deque[int] = deque(maxlen=MOST_GONE)   # when somebody was removed, for LATELY
+        self.removals: deque[int] = deque(maxlen=MOST_GONE)  # when somebody was removed, for LATELY
 
     def __len__(self) -> int:
         return len(self.rows)
@@ -61,7 +63,7 @@
             if row.status is not Status.JOINING:
                 self.rings.add(row.id)
             elif there is not None:
-                self.rings.remove(row.id)             # a later start that is not ready yet
+                self.rings.remove(row.id)  # a later start that is not ready yet
         else:
             self.gone[row.id] = row, now
             self.rings.remove(row.id)
@@ -70,7 +72,7 @@
         what = named(there, row)
         if what == "removed":
             self.removals.append(now)
-        if what is None:                              # gone under another number than before: nothing changed
+        if what is None:  # gone under another number than before: nothing changed
             return None
         self.number += 1
         return Change(self.number, what, row, there, mark)
@@ -107,7 +109,7 @@
         if row is not None:
             self._sum(row)
             at, last = self.at.pop(member), self.order.pop()
-            if last != member:                        # the last takes the place that is free
+            if last != member:  # the last takes the place that is free
                 self.order[at], self.at[last] = last, at
         return row
 
--- a/gullyoke/operator/checked.py
+++ b/gullyoke/operator/checked.py
@@ -1,6 +1,7 @@
 """Files in protobuf text format held against their schema: every fault is one line that says what is right.
 
 The bounds stand in the schema, as the option `gullyoke.bounds` of each field (operator.proto)."""
+
 from __future__ import annotations
 
 import math
@@ -15,7 +16,7 @@
 from gullyoke.operator import operator_pb2 as schema
 from gullyoke.operator.wanted import Faulty
 
-LONGEST = 2**20                        # bytes of a file that are read
+LONGEST = 2**20  # bytes of a file that are read
 NAME = re.compile(r"[A-Za-z_]\w*")
 PLACE = re.compile(r"(?:(\d+):(\d+) : )?(.*)", re.DOTALL)
 Kind = TypeVar("Kind", bound=Message)
@@ -28,7 +29,9 @@
         with open(path, "rb") as file:
             data = file.read(LONGEST + 1)
         if len(data) > LONGEST:
-            raise Faulty([f"{path}:1: the file: over {LONGEST} bytes; right would be a file of a few pages"])
+            raise Faulty(
+                [f"{path}:1: the file: over {LONGEST} bytes; right would be a file of a few pages"]
+            )
         text = data.decode("utf-8")
     except (OSError, UnicodeDecodeError) as fault:
         raise Faulty([f"{path}:1: the file: can't be read: {fault}"]) from None
@@ -38,8 +41,13 @@
         line, _, said = PLACE.fullmatch(str(fault)).groups()
         raise Faulty([f"{path}:{line or 1}: {one_line(said, empty.DESCRIPTOR)}"]) from None
     lines = places(text)
-    faults = sorted(((lines.get(key) or lines.get(key.rpartition(".")[0]) or 1, key, why)
-                     for key, why in [*unbound(found, ""), *more(found)]), key=lambda row: row[0])
+    faults = sorted(
+        (
+            (lines.get(key) or lines.get(key.rpartition(".")[0]) or 1, key, why)
+            for key, why in [*unbound(found, ""), *more(found)]
+        ),
+        key=lambda row: row[0],
+    )
     if faults:
         raise Faulty([f"{path}:{line}: {key}: {why}" for line, key, why in faults])
     return found
@@ -52,14 +60,16 @@
     kind = match and root.file.message_types_by_name.get(match[1].rpartition(".")[2])
     if not kind:
         return said
-    return f"{match[2]}: no such key; right would be one of {', '.join(f.name for f in kind.fields)}"
+    return (
+        f"{match[2]}: no such key; right would be one of {', '.join(f.name for f in kind.fields)}"
+    )
 
 
 def places(text: str) -> dict[str, int]:
     """The line of each key, by its path: `backends.backend[1].weight`."""
     found: dict[str, int] = {}
     count: dict[str, int] = {}
-    way: list[str] = []                               # the messages that are open, with their numbers
+    way: list[str] = []  # the messages that are open, with their numbers
     last, last_at, key = "", 1, ""
     tokens = text_format.Tokenizer(text.splitlines())
     while not tokens.AtEnd():
@@ -68,7 +78,7 @@
             if NAME.fullmatch(last):
                 key, place = last, last_at
             else:
-                place = at                            # one more message of a list
+                place = at  # one more message of a list
             path = ".".join([*way, key])
             nth = count[path] = count.get(path, -1) + 1
             numbered = f"{key}[{nth}]"
@@ -113,11 +123,17 @@
 
 def within(value: object, bounds: schema.Bounds) -> bool:
     if isinstance(value, str):
-        return not bounds.pattern or re.fullmatch(bounds.pattern, value) is not None and port_of(value)
+        return (
+            not bounds.pattern or re.fullmatch(bounds.pattern, value) is not None and port_of(value)
+        )
     if isinstance(value, float) and not math.isfinite(value):
         return False
-    return not (bounds.HasField("least") and value < bounds.least
-                or bounds.HasField("most") and value > bounds.most)
+    return not (
+        bounds.HasField("least")
+        and value < bounds.least
+        or bounds.HasField("most")
+        and value > bounds.most
+    )
 
 
 def port_of(value: str) -> bool:
--- a/gullyoke/operator/read.py
+++ b/gullyoke/operator/read.py
@@ -1,4 +1,5 @@
 """Reads an operator's file and gives what it says in the program's own words."""
+
 from __future__ import annotations
 
 from collections.abc import Iterator
@@ -36,7 +37,10 @@
         if way.name in names or way.name in ("gateway", "engine", "database", "naming"):
             yield f"listener[{i}].name", f"{way.name!r} is taken; right would be a name of its own"
         if way.address in addresses:
-            yield f"listener[{i}].address", f"{way.address!r} stands twice; right would be one of its own"
+            yield (
+                f"listener[{i}].address",
+                f"{way.address!r} stands twice; right would be one of its own",
+            )
         names.add(way.name)
         addresses.add(way.address)
     addresses.clear()
@@ -49,11 +53,17 @@
             handlers[handler] = one.name
     for i, one in enumerate(found.backends.backend):
         if one.address in addresses:
-            yield f"backends.backend[{i}].address", f"{one.address!r} stands twice; right would be once"
+            yield (
+                f"backends.backend[{i}].address",
+                f"{one.address!r} stands twice; right would be once",
+            )
         addresses.add(one.address)
         least, most = bounds_of(one)
         if least > most:
-            yield f"backends.backend[{i}].most", f"{most} is under least; right would be {least} or more"
+            yield (
+                f"backends.backend[{i}].most",
+                f"{most} is under least; right would be {least} or more",
+            )
     own = {found.fleet.listen, found.fleet.advertise} - {""}
     for i, seed in enumerate(found.fleet.seed):
         if seed in found.fleet.seed[:i]:
@@ -72,12 +82,17 @@
     if found.HasField("duties"):
         yield from faults_of_duties(found)
     if found.backends.subset and not found.HasField("fleet"):
-        yield "backends.subset", "there is no fleet to choose by; right would be fleet { ... } as well"
+        yield (
+            "backends.subset",
+            "there is no fleet to choose by; right would be fleet { ... } as well",
+        )
     eject = found.backends.ejection
     first = eject.first_out_ms or 1000
     if eject.HasField("longest_out_ms") and eject.longest_out_ms < first:
-        yield ("backends.ejection.longest_out_ms",
-               f"{eject.longest_out_ms} is under first_out_ms; right would be {first} or more")
+        yield (
+            "backends.ejection.longest_out_ms",
+            f"{eject.longest_out_ms} is under first_out_ms; right would be {first} or more",
+        )
 
 
 def faults_of_duties(found: schema.Operator) -> Iterator[tuple[str, str]]:
@@ -89,18 +104,25 @@
             yield f"duties.voter[{i}].name", f"{voter.name!r} stands twice; right would be once"
         names.add(voter.name)
     if duties.book and not found.fleet.shares.slots:
-        yield "duties.book", "no slots are shared; right would be fleet.shares { slots: ... } as well"
+        yield (
+            "duties.book",
+            "no slots are shared; right would be fleet.shares { slots: ... } as well",
+        )
     if duties.record and not duties.folder:
         yield "duties.record", "it needs a folder; right would be duties.folder as well"
     taken = {"ask", "book", "roll", "record"}
     for i, duty in enumerate(duties.duty):
         if duty.name in taken:
-            yield f"duties.duty[{i}].name", f"{duty.name!r} is taken; right would be a name of its own"
+            yield (
+                f"duties.duty[{i}].name",
+                f"{duty.name!r} is taken; right would be a name of its own",
+            )
         taken.add(duty.name)
 
 
 # In the program's own words, with what stands where nothing is said.
 
+
 def address(text: str) -> Address:
     if text.startswith("unix:"):
         return text.removeprefix("unix:")
@@ -114,18 +136,24 @@
 
 
 def wanted(found: schema.Operator) -> Wanted:
-    ways = tuple(Way(w.name, schema.Listener.Protocol.Name(w.protocol), address(w.address))
-                 for w in found.listener)
+    ways = tuple(
+        Way(w.name, schema.Listener.Protocol.Name(w.protocol), address(w.address))
+        for w in found.listener
+    )
     json_log = found.log.form == schema.Log.JSON
     classed = None
     if found.HasField("pools"):
-        classes = {handler: one.name for one in getattr(found.pools, "class") for handler in one.handler}
+        classes = {
+            handler: one.name for one in getattr(found.pools, "class") for handler in one.handler
+        }
         classed = Classed(found.pools.minimum if found.pools.HasField("minimum") else 0.02, classes)
     kept = None
     if found.HasField("store"):
         quota = found.store.quota_mb if found.store.HasField("quota_mb") else 16
         without = schema.Keys.Without.Name(found.store.keys.without).lower().replace("_", " ")
-        kept = Kept(found.store.folder, quota * 2**20, without if found.store.HasField("keys") else "")
+        kept = Kept(
+            found.store.folder, quota * 2**20, without if found.store.HasField("keys") else ""
+        )
     fleet = together(found.fleet) if found.HasField("fleet") else None
     duties = dutied(found.duties) if found.HasField("duties") else None
     if not found.HasField("backends"):
@@ -137,36 +165,83 @@
 
     first_out = said(eject, "first_out_ms", 1000) * 1000
     ejecting = Ejecting(
-        said(eject, "consecutive", 5), said(eject, "over_peers", 0.3), said(eject, "pool_share", 0.5),
-        first_out, max(first_out, said(eject, "longest_out_ms", 30_000) * 1000),
-        said(eject, "slow_start_ms", 5000) * 1000)
-    back_ends = tuple(BackEnd(b.address, address(b.address), said(b, "weight", 1.0), *bounds_of(b),
-                              b.zone or "-")
-                      for b in told.backend)
-    return Wanted(json_log, ways, Pooled(
-        back_ends, said(told, "linger_ms", 2000) * 1000, told.stops_on_close,
-        said(told, "answer_kb", 64) * 1024, said(told, "first_limit", 8), said(told, "retry_share", 0.1),
-        said(told, "retry_burst", 10.0), ejecting, told.subset), classed, kept, fleet, duties)
+        said(eject, "consecutive", 5),
+        said(eject, "over_peers", 0.3),
+        said(eject, "pool_share", 0.5),
+        first_out,
+        max(first_out, said(eject, "longest_out_ms", 30_000) * 1000),
+        said(eject, "slow_start_ms", 5000) * 1000,
+    )
+    back_ends = tuple(
+        BackEnd(b.address, address(b.address), said(b, "weight", 1.0), *bounds_of(b), b.zone or "-")
+        for b in told.backend
+    )
+    return Wanted(
+        json_log,
+        ways,
+        Pooled(
+            back_ends,
+            said(told, "linger_ms", 2000) * 1000,
+            told.stops_on_close,
+            said(told, "answer_kb", 64) * 1024,
+            said(told, "first_limit", 8),
+            said(told, "retry_share", 0.1),
+            said(told, "retry_burst", 10.0),
+            ejecting,
+            told.subset,
+        ),
+        classed,
+        kept,
+        fleet,
+        duties,
+    )
 
 
 def together(found: schema.Fleet) -> Together:
-    return Together(found.name, address(found.listen), found.advertise or found.listen, tuple(found.seed),
-                    found.zone or "-", found.key_file, address(found.status) if found.status else None,
-                    found.size, found.signals or found.heed, found.heed,
-                    shared(found.shares) if found.HasField("shares") else None)
+    return Together(
+        found.name,
+        address(found.listen),
+        found.advertise or found.listen,
+        tuple(found.seed),
+        found.zone or "-",
+        found.key_file,
+        address(found.status) if found.status else None,
+        found.size,
+        found.signals or found.heed,
+        found.heed,
+        shared(found.shares) if found.HasField("shares") else None,
+    )
 
 
 def dutied(found: schema.Duties) -> Dutied:
     def said(name: str, default: int) -> int:
         return getattr(found, name) if found.HasField(name) else default
 
-    own = tuple(OwnDuty(d.name, address(d.address), (d.every_ms if d.HasField("every_ms") else 500) * 1000)
-                for d in found.duty)
-    return Dutied({v.name: v.address for v in found.voter}, said("set", 1), said("lease_ms", 3000) * 1000,
-                  said("drift_ppm", 1000), found.folder, found.ask, found.book, found.roll, found.record, own)
+    own = tuple(
+        OwnDuty(d.name, address(d.address), (d.every_ms if d.HasField("every_ms") else 500) * 1000)
+        for d in found.duty
+    )
+    return Dutied(
+        {v.name: v.address for v in found.voter},
+        said("set", 1),
+        said("lease_ms", 3000) * 1000,
+        said("drift_ppm", 1000),
+        found.folder,
+        found.ask,
+        found.book,
+        found.roll,
+        found.record,
+        own,
+    )
 
 
 def shared(found: schema.Shares) -> Slotted:
-    return Slotted({home.name: home.address for home in found.home}, found.slots, found.largest,
-                  found.floor_share if found.HasField("floor_share") else 0.25,
-                  found.weight if found.HasField("weight") else 1.0, found.mean, found.quotas)
+    return Slotted(
+        {home.name: home.address for home in found.home},
+        found.slots,
+        found.largest,
+        found.floor_share if found.HasField("floor_share") else 0.25,
+        found.weight if found.HasField("weight") else 1.0,
+        found.mean,
+        found.quotas,
+    )
--- a/gullyoke/operator/wanted.py
+++ b/gullyoke/operator/wanted.py
@@ -1,4 +1,5 @@
 """What an operator's file comes to, in the program's own words. Times are whole microseconds."""
+
 from __future__ import annotations
 
 from typing import NamedTuple
@@ -16,6 +17,7 @@
 
 class Way(NamedTuple):
     """One more listener."""
+
     name: str
     protocol: str
     address: Address
@@ -23,6 +25,7 @@
 
 class BackEnd(NamedTuple):
     """One back end; `name` is its address as it stands in the file."""
+
     name: str
     address: Address
     weight: float
@@ -33,6 +36,7 @@
 
 class Ejecting(NamedTuple):
     """When a back end is set aside, and how it comes back."""
+
     consecutive: int
     over_peers: float
     pool_share: float
@@ -43,6 +47,7 @@
 
 class Pooled(NamedTuple):
     """The back ends, and how they are used."""
+
     back_ends: tuple[BackEnd, ...]
     linger: int
     stops_on_close: bool
@@ -60,6 +65,7 @@
 
 class Classed(NamedTuple):
     """Class pools: the minimum share of each, and the handlers that share one, by their names."""
+
     minimum: float
     classes: dict[str, str]
 
@@ -67,6 +73,7 @@
 class Kept(NamedTuple):
     """Where what is remembered is kept, and how many bytes it may take. `without`: what becomes of reqs whose
     notes can't be kept now, `shed` or `go on`; empty where no notes are kept."""
+
     folder: str
     quota: int
     without: str = ""
@@ -74,6 +81,7 @@
 
 class Slotted(NamedTuple):
     """What all servers may have in hand below; `homes`, who lends, addresses by name."""
+
     homes: dict[str, str]
     slots: int
     largest: int
@@ -85,6 +93,7 @@
 
 class Together(NamedTuple):
     """The fleet that this server is a member of, and how the others are reached."""
+
     name: str
     listen: tuple[str, int]
     advertise: str
@@ -100,6 +109,7 @@
 
 class OwnDuty(NamedTuple):
     """An application's own duty, and how often it is told of holding it, in microseconds."""
+
     name: str
     address: tuple[str, int]
     every: int
@@ -108,6 +118,7 @@
 class Dutied(NamedTuple):
     """Duties of one: the voters' addresses by name, the number of their set, the lease and how far clocks may
     run apart, where promises are kept, and which duties there are."""
+
     voters: dict[str, str]
     set: int
     lease: int
@@ -122,6 +133,7 @@
 
 class Wanted(NamedTuple):
     """All of it."""
+
     json_log: bool
     ways: tuple[Way, ...]
     pool: Pooled | None
