--- a/tests/cli/test_operator.py
+++ b/tests/cli/test_operator.py
@@ -1,4 +1,5 @@
 """The operator's file and the command line: what is right, and one line for each thing that is not."""
+
 import pathlib
 import re
 import subprocess
@@ -33,9 +34,18 @@
     def test_generated(self):
         """The generated code is that of the schema beside it."""
         with tempfile.NamedTemporaryFile() as out:
-            self.assertEqual(protoc.main(["protoc", f"-I{ROOT}", f"-I{WELL_KNOWN}",
-                                          f"--descriptor_set_out={out.name}",
-                                          f"{ROOT}/gullyoke/operator/operator.proto"]), 0)
+            self.assertEqual(
+                protoc.main(
+                    [
+                        "protoc",
+                        f"-I{ROOT}",
+                        f"-I{WELL_KNOWN}",
+                        f"--descriptor_set_out={out.name}",
+                        f"{ROOT}/gullyoke/operator/operator.proto",
+                    ]
+                ),
+                0,
+            )
             found = descriptor_pb2.FileDescriptorSet.FromString(out.read()).file[0]
         ours = descriptor_pb2.FileDescriptorProto()
         schema.DESCRIPTOR.CopyToProto(ours)
@@ -47,8 +57,10 @@
         wanted = read(str(ROOT / "deploy/scgi.textproto"))
         self.assertEqual([w.name for w in wanted.ways], ["scgi", "local"])
         self.assertEqual(wanted.ways[1].address, "/run/gullyoke/scgi.sock")
-        self.assertEqual([(b.weight, b.least, b.most) for b in wanted.pool.back_ends],
-                         [(1.0, 1, 64), (2.0, 1, 32), (1.0, 1, 64)])
+        self.assertEqual(
+            [(b.weight, b.least, b.most) for b in wanted.pool.back_ends],
+            [(1.0, 1, 64), (2.0, 1, 32), (1.0, 1, 64)],
+        )
         self.assertEqual((wanted.pool.linger, wanted.pool.answer_bytes), (2_000_000, 65536))
         empty = read(self.write("# nothing\n"))
         self.assertEqual((empty.ways, empty.pool, empty.json_log), ((), None, False))
@@ -56,27 +68,62 @@
     def test_faults(self):
         """Each fault is one line: the file, the line, the key, what would be right."""
         for text, said in (
-            ("\n\nlistner { }", r":3: listner: no such key; right would be one of log, listener, backends"),
-            ('listener {\n name: "a"\n adress: "x:1" }', r":3: adress: no such key; right would be one of"),
-            ('listener { name: "a" }', r":1: listener\[0\].address: missing; right would be an address"),
-            ('listener {\n name: "A b"\n address: "x:1" }', r":2: listener\[0\].name: 'A b' can't be"),
-            ('listener { name: "a" address: "x:99999" }', r"address: 'x:99999' can't be; right would"),
-            ('listener { name: "a" address: "x:1" }\nlistener {\n name: "a"\n address: "x:2" }',
-             r":3: listener\[1\].name: 'a' is taken"),
+            (
+                "\n\nlistner { }",
+                r":3: listner: no such key; right would be one of log, listener, backends",
+            ),
+            (
+                'listener {\n name: "a"\n adress: "x:1" }',
+                r":3: adress: no such key; right would be one of",
+            ),
+            (
+                'listener { name: "a" }',
+                r":1: listener\[0\].address: missing; right would be an address",
+            ),
+            (
+                'listener {\n name: "A b"\n address: "x:1" }',
+                r":2: listener\[0\].name: 'A b' can't be",
+            ),
+            (
+                'listener { name: "a" address: "x:99999" }',
+                r"address: 'x:99999' can't be; right would",
+            ),
+            (
+                'listener { name: "a" address: "x:1" }\nlistener {\n name: "a"\n address: "x:2" }',
+                r":3: listener\[1\].name: 'a' is taken",
+            ),
             ('listener { name: "gateway" address: "x:1" }', r"'gateway' is taken"),
-            ('listener { name: "a" address: "x:1" }\nlistener { name: "b"\n address: "x:1" }',
-             r":3: listener\[1\].address: 'x:1' stands twice"),
-            ('pools { class { name: "a" handler: "x" }\nclass { name: "b" handler: "x" } }',
-             r":2: .*'x' is in 'a'"),
+            (
+                'listener { name: "a" address: "x:1" }\nlistener { name: "b"\n address: "x:1" }',
+                r":3: listener\[1\].address: 'x:1' stands twice",
+            ),
+            (
+                'pools { class { name: "a" handler: "x" }\nclass { name: "b" handler: "x" } }',
+                r":2: .*'x' is in 'a'",
+            ),
             ("pools { minimum: 0.9 }", r":1: pools.minimum: 0.9 can't be"),
             ("backends { }", r":1: backends.backend: missing; right would be at least one"),
-            (BACK + "\n retry_share: 7 }", r":2: backends.retry_share: 7.0 can't be; right would be a share"),
+            (
+                BACK + "\n retry_share: 7 }",
+                r":2: backends.retry_share: 7.0 can't be; right would be a share",
+            ),
             (BACK + "\n retry_share: nan }", r":2: backends.retry_share: nan can't be"),
-            (BACK + '\n\n backend { address: "127.0.0.1:9001" } }', r":3: .*backend\[1\].address: .* twi"),
-            (BACK + 'backend { address: "x:1"\n least: 9\n most: 3 } }', r":3: .*\[1\].most: 3 is under"),
-            (BACK + "ejection { first_out_ms: 5000\n longest_out_ms: 4000 } }", r":2: .*longest_out_ms: 4"),
-            (BACK + "linger_ms: -1 }", r":1: .*-1"), (BACK + "linger_ms: \"x\" }", r":1: "),
-            (BACK, r":1: "), ("log { form: XML }", r":1: .*XML"),
+            (
+                BACK + '\n\n backend { address: "127.0.0.1:9001" } }',
+                r":3: .*backend\[1\].address: .* twi",
+            ),
+            (
+                BACK + 'backend { address: "x:1"\n least: 9\n most: 3 } }',
+                r":3: .*\[1\].most: 3 is under",
+            ),
+            (
+                BACK + "ejection { first_out_ms: 5000\n longest_out_ms: 4000 } }",
+                r":2: .*longest_out_ms: 4",
+            ),
+            (BACK + "linger_ms: -1 }", r":1: .*-1"),
+            (BACK + 'linger_ms: "x" }', r":1: "),
+            (BACK, r":1: "),
+            ("log { form: XML }", r":1: .*XML"),
         ):
             with self.subTest(text):
                 path = self.write(text)
@@ -89,7 +136,7 @@
 
     def test_all_faults(self):
         """All of them are told at once, in the order of the lines."""
-        path = self.write(BACK + "\n retry_share: 7\n linger_ms: 700000\n}\nlistener { name: \"a\" }")
+        path = self.write(BACK + '\n retry_share: 7\n linger_ms: 700000\n}\nlistener { name: "a" }')
         result = CliRunner().invoke(main, ["check", path])
         self.assertEqual(result.exit_code, 2)
         lines = result.stderr.splitlines()
@@ -112,9 +159,11 @@
 
     def test_lean(self):
         """Without an operator's file none of what it needs is imported: memory on the platform is short."""
-        code = ("import sys; import gullyoke.daemon.house, gullyoke.daemon.start, gullyoke.daemon.options;"
-                "print([m for m in sys.modules if m.split('.')[0] in ('google', 'click', 'pythonjsonlogger')"
-                " or m.startswith(('gullyoke.routing', 'gullyoke.operator', 'gullyoke.cli'))])")
+        code = (
+            "import sys; import gullyoke.daemon.house, gullyoke.daemon.start, gullyoke.daemon.options;"
+            "print([m for m in sys.modules if m.split('.')[0] in ('google', 'click', 'pythonjsonlogger')"
+            " or m.startswith(('gullyoke.routing', 'gullyoke.operator', 'gullyoke.cli'))])"
+        )
         got = subprocess.check_output([sys.executable, "-c", code], cwd=ROOT, text=True)
         self.assertEqual(got.strip(), "[]")
 
--- a/tests/codec/test_codecs.py
+++ b/tests/codec/test_codecs.py
@@ -1,4 +1,5 @@
 """Property tests of the codecs: what is written reads back, cuts change nothing, what is spoilt is named."""
+
 import unittest
 
 from hypothesis import given, settings
@@ -32,8 +33,13 @@
         self.assertEqual(got, message)
 
     @QUICK
-    @given(FIELDS, st.binary(max_size=300), st.lists(st.integers(0, 2000), max_size=5),
-           st.sampled_from([200, 204, 404, 500]), st.booleans())
+    @given(
+        FIELDS,
+        st.binary(max_size=300),
+        st.lists(st.integers(0, 2000), max_size=5),
+        st.sampled_from([200, 204, 404, 500]),
+        st.booleans(),
+    )
     def test_answers(self, fields, body, cuts, status, told):
         """An answer reads back unchanged, with its length told or to the close."""
         answer = Answer(status, body, tuple(fields.items()))
@@ -43,16 +49,26 @@
         self.assertEqual(scgi.read_answer(reading(data, cuts, 70_000)), answer)
 
     @QUICK
-    @given(FIELDS, st.binary(max_size=100), st.integers(0, 10**6),
-           st.lists(st.tuples(st.integers(0, 10**6), st.binary(max_size=3), st.integers(0, 3)), max_size=4),
-           st.booleans())
+    @given(
+        FIELDS,
+        st.binary(max_size=100),
+        st.integers(0, 10**6),
+        st.lists(
+            st.tuples(st.integers(0, 10**6), st.binary(max_size=3), st.integers(0, 3)), max_size=4
+        ),
+        st.booleans(),
+    )
     def test_spoilt(self, fields, body, cut, changes, answer):
         """Whatever bytes come: a message or a named fault, and nothing is kept beyond the bounds."""
         message = Message(("POST", "/call/view", "HTTP/1.1"), fields, body)
-        data = scgi.answer(Answer(200, body, tuple(fields.items()))) if answer else scgi.request(message, {})
+        data = (
+            scgi.answer(Answer(200, body, tuple(fields.items())))
+            if answer
+            else scgi.request(message, {})
+        )
         for at, new, gone in changes:
             at %= len(data) + 1
-            data = data[:at] + new + data[at + gone:]
+            data = data[:at] + new + data[at + gone :]
         buffer = reading(data, [cut])
         try:
             got = scgi.read_answer(buffer, 4096) if answer else scgi.read(buffer)
@@ -63,7 +79,9 @@
 
     def test_every_cut(self):
         """Cut at each byte a req is the same; ended at each byte it is none."""
-        message = Message(("POST", "/call/view", "HTTP/1.1"), {"trace-id": "0a", "x-a": "1"}, b"A\r\nB")
+        message = Message(
+            ("POST", "/call/view", "HTTP/1.1"), {"trace-id": "0a", "x-a": "1"}, b"A\r\nB"
+        )
         data = scgi.request(message, {})
         for at in range(1, len(data)):
             self.assertEqual(scgi.read(reading(data, [at])), message)
@@ -77,9 +95,12 @@
             (b"Status: 200 OK\r\nContent-Length: 3\r\n\r\nabcd", "more than one answer"),
             (b"Status: 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", "two values"),
             (b"Status: 200 OK\r\nContent-Length: 99999999\r\n\r\n", "an answer of over"),
-            (b"Status: 999x\r\n\r\n", "status"), (b"Status: 100 Go\r\n\r\n", "status"),
-            (b"X-A: 1\r\n\r\n", "neither status"), (b"no field\r\n\r\n", "a field"),
-            (b"Status: 200 OK\r\nX: a\rb\r\n\r\n", "a field"), (b"x" * 9000, "head too long"),
+            (b"Status: 999x\r\n\r\n", "status"),
+            (b"Status: 100 Go\r\n\r\n", "status"),
+            (b"X-A: 1\r\n\r\n", "neither status"),
+            (b"no field\r\n\r\n", "a field"),
+            (b"Status: 200 OK\r\nX: a\rb\r\n\r\n", "a field"),
+            (b"x" * 9000, "head too long"),
             (b"Status: 200 OK\r\n\r\n" + b"x" * 5000, "an answer of over"),
         ):
             with self.subTest(said), self.assertRaisesRegex(Ended, said):
@@ -92,14 +113,24 @@
     def test_both(self, fields, body, cuts):
         """The same req through both protocols is the same message, but for the version it came by."""
         head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
-        data = f"POST /call/view HTTP/1.1\r\n{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
+        data = (
+            f"POST /call/view HTTP/1.1\r\n{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
+        )
         one = http.read(reading(data, cuts, http.BUFFER))
-        headers = {"CONTENT_LENGTH": str(len(body)), "SCGI": "1", "REQUEST_METHOD": "POST",
-                   "REQUEST_URI": "/call/view?a=b"}
-        headers |= {"HTTP_" + name.upper().replace("-", "_"): value for name, value in fields.items()}
+        headers = {
+            "CONTENT_LENGTH": str(len(body)),
+            "SCGI": "1",
+            "REQUEST_METHOD": "POST",
+            "REQUEST_URI": "/call/view?a=b",
+        }
+        headers |= {
+            "HTTP_" + name.upper().replace("-", "_"): value for name, value in fields.items()
+        }
         two = scgi.read(reading(scgi.netstring(headers.items()) + body, cuts))
         del one.fields["content-length"]
-        self.assertEqual((one.first[:2], one.fields, one.body), (two.first[:2], two.fields, two.body))
+        self.assertEqual(
+            (one.first[:2], one.fields, one.body), (two.first[:2], two.fields, two.body)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/crossing/live.py
+++ b/tests/crossing/live.py
@@ -4,6 +4,7 @@
 there.
 `REPEATS` is how often each crossing is forced; GULLYOKE_REPEATS sets it.
 """
+
 import contextlib
 import functools
 import logging
@@ -26,14 +27,20 @@
 
 REPEATS = int(os.environ.get("GULLYOKE_REPEATS", "100"))
 CHILD = "GULLYOKE_CHILD"
-SIDE_BY_SIDE = 4       # tests that run apart at once
+SIDE_BY_SIDE = 4  # tests that run apart at once
 
 
 def in_child(name):
     """Run one test in a process of its own: its exit code and what it printed."""
     env = os.environ | {CHILD: "1", "PYTHONPATH": f"{ROOT}{os.pathsep}{ROOT / 'tests'}"}
-    got = subprocess.run([sys.executable, "-m", "unittest", name], cwd=ROOT / "tests", env=env,
-                         capture_output=True, text=True, timeout=600)
+    got = subprocess.run(
+        [sys.executable, "-m", "unittest", name],
+        cwd=ROOT / "tests",
+        env=env,
+        capture_output=True,
+        text=True,
+        timeout=600,
+    )
     return got.returncode, got.stderr
 
 
@@ -68,6 +75,7 @@
             return
         code, printed = CHILDREN.result(name)
         self.assertEqual(code, 0, printed[-6000:])
+
     return run
 
 
@@ -123,7 +131,11 @@
         self.house.start()
         eventually(lambda: self.house.desk.server is not None, "the engine is up")
         self.engine, self.db, self.naming = self.peers.engine, self.peers.db, self.peers.naming
-        self.desk, self.connections, self.book = self.house.desk, self.house.connections, self.house.book
+        self.desk, self.connections, self.book = (
+            self.house.desk,
+            self.house.connections,
+            self.house.book,
+        )
 
     def client(self):
         return Client(self.peers.listen)
@@ -136,6 +148,7 @@
         def hooked(*given, **named):
             before(*given, **named)
             return real(*given, **named)
+
         return mock.patch.object(owner, name, hooked)
 
     def count(self, name):
@@ -151,7 +164,9 @@
     def done(self, name, text="fine", end="ok"):
         """The engine says that its run is over."""
         self.engine.notices += 1
-        self.engine.say(f"DONE {self.engine.notices} {tid(name)} {end} 12 {len(text)}\r\n{text}\r\n")
+        self.engine.say(
+            f"DONE {self.engine.notices} {tid(name)} {end} 12 {len(text)}\r\n{text}\r\n"
+        )
 
     def need(self, name, text="question"):
         """The engine says that its run waits for a call."""
@@ -174,10 +189,15 @@
 
     def connection(self, client):
         """The server's side of a client's connection."""
+
         def find():
             ours = client.sock.getsockname()
-            return [c for c in list(self.connections.open)
-                    if c.sock.fileno() >= 0 and c.sock.getpeername() == ours]
+            return [
+                c
+                for c in list(self.connections.open)
+                if c.sock.fileno() >= 0 and c.sock.getpeername() == ours
+            ]
+
         eventually(find, "the connection accepted")
         return find()[0]
 
@@ -192,5 +212,3 @@
 
 def descriptors():
     return len(list(pathlib.Path("/proc/self/fd").iterdir()))
-
-
--- a/tests/crossing/test_connections.py
+++ b/tests/crossing/test_connections.py
@@ -1,4 +1,5 @@
 """Client connections: a request, half of one, or an end that comes between two lines of the server's own."""
+
 import errno
 import queue
 import random
@@ -49,8 +50,10 @@
 
                 with mock.patch.object(connection_module, "half_close", close):
                     self.assertTrue(ours.close_idle(End.IDLE))
-                self.assertIsNone(client.answer())         # raises where the connection was reset
-                eventually(lambda ended=ended: live.count("ends.gateway.idle") == ended + 1, "its end")
+                self.assertIsNone(client.answer())  # raises where the connection was reset
+                eventually(
+                    lambda ended=ended: live.count("ends.gateway.idle") == ended + 1, "its end"
+                )
                 self.assertEqual(live.count("messages.crossed"), crossed + 1)
                 client.close()
                 eventually(lambda: not live.connections.open, "closed")
@@ -86,7 +89,7 @@
                     client.send(f"b{i}")
                     eventually(lambda: unread(ours.sock), "bytes in the socket")
                     with ours.lock:
-                        ours.state = State.IDLE                # as it was a moment before
+                        ours.state = State.IDLE  # as it was a moment before
                     self.assertFalse(ours.close_idle(End.IDLE))
                     go.set()
                 live.run(f"b{i}")
@@ -203,7 +206,7 @@
                         client.sock.sendall(data[-1:])
                         live.run(f"x{i}")
                         complete.set()
-                    complete.wait(10)                  # the server's own sweep may be at it too
+                    complete.wait(10)  # the server's own sweep may be at it too
 
                 with live.hook(Connection, "abort", rest):
                     ours.since -= 2 * connections_module.STALL_US
@@ -311,17 +314,23 @@
     """Each kind of what can't be read gets its status and its counter; no thread or descriptor is left."""
 
     CASES = (
-        (b"nonsense\r\n\r\n", 400), (b"POST /call/view HTTP/2\r\n\r\n", 505),
+        (b"nonsense\r\n\r\n", 400),
+        (b"POST /call/view HTTP/2\r\n\r\n", 505),
         (b"POST /call/view HTTP/1.1\r\n\r\n", 411),
         (b"POST /call/view HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400),
         (b"POST /call/view HTTP/1.1\r\nContent-Length: 99999999999999\r\n\r\n", 413),
         (b"POST /call/view HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 70000, 413),
-        (b"POST /call/view HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\nx", 501),
+        (
+            b"POST /call/view HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\nx",
+            501,
+        ),
         (b"POST /call/view HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx", 400),
         (b"POST /call/none HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 404),
-        (b"GET /call/view HTTP/1.1\r\n\r\n", 405), (b"POST /else HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 404),
-        (b"POST /call/view HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 400),          # no id
-        (b"GET /ping HTTP/1.1\r\nno colon\r\n\r\n", 400), (b"GET /ping HTTP/1.1\r\nA: b\nC: d\r\n\r\n", 400),
+        (b"GET /call/view HTTP/1.1\r\n\r\n", 405),
+        (b"POST /else HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 404),
+        (b"POST /call/view HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 400),  # no id
+        (b"GET /ping HTTP/1.1\r\nno colon\r\n\r\n", 400),
+        (b"GET /ping HTTP/1.1\r\nA: b\nC: d\r\n\r\n", 400),
         (b"GET /ping HTTP/1.1\r\nA: " + b"x" * 5000, 431),
         (message("a", "view", **{"Reserve-Kb": "nan"}), 400),
         (message("a", "view", **{"Reserve-Kb": "-1"}), 400),
@@ -336,13 +345,14 @@
         with Live() as live:
             warm = live.client()
             live.served(warm, "first")
-            for data, status in self.CASES:            # threads that rest are there from now on
+            for data, status in self.CASES:  # threads that rest are there from now on
                 self.ask(live, data, status)
             eventually(lambda: len(live.connections.open) == 1, "closed")
             threads, held = threading.active_count(), descriptors()
-            over_unread = []                           # closing over unread bytes would reset the connection
-            live.enter_context(live.hook(connection_module, "shut",
-                                         lambda sock: over_unread.append(unread(sock))))
+            over_unread = []  # closing over unread bytes would reset the connection
+            live.enter_context(
+                live.hook(connection_module, "shut", lambda sock: over_unread.append(unread(sock)))
+            )
             for i in range(max(1, REPEATS // 10)):
                 for data, status in self.CASES:
                     before = live.count(f"unfit.{status}"), live.count("ends.gateway.declared")
@@ -362,7 +372,7 @@
         try:
             client.sock.sendall(data)
         except OSError:
-            pass                                       # refused before its end
+            pass  # refused before its end
         try:
             self.assertEqual(client.answer(), (status, ""))
             self.assertIsNone(client.answer())
@@ -379,10 +389,13 @@
             threads, held = None, None
             for i in range(REPEATS):
                 client = live.client()
-                client.sock.sendall(data[:random.Random(i).randrange(1, len(data))])
+                client.sock.sendall(data[: random.Random(i).randrange(1, len(data))])
                 if i % 2:
-                    client.sock.setsockopt(connection_module.socket.SOL_SOCKET,
-                                           connection_module.socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+                    client.sock.setsockopt(
+                        connection_module.socket.SOL_SOCKET,
+                        connection_module.socket.SO_LINGER,
+                        b"\1\0\0\0\0\0\0\0",
+                    )
                 client.close()
                 eventually(lambda i=i: live.count("connections.opened") == i + 2, "accepted")
                 eventually(lambda: len(live.connections.open) == 1, "closed")
--- a/tests/crossing/test_dependency.py
+++ b/tests/crossing/test_dependency.py
@@ -1,4 +1,5 @@
 """Thirty servers of one process each, every one deciding alone, over one dependency that is cold and slow."""
+
 import contextlib
 import json
 import pathlib
@@ -16,11 +17,11 @@
 from gullyoke.lab.ports import free
 
 SERVERS = 30
-SHARE, SPAN_S = 0.5, 2.0               # the calls in hand that each server may have, in the mean of a span
-LINGER_S = 0.2                         # a call given up stays in the dependency's hands so long
-COLD_S, LOAD_S = 3.0, 6.0              # how long the dependency is cold, and how long the clients go on
-COLD_CALL_S, CALL_S = 0.5, 0.05        # a call's time while it is cold, and later
-SLOTS = 6                              # in hand beyond these, all calls take longer
+SHARE, SPAN_S = 0.5, 2.0  # the calls in hand that each server may have, in the mean of a span
+LINGER_S = 0.2  # a call given up stays in the dependency's hands so long
+COLD_S, LOAD_S = 3.0, 6.0  # how long the dependency is cold, and how long the clients go on
+COLD_CALL_S, CALL_S = 0.5, 0.05  # a call's time while it is cold, and later
+SLOTS = 6  # in hand beyond these, all calls take longer
 
 
 class Dependency(StandIn):
@@ -68,8 +69,10 @@
     def most(self):
         """The highest mean of calls in hand over any span of the stated length."""
         edges = sorted({t for span in self.spans for t in span})
-        return max(sum(max(0.0, min(b, edge) - max(a, edge - SPAN_S)) for a, b in self.spans) / SPAN_S
-                   for edge in edges)
+        return max(
+            sum(max(0.0, min(b, edge) - max(a, edge - SPAN_S)) for a, b in self.spans) / SPAN_S
+            for edge in edges
+        )
 
 
 class CallingEngine(Engine):
@@ -96,16 +99,35 @@
         self.engine, self.listen, self.number = CallingEngine(), free(), number
         self.engine.state, self.served, self.calls = "cold", 0, 0
         settings = site(target=900, timeout=2500, cores=2)
-        settings["FamilyInfo"] |= {"CallsOut": SHARE, "ShareSpanUs": int(SPAN_S * 1e6),
-                                   "LingerUs": int(LINGER_S * 1e6), "FreshStart": True}
+        settings["FamilyInfo"] |= {
+            "CallsOut": SHARE,
+            "ShareSpanUs": int(SPAN_S * 1e6),
+            "LingerUs": int(LINGER_S * 1e6),
+            "FreshStart": True,
+        }
         at = "{}:{}".format
         path = pathlib.Path(folder, f"n{number}.json")
-        path.write_text(json.dumps({
-            "name": f"n{number}", "listen": at(*self.listen), "engine": at(*self.engine.address),
-            "naming": at(*naming.address), "db": at(*dependency.address), "seed": f"{number:x}",
-            "stop_ms": 300, "settings": settings, "limits": {"sockets": 128}}))
-        self.process = subprocess.Popen([sys.executable, "-m", "gullyoke"], cwd=ROOT,
-                                        stderr=subprocess.DEVNULL, env={"NODE_CONFIG": str(path)})
+        path.write_text(
+            json.dumps(
+                {
+                    "name": f"n{number}",
+                    "listen": at(*self.listen),
+                    "engine": at(*self.engine.address),
+                    "naming": at(*naming.address),
+                    "db": at(*dependency.address),
+                    "seed": f"{number:x}",
+                    "stop_ms": 300,
+                    "settings": settings,
+                    "limits": {"sockets": 128},
+                }
+            )
+        )
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "gullyoke"],
+            cwd=ROOT,
+            stderr=subprocess.DEVNULL,
+            env={"NODE_CONFIG": str(path)},
+        )
 
     def ready(self):
         with contextlib.suppress(OSError), socket.create_connection(self.listen, 1) as conn:
@@ -128,7 +150,7 @@
                 file.read(length)
                 self.served += status == 200
                 if status != 200:
-                    time.sleep(0.02)                   # what is turned away comes again soon, and again
+                    time.sleep(0.02)  # what is turned away comes again soon, and again
 
 
 class Cold(unittest.TestCase):
@@ -149,8 +171,11 @@
                 eventually(one.ready, "a server ready")
             dependency.began = time.monotonic()
             until = dependency.began + LOAD_S
-            clients = [threading.Thread(target=one.load, args=(until, lane))
-                       for one in servers for lane in "ab"]
+            clients = [
+                threading.Thread(target=one.load, args=(until, lane))
+                for one in servers
+                for lane in "ab"
+            ]
             for client in clients:
                 client.start()
             for client in clients:
@@ -160,10 +185,13 @@
                 one.process.terminate()
             self.assertEqual({one.process.wait(PATIENCE) for one in servers}, {0})
             most, total = dependency.most(), SERVERS * SHARE
-            print(f"calls in hand, mean of {SPAN_S:g} s: {most:.1f} at the most of {total:g}; "
-                  f"{sum(one.served for one in servers)} requests served", file=sys.stderr)
+            print(
+                f"calls in hand, mean of {SPAN_S:g} s: {most:.1f} at the most of {total:g}; "
+                f"{sum(one.served for one in servers)} requests served",
+                file=sys.stderr,
+            )
             self.assertLessEqual(most, total)
-            self.assertGreater(most, total / 4)        # the bound was near enough to matter
+            self.assertGreater(most, total / 4)  # the bound was near enough to matter
             self.assertGreater(sum(one.served for one in servers), SERVERS)
 
 
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -1,4 +1,5 @@
 """Requests, runs and calls: an answer, a repeat, a reply or a broken link that comes between two lines."""
+
 import socket
 import threading
 import types
@@ -62,17 +63,22 @@
                 if first == "deadline":
                     eventually(lambda: request.outcome is not None, "answered at its deadline")
 
-            def before_counted(outcome):               # between the last guard and the answer's writing
+            def before_counted(outcome):  # between the last guard and the answer's writing
                 eventually(lambda: not live.desk.reqs, "the run's end handled")
 
-            with live.hook(Desk, "overdue", before_overdue), live.hook(Relay, "done", before_done), \
-                    live.hook(intake_module, "told_of", before_counted), \
-                    mock.patch.object(desk_module, "threading", types.SimpleNamespace(Lock=Gate)):
+            with (
+                live.hook(Desk, "overdue", before_overdue),
+                live.hook(Relay, "done", before_done),
+                live.hook(intake_module, "told_of", before_counted),
+                mock.patch.object(desk_module, "threading", types.SimpleNamespace(Lock=Gate)),
+            ):
                 for i in range(REPEATS):
                     client.send(f"x{i}")
                     live.run(f"x{i}")
                     live.desk.reqs[tid(f"x{i}")].gate.expire()
-                    self.assertEqual(client.answer(), (200, "fine") if first == "run" else (500, ""))
+                    self.assertEqual(
+                        client.answer(), (200, "fine") if first == "run" else (500, "")
+                    )
                     eventually(lambda: not live.desk.reqs, "out of hand")
                     self.assertEqual(answers(live), i + 1)
             self.assertEqual(live.count("answers.overdue"), REPEATS)
@@ -99,8 +105,10 @@
                 read = live.count("reqs.read")
 
                 def before_done(relay, req, word, result, i=i, read=read):
-                    two.send(f"r{i}", "book", of=f"k{i}", **{"Replay-Key": f"k{i}", "Is-Retry": "1"})
-                    if first == "repeat":              # it waits for the lock that this thread holds
+                    two.send(
+                        f"r{i}", "book", of=f"k{i}", **{"Replay-Key": f"k{i}", "Is-Retry": "1"}
+                    )
+                    if first == "repeat":  # it waits for the lock that this thread holds
                         eventually(lambda: live.connection(two).request is not None, "handed on")
 
                 one.send(f"f{i}", "book", of=f"k{i}", **{"Replay-Key": f"k{i}"})
@@ -142,8 +150,11 @@
         hand it is a repeat whenever it comes."""
         handler = Handler("book", 1, 1, 1.0, Kind.UNIQUED, 0.0, 1000, False, 0.0, 0.0)
         for kept in range(REPEATS):
+
             def request(arrived, content=1):
-                return mock.Mock(handler=handler, key="k", arrived=arrived, content=content, entry=None)
+                return mock.Mock(
+                    handler=handler, key="k", arrived=arrived, content=content, entry=None
+                )
 
             repeats, first = Repeats(0), request(0)
             repeats.keep(first, kept + 1000)
@@ -183,10 +194,12 @@
                 heard.append(word)
 
             client = live.client()
-            with live.hook(database_module.Database, "limit", before_limit), \
-                    live.hook(database_module.Database, "_ended", before_ended), \
-                    live.hook(Relay, "called", called), \
-                    mock.patch.object(live.desk.server.below, "try_for", lambda req, now: 50_000):
+            with (
+                live.hook(database_module.Database, "limit", before_limit),
+                live.hook(database_module.Database, "_ended", before_ended),
+                live.hook(Relay, "called", called),
+                mock.patch.object(live.desk.server.below, "try_for", lambda req, now: 50_000),
+            ):
                 for i in range(REPEATS):
                     del heard[:]
                     client.send(f"p{i}", "pay")
@@ -200,7 +213,7 @@
                         live.done(f"p{i}")
                         self.assertEqual(client.answer(), (200, "fine"))
                         self.assertEqual(heard, [Word.CALL_OK])
-                    else:                              # it may have had its effect, and is not made again
+                    else:  # it may have had its effect, and is not made again
                         self.assertEqual(client.answer(), (500, ""))
                         self.assertEqual(heard, [Word.CALL_LOST])
                         live.done(f"p{i}", "", "halted")
@@ -219,7 +232,10 @@
     @apart
     def test_taken_back_while_it_connects(self):
         """A call is given up while its connection comes about: the connection carries the next call."""
-        with Live() as live, mock.patch.object(live.desk.server.below, "try_for", lambda req, now: 60_000):
+        with (
+            Live() as live,
+            mock.patch.object(live.desk.server.below, "try_for", lambda req, now: 60_000),
+        ):
             client = live.client()
             real = database_module.connected
 
@@ -240,7 +256,7 @@
                     live.run(f"g{i}")
                     live.need(f"g{i}")
                     eventually(lambda: hands.idle, "its connection in the pool")
-                live.engine.heard.get(timeout=PATIENCE)       # it goes on without the call
+                live.engine.heard.get(timeout=PATIENCE)  # it goes on without the call
                 live.done(f"g{i}")
                 self.assertEqual(client.answer(), (200, "fine"))
                 self.assertEqual(len(hands.idle), 1)
@@ -288,7 +304,9 @@
                 self.assertEqual(live.db.heard.get(timeout=PATIENCE)[:3], ["Q", f"b{i}", "ask"])
                 live.engine.notices += 1
                 for _ in range(2):
-                    live.engine.say(f"DONE {live.engine.notices} {tid(f'b{i}')} ok 12 4\r\nfine\r\n")
+                    live.engine.say(
+                        f"DONE {live.engine.notices} {tid(f'b{i}')} ok 12 4\r\nfine\r\n"
+                    )
                 self.assertEqual(client.answer(), (200, "fine"))
                 eventually(lambda: not live.desk.reqs, "out of hand")
                 self.assertTrue(live.db.heard.empty())
@@ -339,7 +357,7 @@
 
                     def sendall(self, data):
                         self.writing = True
-                        self.sock.shutdown(socket.SHUT_RDWR)      # the reading side finds the end now
+                        self.sock.shutdown(socket.SHUT_RDWR)  # the reading side finds the end now
                         eventually(lambda: not work.attached, "the reading side at its close")
                         self.writing = False
 
--- a/tests/crossing/test_signals.py
+++ b/tests/crossing/test_signals.py
@@ -3,6 +3,7 @@
 
 Run as a program, this file is that process: `test_signals.py POINT`.
 """
+
 import contextlib
 import os
 import pathlib
@@ -20,7 +21,7 @@
 
     from crossing.live import REPEATS, SIDE_BY_SIDE
 
-    TIMES = max(1, REPEATS // 10)                      # a process each: fewer than crossings within one
+    TIMES = max(1, REPEATS // 10)  # a process each: fewer than crossings within one
 
 # By point: what is hooked (module, owner, function), and the signals raised there, call by call.
 TERM, HUP = signal.SIGTERM, signal.SIGHUP
@@ -31,13 +32,23 @@
     "accepting": [("gullyoke.front.connections", "ConnectionTable", "start", [TERM])],
     "before the wait": [("signal", None, "sigwait", [TERM])],
     "reload": [("signal", None, "sigwait", [HUP]), ("gullyoke.daemon.house", None, "told", [TERM])],
-    "two reloads": [("signal", None, "sigwait", [HUP]), ("gullyoke.daemon.house", None, "told", [HUP, TERM])],
-    "twice": [("signal", None, "sigwait", [TERM]), ("gullyoke.core.desk", "Desk", "leave", [TERM]),
-              ("gullyoke.front.connections", "ConnectionTable", "leave", [TERM])],
-    "reload in the drain": [("signal", None, "sigwait", [TERM]),
-                            ("gullyoke.core.desk", "Desk", "leave", [HUP])],
-    "reload at the end": [("signal", None, "sigwait", [TERM]),
-                          ("gullyoke.front.connections", "ConnectionTable", "leave", [HUP, TERM])],
+    "two reloads": [
+        ("signal", None, "sigwait", [HUP]),
+        ("gullyoke.daemon.house", None, "told", [HUP, TERM]),
+    ],
+    "twice": [
+        ("signal", None, "sigwait", [TERM]),
+        ("gullyoke.core.desk", "Desk", "leave", [TERM]),
+        ("gullyoke.front.connections", "ConnectionTable", "leave", [TERM]),
+    ],
+    "reload in the drain": [
+        ("signal", None, "sigwait", [TERM]),
+        ("gullyoke.core.desk", "Desk", "leave", [HUP]),
+    ],
+    "reload at the end": [
+        ("signal", None, "sigwait", [TERM]),
+        ("gullyoke.front.connections", "ConnectionTable", "leave", [HUP, TERM]),
+    ],
 }
 IMPORTING = "importing"
 
@@ -50,6 +61,7 @@
         if left:
             os.kill(os.getpid(), left.pop(0))
         return real(*given, **named)
+
     return hooked
 
 
@@ -68,7 +80,7 @@
     if point == IMPORTING:
         sys.meta_path.insert(0, Importing())
     else:
-        signal.pthread_sigmask(signal.SIG_BLOCK, {TERM, HUP})    # the hooks import what they hook
+        signal.pthread_sigmask(signal.SIG_BLOCK, {TERM, HUP})  # the hooks import what they hook
         for module, owner, name, signals in POINTS[point]:
             at = __import__(module, fromlist=["x"])
             at = getattr(at, owner) if owner else at
@@ -83,8 +95,13 @@
             scene.given["stop_ms"] = 300.0
             scene.engine.state = "warm"
             scene.configure_file()
-            process = subprocess.Popen([sys.executable, __file__, point], cwd=ROOT, stderr=subprocess.PIPE,
-                                       text=True, env=os.environ | {"NODE_CONFIG": scene.config})
+            process = subprocess.Popen(
+                [sys.executable, __file__, point],
+                cwd=ROOT,
+                stderr=subprocess.PIPE,
+                text=True,
+                env=os.environ | {"NODE_CONFIG": scene.config},
+            )
             _, printed = process.communicate(timeout=PATIENCE)
             os.unlink(scene.config)
         return process.returncode, printed
@@ -98,7 +115,9 @@
                     self.assertEqual(printed.count("event=leaving"), 1, printed)
                     self.assertEqual(printed.count("event=left"), 1, printed)
                     self.assertNotIn("event=fault", printed)
-                    reloads = {"reload": 1, "two reloads": 2, "reload in the drain": 1}.get(point, 0)
+                    reloads = {"reload": 1, "two reloads": 2, "reload in the drain": 1}.get(
+                        point, 0
+                    )
                     self.assertEqual(printed.count('event="configuration read"'), reloads, printed)
 
 
--- a/tests/daemon/test_lean.py
+++ b/tests/daemon/test_lean.py
@@ -1,4 +1,5 @@
 """The deploy file's `run` as the platform starts it, looked at from outside: one lean process of ours."""
+
 import contextlib
 import os
 import pathlib
@@ -38,8 +39,10 @@
             here = pathlib.Path(scene.folder.name)
             python = here / "python3"
             # Makes a folder whose pip fails the first time, as a cut would leave it.
-            python.write_text('#!/bin/sh\nmkdir -p .venv/bin\necho x >> made\n'
-                              'printf "#!/bin/sh\\ntest -e ready" > .venv/bin/pip\nchmod +x .venv/bin/pip\n')
+            python.write_text(
+                "#!/bin/sh\nmkdir -p .venv/bin\necho x >> made\n"
+                'printf "#!/bin/sh\\ntest -e ready" > .venv/bin/pip\nchmod +x .venv/bin/pip\n'
+            )
             python.chmod(0o755)
             env = os.environ | {"PATH": f"{here}:{os.environ['PATH']}"}
 
@@ -50,15 +53,21 @@
             (here / "ready").touch()
             self.assertEqual(once(), 0)
             self.assertEqual(once(), 0)
-            self.assertEqual((here / "made").read_text(), "x\nx\n")    # twice: the third found it whole
+            self.assertEqual(
+                (here / "made").read_text(), "x\nx\n"
+            )  # twice: the third found it whole
 
     def test_run(self):
         """One process by `exec`, linked dynamically, nothing foreign in it, no child, no Unix socket."""
         with contextlib.closing(Sockets()) as scene:
             scene.configure_file()
             scene.process = subprocess.Popen(
-                ["/bin/sh", "-c", self.run_line()], cwd=ROOT, stderr=subprocess.PIPE, text=True,
-                env=os.environ | {"NODE_CONFIG": scene.config})
+                ["/bin/sh", "-c", self.run_line()],
+                cwd=ROOT,
+                stderr=subprocess.PIPE,
+                text=True,
+                env=os.environ | {"NODE_CONFIG": scene.config},
+            )
             threading.Thread(target=scene.collect, args=(scene.process,), daemon=True).start()
             scene.line("engine up warm".split())
             scene.line("1 read a pay".split())
@@ -66,36 +75,53 @@
             scene.line("engine done a ok fine".split())
             scene.line("1< 200 fine".split())
             pid = pathlib.Path(f"/proc/{scene.process.pid}")
-            self.assertIn("python", os.readlink(pid / "exe"))          # the shell itself became it
+            self.assertIn("python", os.readlink(pid / "exe"))  # the shell itself became it
             children = "".join((task / "children").read_text() for task in (pid / "task").iterdir())
             self.assertEqual(children.split(), [])
             maps = (pid / "maps").read_text()
             self.assertRegex(maps, r"/libc[.-]\S*so")
             self.assertNotIn(FOREIGN, maps)
             held = {os.readlink(fd) for fd in (pid / "fd").iterdir()}
-            unix = {f"socket:[{line.split()[6]}]" for line in
-                    pathlib.Path("/proc/net/unix").read_text().splitlines()[1:]}
+            unix = {
+                f"socket:[{line.split()[6]}]"
+                for line in pathlib.Path("/proc/net/unix").read_text().splitlines()[1:]
+            }
             self.assertEqual(held & unix, set())
             self.assertFalse([name for name in held if FOREIGN in name])
             resident = usage.resident(scene.process.pid) / 1024
             cpu = usage.cpu(scene.process.pid)
-            print(f"lean start and one req: {cpu:.2f} s of CPU, {resident:.1f} MB resident", file=sys.stderr)
+            print(
+                f"lean start and one req: {cpu:.2f} s of CPU, {resident:.1f} MB resident",
+                file=sys.stderr,
+            )
             self.assertLess(resident, RESIDENT_MB)
             self.assertLess(cpu, CPU_S)
 
     def test_imports(self):
         """What the lean start imports: the standard library and the packages that the deploy file names."""
-        code = ("import sys, gullyoke.daemon.start\n"
-                "for name, one in sorted(sys.modules.items()):\n"
-                "    print(name, getattr(one, '__file__', None) or '-')")
+        code = (
+            "import sys, gullyoke.daemon.start\n"
+            "for name, one in sorted(sys.modules.items()):\n"
+            "    print(name, getattr(one, '__file__', None) or '-')"
+        )
         got = subprocess.check_output([sys.executable, "-c", code], cwd=ROOT, text=True)
         rows = [line.split(" ", 1) for line in got.splitlines()]
-        self.assertEqual([name for name, path in rows if FOREIGN in path and not name.startswith("_")], [])
+        self.assertEqual(
+            [name for name, path in rows if FOREIGN in path and not name.startswith("_")], []
+        )
         ours = sorted(name for name, _ in rows if name.startswith("gullyoke"))
-        named = self.deploy()["node"] + self.deploy()["policy"] + ["gullyoke/port", "gullyoke/options.py"]
+        named = (
+            self.deploy()["node"]
+            + self.deploy()["policy"]
+            + ["gullyoke/port", "gullyoke/options.py"]
+        )
         allowed = {path.removesuffix(".py").replace("/", ".") for path in named}
-        strange = [name for name in ours if name != "gullyoke"
-                   and not any(name == a or name.startswith(a + ".") for a in allowed)]
+        strange = [
+            name
+            for name in ours
+            if name != "gullyoke"
+            and not any(name == a or name.startswith(a + ".") for a in allowed)
+        ]
         self.assertEqual(strange, [])
         self.assertNotIn("multiprocessing", {name for name, _ in rows})
         self.assertLessEqual(len(ours), OURS)
--- a/tests/daemon/test_naming.py
+++ b/tests/daemon/test_naming.py
@@ -1,4 +1,5 @@
 """Reports to a name service that answers badly."""
+
 import contextlib
 import random
 import socket
@@ -34,7 +35,7 @@
     def test_byte_by_byte(self):
         """Each byte comes in time, the answer does not: it is given up when its own time is over."""
         with contextlib.ExitStack() as stack:
-            naming = self.served(stack, [ANSWER[i:i + 1] for i in range(len(ANSWER))], LIMIT / 10)
+            naming = self.served(stack, [ANSWER[i : i + 1] for i in range(len(ANSWER))], LIMIT / 10)
             began = time.monotonic()
             with self.assertRaises(Ended) as ended:
                 naming.report()
@@ -52,7 +53,7 @@
     def test_pieces_in_time(self):
         """Pieces are no fault while the whole comes in time."""
         with contextlib.ExitStack() as stack:
-            naming = self.served(stack, [ANSWER[i:i + 1] for i in range(len(ANSWER))], 0)
+            naming = self.served(stack, [ANSWER[i : i + 1] for i in range(len(ANSWER))], 0)
             for _ in range(3):
                 self.assertIs(naming.report(), End.DECLARED)
 
--- a/tests/durable/test_durable.py
+++ b/tests/durable/test_durable.py
@@ -1,4 +1,5 @@
 """A real server whose disk fills, fails, hangs or goes, and keys over its restarts."""
+
 import pathlib
 import unittest
 
@@ -18,7 +19,8 @@
         """Four servers with keys: the voters' disks are full, one is killed and its duty promised anew on
         them; there is room again, and another comes back on an older copy of its folder, which is not
         believed."""
-        verdict = Play(read("""
+        verdict = Play(
+            read("""
             members 4 zones 2 seed 5 load 6 voters 3 lease_ms 1000 uniqued 0.5
             at 0 heal
             by 6 held
@@ -38,7 +40,8 @@
             at 12 start m3
             by 20 logged m3 keys not believed
             by 20 disks all well
-            end 14""")).run()
+            end 14""")
+        ).run()
         self.assertTrue(verdict.good(), "\n".join(verdict.lines()))
         self.assertGreater(verdict.reqs["keyed done"], 20)
 
--- a/tests/durable/test_rules.py
+++ b/tests/durable/test_rules.py
@@ -1,4 +1,5 @@
 """The rules of what lasts, without a disk: its state, waits, rooms, trust, the notes of reqs, cells."""
+
 import errno
 import pathlib
 import random
@@ -64,7 +65,7 @@
             self.assertEqual(one.state(now).value, " ".join(words))
         elif what == "trial":
             self.assertEqual(one.trial(now), words == ["yes"])
-        else:                                         # takes a share: just under it yes, over it no
+        else:  # takes a share: just under it yes, over it no
             share = float(words[0])
             draws[0] = share - 0.01
             self.assertTrue(one.takes(now))
@@ -88,7 +89,7 @@
                 one.ended(now, one.began(now, "sync"), errno.EIO if faulty else None, trial)
             if now > 300 * SECOND + DWELL_LONGEST + 30 * SECOND:
                 self.assertIs(one.state(now), State.WELL)
-        self.assertLessEqual(len(turns), 40)          # 300 s of faults at every third call
+        self.assertLessEqual(len(turns), 40)  # 300 s of faults at every third call
 
 
 class Waiting(unittest.TestCase):
@@ -116,8 +117,10 @@
         rooms = Rooms(10_000)
         rooms.used |= {Kind.MEMORY: 50, Kind.RECORD: 100, Kind.RESULTS: 4_000, Kind.NOTES: 2_000}
         self.assertAlmostEqual(rooms.left(), 0.385)
-        self.assertEqual([(g.kind, g.bytes) for g in rooms.goes(State.NEAR_FULL)],
-                         [(Kind.MEMORY, 50), (Kind.RECORD, 100), (Kind.RESULTS, 50)])
+        self.assertEqual(
+            [(g.kind, g.bytes) for g in rooms.goes(State.NEAR_FULL)],
+            [(Kind.MEMORY, 50), (Kind.RECORD, 100), (Kind.RESULTS, 50)],
+        )
         self.assertEqual(rooms.goes(State.WELL), [])
         rooms.used |= {Kind.RECORD: 1_600, Kind.NOTES: 9_000}
         self.assertEqual([(g.kind, g.bytes) for g in rooms.goes(State.WELL)], [(Kind.RECORD, 100)])
@@ -139,15 +142,16 @@
         now = 10**15
         own = Mark(2, "n1", 100, now)
         for mark, rows, known, at, wanted in (
-                (None, 0, 0, now, (False, True, False)),            # the first start
-                (None, 0, 90, now, (False, True, True)),            # a lost folder: others know this name
-                (None, 5, 0, now, (True, True, False)),             # of format 1
-                (own, 5, 100, now, (True, True, False)),
-                (own, 5, 101, now, (False, True, True)),            # an older copy
-                (own._replace(name="n2"), 5, 0, now, (False, True, False)),
-                (own._replace(name="n2"), 5, 7, now, (False, True, True)),
-                (own._replace(format=3), 5, 0, now, (False, False, True)),
-                (own, 5, 0, now - 3600 * SECOND, (True, True, False))):   # the clock went back
+            (None, 0, 0, now, (False, True, False)),  # the first start
+            (None, 0, 90, now, (False, True, True)),  # a lost folder: others know this name
+            (None, 5, 0, now, (True, True, False)),  # of format 1
+            (own, 5, 100, now, (True, True, False)),
+            (own, 5, 101, now, (False, True, True)),  # an older copy
+            (own._replace(name="n2"), 5, 0, now, (False, True, False)),
+            (own._replace(name="n2"), 5, 7, now, (False, True, True)),
+            (own._replace(format=3), 5, 0, now, (False, False, True)),
+            (own, 5, 0, now - 3600 * SECOND, (True, True, False)),
+        ):  # the clock went back
             with self.subTest(mark=mark, rows=rows, known=known):
                 self.assertEqual(trusted(mark, rows, "n1", known, at)[:3], wanted)
         self.assertEqual(marked(own, "n1", 40, 7), Mark(2, "n1", 101, 7))
@@ -199,15 +203,21 @@
             if what == 0:
                 key = f"k{chance.randrange(40)}"
                 known = one.past(now, key) is not None
-                said = one.asked(now, key, now, now + 20 * SECOND, now + 5 * SECOND, 1000,
-                                 chance.random() < 0.8)
+                said = one.asked(
+                    now, key, now, now + 20 * SECOND, now + 5 * SECOND, 1000, chance.random() < 0.8
+                )
                 self.assertEqual(known, isinstance(said, Act) and said.do is Do.KNOWN)
                 asked += not known
                 take(said)
             elif what in (1, 2) and queue:
                 put = queue.pop(0)
-                take(one.written(now, put, True) if chance.random() < 0.8 else one.unqueued(now, put)
-                     if chance.random() < 0.5 else one.written(now, put, False))
+                take(
+                    one.written(now, put, True)
+                    if chance.random() < 0.8
+                    else one.unqueued(now, put)
+                    if chance.random() < 0.5
+                    else one.written(now, put, False)
+                )
             elif what == 3 and running:
                 body = b"x" * chance.randrange(300)
                 take(one.ended(now, running.pop(), 200, (), body, chance.random() < 0.8))
@@ -226,7 +236,9 @@
         self.assertEqual(asked, told)
         one.expire(now + 60 * SECOND)
         self.assertEqual((one.ends, len(one.results)), ([], 0))
-        self.assertEqual([row.stage for row in one.rows.values() if row.stage is not Stage.LEFT], [])
+        self.assertEqual(
+            [row.stage for row in one.rows.values() if row.stage is not Stage.LEFT], []
+        )
 
 
 class Fixed:
@@ -234,7 +246,7 @@
 
     def __init__(self, data=None):
         self.data = data
-        self.cut = None                               # so many bytes of the next write come there
+        self.cut = None  # so many bytes of the next write come there
 
     def names(self):
         return [] if self.data is None else [NAME]
@@ -247,7 +259,7 @@
 
     def write_at(self, name, at, data):
         size = len(data) if self.cut is None else self.cut
-        self.data[at:at + size] = data[:size]
+        self.data[at : at + size] = data[:size]
         if self.cut is not None:
             raise OSError(errno.EIO, "cut")
 
@@ -278,7 +290,11 @@
             self.assertEqual(dict(Cells(again.files, 3).items()), {"a": b"6", "b": b"4", "d": b"7"})
 
     @settings(max_examples=100, deadline=None, derandomize=True, database=None)
-    @given(st.lists(st.tuples(st.sampled_from("abcdef"), st.none() | st.binary(max_size=40), st.booleans())))
+    @given(
+        st.lists(
+            st.tuples(st.sampled_from("abcdef"), st.none() | st.binary(max_size=40), st.booleans())
+        )
+    )
     def test_like_a_dict(self, steps):
         """Any puts and removals, starts in between: what was put is there; a sixth key finds no cell."""
         files, wanted = Fixed(), {}
@@ -291,7 +307,9 @@
                 self.assertGreaterEqual(sum(v is not None for v in wanted.values()), 4)
             if anew:
                 cells = Cells(files, 4)
-            self.assertEqual(dict(cells.items()), {k: v for k, v in wanted.items() if v is not None})
+            self.assertEqual(
+                dict(cells.items()), {k: v for k, v in wanted.items() if v is not None}
+            )
 
     def test_too_long(self):
         with self.assertRaises(Full):
--- a/tests/duty/test_duty.py
+++ b/tests/duty/test_duty.py
@@ -1,5 +1,6 @@
 """Voters, candidates and what stands on them, without sockets: many seeds of loss, stalls, restarts and
 failing disks in the model's clock; the roll, the register and the asking each by itself."""
+
 import random
 import unittest
 from collections import Counter
@@ -123,18 +124,23 @@
         said = voter.sound(0, post.message)
         self.assertEqual((said.voters, one.hear(0, said), one.yes), (2, [], set()))
 
-
     def test_next_set(self):
         """A running server takes over the next set of voters, one more or fewer, and nothing else."""
         three = {"a": "1:1", "b": "1:2", "c": "1:3"}
         part = Duty(Dutied(three, 4, 10**6, 1000, "/f", False, False, False, False, ()))
         part.fleet = mock.Mock()
         part.fleet.house.told.name = "b"
-        for voters, number, fits in ((three | {"d": "1:4"}, 5, True), ({"a": "1:1", "b": "1:2"}, 5, True),
-                                     (three | {"d": "1:4"}, 6, False), (three, 4, False), (three, 3, False),
-                                     (three | {"d": "1:4", "e": "1:5"}, 5, False),
-                                     ({"a": "1:1", "b": "1:2", "d": "1:4"}, 5, False),
-                                     (three | {"c": "1:9"}, 5, False), (three, 5, True)):
+        for voters, number, fits in (
+            (three | {"d": "1:4"}, 5, True),
+            ({"a": "1:1", "b": "1:2"}, 5, True),
+            (three | {"d": "1:4"}, 6, False),
+            (three, 4, False),
+            (three, 3, False),
+            (three | {"d": "1:4", "e": "1:5"}, 5, False),
+            ({"a": "1:1", "b": "1:2", "d": "1:4"}, 5, False),
+            (three | {"c": "1:9"}, 5, False),
+            (three, 5, True),
+        ):
             with self.subTest(voters=voters, number=number):
                 self.assertEqual(part.fits(part.wanted._replace(voters=voters, set=number)), fits)
         part.wanted = part.wanted._replace(folder="")
@@ -143,9 +149,21 @@
 
 class Placing(unittest.TestCase):
     @settings(max_examples=100, deadline=None, derandomize=True, database=None)
-    @given(st.lists(st.builds(Placed, st.sampled_from([f"m{i}" for i in range(9)]), st.booleans(),
-                              st.booleans(), st.booleans(), st.floats(0, 1), st.booleans()),
-                    unique_by=lambda one: one.name, min_size=1))
+    @given(
+        st.lists(
+            st.builds(
+                Placed,
+                st.sampled_from([f"m{i}" for i in range(9)]),
+                st.booleans(),
+                st.booleans(),
+                st.booleans(),
+                st.floats(0, 1),
+                st.booleans(),
+            ),
+            unique_by=lambda one: one.name,
+            min_size=1,
+        )
+    )
     def test_order(self, members):
         """The same for all, whatever order they see; who leaves is last; who is first waits for nobody."""
         ranked = order("d", members)
@@ -165,7 +183,11 @@
 
 class Fences(unittest.TestCase):
     @settings(max_examples=200, deadline=None, derandomize=True, database=None)
-    @given(st.lists(st.tuples(st.sampled_from("ab"), st.integers(1, 5), st.integers(1, 3)), max_size=30))
+    @given(
+        st.lists(
+            st.tuples(st.sampled_from("ab"), st.integers(1, 5), st.integers(1, 3)), max_size=30
+        )
+    )
     def test_fence(self, acts):
         """What is taken never goes back, and each epoch is one process's."""
         fence, taken = Fence(), []
@@ -179,15 +201,19 @@
 
     def test_bad_histories(self):
         """The checker of histories finds what must not be, and nothing in what may."""
+
         def acts(*rows):
             return [Act(float(i), float(i), "d", *row) for i, row in enumerate(rows)]
+
         good = acts((1, "a", True), (1, "a", True), (2, "b", True), (1, "a", False), (2, "b", True))
         self.assertEqual(history.faults(good), [])
         back = acts((1, "a", True), (2, "b", True), (1, "a", True))
         self.assertIn("after one of 2", history.faults(back)[0])
         self.assertIn("two processes", history.faults(acts((1, "a", True), (1, "b", True)))[0])
         self.assertEqual(history.gaps(good, "d"), [1.0])
-        self.assertAlmostEqual(history.held_share(good, "d", 0, 4, 0.2), 1 - (0.4 + 0.4 + 1.4) / 4, places=6)
+        self.assertAlmostEqual(
+            history.held_share(good, "d", 0, 4, 0.2), 1 - (0.4 + 0.4 + 1.4) / 4, places=6
+        )
 
 
 class Left(unittest.TestCase):
@@ -213,7 +239,7 @@
         for holder in range(5):
             epoch += 1
             majority = chance.sample(sorted(voters), 2)
-            promised.update(dict.fromkeys(majority, epoch))    # a lease was granted by these
+            promised.update(dict.fromkeys(majority, epoch))  # a lease was granted by these
             register = Register("d", holder, epoch, voters)
             for step in range(chance.randrange(2, 8)):
                 message = register.asks()
@@ -256,7 +282,7 @@
         self.assertAlmostEqual(tries, 10 * SECOND / TRIAL, delta=2)
         one.hold(False)
         begin += 10 * SECOND
-        one.told(begin, 6, False)                     # of an older epoch, or none since: 7 was before holding
+        one.told(begin, 6, False)  # of an older epoch, or none since: 7 was before holding
         one.told(begin, 8, False)
         self.assertFalse(one.dead)
         first = sum(one.may(begin + chance.randrange(OPENING // 10)) for _ in range(400))
@@ -275,8 +301,13 @@
 
 class Rolls(unittest.TestCase):
     def fleet(self, rows, shed=0.0):
-        return roll.Fleet(tuple(roll.Seen(name, zone, start, there, since, True)
-                                for name, (zone, start, there, since) in sorted(rows.items())), shed)
+        return roll.Fleet(
+            tuple(
+                roll.Seen(name, zone, start, there, since, True)
+                for name, (zone, start, there, since) in sorted(rows.items())
+            ),
+            shed,
+        )
 
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6))
@@ -287,7 +318,7 @@
         n, zones = chance.randrange(3, 14), chance.randrange(1, 4)
         at_once, a_zone = chance.choice((0.1, 0.3)), chance.choice((0.3, 0.5))
         rows = {f"m{i}": (f"z{i % zones}", 100 + i % 3, True, 0) for i in range(n)}
-        behind = chance.choice(sorted(rows))          # its clock is behind: its new start is hardly later
+        behind = chance.choice(sorted(rows))  # its clock is behind: its new start is hardly later
         plan = roll.start(roll.Plan(), self.fleet(rows), at_once, a_zone)
         now, gone, told, conductor = 0, {}, Counter(), "m0"
         for _ in range(4000):
@@ -295,11 +326,16 @@
             for name, until in list(gone.items()):
                 if now >= until:
                     zone, start, *_ = rows[name]
-                    rows[name] = zone, start + 1 if name == behind else 500 + now // SECOND, True, now
+                    rows[name] = (
+                        zone,
+                        start + 1 if name == behind else 500 + now // SECOND,
+                        True,
+                        now,
+                    )
                     del gone[name]
             if chance.random() < 0.1 or not rows[conductor][2]:
                 conductor = chance.choice([name for name, row in rows.items() if row[2]])
-                plan = roll.unpacked(plan.pack())     # what the last one left
+                plan = roll.unpacked(plan.pack())  # what the last one left
             after = roll.step(plan, now, self.fleet(rows), conductor)
             for name, _, start in after.doing:
                 if rows[name][1] == start and rows[name][2] and name not in gone:
@@ -311,7 +347,9 @@
             self.assertLessEqual(len(away), max(1, int(at_once * n)))
             for zone in {row[0] for row in rows.values()}:
                 count = sum(row[0] == zone for row in rows.values())
-                self.assertLessEqual(sum(rows[name][0] == zone for name in away), max(1, int(a_zone * count)))
+                self.assertLessEqual(
+                    sum(rows[name][0] == zone for name in away), max(1, int(a_zone * count))
+                )
             if plan.state == "done":
                 break
         self.assertEqual(plan.state, "done", plan)
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -1,4 +1,5 @@
 """The emulator against theory, and the planner's bound against brute force on tiny days."""
+
 import itertools
 import math
 import random
@@ -13,9 +14,11 @@
 from gullyoke.emulator.fleet import Running, deciding
 
 ONE = Work("one", 1.0, 100_000, 1.0, 60 * SECOND, 60 * SECOND, 1.0)
-W = (Work("box-view", .57, 280_000, .6, 1_700_000, 4_100_000, 1.0, .1),
-     Work("schedule-set", .30, 385_000, .6, 2_300_000, 5_700_000, 2.0, .1),
-     Work("drop-status", .13, 165_000, .6, 1_000_000, 2_500_000, 3.0, .1))
+W = (
+    Work("box-view", 0.57, 280_000, 0.6, 1_700_000, 4_100_000, 1.0, 0.1),
+    Work("schedule-set", 0.30, 385_000, 0.6, 2_300_000, 5_700_000, 2.0, 0.1),
+    Work("drop-status", 0.13, 165_000, 0.6, 1_000_000, 2_500_000, 3.0, 0.1),
+)
 
 
 def exponential(cores, load, length, seed):
@@ -41,14 +44,16 @@
         got = [of(seed) for seed in range(runs)]
         half = stats.t.ppf(0.9995, runs - 1) * np.std(got, ddof=1) / math.sqrt(runs)
         self.assertLess(abs(np.mean(got) - wanted), half, f"{np.mean(got)} is not {wanted}")
-        self.assertLess(half, 0.5 * wanted)          # and says something
+        self.assertLess(half, 0.5 * wanted)  # and says something
 
     def test_erlang_b(self):
         """No line: the share that finds all cores taken."""
+
         def shed(seed):
             day = exponential(6, 0.9, 150 * SECOND, seed)
             counts = Running(day, lambda node: PlainPool(node, 6, 0)).play().counts[0]
             return counts["shed"] / len(day.arrivals)
+
         self.interval(shed, erlang_b(6, 0.9))
 
     def test_erlang_c(self):
@@ -60,19 +65,26 @@
         def mean(seed):
             day = exponential(4, 0.8, 150 * SECOND, seed)
             return np.mean(Running(day, lambda node: PlainPool(node, 4, 10**9)).play().times[0])
+
         self.interval(mean, wanted)
 
     def test_sharing(self):
         """All run at once on one core: the mean of processor sharing, whatever the spread of work."""
+
         def mean(seed):
             day = exponential(1, 0.6, 150 * SECOND, seed)
             return np.mean(Running(day, lambda node: PlainPool(node, 10**9, 0)).play().times[0])
+
         self.interval(mean, ONE.work / (1 - 0.6))
 
     def test_same(self):
         """The same seed is the same day and the same answers; another seed is another."""
+
         def play(seed):
-            return Running(drawn(W, Machines(servers=2), 1.5, 5 * SECOND, seed), deciding(True)).play()[:4]
+            return Running(
+                drawn(W, Machines(servers=2), 1.5, 5 * SECOND, seed), deciding(True)
+            ).play()[:4]
+
         self.assertEqual(play(3), play(3))
         self.assertNotEqual(play(3), play(4))
 
@@ -80,10 +92,20 @@
         """Each first try gets its last answer within its time, over all kinds of trouble; no server near its
         memory or crowd."""
         for pools in (False, True):
-            for load, more in ((0.7, {}), (3.0, {}), (2.0, {"swing": SECOND}),
-                               (1.5, {"burst": (SECOND, 3 * SECOND, 5.0)})):
-                day = drawn(W, Machines(servers=2, speeds=((2 * SECOND, 0.3), (4 * SECOND, 1.0)), fresh=True),
-                            load, 6 * SECOND, 5, **more)
+            for load, more in (
+                (0.7, {}),
+                (3.0, {}),
+                (2.0, {"swing": SECOND}),
+                (1.5, {"burst": (SECOND, 3 * SECOND, 5.0)}),
+            ):
+                day = drawn(
+                    W,
+                    Machines(servers=2, speeds=((2 * SECOND, 0.3), (4 * SECOND, 1.0)), fresh=True),
+                    load,
+                    6 * SECOND,
+                    5,
+                    **more,
+                )
                 running = Running(day, deciding(pools))
                 got = running.play()
                 self.assertEqual(got.unanswered, 0)
@@ -95,10 +117,19 @@
         bound is not idle: it is within half of the best plan's value on most."""
         chance, close = random.Random(3), 0
         for _ in range(12):
-            rows = sorted((chance.randrange(800_000), chance.randrange(2),
-                           chance.randrange(100_000, 900_000), 0) for _ in range(5))
-            works = (Work("a", 1, 1, 0, 700_000, 700_000, 1.0),
-                     Work("b", 1, 1, 0, 1_200_000, 1_500_000, 3.0, 0.2))
+            rows = sorted(
+                (
+                    chance.randrange(800_000),
+                    chance.randrange(2),
+                    chance.randrange(100_000, 900_000),
+                    0,
+                )
+                for _ in range(5)
+            )
+            works = (
+                Work("a", 1, 1, 0, 700_000, 700_000, 1.0),
+                Work("b", 1, 1, 0, 1_200_000, 1_500_000, 3.0, 0.2),
+            )
             day = Day(works, Machines(1, 1, reading=1), Callers(0), None, 800_000, rows, 0)
             best = 0.0
             for n in range(1, 6):
@@ -107,8 +138,13 @@
                     for time, kind, work, _ in order:
                         now = max(now, time) + work + 1
                         w = works[kind]
-                        value += w.value * (1 if now <= time + w.target else
-                                            w.late_share if now <= time + w.timeout else 0)
+                        value += w.value * (
+                            1
+                            if now <= time + w.target
+                            else w.late_share
+                            if now <= time + w.timeout
+                            else 0
+                        )
                     best = max(best, value)
             for slot in (100_000, 300_000):
                 found = bound(day, slot)
--- a/tests/front/test_fronts.py
+++ b/tests/front/test_fronts.py
@@ -1,4 +1,5 @@
 """One script through both fronts' bytes, with a stated clock: the same decisions, action for action."""
+
 import random
 import unittest
 from unittest import mock
@@ -58,8 +59,10 @@
         self.now, self.arrived = START, 0
         self.through, self.cut = through, cut
         facts = facts_of(flat(site(target=600, timeout=2500, cores=2, grace=300)))
-        with mock.patch.object(clock, "now", lambda: self.now), \
-                mock.patch.object(clock, "since", lambda stamp: max(0, self.now - stamp * 1000)):
+        with (
+            mock.patch.object(clock, "now", lambda: self.now),
+            mock.patch.object(clock, "since", lambda stamp: max(0, self.now - stamp * 1000)),
+        ):
             self.desk = Desk(facts, 1, Book())
             self.door = Recorded(self.desk)
             self.desk.open(self.door, START - 20_000_000)
@@ -112,8 +115,17 @@
             names.append(f"r{i}")
             handler = chance.choice(("view", "book", "pay"))
             key = chance.choice(("k1", "k2", f"k{i}")) if handler == "book" else None
-            script.append((after, "read", names[-1], handler, chance.choice((0, 5000, 400_000)),
-                           chance.choice((300, 2500)), key))
+            script.append(
+                (
+                    after,
+                    "read",
+                    names[-1],
+                    handler,
+                    chance.choice((0, 5000, 400_000)),
+                    chance.choice((300, 2500)),
+                    key,
+                )
+            )
         else:
             word = chance.choice((Word.DONE, Word.DONE, Word.ERRORED, Word.GONE))
             script.append((after, "tell", chance.choice(names[-6:]), word))
--- a/tests/members/test_members.py
+++ b/tests/members/test_members.py
@@ -1,4 +1,5 @@
 """Plays the scenarios of membership in the emulator's clock; each guard shown to matter by taking it out."""
+
 import contextlib
 import pathlib
 import re
@@ -20,7 +21,7 @@
             found += [h.name for h in net.up()]
         elif part.startswith("z"):
             found += [h.name for h in net.hosts.values() if h.zone == part]
-        elif (span := re.fullmatch(r"m(\d+)\.\.m(\d+)", part)):
+        elif span := re.fullmatch(r"m(\d+)\.\.m(\d+)", part):
             found += [f"m{i}" for i in range(int(span[1]), int(span[2]) + 1)]
         else:
             found.append(part)
@@ -43,13 +44,18 @@
         network = {key: make(told[key]) for key, make in known.items() if key in told}
         if "delay" in told:
             network["delay"] = tuple(int(x) * 1000 for x in told["delay"].split(".."))
-        self.net = fleet(int(size), self.seed, int(told.get("zones", 3)), joined="joined" in told, **network)
+        self.net = fleet(
+            int(size), self.seed, int(told.get("zones", 3)), joined="joined" in told, **network
+        )
         self.net.cut = self.lost
         if "joined" not in told:
             assert self.net.equal(), "the fleet never came together"
 
     def lost(self, now, a, b):
-        return max((share for from_, to, share in self.cuts if a.name in from_ and b.name in to), default=0.0)
+        return max(
+            (share for from_, to, share in self.cuts if a.name in from_ and b.name in to),
+            default=0.0,
+        )
 
     def at_cut(self, from_, arrow, to, share="1.0"):
         """`cut A -> B [SHARE]` one way, `cut A <> B` both."""
@@ -85,8 +91,14 @@
         told = dict(x.split("=", 1) for x in given)
         seeds = told.get("seeds", "m0,m1,m2").split(",")
         for name in names(self.net, who):
-            self.net.start(told.get("as", name), seeds, told.get("zone", "z0"),
-                           behind=int(told.get("behind", 0)), address=name, host=name)
+            self.net.start(
+                told.get("as", name),
+                seeds,
+                told.get("zone", "z0"),
+                behind=int(told.get("behind", 0)),
+                address=name,
+                host=name,
+            )
 
     def at_play(self, span):
         self.net.run(self.net.now + int(float(span) * SECOND))
@@ -96,8 +108,13 @@
     def at_within(self, span, verb, *rest):
         """`within 5 gone m1`, `within 5 equal`, `within 3 stage m1 out`, `within 4 sees m0 m1
         unreachable`."""
-        asks = {"gone": self.gone, "equal": self.net.equal, "stage": self.stage, "sees": self.sees,
-                "holds": self.holds}
+        asks = {
+            "gone": self.gone,
+            "equal": self.net.equal,
+            "stage": self.stage,
+            "sees": self.sees,
+            "holds": self.holds,
+        }
         if verb == "gone":
             self.may |= set(names(self.net, rest[0]))
         began = self.net.now
@@ -106,24 +123,32 @@
 
     def gone(self, who):
         gone = {identity(name) for name in names(self.net, who)}
-        return not any(gone & h.member.view.rows.keys() for h in self.net.up()
-                       if identity(h.name) not in gone)
+        return not any(
+            gone & h.member.view.rows.keys() for h in self.net.up() if identity(h.name) not in gone
+        )
 
     def stage(self, who, wanted):
-        return all(self.net.hosts[name].member.entry.stage.value == wanted for name in names(self.net, who))
+        return all(
+            self.net.hosts[name].member.entry.stage.value == wanted for name in names(self.net, who)
+        )
 
     def sees(self, by, who, state):
         one = self.net.hosts[by].member
-        found = [one.state(self.net.now, one.view.rows[identity(name)]) == state
-                 for name in names(self.net, who)]
-        return sum(found) >= 0.75 * len(found)        # of some it has not been told
+        found = [
+            one.state(self.net.now, one.view.rows[identity(name)]) == state
+            for name in names(self.net, who)
+        ]
+        return sum(found) >= 0.75 * len(found)  # of some it has not been told
 
     def holds(self, by, who):
         """Whether this process is the one that all others hold under a name."""
         life = self.net.hosts[by].member.row.life
-        return all(h.member.view.rows.get(identity(who)) is not None
-                   and h.member.view.rows[identity(who)].life == life
-                   for h in self.net.up() if h.name != who)
+        return all(
+            h.member.view.rows.get(identity(who)) is not None
+            and h.member.view.rows[identity(who)].life == life
+            for h in self.net.up()
+            if h.name != who
+        )
 
     def at_removed(self, *who):
         """Exactly these were ever removed by anybody; `removed none`."""
@@ -184,18 +209,24 @@
         """Each of these scenarios fails where its guard is taken out: guards against tests that pass whatever
         the rule says. Where another guard covers the same ground that one is out in both plays, so that what
         is shown is this one alone."""
+
         def without(where, **names):
             return mock.patch.multiple(where, **names)
 
         nothing = mock.Mock(return_value=False)
         for name, guard, covering in (
-                ("pauses", without(tally, HOLD=0), ()),
-                ("pair", without(tally, SHARE=0.1, LEAST=1), (without(member, HELPERS=0),)),
-                ("halves", without(trust.Trust, sees_most=mock.Mock(return_value=True)), ()),
-                ("clock-back", without("gullyoke.members.entry", began=lambda _, kept=0, known=0: kept), ()),
-                ("deaf3", without(trust.Trust, unsure=nothing), ()),
-                ("half-deaf", without("gullyoke.members.entry", WELL=1.1), ()),
-                ("loss", without(edge, SILENT=100_000, TRIES=1), (without(tally, HOLD=0),))):
+            ("pauses", without(tally, HOLD=0), ()),
+            ("pair", without(tally, SHARE=0.1, LEAST=1), (without(member, HELPERS=0),)),
+            ("halves", without(trust.Trust, sees_most=mock.Mock(return_value=True)), ()),
+            (
+                "clock-back",
+                without("gullyoke.members.entry", began=lambda _, kept=0, known=0: kept),
+                (),
+            ),
+            ("deaf3", without(trust.Trust, unsure=nothing), ()),
+            ("half-deaf", without("gullyoke.members.entry", WELL=1.1), ()),
+            ("loss", without(edge, SILENT=100_000, TRIES=1), (without(tally, HOLD=0),)),
+        ):
             with self.subTest(name), contextlib.ExitStack() as stack:
                 for one in covering:
                     stack.enter_context(one)
@@ -208,6 +239,7 @@
     def test_own_pause(self):
         """A member that wakes asks before it accuses: what went unanswered while it stood still says nothing.
         Here it was in doubt already, through loss that ended while it stood still."""
+
         def accused(guard):
             with contextlib.ExitStack() as stack:
                 if not guard:
@@ -225,10 +257,13 @@
     def test_refutation(self):
         """An accusation that outlives its cause is contradicted by the accused: without that, those who hear
         no withdrawal would go on counting it."""
+
         def told(refutes):
             with contextlib.ExitStack() as stack:
                 if not refutes:
-                    stack.enter_context(mock.patch("gullyoke.members.entry.Entry.refutes", lambda *_: False))
+                    stack.enter_context(
+                        mock.patch("gullyoke.members.entry.Entry.refutes", lambda *_: False)
+                    )
                 net = fleet(5, 1)
                 accused = net.hosts["m1"].member
                 before = accused.row.number
@@ -252,18 +287,22 @@
 
     def test_same_events_same_actions(self):
         """Two plays under one seed are the same to the message."""
+
         def once():
             net = fleet(9, 5, loss=0.2)
             net.pause("m3", 2 * SECOND)
             net.kill("m5")
             net.run(net.now + 8 * SECOND)
-            return [(s.at, s.by, s.change.what, s.change.row.digest) for s in net.seen], \
-                [h.sent for h in net.hosts.values()]
+            return [(s.at, s.by, s.change.what, s.change.row.digest) for s in net.seen], [
+                h.sent for h in net.hosts.values()
+            ]
+
         self.assertEqual(once(), once())
 
     def test_bounds(self):
         """Every datagram that a member sends in a fleet of 60 fits, joining, a third lost, healing."""
         from gullyoke.emulator.peers import HEAD, weight
+
         net = fleet(60, 2, joined=True)
         worst = 0
         plain = net._out
--- a/tests/members/test_peers.py
+++ b/tests/members/test_peers.py
@@ -1,4 +1,5 @@
 """Members on real sockets of one process: joining, refusals, whatever does not verify, and what is kept."""
+
 import json
 import pathlib
 import random
@@ -44,7 +45,9 @@
 
     def begin(self, links, seeds):
         for i, link in enumerate(links):
-            row = Row(f"p{i}", began(int(time.time())), Status.JOINING, text(link.address), "z", i + 1)
+            row = Row(
+                f"p{i}", began(int(time.time())), Status.JOINING, text(link.address), "z", i + 1
+            )
             link.begin(Member(clock.now(), row, seeds, random.Random(i)))
 
     def eventually(self, ask, what):
@@ -69,7 +72,9 @@
         for _ in range(40):
             links[0].send(Send(address, Letter(row, 99, b"to nobody")))
             links[0].send(Send(text(links[1].address), Letter(row, 99, b"to one")))
-        self.eventually(lambda: links[1].book.rows.get("peers.dropped.topic", 0) == heard + 40, "all 40")
+        self.eventually(
+            lambda: links[1].book.rows.get("peers.dropped.topic", 0) == heard + 40, "all 40"
+        )
         self.assertNotIn("peers.unsent", links[0].book.rows)
 
     def test_a_fleet(self):
@@ -80,8 +85,14 @@
         self.eventually(lambda: all(len(k.member.view.rings) == 3 for k in links), "three in")
         book = links[1].book
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-            for data in (b"", b"x" * 50, b"y" * 1500, Seal("f", (b"z" * 32,)).seal(b"strange"),
-                         Seal("g", (KEY,)).seal(b"another fleet"), Seal("f", (KEY,)).seal(b"no message")):
+            for data in (
+                b"",
+                b"x" * 50,
+                b"y" * 1500,
+                Seal("f", (b"z" * 32,)).seal(b"strange"),
+                Seal("g", (KEY,)).seal(b"another fleet"),
+                Seal("f", (KEY,)).seal(b"no message"),
+            ):
                 sock.sendto(data, links[1].address)
             self.eventually(lambda: book.rows["peers.dropped.seal"] >= 5, "dropped")
             self.eventually(lambda: book.rows["peers.dropped.malformed"] == 1, "malformed")
@@ -93,16 +104,18 @@
 
     def test_its_end(self):
         """Closing it is no fault: guards against one that is counted at each drain."""
-        link, = self.links(1)
-        link.begin(types.SimpleNamespace(tick=lambda now: link.end(), take=list))    # closed within a turn
+        (link,) = self.links(1)
+        link.begin(
+            types.SimpleNamespace(tick=lambda now: link.end(), take=list)
+        )  # closed within a turn
         link.join(5)
         self.assertFalse(link.is_alive())
         self.assertEqual([name for name in link.book.rows if name.startswith("faults")], [])
 
     def test_another_key(self):
         """Who has another key is not let in and not answered, and stays alone."""
-        one, = self.links(1)
-        other, = self.links(1, b"q" * 32)
+        (one,) = self.links(1)
+        (other,) = self.links(1, b"q" * 32)
         self.begin([one, other], (text(one.address),))
         other.member.entry.seeds = (text(one.address),)
         self.eventually(lambda: one.book.rows["peers.dropped.seal"] >= 2, "its hellos")
@@ -111,7 +124,7 @@
 
     def test_a_fault_of_our_own(self):
         """An error in a turn is counted, and the next one comes."""
-        link, = self.links(1)
+        (link,) = self.links(1)
         turns = []
 
         def tick(now):
@@ -135,8 +148,10 @@
         run = CliRunner().invoke
         said = run(main, ["fleet", "status", "--at", at, "--json"])
         found = json.loads(said.stdout)
-        self.assertEqual((found["stage"], found["members"], [row["state"] for row in found["rows"]]),
-                         ("in", 2, ["alive", "alive"]))
+        self.assertEqual(
+            (found["stage"], found["members"], [row["state"] for row in found["rows"]]),
+            ("in", 2, ["alive", "alive"]),
+        )
         self.assertIn("p1", run(main, ["fleet", "status", "--at", at]).stdout)
         self.assertIn("joined", run(main, ["fleet", "events", "--at", at]).stdout)
         self.assertEqual(run(main, ["fleet", "status", "--at", "127.0.0.1:1"]).exit_code, 2)
@@ -180,17 +195,23 @@
         """The decisions go by the size agreed on where that is wanted and can be trusted, by the one told at
         the start elsewhere."""
         given = types.SimpleNamespace(size=12)
-        house = types.SimpleNamespace(told=types.SimpleNamespace(facts=types.SimpleNamespace(fleet=given)),
-                                      desk=types.SimpleNamespace(lock=threading.Lock()),
-                                      timer=types.SimpleNamespace(at=lambda *_: None))
+        house = types.SimpleNamespace(
+            told=types.SimpleNamespace(facts=types.SimpleNamespace(fleet=given)),
+            desk=types.SimpleNamespace(lock=threading.Lock()),
+            timer=types.SimpleNamespace(at=lambda *_: None),
+        )
         wanted = Together("f", ("", 0), "", (), "-", "", None, True)
         unit = Fleet("file", wanted, None)
         unit.house, unit.told, unit.size = house, 12, 12
         unit.link = types.SimpleNamespace(lock=threading.Lock())
         sizes = []
         unit.member = types.SimpleNamespace(size=lambda now: sizes[-1])
-        for size, expected in ((Size(7, 7, 0, 1.0), 7), (Size(7, 3, 0, 0.4), 12), (Size(9, 9, 0, 0.9), 9),
-                               (Size(9, 9, 40_000_000, 0.9), 12)):
+        for size, expected in (
+            (Size(7, 7, 0, 1.0), 7),
+            (Size(7, 3, 0, 0.4), 12),
+            (Size(9, 9, 0, 0.9), 9),
+            (Size(9, 9, 40_000_000, 0.9), 12),
+        ):
             sizes.append(size)
             unit.look()
             self.assertEqual(given.size, expected)
@@ -206,33 +227,54 @@
             key.write_text("ab" * 32 + "  # ours\n")
             path.write_text(FILE % key)
             wanted = read(str(path)).fleet
-            self.assertEqual((wanted.advertise, wanted.zone, wanted.status, wanted.size),
-                             ("127.0.0.1:7900", "-", None, False))
+            self.assertEqual(
+                (wanted.advertise, wanted.zone, wanted.status, wanted.size),
+                ("127.0.0.1:7900", "-", None, False),
+            )
             unit = Fleet(str(path), wanted, None)
             self.assertEqual(unit.keys(wanted), (bytes.fromhex("ab" * 32),))
             key.write_text("short")
             with self.assertRaisesRegex(Misstated, "key_file.*right would be"):
                 unit.fits(types.SimpleNamespace(fleet=wanted))
-            self.assertEqual(unit.ignored(types.SimpleNamespace(fleet=wanted._replace(zone="other"))),
-                             ["fleet.zone"])
-            for more, said in (('seed: "127.0.0.1:7900"', r"seed\[1\]: .* twice"),
-                               ('status: "127.0.0.1:7900"', "status: it is the address"),
-                               ('status: "10.0.0.1:7900"', "status: .*loopback"),
-                               ('zone: "A b"', "zone: 'A b' can't be"),
-                               ("seed: 'x'", r"seed\[1\]: 'x' can't"),
-                               ('shares { slots: 5 largest: 2 }', "shares.home: missing"),
-                               ('shares { home { name: "a" address: "h:1" } home { name: "b" '
-                                'address: "h:2" } slots: 5 largest: 2 }', "home: 2 of them; .*odd"),
-                               ('shares { home { name: "a" address: "h:1" } slots: 5 }',
-                                "largest: 0 can't be"),
-                               ('shares { home { name: "a" address: "h:1" } largest: 2 }',
-                                "neither slots nor quotas")):
+            self.assertEqual(
+                unit.ignored(types.SimpleNamespace(fleet=wanted._replace(zone="other"))),
+                ["fleet.zone"],
+            )
+            for more, said in (
+                ('seed: "127.0.0.1:7900"', r"seed\[1\]: .* twice"),
+                ('status: "127.0.0.1:7900"', "status: it is the address"),
+                ('status: "10.0.0.1:7900"', "status: .*loopback"),
+                ('zone: "A b"', "zone: 'A b' can't be"),
+                ("seed: 'x'", r"seed\[1\]: 'x' can't"),
+                ("shares { slots: 5 largest: 2 }", "shares.home: missing"),
+                (
+                    'shares { home { name: "a" address: "h:1" } home { name: "b" '
+                    'address: "h:2" } slots: 5 largest: 2 }',
+                    "home: 2 of them; .*odd",
+                ),
+                ('shares { home { name: "a" address: "h:1" } slots: 5 }', "largest: 0 can't be"),
+                (
+                    'shares { home { name: "a" address: "h:1" } largest: 2 }',
+                    "neither slots nor quotas",
+                ),
+            ):
                 path.write_text((FILE % key).replace("key_file", f"{more} key_file"))
                 with self.subTest(more), self.assertRaisesRegex(Faulty, said):
                     read(str(path))
-            self.assertEqual(set(Together._fields) - {"seeds", "key_file"},
-                             {"name", "listen", "advertise", "zone", "status", "size", "signals", "heed",
-                              "shares"})
+            self.assertEqual(
+                set(Together._fields) - {"seeds", "key_file"},
+                {
+                    "name",
+                    "listen",
+                    "advertise",
+                    "zone",
+                    "status",
+                    "size",
+                    "signals",
+                    "heed",
+                    "shares",
+                },
+            )
         self.assertEqual(len(CliRunner().invoke(main, ["fleet", "key"]).stdout.strip()), 64)
 
 
--- a/tests/members/test_properties.py
+++ b/tests/members/test_properties.py
@@ -1,5 +1,6 @@
 """Membership under any order of faults: a state machine, every short play of three members, merging in any
 order, and datagrams of any bytes."""
+
 import itertools
 import random
 import unittest
@@ -20,8 +21,12 @@
 ROW = st.builds(Row, TEXT, st.integers(0, 2**62), st.sampled_from(Status), TEXT, TEXT, FIGURE)
 ENTRY = st.builds(Entry, FIGURE, FIGURE, st.sampled_from(Kind))
 NEWS = st.one_of(
-    ROW, st.builds(Mark, FIGURE, FIGURE, st.sampled_from(Status), FIGURE, LOST, LOST),
-    st.builds(Report, FIGURE, FIGURE, FIGURE, st.booleans(), st.lists(ENTRY, max_size=3).map(tuple)))
+    ROW,
+    st.builds(Mark, FIGURE, FIGURE, st.sampled_from(Status), FIGURE, LOST, LOST),
+    st.builds(
+        Report, FIGURE, FIGURE, FIGURE, st.booleans(), st.lists(ENTRY, max_size=3).map(tuple)
+    ),
+)
 MANY = st.lists(NEWS, max_size=4).map(tuple)
 MESSAGE = st.one_of(
     st.builds(Ping, ROW, FIGURE, FIGURE, LOST, MANY, FIGURE),
@@ -30,15 +35,23 @@
     st.builds(Gossip, ROW, FIGURE, LOST, MANY, FIGURE),
     st.builds(Hello, ROW),
     st.builds(Compare, ROW, st.lists(FIGURE, max_size=64).map(tuple)),
-    st.builds(Rows, ROW, st.lists(st.tuples(FIGURE, FIGURE), max_size=4).map(tuple),
-              st.lists(ROW, max_size=4).map(tuple), st.booleans(), FIGURE))
+    st.builds(
+        Rows,
+        ROW,
+        st.lists(st.tuples(FIGURE, FIGURE), max_size=4).map(tuple),
+        st.lists(ROW, max_size=4).map(tuple),
+        st.booleans(),
+        FIGURE,
+    ),
+)
 MEMBER = st.integers(0, 5)
 
 
 class Faults(RuleBasedStateMachine):
     """Three to six members under any loss, doubling, cuts, pauses, ends and starts. Afterwards, when all
     faults have ended, all views are one within `HEALED`."""
-    HEALED = 60 * SECOND               # an own removal may have to settle first, longer after each
+
+    HEALED = 60 * SECOND  # an own removal may have to settle first, longer after each
 
     def __init__(self):
         super().__init__()
@@ -97,7 +110,7 @@
         for host in self.net.up() if self.net else ():
             view, seen = host.member.view, self.numbers.setdefault((host.name, host.starts), {})
             if len(view) == 1:
-                seen.clear()                          # its own view was void after a removal
+                seen.clear()  # its own view was void after a removal
             for row in view.rows.values():
                 assert row.number >= seen.get(row.id, 0)
                 seen[row.id] = row.number
@@ -115,17 +128,32 @@
 
 class Properties(unittest.TestCase):
     def test_state_machine(self):
-        run_state_machine_as_test(Faults, settings=settings(
-            max_examples=40, stateful_step_count=12, deadline=None, derandomize=True, database=None,
-            suppress_health_check=list(HealthCheck)))
+        run_state_machine_as_test(
+            Faults,
+            settings=settings(
+                max_examples=40,
+                stateful_step_count=12,
+                deadline=None,
+                derandomize=True,
+                database=None,
+                suppress_health_check=list(HealthCheck),
+            ),
+        )
 
     def test_every_short_play(self):
         """Every play of four steps of 1.6 s of a fleet of three, each under one of five faults: once they
         end, the views are one again, and nobody removed anybody twice within one start."""
+
         def cuts(*pairs):
             return lambda now, a, b: 1.0 if (a.name, b.name) in pairs else 0.0
-        faults = (None, cuts(("m0", "m1")), cuts(("m1", "m0"), ("m2", "m0")),
-                  cuts(("m0", "m1"), ("m0", "m2")), "pause")
+
+        faults = (
+            None,
+            cuts(("m0", "m1")),
+            cuts(("m1", "m0"), ("m2", "m0")),
+            cuts(("m0", "m1"), ("m0", "m2")),
+            "pause",
+        )
         for steps in itertools.product(range(len(faults)), repeat=4):
             net = fleet(3, 1, joined=True, settle=SECOND)
             for step in steps:
@@ -141,8 +169,16 @@
                 self.assertEqual(len(by), len(set(by)), (steps, name))
 
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
-    @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 6), st.sampled_from(Status),
-                              st.integers(0, 2)), min_size=1, max_size=8), st.randoms(use_true_random=False))
+    @given(
+        st.lists(
+            st.tuples(
+                st.integers(0, 2), st.integers(0, 6), st.sampled_from(Status), st.integers(0, 2)
+            ),
+            min_size=1,
+            max_size=8,
+        ),
+        st.randoms(use_true_random=False),
+    )
     def test_merging_in_any_order(self, given, chance):
         """The same rows in any order, some of them twice, come to the same view."""
         rows = [Row(f"m{a}", number, status, "x", "z", life) for a, number, status, life in given]
@@ -183,8 +219,24 @@
     def test_a_later_release(self):
         """What a later release appends to any array is passed over; news of a kind not known too."""
         import msgspec
+
         row = ["m1", 5, 1, "a:1", "z", 9, "more"]
-        data = [2, 0, row, 7, 8, 9, 0, None, [[9, None, [1], "x"], [0, row, []]], [], [], 5, b"", {"a": 1}]
+        data = [
+            2,
+            0,
+            row,
+            7,
+            8,
+            9,
+            0,
+            None,
+            [[9, None, [1], "x"], [0, row, []]],
+            [],
+            [],
+            5,
+            b"",
+            {"a": 1},
+        ]
         found = codec.unpack(msgspec.msgpack.encode(data))
         self.assertEqual((found.seq, found.digest, found.lost), (7, 8, 9))
         self.assertEqual([x.name for x in found.news], ["m1"])
@@ -198,7 +250,9 @@
         for other in (Seal("f", (new,)), Seal("g", (old,))):
             self.assertIsNone(other.open(data))
         for at in range(len(data)):
-            self.assertIsNone(Seal("f", (old,)).open(data[:at] + bytes([data[at] ^ 1]) + data[at + 1:]))
+            self.assertIsNone(
+                Seal("f", (old,)).open(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :])
+            )
         self.assertIsNone(Seal("f", (old,)).open(b""))
         for text in ("", "zz", "ab", f"{'ab' * 16}\n" * 3):
             with self.assertRaises(Unusable):
@@ -208,8 +262,10 @@
         """A datagram that came already, or is far behind, is not new; order does not matter within the
         window."""
         counts = Counts()
-        self.assertEqual([counts.fresh(1, n) for n in (1, 3, 2, 2, 3, 2000, 976, 977, 1999, 1999)],
-                         [True, True, True, False, False, True, False, True, True, False])
+        self.assertEqual(
+            [counts.fresh(1, n) for n in (1, 3, 2, 2, 3, 2000, 976, 977, 1999, 1999)],
+            [True, True, True, False, False, True, False, True, True, False],
+        )
         chance, sent = random.Random(1), list(range(2001, 2500))
         chance.shuffle(sent)
         self.assertTrue(all(counts.fresh(1, n) for n in sent))
--- a/tests/members/test_rig.py
+++ b/tests/members/test_rig.py
@@ -1,4 +1,5 @@
 """Several real processes on loopback with faults between them; the script's own reading."""
+
 import pathlib
 import socket
 import tempfile
@@ -58,7 +59,9 @@
         side removes nobody, an orderly end is no removal, and every req is answered once."""
         verdict = Play(read(ROLLING)).run()
         self.assertTrue(verdict.good(), [one for one in verdict.held if not one.held])
-        self.assertEqual({what for what in verdict.reqs if what in ("none", "twice", "late")}, set())
+        self.assertEqual(
+            {what for what in verdict.reqs if what in ("none", "twice", "late")}, set()
+        )
 
     def test_faults(self):
         """A process killed, one that stands still for 3 s, loss, one that hears nobody, an orderly end: those
@@ -67,24 +70,37 @@
         verdict = Play(script).run()
         self.assertTrue(verdict.good(), [one for one in verdict.held if not one.held])
         self.assertGreater(verdict.reqs["done"], 500)
-        self.assertEqual({what for what in verdict.reqs if what in ("none", "twice", "late")}, set())
+        self.assertEqual(
+            {what for what in verdict.reqs if what in ("none", "twice", "late")}, set()
+        )
         with tempfile.TemporaryDirectory() as folder:
             paths = write(verdict, script, pathlib.Path(folder))
             self.assertTrue(all(path.stat().st_size > 500 for path in paths))
 
     def test_a_verdict_can_be_bad(self):
         """What is not so is said: guards against a rig that holds whatever happens."""
-        verdict = Play(read("members 2 zones 1 seed 1 load 4\nat 0.2 kill m1\nby 1 stage m0 out\n"
-                            "never removed m1\nend 3")).run()
-        self.assertEqual([one.held for one in verdict.held if one.what.startswith(("by", "never"))],
-                         [False, False])
+        verdict = Play(
+            read(
+                "members 2 zones 1 seed 1 load 4\nat 0.2 kill m1\nby 1 stage m0 out\n"
+                "never removed m1\nend 3"
+            )
+        ).run()
+        self.assertEqual(
+            [one.held for one in verdict.held if one.what.startswith(("by", "never"))],
+            [False, False],
+        )
 
     def test_scripts(self):
         """The example is right; a line that can't be is named with what would be."""
         read((ROOT / "deploy/faults.play").read_text())
-        for text, said in (("members x", "line 1: 'x'"), ("at 1 explode m1", "kill, down"),
-                           ("at 1 pause m1", "pause with 1 words"), ("by 2", "by SECONDS"),
-                           ("hello", "members, at"), ("members 99", "1 to 50")):
+        for text, said in (
+            ("members x", "line 1: 'x'"),
+            ("at 1 explode m1", "kill, down"),
+            ("at 1 pause m1", "pause with 1 words"),
+            ("by 2", "by SECONDS"),
+            ("hello", "members, at"),
+            ("members 99", "1 to 50"),
+        ):
             with self.subTest(text), self.assertRaisesRegex(Misplayed, said):
                 read(text)
 
@@ -103,8 +119,10 @@
         script = read("members 3 zones 3 seed 1\nat 1 cut m0 -> m1,m2\nat 2 heal\nend 3")
         faults = Faults(script)
         faults.take(script.faults[0])
-        self.assertEqual([faults.fate(a, b) == [] for a, b in (("m0", "m1"), ("m0", "m2"), ("m1", "m0"))],
-                         [True, True, False])
+        self.assertEqual(
+            [faults.fate(a, b) == [] for a, b in (("m0", "m1"), ("m0", "m2"), ("m1", "m0"))],
+            [True, True, False],
+        )
         faults.take(script.faults[1])
         self.assertEqual(len(faults.fate("m0", "m1")), 1)
 
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -1,4 +1,5 @@
 """The router alone: text scenarios, scripted pools on a stated clock, random scripts held to its rules."""
+
 import pathlib
 import random
 import unittest
@@ -36,7 +37,9 @@
     return Run(Req(handler, now, now + patience, 1.0))
 
 
-def a_dispatch(names="abc", seed=1, share=0.1, burst=10.0, out=0.5, first=8, most=64, linger=0, **health):
+def a_dispatch(
+    names="abc", seed=1, share=0.1, burst=10.0, out=0.5, first=8, most=64, linger=0, **health
+):
     pool = Pool(random.Random(seed), out, first, linger, lambda draw: Health(draw, **health))
     dispatch = Dispatch(pool, Budget(share, burst))
     dispatch.state(0, [Stated(n, most=most) for n in names])
@@ -53,22 +56,31 @@
         if parts[0] == "pool":
             self.given = numbers(p for p in parts[1:] if "=" in p)
             names = [p for p in parts[1:] if "=" not in p]
-            times = {k: int(self.given.pop(k) * 1000) for k in ("first_out", "longest_out", "slow_start")
-                     if k in self.given}
-            whole = {k: int(self.given.pop(k)) for k in ("first", "most", "seed", "consecutive")
-                     if k in self.given}
+            times = {
+                k: int(self.given.pop(k) * 1000)
+                for k in ("first_out", "longest_out", "slow_start")
+                if k in self.given
+            }
+            whole = {
+                k: int(self.given.pop(k))
+                for k in ("first", "most", "seed", "consecutive")
+                if k in self.given
+            }
             self.dispatch = a_dispatch(names, **times, **whole, **self.given)
         elif parts[0] == ">":
             wanted = [x.strip() for x in " ".join(parts[1:]).split(";") if x.strip()]
             assert len(wanted) == len(self.said) and all(
                 said == text or text.endswith("*") and said.startswith(text[:-1])
-                for said, text in zip(self.said, wanted, strict=True)), f"wanted {wanted}, got {self.said}"
+                for said, text in zip(self.said, wanted, strict=True)
+            ), f"wanted {wanted}, got {self.said}"
         elif parts[0] == "stands":
             for name, standing in (p.split("=") for p in parts[1:]):
                 got = self.dispatch.pool.members[name].health.standing.value
                 assert got == standing, f"{name} is {got}"
         elif parts[0] == "room":
-            assert self.dispatch.pool.room(self.now) == int(parts[1]), self.dispatch.pool.room(self.now)
+            assert self.dispatch.pool.room(self.now) == int(parts[1]), self.dispatch.pool.room(
+                self.now
+            )
         else:
             self.now = int(parts[0]) * 1000
             self.event(parts[1], parts[2:])
@@ -77,7 +89,9 @@
         d, now = self.dispatch, self.now
         if verb == "begin":
             n = numbers(rest[2:])
-            run = self.runs[rest[0]] = a_run(KINDS[rest[1]], now, int(n.get("patience", 10_000) * 1000))
+            run = self.runs[rest[0]] = a_run(
+                KINDS[rest[1]], now, int(n.get("patience", 10_000) * 1000)
+            )
             moves = d.begin(now, run)
         elif verb == "state":
             moves, _, _ = d.state(now, [Stated(n, most=64) for n in rest])
@@ -91,8 +105,12 @@
         else:
             moves = [m for name in rest for m in d.ended(now, self.runs[name], FATES[verb])]
         names = {run: name for name, run in self.runs.items()}
-        self.said = [f"send {names[m.run]} {m.member.stated.name}" if isinstance(m, Send)
-                     else f"tell {names[m.run]} {m.word.name.lower()}" for m in moves]
+        self.said = [
+            f"send {names[m.run]} {m.member.stated.name}"
+            if isinstance(m, Send)
+            else f"tell {names[m.run]} {m.word.name.lower()}"
+            for m in moves
+        ]
 
 
 class Simulated:
@@ -107,6 +125,7 @@
     def run(self, rate, until, start=0, patience=10_000_000):
         """Arrivals at `rate` a second, evenly, up to `until`."""
         import heapq
+
         step, next_in, now = int(1e6 / rate), start, start
         while next_in < until or self.events:
             if self.events and self.events[0][0] <= next_in or next_in >= until:
@@ -157,8 +176,11 @@
     def test_failing_fast(self):
         """One of three fails each run within 1 ms: it does not draw runs by being quick. It is ejected within
         half a second, and gets under one run in fifty after that (simulated)."""
-        sim = Simulated(a_dispatch(first_out=2_000_000), lambda name, now: 40_000,
-                        lambda name, now: Fate.LOST if name == "b" and now > 2_000_000 else Fate.DONE)
+        sim = Simulated(
+            a_dispatch(first_out=2_000_000),
+            lambda name, now: 40_000,
+            lambda name, now: Fate.LOST if name == "b" and now > 2_000_000 else Fate.DONE,
+        )
         sim.run(100, 10_000_000)
         self.assertIn(sim.d.pool.members["b"].health.standing, (Standing.OUT, Standing.TRIAL))
         before, first = sim.share("b", 0, 2_000_000), sim.share("b", 2_000_000, 2_500_000)
@@ -170,8 +192,9 @@
 
     def test_slow(self):
         """One of three is ten times slower: it keeps answering, and gets less than a fifth of the others."""
-        sim = Simulated(a_dispatch(),
-                        lambda name, now: 300_000 if name == "c" and now > 1_000_000 else 30_000)
+        sim = Simulated(
+            a_dispatch(), lambda name, now: 300_000 if name == "c" and now > 1_000_000 else 30_000
+        )
         sim.run(150, 12_000_000)
         slow = sim.share("c", 3_000_000, 12_000_000)
         self.assertLess(slow, 0.08)
@@ -181,8 +204,10 @@
     def test_return(self):
         """One is gone for 3 s and comes back: it has its full share again within 12 s, and its trial and slow
         start lose nothing more (simulated)."""
+
         def fate(name, now):
             return Fate.UNRUN if name == "a" and 2_000_000 < now < 5_000_000 else Fate.DONE
+
         sim = Simulated(a_dispatch(slow_start=3_000_000), lambda name, now: 30_000, fate)
         sim.run(150, 25_000_000)
         self.assertEqual(set(sim.tells), {Word.DONE})
@@ -201,7 +226,7 @@
         self.assertFalse(sim.d.line.runs)
         gauges = sim.d.gauges(3_000_000, 6)
         self.assertEqual((gauges[0], gauges[2]) if not gauges[2] else (1.0, 0.0), (1.0, 0.0))
-        self.assertLess(len(sim.sent), 60)            # back ends that are away are hardly asked
+        self.assertLess(len(sim.sent), 60)  # back ends that are away are hardly asked
         back = Simulated(sim.d, lambda name, now: 30_000)
         back.run(100, 40_000_000, start=33_000_000)
         self.assertGreater(back.tells[Word.DONE], 0.9 * sum(back.tells.values()))
@@ -218,24 +243,39 @@
             self.assertTrue(8 <= limit.now <= 20, limit.now)
         limit.lost(at := at + 10**7)
         lower = limit.now
-        limit.lost(at + 1)                            # not twice for one trouble
+        limit.lost(at + 1)  # not twice for one trouble
         self.assertEqual(limit.now, lower)
 
     def test_same(self):
         """The same events bring the same moves, chance included."""
+
         def moves(seed):
-            sim = Simulated(a_dispatch(seed=seed), lambda name, now: 30_000 + now % 7000,
-                            lambda name, now: Fate.LOST if name == "a" and now % 3 else Fate.DONE)
+            sim = Simulated(
+                a_dispatch(seed=seed),
+                lambda name, now: 30_000 + now % 7000,
+                lambda name, now: Fate.LOST if name == "a" and now % 3 else Fate.DONE,
+            )
             sim.run(150, 4_000_000)
             return sim.sent
+
         self.assertEqual(moves(7), moves(7))
         self.assertNotEqual(moves(7), moves(8))
 
     @settings(max_examples=150, deadline=None, derandomize=True)
-    @given(st.lists(st.tuples(st.sampled_from(["begin", "end", "end", "stop", "gone", "state", "turn"]),
-                              st.integers(0, 400_000), st.integers(0, 10**6), st.sampled_from(list(Fate)),
-                              st.sampled_from(list(Kind))), max_size=120),
-           st.sampled_from([0.0, 0.1, 0.5]), st.sampled_from([0.0, 0.34, 0.5, 1.0]))
+    @given(
+        st.lists(
+            st.tuples(
+                st.sampled_from(["begin", "end", "end", "stop", "gone", "state", "turn"]),
+                st.integers(0, 400_000),
+                st.integers(0, 10**6),
+                st.sampled_from(list(Fate)),
+                st.sampled_from(list(Kind)),
+            ),
+            max_size=120,
+        ),
+        st.sampled_from([0.0, 0.1, 0.5]),
+        st.sampled_from([0.0, 0.34, 0.5, 1.0]),
+    )
     def test_rules(self, script, share, out):
         """Whatever happens: each run is told once; a try that may have run is followed by another only where
         that may be; no run is twice at one back end; tries stay within their budget; ejected ones within
@@ -256,7 +296,9 @@
                     self.assertIs(m.run.kind, Kind.REPLAYABLE)
                 self.assertEqual(len(set(m.run.tried)), len(m.run.tried))
                 self.assertLessEqual(len(m.member.began), max(1, int(m.member.limit.now)))
-                self.assertNotIn(m.member.health.standing, (Standing.OUT, Standing.AWAY, Standing.LEAVING))
+                self.assertNotIn(
+                    m.member.health.standing, (Standing.OUT, Standing.AWAY, Standing.LEAVING)
+                )
                 there[m.run] = m.member
 
         for verb, step, pick, fate, kind in script:
@@ -281,10 +323,14 @@
             elif verb == "turn":
                 follow(d.turn(now))
             self.assertLessEqual(tries - first, share * first + 3.0 + 1)
-            stated = [m for m in d.pool.members.values() if m.health.standing is not Standing.LEAVING]
+            stated = [
+                m for m in d.pool.members.values() if m.health.standing is not Standing.LEAVING
+            ]
             if verb == "end":
                 ejected = sum(m.health.standing is Standing.OUT for m in stated)
-                self.assertTrue(ejected <= max(1, out * len(stated)) or "state" in [s[0] for s in script])
+                self.assertTrue(
+                    ejected <= max(1, out * len(stated)) or "state" in [s[0] for s in script]
+                )
         while there:
             run = next(iter(there))
             del there[run]
--- a/tests/scgi/test_scgi.py
+++ b/tests/scgi/test_scgi.py
@@ -1,4 +1,5 @@
 """Plays the scenarios of the SCGI front and of back ends; both protocols mixed under overload."""
+
 import contextlib
 import math
 import pathlib
@@ -32,8 +33,10 @@
         with contextlib.closing(Sockets()) as scene:
             scene.engine.down()
             scene.engine = Busy(2, 0.01)
-            for line in ("site target=250 timeout=900 cores=2",
-                         'operator listener { name: "scgi" address: "SCGI_AT" }'):
+            for line in (
+                "site target=250 timeout=900 cores=2",
+                'operator listener { name: "scgi" address: "SCGI_AT" }',
+            ):
                 scene.line(line.split())
             scene.start()
             scene.said("event=serving")
@@ -43,13 +46,15 @@
                 wait = start + i / 400 - time.monotonic()
                 if wait > 0:
                     time.sleep(wait)
-                threads.append(threading.Thread(target=self.ask, args=(scene, i, by, handler, told)))
+                threads.append(
+                    threading.Thread(target=self.ask, args=(scene, i, by, handler, told))
+                )
                 threads[-1].start()
             for thread in threads:
                 thread.join(10)
         self.assertEqual(len(told), 2000)
         self.assertEqual({len(answers) for *_, answers, _ in told}, {1})
-        self.assertLess(max(took for *_, took in told), 0.9 + 1.0)    # a second for our own threads
+        self.assertLess(max(took for *_, took in told), 0.9 + 1.0)  # a second for our own threads
         sheds, asked = Counter(), Counter()
         for by, handler, (status,), _ in told:
             self.assertIn(status, ("200", "503", "500"))
@@ -71,7 +76,7 @@
         began, data = time.monotonic(), b""
         with socket.create_connection(scene.scgi if by else scene.listen, 10) as conn:
             conn.sendall(message(f"r{i}", handler, scgi=by, **fields))
-            while (got := conn.recv(4096)):
+            while got := conn.recv(4096):
                 data += got
         mark = b"Status: " if by else b"HTTP/1.1 "
         answers = [part[:3].decode() for part in data.split(mark)[1:]]
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,5 @@
 """Stand-ins for what a real server talks to, on loopback, and the script that plays a scenario with them."""
+
 import contextlib
 import json
 import os
@@ -19,32 +20,81 @@
 from gullyoke.lab.ports import free
 
 ROOT = pathlib.Path(__file__).parent.parent
-PATIENCE = 20          # seconds for what must come; what is fast enough never waits that long
-HANDLERS = (("view", "repeatable", 1.0, True, 0.3), ("book", "by_key", 2.0, False, 0.0),
-            ("pay", "once", 3.0, True, 0.0))
+PATIENCE = 20  # seconds for what must come; what is fast enough never waits that long
+HANDLERS = (
+    ("view", "repeatable", 1.0, True, 0.3),
+    ("book", "by_key", 2.0, False, 0.0),
+    ("pay", "once", 3.0, True, 0.0),
+)
 
 
 def site(**over):
     """A configuration with the settings' own names; `over` changes a few of them."""
-    g = dict(timeout=60_000, target=20_000, fresh=0, grace=1000, idle=30_000, cores=2, stop="off",
-             window=5000, classes="")
+    g = dict(
+        timeout=60_000,
+        target=20_000,
+        fresh=0,
+        grace=1000,
+        idle=30_000,
+        cores=2,
+        stop="off",
+        window=5000,
+        classes="",
+    )
     g.update({key: over[key] for key in g if key in over})
-    profiles = [{"Name": g["classes"] + name, "ObjectiveUs": int(g["target"] * 1000),
-                 "DeadlineUs": int(g["timeout"] * 1000), "Importance": value,
-                 "Semantics": kind, "LateWorth": 0.2, "KeyTtlUs": int(g["window"] * 1000)}
-                for name, kind, value, _, _ in HANDLERS]
-    info = {"Cores": int(g["cores"]), "MemoryKb": 1e6, "Blowup": 4.0, "KeyKb": 10.0, "FreshStart": False,
-            "StopMode": g["stop"], "OwnStats": ["core_use", "on_cores", "heap_share", "links"],
-            "CallsByClass": [h[3] for h in HANDLERS], "ClassSkipWorth": [h[4] for h in HANDLERS],
-            "DependsOn": "one_for_all", "CallsOut": 50.0, "ShareSpanUs": 5_000_000, "LingerUs": 200_000,
-            "Say": "off", "HeededUs": 1_000_000,
-            "CancelSeen": False, "PassesDeadline": True, "DeepChecks": False,
-            "Readiness": False, "CallerIdleUs": int(g["idle"] * 1000), "FreshForUs": int(g["fresh"] * 1000),
-            "Callers": 3}
-    rules = {"AnswerSlackUs": 80_000, "DrainGraceUs": int(g["grace"] * 1000), "TipMultiple": 8.0,
-             "TipAfterUs": 1_500_000, "StartCapacity": 0.25, "ColdUs": 10_000_000}
-    return {"Profiles": profiles, "FamilyInfo": info, "Rules": rules, "FleetSize": 3, "WorthBy": "request",
-            "Orgs": [], "Permissions": {"RetryAfter": True, "MaxRetryAfterUs": 1_000_000}}
+    profiles = [
+        {
+            "Name": g["classes"] + name,
+            "ObjectiveUs": int(g["target"] * 1000),
+            "DeadlineUs": int(g["timeout"] * 1000),
+            "Importance": value,
+            "Semantics": kind,
+            "LateWorth": 0.2,
+            "KeyTtlUs": int(g["window"] * 1000),
+        }
+        for name, kind, value, _, _ in HANDLERS
+    ]
+    info = {
+        "Cores": int(g["cores"]),
+        "MemoryKb": 1e6,
+        "Blowup": 4.0,
+        "KeyKb": 10.0,
+        "FreshStart": False,
+        "StopMode": g["stop"],
+        "OwnStats": ["core_use", "on_cores", "heap_share", "links"],
+        "CallsByClass": [h[3] for h in HANDLERS],
+        "ClassSkipWorth": [h[4] for h in HANDLERS],
+        "DependsOn": "one_for_all",
+        "CallsOut": 50.0,
+        "ShareSpanUs": 5_000_000,
+        "LingerUs": 200_000,
+        "Say": "off",
+        "HeededUs": 1_000_000,
+        "CancelSeen": False,
+        "PassesDeadline": True,
+        "DeepChecks": False,
+        "Readiness": False,
+        "CallerIdleUs": int(g["idle"] * 1000),
+        "FreshForUs": int(g["fresh"] * 1000),
+        "Callers": 3,
+    }
+    rules = {
+        "AnswerSlackUs": 80_000,
+        "DrainGraceUs": int(g["grace"] * 1000),
+        "TipMultiple": 8.0,
+        "TipAfterUs": 1_500_000,
+        "StartCapacity": 0.25,
+        "ColdUs": 10_000_000,
+    }
+    return {
+        "Profiles": profiles,
+        "FamilyInfo": info,
+        "Rules": rules,
+        "FleetSize": 3,
+        "WorthBy": "request",
+        "Orgs": [],
+        "Permissions": {"RetryAfter": True, "MaxRetryAfterUs": 1_000_000},
+    }
 
 
 def tid(name):
@@ -64,12 +114,22 @@
     body = f"body of {of or name}".encode()
     if scgi:
         fields |= {"Content-Length": "no"}
-    given = {"Trace-Id": tid(name), "Accepted-At-Ms": str(int(time.time() * 1000)), "Client-No": "1",
-             "Reserve-Kb": "10.0", "Max-Wait-Ms": "60000", "Standing": "0.5",
-             "Content-Length": length or str(len(body))} | fields
+    given = {
+        "Trace-Id": tid(name),
+        "Accepted-At-Ms": str(int(time.time() * 1000)),
+        "Client-No": "1",
+        "Reserve-Kb": "10.0",
+        "Max-Wait-Ms": "60000",
+        "Standing": "0.5",
+        "Content-Length": length or str(len(body)),
+    } | fields
     if scgi:
-        headers = {"CONTENT_LENGTH": length or str(len(body)), "SCGI": "1", "REQUEST_METHOD": "POST",
-                   "REQUEST_URI": f"/call/{handler}?x=1"}
+        headers = {
+            "CONTENT_LENGTH": length or str(len(body)),
+            "SCGI": "1",
+            "REQUEST_METHOD": "POST",
+            "REQUEST_URI": f"/call/{handler}?x=1",
+        }
         headers |= {"HTTP_" + k.upper().replace("-", "_"): v for k, v in given.items() if v != "no"}
         return netstring(headers) + body
     head = "".join(f"{key}: {value}\r\n" for key, value in given.items() if value != "no")
@@ -85,7 +145,12 @@
     """One that listens. What comes is put in `heard`, message by message; `links` holds its connections."""
 
     def __init__(self):
-        self.heard, self.links, self.listener, self.address = queue.Queue(), [], None, ("127.0.0.1", 0)
+        self.heard, self.links, self.listener, self.address = (
+            queue.Queue(),
+            [],
+            None,
+            ("127.0.0.1", 0),
+        )
         self.joined, self.carries = queue.Queue(), {}  # ATTACH's numbers; the links a name came on
         self.up()
 
@@ -184,7 +249,10 @@
             self.tasks.put(words[1])
         elif words[0] == "STAT":
             with self.pen:
-                self.say(f"STATS {words[1]} {min(1.0, self.there / self.cores)} {self.there} 0.1 9\r\n", link)
+                self.say(
+                    f"STATS {words[1]} {min(1.0, self.there / self.cores)} {self.there} 0.1 9\r\n",
+                    link,
+                )
         else:
             super().message(link, file, words)
 
@@ -200,7 +268,7 @@
 
 class Names(StandIn):
     def message(self, link, file, words):
-        while (line := file.readline().strip()):
+        while line := file.readline().strip():
             words += line.decode().split()
         body = file.read(int(words[-1])).decode()
         self.heard.put([words[1], json.loads(body)["serving"], "", link])
@@ -221,7 +289,7 @@
             name = named(headers["HTTP_TRACE_ID"])
             self.carries.setdefault(name, []).append(link)
             self.heard.put([name, body, headers, link])
-            if not file.read(1):                      # closed by the server
+            if not file.read(1):  # closed by the server
                 self.joined.put(name)
 
     def answer(self, name, text):
@@ -247,7 +315,7 @@
         self.engine, self.db, self.naming = Engine(), StandIn(), Names()
         self.root, self.rest, self.latest, self.pooled, self.rows = ROOT, {}, {}, [], None
         self.given, self.gateways, self.process, self.lines, self.config = {}, {}, None, [], None
-        self.firsts = {}                              # by key, the name of its first try
+        self.firsts = {}  # by key, the name of its first try
 
     def close(self):
         for peer in (self.engine, self.db, self.naming, *self.backends.values()):
@@ -268,9 +336,13 @@
         if "disk" in self.given:
             extra = [".rig.faulty", f"{self.folder.name}/faults", *serve]
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "gullyoke" + extra[0], *extra[1:]], cwd=self.root, stderr=subprocess.PIPE,
-            text=True, env=os.environ | {"NODE_CONFIG": self.config},
-            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (files, files)))
+            [sys.executable, "-m", "gullyoke" + extra[0], *extra[1:]],
+            cwd=self.root,
+            stderr=subprocess.PIPE,
+            text=True,
+            env=os.environ | {"NODE_CONFIG": self.config},
+            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (files, files)),
+        )
         threading.Thread(target=self.collect, args=(self.process,), daemon=True).start()
         self.said("event=started")
 
@@ -281,15 +353,30 @@
         self.configure()
 
     def configure(self):
-        pool = "" if self.rows is None else "backends {{\n{}\n}}".format(
-            "\n".join([self.row(*row) for row in self.rows] + self.pooled))
+        pool = (
+            ""
+            if self.rows is None
+            else "backends {{\n{}\n}}".format(
+                "\n".join([self.row(*row) for row in self.rows] + self.pooled)
+            )
+        )
         self.operator.write_text("\n".join([*self.wanted, pool]))
         at = "{}:{}".format
-        config = {"name": self.given.get("name", "n3"), "listen": at(*self.listen),
-                  "engine": at(*self.engine.address), "naming": at(*self.naming.address),
-                  "db": at(*self.db.address), "seed": "8c1f30d27a5be964",
-                  "stop_ms": int(self.given.get("stop_ms", 1500)), "settings": site(**self.given),
-                  "limits": {"cores": 1.0, "memory_mb": 192, "sockets": int(self.given.get("sockets", 1024))}}
+        config = {
+            "name": self.given.get("name", "n3"),
+            "listen": at(*self.listen),
+            "engine": at(*self.engine.address),
+            "naming": at(*self.naming.address),
+            "db": at(*self.db.address),
+            "seed": "8c1f30d27a5be964",
+            "stop_ms": int(self.given.get("stop_ms", 1500)),
+            "settings": site(**self.given),
+            "limits": {
+                "cores": 1.0,
+                "memory_mb": 192,
+                "sockets": int(self.given.get("sockets", 1024)),
+            },
+        }
         pathlib.Path(self.config).write_text(json.dumps(config))
 
     def collect(self, process):
@@ -299,7 +386,9 @@
 
     def said(self, text):
         """Wait for a log line that holds the text."""
-        self.eventually(lambda: next((x for x in self.lines if text in x), None), f"'{text}' in the log")
+        self.eventually(
+            lambda: next((x for x in self.lines if text in x), None), f"'{text}' in the log"
+        )
 
     @staticmethod
     def eventually(ask, what):
@@ -322,7 +411,7 @@
         if who == "pool":
             self.pooled.append(" ".join(rest))
             return
-        if who == "backends":                         # those it is to use from now on, and their stand-ins
+        if who == "backends":  # those it is to use from now on, and their stand-ins
             self.rows = [name.split(",") for name in rest]
             for name, *_ in self.rows:
                 if name not in self.backends:
@@ -342,7 +431,7 @@
         elif who.endswith(">"):
             peer = {"engine>": self.engine, "db>": self.db, "naming>": self.naming}[who]
             got = peer.heard.get(timeout=PATIENCE)[:3]
-            assert got[:len(rest)] == rest or [*got[:2], *got[2].split()] == rest, f"heard {got}"
+            assert got[: len(rest)] == rest or [*got[:2], *got[2].split()] == rest, f"heard {got}"
         else:
             getattr(self, f"at_{who}")(*rest)
 
@@ -355,8 +444,10 @@
     def any_backend(self, who, rest):
         """Whichever has that req."""
         if who == "b*>":
+
             def asked():
                 return [b for b in self.backends.values() if not b.heard.empty()]
+
             self.eventually(asked, f"{rest[0]} at a back end")
             self.latest[rest[0]] = asked()[0]
         self.backend(self.latest[rest[0 if who == "b*>" else 1]], who, rest)
@@ -402,7 +493,7 @@
             assert engine.heard.empty(), f"heard {engine.heard.get()[:3]}"
         elif verb in ("need", "done", "redone"):
             engine.notices += verb != "redone"
-            text = " ".join(rest[1 if verb == "need" else 2:])
+            text = " ".join(rest[1 if verb == "need" else 2 :])
             tail = f"{len(text)}\r\n{text}\r\n"
             if verb == "need":
                 engine.say(f"NEED {engine.notices} {tid(rest[0])} {tail}")
@@ -479,10 +570,11 @@
             store.rename(store.with_name(f"lost{time.monotonic_ns()}"))
         elif words[0] == "made":
             store.mkdir()
-        elif words[0] == "limit":                     # bytes that a file may have, by the system
+        elif words[0] == "limit":  # bytes that a file may have, by the system
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (int(words[1]), -1))
-        elif words[0] == "mark":                      # by another name, or of a later format
+        elif words[0] == "mark":  # by another name, or of a later format
             from gullyoke.store import Disk, Store
+
             files = Disk(store / "keys")
             Store(files).put([("mark", msgspec.msgpack.encode([int(words[1]), words[2], 1, 0]))])
             files.close()
@@ -500,13 +592,19 @@
         return dict(pair.split("=", 1) for pair in last.split() if "=" in pair)
 
     def at_counter(self, name, wanted):
-        self.eventually(lambda: self.counters().get(name) == wanted,
-                        f"{name}={wanted} in {[x for x in self.lines if 'counters' in x][-1:]}")
+        self.eventually(
+            lambda: self.counters().get(name) == wanted,
+            f"{name}={wanted} in {[x for x in self.lines if 'counters' in x][-1:]}",
+        )
 
     def at_ended(self, wanted):
         """So many connections of gateways have ended by now, however."""
+
         def ask():
-            return sum(int(n) for name, n in self.counters().items() if name.startswith("ends_gateway_"))
+            return sum(
+                int(n) for name, n in self.counters().items() if name.startswith("ends_gateway_")
+            )
+
         self.eventually(lambda: ask() == int(wanted), f"{wanted} connections ended")
 
     # The gateways.
@@ -524,8 +622,10 @@
     def at_each(self, count, verb, what, *rest):
         """The same on connections 1 to `count`: a req each, or the answer that each gets."""
         for i in range(1, int(count) + 1):
-            self.gateway(str(i) if verb == "read" else f"{i}<",
-                         ["read", f"e{i}", what, *rest] if verb == "read" else [what])
+            self.gateway(
+                str(i) if verb == "read" else f"{i}<",
+                ["read", f"e{i}", what, *rest] if verb == "read" else [what],
+            )
 
     def at_uncrowd(self):
         for name in [x for x in self.gateways if x.startswith("crowd")]:
@@ -539,7 +639,9 @@
                 conn.settimeout(PATIENCE)
                 conn.connect(f"{self.folder.name}/scgi.sock")
             else:
-                conn = socket.create_connection(self.scgi if number[0] == "s" else self.listen, PATIENCE)
+                conn = socket.create_connection(
+                    self.scgi if number[0] == "s" else self.listen, PATIENCE
+                )
                 conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.gateways[number] = conn, conn.makefile("rb")
         conn, file = self.gateways[number]
@@ -550,17 +652,19 @@
             if "age" in fields:
                 fields["Accepted-At-Ms"] = str(int(time.time() * 1000) - int(fields.pop("age")))
             if "Replay-Key" in fields:
-                fields["of"] = fields.get("of") or self.firsts.setdefault(fields["Replay-Key"], rest[1])
+                fields["of"] = fields.get("of") or self.firsts.setdefault(
+                    fields["Replay-Key"], rest[1]
+                )
             data = message(*rest[1:3], scgi=not number.isdigit(), **fields)
             self.rest[number] = data[-3:]
             for i in range(len(data)) if rest[0] == "torn" else ():
-                conn.sendall(data[i:i + 1])
+                conn.sendall(data[i : i + 1])
             if rest[0] != "torn":
                 conn.sendall(data if rest[0] == "read" else data[:-3])
         elif rest[0] == "raw":
-            with contextlib.suppress(OSError):        # it may be refused before its end
+            with contextlib.suppress(OSError):  # it may be refused before its end
                 conn.sendall(" ".join(rest[1:]).encode().decode("unicode_escape").encode("latin-1"))
-        elif rest[0] == "rest":                       # what `stuck` has left out
+        elif rest[0] == "rest":  # what `stuck` has left out
             conn.sendall(self.rest[number])
         elif rest[0] == "flood":
             with contextlib.suppress(OSError):
@@ -587,7 +691,7 @@
             return
         assert first, "no answer"
         fields = {}
-        while (line := file.readline().strip().decode()):
+        while line := file.readline().strip().decode():
             key, _, value = line.partition(": ")
             fields[key.lower()] = value
         body = file.read(int(fields["content-length"])).decode()
--- a/tests/store/test_remember.py
+++ b/tests/store/test_remember.py
@@ -1,4 +1,5 @@
 """What is remembered over a restart, and when it is trusted."""
+
 import unittest
 
 from emulator.test_emulator import W
@@ -28,7 +29,7 @@
         r.recall(fresh, found, 0.25)
         for h, cost in fresh.hold.cost.items():
             self.assertAlmostEqual(cost, 0.75 * before[h.name] + 0.25 * found.costs[h.name])
-        r.recall(fresh, r.Learned(7, 0.0, {"gone": 5.0}, 0.0), 0.25)      # a handler that is no more
+        r.recall(fresh, r.Learned(7, 0.0, {"gone": 5.0}, 0.0), 0.25)  # a handler that is no more
         idle = Running(drawn(W, Machines(), 1, 0, 1), deciding(False)).nodes[0].server
         self.assertIsNone(r.taken(idle, 7, 1.0))
         for spoilt in (None, b"", b"\x93\x01", r.packed(r.Starts(1))[:-1]):
@@ -41,16 +42,21 @@
         self.assertEqual(r.trust(found, 7, 1000.0, well).weight, r.MOST)
         self.assertAlmostEqual(r.trust(found, 7, 1000.0 + r.HALF_LIFE, well).weight, r.MOST / 2)
         self.assertEqual(r.trust(found, 7, 500.0, well).weight, r.MOST)
-        for row, stated, now, starts in ((None, 7, 1000, well), (found, 8, 1000, well),
-                                         (found, 7, 1001 + r.OLDEST, well),
-                                         (found, 7, 1000, r.Starts(r.STARTS))):
+        for row, stated, now, starts in (
+            (None, 7, 1000, well),
+            (found, 8, 1000, well),
+            (found, 7, 1001 + r.OLDEST, well),
+            (found, 7, 1000, r.Starts(r.STARTS)),
+        ):
             self.assertEqual(r.trust(row, stated, now, starts).weight, 0.0)
         starts = well
         for _ in range(r.STARTS):
             starts = r.began(starts)
         self.assertEqual(r.trust(found, 7, 1000.0, starts).weight, 0.0)
         self.assertTrue(r.calm(r.CALM, 0, False))
-        self.assertFalse(r.calm(r.CALM, 1, False) or r.calm(r.CALM, 0, True) or r.calm(r.CALM - 1, 0, False))
+        self.assertFalse(
+            r.calm(r.CALM, 1, False) or r.calm(r.CALM, 0, True) or r.calm(r.CALM - 1, 0, False)
+        )
         self.assertNotEqual(r.digest({"Cores": 4}), r.digest({"Cores": 5}))
         self.assertEqual(r.digest({"a": 1, "b": 2}), r.digest({"b": 2, "a": 1}))
 
@@ -84,7 +90,9 @@
         both = again.taken(7, 2.0, r.unpacked(r.packed(found), cold.Cold))
         self.assertEqual([round(x) for x in both.costs["box-view"][:2]], [5, 63_700])
         self.assertEqual(again.taken(8, 2.0, found).costs["box-view"][1], 33_700.0)
-        server = Running(drawn(W, Machines(servers=1), 1.5, SECOND, 2), deciding(False)).nodes[0].server
+        server = (
+            Running(drawn(W, Machines(servers=1), 1.5, SECOND, 2), deciding(False)).nodes[0].server
+        )
         before = {h.name: cost for h, cost in server.hold.cost.items()}
         cold.recall(server, both, 17_000_000)
         self.assertEqual(before, {h.name: cost for h, cost in server.hold.cost.items()})
@@ -92,8 +100,11 @@
         after = {h.name: cost for h, cost in server.hold.cost.items()}
         self.assertEqual(after, before | {"box-view": both.costs["box-view"][1]})
         self.assertTrue(cold.fit(both, 7, r.Starts(0)))
-        self.assertFalse(cold.fit(both, 8, r.Starts(0)) or cold.fit(both, 7, r.Starts(r.STARTS))
-                         or cold.fit(None, 7, r.Starts(0)))
+        self.assertFalse(
+            cold.fit(both, 8, r.Starts(0))
+            or cold.fit(both, 7, r.Starts(r.STARTS))
+            or cold.fit(None, 7, r.Starts(0))
+        )
 
 
 if __name__ == "__main__":
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,4 +1,5 @@
 """The store: crash states of small runs, cuts and flips of files, random runs against a dict, SIGKILL."""
+
 import itertools
 import json
 import pathlib
@@ -25,10 +26,10 @@
     """Files that remember what was synced. `fail` names calls that break, by their count from now on."""
 
     def __init__(self, files=()):
-        self.files = dict(files)                      # all that was written
+        self.files = dict(files)  # all that was written
         self.synced = {name: len(data) for name, data in self.files.items()}
-        self.folder = set(self.files)                 # names that are durable
-        self.gone = {}                                # removed, and not durably so
+        self.folder = set(self.files)  # names that are durable
+        self.gone = {}  # removed, and not durably so
         self.fail, self.calls, self.watch = {}, 0, None
 
     def _call(self, what):
@@ -47,7 +48,7 @@
         return self.files[name]
 
     def read_at(self, name, at, size):
-        return self.files[name][at:at + size]
+        return self.files[name][at : at + size]
 
     def create(self, name):
         self._call("create")
@@ -75,24 +76,35 @@
     def crashes(self):
         """Every state that a power cut now may leave: unsynced bytes cut anywhere, or whole blocks of them
         never written, files that came there or not, files that went there still or not."""
-        fixed = {n: d for n, d in self.files.items() if n in self.folder and self.synced[n] == len(d)}
+        fixed = {
+            n: d for n, d in self.files.items() if n in self.folder and self.synced[n] == len(d)
+        }
         loose = [n for n in self.files if n not in fixed]
         choices = []
         for name in loose:
             data, safe = self.files[name], self.synced[name]
             states = [data[:cut] for cut in range(safe, len(data) + 1)]
-            if len(data) - safe > 8:                  # a block in the middle that was never written
+            if len(data) - safe > 8:  # a block in the middle that was never written
                 at = safe + (len(data) - safe) // 3
-                states.append(data[:at] + bytes(8) + data[at + 8:])
+                states.append(data[:at] + bytes(8) + data[at + 8 :])
             choices.append([(name, s) for s in states] + ([] if name in self.folder else [None]))
         choices += [[(n, d), None] for n, d in self.gone.items()]
         for state in itertools.product(*choices):
             yield fixed | dict(x for x in state if x)
 
 
-SCRIPT = [[("a", b"1"), ("b", b"22")], [("a", b"333")], [("c", b"x" * 40)], [("b", None)],
-          [("a", b"4"), ("d", b"5")], [("c", b"y" * 40)], [("d", None), ("e", b"6")], [("c", b"z" * 40)],
-          [("a", b"777")], [("f", b"8" * 30)]]
+SCRIPT = [
+    [("a", b"1"), ("b", b"22")],
+    [("a", b"333")],
+    [("c", b"x" * 40)],
+    [("b", None)],
+    [("a", b"4"), ("d", b"5")],
+    [("c", b"y" * 40)],
+    [("d", None), ("e", b"6")],
+    [("c", b"z" * 40)],
+    [("a", b"777")],
+    [("f", b"8" * 30)],
+]
 
 
 class Stores(unittest.TestCase):
@@ -101,12 +113,16 @@
         version is refused, and nothing in it changes."""
         old = Memory({"0000000001.seg": pack(Record(1, "a", b"1")) + pack(Record(2, "b", b"2"))})
         store = Store(old)
-        self.assertEqual((store.format, dict(store.items()), store.dropped), (1, {"a": b"1", "b": b"2"}, 0))
+        self.assertEqual(
+            (store.format, dict(store.items()), store.dropped), (1, {"a": b"1", "b": b"2"}, 0)
+        )
         store.put([("a", b"3")])
         again = Store(Memory(old.files))
         self.assertEqual((again.format, dict(again.items())), (1, {"a": b"3", "b": b"2"}))
         self.assertEqual(Store(Memory({"0000000001.seg": header()})).format, 2)
-        later = Memory({"0000000001.seg": pack(Record(3, "", b"", HEADER)) + pack(Record(1, "a", b"1"))})
+        later = Memory(
+            {"0000000001.seg": pack(Record(3, "", b"", HEADER)) + pack(Record(1, "a", b"1"))}
+        )
         before = dict(later.files)
         with self.assertRaises(Newer):
             Store(later)
@@ -130,7 +146,9 @@
                 self.assertLessEqual(set(got), set("abcdef"))
                 if states % 50 == 0:
                     again.put([("new", b"9")])
-                    self.assertEqual(dict(Store(Memory(again.files.files)).items()), got | {"new": b"9"})
+                    self.assertEqual(
+                        dict(Store(Memory(again.files.files)).items()), got | {"new": b"9"}
+                    )
 
         files.watch = look
         for batch in SCRIPT:
@@ -156,21 +174,42 @@
         for name, data in files.files.items():
             for at in range(len(data)):
                 flipped = bytes([data[at] ^ 0x10])
-                for spoilt in (data[:at], data[:at] + flipped + data[at + 1:], data[:at] + data[at + 1:]):
+                for spoilt in (
+                    data[:at],
+                    data[:at] + flipped + data[at + 1 :],
+                    data[:at] + data[at + 1 :],
+                ):
                     again = Store(Memory(files.files | {name: spoilt}))
                     for key, value in again.items():
                         self.assertIn(value, ever[key])
                     lost = sum(len(d) for d in again.files.files.values()) - sum(
-                        f.size for d in again.files.files.values() for f in scan(d) if isinstance(f, Found))
+                        f.size
+                        for d in again.files.files.values()
+                        for f in scan(d)
+                        if isinstance(f, Found)
+                    )
                     self.assertEqual(again.dropped, lost)
 
     @settings(max_examples=60, deadline=None, derandomize=True)
-    @given(st.lists(st.one_of(
-        st.tuples(st.just("put"), st.lists(st.tuples(
-            st.sampled_from("abcdefgh"), st.none() | st.binary(max_size=60)), min_size=1, max_size=4)),
-        st.tuples(st.sampled_from(["reopen", "compact", "fail"]),
-                  st.sampled_from(["append", "appended", "sync", "create"])),
-    ), max_size=40))
+    @given(
+        st.lists(
+            st.one_of(
+                st.tuples(
+                    st.just("put"),
+                    st.lists(
+                        st.tuples(st.sampled_from("abcdefgh"), st.none() | st.binary(max_size=60)),
+                        min_size=1,
+                        max_size=4,
+                    ),
+                ),
+                st.tuples(
+                    st.sampled_from(["reopen", "compact", "fail"]),
+                    st.sampled_from(["append", "appended", "sync", "create"]),
+                ),
+            ),
+            max_size=40,
+        )
+    )
     def test_random(self, script):
         """Against a dict, with faults of the disk, compaction and restarts in between."""
         files, wanted = Memory(), {}
@@ -183,7 +222,7 @@
                         wanted[key] = value
                         perhaps.pop(key, None)
                 except Faulted:
-                    for key, value in what:           # in force now as before; after a restart as either
+                    for key, value in what:  # in force now as before; after a restart as either
                         perhaps.setdefault(key, {wanted.get(key)}).add(value)
                 files.fail = {}
             elif verb == "fail":
@@ -257,7 +296,9 @@
             with last.open("ab") as file:
                 file.write(b"half a rec")
             spoilt = run(main, ["store", "check", folder, "--json"])
-            self.assertEqual((spoilt.exit_code, json.loads(spoilt.output)["dropped_bytes"]), (1, 10))
+            self.assertEqual(
+                (spoilt.exit_code, json.loads(spoilt.output)["dropped_bytes"]), (1, 10)
+            )
 
     def test_committer(self):
         """Many threads wait at once, few groups; a full queue refuses; a weak disk tells so and recovers."""
@@ -285,15 +326,21 @@
 
     def test_killed(self):
         """A writer killed with SIGKILL at a random moment: every key that it said was durable is there."""
-        code = ("import sys; from gullyoke.store import *\n"
-                "s = Store(Disk(sys.argv[1]), roll=3000)\n"
-                "for i in range(10**6):\n"
-                "    s.put([(f'k{i % 40}', b'%08d' % i * 5)]); print(i, flush=True)\n")
+        code = (
+            "import sys; from gullyoke.store import *\n"
+            "s = Store(Disk(sys.argv[1]), roll=3000)\n"
+            "for i in range(10**6):\n"
+            "    s.put([(f'k{i % 40}', b'%08d' % i * 5)]); print(i, flush=True)\n"
+        )
         chance = random.Random(5)
         for _ in range(3):
             with tempfile.TemporaryDirectory() as folder:
-                with subprocess.Popen([sys.executable, "-c", code, folder], cwd=ROOT, text=True,
-                                      stdout=subprocess.PIPE) as child:
+                with subprocess.Popen(
+                    [sys.executable, "-c", code, folder],
+                    cwd=ROOT,
+                    text=True,
+                    stdout=subprocess.PIPE,
+                ) as child:
                     for _ in range(chance.randrange(50, 600)):
                         last = int(child.stdout.readline())
                     child.send_signal(signal.SIGKILL)
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,4 +1,5 @@
 """Pools and the reserve: the hard cases on emulated days, limits under random demand, and the lab."""
+
 import pathlib
 import tempfile
 import unittest
@@ -32,7 +33,7 @@
                     asked[h] = asked.get(h, 0) + 1
                     if pools.ask(h):
                         fits[h] = fits.get(h, 0) + 1
-            pools.done = pools.cores * 100_000        # the cores are always full
+            pools.done = pools.cores * 100_000  # the cores are always full
             pools.adjust(now, 100_000, True)
         return {h: fits.get(h, 0) / asked[h] for h in asked}, now
 
@@ -45,13 +46,13 @@
         got, now = self.demand(pools, {low: 10.0, high: 2.0}, 5, 5 * SECOND)
         self.assertEqual(got[high], 1.0)
         self.assertTrue(0.15 < got[low] < 0.30, got)
-        got, now = self.demand(pools, {low: 10.0}, 5, now)                # the high one is silent: lent
+        got, now = self.demand(pools, {low: 10.0}, 5, now)  # the high one is silent: lent
         self.assertGreater(got[low], 0.35)
-        got, now = self.demand(pools, {low: 10.0, high: 4.0}, 1, now)     # back at once, at full share
+        got, now = self.demand(pools, {low: 10.0, high: 4.0}, 1, now)  # back at once, at full share
         self.assertEqual(got[high], 1.0)
         self.demand(pools, {low: 10.0, high: 8.0}, 5, now)
         got, now = self.demand(pools, {low: 10.0, high: 8.0}, 5, now)
-        self.assertGreater(got[low], 0.01)                                # its minimum
+        self.assertGreater(got[low], 0.01)  # its minimum
 
     def test_alone(self):
         """A class with nobody worth more beside it is never bound by its pool: the threshold is its limit."""
@@ -71,12 +72,21 @@
         self.assertLessEqual(pools.room_in(low), 10 * SECOND)
 
     @settings(max_examples=100, deadline=None, derandomize=True)
-    @given(st.lists(st.tuples(st.floats(0.1, 10), st.integers(1000, 10**6), st.floats(0, 30)), min_size=1,
-                    max_size=100), st.integers(1, 32), st.floats(0, 0.01))
+    @given(
+        st.lists(
+            st.tuples(st.floats(0.1, 10), st.integers(1000, 10**6), st.floats(0, 30)),
+            min_size=1,
+            max_size=100,
+        ),
+        st.integers(1, 32),
+        st.floats(0, 0.01),
+    )
     def test_sums(self, classes, cores, minimum):
         """A hundred classes, one core: limits together stay under what is completed and a tenth, nobody
         gets more than it asks for, and the reserve leaves half of the cores to everybody."""
-        rates = {handler(f"h{i}", value, work): load for i, (value, work, load) in enumerate(classes)}
+        rates = {
+            handler(f"h{i}", value, work): load for i, (value, work, load) in enumerate(classes)
+        }
         pools = Pools(0, cores, {h: h for h in rates}, minimum)
         now = 0
         for _ in range(30):
@@ -121,7 +131,7 @@
 
     def test_drop(self):
         """Capacity falls to a third within an instant while all pools are full, and comes back."""
-        speeds = (4 * SECOND, .33), (8 * SECOND, 1.0)
+        speeds = (4 * SECOND, 0.33), (8 * SECOND, 1.0)
         without, pooled = self.both(2.0, 12, Machines(servers=2, speeds=speeds))
         self.assertGreater(self.inside(pooled, DROP), 0.6)
         self.assertGreater(pooled.share(), 0.95 * without.share())
@@ -155,7 +165,11 @@
 
     def test_heavy(self):
         """A class whose runs are ten times its first guess: its cost is learned, the others go on."""
-        works = (W[BOX]._replace(work=2_800_000, target=8_000_000, timeout=12_000_000), W[SET], W[DROP])
+        works = (
+            W[BOX]._replace(work=2_800_000, target=8_000_000, timeout=12_000_000),
+            W[SET],
+            W[DROP],
+        )
         _, pooled = self.both(2.0, 10, works=works)
         self.assertGreater(self.inside(pooled, DROP), 0.8)
 
@@ -184,10 +198,12 @@
 
 
 class Lab(unittest.TestCase):
-    TEXT = ('name: "t" work { name: "a" share: 1 work_ms: 50 target_ms: 300 timeout_ms: 900 value: 1 }\n'
-            'work { name: "b" share: 1 work_ms: 20 target_ms: 300 timeout_ms: 900 value: 3 }\n'
-            'day { name: "d" load: 2 }\narm { name: "off" policy: NO_POOLS }\narm { name: "on" }\n'
-            'seeds: 2 length_s: 2 servers: 1 cores: 2 bound: true\n')
+    TEXT = (
+        'name: "t" work { name: "a" share: 1 work_ms: 50 target_ms: 300 timeout_ms: 900 value: 1 }\n'
+        'work { name: "b" share: 1 work_ms: 20 target_ms: 300 timeout_ms: 900 value: 3 }\n'
+        'day { name: "d" load: 2 }\narm { name: "off" policy: NO_POOLS }\narm { name: "on" }\n'
+        "seeds: 2 length_s: 2 servers: 1 cores: 2 bound: true\n"
+    )
 
     def test_run(self):
         """Tables, charts and a report come out; a cut row is played again and the rest stands; another
@@ -203,9 +219,13 @@
             for made in ("plays.parquet", "plays.csv", "day-d.svg", "day-d.png", "shares.svg"):
                 self.assertGreater((folder / made).stat().st_size, 100)
             rows = (folder / "rows.jsonl").read_text()
-            self.assertEqual(run(main, ["lab", "run", str(file), "--out", str(folder)]).exit_code, 2)
+            self.assertEqual(
+                run(main, ["lab", "run", str(file), "--out", str(folder)]).exit_code, 2
+            )
             (folder / "rows.jsonl").write_text(rows[:-40])
-            again = run(main, ["lab", "run", str(file), "--out", str(folder), "--resume", "--workers", "2"])
+            again = run(
+                main, ["lab", "run", str(file), "--out", str(folder), "--resume", "--workers", "2"]
+            )
             self.assertEqual(again.exit_code, 0, again.output)
             now = (folder / "rows.jsonl").read_text()
             self.assertEqual(sorted(now.split("\n")), sorted(rows.split("\n")))
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,5 @@
 """Plays the scenarios beside this file against the decisions alone; their notation is in tests/README.md."""
+
 import contextlib
 import io
 import json
@@ -69,9 +70,26 @@
     """One server under a scenario: the port's Door, the script's events, statements on what came of it."""
 
     def __init__(self):
-        self.given = dict(cores=2, memory=1e6, blowup=4, key=0, cold=0, stop="never", tip=8,
-                          share="none", tells=0, fresh=0, retry=1000, stamp=None, fleet=1, grace=1000,
-                          work=0, over=0.1, linger=200, callers=1)
+        self.given = dict(
+            cores=2,
+            memory=1e6,
+            blowup=4,
+            key=0,
+            cold=0,
+            stop="never",
+            tip=8,
+            share="none",
+            tells=0,
+            fresh=0,
+            retry=1000,
+            stamp=None,
+            fleet=1,
+            grace=1000,
+            work=0,
+            over=0.1,
+            linger=200,
+            callers=1,
+        )
         self.handlers, self.customers, self.reqs = {}, {}, {}
         self.server, self.now, self.due, self.use, self.links = None, 0, None, 1.0, None
         self.said, self.ever, self.notes, self.most = [], [], {}, 0
@@ -118,17 +136,48 @@
 
     def open(self):
         g = self.given
-        machine = Machine(int(g["cores"]), g["memory"], g["blowup"], g["key"], bool(g["cold"]),
-                          StopMode(g["stop"]), ())
-        limits = Limits(80_000, int(g["grace"] * 1000), g["tip"], 1_500_000, 0.25, int(g["cold"] * 1000))
+        machine = Machine(
+            int(g["cores"]),
+            g["memory"],
+            g["blowup"],
+            g["key"],
+            bool(g["cold"]),
+            StopMode(g["stop"]),
+            (),
+        )
+        limits = Limits(
+            80_000, int(g["grace"] * 1000), g["tip"], 1_500_000, 0.25, int(g["cold"] * 1000)
+        )
         share, span = (None, 0) if g["share"] == "none" else (g["share"], 5_000_000)
-        permits = Permits(g["retry"] > 0, int(g["retry"] * 1000), g["stamp"], 1_000_000, bool(g["tells"]),
-                          True, False, False, 30_000_000)
-        self.server = Server(self.now, self, random.Random(1), list(self.handlers.values()),
-                             list(self.customers.values()), machine, limits,
-                             Below(True, share, span, int(g["linger"] * 1000)), permits,
-                             Fleet(int(g["fleet"]), bool(g["work"]), g["over"], int(g["fresh"] * 1000),
-                                   int(g["callers"])))
+        permits = Permits(
+            g["retry"] > 0,
+            int(g["retry"] * 1000),
+            g["stamp"],
+            1_000_000,
+            bool(g["tells"]),
+            True,
+            False,
+            False,
+            30_000_000,
+        )
+        self.server = Server(
+            self.now,
+            self,
+            random.Random(1),
+            list(self.handlers.values()),
+            list(self.customers.values()),
+            machine,
+            limits,
+            Below(True, share, span, int(g["linger"] * 1000)),
+            permits,
+            Fleet(
+                int(g["fleet"]),
+                bool(g["work"]),
+                g["over"],
+                int(g["fresh"] * 1000),
+                int(g["callers"]),
+            ),
+        )
 
     def until(self, time):
         """Let the wake-ups up to then come."""
@@ -143,12 +192,29 @@
         if verb == "server":
             self.given.update(numbers(parts[1:]))
         elif verb == "handler":
-            n = dict(target=1000, timeout=4000, value=1, kind="replayable", late=0, window=5000, calls=1,
-                     skip=0)
+            n = dict(
+                target=1000,
+                timeout=4000,
+                value=1,
+                kind="replayable",
+                late=0,
+                window=5000,
+                calls=1,
+                skip=0,
+            )
             n.update(numbers(parts[2:]))
             self.handlers[parts[1]] = Handler(
-                parts[1], int(n["target"] * 1000), int(n["timeout"] * 1000), n["value"], Kind(n["kind"]),
-                n["late"], int(n["window"] * 1000), bool(n["calls"]), n["skip"], 0)
+                parts[1],
+                int(n["target"] * 1000),
+                int(n["timeout"] * 1000),
+                n["value"],
+                Kind(n["kind"]),
+                n["late"],
+                int(n["window"] * 1000),
+                bool(n["calls"]),
+                n["skip"],
+                0,
+            )
         elif verb == "customer":
             self.customers[parts[1]] = Customer(parts[1], float(parts[2]))
         elif verb == ">":
@@ -213,13 +279,18 @@
             arrived = self.now - int(n.get("age", 0) * 1000)
             due = int(n["due"] * 1000) if "due" in n else arrived + handler.timeout
             prior = self.reqs.get(n.get("prior"))
-            req = Named(handler, arrived, due, n.get("kb", 10), prior=prior,
-                        customer=self.customers.get(n.get("customer")))
+            req = Named(
+                handler,
+                arrived,
+                due,
+                n.get("kb", 10),
+                prior=prior,
+                customer=self.customers.get(n.get("customer")),
+            )
             req.name = f"{first}{i + 1}" if times else first
             self.reqs[req.name] = req
             self.server.read(self.now, req)
 
-
     def play(self, parts):
         if parts[0].isdigit():
             self.event(int(parts[0]) * 1000, parts[1:])
@@ -240,6 +311,7 @@
 
 def on_sockets(case, folder):
     """Plays a folder's scenarios on real servers, three side by side: they wait more than they work."""
+
     def one(path):
         with contextlib.closing(Sockets()) as scene:
             play(path, scene.line)
@@ -259,9 +331,9 @@
         self.pieces = [p for p in pieces[:-1] if p] + [pieces[-1]]
 
     def __call__(self, view, begun):
-        piece = self.pieces[0][:len(view)]
-        view[:len(piece)] = piece
-        self.pieces[0] = self.pieces[0][len(piece):]
+        piece = self.pieces[0][: len(view)]
+        view[: len(piece)] = piece
+        self.pieces[0] = self.pieces[0][len(piece) :]
         if not self.pieces[0] and len(self.pieces) > 1:
             self.pieces.pop(0)
         return len(piece)
@@ -271,13 +343,18 @@
     def test_wire(self):
         """What is not the wire is told in one line that names the line; the input's end is no fault."""
         frame = "frame TimeUs=5 seq=1\n"
-        self.assertEqual(self.wire(frame + "eob\nframe TimeUs=9 seq=2\neob\n"), "eor seq=1\neor seq=2\n")
+        self.assertEqual(
+            self.wire(frame + "eob\nframe TimeUs=9 seq=2\neob\n"), "eor seq=1\neor seq=2\n"
+        )
         for text, said in (
-            ("eob\n", "line 1: 'eob' outside"), (frame + "on\n", "line 2: missing"),
+            ("eob\n", "line 1: 'eob' outside"),
+            (frame + "on\n", "line 2: missing"),
             (frame + "on Who=server_1\nshout a=1\n", "line 3: unknown message"),
             (frame + "on Who=server_1\nneeds Tid=1\n", "line 3: 'needs' for"),
-            (frame + "eob\nframe TimeUs=4 seq=2\n", "line 3: batch 2"), (frame, "the input ended inside"),
-            (frame + "on x\n", "line 2: 'x' is not"), ("frame TimeUs=x seq=1\n", "line 1: invalid literal"),
+            (frame + "eob\nframe TimeUs=4 seq=2\n", "line 3: batch 2"),
+            (frame, "the input ended inside"),
+            (frame + "on x\n", "line 2: 'x' is not"),
+            ("frame TimeUs=x seq=1\n", "line 1: invalid literal"),
         ):
             with self.subTest(text), self.assertRaisesRegex(Malformed, said):
                 self.wire(text)
@@ -312,21 +389,36 @@
                 self.assertIs(cut.exception.end, End.CUT)
         long = Buffer(Pieces(*[b"x" * 4096] * 9), lines.BUFFER)
         self.assertRaises(Ended, lines.read, long)
-        self.assertLess(len(long.data), 9 * 4096)     # endless input does not grow it without end
+        self.assertLess(len(long.data), 9 * 4096)  # endless input does not grow it without end
 
     def test_options(self):
         """One plain line that names the key, whatever is wrong with it; both fronts read the same facts."""
-        whole = {"name": "n3", "listen": "127.0.0.1:7001", "engine": "127.0.0.1:1", "naming": "127.0.0.1:2",
-                 "db": "127.0.0.1:3", "seed": "8c1f", "stop_ms": 3200, "limits": {"sockets": 64},
-                 "settings": site()}
+        whole = {
+            "name": "n3",
+            "listen": "127.0.0.1:7001",
+            "engine": "127.0.0.1:1",
+            "naming": "127.0.0.1:2",
+            "db": "127.0.0.1:3",
+            "seed": "8c1f",
+            "stop_ms": 3200,
+            "limits": {"sockets": 64},
+            "settings": site(),
+        }
         right = self.told(whole)
-        self.assertEqual((right.listen, right.seed, right.stop), (("127.0.0.1", 7001), 0x8c1f, 3_200_000))
+        self.assertEqual(
+            (right.listen, right.seed, right.stop), (("127.0.0.1", 7001), 0x8C1F, 3_200_000)
+        )
         self.assertEqual(right.facts.handlers[1].kind, Kind.UNIQUED)
         self.assertEqual(right.facts.below.share, 50.0)
         for path, value, said in (
-            ("name", None, "'name'"), ("name", "a b", "'name'"), ("listen", "7001", "'listen'"),
-            ("engine", "x:0", "'engine'"), ("db", None, "'db'"), ("seed", "xyz", "'seed'"),
-            ("stop_ms", 0.5, "'stop_ms'"), ("limits.sockets", 5, "'limits.sockets'"),
+            ("name", None, "'name'"),
+            ("name", "a b", "'name'"),
+            ("listen", "7001", "'listen'"),
+            ("engine", "x:0", "'engine'"),
+            ("db", None, "'db'"),
+            ("seed", "xyz", "'seed'"),
+            ("stop_ms", 0.5, "'stop_ms'"),
+            ("limits.sockets", 5, "'limits.sockets'"),
             ("settings", [], "'settings'"),
             ("settings.FamilyInfo.Cores", "six", "'FamilyInfo.Cores' is 'six'"),
             ("settings.FamilyInfo.Cores", 0, "'FamilyInfo.Cores' is '0'"),
@@ -334,9 +426,21 @@
             ("settings.Rules.TipMultiple", None, "missing setting 'Rules.TipMultiple'"),
             ("settings.Profiles", [], "'Profiles.count'"),
             ("settings.FamilyInfo.MemoryKb", "nan", "'FamilyInfo.MemoryKb'"),
-            ("settings.Profiles", self.profiles(1, Semantics="maybe"), "'Profiles.1.Semantics' is 'maybe'"),
-            ("settings.Profiles", self.profiles(1, Semantics=None), "missing setting 'Profiles.1.Semantics'"),
-            ("settings.Profiles", self.profiles(1, KeyTtlUs=None), "missing setting 'Profiles.1.KeyTtlUs'"),
+            (
+                "settings.Profiles",
+                self.profiles(1, Semantics="maybe"),
+                "'Profiles.1.Semantics' is 'maybe'",
+            ),
+            (
+                "settings.Profiles",
+                self.profiles(1, Semantics=None),
+                "missing setting 'Profiles.1.Semantics'",
+            ),
+            (
+                "settings.Profiles",
+                self.profiles(1, KeyTtlUs=None),
+                "missing setting 'Profiles.1.KeyTtlUs'",
+            ),
             ("settings.Profiles", self.profiles(1, KeyTtlUs=0), "'Profiles.1.KeyTtlUs' is '0'"),
         ):
             wrong = json.loads(json.dumps(whole))
@@ -347,7 +451,10 @@
             inner[last] = value
             with self.subTest(path), self.assertRaisesRegex(Misstated, said):
                 self.told(wrong)
-        for env, said in (({}, "NODE_CONFIG"), ({"NODE_CONFIG": "/nowhere"}, "NODE_CONFIG: /nowhere")):
+        for env, said in (
+            ({}, "NODE_CONFIG"),
+            ({"NODE_CONFIG": "/nowhere"}, "NODE_CONFIG: /nowhere"),
+        ):
             with self.assertRaisesRegex(Misstated, said):
                 told(env)
 
@@ -360,8 +467,15 @@
 
     def test_no_dependency(self):
         """Where the settings name nothing below, no address of a database is needed; where they do, it is."""
-        alone = {"name": "n3", "listen": "127.0.0.1:7001", "engine": "127.0.0.1:1",
-                 "naming": "127.0.0.1:2", "seed": "8c1f", "stop_ms": 3200, "settings": site()}
+        alone = {
+            "name": "n3",
+            "listen": "127.0.0.1:7001",
+            "engine": "127.0.0.1:1",
+            "naming": "127.0.0.1:2",
+            "seed": "8c1f",
+            "stop_ms": 3200,
+            "settings": site(),
+        }
         with self.assertRaisesRegex(Misstated, "missing key 'db'"):
             self.told(alone)
         alone["settings"]["FamilyInfo"]["DependsOn"] = "off"
@@ -371,13 +485,22 @@
 
     def test_another_servers_file(self):
         """A new configuration with another name, other classes or other tenants is another server's."""
-        whole = {"name": "n3", "listen": "127.0.0.1:7001", "engine": "127.0.0.1:1", "naming": "127.0.0.1:2",
-                 "db": "127.0.0.1:3", "seed": "8c1f", "stop_ms": 3200, "settings": site()}
+        whole = {
+            "name": "n3",
+            "listen": "127.0.0.1:7001",
+            "engine": "127.0.0.1:1",
+            "naming": "127.0.0.1:2",
+            "db": "127.0.0.1:3",
+            "seed": "8c1f",
+            "stop_ms": 3200,
+            "settings": site(),
+        }
         ours = self.told(whole)
         self.assertIsNone(ours.strange(self.told(whole | {"engine": "127.0.0.1:9", "stop_ms": 99})))
         self.assertEqual(ours.strange(self.told(whole | {"name": "n4"})), "name")
-        self.assertEqual(ours.strange(self.told(whole | {"settings": site(classes="x-")})),
-                         "settings.Profiles")
+        self.assertEqual(
+            ours.strange(self.told(whole | {"settings": site(classes="x-")})), "settings.Profiles"
+        )
         shared = site() | {"Orgs": [{"Name": "one", "QuotaPerS": 5.0}]}
         self.assertEqual(ours.strange(self.told(whole | {"settings": shared})), "settings.Orgs")
 
@@ -391,18 +514,26 @@
     def test_gauges(self):
         """A wake-up waits for its gauges from its own time on, however long ago the last event was."""
         times, desk = [], mock.Mock(now=0)
-        route = Route(desk, mock.Mock(), mock.Mock(), mock.Mock(at=lambda time, act: times.append(time)),
-                            mock.Mock())
+        route = Route(
+            desk,
+            mock.Mock(),
+            mock.Mock(),
+            mock.Mock(at=lambda time, act: times.append(time)),
+            mock.Mock(),
+        )
         before = clock.now()
         route.ask()
         self.assertGreaterEqual(times[0], before + 1000)
-        desk.now, route.due = 1_000_300, 1_000_000    # handled a little late: the beat stays
+        desk.now, route.due = 1_000_300, 1_000_000  # handled a little late: the beat stays
         route.wake(TICK)
         self.assertEqual(times[1], 1_000_000 + TICK)
 
     def test_fault(self):
         """An error in the decisions costs its own req an errored answer; the desk goes on."""
-        desk, req = Desk(facts_of(flat(site())), 1, Book()), mock.Mock(outcome=None, entry=None, tid="a")
+        desk, req = (
+            Desk(facts_of(flat(site())), 1, Book()),
+            mock.Mock(outcome=None, entry=None, tid="a"),
+        )
         desk.server, desk.reqs["a"] = mock.Mock(), req
         desk.door = mock.Mock(over=desk.over)
         desk.server.tell.side_effect = ZeroDivisionError
@@ -427,7 +558,9 @@
         learner.steepness, last = [1.0] * 41, learner.policy
         learner.visits[0][6] += 9.0
         work, pieces = learner.solve(), 0
-        self.assertEqual(learner.before, learner.visits)     # it began with that, not with its first piece
+        self.assertEqual(
+            learner.before, learner.visits
+        )  # it began with that, not with its first piece
         while desk.piece(work):
             pieces += 1
             self.assertIs(learner.policy, last)
@@ -438,8 +571,10 @@
     def test_log(self):
         """Of one event few lines a span are written, the next says how many were left out; errors all are."""
         lines = Bounded(queue.Queue(), most=2, span=10.0)
-        made = [logging.makeLogRecord({"msg": "x", "created": t, "levelno": level})
-                for t, level in ((0, 30), (1, 30), (2, 30), (3, 30), (4, 40), (11, 30))]
+        made = [
+            logging.makeLogRecord({"msg": "x", "created": t, "levelno": level})
+            for t, level in ((0, 30), (1, 30), (2, 30), (3, 30), (4, 40), (11, 30))
+        ]
         self.assertEqual([lines.filter(r) for r in made], [True, True, False, False, True, True])
         self.assertEqual([getattr(r, "pairs", None) for r in made[4:]], [{"left_out": 2}, None])
 
@@ -447,7 +582,9 @@
         """Every end has its outcome for each peer; only one that never came about proves that no call ran."""
         for end in End:
             word = outcome(Peer.DATABASE, end)
-            self.assertIs(word, Word.CALL_UNRUN if end in (End.REFUSED, End.UNREACHED) else Word.CALL_SPOILT)
+            self.assertIs(
+                word, Word.CALL_UNRUN if end in (End.REFUSED, End.UNREACHED) else Word.CALL_SPOILT
+            )
             self.assertIn(outcome(Peer.GATEWAY, end), (None, Word.GONE))
             self.assertIsNone(outcome(Peer.ENGINE, end) or outcome(Peer.NAMING, end))
 
--- a/tests/together/test_quotas.py
+++ b/tests/together/test_quotas.py
@@ -1,4 +1,5 @@
 """Customers' quotas lent as rates: they follow who is asked, and never come to more than there is."""
+
 import random
 import time
 import unittest
@@ -24,8 +25,11 @@
         """A customer that asks two of sixteen servers keeps what it is entitled to, and where it moves too;
         by the fleet's size an eighth of it. With loss and without, the parts of all are never over the
         quota."""
-        for load, moves, loss, least in ((0.9, False, 0.0, 0.7), (0.9, True, 0.0, 0.45),
-                                         (0.9, False, 0.2, 0.3)):
+        for load, moves, loss, least in (
+            (0.9, False, 0.0, 0.7),
+            (0.9, True, 0.0, 0.45),
+            (0.9, False, 0.2, 0.3),
+        ):
             with self.subTest(load=load, moves=moves, loss=loss):
                 by_size = asked(2, 16, 2, load, False, span=16 * SECOND, moves=moves, loss=loss)
                 lent = asked(2, 16, 2, load, True, span=16 * SECOND, moves=moves, loss=loss)
@@ -33,7 +37,7 @@
                 self.assertGreater(lent.within, least)
                 self.assertLessEqual(lent.over, 1e-9)
         flood = asked(2, 16, 2, 2.0, True, span=16 * SECOND)
-        self.assertLess(flood.rate, 1.05)             # twice the quota and more is not let in
+        self.assertLess(flood.rate, 1.05)  # twice the quota and more is not let in
         self.assertLessEqual(flood.over, 1e-9)
 
     def test_rate(self):
@@ -59,8 +63,14 @@
             limits = []
             for name in ("big", "small"):
                 sharing = Sharing(clock.now(), 100 + i, homes, 12, 4, f"p{i}", True, 0, 0)
-                limits.append(SharedQuota(Quota(sharing, 300.0, whole), homes,
-                                          stated(homes, whole, 4, name, "300"), lambda name: None))
+                limits.append(
+                    SharedQuota(
+                        Quota(sharing, 300.0, whole),
+                        homes,
+                        stated(homes, whole, 4, name, "300"),
+                        lambda name: None,
+                    )
+                )
             link.topics[QUOTAS] = Quotas(limits)
             topics.append(link.topics[QUOTAS])
             row = Row(f"p{i}", began(int(time.time())), Status.JOINING, at[i], "z", 100 + i)
--- a/tests/together/test_shares.py
+++ b/tests/together/test_shares.py
@@ -1,4 +1,5 @@
 """Shares: what is in force together is never above what there is, whatever happens; and they follow need."""
+
 import random
 import unittest
 from unittest import mock
@@ -20,8 +21,14 @@
     homes and borrowers, double starts under a home's name, cuts. The most of one home's tokens that were in
     force."""
     chance = random.Random(seed)
-    play = Play(seed, homes=chance.choice((1, 3, 3, 5)), others=3, tokens=TOKENS,
-                loss=chance.choice((0, 0, 0.2)), slowest=chance.choice((5_000, 300_000, 3 * SECOND)))
+    play = Play(
+        seed,
+        homes=chance.choice((1, 3, 3, 5)),
+        others=3,
+        tokens=TOKENS,
+        loss=chance.choice((0, 0, 0.2)),
+        slowest=chance.choice((5_000, 300_000, 3 * SECOND)),
+    )
     for one in play.processes.values():
         one.need = 100
     play.run(12 * SECOND)
@@ -39,7 +46,9 @@
             doubles += 1
             play.start(f"d{doubles}", chance.choice(play.homes)).need = 100
         elif what == 3:
-            play.cut = {(chance.choice(list(play.processes)), chance.choice(play.homes)) for _ in range(5)}
+            play.cut = {
+                (chance.choice(list(play.processes)), chance.choice(play.homes)) for _ in range(5)
+            }
         elif what == 4:
             play.cut = set()
         elif what == 5:
@@ -52,8 +61,15 @@
     and the limit."""
     chance = random.Random(seed)
     homes, floor = chance.choice((1, 3, 5)), chance.choice((0, 2))
-    play = Play(seed, homes=homes, others=3, tokens=TOKENS, floor=floor, loss=chance.choice((0, 0.2)),
-                slowest=chance.choice((5_000, 300_000)))
+    play = Play(
+        seed,
+        homes=homes,
+        others=3,
+        tokens=TOKENS,
+        floor=floor,
+        loss=chance.choice((0, 0.2)),
+        slowest=chance.choice((5_000, 300_000)),
+    )
     for one in play.processes.values():
         one.calls = chance.choice((2, 20, 60))
     play.run(12 * SECOND)
@@ -68,7 +84,9 @@
             play.kill(key)
             play.start(key, process.home).calls = calls
         elif what == 2:
-            play.cut = {(chance.choice(list(play.processes)), chance.choice(play.homes)) for _ in range(5)}
+            play.cut = {
+                (chance.choice(list(play.processes)), chance.choice(play.homes)) for _ in range(5)
+            }
         elif what == 3:
             play.cut = set()
         else:
@@ -99,13 +117,20 @@
             return now + 60 * SECOND
 
         back = shares.Borrower._back
-        for what, guard in (("in use stays out", mock.patch.object(shares.Borrower, "_back", told_at_once)),
-                            ("ends with its loan", mock.patch.object(Own, "until", any_time))):
+        for what, guard in (
+            ("in use stays out", mock.patch.object(shares.Borrower, "_back", told_at_once)),
+            ("ends with its loan", mock.patch.object(Own, "until", any_time)),
+        ):
             for cut in (False, True):
                 self.assertLessEqual(max(self.passed_on(seed, cut) for seed in range(4)), TOKENS)
             with self.subTest(what), guard:
-                self.assertTrue(any(self.passed_on(seed, cut) > TOKENS for seed in range(6)
-                                    for cut in (False, True)))
+                self.assertTrue(
+                    any(
+                        self.passed_on(seed, cut) > TOKENS
+                        for seed in range(6)
+                        for cut in (False, True)
+                    )
+                )
 
     def passed_on(self, seed, cut):
         """All is lent to one who uses it; then another wants it, and the first wants less, or is cut off."""
@@ -129,7 +154,10 @@
         play.processes["b2"].need = play.processes["b3"].need = 100
         play.start("d0", "h0")
         play.takes = {(key, "h0"): "d0" for key in ("b2", "b3")}
-        play.cut = {(a, b) for a in ("h0",) for b in ("h1", "h2", "d0")} | {("h1", "h0"), ("h2", "h0")}
+        play.cut = {(a, b) for a in ("h0",) for b in ("h1", "h2", "d0")} | {
+            ("h1", "h0"),
+            ("h2", "h0"),
+        }
         play.cut |= {(key, "h0") for key in ("b2", "b3")} | {("h0", key) for key in ("b2", "b3")}
         for name in restart:
             play.kill(name)
@@ -155,6 +183,7 @@
     def test_names_and_starts(self):
         """Two processes for one home, voters that forget, a home that forgets: nothing is lent twice, and
         each of these would be without its guard."""
+
         def early(self, now, after=0):
             return self.holds(now)
 
@@ -170,10 +199,14 @@
 
         begun, heard = shares.Voter.__init__, shares.Holding.hear
         for what, play, guard in (
-                ("waits out a loan", self.again, mock.patch.object(shares.Holding, "lends", early)),
-                ("a majority", self.twice, mock.patch.object(shares.Holding, "hear", any_number)),
-                ("a voter is mute", lambda seed: self.twice(seed, ("h1", "h2")),
-                 mock.patch.object(shares.Voter, "__init__", forgetful))):
+            ("waits out a loan", self.again, mock.patch.object(shares.Holding, "lends", early)),
+            ("a majority", self.twice, mock.patch.object(shares.Holding, "hear", any_number)),
+            (
+                "a voter is mute",
+                lambda seed: self.twice(seed, ("h1", "h2")),
+                mock.patch.object(shares.Voter, "__init__", forgetful),
+            ),
+        ):
             with self.subTest(what):
                 self.assertLessEqual(max(play(seed) for seed in range(6)), TOKENS)
                 with guard:
@@ -183,7 +216,7 @@
         """With no fault, what is wanted is lent within seconds, fairly where more is wanted than there is,
         and follows when the need moves; nobody who wants some is left with none."""
         play = Play(7, homes=3, others=3, tokens=40, floor=2)
-        play.run(12 * SECOND)                         # names are held, old loans waited out
+        play.run(12 * SECOND)  # names are held, old loans waited out
         for key, need in (("b0", 30), ("b1", 200), ("b2", 200)):
             play.processes[key].need = need
         play.run(play.now + 25 * SECOND)
@@ -230,17 +263,29 @@
         self.assertEqual((one.lent(), one.borrower.in_force(one.now())), (0, 3))
 
     @settings(max_examples=200, deadline=None, derandomize=True, database=None)
-    @given(st.integers(0, 200), st.lists(st.builds(Wish, st.integers(0, 100), st.integers(0, 60),
-                                                   st.floats(0.1, 10)), min_size=1, max_size=8))
+    @given(
+        st.integers(0, 200),
+        st.lists(
+            st.builds(Wish, st.integers(0, 100), st.integers(0, 60), st.floats(0.1, 10)),
+            min_size=1,
+            max_size=8,
+        ),
+    )
     def test_level(self, total, wishes):
         """All that there is, or is wanted, is given out; who gets less than it wants has, for its weight and
         with what it holds elsewhere, as much as anybody who gets some."""
         found = level(total, wishes)
         parts = [wish.part(found) for wish in wishes]
-        self.assertTrue(all(0 <= part <= wish.want for part, wish in zip(parts, wishes, strict=True)))
+        self.assertTrue(
+            all(0 <= part <= wish.want for part, wish in zip(parts, wishes, strict=True))
+        )
         self.assertAlmostEqual(sum(parts), min(total, sum(wish.want for wish in wishes)), delta=0.1)
-        has = [(part + wish.elsewhere) / wish.weight for part, wish in zip(parts, wishes, strict=True)]
-        short = [h for h, part, wish in zip(has, parts, wishes, strict=True) if part < wish.want - 1e-3]
+        has = [
+            (part + wish.elsewhere) / wish.weight for part, wish in zip(parts, wishes, strict=True)
+        ]
+        short = [
+            h for h, part, wish in zip(has, parts, wishes, strict=True) if part < wish.want - 1e-3
+        ]
         some = [h for h, part in zip(has, parts, strict=True) if part > 1e-3]
         if short and some:
             self.assertGreaterEqual(min(short), max(some) - 0.01)
--- a/tests/together/test_signals.py
+++ b/tests/together/test_signals.py
@@ -1,5 +1,6 @@
 """Signals: told in few bits without flicker; one that lies or is stuck has little weight; slow is not
 full."""
+
 import random
 import unittest
 from collections import Counter
@@ -36,20 +37,27 @@
         self.assertLessEqual(abs(again.room - reading.room), 0.04)
         self.assertLessEqual(abs(again.shed - reading.shed), 0.04)
         self.assertLessEqual(abs(again.pace - reading.pace), 0.11)
-        self.assertEqual((again.stage, unpack(any_number).pack()), (reading.stage, any_number & 0x3FFF))
+        self.assertEqual(
+            (again.stage, unpack(any_number).pack()), (reading.stage, any_number & 0x3FFF)
+        )
 
     def test_no_flicker(self):
         """A figure that swings around the edge of two steps is told as one."""
         telling, chance = Telling(), random.Random(1)
-        words = [telling.word(Reading(0.5 + chance.uniform(-0.04, 0.04), 0.1, 1.0, Stage.WARM))
-                 for _ in range(400)]
+        words = [
+            telling.word(Reading(0.5 + chance.uniform(-0.04, 0.04), 0.1, 1.0, Stage.WARM))
+            for _ in range(400)
+        ]
         self.assertLessEqual(sum(a != b for a, b in zip(words[20:], words[21:], strict=False)), 4)
         for _ in range(30):
             last = telling.word(FULL)
         self.assertEqual(last, FULL.pack())
 
     @settings(max_examples=100, deadline=None, derandomize=True, database=None)
-    @given(st.lists(READING.map(lambda r: r._replace(stage=Stage.WARM)), min_size=9, max_size=30), READING)
+    @given(
+        st.lists(READING.map(lambda r: r._replace(stage=Stage.WARM)), min_size=9, max_size=30),
+        READING,
+    )
     def test_a_liar_moves_a_median_by_one_place(self, readings, lie):
         """Whatever one says, what is made of them stays between what its neighbours in order said."""
         told = outlook([*readings, lie._replace(stage=Stage.WARM)])
@@ -57,14 +65,16 @@
             ranked = sorted(getattr(r, name) for r in readings)
             middle = len(ranked) // 2
             self.assertLessEqual(ranked[max(0, middle - 1)], getattr(told, name) + 1e-9)
-            self.assertGreaterEqual(ranked[min(len(ranked) - 1, middle + 1)] + 1e-9, getattr(told, name))
+            self.assertGreaterEqual(
+                ranked[min(len(ranked) - 1, middle + 1)] + 1e-9, getattr(told, name)
+            )
 
     def test_old_words(self):
         """What is old, came late or was told before a pause does not count, and too few say nothing."""
         heard = Heard()
         for sender in range(LEAST):
             heard.hear(0, sender, 5, WELL.pack())
-        heard.hear(10, 0, 4, FULL.pack())             # late: an older word of that sender
+        heard.hear(10, 0, 4, FULL.pack())  # late: an older word of that sender
         self.assertIsNotNone(outlook(heard.young(YOUNG)))
         self.assertGreater(outlook(heard.young(YOUNG)).room, 0.5)
         self.assertIsNone(outlook(heard.young(YOUNG + 1)))
@@ -99,9 +109,11 @@
         paces = [3.0 if i < 10 else 1.0 for i in range(30)]
         for look in range(40):
             now = look * 500_000 + 1
-            readings = [Reading(0.3, 0.0, paces[i], Stage.BACK if one.back else Stage.WARM)
-                        for i, one in enumerate(judges)]
-            for i, one in enumerate(judges):          # in turn, each hears what those before it did
+            readings = [
+                Reading(0.3, 0.0, paces[i], Stage.BACK if one.back else Stage.WARM)
+                for i, one in enumerate(judges)
+            ]
+            for i, one in enumerate(judges):  # in turn, each hears what those before it did
                 readings[i] = Reading(0.3, 0.0, paces[i], Stage.BACK if one.back else Stage.WARM)
                 one.weigh(now, readings[i], readings)
                 readings[i] = Reading(0.3, 0.0, paces[i], Stage.BACK if one.back else Stage.WARM)
--- a/tests/together/test_subsets.py
+++ b/tests/together/test_subsets.py
@@ -1,4 +1,5 @@
 """Subsets: even, near first, little moved, nothing for one that flaps."""
+
 import unittest
 from collections import Counter
 
@@ -28,15 +29,20 @@
 
     def test_little_moves(self):
         """One server or back end more or fewer: at most so much is opened anew, at the worst one of all."""
-        for n, m, k, most in ((10, 10, 3, 0.34), (50, 50, 10, 0.11), (200, 200, 20, 0.06),
-                              (200, 40, 10, 0.10), (40, 200, 20, 0.18)):
+        for n, m, k, most in (
+            (10, 10, 3, 0.34),
+            (50, 50, 10, 0.11),
+            (200, 200, 20, 0.06),
+            (200, 40, 10, 0.10),
+            (40, 200, 20, 0.18),
+        ):
             servers, back_ends = named("s", n), named("b", m)
             whole = apertures(servers, back_ends, k)
             for i in range(0, n, max(1, n // 10)):
-                fewer = apertures(servers[:i] + servers[i + 1:], back_ends, k)
+                fewer = apertures(servers[:i] + servers[i + 1 :], back_ends, k)
                 self.assertLessEqual(moved(whole, fewer), most, (n, m, k))
             for i in range(0, m, max(1, m // 10)):
-                fewer = apertures(servers, back_ends[:i] + back_ends[i + 1:], k)
+                fewer = apertures(servers, back_ends[:i] + back_ends[i + 1 :], k)
                 self.assertLessEqual(moved(whole, fewer), most, (n, m, k))
 
     def test_zones(self):
@@ -47,8 +53,13 @@
         for server, subset in found.items():
             near = sum(back_ends[b] == servers[server] for b in subset)
             self.assertEqual((len(set(subset)), near), (6, 2 if servers[server] == "z0" else 6))
-        spilled = Counter(b for s, subset in found.items() if servers[s] == "z0"
-                          for b in subset if b not in ("b0", "b1"))
+        spilled = Counter(
+            b
+            for s, subset in found.items()
+            if servers[s] == "z0"
+            for b in subset
+            if b not in ("b0", "b1")
+        )
         self.assertLessEqual(max(spilled.values()) - min(spilled.values()), 1)
         self.assertEqual(chosen(servers, {}, 3), {s: () for s in servers})
 
@@ -75,7 +86,9 @@
         self.assertEqual(set(seen[-1]), {"a", "d", "e"})
         changes = [i for i in range(1, 100) if seen[i] != seen[i - 1]]
         self.assertGreaterEqual(changes[0] * 100_000, SETTLE)
-        self.assertTrue(all((b - a) * 100_000 >= PACE for a, b in zip(changes, changes[1:], strict=False)))
+        self.assertTrue(
+            all((b - a) * 100_000 >= PACE for a, b in zip(changes, changes[1:], strict=False))
+        )
 
 
 if __name__ == "__main__":
--- a/tests/together/test_turns.py
+++ b/tests/together/test_turns.py
@@ -1,4 +1,5 @@
 """Turns: at most so many at a time, nobody left out, and little more under two views."""
+
 import unittest
 
 from hypothesis import given, settings
@@ -16,7 +17,7 @@
     def test_at_most_k_and_each_in_a_round(self, members, k, start):
         turns = Turns("warm", k, SLOT, GAP)
         slots = -(-len(members) // k)
-        first = start // SLOT // slots * slots        # a round's first slot
+        first = start // SLOT // slots * slots  # a round's first slot
         had = []
         for number in range(first, first + slots):
             now = {m for m in members if turns.mine(number * SLOT + SLOT // 2, m, members)}
--- a/tests/together/test_wire.py
+++ b/tests/together/test_wire.py
@@ -1,4 +1,5 @@
 """Shares between links on real sockets of one process: lent, passed on, and whatever does not fit dropped."""
+
 import random
 import time
 import unittest
@@ -19,12 +20,13 @@
 
 PATIENCE, TOKENS = 25, 8
 FIGURE = st.integers(0, 2**63)
-LETTER = st.one_of(st.builds(Claim, st.text(max_size=9), FIGURE, FIGURE),
-                   st.builds(Promise, st.text(max_size=9), FIGURE, FIGURE, st.text(max_size=9),
-                             st.booleans()),
-                   st.builds(Want, st.text(max_size=9), FIGURE, FIGURE, FIGURE, st.floats(0.01, 100), FIGURE),
-                   st.builds(Grant, st.text(max_size=9), FIGURE, FIGURE, FIGURE),
-                   st.builds(Return, st.text(max_size=9), FIGURE, FIGURE, FIGURE))
+LETTER = st.one_of(
+    st.builds(Claim, st.text(max_size=9), FIGURE, FIGURE),
+    st.builds(Promise, st.text(max_size=9), FIGURE, FIGURE, st.text(max_size=9), st.booleans()),
+    st.builds(Want, st.text(max_size=9), FIGURE, FIGURE, FIGURE, st.floats(0.01, 100), FIGURE),
+    st.builds(Grant, st.text(max_size=9), FIGURE, FIGURE, FIGURE),
+    st.builds(Return, st.text(max_size=9), FIGURE, FIGURE, FIGURE),
+)
 
 
 class Wire(unittest.TestCase):
@@ -37,7 +39,12 @@
         self.assertIsNone(unpack(6, pack(5, letter)))
         kind = (Claim, Promise, Want, Grant, Return).index(type(letter))
         self.assertEqual(unpack(5, encode((5, kind, [*letter, "more"]))), letter)
-        for body in (noise, encode((5, 9, [])), encode((5, kind, [noise])), encode((5, kind, [-1] * 5))):
+        for body in (
+            noise,
+            encode((5, 9, [])),
+            encode((5, kind, [noise])),
+            encode((5, kind, [-1] * 5)),
+        ):
             try:
                 self.assertIsNone(unpack(5, body))
             except Malformed:
@@ -55,8 +62,7 @@
             life = 100 + i
             limit = TOKENS if i < 3 else TOKENS + 1
             sharing = Sharing(clock.now(), life, homes, limit, 1, f"p{i}" if i < 3 else None, i < 3)
-            part = SharedSlots(Own(sharing, 0), homes, stated(homes, limit, 1),
-                               lambda name: None)
+            part = SharedSlots(Own(sharing, 0), homes, stated(homes, limit, 1), lambda name: None)
             link.topics[TOPIC] = part
             parts.append(part)
             row = Row(f"p{i}", began(int(time.time())), Status.JOINING, at[i], "z", life)
@@ -75,11 +81,11 @@
             return part.own.out
 
         eventually(lambda: wants(parts[0], 100) == 3 * TOKENS + 1, "all of it at one")
-        self.assertEqual(wants(parts[1], 100), 1)     # its floor alone
+        self.assertEqual(wants(parts[1], 100), 1)  # its floor alone
         for _ in range(parts[0].own.out - 1):
             parts[0].ended(clock.now(), False, True)
         eventually(lambda: wants(parts[1], 100) == 3 * TOKENS + 1, "passed on")
-        self.assertEqual(wants(parts[3], 100), 1)     # stated otherwise: none of theirs
+        self.assertEqual(wants(parts[3], 100), 1)  # stated otherwise: none of theirs
         eventually(lambda: max(part.others for part in parts[:3]) > 0, "letters of another limit")
         self.assertEqual(wants(parts[3], 100), 1)
         before = parts[2].own.sharing.holding.until
--- a/tests/walk/test_walk.py
+++ b/tests/walk/test_walk.py
@@ -1,4 +1,5 @@
 """The explorer on a world whose states are known, and the protocol of shares walked through."""
+
 import unittest
 
 from gullyoke.rig.script import read
@@ -59,12 +60,18 @@
 
     def test_played(self):
         """The way to each of the walk's starts is a script that the rig takes, with the faults in it."""
-        faults = {"a voter lost its promises": "disk m1 lost", "a disk failed a promise": "disk m2 ill",
-                  "in the middle of an act": "late x 2.1", "a voter starts anew": "kill m1"}
+        faults = {
+            "a voter lost its promises": "disk m1 lost",
+            "a disk failed a promise": "disk m2 ill",
+            "in the middle of an act": "late x 2.1",
+            "a voter starts anew": "kill m1",
+        }
         for name, way in duty.STARTS.items():
             text = played.script(tuple(step.split()) for step in way.split(";") if step.strip())
             script = read(text)
-            self.assertEqual((script.voters, [c.what for c in script.checks]), (3, ["held", "held"]))
+            self.assertEqual(
+                (script.voters, [c.what for c in script.checks]), (3, ["held", "held"])
+            )
             self.assertIn(faults.get(name, "heal"), text)
 
 
--- a/tests/work/test_writing.py
+++ b/tests/work/test_writing.py
@@ -1,4 +1,5 @@
 """Commands to the engine and answers to gateways go out by the thread that made them, and in their order."""
+
 import contextlib
 import socket
 import threading
@@ -16,8 +17,12 @@
 
 
 def req(number):
-    return types.SimpleNamespace(tid=f"{number:016x}", handler=types.SimpleNamespace(name="view"), noticed=0,
-                                 message=Message(("", "", ""), {}, bytes([65 + number % 26]) * 2000))
+    return types.SimpleNamespace(
+        tid=f"{number:016x}",
+        handler=types.SimpleNamespace(name="view"),
+        noticed=0,
+        message=Message(("", "", ""), {}, bytes([65 + number % 26]) * 2000),
+    )
 
 
 def swallow(sock):
@@ -35,7 +40,9 @@
         stack.enter_context(theirs)
         ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         engine.sock, engine.attached = ours, True
-        threading.Thread(target=engine.book.forever, args=("engine", engine.write), daemon=True).start()
+        threading.Thread(
+            target=engine.book.forever, args=("engine", engine.write), daemon=True
+        ).start()
         return engine, theirs
 
     def test_full_link(self):
@@ -48,7 +55,9 @@
             for i in range(200):
                 engine.run(req(i))
                 engine.flush()
-                wanted += f"RUN {i:016x} view 2000\r\n".encode() + bytes([65 + i % 26]) * 2000 + b"\r\n"
+                wanted += (
+                    f"RUN {i:016x} view 2000\r\n".encode() + bytes([65 + i % 26]) * 2000 + b"\r\n"
+                )
             theirs.settimeout(10)
             got = b""
             while len(got) < len(wanted):
