--- a/benchmarks/disk.py
+++ b/benchmarks/disk.py
@@ -2,8 +2,10 @@
 
     python -m benchmarks.disk [--short]
 
-`--short` takes under 50 s on eight cores. The last line is one JSON object. `crash_states` are walked;
-`cold_*` is simulated; all else is of real processes on this machine's disk, with faults by a layer under it."""
+`--short` takes under 50 s on eight cores. The last line is one JSON object. `crash_states` are
+walked; `cold_*` is simulated; all else is of real processes on this machine's disk, with faults by
+a layer under it.
+"""
 
 from __future__ import annotations
 
@@ -81,7 +83,9 @@
 
 
 def took(uniqued: bool, seconds: float) -> tuple[list[float], dict]:
-    """How long uniqued reqs take, in ms, with and without their notes, and what the server printed of keys."""
+    """How long uniqued reqs take, in ms, with and without their notes, and what the server printed
+    of keys.
+    """
     import socket
 
     from gullyoke.lab.world import asked
@@ -154,7 +158,10 @@
 
 
 def promises() -> dict:
-    """Three voters whose disks are full: the holder is killed, and the next one has to be promised it."""
+    """Three voters whose disks are full.
+
+    The holder is killed, and the next one has to be promised it.
+    """
     play = played(
         "members 4 zones 2 seed 5 load 4 voters 3 lease_ms 1000\nat 0 heal\nby 6 held\n"
         "at 4 disk m0..m2 full\nby 6 disks m0..m2 full\nat 6.5 holder kill\nby 12 moved\nend 10"
--- a/benchmarks/duty.py
+++ b/benchmarks/duty.py
@@ -2,8 +2,9 @@
 
     python -m benchmarks.duty [--short]
 
-`--short` takes under 50 s on eight cores. The last line is one JSON object; all of it but the `real_` figures
-is simulated."""
+`--short` takes under 50 s on eight cores. The last line is one JSON object; all of it but the
+`real_` figures is simulated.
+"""
 
 from __future__ import annotations
 
@@ -77,8 +78,9 @@
 
 
 def held(seed: int) -> float:
-    """The share of five minutes in which somebody held it, with a fault every 30 s and a majority always
-    up."""
+    """The share of five minutes in which somebody held it, with a fault every 30 s and a majority
+    always up.
+    """
     play, share = Play(seed, voters=3, members=8), 0
     play.run(6 * SECOND)
     began, chance = play.now, random.Random(seed)
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,10 +1,11 @@
 """Membership measured: simulated at 10, 100 and 1,000 members, and five real processes on loopback.
 
-    python -m benchmarks.members [--short] [--against]
+python -m benchmarks.members [--short] [--against]
 
-`--short` takes under 50 s on eight cores; without it there are more seeds and the long cases at every size.
-`--against` plays the published detectors on the same network instead (docs/members-design.md has the table).
-The last line is one JSON object; all of it but the `real_` figures is simulated.
+`--short` takes under 50 s on eight cores; without it there are more seeds and the long cases at
+every size. `--against` plays the published detectors on the same network instead
+(docs/members-design.md has the table). The last line is one JSON object; all of it but the `real_`
+figures is simulated.
 """
 
 from __future__ import annotations
@@ -27,7 +28,9 @@
 
 
 def detect(size: int, seed: int, refuses: bool, make: str = "ours") -> list[float]:
-    """Seconds from the end of one member in a hundred, one at the least, until all others have it removed."""
+    """Seconds from the end of one member in a hundred, one at the least, until all others have it
+    removed.
+    """
     net = fleet(size, seed, joined=True, settle=3 * SECOND, make=MAKES[make])
     gone = [f"m{i}" for i in range(3, 3 + max(1, size // 100))]
     began = net.now
@@ -62,7 +65,10 @@
 
 
 def flaps(size: int, seed: int, span: int, make: str = "ours") -> tuple[int, int]:
-    """Ten members lose 80% of what comes in: removals of the others, and of these beyond their first."""
+    """Ten members lose 80% of what comes in.
+
+    Removals of the others, and of these beyond their first.
+    """
     net = fleet(size, seed, joined=True, settle=2 * SECOND, make=MAKES[make])
     bad = {f"m{i}" for i in range(10)}
     net.cut = lambda now, a, b: 0.8 if b.name in bad else 0.0
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -1,4 +1,6 @@
-"""What pools and the reserve are worth, and what they cost. Values are simulated on the emulator.
+"""What pools and the reserve are worth, and what they cost.
+
+Values are simulated on the emulator.
 
 python -m benchmarks.pools [--short]
 """
@@ -45,7 +47,9 @@
 
 
 def cost(pools: bool) -> float:
-    """Microseconds of decision a req, over a busy day, reading and all else of the model taken off."""
+    """Microseconds of decision a req, over a busy day, reading and all else of the model taken
+    off.
+    """
     day, spent = drawn(W, Machines(servers=1), 2.0, 20 * SECOND, 1), 0.0
     running = Running(day, deciding(pools))
     server = running.nodes[0].server
--- a/benchmarks/scgi.py
+++ b/benchmarks/scgi.py
@@ -1,9 +1,12 @@
-"""What a req costs through each front: CPU of the daemon, time to the answer, and its memory when idle.
+"""What a req costs through each front.
+
+CPU of the daemon, time to the answer, and its memory when idle.
 
     python -m benchmarks.scgi [--short] [--before COMMIT]
 
-Blocks of reqs go through HTTP/1.1 and SCGI in turn, each on a connection of its own, so that both do the
-same; HTTP/1.1 on kept connections is beside them. The engine is a stand-in that answers at once.
+Blocks of reqs go through HTTP/1.1 and SCGI in turn, each on a connection of its own, so that both
+do the same; HTTP/1.1 on kept connections is beside them. The engine is a stand-in that answers at
+once.
 """
 
 from __future__ import annotations
@@ -43,7 +46,10 @@
 
 
 def block(scene, way: str, count: int, first: int) -> list[float]:
-    """`count` reqs one after another; seconds to each whole answer. An answer that is not 200 is lost."""
+    """`count` reqs one after another; seconds to each whole answer.
+
+    An answer that is not 200 is lost.
+    """
     took, kept = [], None
     address = scene.scgi if way == "scgi" else scene.listen
     for i in range(first, first + count):
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,4 +1,5 @@
-"""What the store does on this machine's disk, and what a memory is worth after a restart (simulated).
+"""What the store does on this machine's disk, and what a memory is worth after a restart
+(simulated).
 
 python -m benchmarks.store [--short]
 """
@@ -81,8 +82,10 @@
 
 
 def restart(seed: int) -> dict:
-    """Share of the value in the first 30 s after a cold start at 1.5 times the load: without a memory, with
-    one of such a day, with one of a server that was ten times slower."""
+    """Share of the value in the first 30 s after a cold start at 1.5 times the load.
+
+    Without a memory, with one of such a day, with one of a server that was ten times slower.
+    """
 
     def learned(speed: float) -> remember.Learned:
         machines = Machines(servers=1, speeds=((1, speed),))
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -1,10 +1,12 @@
-"""Choices that add up, measured: the protocol of shares walked through, days with and without, subsets, and a
-play of real processes.
+"""Choices that add up, measured.
+
+The protocol of shares walked through, days with and without, subsets, and a play of real processes.
 
     python -m benchmarks.together [--short] [--large]
 
-`--short` takes under 50 s on eight cores; without it there are 30 seeds a day; `--large` adds fleets of 10 and
-200. The last line is one JSON object; all of it but the `real_` figures is simulated.
+`--short` takes under 50 s on eight cores; without it there are 30 seeds a day; `--large` adds
+fleets of 10 and 200. The last line is one JSON object; all of it but the `real_` figures is
+simulated.
 """
 
 from __future__ import annotations
@@ -111,7 +113,10 @@
 
 
 def cost() -> float:
-    """Microseconds that the others' word adds to a req: asked for slots at a call, for advice at a shed."""
+    """Microseconds that the others' word adds to a req.
+
+    Asked for slots at a call, for advice at a shed.
+    """
     sharing = Sharing(0, 1, ("h0",), 100, 20)
     mean, judged, n = Mean(sharing, 0, 5 * SECOND), Judgement(random.Random(1).random), 20_000
     judged.weigh(0, Reading(0.1, 0.2, 1.0, Stage.WARM), [Reading(0.5, 0.1, 1.0, Stage.WARM)] * 16)
@@ -186,7 +191,9 @@
 
 
 def compared(plays: dict, size: int, kind: str, bounds: dict) -> dict:
-    """A kind of day: value before and after, the paired difference of each arm with its interval."""
+    """A kind of day: value before and after, the paired difference of each arm with its
+    interval.
+    """
     rows = {
         (arm, s): one.result() for (n, k, arm, s), one in plays.items() if (n, k) == (size, kind)
     }
--- a/gullyoke/__main__.py
+++ b/gullyoke/__main__.py
@@ -1,4 +1,7 @@
-"""The real server: `python -m gullyoke`. What it must know is in the environment and the file named there."""
+"""The real server: `python -m gullyoke`.
+
+What it must know is in the environment and the file named there.
+"""
 
 import sys
 
--- a/gullyoke/below/database.py
+++ b/gullyoke/below/database.py
@@ -1,4 +1,7 @@
-"""Send, to the database: one call at a time on a connection, from a pool of few; limits kept here."""
+"""Send, to the database.
+
+One call at a time on a connection, from a pool of few; limits kept here.
+"""
 
 from __future__ import annotations
 
@@ -32,8 +35,11 @@
 
 
 class Asked:
-    """A call in hand. `wire` is the connection that it was written to, None before that; `over` once it has
-    ended or is taken back."""
+    """A call in hand.
+
+    `wire` is the connection that it was written to, None before that; `over` once it has ended or
+    is taken back.
+    """
 
     __slots__ = ("data", "over", "req", "wire")
 
@@ -42,7 +48,10 @@
 
 
 class Wire:
-    """A connection, the call on it, and the id of the last one before that. Its reading thread closes it."""
+    """A connection, the call on it, and the id of the last one before that.
+
+    Its reading thread closes it.
+    """
 
     __slots__ = ("address", "asked", "last", "lock", "open", "since", "sock")
 
@@ -60,7 +69,10 @@
         )  # no thread may write on a socket that is closed
 
     def sound(self) -> bool:
-        """Whether it stands open with nothing to be read: neither closed by the peer nor out of step."""
+        """Whether it stands open with nothing to be read.
+
+        Neither closed by the peer nor out of step.
+        """
         try:
             self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
             return False
@@ -70,7 +82,9 @@
             return False
 
     def send(self, asked: Asked) -> None:
-        """At most one call is on its way, so it fits what the system buffers, and this does not block."""
+        """At most one call is on its way, so it fits what the system buffers, and this does not
+        block.
+        """
         with self.lock:
             if not self.open:
                 return  # the reading side has ended the call
@@ -87,12 +101,14 @@
 
 
 class Database:
-    """A connection carries one call, and goes back to the pool after exactly one whole reply with its id.
-
-    Guards against replies that are spoilt or never come and connections that break: each costs the call
-    concerned and no other. And against a reply that comes twice: replies bear the req's id alone, so a req
-    never makes its next call on the connection of its last. Tables: `idle`, the newest last, closed after
-    IDLE; `waiting`, calls for which no connection is left, one a req at most.
+    """A connection carries one call, and goes back to the pool after exactly one whole reply with
+    its id.
+
+    Guards against replies that are spoilt or never come and connections that break: each costs the
+    call concerned and no other. And against a reply that comes twice: replies bear the req's id
+    alone, so a req never makes its next call on the connection of its last. Tables: `idle`, the
+    newest last, closed after IDLE; `waiting`, calls for which no connection is left, one a req at
+    most.
     """
 
     def __init__(self, address: tuple[str, int], most: int, timer: Timer, book: Book) -> None:
@@ -118,7 +134,10 @@
         ).start()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Its address is another from now on: new calls go there, those that are out end where they are."""
+        """Its address is another from now on.
+
+        New calls go there, those that are out end where they are.
+        """
         with self.lock:
             self.address, old, self.idle = address, self.idle, []
         for wire in old:
@@ -162,8 +181,11 @@
         return None
 
     def _take(self, wire: Wire, asked: Asked | None = None) -> Asked | None:
-        """The next call on a connection that is free: `asked`, or one that waits; if there is none, the
-        connection goes to the pool. Guards against one whose call was taken back while it came about."""
+        """The next call on a connection that is free.
+
+        `asked`, or one that waits; if there is none, the connection goes to the pool. Guards
+        against one whose call was taken back while it came about.
+        """
         if asked is None:
             asked = next((one for one in self.waiting if one.req.tid != wire.last), None)
             if asked is None:
--- a/gullyoke/choice.py
+++ b/gullyoke/choice.py
@@ -1,9 +1,12 @@
-"""All of gullyoke's decisions. The interface is gullyoke/port: types, commands a req yields, their stepping.
+"""All of gullyoke's decisions.
 
-A front makes one `Server` a process and calls it with the clock in whole microseconds: `read` for each req
-read, `tell` for each word on a req in hand, `gauges` when its wake-up comes, `leave` at the notice to leave,
-`settle` after each batch. Decisions go out through the port's `Door`. `Server.life` is a req's path, top
-to bottom; the parts above it decide one thing each. Values marked "ours" are not from the paper.
+The interface is gullyoke/port: types, commands a req yields, their stepping.
+
+A front makes one `Server` a process and calls it with the clock in whole microseconds: `read` for
+each req read, `tell` for each word on a req in hand, `gauges` when its wake-up comes, `leave` at
+the notice to leave, `settle` after each batch. Decisions go out through the port's `Door`.
+`Server.life` is a req's path, top to bottom; the parts above it decide one thing each. Values
+marked "ours" are not from the paper.
 """
 
 from __future__ import annotations
@@ -26,17 +29,24 @@
 
 
 def aim(req) -> int:
-    """By when an answer earns its full value, as far as this server can know: earlier tries are not told.
+    """By when an answer earns its full value, as far as this server can know.
+
+    Earlier tries are not told.
 
-    Guards against runs for callers whose patience with a try is shorter than the target."""
+    Guards against runs for callers whose patience with a try is shorter than the target.
+    """
     h = req.handler
     return min(req.due - TICK, req.arrived + h.target + int(h.stretch * req.hint))
 
 
 class Learner:
-    """UCRL-M on s, the reqs held or running: counts a pair (s, action) and module, EVI, episodes by doubling.
+    """UCRL-M on s, the reqs held or running.
+
+    Counts a pair (s, action) and module, EVI, episodes by doubling.
 
-    Tables: one row for each pair and module, 2 * 3 * (S + 1), fixed at the start; emptied by a restart."""
+    Tables: one row for each pair and module, 2 * 3 * (S + 1), fixed at the start; emptied by a
+    restart.
+    """
 
     def __init__(
         self,
@@ -72,18 +82,26 @@
         self.episodes, self.bound, self.fresh, self.ramp = 0, 0, True, modules
 
     def admits(self, kept: int = 0) -> bool:
-        """The decision on an arrival, as if `kept` more were there. Binds only while the cores are busy."""
+        """The decision on an arrival, as if `kept` more were there.
+
+        Binds only while the cores are busy.
+        """
         at = self.s + kept
         admit = not self.binds() or (at < self.top and self.policy[at] == 1)
         self.bound += not admit
         return admit
 
     def binds(self) -> bool:
-        """The gauge speaks of the last half second: with fewer reqs than cores a core is free now (ours)."""
+        """The gauge speaks of the last half second.
+
+        With fewer reqs than cores a core is free now (ours).
+        """
         return self.busy and self.s >= min(self.cores, self.room)
 
     def count(self, now: int, move: int = 0, shed: int = 0) -> None:
-        """One step with at most one arrival or departure, after the empty ones since the last, in bulk."""
+        """One step with at most one arrival or departure, after the empty ones since the last, in
+        bulk.
+        """
         due = (now - self.origin) // self.step
         if due > self.steps:
             self._add(due - self.steps, 0, 0)
@@ -110,7 +128,10 @@
                 self.fresh = True
 
     def solve(self):
-        """A new episode, from now on: the work that finds its policy, in pieces; reqs go on between them."""
+        """A new episode, from now on.
+
+        The work that finds its policy, in pieces; reqs go on between them.
+        """
         self.fresh, self.ramp, self.episodes = False, self.modules, self.episodes + 1
         self.before = [row[:] for row in self.visits]
         return self.sweeps()
@@ -118,8 +139,10 @@
     def sweeps(self):
         """Finds the policy that is best in the most optimistic model within the widths.
 
-        Widths have UCRL2's form (Jaksch et al. 2010) with the constants of the birth-and-death case (Anselmi
-        et al. 2022), scaled by `width` (ours). Tridiagonal; starts from the last bias; stops by span."""
+        Widths have UCRL2's form (Jaksch et al. 2010) with the constants of the birth-and-death case
+        (Anselmi et al. 2022), scaled by `width` (ours). Tridiagonal; starts from the last bias;
+        stops by span.
+        """
         log, worst, rows, most = (
             math.log(4 * (self.steps + 2)),
             1 + self.holding * self.top,
@@ -177,23 +200,31 @@
 
 
 class RunningCap:
-    """How many may run on the cores: starts at the cores, grows fast while cores are free and work waits."""
+    """How many may run on the cores.
+
+    Starts at the cores, grows fast while cores are free and work waits.
+    """
 
     def __init__(self, cores: int) -> None:
         self.cores, self.now = cores, float(cores)
 
     def adjust(self, gauges, waiting: int, ceiling: float) -> None:
-        # The share of cores busy is half a second old; what wants a core now says whether one is free. Guards
-        # against a cap that runs ahead of its gauge, and so against crowding that never clears.
+        # The share of cores busy is half a second old; what wants a core now says whether one is
+        # free. Guards against a cap that runs ahead of its gauge, and so against crowding that
+        # never clears.
         free = gauges.wanting < self.cores if gauges.wanting is not None else gauges.busy < 0.95
         self.now += 1 + self.now / 4 if free and waiting else (self.cores - self.now) / 4
         self.now = max(1.0, min(self.now, ceiling))
 
 
 class Hold:
-    """A line a handler, turns by weight; within a line, what is within its customer's share goes first.
+    """A line a handler, turns by weight.
+
+    Within a line, what is within its customer's share goes first.
 
-    Tables: a line for each handler; a line holds only held reqs, and they leave when run or given up."""
+    Tables: a line for each handler; a line holds only held reqs, and they leave when run or given
+    up.
+    """
 
     def __init__(self, handlers, by_work: bool, below: CallsBelow) -> None:
         self.by_work, self.below, self.clock, self.size = by_work, below, 0.0, 0
@@ -233,7 +264,10 @@
         self.turn[h] += self.charge(h)
 
     def worst(self, now: int, newcomer):
-        """Who goes when one must: from the line longest for its weight, the youngest, if it came just now."""
+        """Who goes when one must.
+
+        From the line longest for its weight, the youngest, if it came just now.
+        """
         if newcomer.over_share:
             return newcomer
         for over in (1, 0):
@@ -263,7 +297,9 @@
         ]
 
     def ahead(self, h=None) -> float:
-        """The time on one core of all that is held, or takes its turn before a newcomer of this handler."""
+        """The time on one core of all that is held, or takes its turn before a newcomer of this
+        handler.
+        """
         turns = (len(self.lines[h][0]) + len(self.lines[h][1])) * self.charge(h) if h else math.inf
         return sum(
             self.cost[g] * min(len(pair[0]) + len(pair[1]), turns / self.charge(g))
@@ -271,19 +307,26 @@
         )
 
     def too_late(self, req, now: int) -> bool:
-        """Whether a run begun then would end too late. The usual time counts to three quarters of the target
-        (ours): a server that was slow goes on trying fresh reqs, and so learns when it is well again."""
+        """Whether a run begun then would end too late.
+
+        The usual time counts to three quarters of the target (ours): a server that was slow goes on
+        trying fresh reqs, and so learns when it is well again.
+        """
         h = req.handler
         below = self.below.wait(now) if h.calls and not h.skip_share else 0
         return now + min(self.cost[h], 0.75 * h.target) + below > aim(req)
 
 
 class CallsBelow:
-    """A bound of its own on the time that calls are in hand; the line goes by value when it is slow.
+    """A bound of its own on the time that calls are in hand.
+
+    The line goes by value when it is slow.
 
-    Rule 4 by ourselves: what ended within the span and what is out, each counted to the end of its patience
-    and its linger, together stay under our share of the span, also where the share is under one call.
-    Tables: the line (left when let out or given up) and `spent` (calls that ended, gone after the span)."""
+    Rule 4 by ourselves: what ended within the span and what is out, each counted to the end of its
+    patience and its linger, together stay under our share of the span, also where the share is
+    under one call. Tables: the line (left when let out or given up) and `spent` (calls that ended,
+    gone after the span).
+    """
 
     def __init__(self, now: int, share: float | None, span: int, linger: int, slots) -> None:
         self.share, self.span, self.linger, self.slots = share, span, linger, slots
@@ -306,7 +349,10 @@
         return self.budget - self.used - self.booked
 
     def try_for(self, req, now: int) -> int:
-        """The patience with a call: a few usual ones (ours), or a quarter of what is left if more."""
+        """The patience with a call.
+
+        A few usual ones (ours), or a quarter of what is left if more.
+        """
         most = min(req.due, self.slots.until(now) - self.linger) - now
         if self.share is not None:  # a bound is stated, and its span
             most = min(
@@ -330,7 +376,10 @@
         self.most = max(self.most, self.out)
 
     def adjust(self, now: int) -> None:
-        """Fewer calls at once while they take far longer than usual (ours): one that is crowded does less."""
+        """Fewer calls at once while they take far longer than usual (ours).
+
+        One that is crowded does less.
+        """
         self.share = self.slots.share(now, self.share, self.used + self.booked)
         self.budget = math.inf if self.share is None else 0.95 * self.share * self.span
         most, self.most = min(self.window, self.most or self.window), self.out
@@ -339,8 +388,11 @@
         )
 
     def ended(self, now: int, word: Word, took: int, patience: int) -> bool:
-        """Whether it was lost alone: a younger one went `well`, or its reply was `spoilt` and not the last.
-        Guards against a reply that is spoilt or never comes silencing all calls, as trouble below does."""
+        """Whether it was lost alone.
+
+        A younger one went `well`, or its reply was `spoilt` and not the last. Guards against a
+        reply that is spoilt or never comes silencing all calls, as trouble below does.
+        """
         self.booked -= patience + self.linger
         self.told, self.out = now, self.out - 1
         self.slots.ended(
@@ -363,7 +415,10 @@
         return alone
 
     def wait(self, now: int) -> float:
-        """How long a call that joins the line now is likely to take: what is ours comes back at our share."""
+        """How long a call that joins the line now is likely to take.
+
+        What is ours comes back at our share.
+        """
         if self.budget <= self.linger:  # none can be made within our share
             return math.inf
         old = not self.booked and not self.line and now > self.told + self.lately
@@ -390,7 +445,10 @@
 
 
 class Guards:
-    """What the four rules need whatever the rest decides: memory, the crowd on the cores, the drain."""
+    """What the four rules need whatever the rest decides.
+
+    Memory, the crowd on the cores, the drain.
+    """
 
     def __init__(self, now: int, machine, limits) -> None:
         self.machine, self.limits, self.started = machine, limits, now
@@ -403,7 +461,10 @@
         return min(1.0, low + (1 - low) * (now - self.started) / max(1, self.limits.cold))
 
     def crowd(self, now: int) -> float:
-        """What may be on the cores, with a margin (ours); those at a call come back by themselves."""
+        """What may be on the cores, with a margin (ours).
+
+        Those at a call come back by themselves.
+        """
         return 0.8 * self.machine.cores * (1 + (self.limits.tip_multiple - 1) * self.speed(now))
 
     def expire(self, now: int) -> None:
@@ -413,7 +474,10 @@
         return self.kb + kb + len(self.keys) * self.machine.key_kb <= 0.92 * self.machine.memory_kb
 
     def may_run(self, req, now: int) -> bool:
-        """Rule 3: nothing that came later than the grace is run; near the stop nothing more is begun."""
+        """Rule 3: nothing that came later than the grace is run.
+
+        Near the stop nothing more is begun.
+        """
         in_grace = self.notice is None or req.arrived <= self.notice + self.limits.drain_grace
         return in_grace and not self.closing(now)
 
@@ -432,15 +496,18 @@
 
     def shed(self, hopeless: bool, leaving: bool = False, ahead: float = 0.0) -> Shed:
         self.saw(True)
-        # Short: callers that all stay away for long move in herds, and overrun one server after another.
+        # Short: callers that all stay away for long move in herds, and overrun one server after
+        # another.
         longest = self.permits.longest_retry_in if self.permits.retry_in else 0
         wait = longest if leaving else min(longest, self.beside.stay(25_000 + int(ahead) // 3))
         return Shed(wait, hopeless or self.beside.full(self.shedding > 0.25))
 
     def connections(self, links: float | None, callers: int) -> None:
-        """Guards against a table full of connections that hardly speak, which costs work and turns callers
-        away unheard: where few callers can have one, idle ones are closed soon. While many reqs are shed they
-        stay, since a full table is the cheapest refusal; then it opens little by little, not as a flood."""
+        """Guards against a table full of connections that hardly speak, which costs work and turns
+        callers away unheard: where few callers can have one, idle ones are closed soon. While many
+        reqs are shed they stay, since a full table is the cheapest refusal; then it opens little by
+        little, not as a flood.
+        """
         longest = self.permits.longest_idle
         if links is None or not longest:
             return
@@ -451,7 +518,10 @@
             self.door.idle(int(self.idle))
 
     def saw(self, shed: bool) -> None:
-        """Count one decision on a req: the share shed of late tells whether sheds feed on themselves."""
+        """Count one decision on a req.
+
+        The share shed of late tells whether sheds feed on themselves.
+        """
         self.shedding += (shed - self.shedding) / 64
 
     def stamp(self, speed: float) -> None:
@@ -705,7 +775,10 @@
         )  # made anew
 
     def abandon(self, req, word):
-        """A run that nobody waits for: answered if it must be, stopped where that is safe and allowed."""
+        """A run that nobody waits for.
+
+        Answered if it must be, stopped where that is safe and allowed.
+        """
         if not req.gone and not req.answered:
             req.answered = True
             yield self.advice.shed(True) if word is Word.OUT else to.FAIL
@@ -714,7 +787,10 @@
         return (yield to.WAIT)
 
     def reuse(self, req):
-        """A repeat is answered from the one it repeats; it is never run beside it and never turned away."""
+        """A repeat is answered from the one it repeats.
+
+        It is never run beside it and never turned away.
+        """
         # Rule 1: too late for the next wake-up. Rule 4: memory. It may have run: no promise.
         if req.due <= self.now + TICK or not self.guards.fits(req.kb):
             yield to.FAIL
@@ -739,8 +815,11 @@
         )
 
     def stale(self, now: int) -> bool:
-        """Whether what is read has grown old unread: the cores go to reading first, so that what must be shed
-        is shed while its caller can still go elsewhere, and not all at the edge of its time."""
+        """Whether what is read has grown old unread.
+
+        The cores go to reading first, so that what must be shed is shed while its caller can still
+        go elsewhere, and not all at the edge of its time.
+        """
         return now - self.last_read < 2 * TICK and self.unread > self.target / 4
 
     def stoppable(self, req) -> bool:
@@ -752,7 +831,8 @@
         try:
             going = self.stage.step(req, word)
         finally:
-            # Guards against an error on a req's path: it leaves all tables, and the front answers it.
+            # Guards against an error on a req's path: it leaves all tables, and the front answers
+            # it.
             if not going and self.open.pop(req, req) is None and req.state in (HELD, ON, OFF):
                 if req in self.hold.lines[req.handler][req.over_share]:
                     self.hold.drop(req)
--- a/gullyoke/cli/main.py
+++ b/gullyoke/cli/main.py
@@ -1,4 +1,7 @@
-"""`gullyoke`: the sub-commands and what they say. Exit codes: 0 well, 2 what was given can't be right."""
+"""`gullyoke`: the sub-commands and what they say.
+
+Exit codes: 0 well, 2 what was given can't be right.
+"""
 
 from __future__ import annotations
 
--- a/gullyoke/codec/buffer.py
+++ b/gullyoke/codec/buffer.py
@@ -1,4 +1,7 @@
-"""The one buffer of a connection: grows as it needs, is compacted in place, and never beyond its bound."""
+"""The one buffer of a connection.
+
+Grows as it needs, is compacted in place, and never beyond its bound.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +15,9 @@
 class Buffer:
     """Bytes received and not yet taken, at `data[start:end]`.
 
-    `receive` fills a view and returns how many bytes it put there, 0 at the peer's end; its second argument
-    says whether a message has begun. It raises `Ended` for whatever else became of the connection.
+    `receive` fills a view and returns how many bytes it put there, 0 at the peer's end; its second
+    argument says whether a message has begun. It raises `Ended` for whatever else became of the
+    connection.
     """
 
     def __init__(self, receive: Callable[[memoryview, bool], int], most: int) -> None:
@@ -41,7 +45,10 @@
         return got > 0
 
     def line(self, longest: int) -> bytes | None:
-        """The next line without its end, or None while it is incomplete. A bare LF ends one too."""
+        """The next line without its end, or None while it is incomplete.
+
+        A bare LF ends one too.
+        """
         at = self.data.find(b"\n", self.start, self.end)
         if at < 0 and len(self) > longest or at - self.start > longest:
             raise Ended(End.GARBLED, f"a line of over {longest} bytes")
--- a/gullyoke/codec/http.py
+++ b/gullyoke/codec/http.py
@@ -1,4 +1,7 @@
-"""HTTP/1.1 messages as the gateways and the name service use them: one at a time, bodies by length."""
+"""HTTP/1.1 messages as the gateways and the name service use them.
+
+One at a time, bodies by length.
+"""
 
 from __future__ import annotations
 
@@ -19,9 +22,12 @@
 
 
 def read(buffer: Buffer, begun: Callable[[], None] = lambda: None) -> Message | None:
-    """The next message, waiting for it; None if the peer closes first. `begun` is called at its first byte.
+    """The next message, waiting for it; None if the peer closes first.
+
+    `begun` is called at its first byte.
 
-    Guards against heads without end, lengths that lie and bodies in pieces: nothing is read beyond bounds.
+    Guards against heads without end, lengths that lie and bodies in pieces: nothing is read beyond
+    bounds.
     """
     if not len(buffer) and not buffer.fill():
         return None
@@ -61,7 +67,10 @@
 
 
 def named(name: str) -> str:
-    """A field's name in lower case. Most names come with every message, and are looked up from then on."""
+    """A field's name in lower case.
+
+    Most names come with every message, and are looked up from then on.
+    """
     low = name.lower()
     if not low or low != low.strip():
         raise Unfit(400, "field")
--- a/gullyoke/codec/lines.py
+++ b/gullyoke/codec/lines.py
@@ -10,7 +10,10 @@
 
 
 def read(buffer: Buffer) -> list[str] | None:
-    """The words of the next line, waiting for it; None when the peer closed between two messages."""
+    """The words of the next line, waiting for it.
+
+    None when the peer closed between two messages.
+    """
     while (line := buffer.line(LINE)) is None:
         if not buffer.fill():
             if len(buffer):
--- a/gullyoke/codec/scgi.py
+++ b/gullyoke/codec/scgi.py
@@ -1,8 +1,10 @@
-"""SCGI, from its published specification (python.ca/scgi/protocol.txt): reqs in, and out to back ends.
+"""SCGI, from its published specification (python.ca/scgi/protocol.txt).
 
-A req is a netstring of headers, name NUL value NUL each, `CONTENT_LENGTH` first and `SCGI` with the value 1,
-then the body; an answer is headers, `Status` among them, a blank line and a body up to its length or the
-close (RFC 3875, section 6). One req a connection.
+Reqs in, and out to back ends.
+
+A req is a netstring of headers, name NUL value NUL each, `CONTENT_LENGTH` first and `SCGI` with the
+value 1, then the body; an answer is headers, `Status` among them, a blank line and a body up to its
+length or the close (RFC 3875, section 6). One req a connection.
 """
 
 from __future__ import annotations
@@ -34,10 +36,14 @@
 
 
 def read(buffer: Buffer, begun: Callable[[], None] = lambda: None) -> Message | None:
-    """The message of a connection, waiting for it; None if the peer closes before its first byte.
+    """The message of a connection, waiting for it.
+
+    None if the peer closes before its first byte.
 
-    Raises `Unfit` for what is no message and `Ended` where the connection ends within one. Guards against
-    heads without end, lengths that lie and names that two readers could take for different things."""
+    Raises `Unfit` for what is no message and `Ended` where the connection ends within one. Guards
+    against heads without end, lengths that lie and names that two readers could take for different
+    things.
+    """
     if not len(buffer) and not buffer.fill():
         return None
     begun()
@@ -146,7 +152,9 @@
 
 
 def request(message: Message, over: dict[str, str]) -> bytes:
-    """The message whole, with the fields of `over` in the place of its own (an empty one is left out)."""
+    """The message whole, with the fields of `over` in the place of its own (an empty one is left
+    out).
+    """
     method, path, _ = message.first
     fields = {
         name: value for name, value in (message.fields | over).items() if value and name not in OWN
@@ -168,8 +176,11 @@
 
 
 def read_answer(buffer: Buffer, most: int = ANSWER_BODY) -> Answer:
-    """A back end's answer to its end, with `most` bytes of body. Raises `Ended`: CLOSED where nothing came,
-    CUT where it ends within the answer, GARBLED for what is none, is too long, or has more behind it."""
+    """A back end's answer to its end, with `most` bytes of body.
+
+    Raises `Ended`: CLOSED where nothing came, CUT where it ends within the answer, GARBLED for what
+    is none, is too long, or has more behind it.
+    """
     while (head := _answer_head(buffer)) is None:
         if len(buffer) > ANSWER_HEAD:
             raise Ended(End.GARBLED, "an answer's head too long")
--- a/gullyoke/core/__init__.py
+++ b/gullyoke/core/__init__.py
@@ -1,1 +1,3 @@
-"""What fronts share: the desk with the decisions, repeats, timer, clock, counters, ends, sockets."""
+"""What fronts share: the desk with the decisions, repeats, timer, clock, counters, ends,
+sockets.
+"""
--- a/gullyoke/core/book.py
+++ b/gullyoke/core/book.py
@@ -1,4 +1,7 @@
-"""Book: what was taken in, sent and answered, counted; the log's form; the log never holds anybody up."""
+"""Book: what was taken in, sent and answered, counted; the log's form.
+
+The log never holds anybody up.
+"""
 
 from __future__ import annotations
 
@@ -49,7 +52,10 @@
 
 
 def pairs(**given: object) -> dict[str, object]:
-    """The pairs of a log line, under one name of their own: none of them can meet one that logging uses."""
+    """The pairs of a log line, under one name of their own.
+
+    None of them can meet one that logging uses.
+    """
     return {"pairs": given}
 
 
@@ -77,10 +83,13 @@
 
 
 class Bounded(logging.handlers.QueueHandler):
-    """Hands lines to the writing thread; a full queue drops them: a log that is stuck must not stop reqs.
+    """Hands lines to the writing thread; a full queue drops them.
+
+    A log that is stuck must not stop reqs.
 
-    Guards against a log that grows with what comes in: of one event so many lines a span are written, and the
-    next one says how many were left out. Table: one row an event; the events are fixed in the code.
+    Guards against a log that grows with what comes in: of one event so many lines a span are
+    written, and the next one says how many were left out. Table: one row an event; the events are
+    fixed in the code.
     """
 
     def __init__(self, lines: queue.Queue, most: int = 10, span: float = 10.0) -> None:
--- a/gullyoke/core/clock.py
+++ b/gullyoke/core/clock.py
@@ -1,4 +1,6 @@
-"""Time in whole microseconds that never runs backwards, and stamps of the Unix clock turned into it."""
+"""Time in whole microseconds that never runs backwards, and stamps of the Unix clock turned into
+it.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +13,10 @@
 
 
 def since(stamp_ms: int) -> int:
-    """How long ago the Unix clock showed `stamp_ms`; never less than nothing, also if it was set back."""
+    """How long ago the Unix clock showed `stamp_ms`.
+
+    Never less than nothing, also if it was set back.
+    """
     return max(0, time.time_ns() // 1000 - stamp_ms * 1000)
 
 
--- a/gullyoke/core/crew.py
+++ b/gullyoke/core/crew.py
@@ -1,4 +1,7 @@
-"""Threads that do one thing after another and rest in between: starting one costs as much as a refusal."""
+"""Threads that do one thing after another and rest in between.
+
+Starting one costs as much as a refusal.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,10 @@
 
 
 class Crew:
-    """`act` is what each does with what it is handed. Table: `resting`, a box for each thread that rests."""
+    """`act` is what each does with what it is handed.
+
+    Table: `resting`, a box for each thread that rests.
+    """
 
     def __init__(self, act: Callable[[object], None]) -> None:
         self.act = act
--- a/gullyoke/core/desk.py
+++ b/gullyoke/core/desk.py
@@ -22,8 +22,11 @@
 
 
 class Taken(Req):
-    """A request with all that the sockets need of it. `gate` is let go when its answer is there; `content`
-    is a hash of its body, keyed by this process's own secret."""
+    """A request with all that the sockets need of it.
+
+    `gate` is let go when its answer is there; `content` is a hash of its body, keyed by this
+    process's own secret.
+    """
 
     __slots__ = (
         "answer",
@@ -53,10 +56,12 @@
 
 
 class Desk:
-    """`handle` is the way in for everything that the decisions hear. Tables: `reqs` in hand, which leave at
-    their end; `later`, words that came of handling, told before the lock is let go; `gates`, of reqs answered
-    in it, opened right after; `notes`, log lines; `thoughts`, work in pieces, one new episode at most for
-    each that began."""
+    """`handle` is the way in for everything that the decisions hear.
+
+    Tables: `reqs` in hand, which leave at their end; `later`, words that came of handling, told
+    before the lock is let go; `gates`, of reqs answered in it, opened right after; `notes`, log
+    lines; `thoughts`, work in pieces, one new episode at most for each that began.
+    """
 
     def __init__(self, facts: Facts, seed: int, book: Book) -> None:
         self.facts, self.seed, self.book = facts, seed, book
@@ -78,11 +83,16 @@
         self.pools: tuple[float, dict[str, str]] | None = None
 
     def pool(self, minimum: float, classes: dict[str, str]) -> None:
-        """Class pools, from the start of the decisions on: handlers by their names, and their classes'."""
+        """Class pools, from the start of the decisions on.
+
+        Handlers by their names, and their classes'.
+        """
         self.pools = minimum, classes
 
     def open(self, door, began: int) -> None:
-        """Make the server of decisions, which started at `began`, once the engine has told how it stands."""
+        """Make the server of decisions, which started at `began`, once the engine has told how it
+        stands.
+        """
         with self.lock:
             f, self.door = self.facts, door
             self.now = clock.now()
@@ -112,7 +122,10 @@
     def handle(
         self, act: Callable[[], None], req: Taken | None = None, patience: float = -1
     ) -> None:
-        """Let `act` call the decisions; then what came of it, and their turns. `patience` with the lock."""
+        """Let `act` call the decisions; then what came of it, and their turns.
+
+        `patience` with the lock.
+        """
         if not self.lock.acquire(timeout=patience):
             return
         try:
@@ -149,10 +162,11 @@
                 self.door.over(req)
 
     def think(self) -> None:
-        """The thread that carries on with what the decisions work out in pieces, and lets reqs in between.
+        """The thread that carries on with what the decisions work out in pieces, and lets reqs in
+        between.
 
-        Guards against a lock held for a whole solve, 10 ms each and often while a server is young: every req,
-        answer and call would wait behind it.
+        Guards against a lock held for a whole solve, 10 ms each and often while a server is young:
+        every req, answer and call would wait behind it.
         """
         while True:
             work = self.thoughts.get()
@@ -187,8 +201,10 @@
         self.handle(lambda: self.server.leave(self.now, self.stop_at))
 
     def answer(self, req: Taken, outcome: object, answer: Answer | None = None) -> None:
-        """The one final answer: whatever comes after it is not heard. `outcome` is DONE, FAIL or a Shed;
-        `answer`, what the run made."""
+        """The one final answer: whatever comes after it is not heard.
+
+        `outcome` is DONE, FAIL or a Shed; `answer`, what the run made.
+        """
         with self.answering:
             if req.outcome is not None:
                 return
@@ -208,7 +224,10 @@
                     self.later.append((waiter, Word.ERRORED))
 
     def overdue(self, req: Taken) -> None:
-        """Its time is up and the decisions have not answered: heard once more, and errored by now."""
+        """Its time is up and the decisions have not answered.
+
+        Heard once more, and errored by now.
+        """
         self.handle(lambda: self.server.tell(self.now, req, Word.LATE), req, 0.02)
         self.book.add("answers.overdue")
         self.answer(req, FAIL)
--- a/gullyoke/core/ends.py
+++ b/gullyoke/core/ends.py
@@ -33,9 +33,9 @@
     NAMING = "naming"
 
 
-# What the decisions hear of each req that the connection carried then. A gateway's end is no word on its
-# caller unless the connection is broken or gone. Runs outlive a link to the engine; the name service has no
-# part in a req.
+# What the decisions hear of each req that the connection carried then. A gateway's end is no word
+# on its caller unless the connection is broken or gone. Runs outlive a link to the engine; the name
+# service has no part in a req.
 UNRUN = {End.REFUSED, End.UNREACHED}
 GONE = {End.CLOSED, End.CUT, End.RESET}
 
@@ -57,7 +57,10 @@
 
 
 def served(serve: Callable[[], End], fault: Callable[[], None]) -> tuple[End, str]:
-    """Serve a connection to its end: how it ended, and why. `fault` is told of an error of our own."""
+    """Serve a connection to its end: how it ended, and why.
+
+    `fault` is told of an error of our own.
+    """
     try:
         return serve(), ""
     except Ended as ended:
--- a/gullyoke/core/message.py
+++ b/gullyoke/core/message.py
@@ -43,7 +43,10 @@
 
 
 class Answer(NamedTuple):
-    """A whole answer. `fields` are those beside its length, in their order; a name may stand twice."""
+    """A whole answer.
+
+    `fields` are those beside its length, in their order; a name may stand twice.
+    """
 
     status: int
     body: bytes = b""
--- a/gullyoke/core/repeats.py
+++ b/gullyoke/core/repeats.py
@@ -9,8 +9,11 @@
 
 
 class Entry:
-    """A kept request. `holder` is the request while it is in hand; `content` tells what it asked for from
-    what others ask for, None where that is not known; `result` is None if it didn't end well."""
+    """A kept request.
+
+    `holder` is the request while it is in hand; `content` tells what it asked for from what others
+    ask for, None where that is not known; `result` is None if it didn't end well.
+    """
 
     __slots__ = ("content", "ended", "holder", "result", "until", "waiting")
 
@@ -21,14 +24,19 @@
 
 
 class Repeats:
-    """Table: one entry for each key that the decisions keep; gone after its time or when forgotten."""
+    """Table: one entry for each key that the decisions keep.
+
+    Gone after its time or when forgotten.
+    """
 
     def __init__(self, fresh_for: int) -> None:
         self.fresh_for, self.bytes = fresh_for, 0
         self.entries: dict[tuple[Handler, str], Entry] = {}
 
     def alive(self, req) -> Entry | None:
-        """The entry under its key, if it came within that one's time or while that one is in hand."""
+        """The entry under its key, if it came within that one's time or while that one is in
+        hand.
+        """
         entry = self.entries.get((req.handler, req.key)) if req.key else None
         if entry is None or entry.holder is None and req.arrived > entry.until:
             return None
@@ -37,13 +45,17 @@
     def conflicts(self, req) -> bool:
         """Whether a keyed request asks for something else than the one that came under its key.
 
-        Guards against an answer that belongs to another, for a client that reuses a key or has seen one."""
+        Guards against an answer that belongs to another, for a client that reuses a key or has seen
+        one.
+        """
         entry = self.alive(req)
         known = entry is not None and entry.content is not None and req.handler.kind is Kind.UNIQUED
         return known and entry.content != req.content
 
     def find(self, req, now: int):
-        """The entry it repeats, if it came while that was alive, and what the decisions hear of it."""
+        """The entry it repeats, if it came while that was alive, and what the decisions hear of
+        it.
+        """
         entry = self.alive(req)
         if entry is None:
             return None, None
@@ -86,7 +98,10 @@
         return waiting
 
     def expire(self, now: int) -> None:
-        """An entry outlives its time by that of a caller: repeats that came within it may still be unread."""
+        """An entry outlives its time by that of a caller.
+
+        Repeats that came within it may still be unread.
+        """
         for key, entry in list(self.entries.items()):
             if entry.holder is None and entry.until + key[0].timeout < now:
                 del self.entries[key]
--- a/gullyoke/core/sockets.py
+++ b/gullyoke/core/sockets.py
@@ -10,8 +10,10 @@
 
 
 def connected(address: tuple[str, int] | str | None, patience: float) -> socket.socket:
-    """A connection opened here, to a host and port or a path. That none came about has two ends, told apart
-    by whether the peer said so."""
+    """A connection opened here, to a host and port or a path.
+
+    That none came about has two ends, told apart by whether the peer said so.
+    """
     if address is None:
         raise Ended(End.UNREACHED, "no address is stated")
     try:
@@ -35,8 +37,10 @@
 
 
 class Receiver:
-    """What a buffer receives by, from a blocking socket. Where `piece` is set, the wait for more of a message
-    that has begun ends after so many seconds."""
+    """What a buffer receives by, from a blocking socket.
+
+    Where `piece` is set, the wait for more of a message that has begun ends after so many seconds.
+    """
 
     def __init__(self, sock: socket.socket, piece: float | None = None) -> None:
         self.sock, self.piece = sock, piece
@@ -75,8 +79,11 @@
         return left
 
     def send(self, data: bytes) -> bool:
-        """Send all of it; whether it was. Raises before its first byte is on its way: `Ended`. Raises later:
-        `Broken`, since what was sent may have been read."""
+        """Send all of it; whether it was.
+
+        Raises before its first byte is on its way: `Ended`. Raises later: `Broken`, since what was
+        sent may have been read.
+        """
         sent = 0
         try:
             with memoryview(data) as view:
@@ -111,8 +118,11 @@
 
 
 def drain(sock: socket.socket, patience: float = 0.5, most: int = 2**18) -> None:
-    """Take and drop what the peer still sends, to its end. Bounded in seconds and bytes, for peers that go on
-    and on; one that keeps its side open has had its answer."""
+    """Take and drop what the peer still sends, to its end.
+
+    Bounded in seconds and bytes, for peers that go on and on; one that keeps its side open has had
+    its answer.
+    """
     until = time.monotonic() + patience
     try:
         while most > 0 and (left := until - time.monotonic()) > 0:
--- a/gullyoke/core/standing.py
+++ b/gullyoke/core/standing.py
@@ -4,8 +4,11 @@
 
 
 class Standing:
-    """`good`: what checks are told; `idle`: microseconds after which silent connections are closed, 0 for
-    never; `level`: the free value that goes out with every answer, or None; `closing`: near the stop."""
+    """`good`: what checks are told; `idle`.
+
+    Microseconds after which silent connections are closed, 0 for never; `level`: the free value
+    that goes out with every answer, or None; `closing`: near the stop.
+    """
 
     __slots__ = ("closing", "good", "idle", "level", "longest_idle")
 
--- a/gullyoke/core/timer.py
+++ b/gullyoke/core/timer.py
@@ -12,8 +12,11 @@
 
 
 class Timer(threading.Thread):
-    """Acts in order of their times. Table: the heap, which an act leaves when due; it holds a few that come
-    again and one for each call of the last seconds."""
+    """Acts in order of their times.
+
+    Table: the heap, which an act leaves when due; it holds a few that come again and one for each
+    call of the last seconds.
+    """
 
     def __init__(self, book: Book) -> None:
         super().__init__(name="timer", daemon=True)
--- a/gullyoke/daemon/house.py
+++ b/gullyoke/daemon/house.py
@@ -44,11 +44,13 @@
 
 
 class Feature(Protocol):
-    """One thing that an operator's file adds (gullyoke/features/), so that the lean start imports none of it.
+    """One thing that an operator's file adds (gullyoke/features/), so that the lean start imports
+    none of it.
 
-    Asked in this order: `work`, `around` and `held` while the house is put together, `join` when it is,
-    `start` once the timer runs, `print` with the counters, `leave` at the notice to leave, `end` at the end
-    of the drain."""
+    Asked in this order: `work`, `around` and `held` while the house is put together, `join` when it
+    is, `start` once the timer runs, `print` with the counters, `leave` at the notice to leave,
+    `end` at the end of the drain.
+    """
 
     def work(self, told: Told, book: Book) -> Work | None:
         """What carries out the work in the engine's place, if this does."""
@@ -67,7 +69,9 @@
 
 
 class Extra(Protocol):
-    """The operator's file: the features that it made, and reading it again, False where it can't be right."""
+    """The operator's file: the features that it made, and reading it again, False where it can't be
+    right.
+    """
 
     features: list[Feature]
 
@@ -75,7 +79,10 @@
 
 
 class House:
-    """`extra` is the operator's file, None where there is none; `form`, the log's where it is not ours."""
+    """`extra` is the operator's file, None where there is none.
+
+    `form`, the log's where it is not ours.
+    """
 
     def __init__(
         self, told: Told, extra: Extra | None = None, form: logging.Formatter | None = None
@@ -154,10 +161,12 @@
             one.print()
 
     def reload(self) -> None:
-        """Take over what a new configuration may change under reqs: addresses and the stop's time.
+        """Take over what a new configuration may change under reqs.
+
+        Addresses and the stop's time.
 
-        Guards against a file that is missing, torn, impossible or another server's: the one in force stays,
-        whole. Another server's engine knows none of the requests in hand here.
+        Guards against a file that is missing, torn, impossible or another server's: the one in
+        force stays, whole. Another server's engine knows none of the requests in hand here.
         """
         self.book.add("reloads")
         try:
@@ -193,7 +202,10 @@
         )
 
     def leave(self) -> int:
-        """The drain: all that comes is still read and answered; at its end no connection is left unread."""
+        """The drain: all that comes is still read and answered.
+
+        At its end no connection is left unread.
+        """
         log.info(
             "leaving", extra=pairs(stop_ms=self.told.stop // 1000, in_hand=len(self.desk.reqs))
         )
--- a/gullyoke/daemon/naming.py
+++ b/gullyoke/daemon/naming.py
@@ -1,4 +1,7 @@
-"""Reports to the name service, so that gateways learn of this server. Its absence touches nothing else."""
+"""Reports to the name service, so that gateways learn of this server.
+
+Its absence touches nothing else.
+"""
 
 from __future__ import annotations
 
--- a/gullyoke/daemon/options.py
+++ b/gullyoke/daemon/options.py
@@ -27,8 +27,11 @@
     settings: dict[str, str]
 
     def strange(self, new: Told) -> str | None:
-        """What shows that another configuration is not this server's: its name, or the names of its
-        classes or tenants; None where it may be. Figures may differ: they are those of another start."""
+        """What shows that another configuration is not this server's.
+
+        Its name, or the names of its classes or tenants; None where it may be. Figures may differ:
+        they are those of another start.
+        """
         if new.name != self.name:
             return "name"
         if [h.name for h in new.facts.handlers] != [h.name for h in self.facts.handlers]:
@@ -38,7 +41,10 @@
         return None
 
     def changed(self, old: Told) -> list[str]:
-        """The names of what differs from another configuration. The seed is new with each file."""
+        """The names of what differs from another configuration.
+
+        The seed is new with each file.
+        """
         return [
             name
             for name in self._fields
@@ -47,9 +53,12 @@
 
 
 def told(env: Mapping[str, str], apart: bool = False) -> Told:
-    """From the environment and the file that it names. NODE_NAME and NODE_LISTEN stand over the file's. Where
-    the operator's file names the back ends (`apart`), engine, database and name service may be absent; the
-    database also where the settings name nothing below."""
+    """From the environment and the file that it names.
+
+    NODE_NAME and NODE_LISTEN stand over the file's. Where the operator's file names the back ends
+    (`apart`), engine, database and name service may be absent; the database also where the settings
+    name nothing below.
+    """
     path = env.get("NODE_CONFIG")
     if not path:
         raise Misstated("missing environment variable 'NODE_CONFIG'")
--- a/gullyoke/daemon/relay.py
+++ b/gullyoke/daemon/relay.py
@@ -1,4 +1,7 @@
-"""Relay: what engine and database say becomes the port's words; results and replies go on unchanged."""
+"""Relay: what engine and database say becomes the port's words.
+
+Results and replies go on unchanged.
+"""
 
 from __future__ import annotations
 
--- a/gullyoke/daemon/route.py
+++ b/gullyoke/daemon/route.py
@@ -1,4 +1,7 @@
-"""Route: each command of the decisions goes to whoever carries it out. Only queues are touched."""
+"""Route: each command of the decisions goes to whoever carries it out.
+
+Only queues are touched.
+"""
 
 from __future__ import annotations
 
@@ -61,7 +64,10 @@
         self.desk.over(req)
 
     def wake(self, after: int) -> None:
-        """Counted from when the last one was due: waiting for gauges must not push all later ones back."""
+        """Counted from when the last one was due.
+
+        Waiting for gauges must not push all later ones back.
+        """
         self.due = max(self.desk.now, self.due + after)
         self.timer.at(self.due, self.ask)
 
@@ -85,7 +91,8 @@
     def ask(self) -> None:
         self.awaited += 1
         tag = self.awaited
-        # From this moment, not from the last event's: where little happens that is older than the whole wait.
+        # From this moment, not from the last event's: where little happens that is older than the
+        # whole wait.
         self.timer.at(clock.now() + STATS_WAIT, lambda: self.woken(tag, {}))
         self.engine.stat(tag)
 
--- a/gullyoke/daemon/start.py
+++ b/gullyoke/daemon/start.py
@@ -15,8 +15,10 @@
 def serve(
     extra: Extra | None = None, apart: bool = False, form: logging.Formatter | None = None
 ) -> int:
-    """Serve until the notice to leave; 2 where what it is told can't be. `apart`: no engine is needed; `form`
-    is the log's, where it is not key=value lines."""
+    """Serve until the notice to leave; 2 where what it is told can't be.
+
+    `apart`: no engine is needed; `form` is the log's, where it is not key=value lines.
+    """
     signals.hold()  # where the command line has not
     try:
         house = House(told(os.environ, apart), extra, form)
--- a/gullyoke/drill/batches.py
+++ b/gullyoke/drill/batches.py
@@ -1,4 +1,7 @@
-"""Batches read and replies written; one `Seat` for each server, which shares nothing with the others."""
+"""Batches read and replies written.
+
+One `Seat` for each server, which shares nothing with the others.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +46,10 @@
 
 
 class Seat:
-    """One server's decisions at their place on the wire; the port's Door. `reqs` holds those in hand."""
+    """One server's decisions at their place on the wire; the port's Door.
+
+    `reqs` holds those in hand.
+    """
 
     def __init__(self, now: int, seed: int, facts: Facts) -> None:
         self.lines: list[str] = []
@@ -188,7 +194,9 @@
 
 
 class Checked:
-    """A seat's server behind `guarded`, so that the wire's own errors and the decisions' stay apart."""
+    """A seat's server behind `guarded`, so that the wire's own errors and the decisions' stay
+    apart.
+    """
 
     def __init__(self, seat: Seat) -> None:
         self.seat, self.server = seat, seat.server
--- a/gullyoke/durable/__init__.py
+++ b/gullyoke/durable/__init__.py
@@ -1,8 +1,11 @@
-"""What lasts, and what to do where it can't: how a disk is, what may be written to it, the notes of reqs that
-must not run again after a restart, and whose folder one finds.
+"""What lasts, and what to do where it can't.
 
-Decisions and state alone; no I/O, no clock and no chance but what is handed in. docs/disk-design.md says what
-was weighed, docs/store.md what an operator sees."""
+How a disk is, what may be written to it, the notes of reqs that must not run again after a restart,
+and whose folder one finds.
+
+Decisions and state alone; no I/O, no clock and no chance but what is handed in. docs/disk-design.md
+says what was weighed, docs/store.md what an operator sees.
+"""
 
 from gullyoke.durable.condition import Condition, State, Turn
 from gullyoke.durable.ledger import Act, Do, Ledger, Put, Without
--- a/gullyoke/durable/condition.py
+++ b/gullyoke/durable/condition.py
@@ -1,11 +1,13 @@
 """How a disk is, told by what calls on it return, how long they take and how much room is left.
 
-It turns bad at once and well slowly: a trial has to go well GOOD times in a row over a span that doubles each
-time the disk turns bad again soon after, and then promises are taken little by little. What does not come
-back counts as it goes on: a call that is out for longer than STALL is a stall, though nothing was returned.
+It turns bad at once and well slowly: a trial has to go well GOOD times in a row over a span that
+doubles each time the disk turns bad again soon after, and then promises are taken little by little.
+What does not come back counts as it goes on: a call that is out for longer than STALL is a stall,
+though nothing was returned.
 
-The span that grows with each relapse is flap damping (RFC 2439) with a doubling in the place of its penalty;
-the slow return is that of routing's ejected back ends."""
+The span that grows with each relapse is flap damping (RFC 2439) with a doubling in the place of its
+penalty; the slow return is that of routing's ejected back ends.
+"""
 
 from __future__ import annotations
 
@@ -66,8 +68,11 @@
 
 
 class Condition:
-    """One folder's disk. `heed` hears each turn. `draw` gives a number from 0 to 1. Table: `out`, calls that
-    have not returned, by a number of their own: as many as there are threads that call."""
+    """One folder's disk.
+
+    `heed` hears each turn. `draw` gives a number from 0 to 1. Table: `out`, calls that have not
+    returned, by a number of their own: as many as there are threads that call.
+    """
 
     def __init__(self, now: int, draw: Callable[[], float]) -> None:
         self.draw, self.out, self.count = draw, {}, 0
@@ -87,7 +92,9 @@
         return self.count
 
     def ended(self, now: int, number: int, fault: int | None = None, trial: bool = False) -> None:
-        """It returned: `fault` is the system's number for what was wrong, None where it went well."""
+        """It returned: `fault` is the system's number for what was wrong, None where it went
+        well.
+        """
         began, what = self.out.pop(number, (now, "a call"))
         if fault is not None:
             self._worse(
@@ -101,7 +108,10 @@
             self._better(now)
 
     def room(self, now: int, free: float) -> None:
-        """The share of the room that is left: of the disk, or of what we may have of it if that is less."""
+        """The share of the room that is left.
+
+        Of the disk, or of what we may have of it if that is less.
+        """
         self.free = free
 
     # What is made of it.
@@ -122,14 +132,20 @@
         return found
 
     def takes(self, now: int) -> bool:
-        """Whether a promise may be asked of it now: of one that has just come back a part that grows."""
+        """Whether a promise may be asked of it now.
+
+        Of one that has just come back a part that grows.
+        """
         if self.state(now) in BAD:
             return False
         part = (now - self.returned) / RAMP
         return part >= 1 or self.draw() < max(0.1, part)
 
     def trial(self, now: int) -> bool:
-        """Whether to try it now, once; True only while it is bad and nothing of the last trial is out."""
+        """Whether to try it now, once.
+
+        True only while it is bad and nothing of the last trial is out.
+        """
         if self.state(now) not in BAD or now < self.next or self.out:
             return False
         self.next = now + self.pause
--- a/gullyoke/durable/ledger.py
+++ b/gullyoke/durable/ledger.py
@@ -1,12 +1,15 @@
-"""The notes of one life of a server: what must be on the disk before a req runs and before its answer goes
-out, and what is done where it does not come to be.
+"""The notes of one life of a server.
+
+What must be on the disk before a req runs and before its answer goes out, and what is done where it
+does not come to be.
 
     asked --note--> NOTING --durable--> NOTED (runs) --end--> ENDING --durable--> ENDED (answered)
                       |                   (BARE: runs without a note, where the operator says go on)
                       +--failed, or not in time--> LEFT: it does not run, and what may lie there is to go
 
-A word of the disk that comes after a req was given up starts nothing. Which words can cross which is walked
-through in gullyoke/walk/notes.py."""
+A word of the disk that comes after a req was given up starts nothing. Which words can cross which
+is walked through in gullyoke/walk/notes.py.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +24,11 @@
 
 
 class Without(Enum):
-    """What is done where the disk can't promise in time: `SHED`, the req is turned away unrun, or errored
-    where it has run; `GO_ON`, it runs and is answered without the promise."""
+    """What is done where the disk can't promise in time.
+
+    `SHED`, the req is turned away unrun, or errored where it has run; `GO_ON`, it runs and is
+    answered without the promise.
+    """
 
     SHED = "shed"
     GO_ON = "go on"
@@ -59,8 +65,11 @@
 
 
 class Row:
-    """`number` is that of the last write that counts; `began`, when the one that is out was asked for;
-    `told`, whether the end of the run was told; `due`, by when its answer must go out."""
+    """`number` is that of the last write that counts.
+
+    `began`, when the one that is out was asked for; `told`, whether the end of the run was told;
+    `due`, by when its answer must go out.
+    """
 
     __slots__ = ("began", "due", "note", "number", "stage", "told")
 
@@ -70,12 +79,15 @@
 
 
 class Ledger:
-    """Tables: `rows`, one a key, `most` bytes of notes and results together: no req that needs another is run
-    with a promise. A row leaves when its window is over (`expire`), or when its req was left unrun and that
-    is on the disk. `ends`, a heap of rows by the ends of their windows, which they leave then; `results`,
-    keys in the order of their ends, left when the result is given up or the window is over. `out`, writes on
-    their way, by number, in the order of asking; each leaves with the disk's word. `bare` counts runs without
-    a promise, `lost` ends that are not on the disk."""
+    """Tables: `rows`, one a key, `most` bytes of notes and results together.
+
+    No req that needs another is run with a promise. A row leaves when its window is over
+    (`expire`), or when its req was left unrun and that is on the disk. `ends`, a heap of rows by
+    the ends of their windows, which they leave then; `results`, keys in the order of their ends,
+    left when the result is given up or the window is over. `out`, writes on their way, by number,
+    in the order of asking; each leaves with the disk's word. `bare` counts runs without a promise,
+    `lost` ends that are not on the disk.
+    """
 
     def __init__(self, life: int, without: Without, most: int) -> None:
         self.life, self.without, self.most, self.waits = life, without, most, Waits()
@@ -104,7 +116,10 @@
     # A req's path.
 
     def past(self, now: int, key: str) -> Note | None:
-        """What is known of an earlier req of this key that is no longer in hand; None where it may run."""
+        """What is known of an earlier req of this key that is no longer in hand.
+
+        None where it may run.
+        """
         row = self.rows.get(key)
         if row is None or row.stage is Stage.LEFT or judged(row.note, now) is Verdict.RUNS:
             return None
@@ -113,8 +128,9 @@
     def asked(
         self, now: int, key: str, arrived: int, until: int, due: int, run: float, takes: bool
     ) -> Put | Act:
-        """A req is to run: `run` is how long that usually takes, `takes` whether the disk is fit for a
-        promise."""
+        """A req is to run: `run` is how long that usually takes, `takes` whether the disk is fit
+        for a promise.
+        """
         if self.past(now, key) is not None:
             return Act(Do.KNOWN, key)
         note = Note(Phase.NOTED, self.life, arrived, until)
@@ -205,8 +221,10 @@
         return self._write(now, key, note)
 
     def overdue(self, now: int) -> list[Act]:
-        """Those whose write has taken too long: it is not waited for any more. What it comes to is still
-        heard."""
+        """Those whose write has taken too long: it is not waited for any more.
+
+        What it comes to is still heard.
+        """
         acts = []
         for number, key in self.out.items():
             row = self.rows.get(key)
@@ -224,8 +242,10 @@
         return acts
 
     def expire(self, now: int) -> list[str]:
-        """The keys whose window is over; with them go their records. One that is running stays until it
-        has ended, and is looked at again a second later."""
+        """The keys whose window is over; with them go their records.
+
+        One that is running stays until it has ended, and is looked at again a second later.
+        """
         past = []
         while self.ends and self.ends[0][0] < now:
             until, key = heapq.heappop(self.ends)
--- a/gullyoke/durable/note.py
+++ b/gullyoke/durable/note.py
@@ -1,7 +1,9 @@
 """What a disk says of a req that must not run again, and what that means after a restart.
 
-A note goes to the disk before the req runs, its end before its answer goes out. So a note without an end is
-of a req that may have run, wholly, in part or not at all: it is neither run again nor turned away."""
+A note goes to the disk before the req runs, its end before its answer goes out. So a note without
+an end is of a req that may have run, wholly, in part or not at all: it is neither run again nor
+turned away.
+"""
 
 from __future__ import annotations
 
@@ -17,8 +19,11 @@
 
 
 class Note(NamedTuple):
-    """`life` is the start that wrote it; `arrived`, when the try came that was run, and `until`, the end of
-    its window, in microseconds of the Unix clock; `status` 0 where nothing is known of the answer."""
+    """`life` is the start that wrote it.
+
+    `arrived`, when the try came that was run, and `until`, the end of its window, in microseconds
+    of the Unix clock; `status` 0 where nothing is known of the answer.
+    """
 
     phase: Phase
     life: int
@@ -50,6 +55,9 @@
 
 
 def recovered(note: Note, now: int) -> Note:
-    """As it counts from this start on. Guards against a clock that went back: a note is in force for its
-    window from now at the most, not until a time that the clock comes to in a year."""
+    """As it counts from this start on.
+
+    Guards against a clock that went back: a note is in force for its window from now at the most,
+    not until a time that the clock comes to in a year.
+    """
     return note._replace(until=min(note.until, now + (note.until - note.arrived)))
--- a/gullyoke/durable/rooms.py
+++ b/gullyoke/durable/rooms.py
@@ -1,10 +1,11 @@
 """Who may have how much of a disk, and what goes first when it grows full.
 
-Each kind of what is kept has its bytes. Near full nothing is lost yet: what is dead is compacted away. When
-that does not do, what is worth least goes first: what a server remembers of usual times, then the fleet's
-record, then the results of ended reqs (a repeat is then answered errored, as unknown, never run again), and
-notes whose window is over. Notes that are in force and promises are never given up for room; promises have
-theirs from the start (gullyoke/store/cells.py)."""
+Each kind of what is kept has its bytes. Near full nothing is lost yet: what is dead is compacted
+away. When that does not do, what is worth least goes first: what a server remembers of usual times,
+then the fleet's record, then the results of ended reqs (a repeat is then answered errored, as
+unknown, never run again), and notes whose window is over. Notes that are in force and promises are
+never given up for room; promises have theirs from the start (gullyoke/store/cells.py).
+"""
 
 from __future__ import annotations
 
@@ -47,7 +48,10 @@
 
 
 class Rooms:
-    """Bytes by kind, as whoever keeps them says (`used`). `quota` is what all but promises may take."""
+    """Bytes by kind, as whoever keeps them says (`used`).
+
+    `quota` is what all but promises may take.
+    """
 
     def __init__(self, quota: int) -> None:
         self.quota = quota
@@ -73,9 +77,11 @@
         ]
 
     def goes(self, state: State) -> list[Goes]:
-        """What to give up now, the least worth first: near full a STEP of the quota at a time, else what is
-        over its share. Notes in force are not among it; where nothing can be written nothing can be taken
-        out either."""
+        """What to give up now, the least worth first.
+
+        Near full a STEP of the quota at a time, else what is over its share. Notes in force are not
+        among it; where nothing can be written nothing can be taken out either.
+        """
         if state is not State.NEAR_FULL:
             return self.over() if state is State.WELL else []
         out, need = [], max(1, int(STEP * self.quota))
--- a/gullyoke/durable/trust.py
+++ b/gullyoke/durable/trust.py
@@ -1,9 +1,11 @@
 """Whose folder one finds, and how far it can be believed.
 
-A folder bears a mark: a format, a name, the number of the last start that wrote to it. A folder that is
-another's, of an older copy, or newer than this program says nothing that may be gone by. What was promised
-under its name then is not known, and for as long as a promise can last the server says so: tries that are
-marked as further ones are errored, and a voter is silent (gullyoke/duty/voter.py waits by itself)."""
+A folder bears a mark: a format, a name, the number of the last start that wrote to it. A folder
+that is another's, of an older copy, or newer than this program says nothing that may be gone by.
+What was promised under its name then is not known, and for as long as a promise can last the server
+says so: tries that are marked as further ones are errored, and a voter is silent
+(gullyoke/duty/voter.py waits by itself).
+"""
 
 from __future__ import annotations
 
@@ -23,8 +25,11 @@
 
 
 class Trust(NamedTuple):
-    """`notes`: whether what it says is believed; `writes`: whether it may be written to; `doubts`: whether
-    there were notes that are not known, so that further tries must be doubted; `why`, in words."""
+    """`notes`: whether what it says is believed; `writes`.
+
+    Whether it may be written to; `doubts`: whether there were notes that are not known, so that
+    further tries must be doubted; `why`, in words.
+    """
 
     notes: bool
     writes: bool
@@ -33,8 +38,11 @@
 
 
 def trusted(mark: Mark | None, rows: int, name: str, known: int, now: int) -> Trust:
-    """`rows`: how many records lie there; `known`: the number of this name's last start as the others tell,
-    0 where there is nobody or they know of none."""
+    """`rows`: how many records lie there; `known`.
+
+    The number of this name's last start as the others tell, 0 where there is nobody or they know of
+    none.
+    """
     if mark is not None and mark.format > FORMAT:
         return Trust(False, False, True, f"format {mark.format}, newer than {FORMAT}")
     if mark is not None and mark.name != name:
@@ -52,7 +60,10 @@
 
 
 def older(last: int, known: int) -> bool:
-    """Whether the others know of a start after the one that a folder bears: it is of an older copy."""
+    """Whether the others know of a start after the one that a folder bears.
+
+    It is of an older copy.
+    """
     return 0 < last < known
 
 
--- a/gullyoke/durable/waits.py
+++ b/gullyoke/durable/waits.py
@@ -1,6 +1,8 @@
-"""How long a promise takes: from being queued until the disk has it. Smoothed like a round trip, mean and
-deviation (Jacobson 1988), with what is out now: a disk that hangs says nothing, and takes longer each
-moment."""
+"""How long a promise takes: from being queued until the disk has it.
+
+Smoothed like a round trip, mean and deviation (Jacobson 1988), with what is out now: a disk that
+hangs says nothing, and takes longer each moment.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +11,10 @@
 
 
 class Waits:
-    """Table: `out`, when each promise that is out was asked for, in the order of asking; as many as there are
-    reqs in hand at the most."""
+    """Table: `out`, when each promise that is out was asked for, in the order of asking.
+
+    As many as there are reqs in hand at the most.
+    """
 
     def __init__(self) -> None:
         self.mean, self.off, self.known = float(FIRST), FIRST / 2, False
@@ -31,13 +35,17 @@
         self.mean += (took - self.mean) / 8
 
     def usual(self, now: int) -> float:
-        """What the next one is likely to need, in microseconds: no less than the oldest that is out has
-        had."""
+        """What the next one is likely to need, in microseconds.
+
+        No less than the oldest that is out has had.
+        """
         oldest = next(iter(self.out.values()), now)
         return max(self.mean + 4 * self.off, float(now - oldest))
 
     def in_time(self, now: int, due: int, run: float) -> bool:
-        """Whether a promise asked for now leaves time for a run that usually takes `run`, and for its end."""
+        """Whether a promise asked for now leaves time for a run that usually takes `run`, and for
+        its end.
+        """
         return now + 2 * self.usual(now) + run <= due
 
     def overdue(self, now: int, began: int, due: int) -> bool:
--- a/gullyoke/duty/asking.py
+++ b/gullyoke/duty/asking.py
@@ -1,8 +1,12 @@
-"""A dead or overloaded dependency is asked by one: the holder of the duty tries, the rest learn the news.
+"""A dead or overloaded dependency is asked by one.
 
-A server takes it for dead when its last FAILED calls failed and none went well for SILENT. Then it lets no
-call out while a holder's word that it is dead is young; without such a word it asks for itself, seldom. A
-word that it is well opens it a little at first, so that all servers together do not bring it down again."""
+The holder of the duty tries, the rest learn the news.
+
+A server takes it for dead when its last FAILED calls failed and none went well for SILENT. Then it
+lets no call out while a holder's word that it is dead is young; without such a word it asks for
+itself, seldom. A word that it is well opens it a little at first, so that all servers together do
+not bring it down again.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,10 @@
 
 
 class Asking:
-    """One server's view of what it calls. `draw` gives a number from 0 to 1. Nothing here grows."""
+    """One server's view of what it calls.
+
+    `draw` gives a number from 0 to 1. Nothing here grows.
+    """
 
     def __init__(self, draw: Callable[[], float]) -> None:
         self.draw, self.failed, self.well_at, self.dead = draw, 0, 0, False
--- a/gullyoke/duty/candidate.py
+++ b/gullyoke/duty/candidate.py
@@ -1,9 +1,10 @@
 """One process and one duty: whether it holds it, and how it comes by it and lets go.
 
-It asks before it asks: a majority that would grant comes before a majority that does, so that one that is cut
-off makes no epochs. Its end is counted from before it asked, and it stops by itself when that comes. One that
-lost it asks for no renewal any more but begins anew: one that is heard but hears nothing would else keep the
-duty from all others."""
+It asks before it asks: a majority that would grant comes before a majority that does, so that one
+that is cut off makes no epochs. Its end is counted from before it asked, and it stops by itself
+when that comes. One that lost it asks for no renewal any more but begins anew: one that is heard
+but hears nothing would else keep the duty from all others.
+"""
 
 from __future__ import annotations
 
@@ -47,10 +48,12 @@
 
 
 class Candidate:
-    """`wants`: whether it should try, and `after`: how long it lets better placed ones go first once nobody
-    holds the duty. `draw` gives a number from 0 to 1; `above`, a number that only grows (the wall clock's
-    second), so that epochs grow even where all voters lost theirs. Tables: `yes` and `no`, voters of a
-    round."""
+    """`wants`: whether it should try, and `after`.
+
+    How long it lets better placed ones go first once nobody holds the duty. `draw` gives a number
+    from 0 to 1; `above`, a number that only grows (the wall clock's second), so that epochs grow
+    even where all voters lost theirs. Tables: `yes` and `no`, voters of a round.
+    """
 
     def __init__(
         self,
@@ -76,7 +79,10 @@
     # What others ask of it.
 
     def holds(self, now: int) -> int | None:
-        """The epoch under which it may act now; None where it may not. Asked again after every wait."""
+        """The epoch under which it may act now; None where it may not.
+
+        Asked again after every wait.
+        """
         if self.state is State.HOLDING and now < self.until - self.spans.margin:
             return self.epoch
         return None
@@ -85,8 +91,10 @@
         return max(0, self.until - self.spans.margin - now) if self.state is State.HOLDING else 0
 
     def set_voters(self, now: int, voters: Iterable[str], number: int) -> None:
-        """Another set of voters from now on: what was granted under the last one runs to its end and is not
-        renewed under it."""
+        """Another set of voters from now on.
+
+        What was granted under the last one runs to its end and is not renewed under it.
+        """
         self.voters, self.number = frozenset(voters), number
         self.round += 1
         self.yes, self.no, self.next = set(), set(), now
@@ -98,8 +106,8 @@
             self._turn(now, "lost", "its time ran out")
             self.state, self.next = State.IDLE, now + int(AGAIN * (1 + self.draw()))
         if self.state is State.HOLDING:
-            # In the lease's second half it asks no more: were it heard and heard nothing, it would keep the
-            # duty
+            # In the lease's second half it asks no more: were it heard and heard nothing, it would
+            # keep the duty
 
             # from all others for a whole lease after its own.
             heard = self.until - now > self.spans.lease // 2
@@ -139,7 +147,9 @@
         return [Post(voter, message) for voter in sorted(self.voters)]
 
     def _gave_up(self, now: int) -> list[Post]:
-        """No majority in time: what some granted is let go, so that it keeps nobody from the duty."""
+        """No majority in time: what some granted is let go, so that it keeps nobody from the
+        duty.
+        """
         done = self._all(Done(self.duty, self.life, self.epoch, "", False))
         self.state, self.next = State.IDLE, now + int(self.pause * (1 + self.draw()))
         self.pause = min(LONGEST, 2 * self.pause)
@@ -171,7 +181,8 @@
         elif said.asked and 2 * len(self.no) >= len(self.voters) and self.state is State.ASKING:
             return self._gave_up(now)
         elif said.asked and 2 * len(self.no) > len(self.voters) and self.state is State.HOLDING:
-            # Most say no to a renewal: it would not be granted any more; what it has it may use to its end.
+            # Most say no to a renewal: it would not be granted any more; what it has it may use to
+            # its end.
             self.next = self.until
         return []
 
--- a/gullyoke/duty/fence.py
+++ b/gullyoke/duty/fence.py
@@ -1,6 +1,9 @@
-"""The side that a duty acts on: it keeps the highest epoch that it has seen of each duty and refuses older
-ones (Chubby's sequencers, Burrows 2006). What can't compare is named in docs/duty-design.md, with what bounds
-the harm there."""
+"""The side that a duty acts on.
+
+It keeps the highest epoch that it has seen of each duty and refuses older ones (Chubby's
+sequencers, Burrows 2006). What can't compare is named in docs/duty-design.md, with what bounds the
+harm there.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +18,10 @@
         self.refused = 0
 
     def admits(self, duty: str, epoch: int, life: int) -> bool:
-        """Whether an act of this epoch is taken: none older than the newest seen, and one process an
-        epoch."""
+        """Whether an act of this epoch is taken.
+
+        None older than the newest seen, and one process an epoch.
+        """
         known = self.rows.get(duty)
         if (
             known is None
--- a/gullyoke/duty/kept.py
+++ b/gullyoke/duty/kept.py
@@ -1,9 +1,12 @@
-"""What a duty leaves to its next holder: a few bytes under its epoch, kept by a majority of the voters.
+"""What a duty leaves to its next holder.
 
-Written by a holder alone, under its epoch and a count of its own; durable at a voter before it says so. A new
-holder reads from a majority before it does anything, takes what has the highest epoch and count, and writes
-that under its own epoch first: an old holder's later write is then refused by a majority (Attiya, Bar-Noy and
-Dolev 1995, with the lease's epoch as the writer's number)."""
+A few bytes under its epoch, kept by a majority of the voters.
+
+Written by a holder alone, under its epoch and a count of its own; durable at a voter before it says
+so. A new holder reads from a majority before it does anything, takes what has the highest epoch and
+count, and writes that under its own epoch first: an old holder's later write is then refused by a
+majority (Attiya, Bar-Noy and Dolev 1995, with the lease's epoch as the writer's number).
+"""
 
 from __future__ import annotations
 
@@ -75,7 +78,10 @@
 
 
 class Register:
-    """A holder's side, made anew for each epoch. `body` is what holds, None until it has been read."""
+    """A holder's side, made anew for each epoch.
+
+    `body` is what holds, None until it has been read.
+    """
 
     def __init__(self, duty: str, life: int, epoch: int, voters: Iterable[str]) -> None:
         self.duty, self.life, self.epoch, self.voters = duty, life, epoch, frozenset(voters)
@@ -84,7 +90,10 @@
         self.yes: set[str] = set()
 
     def asks(self) -> Fetch | Keep:
-        """What to say to all voters, again until it is answered: what is read first is written again."""
+        """What to say to all voters, again until it is answered.
+
+        What is read first is written again.
+        """
         if self.body is None:
             return Fetch(self.duty, self.life, self.epoch)
         return Keep(self.duty, self.life, self.epoch, self.count, self.body)
--- a/gullyoke/duty/notices.py
+++ b/gullyoke/duty/notices.py
@@ -1,5 +1,8 @@
-"""What a holder tells all members, and what anybody asks of a holder. Whoever hears a notice or an order
-holds its epoch against the newest it has seen (gullyoke/duty/fence.py)."""
+"""What a holder tells all members, and what anybody asks of a holder.
+
+Whoever hears a notice or an order holds its epoch against the newest it has seen
+(gullyoke/duty/fence.py).
+"""
 
 from __future__ import annotations
 
--- a/gullyoke/duty/rank.py
+++ b/gullyoke/duty/rank.py
@@ -1,5 +1,7 @@
-"""Who should have a duty, told by the view alone: spread over the members by a hash, the well placed
-first."""
+"""Who should have a duty, told by the view alone.
+
+Spread over the members by a hash, the well placed first.
+"""
 
 from __future__ import annotations
 
@@ -14,9 +16,12 @@
 
 
 class Placed(NamedTuple):
-    """How a member is placed. `settled`: in the view for long enough, its row not changed lately; `reached`:
-    nobody accuses it; `leaving`: it has notice to leave; `room`: of its cores, from 0 to 1; `ill`: the duty
-    failed there lately."""
+    """How a member is placed.
+
+    `settled`: in the view for long enough, its row not changed lately; `reached`: nobody accuses
+    it; `leaving`: it has notice to leave; `room`: of its cores, from 0 to 1; `ill`: the duty failed
+    there lately.
+    """
 
     name: str
     settled: bool = True
@@ -27,8 +32,11 @@
 
 
 def order(duty: str, members: Iterable[Placed]) -> list[str]:
-    """Best first, the same for all who see the same. Among those alike the hash of duty and name decides, so
-    that many duties are spread; room counts in three steps, so that it does not flicker."""
+    """Best first, the same for all who see the same.
+
+    Among those alike the hash of duty and name decides, so that many duties are spread; room counts
+    in three steps, so that it does not flicker.
+    """
 
     def key(one: Placed) -> tuple:
         return (
--- a/gullyoke/duty/roll.py
+++ b/gullyoke/duty/roll.py
@@ -1,9 +1,10 @@
 """A rolling restart, conducted by one: servers drain and start again by turns.
 
-What is done is told by the view alone: a server whose start is later than the roll's is done, so one that
-takes the roll over half way needs no list of all. Who was told to go is kept with the epoch by a majority
-before the word goes out, so nobody is drained twice or forgotten. It stops by itself when the fleet sheds or
-errs more than it did, or when a server does not come back in time."""
+What is done is told by the view alone: a server whose start is later than the roll's is done, so
+one that takes the roll over half way needs no list of all. Who was told to go is kept with the
+epoch by a majority before the word goes out, so nobody is drained twice or forgotten. It stops by
+itself when the fleet sheds or errs more than it did, or when a server does not come back in time.
+"""
 
 from __future__ import annotations
 
@@ -20,10 +21,13 @@
 
 
 class Plan(NamedTuple):
-    """`number`: the roll's own; `before`: members whose start is under this are to be restarted; `at_once`:
-    the share of the fleet that may be away at once, one at the least; `a_zone`: of a zone. `doing`: who was
-    told to go, when by the conductor's clock, and its start then. `strays`: who is done though its start is
-    under `before`. `shed`: what the fleet shed when it began."""
+    """`number`: the roll's own; `before`.
+
+    Members whose start is under this are to be restarted; `at_once`: the share of the fleet that
+    may be away at once, one at the least; `a_zone`: of a zone. `doing`: who was told to go, when by
+    the conductor's clock, and its start then. `strays`: who is done though its start is under
+    `before`. `shed`: what the fleet shed when it began.
+    """
 
     number: int = 0
     state: str = "idle"
@@ -40,7 +44,10 @@
 
 
 def unpacked(body: bytes) -> Plan:
-    """The plan that was kept; an idle one where nothing was. Raises `ValueError` for what is none."""
+    """The plan that was kept; an idle one where nothing was.
+
+    Raises `ValueError` for what is none.
+    """
     if not body:
         return Plan()
     found = json.loads(body)
@@ -53,8 +60,11 @@
 
 
 class Seen(NamedTuple):
-    """A member as the conductor sees it: its zone, its start's second, whether it is in and answers, since
-    when that is so, and whether it is calm (warm, and sheds little)."""
+    """A member as the conductor sees it.
+
+    Its zone, its start's second, whether it is in and answers, since when that is so, and whether
+    it is calm (warm, and sheds little).
+    """
 
     name: str
     zone: str
@@ -106,8 +116,11 @@
 
 
 def step(plan: Plan, now: int, fleet: Fleet, me: str) -> Plan:
-    """The plan a moment later. Who is new in `doing` is told to go once the plan is kept; `me`, the
-    conductor, goes last, and another conducts its return."""
+    """The plan a moment later.
+
+    Who is new in `doing` is told to go once the plan is kept; `me`, the conductor, goes last, and
+    another conducts its return.
+    """
     if plan.state != "going":
         return plan
     there = {one.name: one for one in fleet.members}
@@ -145,8 +158,9 @@
 
 
 def chosen(plan: Plan, doing: Iterable[str], todo: list[Seen], fleet: Fleet, me: str) -> list[str]:
-    """Who goes next: within the share of the fleet and of each zone, counting all who are not there; only who
-    is there itself is told to go."""
+    """Who goes next: within the share of the fleet and of each zone, counting all who are not
+    there; only who is there itself is told to go.
+    """
     away = {*doing} | {one.name for one in fleet.members if not one.there}
     zones: dict[str, set[str]] = {}
     for one in fleet.members:
--- a/gullyoke/duty/spans.py
+++ b/gullyoke/duty/spans.py
@@ -6,9 +6,12 @@
 
 
 class Spans(NamedTuple):
-    """`lease`: how long a grant lasts, by its holder's clock from before it asked. `drift`: by how many parts
-    in a million two clocks may run apart at the most; each side counts on its own, steps of the wall clock
-    are nothing to it. `margin`: so long before its end a holder does nothing more."""
+    """`lease`: how long a grant lasts, by its holder's clock from before it asked.
+
+    `drift`: by how many parts in a million two clocks may run apart at the most; each side counts
+    on its own, steps of the wall clock are nothing to it. `margin`: so long before its end a holder
+    does nothing more.
+    """
 
     lease: int = 3_000_000
     drift: int = 1000
--- a/gullyoke/duty/voter.py
+++ b/gullyoke/duty/voter.py
@@ -1,14 +1,16 @@
 """One voter: which life holds which duty under which epoch, by its word.
 
-A promise is durable before it is told: an answer that rests on a new one goes out with a `Write`, and only
-once that is on the disk. Renewing an epoch writes nothing. A voter that starts with its promises waits out
-what it may have granted; one that starts without (a fresh folder, one of an older copy) also learns, after
-that wait, the epochs of so many others that no majority can have been without one of them, and writes them
-down, before its word counts again. One whose disk does not take what it promises grants nothing new.
-
-The lease itself is Gray's and Cheriton's (1989); epochs granted once by a majority, Paxos' (Lamport 1998); no
-word for another while a lease runs, and asking before one asks, Raft's stickiness and pre-vote (Ongaro 2014);
-epochs that acts carry, Chubby's sequencers (Burrows 2006)."""
+A promise is durable before it is told: an answer that rests on a new one goes out with a `Write`,
+and only once that is on the disk. Renewing an epoch writes nothing. A voter that starts with its
+promises waits out what it may have granted; one that starts without (a fresh folder, one of an
+older copy) also learns, after that wait, the epochs of so many others that no majority can have
+been without one of them, and writes them down, before its word counts again. One whose disk does
+not take what it promises grants nothing new.
+
+The lease itself is Gray's and Cheriton's (1989); epochs granted once by a majority, Paxos' (Lamport
+1998); no word for another while a lease runs, and asking before one asks, Raft's stickiness and
+pre-vote (Ongaro 2014); epochs that acts carry, Chubby's sequencers (Burrows 2006).
+"""
 
 from __future__ import annotations
 
@@ -49,9 +51,12 @@
 
 
 class Voter:
-    """`rows` is what the disk has; None where it has nothing of ours (a fresh folder). `others` are the other
-    voters' names. Tables: `rows`, `until` and `favour`, one row a duty, DUTIES at the most, kept for good:
-    they are what voting is; `pending`, writes that are on their way, one a duty."""
+    """`rows` is what the disk has; None where it has nothing of ours (a fresh folder).
+
+    `others` are the other voters' names. Tables: `rows`, `until` and `favour`, one row a duty,
+    DUTIES at the most, kept for good: they are what voting is; `pending`, writes that are on their
+    way, one a duty.
+    """
 
     def __init__(
         self,
@@ -78,8 +83,10 @@
         self.refused = 0  # how often the disk failed a promise
 
     def set_others(self, others: Iterable[str], voters: int) -> None:
-        """Another set of voters, one more or fewer. What it has promised stays; one that is still learning
-        asks the new others."""
+        """Another set of voters, one more or fewer.
+
+        What it has promised stays; one that is still learning asks the new others.
+        """
         self.others, self.voters = frozenset(others), voters
         self.heard.clear()
         self.new.clear()
@@ -113,10 +120,12 @@
         return Learned(self.name, learn.round, rows, self.fresh)
 
     def learned(self, now: int, said: Learned) -> list[Write]:
-        """What is to be written down, once enough of the others have said what they know; it is fresh until
-        all of that is durable. Where all of the others have spoken and some are fresh, the fleet is new, or
-        more is lost than can be told: they begin, and candidates take epochs above all that there can have
-        been (Candidate.above)."""
+        """What is to be written down, once enough of the others have said what they know.
+
+        It is fresh until all of that is durable. Where all of the others have spoken and some are
+        fresh, the fleet is new, or more is lost than can be told: they begin, and candidates take
+        epochs above all that there can have been (Candidate.above).
+        """
         if not self.fresh or said.round != self.round or said.by not in self.others:
             return []
         if said.fresh:
@@ -129,8 +138,8 @@
         for epochs in self.heard.values():
             for duty, *promised in epochs[:DUTIES]:
                 row, was = Row(*promised), known.get(duty, NONE)
-                # Where all who know the newest epoch say the same, nobody else can have had it; else
-                # nothing is
+                # Where all who know the newest epoch say the same, nobody else can have had it;
+                # else nothing is
 
                 # granted under it here again.
                 if row.epoch > was.epoch or duty not in known:
@@ -156,7 +165,10 @@
         return self._said(now, sound.duty, sound.life, sound.round, would, False)
 
     def ask(self, now: int, ask: Ask) -> Said | Write | None:
-        """The answer, or what must be durable before it; None while a promise of that duty is on its way."""
+        """The answer, or what must be durable before it.
+
+        None while a promise of that duty is on its way.
+        """
         row = self.rows.get(ask.duty, NONE)
         if ask.duty in self.pending:
             return None
@@ -192,8 +204,11 @@
         return self.pending[ask.duty]
 
     def written(self, now: int, write: Write, durable: bool) -> Said | None:
-        """What to tell once the disk has spoken. Where it failed, what it holds now is not known: the epoch
-        is taken for promised, to nobody, and the next try must be above it."""
+        """What to tell once the disk has spoken.
+
+        Where it failed, what it holds now is not known: the epoch is taken for promised, to nobody,
+        and the next try must be above it.
+        """
         if self.pending.get(write.duty) is not write:
             return None
         del self.pending[write.duty]
--- a/gullyoke/duty/words.py
+++ b/gullyoke/duty/words.py
@@ -1,6 +1,9 @@
-"""What candidates and voters say to each other. A process is told apart by its `life`, drawn at its start;
-`round` is the asker's own number for its asking and comes back. `voters` is the number of the set of voters
-that the sender goes by: an answer under another one counts for nothing."""
+"""What candidates and voters say to each other.
+
+A process is told apart by its `life`, drawn at its start; `round` is the asker's own number for its
+asking and comes back. `voters` is the number of the set of voters that the sender goes by: an
+answer under another one counts for nothing.
+"""
 
 from __future__ import annotations
 
@@ -31,8 +34,11 @@
 
 
 class Said(NamedTuple):
-    """A voter's word on a Sound or an Ask. `yes`: it would, or it does, durably. `epoch` is the highest that
-    it has promised, `life` and `name` to whom, `left` for how long yet, in microseconds on its clock."""
+    """A voter's word on a Sound or an Ask.
+
+    `yes`: it would, or it does, durably. `epoch` is the highest that it has promised, `life` and
+    `name` to whom, `left` for how long yet, in microseconds on its clock.
+    """
 
     duty: str
     to: int
@@ -48,8 +54,11 @@
 
 
 class Done(NamedTuple):
-    """I no longer hold this duty, and do nothing more under this epoch. `next`: who should have it now; empty
-    for anybody. `ill`: because it failed here, so not this one soon."""
+    """I no longer hold this duty, and do nothing more under this epoch.
+
+    `next`: who should have it now; empty for anybody. `ill`: because it failed here, so not this
+    one soon.
+    """
 
     duty: str
     life: int
@@ -83,7 +92,10 @@
 
 
 class Learned(NamedTuple):
-    """By duty: epoch, life and name of what was promised. `fresh`: this one has nothing of its own either."""
+    """By duty: epoch, life and name of what was promised.
+
+    `fresh`: this one has nothing of its own either.
+    """
 
     by: str
     round: int
--- a/gullyoke/emulator/baselines.py
+++ b/gullyoke/emulator/baselines.py
@@ -1,4 +1,7 @@
-"""Policies to compare with, never to run: a plain pool with a short line, and strict priority by value."""
+"""Policies to compare with, never to run.
+
+A plain pool with a short line, and strict priority by value.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +13,10 @@
 
 
 class PlainPool:
-    """So many runs and so many waiting; first come first served, or by value (`strict`). Called as the
-    decisions are; what is out of time is answered errored at the next wake-up."""
+    """So many runs and so many waiting; first come first served, or by value (`strict`).
+
+    Called as the decisions are; what is out of time is answered errored at the next wake-up.
+    """
 
     def __init__(self, door, runs: int, line: int, strict: bool = False) -> None:
         self.door, self.runs, self.most, self.strict, self.on = door, runs, line, strict, 0
--- a/gullyoke/emulator/beside.py
+++ b/gullyoke/emulator/beside.py
@@ -1,5 +1,8 @@
-"""Servers of the model that tell each other how they stand and share the dependency's slots: the same
-modules as on sockets, with delay, loss and cuts between them. All figures from here are simulated."""
+"""Servers of the model that tell each other how they stand and share the dependency's slots.
+
+The same modules as on sockets, with delay, loss and cuts between them. All figures from here are
+simulated.
+"""
 
 from __future__ import annotations
 
@@ -111,9 +114,12 @@
 
 
 class Beside:
-    """An arm: which parts are on. `loss` of what they send, `cut` as a function of time and two numbers,
-    `liar` the number of one that says it has all room there is. `largest`: the largest fleet stated for
-    shares. `frozen`: from when on all signals stay as they were."""
+    """An arm: which parts are on.
+
+    `loss` of what they send, `cut` as a function of time and two numbers, `liar` the number of one
+    that says it has all room there is. `largest`: the largest fleet stated for shares. `frozen`:
+    from when on all signals stay as they were.
+    """
 
     def __init__(
         self,
--- a/gullyoke/emulator/bound.py
+++ b/gullyoke/emulator/bound.py
@@ -1,10 +1,11 @@
 """The best that any policy could earn on a day: a planner that sees all of it, as a relaxation.
 
-What is relaxed, each of which can only raise the value: the fleet's cores are one; a req may be served in
-part, in any order, put down and taken up; crowding costs nothing; memory is not counted; only what is served
-needs reading; a call may take its slots' time in the slot of its run or, with the slots doubled, the next.
-What stays: when a req comes, its target and timeout, its own work, the work of the cores in each slot. Solved
-by HiGHS through scipy."""
+What is relaxed, each of which can only raise the value: the fleet's cores are one; a req may be
+served in part, in any order, put down and taken up; crowding costs nothing; memory is not counted;
+only what is served needs reading; a call may take its slots' time in the slot of its run or, with
+the slots doubled, the next. What stays: when a req comes, its target and timeout, its own work, the
+work of the cores in each slot. Solved by HiGHS through scipy.
+"""
 
 from __future__ import annotations
 
@@ -29,8 +30,10 @@
 
 
 def room(day: Day, slot: int, count: int) -> np.ndarray:
-    """The work that all cores do in each slot, by the speeds of the day; servers that leave count on, which
-    only raises the bound."""
+    """The work that all cores do in each slot, by the speeds of the day.
+
+    Servers that leave count on, which only raises the bound.
+    """
     m, out = day.machines, np.zeros(count)
     changes = [(0, 1.0), *sorted(m.speeds)]
     for at in range(count):
@@ -41,10 +44,13 @@
 
 
 def bound(day: Day, slot: int = 500_000, sizes: bool = True) -> Bound:
-    """The planner's bound on a day, in slots of so many microseconds. A slot counts for a req if any part of
-    it lies between its arrival and its end, so wide slots only raise the bound. Without `sizes` each req is
-    taken to be as large as its class's mean: no bound on a day, but what a planner that can't know them may
-    expect, for reading what knowledge is worth. Raises `ArithmeticError` where the solver gives up."""
+    """The planner's bound on a day, in slots of so many microseconds.
+
+    A slot counts for a req if any part of it lies between its arrival and its end, so wide slots
+    only raise the bound. Without `sizes` each req is taken to be as large as its class's mean: no
+    bound on a day, but what a planner that can't know them may expect, for reading what knowledge
+    is worth. Raises `ArithmeticError` where the solver gives up.
+    """
     if not day.arrivals:
         return Bound(0.0, [0.0] * len(day.works), 0.0)
     count = (day.length + max(w.timeout for w in day.works)) // slot + 2
--- a/gullyoke/emulator/cores.py
+++ b/gullyoke/emulator/cores.py
@@ -9,9 +9,11 @@
 
 
 class Cores:
-    """Processor sharing by one virtual time: each job ends when that has moved on by its work. `at` is called
-    with a delay and an act: it is the model's clock; `now()` its time. Table: the heap, left by each job at
-    its end."""
+    """Processor sharing by one virtual time: each job ends when that has moved on by its work.
+
+    `at` is called with a delay and an act: it is the model's clock; `now()` its time. Table: the
+    heap, left by each job at its end.
+    """
 
     def __init__(
         self,
--- a/gullyoke/emulator/day.py
+++ b/gullyoke/emulator/day.py
@@ -1,4 +1,7 @@
-"""A day: who asks what and when, and on what machines. Drawn by numpy's generator; all arms see the same."""
+"""A day: who asks what and when, and on what machines.
+
+Drawn by numpy's generator; all arms see the same.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +15,11 @@
 
 
 class Work(NamedTuple):
-    """A class of work. `work` is its mean time on a core of speed 1, drawn lognormal with `cv`; times in
-    microseconds; `calls` whether each run calls below once; `window`, of its keys where it is uniqued."""
+    """A class of work.
+
+    `work` is its mean time on a core of speed 1, drawn lognormal with `cv`; times in microseconds;
+    `calls` whether each run calls below once; `window`, of its keys where it is uniqued.
+    """
 
     name: str
     share: float
@@ -43,12 +49,16 @@
 
 
 class Machines(NamedTuple):
-    """The fleet: so many servers alike. `crowd_at` running a core is where loss begins, `loss` how much each
-    further one a core costs; `reading` is work; `speeds` are changes of all cores' speed, (time, speed);
-    `fresh` is whether they start cold, at a quarter of their speed, warm after 10 s. `slow`: this share of
-    them has half the speed. `leave`: at a time this share of those there has notice to leave, of which
-    callers learn 2 s later; `join`: at a time so many more start, cold. `links`: connections that one takes;
-    `handshake`: work for a new one. `told`: the size that all are told, where it is another."""
+    """The fleet: so many servers alike.
+
+    `crowd_at` running a core is where loss begins, `loss` how much each further one a core costs;
+    `reading` is work; `speeds` are changes of all cores' speed, (time, speed); `fresh` is whether
+    they start cold, at a quarter of their speed, warm after 10 s. `slow`: this share of them has
+    half the speed. `leave`: at a time this share of those there has notice to leave, of which
+    callers learn 2 s later; `join`: at a time so many more start, cold. `links`: connections that
+    one takes; `handshake`: work for a new one. `told`: the size that all are told, where it is
+    another.
+    """
 
     servers: int = 1
     cores: int = 6
@@ -70,9 +80,11 @@
 
 
 class Shared(NamedTuple):
-    """What all servers call below: `slots` at once, `span` each; it takes longer when crowded. `survives`:
-    more than so many in hand, in the mean of 5 s, and it is down for good; 0: it bears any number. `slower`:
-    from, to, and how many times `span` it takes there."""
+    """What all servers call below: `slots` at once, `span` each; it takes longer when crowded.
+
+    `survives`: more than so many in hand, in the mean of 5 s, and it is down for good; 0: it bears
+    any number. `slower`: from, to, and how many times `span` it takes there.
+    """
 
     slots: int
     span: int
@@ -81,10 +93,13 @@
 
 
 class Callers(NamedTuple):
-    """Gateways and the clients behind them: further tries after sheds and errors, whether these are marked,
-    the share that heeds advice, and the pause before a further try. `count` of them, the busiest first by
-    `skew` (Zipf's exponent); `by_subject`: each has a server that it asks first; `idle`: microseconds for
-    which they keep a connection."""
+    """Gateways and the clients behind them.
+
+    Further tries after sheds and errors, whether these are marked, the share that heeds advice, and
+    the pause before a further try. `count` of them, the busiest first by `skew` (Zipf's exponent);
+    `by_subject`: each has a server that it asks first; `idle`: microseconds for which they keep a
+    connection.
+    """
 
     tries: int = 1
     marked: bool = True
@@ -114,7 +129,10 @@
 
 
 def later(day: Day, lead: int) -> Day:
-    """The same day after a time in which nobody asks: what is among the servers has come together then."""
+    """The same day after a time in which nobody asks.
+
+    What is among the servers has come together then.
+    """
     m, shared = day.machines, day.shared
     if shared and shared.slower:
         start, end, times = shared.slower
@@ -144,9 +162,12 @@
     burst: tuple[int, int, float] | None = None,
     silent: tuple[int, int] | None = None,
 ) -> Day:
-    """A day at `load` times what the cores can do, Poisson arrivals. `swing`: every so many microseconds the
-    shares are turned round among the classes. `burst`: from, to, and how many times the rate there.
-    `silent`: this class's number says nothing before this time, then comes with ten times its share."""
+    """A day at `load` times what the cores can do, Poisson arrivals.
+
+    `swing`: every so many microseconds the shares are turned round among the classes. `burst`:
+    from, to, and how many times the rate there. `silent`: this class's number says nothing before
+    this time, then comes with ten times its share.
+    """
     chance = np.random.default_rng(seed)
     base = np.array([w.share for w in works], dtype=float)
     base /= base.sum()
--- a/gullyoke/emulator/duty.py
+++ b/gullyoke/emulator/duty.py
@@ -1,5 +1,8 @@
-"""Duties without sockets: voters with disks, candidates with clocks of their own, and a network that loses,
-delays, doubles and cuts; a resource that takes acts by their epoch. All figures from here are simulated."""
+"""Duties without sockets.
+
+Voters with disks, candidates with clocks of their own, and a network that loses, delays, doubles
+and cuts; a resource that takes acts by their epoch. All figures from here are simulated.
+"""
 
 from __future__ import annotations
 
@@ -21,9 +24,12 @@
 
 
 class Play:
-    """Members m0 and on, the first of them voters. `deaf`: members whose messages are lost on the way out or
-    in; `ill`: those whose disks fail; `slow`: a resource's acts stay on their way for up to so long. `most`:
-    how many held it at once at the most."""
+    """Members m0 and on, the first of them voters.
+
+    `deaf`: members whose messages are lost on the way out or in; `ill`: those whose disks fail;
+    `slow`: a resource's acts stay on their way for up to so long. `most`: how many held it at once
+    at the most.
+    """
 
     def __init__(self, seed: int, voters: int, members: int, spans: Spans | None = None) -> None:
         self.chance, self.spans = random.Random(seed), spans or Spans()
@@ -81,8 +87,10 @@
         self.paused[name] = self.now + span
 
     def set_voters(self, names: list[str]) -> None:
-        """One voter more or fewer, taken over by each at a moment of its own; a new one starts with
-        nothing."""
+        """One voter more or fewer, taken over by each at a moment of its own.
+
+        A new one starts with nothing.
+        """
         self.number += 1
         old, self.set = self.set, list(names)
         for name in self.members:
@@ -127,7 +135,8 @@
         self.post(name, one.tick(now))
         epoch = one.holds(now)
         if epoch is not None and self.chance.random() < TURN / ACT:
-            # On its way it may be for as long as it likes: the process may stall between looking and acting.
+            # On its way it may be for as long as it likes: the process may stall between looking
+            # and acting.
             self.after(
                 self.chance.randrange(1, max(2, self.slow)), self.act, epoch, one.life, self.now
             )
@@ -190,8 +199,9 @@
         return []
 
     def synced(self, from_: str, to: str, voter: Voter, write: Write) -> None:
-        """The disk has spoken; a process that ended meanwhile hears nothing of it, and its disk may have
-        it."""
+        """The disk has spoken; a process that ended meanwhile hears nothing of it, and its disk may
+        have it.
+        """
         durable = to not in self.ill
         if durable or self.chance.random() < 0.5:
             self.disks[to] = {**(self.disks[to] or {}), write.duty: write.row}
@@ -239,8 +249,10 @@
         self.post(name, self.candidates[name].pass_to(self.time(name), to))
 
     def holders(self) -> list[str]:
-        """Who may act at this moment, by its own clock; one that stands still may not: it asks when it
-        wakes."""
+        """Who may act at this moment, by its own clock; one that stands still may not.
+
+        It asks when it wakes.
+        """
         return [
             name for name in self.up if self.candidates[name].holds(self.time(name)) is not None
         ]
--- a/gullyoke/emulator/fleet.py
+++ b/gullyoke/emulator/fleet.py
@@ -1,4 +1,6 @@
-"""The fleet of a day: servers with their cores and decisions, what they call below, and their callers."""
+"""The fleet of a day: servers with their cores and decisions, what they call below, and their
+callers.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +43,10 @@
 
 
 class Told(NamedTuple):
-    """What a caller was answered at last, for one first try: the time, and `done`, `shed` or `errored`."""
+    """What a caller was answered at last, for one first try.
+
+    The time, and `done`, `shed` or `errored`.
+    """
 
     at: int
     what: str
@@ -49,8 +54,10 @@
 
 
 class Dependency:
-    """Slots; what finds none waits, first in first out, and each takes longer the more wait. It is `down`
-    once it has had more in hand than it survives, in the mean of MEAN."""
+    """Slots; what finds none waits, first in first out, and each takes longer the more wait.
+
+    It is `down` once it has had more in hand than it survives, in the mean of MEAN.
+    """
 
     def __init__(self, shared: Shared, now: Callable[[], int], at) -> None:
         self.shared, self.now, self.at, self.busy, self.most = shared, now, at, 0, 0
@@ -139,7 +146,10 @@
     # Connections.
 
     def connected(self, caller: int) -> bool:
-        """Whether it has one with this caller now; a new one costs work, and a full table takes none."""
+        """Whether it has one with this caller now.
+
+        A new one costs work, and a full table takes none.
+        """
         m, now = self.fleet.day.machines, self.fleet.now()
         if not m.links or now - self.links.get(caller, -(10**12)) < self.keeps:
             self.links[caller] = now
@@ -351,9 +361,10 @@
         node.arrive(req)
 
     def chosen(self, caller: int, now: int, avoid: int) -> Node:
-        """Whom a caller asks: one of those that are listed, healthy, not avoided, and that it was not told to
-        stay away from; where it goes by subject its own, and else the next. Drawn a few times before all are
-        looked at, since the list may be long."""
+        """Whom a caller asks: one of those that are listed, healthy, not avoided, and that it was
+        not told to stay away from; where it goes by subject its own, and else the next. Drawn a few
+        times before all are looked at, since the list may be long.
+        """
         nodes, away = self.nodes, self.away
         if self.day.callers.by_subject:
             first = caller * 2_654_435_761 % 2**32 * len(nodes) >> 32
@@ -407,11 +418,14 @@
 
 
 class Result(NamedTuple):
-    """What a day came to. By class: offered and earned value, and counts; times in microseconds to the answer
-    of those done; worst memory and crowd as a share of their limits; first tries without an answer, and
-    answers to what was read in time that came after its time. `jain`: fairness of what was done by server,
-    for its speed; `herd`: the largest share of all tries that moved between servers from one second to the
-    next; `down`: whether what they call did not survive."""
+    """What a day came to.
+
+    By class: offered and earned value, and counts; times in microseconds to the answer of those
+    done; worst memory and crowd as a share of their limits; first tries without an answer, and
+    answers to what was read in time that came after its time. `jain`: fairness of what was done by
+    server, for its speed; `herd`: the largest share of all tries that moved between servers from
+    one second to the next; `down`: whether what they call did not survive.
+    """
 
     offered: list[float]
     earned: list[float]
@@ -478,13 +492,17 @@
 
 
 def jain(run: Running) -> float:
-    """Jain's index of what each server of the first did for its speed (Jain, Chiu and Hawe 1984)."""
+    """Jain's index of what each server of the first did for its speed (Jain, Chiu and Hawe
+    1984).
+    """
     done = [x.done / x.pace for x in run.nodes[: run.day.machines.servers] if x.up]
     return sum(done) ** 2 / max(1e-9, len(done) * sum(x * x for x in done)) if done else 1.0
 
 
 def herd(run: Running) -> float:
-    """The largest share of a second's tries that went to servers that had fewer in the second before."""
+    """The largest share of a second's tries that went to servers that had fewer in the second
+    before.
+    """
     seconds: dict[int, dict[int, int]] = {}
     for (second, number), count in run.moves.items():
         seconds.setdefault(second, {})[number] = count
@@ -505,8 +523,11 @@
     minimum: float = 0.02,
     beside: Callable[[Node, Below, Fleet], None] = lambda node, below, fleet: None,
 ) -> Callable[[Node], Server]:
-    """Makes the module's decisions for a node: with pools, without, or with only one part of them. `beside`
-    may put in what other servers state."""
+    """Makes the module's decisions for a node.
+
+    With pools, without, or with only one part of them. `beside` may put in what other servers
+    state.
+    """
 
     def make(node: Node) -> Server:
         day, m = node.fleet.day, node.fleet.day.machines
--- a/gullyoke/emulator/kinds.py
+++ b/gullyoke/emulator/kinds.py
@@ -1,6 +1,9 @@
-"""Kinds of days like those of grown deployments: two thirds of the machines half as fast, four callers a
-server, connections that cost a tenth of a run, a dependency whose limit is shared, and a size told at the
-start that is a third too large, since it is told for the fleet at its largest."""
+"""Kinds of days like those of grown deployments.
+
+Two thirds of the machines half as fast, four callers a server, connections that cost a tenth of a
+run, a dependency whose limit is shared, and a size told at the start that is a third too large,
+since it is told for the fleet at its largest.
+"""
 
 from __future__ import annotations
 
@@ -16,9 +19,12 @@
 
 
 def grown(kind: str, seed: int, servers: int = 48, length: int = 20 * SECOND) -> Day:
-    """`calm`: 0.7 of what the cores can do. `shrink`: 0.85, and a quarter leave after 5 s. `burst`: 0.75, 1.9
-    times as much for 5 s, and a dependency that takes four times as long for 6 s. `subject`: 0.8, each caller
-    has a server that it asks first, a few ask far more than the rest. Raises `KeyError` for another."""
+    """`calm`: 0.7 of what the cores can do.
+
+    `shrink`: 0.85, and a quarter leave after 5 s. `burst`: 0.75, 1.9 times as much for 5 s, and a
+    dependency that takes four times as long for 6 s. `subject`: 0.8, each caller has a server that
+    it asks first, a few ask far more than the rest. Raises `KeyError` for another.
+    """
     s = SECOND
     callers = Callers(2, True, 0.65, 50_000, count=4 * servers, skew=0.6)
     shared = Shared(10**6, 60_000, survives=max(2, int(0.28 * servers)))
--- a/gullyoke/emulator/peers.py
+++ b/gullyoke/emulator/peers.py
@@ -1,5 +1,8 @@
-"""Members without sockets: the decisions of gullyoke/members in the model's clock, and a network between them
-that loses, delays, doubles and cuts. All figures from here are simulated."""
+"""Members without sockets.
+
+The decisions of gullyoke/members in the model's clock, and a network between them that loses,
+delays, doubles and cuts. All figures from here are simulated.
+"""
 
 from __future__ import annotations
 
@@ -44,8 +47,10 @@
 
 
 class Network:
-    """`loss`, `doubled`: shares of all datagrams; `delay`: from least to most, in microseconds. `weighed`
-    counts bytes, which takes time."""
+    """`loss`, `doubled`: shares of all datagrams; `delay`: from least to most, in microseconds.
+
+    `weighed` counts bytes, which takes time.
+    """
 
     def __init__(
         self,
@@ -83,8 +88,10 @@
         address: str | None = None,
         host: str | None = None,
     ) -> Host:
-        """A process starts under a name, `behind` seconds on a clock that went back; `host` tells two
-        processes of one name apart."""
+        """A process starts under a name, `behind` seconds on a clock that went back.
+
+        `host` tells two processes of one name apart.
+        """
         key = host or name
         at = self.hosts.get(key) or Host(name, zone, address or key)
         self.hosts[key] = self.at[at.address] = at
@@ -221,8 +228,11 @@
 def fleet(
     size: int, seed: int, zones: int = 3, settle: int = 6 * SECOND, joined: bool = False, **network
 ) -> Network:
-    """A fleet that has come together. `joined`: its members are started knowing each other, which saves the
-    time that joining takes in the model."""
+    """A fleet that has come together.
+
+    `joined`: its members are started knowing each other, which saves the time that joining takes in
+    the model.
+    """
     net = Network(seed, **network)
     seeds = [f"m{i}" for i in range(min(3, size))]
     hosts = [net.start(f"m{i}", seeds, f"z{i % zones}") for i in range(size)]
--- a/gullyoke/emulator/quotas.py
+++ b/gullyoke/emulator/quotas.py
@@ -1,5 +1,8 @@
-"""A customer's quota among servers of the model: what of its reqs counts as within it, where each server goes
-by the fleet's size and where the quota is lent. All figures from here are simulated."""
+"""A customer's quota among servers of the model.
+
+What of its reqs counts as within it, where each server goes by the fleet's size and where the quota
+is lent. All figures from here are simulated.
+"""
 
 from __future__ import annotations
 
@@ -27,8 +30,11 @@
 
 
 class Counted(NamedTuple):
-    """Of the customer's reqs the share that was within its quota; `over`, the most that the parts of all
-    servers came to over the quota, at any look; `rate`, what was let in over the quota's rate."""
+    """Of the customer's reqs the share that was within its quota.
+
+    `over`, the most that the parts of all servers came to over the quota, at any look; `rate`, what
+    was let in over the quota's rate.
+    """
 
     within: float
     over: float
@@ -46,8 +52,9 @@
     moves: bool = False,
     loss: float = 0.0,
 ) -> Counted:
-    """A customer asks `hit` of `servers` at `load` times its quota for `span`, after a while in which the
-    homes come to hold their names; half way it asks others where it `moves`."""
+    """A customer asks `hit` of `servers` at `load` times its quota for `span`, after a while in
+    which the homes come to hold their names; half way it asks others where it `moves`.
+    """
     homes = min(5, servers)
     whole = tokens(servers)
     floor, lends = split(whole, servers, [f"h{i}" for i in range(homes)], FLOOR)
--- a/gullyoke/emulator/shares.py
+++ b/gullyoke/emulator/shares.py
@@ -1,6 +1,9 @@
-"""Shares without sockets: processes with clocks of their own that lend and borrow, and a network between
-them that loses, delays and doubles. What is in force is summed at every event; where processes use what they
-have, so is what a dependency has in hand. All figures from here are simulated."""
+"""Shares without sockets.
+
+Processes with clocks of their own that lend and borrow, and a network between them that loses,
+delays and doubles. What is in force is summed at every event; where processes use what they have,
+so is what a dependency has in hand. All figures from here are simulated.
+"""
 
 from __future__ import annotations
 
@@ -60,8 +63,11 @@
             self.post(letter, "")
 
     def call(self) -> None:
-        """Calls as slots are free, each given up by when it has to be over. The dependency keeps that time as
-        well: it is told of it, and a process that stands still can't give anything up."""
+        """Calls as slots are free, each given up by when it has to be over.
+
+        The dependency keeps that time as well: it is told of it, and a process that stands still
+        can't give anything up.
+        """
         while len(self.out) < self.calls and self.own.free(
             self.now(), self.calls - len(self.out) - 1
         ):
@@ -83,7 +89,9 @@
             self.post(letter, from_)
 
     def post(self, letter: Letter, asker: str) -> None:
-        """Votes are asked for at a home's stated address, loans where this process takes that home to be."""
+        """Votes are asked for at a home's stated address, loans where this process takes that home
+        to be.
+        """
         taken = self.play.takes.get((self.key, letter.home), letter.home)
         to = {VOTER: letter.home, LENDER: taken, ASKER: asker}[letter.to]
         self.play.send(self.key, to, letter.message)
@@ -125,8 +133,9 @@
 
 
 class Play:
-    """`homes` are names; a message to one goes to the process at its address, which is that of its first
-    start."""
+    """`homes` are names; a message to one goes to the process at its address, which is that of its
+    first start.
+    """
 
     def __init__(
         self,
--- a/gullyoke/emulator/swim.py
+++ b/gullyoke/emulator/swim.py
@@ -1,7 +1,9 @@
-"""Published detectors to weigh ours against, in the same model network: SWIM (Das et al. 2002) with
-suspicion, and Lifeguard's three changes to it (Dadgar et al. 2018), with the constants of their papers'
-evaluations. They know all members from the start; joining is not modelled. All figures from here are
-simulated."""
+"""Published detectors to weigh ours against, in the same model network.
+
+SWIM (Das et al. 2002) with suspicion, and Lifeguard's three changes to it (Dadgar et al. 2018),
+with the constants of their papers' evaluations. They know all members from the start; joining is
+not modelled. All figures from here are simulated.
+"""
 
 from __future__ import annotations
 
@@ -41,8 +43,11 @@
 
 
 class Swim:
-    """One member. Tables: `states`, one a member; `news`, one item a member with its rounds left; `asked`,
-    the asking that is out; `relays`, askings for others, emptied each period."""
+    """One member.
+
+    Tables: `states`, one a member; `news`, one item a member with its rounds left; `asked`, the
+    asking that is out; `relays`, askings for others, emptied each period.
+    """
 
     lifeguard = False
 
--- a/gullyoke/features/__init__.py
+++ b/gullyoke/features/__init__.py
@@ -1,2 +1,5 @@
-"""What an operator's file adds to the house: one unit a feature, each behind the small interface `Feature` of
-gullyoke/daemon/house.py. Imported only where such a file is named; the house holds a list of them."""
+"""What an operator's file adds to the house.
+
+One unit a feature, each behind the small interface `Feature` of gullyoke/daemon/house.py. Imported
+only where such a file is named; the house holds a list of them.
+"""
--- a/gullyoke/features/back_ends.py
+++ b/gullyoke/features/back_ends.py
@@ -34,7 +34,8 @@
         wanted, self.sockets = self.wanted, told.sockets
         self.roomy(wanted)
         machine = told.facts.machine
-        # Whether running work can be stopped is the back ends' affair, not the engine's of the settings.
+        # Whether running work can be stopped is the back ends' affair, not the engine's of the
+        # settings.
         machine.stop_mode = StopMode.DISCARD if wanted.stops_on_close else StopMode.NEVER
         told.facts.below.exists, told.facts.below.share = (
             False,
--- a/gullyoke/features/charges.py
+++ b/gullyoke/features/charges.py
@@ -1,5 +1,8 @@
-"""What is done under a duty: one small unit each. A charge is called by the timer's thread while its duty is
-held here, with the epoch, and asks again after every wait."""
+"""What is done under a duty: one small unit each.
+
+A charge is called by the timer's thread while its duty is held here, with the epoch, and asks again
+after every wait.
+"""
 
 from __future__ import annotations
 
@@ -33,8 +36,11 @@
 
 
 class Charge:
-    """Does nothing; a charge says otherwise. `name` is its duty's. `act` comes ten times a second while the
-    duty is held here and what was left by the last holder has been read; `idle` while it is not."""
+    """Does nothing; a charge says otherwise.
+
+    `name` is its duty's. `act` comes ten times a second while the duty is held here and what was
+    left by the last holder has been read; `idle` while it is not.
+    """
 
     name = ""
 
@@ -60,7 +66,10 @@
 
 
 class Gated:
-    """A `Slots` for the decisions: no call goes out to what is taken for dead but by whose turn it is."""
+    """A `Slots` for the decisions.
+
+    No call goes out to what is taken for dead but by whose turn it is.
+    """
 
     def __init__(self, slots: Slots, asking: Asking, holding: Callable[[int], bool]) -> None:
         self.slots, self.asking, self.holding = slots, asking, holding
@@ -129,8 +138,11 @@
 
 
 class Book(Charge):
-    """Lends what homes that ended had to lend. Their names are safe by their own majority; this duty only
-    sees to it that no two servers try, and tells all whom to ask."""
+    """Lends what homes that ended had to lend.
+
+    Their names are safe by their own majority; this duty only sees to it that no two servers try,
+    and tells all whom to ask.
+    """
 
     name = "book"
 
@@ -222,7 +234,10 @@
             register.put(plan.pack())
 
     def send(self, now: int, epoch: int) -> None:
-        """The word to go, again until it was heard: a server that has it does not act on it twice."""
+        """The word to go, again until it was heard.
+
+        A server that has it does not act on it twice.
+        """
         if self.plan.state != "going":
             return
         starts = {one.name: one.start for one in self.seen(now).members}
@@ -247,8 +262,11 @@
         os.kill(os.getpid(), signal.SIGTERM)
 
     def obey(self, now: int, order: Order) -> None:
-        """The conductor's word. It names the start that is meant, so that a word that comes late drains
-        nobody a second time."""
+        """The conductor's word.
+
+        It names the start that is meant, so that a word that comes late drains nobody a second
+        time.
+        """
         own = self.fleet.member.row.number // TURNS
         meant = order.what == "drain" and order.body == str(own).encode()
         if meant and self.fleet.house.desk.stop_at is None:
@@ -332,8 +350,9 @@
 
 
 class Record(Charge):
-    """The fleet's record: a line for each change of its size and for each hand-over, in the holder's folder,
-    under the epoch. The count goes on with the next holder."""
+    """The fleet's record: a line for each change of its size and for each hand-over, in the
+    holder's folder, under the epoch. The count goes on with the next holder.
+    """
 
     name = "record"
 
@@ -391,8 +410,11 @@
 
 
 class Told(Charge):
-    """An application's own duty: the application is told that this server holds it, with the epoch, and is to
-    hold that against the newest it has seen."""
+    """An application's own duty.
+
+    The application is told that this server holds it, with the epoch, and is to hold that against
+    the newest it has seen.
+    """
 
     def __init__(self, fleet: Fleet, duties: Duties, wanted: OwnDuty) -> None:
         super().__init__(fleet, duties)
--- a/gullyoke/features/disks.py
+++ b/gullyoke/features/disks.py
@@ -15,9 +15,11 @@
 
 
 class Room:
-    """A folder under watch, with what each kind may have of it. `size` and `give` are by kind: how many bytes
-    it takes, and giving up so many; `tidy` compacts what is dead. All are called by the watch's thread, and
-    may wait for the disk."""
+    """A folder under watch, with what each kind may have of it.
+
+    `size` and `give` are by kind: how many bytes it takes, and giving up so many; `tidy` compacts
+    what is dead. All are called by the watch's thread, and may wait for the disk.
+    """
 
     def __init__(self, folder: str, quota: int, book: Book) -> None:
         self.folder, self.rooms, self.book = folder, Rooms(quota), book
--- a/gullyoke/features/duties.py
+++ b/gullyoke/features/duties.py
@@ -1,5 +1,8 @@
-"""Duties of one on a fleet's membership: this server votes where it is a voter, tries for duties where it is
-well placed, and does what it holds."""
+"""Duties of one on a fleet's membership.
+
+This server votes where it is a voter, tries for duties where it is well placed, and does what it
+holds.
+"""
 
 from __future__ import annotations
 
@@ -146,7 +149,10 @@
     # The voter and its disk.
 
     def voter(self, name: str, row: Row, spans: Spans) -> tuple[Voter, Shelf]:
-        """With what its folder has; a folder that is new, another's or can't be used makes it begin anew."""
+        """With what its folder has.
+
+        A folder that is new, another's or can't be used makes it begin anew.
+        """
         from gullyoke.store import Cells, Committer
 
         rows, kept, number = None, {}, self.wanted.set
@@ -176,9 +182,11 @@
     # Another set of voters, while the server runs.
 
     def take(self, new: Wanted) -> dict[str, object]:
-        """One voter more or fewer, under the next number: what was granted under the old set runs to its end.
-        A process that comes to vote begins as a fresh voter does, unless its folder has its own promises of
-        the set before."""
+        """One voter more or fewer, under the next number.
+
+        What was granted under the old set runs to its end. A process that comes to vote begins as a
+        fresh voter does, unless its folder has its own promises of the set before.
+        """
         if new.duties is None or not self.fits(new.duties):
             return {}
         wanted, name = new.duties, self.fleet.house.told.name
@@ -208,8 +216,10 @@
         return {"set": wanted.set}
 
     def fits(self, new: Dutied) -> bool:
-        """Whether it is the next set: one voter more or fewer, the rest as they were. Guards against two sets
-        whose majorities need not meet."""
+        """Whether it is the next set: one voter more or fewer, the rest as they were.
+
+        Guards against two sets whose majorities need not meet.
+        """
         old = self.wanted
         moved = set(old.voters.items()) ^ set(new.voters.items())
         folder = new.voters.get(self.fleet.house.told.name) is None or bool(old.folder)
@@ -308,8 +318,10 @@
             charge.obey(now, order)
 
     def pleaded(self, now: int, plea: Plea) -> None:
-        """What an operator asked of another server, for the holder. Not on the link's thread: it takes
-        locks."""
+        """What an operator asked of another server, for the holder.
+
+        Not on the link's thread: it takes locks.
+        """
         words = plea.what.split()[:8]
         if words and plea.duty in self.charges:
             threading.Thread(target=self.command, args=(plea.duty, words), daemon=True).start()
--- a/gullyoke/features/file.py
+++ b/gullyoke/features/file.py
@@ -21,7 +21,10 @@
         """Raises `Misstated` where it can't take over what the file says now."""
 
     def take(self, new: Wanted) -> dict[str, object]:
-        """Take over what may change while the server runs: what that came to, as pairs for the log."""
+        """Take over what may change while the server runs.
+
+        What that came to, as pairs for the log.
+        """
 
     def ignored(self, new: Wanted) -> list[str]:
         """The names of what differs and needs a restart."""
@@ -40,7 +43,10 @@
         return self.wanted.pool is not None
 
     def reload(self) -> bool:
-        """Read the file again. False where it can't be right; the one in force stays then, whole."""
+        """Read the file again.
+
+        False where it can't be right; the one in force stays then, whole.
+        """
         try:
             new = read(self.path)
             for one in self.features:
--- a/gullyoke/features/fleet.py
+++ b/gullyoke/features/fleet.py
@@ -1,7 +1,11 @@
-"""Membership in a fleet, where the operator's file names one: who is there, on sockets, beside the reqs.
+"""Membership in a fleet, where the operator's file names one.
 
-Nothing of it is in a req's way: what the decisions get of it is the fleet's size, one figure a second, and
-what its parts state (gullyoke/features/part.py). Whatever fails here, the four rules hold."""
+Who is there, on sockets, beside the reqs.
+
+Nothing of it is in a req's way: what the decisions get of it is the fleet's size, one figure a
+second, and what its parts state (gullyoke/features/part.py). Whatever fails here, the four rules
+hold.
+"""
 
 from __future__ import annotations
 
@@ -55,7 +59,9 @@
         return DESCRIPTORS
 
     def join(self, house: House) -> None:
-        """Raises `Misstated` for a key file that can't be right, `OSError` where it can't listen."""
+        """Raises `Misstated` for a key file that can't be right, `OSError` where it can't
+        listen.
+        """
         self.house = house
         self.link = Link(
             self.wanted.listen, Seal(self.wanted.name, self.keys(self.wanted)), house.book
@@ -197,7 +203,10 @@
     # While the server runs, other seeds and keys are taken over.
 
     def fits(self, new: Wanted) -> None:
-        """The keys are read here and taken later: a file that changes in between can't fail half a reload."""
+        """The keys are read here and taken later.
+
+        A file that changes in between can't fail half a reload.
+        """
         if new.fleet is not None:
             self.read = self.keys(new.fleet)
 
--- a/gullyoke/features/keys.py
+++ b/gullyoke/features/keys.py
@@ -1,9 +1,12 @@
-"""Notes of reqs that must not run twice, kept over restarts: what the rules of gullyoke/durable come to on a
-real folder.
+"""Notes of reqs that must not run twice, kept over restarts.
 
-A run is given once its note is on the disk, and its end told once that is; both wait on the committer's
-thread, never under the desk's lock. The decisions hear of a req that could not be promised as of one that
-there was nowhere to run (`UNRUN`), and of the disk's state by their handlers' `open`."""
+What the rules of gullyoke/durable come to on a real folder.
+
+A run is given once its note is on the disk, and its end told once that is; both wait on the
+committer's thread, never under the desk's lock. The decisions hear of a req that could not be
+promised as of one that there was nowhere to run (`UNRUN`), and of the disk's state by their
+handlers' `open`.
+"""
 
 from __future__ import annotations
 
@@ -45,8 +48,10 @@
 
 
 class Remembered(Repeats):
-    """Repeats of this life, and behind them what earlier ones noted. `doubts` says whether further tries of
-    what is not known are doubted now."""
+    """Repeats of this life, and behind them what earlier ones noted.
+
+    `doubts` says whether further tries of what is not known are doubted now.
+    """
 
     def __init__(
         self, fresh_for: int, past: Callable[[int, str], Note | None], doubts: Callable[[int], bool]
@@ -117,8 +122,9 @@
         return Store(self.files, roll=max(4096, self.kept.quota // 8), quota=self.kept.quota)
 
     def open(self) -> None:
-        """Read what is there, say how far it is believed, and write down what is in force here and is not
-        there: at the start nothing is, after the folder was gone all of it."""
+        """Read what is there, say how far it is believed, and write down what is in force here and
+        is not there: at the start nothing is, after the folder was gone all of it.
+        """
         now, found, mark = clock.now(), [], None
         try:
             store = self.opened()
@@ -166,8 +172,9 @@
         )
 
     def compare(self, now: int) -> None:
-        """Once in a fleet: a copy that is older than what the others know is believed no more, and the mark
-        grows with this server's own start there."""
+        """Once in a fleet: a copy that is older than what the others know is believed no more, and
+        the mark grows with this server's own start there.
+        """
         fleet = next((one for one in self.house.features if one.name == "fleet"), None)
         member = getattr(fleet, "member", None)
         if member is None or self.mark is None or self.committer is None:
@@ -246,8 +253,10 @@
             self.committer.tidy()
 
     def turned(self, turn: Turn) -> None:
-        """A folder that was gone and is back has nothing of what lay in it, or is another's. Called under the
-        watch's lock."""
+        """A folder that was gone and is back has nothing of what lay in it, or is another's.
+
+        Called under the watch's lock.
+        """
         self.lost |= turn.now is State.GONE
         if self.lost and turn.now not in BAD:
             threading.Thread(target=self.again, name="keys", daemon=True).start()
--- a/gullyoke/features/memory.py
+++ b/gullyoke/features/memory.py
@@ -1,7 +1,11 @@
-"""What the daemon remembers over a restart: read at the start, given to the learner, kept as it goes on.
+"""What the daemon remembers over a restart.
 
-The rules are in gullyoke/store/remember.py; here they meet the store, the clock and the desk's lock. Nothing
-of it stops a server: a folder that can't be used is said and counted, and the server starts with nothing."""
+Read at the start, given to the learner, kept as it goes on.
+
+The rules are in gullyoke/store/remember.py; here they meet the store, the clock and the desk's
+lock. Nothing of it stops a server: a folder that can't be used is said and counted, and the server
+starts with nothing.
+"""
 
 from __future__ import annotations
 
@@ -86,8 +90,11 @@
             timer.at(clock.now() + COLD_LOOK, lambda: self.look_cold(desk, timer))
 
     def look_cold(self, desk: Desk, timer: Timer) -> None:
-        """While the server is cold: usual times as they were then, by age; what this start is like is noted.
-        At the end of it that is kept."""
+        """While the server is cold.
+
+        Usual times as they were then, by age; what this start is like is noted. At the end of it
+        that is kept.
+        """
         with desk.lock:
             server = desk.server
             if server is not None and not server.machine.fresh_start:
--- a/gullyoke/features/part.py
+++ b/gullyoke/features/part.py
@@ -11,9 +11,12 @@
 
 
 class Part:
-    """Does nothing; a part says otherwise. `join` comes while the house is put together and may raise
-    `Misstated`, `begin` before the link's thread and before the decisions are made, `look` once a second from
-    the timer, the rest as for a feature."""
+    """Does nothing; a part says otherwise.
+
+    `join` comes while the house is put together and may raise `Misstated`, `begin` before the
+    link's thread and before the decisions are made, `look` once a second from the timer, the rest
+    as for a feature.
+    """
 
     def join(self, fleet: Fleet) -> None: ...
 
--- a/gullyoke/features/promised.py
+++ b/gullyoke/features/promised.py
@@ -1,8 +1,9 @@
 """Work whose runs wait for their notes on the disk, and whose ends wait for theirs.
 
 Stands before the work for the decisions, and before the relay for the work. What the rules say
-(gullyoke/durable/ledger.py) and what is queued for the disk happen under one small lock, `pen`, so that the
-disk gets the writes of a key in the order of the rules; nothing waits under it."""
+(gullyoke/durable/ledger.py) and what is queued for the disk happen under one small lock, `pen`, so
+that the disk gets the writes of a key in the order of the rules; nothing waits under it.
+"""
 
 from __future__ import annotations
 
@@ -55,16 +56,22 @@
 
 
 class Ear:
-    """What work asks of its listener's desk: the reqs in hand, and words on a run that it was just given."""
+    """What work asks of its listener's desk.
+
+    The reqs in hand, and words on a run that it was just given.
+    """
 
     def __init__(self, desk: Desk, soon: Callable[[Taken, Word], None]) -> None:
         self.reqs, self.soon = desk.reqs, soon
 
 
 class Promised:
-    """`fit` says whether the disk may be asked for a promise, `disk` queues a write. Tables: `going`, reqs by
-    key while their run is promised or goes on, `keys`, their keys by id; `ends`, by key, what is told once an
-    end is durable. All of a req leaves at the end of its run, or when it is left unrun."""
+    """`fit` says whether the disk may be asked for a promise, `disk` queues a write.
+
+    Tables: `going`, reqs by key while their run is promised or goes on, `keys`, their keys by id;
+    `ends`, by key, what is told once an end is durable. All of a req leaves at the end of its run,
+    or when it is left unrun.
+    """
 
     def __init__(
         self,
@@ -157,7 +164,9 @@
         self.heard.not_done(command, tid)
 
     def over(self, tid: str, answer: Answer, tell: Callable[[bool], None]) -> None:
-        """A run is over: `tell` goes on once its end is on the disk, or with False where it can't be."""
+        """A run is over: `tell` goes on once its end is on the disk, or with False where it can't
+        be.
+        """
         fit = self.fit()
 
         def ended() -> Put | Act:
--- a/gullyoke/features/shares.py
+++ b/gullyoke/features/shares.py
@@ -1,5 +1,7 @@
-"""This server's part in what all servers share, on the members' datagrams: the slots below, and customers'
-quotas."""
+"""This server's part in what all servers share, on the members' datagrams.
+
+The slots below, and customers' quotas.
+"""
 
 from __future__ import annotations
 
--- a/gullyoke/features/signals.py
+++ b/gullyoke/features/signals.py
@@ -1,5 +1,7 @@
-"""How this server stands is told to the others on the members' datagrams, and theirs weighed: is it slow, or
-is the fleet full? Where the file says so, advice and health answers follow."""
+"""How this server stands is told to the others on the members' datagrams, and theirs weighed.
+
+Is it slow, or is the fleet full? Where the file says so, advice and health answers follow.
+"""
 
 from __future__ import annotations
 
--- a/gullyoke/features/subsets.py
+++ b/gullyoke/features/subsets.py
@@ -1,5 +1,6 @@
-"""Which of the back ends this server uses, where many servers share many of them, and whose turn it is to try
-one that was set aside: both told by the view of the fleet alone."""
+"""Which of the back ends this server uses, where many servers share many of them, and whose turn it
+is to try one that was set aside: both told by the view of the fleet alone.
+"""
 
 from __future__ import annotations
 
@@ -62,7 +63,10 @@
             self.pool.use(only)
 
     def may(self, name: str) -> bool:
-        """Whether it is this server's turn to try a back end; one that knows nobody tries when it likes."""
+        """Whether it is this server's turn to try a back end.
+
+        One that knows nobody tries when it likes.
+        """
         me, names = self.fleet.house.told.name, self.names
         if me not in names:
             return True
--- a/gullyoke/features/unit.py
+++ b/gullyoke/features/unit.py
@@ -10,9 +10,10 @@
 
 
 class Plain:
-    """Holds no descriptors, does no work in the engine's place, takes nothing over while the server runs.
-    `name` is its part's in the log, `part` the field that is read of it; `stated`, what the file said of it
-    at the start."""
+    """Holds no descriptors, does no work in the engine's place, takes nothing over while the server
+    runs. `name` is its part's in the log, `part` the field that is read of it; `stated`, what the
+    file said of it at the start.
+    """
 
     name = part = ""
 
--- a/gullyoke/front/admit.py
+++ b/gullyoke/front/admit.py
@@ -75,7 +75,10 @@
 
 
 def admit(desk: Desk, request: Taken) -> None:
-    """Hand it to the decisions. Raises `Unfit` where it could be taken for another: then nothing runs."""
+    """Hand it to the decisions.
+
+    Raises `Unfit` where it could be taken for another: then nothing runs.
+    """
 
     def read() -> None:
         nonlocal unfit
--- a/gullyoke/front/connection.py
+++ b/gullyoke/front/connection.py
@@ -1,8 +1,8 @@
 """One client connection: its state machine, and the one place that closes its socket.
 
-A connection belongs to the thread that serves it. Other threads never close the socket: they ask for the
-end by `close_idle` or `abort`, which act only in the states named there, under the connection's lock. The
-owner finds the end at its next step and closes.
+A connection belongs to the thread that serves it. Other threads never close the socket: they ask
+for the end by `close_idle` or `abort`, which act only in the states named there, under the
+connection's lock. The owner finds the end at its next step and closes.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from gullyoke.core.ends import End, Ended
 from gullyoke.core.sockets import drain, half_close, shut
 
-# Ends after which the peer may have sent something that we did not read, and is worth waiting for: closing
-# over unread bytes resets the connection, and takes from the peer what it has yet to read.
+# Ends after which the peer may have sent something that we did not read, and is worth waiting for:
+# closing over unread bytes resets the connection, and takes from the peer what it has yet to read.
 LINGERING = frozenset({End.DECLARED, End.IDLE, End.LEAVING, End.GARBLED})
 
 
@@ -35,8 +35,8 @@
 class Connection:
     """One connection: its state, since when (microseconds), and the request on it.
 
-    `table` is told of what makes a connection fresh, idle or closing (`ConnectionTable`); `listener` is
-    where it came in. `end` is None until the end is decided here.
+    `table` is told of what makes a connection fresh, idle or closing (`ConnectionTable`);
+    `listener` is where it came in. `end` is None until the end is decided here.
     """
 
     def __init__(self, sock: socket.socket, listener, table) -> None:
@@ -57,8 +57,11 @@
             self.table.idle[self] = None
 
     def begin_message(self) -> None:
-        """The first byte of a message has been read. Raises `Ended` where it came after our half-close: such
-        a message can't be answered, so nothing of it may be run."""
+        """The first byte of a message has been read.
+
+        Raises `Ended` where it came after our half-close: such a message can't be answered, so
+        nothing of it may be run.
+        """
         self.table.idle.pop(self, None)
         try:
             self._enter(State.READING)
@@ -67,7 +70,10 @@
             raise
 
     def begin_request(self, request: Taken) -> None:
-        """The message is whole and is about to be handed on. Raises `Ended` as `begin_message` does."""
+        """The message is whole and is about to be handed on.
+
+        Raises `Ended` as `begin_message` does.
+        """
         self._enter(State.WAITING)
         self.request = request
 
@@ -79,7 +85,10 @@
         self.table.fresh.pop(self, None)
 
     def close(self, end: End) -> None:
-        """Close the socket, by the one thread that may: half-close, take what is on its way, close."""
+        """Close the socket, by the one thread that may.
+
+        Half-close, take what is on its way, close.
+        """
         with self.lock:
             self.state, self.end = State.CLOSING, end
         if end in LINGERING:
@@ -97,10 +106,12 @@
     # By other threads.
 
     def close_idle(self, end: End) -> bool:
-        """Half-close it if it is idle and nothing of a next message has come; whether that was so.
+        """Half-close it if it is idle and nothing of a next message has come.
+
+        Whether that was so.
 
-        The peer sees the end and closes its side. A message that crosses ours on the way is not handed on:
-        the peer knows by the end that it was not taken.
+        The peer sees the end and closes its side. A message that crosses ours on the way is not
+        handed on: the peer knows by the end that it was not taken.
         """
         with self.lock:
             if self.state is not State.IDLE or self._readable():
@@ -110,7 +121,10 @@
             return True
 
     def abort(self, end: End, states: Collection[State], since: int) -> bool:
-        """End both directions at once if it is in one of these states since then; whether it was."""
+        """End both directions at once if it is in one of these states since then.
+
+        Whether it was.
+        """
         with self.lock:
             if self.state not in states or self.since != since:
                 return False
--- a/gullyoke/front/connections.py
+++ b/gullyoke/front/connections.py
@@ -1,4 +1,7 @@
-"""The connections of all listeners: accepted, a thread each, ended when silent, stalled or at the stop."""
+"""The connections of all listeners.
+
+Accepted, a thread each, ended when silent, stalled or at the stop.
+"""
 
 from __future__ import annotations
 
@@ -32,8 +35,10 @@
 
 
 class Front(Protocol):
-    """A protocol's side of a connection. `name` stands in counters and logs; `buffer` is the most bytes that
-    one message may take."""
+    """A protocol's side of a connection.
+
+    `name` stands in counters and logs; `buffer` is the most bytes that one message may take.
+    """
 
     name: str
     buffer: int
@@ -43,8 +48,11 @@
 
 
 class Listener:
-    """Where one front listens. Its accepting thread owns the socket and closes it, once it is `shut`. Table:
-    `placed`, its connections that take a place; each leaves when its end is decided."""
+    """Where one front listens.
+
+    Its accepting thread owns the socket and closes it, once it is `shut`. Table: `placed`, its
+    connections that take a place; each leaves when its end is decided.
+    """
 
     def __init__(self, sock: socket.socket, front: Front) -> None:
         self.sock, self.front, self.shut = sock, front, False
@@ -52,9 +60,11 @@
 
 
 class ConnectionTable:
-    """Tables: `open`, the connections that hold a descriptor; of these `fresh`, not yet served, in the order
-    they came; `idle`, served and silent, the longest first; `closing`, whose end is decided. Each leaves at
-    its end."""
+    """Tables: `open`, the connections that hold a descriptor.
+
+    Of these `fresh`, not yet served, in the order they came; `idle`, served and silent, the longest
+    first; `closing`, whose end is decided. Each leaves at its end.
+    """
 
     def __init__(self, room: Room, desk: Desk, standing: Standing, book: Book) -> None:
         self.room, self.desk, self.standing, self.book = room, desk, standing, book
@@ -77,8 +87,11 @@
             ).start()
 
     def accept(self, listener: Listener) -> None:
-        """An accepting thread's life. It closes the listening socket once that is shut, and not before:
-        closing resets whatever waits in the backlog."""
+        """An accepting thread's life.
+
+        It closes the listening socket once that is shut, and not before: closing resets whatever
+        waits in the backlog.
+        """
         while not listener.shut:
             self.wait_for_descriptor()
             try:
@@ -94,10 +107,12 @@
         listener.sock.close()
 
     def wait_for_descriptor(self) -> None:
-        """Wait while connections that are closing hold more descriptors than are set aside for them.
+        """Wait while connections that are closing hold more descriptors than are set aside for
+        them.
 
-        Guards against newcomers that come faster than those who made room for them can close: together they
-        would take the descriptors that the engine, the database and the name service need.
+        Guards against newcomers that come faster than those who made room for them can close:
+        together they would take the descriptors that the engine, the database and the name service
+        need.
         """
         with self.left:
             while len(self.open) >= self.room.most + CLOSING_MOST and not self.standing.closing:
@@ -125,10 +140,13 @@
                 self.ended(connection, End.FAULT, str(fault))
 
     def make_room(self, listener: Listener) -> bool:
-        """Too many at once: one goes, so that engine and database can still be reached. False if none can.
+        """Too many at once: one goes, so that engine and database can still be reached.
+
+        False if none can.
 
-        Guards against clients that fill the table and say nothing, or half of something: they go first, the
-        oldest before the rest, then the one longest idle. It might hurt gateways that connect well ahead.
+        Guards against clients that fill the table and say nothing, or half of something: they go
+        first, the oldest before the rest, then the one longest idle. It might hurt gateways that
+        connect well ahead.
         """
         if len(self.listeners) < 2 and len(listener.placed) <= self.room.most:
             return True
@@ -245,7 +263,9 @@
         return 0 < self.standing.idle < spent and connection.close_idle(End.IDLE)
 
     def hear_gone(self, waiting: list[Connection]) -> None:
-        """A connection that is broken while its request waits: nobody is there, and nothing could be written.
+        """A connection that is broken while its request waits.
+
+        Nobody is there, and nothing could be written.
 
         A peer that has closed its own direction only may still read, and keeps its answer.
         """
@@ -266,7 +286,10 @@
                 self.desk.tell(request, outcome(Peer.GATEWAY, End.RESET))
 
     def leave(self) -> None:
-        """The end of the drain: take what waits in the backlogs, then no more; idle connections end."""
+        """The end of the drain: take what waits in the backlogs, then no more.
+
+        Idle connections end.
+        """
         self.standing.closing = True
         for listener in self.listeners:
             listener.sock.setblocking(False)
--- a/gullyoke/front/intake.py
+++ b/gullyoke/front/intake.py
@@ -1,4 +1,6 @@
-"""Take in: a req of whatever protocol is handed to the decisions, and the one answer to it is waited for."""
+"""Take in: a req of whatever protocol is handed to the decisions, and the one answer to it is
+waited for.
+"""
 
 from __future__ import annotations
 
--- a/gullyoke/front/room.py
+++ b/gullyoke/front/room.py
@@ -8,8 +8,9 @@
 class Room:
     """`most` places for several fronts together; each is assured an equal part of half of them.
 
-    Guards against one front's clients that use all descriptors up while the other must go on. With one front
-    nothing is set aside. Table: one row a front, fixed at the start."""
+    Guards against one front's clients that use all descriptors up while the other must go on. With
+    one front nothing is set aside. Table: one row a front, fixed at the start.
+    """
 
     def __init__(self, most: int, fronts: int = 1) -> None:
         self.fronts = fronts
@@ -26,7 +27,9 @@
         self.assured = most // (2 * self.fronts) if self.fronts > 1 else 0
 
     def fits(self, front: Hashable, open: Mapping[Hashable, int]) -> bool:
-        """Whether all that is open, a newcomer of `front` already counted, leaves others what is theirs."""
+        """Whether all that is open, a newcomer of `front` already counted, leaves others what is
+        theirs.
+        """
         others = sum(max(n, self.assured) for other, n in open.items() if other is not front)
         return open[front] + others <= self.most
 
--- a/gullyoke/lab/__init__.py
+++ b/gullyoke/lab/__init__.py
@@ -1,1 +1,4 @@
-"""Experiments on the emulator: arms, days and seeds in, tables, charts and a report out. The extra `lab`."""
+"""Experiments on the emulator: arms, days and seeds in, tables, charts and a report out.
+
+The extra `lab`.
+"""
--- a/gullyoke/lab/compare.py
+++ b/gullyoke/lab/compare.py
@@ -40,7 +40,10 @@
 
 
 def differences(rows: list[dict], base: str) -> dict[tuple[str, str], Mean]:
-    """Each arm less the base arm on the same day and seed: pairs, so that a hard day is hard for both."""
+    """Each arm less the base arm on the same day and seed.
+
+    Pairs, so that a hard day is hard for both.
+    """
     at = {(r["day"], r["arm"], r["seed"]): r["share"] for r in rows}
     out = {}
     for day, arm in dict.fromkeys((r["day"], r["arm"]) for r in rows):
--- a/gullyoke/lab/experiment.py
+++ b/gullyoke/lab/experiment.py
@@ -1,4 +1,7 @@
-"""Reads an experiment and says what is to be played: jobs of arm, day and seed, the same day for all."""
+"""Reads an experiment and says what is to be played.
+
+Jobs of arm, day and seed, the same day for all.
+"""
 
 from __future__ import annotations
 
@@ -93,7 +96,10 @@
 
 
 def read(path: str) -> Experiment:
-    """The experiment in a file. Raises `Faulty` with a line for each thing that can't be right."""
+    """The experiment in a file.
+
+    Raises `Faulty` with a line for each thing that can't be right.
+    """
     found = parsed(path, schema.Experiment(), faults_of)
     with open(path, encoding="utf-8") as file:
         return Experiment(found.name, file.read(), found)
--- a/gullyoke/lab/ports.py
+++ b/gullyoke/lab/ports.py
@@ -1,8 +1,9 @@
 """Loopback ports for those who listen later, in another process.
 
-Guards against one that is asked of the system, let go and given to somebody else before it is bound: these
-lie under those that the system gives by itself, each process has a block of its own, and hands out each once
-before it begins anew."""
+Guards against one that is asked of the system, let go and given to somebody else before it is
+bound: these lie under those that the system gives by itself, each process has a block of its own,
+and hands out each once before it begins anew.
+"""
 
 from __future__ import annotations
 
@@ -30,8 +31,10 @@
 
 
 def free() -> Address:
-    """An address that nobody has, for datagrams and connections alike. Raises `OSError` where there is
-    none."""
+    """An address that nobody has, for datagrams and connections alike.
+
+    Raises `OSError` where there is none.
+    """
     first = LOWEST + os.getpid() % BLOCKS * BLOCK
     for number in itertools.islice(COUNT, BLOCK):
         address = "127.0.0.1", first + number % BLOCK
--- a/gullyoke/lab/report.py
+++ b/gullyoke/lab/report.py
@@ -39,7 +39,10 @@
 
 
 def charts(rows: list[dict], names: list[str], folder: pathlib.Path) -> list[str]:
-    """Value over time by class, response times, and shares with intervals; the files' names, no ending."""
+    """Value over time by class, response times, and shares with intervals.
+
+    The files' names, no ending.
+    """
     made, played = [], [r for r in rows if r["arm"] != "bound"]
     for day in dict.fromkeys(r["day"] for r in played):
         arms = list(dict.fromkeys(r["arm"] for r in played if r["day"] == day))
--- a/gullyoke/lab/run.py
+++ b/gullyoke/lab/run.py
@@ -1,4 +1,6 @@
-"""Plays an experiment on all cores, row by row into a file, so a cut loses only what was being played."""
+"""Plays an experiment on all cores, row by row into a file, so a cut loses only what was being
+played.
+"""
 
 from __future__ import annotations
 
@@ -62,9 +64,11 @@
     done: Callable[[int, int], None],
     workers: int | None = None,
 ) -> list[dict]:
-    """All rows of an experiment, in the order of its jobs. With `resume`, rows that are in the folder stand.
-    Raises `FileExistsError` where there are some and they are not to be resumed, and `ValueError` where they
-    are of another experiment."""
+    """All rows of an experiment, in the order of its jobs.
+
+    With `resume`, rows that are in the folder stand. Raises `FileExistsError` where there are some
+    and they are not to be resumed, and `ValueError` where they are of another experiment.
+    """
     experiment, rows = read(path), {}
     folder.mkdir(parents=True, exist_ok=True)
     file, record = folder / "rows.jsonl", folder / "experiment.textproto"
--- a/gullyoke/lab/world.py
+++ b/gullyoke/lab/world.py
@@ -1,5 +1,8 @@
-"""A small world for `gullyoke try`: the platform's engine, database and name service on real sockets,
-speaking their published protocols, around the emulator's cores; and gateways that ask."""
+"""A small world for `gullyoke try`.
+
+The platform's engine, database and name service on real sockets, speaking their published
+protocols, around the emulator's cores; and gateways that ask.
+"""
 
 from __future__ import annotations
 
@@ -58,8 +61,11 @@
 
 
 class Engine(Peer):
-    """Runs reqs on the emulator's cores in real time. A req's work stands in its body, in microseconds; every
-    second class calls the database once, half way."""
+    """Runs reqs on the emulator's cores in real time.
+
+    A req's work stands in its body, in microseconds; every second class calls the database once,
+    half way.
+    """
 
     def __init__(self, cores: int, calls: set[str]) -> None:
         self.timer, self.pen, self.calls = Timer(Book()), threading.RLock(), calls
@@ -221,8 +227,11 @@
     key: str = "",
     again: bool = False,
 ) -> bytes:
-    """A req as a gateway writes it; `timeout` and `work` in microseconds, `close` for a connection of its
-    own, `again` for a further try."""
+    """A req as a gateway writes it.
+
+    `timeout` and `work` in microseconds, `close` for a connection of its own, `again` for a further
+    try.
+    """
     body = str(work).encode()
     return (
         f"POST /call/{handler} HTTP/1.1\r\nHost: origin.svc\r\n"
@@ -236,8 +245,10 @@
 
 
 class Gateways:
-    """Asks what a day says when it says so, each req once, on connections that are kept. `rows` counts by
-    class and outcome; `value` is what was earned by class."""
+    """Asks what a day says when it says so, each req once, on connections that are kept.
+
+    `rows` counts by class and outcome; `value` is what was earned by class.
+    """
 
     def __init__(self, day: Day, listen: tuple[str, int]) -> None:
         self.day, self.listen, self.pen = day, listen, threading.Lock()
@@ -301,8 +312,10 @@
 
 @contextlib.contextmanager
 def daemon(day: Day) -> Iterator[tuple[Gateways, subprocess.Popen]]:
-    """A real daemon on loopback with its world around it, and the gateways that will ask it. Raises
-    `ChildProcessError` where it does not come up."""
+    """A real daemon on loopback with its world around it, and the gateways that will ask it.
+
+    Raises `ChildProcessError` where it does not come up.
+    """
     engine = Engine(day.machines.cores, {w.name for w in day.works if w.calls})
     peers = engine, Database(), Names()
     listen = free()
--- a/gullyoke/members/__init__.py
+++ b/gullyoke/members/__init__.py
@@ -1,5 +1,8 @@
-"""Who is there: membership among servers. Decisions and state alone; no I/O, no clock, no chance but what is
-handed in. docs/members-design.md says what was chosen and why; gullyoke/peers puts it on sockets."""
+"""Who is there: membership among servers.
+
+Decisions and state alone; no I/O, no clock, no chance but what is handed in. docs/members-design.md
+says what was chosen and why; gullyoke/peers puts it on sockets.
+"""
 
 from gullyoke.members.member import TICK, Member
 from gullyoke.members.row import Row, Status, began, identity
--- a/gullyoke/members/compare.py
+++ b/gullyoke/members/compare.py
@@ -1,4 +1,6 @@
-"""Two views made equal: only the parts that differ are told, in datagrams of few rows, a few at a time."""
+"""Two views made equal: only the parts that differ are told, in datagrams of few rows, a few at a
+time.
+"""
 
 from __future__ import annotations
 
@@ -45,8 +47,9 @@
 
 
 def answer(me: Row, view: View, buckets: Sequence[int], draw: Callable[[int], int]) -> list[Rows]:
-    """What another is told whose view has these parts, from a part drawn by chance on, so that those who ask
-    several are told different parts."""
+    """What another is told whose view has these parts, from a part drawn by chance on, so that
+    those who ask several are told different parts.
+    """
     parts = differing(view, buckets)
     if not parts:
         return [Rows(me, (), (), True, 0)]
@@ -55,14 +58,19 @@
 
 
 def missing(me: Row, view: View, parts: Sequence[tuple[int, int]]) -> list[Rows]:
-    """What the one who answered does not have: the parts that differ still, after all it told is merged."""
+    """What the one who answered does not have.
+
+    The parts that differ still, after all it told is merged.
+    """
     own = [b for b, digest in parts if 0 <= b < BUCKETS and view.buckets[b] != digest]
     return packed(me, view, own, False) if own else []
 
 
 def packed(me: Row, view: View, parts: Sequence[int], asked: bool) -> list[Rows]:
-    """Rows of these parts in as few datagrams as they fill, DATAGRAMS at the most; a part that needs more
-    than one names itself in the last."""
+    """Rows of these parts in as few datagrams as they fill, DATAGRAMS at the most.
+
+    A part that needs more than one names itself in the last.
+    """
     out: list[Rows] = []
     told: list[tuple[int, int]] = []
     differ = len(parts)
--- a/gullyoke/members/edge.py
+++ b/gullyoke/members/edge.py
@@ -1,8 +1,9 @@
 """One observer's side of a pair: when the subject is asked, and what its silence comes to.
 
-Asked every `PERIOD`, calmly; from the first asking that gets no answer on, more often and by others too, so
-that loss is told from silence. Time counts from that first asking, never from the last answer: who was paused
-just after an answer has the whole span."""
+Asked every `PERIOD`, calmly; from the first asking that gets no answer on, more often and by others
+too, so that loss is told from silence. Time counts from that first asking, never from the last
+answer: who was paused just after an answer has the whole span.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +20,10 @@
 
 
 class Edge:
-    """Table: `asked`, askings without an answer and when they went out; emptied by any answer, and the oldest
-    goes when there are MOST."""
+    """Table: `asked`, askings without an answer and when they went out.
+
+    Emptied by any answer, and the oldest goes when there are MOST.
+    """
 
     __slots__ = (
         "asked",
--- a/gullyoke/members/entry.py
+++ b/gullyoke/members/entry.py
@@ -1,9 +1,11 @@
-"""Coming in: joining by seeds, the start's number, one name held twice, and coming back after a removal.
+"""Coming in: joining by seeds, the start's number, one name held twice, and coming back after a
+removal.
 
-A member is at one of five stages. `ALONE`: nobody has answered yet. `JOINING`: the others' view is being
-read. `IN`. `OUT`: it was removed; it stays out until its own askings have been answered for `SETTLE`, longer
-after each removal, so that one with a bad link is removed once and does not come and go. `DISPLACED`:
-another process holds its name."""
+A member is at one of five stages. `ALONE`: nobody has answered yet. `JOINING`: the others' view is
+being read. `IN`. `OUT`: it was removed; it stays out until its own askings have been answered for
+`SETTLE`, longer after each removal, so that one with a bad link is removed once and does not come
+and go. `DISPLACED`: another process holds its name.
+"""
 
 from __future__ import annotations
 
@@ -56,8 +58,11 @@
         self.known = 0  # the newest number of our name that others knew before this start
 
     def asks(self, now: int, live: set[str]) -> list[str]:
-        """The addresses to say hello to now. One who is in goes on asking the seeds it does not see, now and
-        then: guards against fleets that formed apart while no seed was up."""
+        """The addresses to say hello to now.
+
+        One who is in goes on asking the seeds it does not see, now and then: guards against fleets
+        that formed apart while no seed was up.
+        """
         if now < self.next or self.stage is Stage.OUT:
             return []
         if self.stage in (Stage.IN, Stage.DISPLACED):
@@ -73,8 +78,10 @@
         return self.sample(from_where, min(SEEDS, len(from_where)))
 
     def welcomed(self, now: int, known: Row | None) -> Row | None:
-        """Somebody answered, and `known` is what is known of our name there: our row from now on, or None
-        where another holds the name and is asked first."""
+        """Somebody answered, and `known` is what is known of our name there.
+
+        Our row from now on, or None where another holds the name and is asked first.
+        """
         if self.stage not in (Stage.ALONE, Stage.DISPLACED):
             return None
         if known is not None and known.life != self.row.life:
@@ -90,8 +97,10 @@
         return self.row
 
     def outlived(self, now: int, holder: Row) -> bool:
-        """Whether another holder of our name may be passed over: asked, it had its time and never
-        answered."""
+        """Whether another holder of our name may be passed over.
+
+        Asked, it had its time and never answered.
+        """
         if self.challenged is None or self.challenged[0].life != holder.life:
             self.challenged = holder, now
             return False
@@ -115,8 +124,11 @@
         return None
 
     def refutes(self, now: int) -> bool:
-        """Whether to contradict an accusation now: one that goes on being accused does so ever more seldom,
-        what others hear of it speaks louder."""
+        """Whether to contradict an accusation now.
+
+        One that goes on being accused does so ever more seldom, what others hear of it speaks
+        louder.
+        """
         if self.stage is not Stage.IN or now - self.refuted_at < self.refute:
             return False
         often = now - self.refuted_at < 4 * self.refute
--- a/gullyoke/members/member.py
+++ b/gullyoke/members/member.py
@@ -1,9 +1,11 @@
-"""One member: what it does at each turn and with each message. Sends nothing itself: `take` hands out what is
-to be sent.
+"""One member: what it does at each turn and with each message.
 
-Called with the clock in whole microseconds: `tick` every TICK, `hear` for each message that verified,
-`refused` where a machine says that nobody listens, `leave` and `left` at a drain's two ends. No I/O, no
-clock, no chance but what is handed in."""
+Sends nothing itself: `take` hands out what is to be sent.
+
+Called with the clock in whole microseconds: `tick` every TICK, `hear` for each message that
+verified, `refused` where a machine says that nobody listens, `leave` and `left` at a drain's two
+ends. No I/O, no clock, no chance but what is handed in.
+"""
 
 from __future__ import annotations
 
@@ -46,8 +48,11 @@
 
 
 class Member:
-    """Tables: `edges`, one a subject; `relays`, askings for others, the oldest goes when there are RELAYS;
-    `askings`, whom each of one's own went to, bounded like the edges' own; `out`, handed over at once."""
+    """Tables: `edges`, one a subject.
+
+    `relays`, askings for others, the oldest goes when there are RELAYS; `askings`, whom each of
+    one's own went to, bounded like the edges' own; `out`, handed over at once.
+    """
 
     def __init__(
         self, now: int, row: Row, seeds: tuple[str, ...], chance: random.Random, k: int = K
@@ -101,7 +106,10 @@
         self._compare(now)
 
     def _woke(self, now: int) -> None:
-        """After a pause of its own it asks before it accuses: what went unanswered meanwhile says nothing."""
+        """After a pause of its own it asks before it accuses.
+
+        What went unanswered meanwhile says nothing.
+        """
         self.holding.clear()
         for edge in self.edges.values():
             edge.anew(now)
@@ -155,8 +163,10 @@
         return self.seq
 
     def _accuse(self, now: int) -> None:
-        """What is held against the subjects, told where it changed: to all in time, at once to those that it
-        concerns, the accused first."""
+        """What is held against the subjects, told where it changed.
+
+        To all in time, at once to those that it concerns, the accused first.
+        """
         unsure, entries = self.trust.unsure(now), []
         for edge in self.edges.values():
             kind, row = edge.verdict(now), self.view.rows.get(edge.id)
@@ -336,8 +346,10 @@
                 self._become(now, row)
 
     def _namesake(self, now: int, other: Row) -> None:
-        """Another process under this name, and it is there. Who is in keeps the name; of two who are, the one
-        with the higher number."""
+        """Another process under this name, and it is there.
+
+        Who is in keeps the name; of two who are, the one with the higher number.
+        """
         inside = self.entry.stage in (Stage.IN, Stage.JOINING)
         if inside and (other.status is Status.JOINING or self.row.rank() > other.rank()):
             self._send(other.address, Gossip(self.row, self.view.digest, 0, ()), self.id)
@@ -378,8 +390,11 @@
     # News.
 
     def _meet(self, now: int, sender: Row) -> bool:
-        """The sender's own row is news like any other. Whether it was of the view before: what others say is
-        heard from members only, so that one who was removed brings nobody back."""
+        """The sender's own row is news like any other.
+
+        Whether it was of the view before: what others say is heard from members only, so that one
+        who was removed brings nobody back.
+        """
         there = sender.id in self.view.rows
         if self.entry.stage in (Stage.IN, Stage.JOINING):
             known = self.view.known(sender.id)
@@ -457,8 +472,11 @@
         )
 
     def state(self, now: int, row: Row) -> str:
-        """How a member of the view stands: its own status, or `suspect` where the rule will remove it if this
-        lasts, or `unreachable`, from here or where too little of the fleet is seen to tell."""
+        """How a member of the view stands.
+
+        Its own status, or `suspect` where the rule will remove it if this lasts, or `unreachable`,
+        from here or where too little of the fleet is seen to tell.
+        """
         if row.status is not Status.ALIVE or row.id == self.id:
             return row.status.name.lower()
         count = self.tally.count(row.id, row.number, self.view.rings.observers(row.id))
@@ -488,8 +506,10 @@
         return 0 if self.signal is None else self.turns << SIGNAL | self.signal
 
     def _whole(self, first: tuple[News, ...] = ()) -> tuple[int, int, tuple[News, ...]]:
-        """What a message bears of the whole: the view's digest, the share lost, and news, some of it
-        first."""
+        """What a message bears of the whole.
+
+        The view's digest, the share lost, and news, some of it first.
+        """
         news = first + tuple(x for x in self.news.pick(len(self.view.rows)) if x not in first)
         return self.view.digest, self.trust.word(), news
 
--- a/gullyoke/members/news.py
+++ b/gullyoke/members/news.py
@@ -1,5 +1,7 @@
-"""What is yet to be told to the others, carried on whatever is sent anyway: the newest first, the rest in
-turn."""
+"""What is yet to be told to the others, carried on whatever is sent anyway.
+
+The newest first, the rest in turn.
+"""
 
 from __future__ import annotations
 
@@ -31,8 +33,9 @@
 
 
 class Queue:
-    """Table: `items`, one a member and one an observer at the most, with how often it was carried; one leaves
-    when it was carried often enough, or when the bytes run out."""
+    """Table: `items`, one a member and one an observer at the most, with how often it was carried;
+    one leaves when it was carried often enough, or when the bytes run out.
+    """
 
     def __init__(self) -> None:
         self.items: OrderedDict[Hashable, tuple[News, int, int]] = OrderedDict()
--- a/gullyoke/members/rings.py
+++ b/gullyoke/members/rings.py
@@ -1,8 +1,9 @@
 """Who observes whom, by the view alone: `k` rings, each the members in an order of its own.
 
-On each ring a member is observed by the one before it and observes the one after it (Rapid's expander of
-rings, Suresh et al. 2018). Same view, same observers, nothing asked; one that comes or goes changes `k`
-pairs and no others. In a fleet of `k` + 1 and less everybody observes everybody."""
+On each ring a member is observed by the one before it and observes the one after it (Rapid's
+expander of rings, Suresh et al. 2018). Same view, same observers, nothing asked; one that comes or
+goes changes `k` pairs and no others. In a fleet of `k` + 1 and less everybody observes everybody.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +21,10 @@
 
 
 class Rings:
-    """Table: each member once on each ring; left when it leaves the view. `version` grows with each
-    change."""
+    """Table: each member once on each ring; left when it leaves the view.
+
+    `version` grows with each change.
+    """
 
     def __init__(self, k: int) -> None:
         self.k, self.version = k, 0
--- a/gullyoke/members/row.py
+++ b/gullyoke/members/row.py
@@ -1,9 +1,10 @@
 """What is known of one member: a row, its number, and how two rows of one name are compared.
 
-A member's number never goes back. Its upper part is the start's (kept on a disk, or the clock's seconds, or
-one above what the others know, whichever is most); the lower counts its own refutations (SWIM's incarnation,
-Das et al. 2002). Of two rows of one name the higher in (number, status, life) is the truth, for all, in any
-order of arrival."""
+A member's number never goes back. Its upper part is the start's (kept on a disk, or the clock's
+seconds, or one above what the others know, whichever is most); the lower counts its own refutations
+(SWIM's incarnation, Das et al. 2002). Of two rows of one name the higher in (number, status, life)
+is the truth, for all, in any order of arrival.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +17,10 @@
 
 
 class Status(IntEnum):
-    """In the order in which one number goes through them: a later one can't be taken back under that
-    number."""
+    """In the order in which one number goes through them.
+
+    A later one can't be taken back under that number.
+    """
 
     JOINING = 0
     ALIVE = 1
@@ -48,14 +51,20 @@
 
 
 def began(seconds: int, kept: int = 0, known: int = 0) -> int:
-    """The number of a start: the clock's whole seconds, but above the number `kept` from the last start and
-    above the one that the others have `known` of this name. Guards against a clock that goes back."""
+    """The number of a start.
+
+    The clock's whole seconds, but above the number `kept` from the last start and above the one
+    that the others have `known` of this name. Guards against a clock that goes back.
+    """
     return max(seconds, kept // TURNS + 1, known // TURNS + 1) * TURNS
 
 
 class Row:
-    """A member as all see it. Never changed: a change is another row. `life` is drawn at each start, so that
-    two processes under one name are told apart; `address` is where datagrams for it are sent."""
+    """A member as all see it.
+
+    Never changed: a change is another row. `life` is drawn at each start, so that two processes
+    under one name are told apart; `address` is where datagrams for it are sent.
+    """
 
     __slots__ = ("address", "digest", "id", "life", "name", "number", "status", "zone")
 
@@ -96,8 +105,10 @@
 
 
 class Mark(NamedTuple):
-    """A new status of a row that is known: shorter than the row. `by` is who saw to it, `accusing` of
-    `standing` observers held it silent or refused."""
+    """A new status of a row that is known: shorter than the row.
+
+    `by` is who saw to it, `accusing` of `standing` observers held it silent or refused.
+    """
 
     id: int
     number: int
@@ -116,9 +127,12 @@
 
 
 class Report(NamedTuple):
-    """All that one observer holds against its subjects now; the newest (`number`, `seq`) takes the place of
-    the ones before it, so that nothing is ever taken back one by one. `unsure`: it trusts itself too little
-    to accuse anybody, and this says only what it sees."""
+    """All that one observer holds against its subjects now.
+
+    The newest (`number`, `seq`) takes the place of the ones before it, so that nothing is ever
+    taken back one by one. `unsure`: it trusts itself too little to accuse anybody, and this says
+    only what it sees.
+    """
 
     observer: int
     number: int
--- a/gullyoke/members/size.py
+++ b/gullyoke/members/size.py
@@ -1,4 +1,7 @@
-"""How large the fleet is, for decisions: never smaller than what all agreed on, and how far to trust it."""
+"""How large the fleet is, for decisions.
+
+Never smaller than what all agreed on, and how far to trust it.
+"""
 
 from __future__ import annotations
 
@@ -8,8 +11,11 @@
 
 
 class Size(NamedTuple):
-    """`members`, those who are there, seen from here or not; `seen`, how many of them answer, as all around
-    see it; `age`, microseconds since anything was last heard from another; `confidence`, from 0 to 1."""
+    """`members`, those who are there, seen from here or not.
+
+    `seen`, how many of them answer, as all around see it; `age`, microseconds since anything was
+    last heard from another; `confidence`, from 0 to 1.
+    """
 
     members: int
     seen: int
@@ -23,7 +29,9 @@
         """What decisions go by: the agreed size where it can be trusted, what was told at the start
         elsewhere.
 
-        Guards against a side of a cut that takes the part of those it does not see: both sides would."""
+        Guards against a side of a cut that takes the part of those it does not see: both sides
+        would.
+        """
         return max(1, self.members) if self.usable() else told
 
 
--- a/gullyoke/members/tally.py
+++ b/gullyoke/members/tally.py
@@ -1,10 +1,11 @@
 """What all observers hold against one subject, and the one rule by which a member is removed.
 
-**The rule.** A member is removed when, for `HOLD` without a break (`HOLD_REFUSED` where they are refused),
-six in ten of its standing observers and two at the least (the one, in a fleet of two) hold it silent or
-refused, one of them says so, and that one still sees six in ten of the fleet (refusals need no such share).
-Observers who are themselves held silent by a third of theirs, and those who are unsure of themselves, do not
-stand. Nothing else removes anybody."""
+**The rule.** A member is removed when, for `HOLD` without a break (`HOLD_REFUSED` where they are
+refused), six in ten of its standing observers and two at the least (the one, in a fleet of two)
+hold it silent or refused, one of them says so, and that one still sees six in ten of the fleet
+(refusals need no such share). Observers who are themselves held silent by a third of theirs, and
+those who are unsure of themselves, do not stand. Nothing else removes anybody.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +22,9 @@
 
 
 class Count(NamedTuple):
-    """How a subject stands: accusing observers of those standing, refused ones among them, and how many it
-    takes."""
+    """How a subject stands: accusing observers of those standing, refused ones among them, and how
+    many it takes.
+    """
 
     accusing: int
     refused: int
@@ -37,8 +39,11 @@
 
 
 class Tally:
-    """Tables: `reports`, one an observer in the view; `against`, by subject who accuses it, made of these.
-    `several` is how many subjects two or more accuse, those who are unsure too: in a cut most of them are."""
+    """Tables: `reports`, one an observer in the view.
+
+    `against`, by subject who accuses it, made of these. `several` is how many subjects two or more
+    accuse, those who are unsure too: in a cut most of them are.
+    """
 
     def __init__(self) -> None:
         self.reports: dict[int, Report] = {}
@@ -59,7 +64,9 @@
         return True
 
     def drop(self, member: int) -> None:
-        """It has left the view: what it held against others is void, and what was held against it."""
+        """It has left the view: what it held against others is void, and what was held against
+        it.
+        """
         old = self.reports.pop(member, None)
         if old is not None:
             self._out(member, old.entries)
@@ -103,8 +110,10 @@
 
 
 class Holding:
-    """Since when what is held against a subject has been enough. Table: one row a subject that is accused
-    enough; it leaves with that."""
+    """Since when what is held against a subject has been enough.
+
+    Table: one row a subject that is accused enough; it leaves with that.
+    """
 
     def __init__(self) -> None:
         self.since: dict[int, tuple[int, int]] = {}
--- a/gullyoke/members/trust.py
+++ b/gullyoke/members/trust.py
@@ -1,7 +1,10 @@
-"""How far a member trusts itself: its own pauses, its own deafness, and how much of the fleet it sees.
+"""How far a member trusts itself.
 
-From Lifeguard (Dadgar et al. 2018): whose own askings fail is likely the one at fault. Here it says so and
-accuses nobody, instead of waiting longer."""
+Its own pauses, its own deafness, and how much of the fleet it sees.
+
+From Lifeguard (Dadgar et al. 2018): whose own askings fail is likely the one at fault. Here it says
+so and accuses nobody, instead of waiting longer.
+"""
 
 from __future__ import annotations
 
@@ -45,8 +48,9 @@
             del self.said[next(iter(self.said))]
 
     def weigh(self, now: int, edges: Iterable[Edge]) -> None:
-        """The share of one's own askings that fail, and the share of the fleet lost as all around see it:
-        one's own share averaged with theirs, who have averaged it with others' before."""
+        """The share of one's own askings that fail, and the share of the fleet lost as all around
+        see it: one's own share averaged with theirs, who have averaged it with others' before.
+        """
         edges = list(edges)
         verdicts = [e.verdict(now) for e in edges]
         # A refusal is an answer of the machine there: neither one's own fault nor unseen.
@@ -78,7 +82,10 @@
         return min(WHOLE, round(self.lost * WHOLE))
 
     def sees_most(self, several: int, removed: int, members: int) -> bool:
-        """Whether SEEN of the fleet is seen, by the averaged share and by who is accused: each alone comes
-        late somewhere. Those `removed` lately count as lost with the rest: guards against a half that
-        removes the other one by one, each removal making the rest look like most."""
+        """Whether SEEN of the fleet is seen, by the averaged share and by who is accused.
+
+        Each alone comes late somewhere. Those `removed` lately count as lost with the rest: guards
+        against a half that removes the other one by one, each removal making the rest look like
+        most.
+        """
         return self.lost <= 1 - SEEN and several + removed <= (1 - SEEN) * (members + removed)
--- a/gullyoke/members/view.py
+++ b/gullyoke/members/view.py
@@ -1,4 +1,6 @@
-"""A member's view: the rows it knows, merged in any order to the same end, numbered and with a digest."""
+"""A member's view: the rows it knows, merged in any order to the same end, numbered and with a
+digest.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +18,11 @@
 
 
 class Change(NamedTuple):
-    """One step of the view. `what`: joined, restarted, changed, left or removed; `number`, the view's with
-    it; `mark`, the evidence where there is one."""
+    """One step of the view.
+
+    `what`: joined, restarted, changed, left or removed; `number`, the view's with it; `mark`, the
+    evidence where there is one.
+    """
 
     number: int
     what: str
@@ -27,8 +32,11 @@
 
 
 class View:
-    """Tables: `rows`, those who are there; `gone`, those who left or were removed, kept so that an old row
-    does not bring them back, and forgotten after a time (`forget`) or when there are too many."""
+    """Tables: `rows`, those who are there.
+
+    `gone`, those who left or were removed, kept so that an old row does not bring them back, and
+    forgotten after a time (`forget`) or when there are too many.
+    """
 
     def __init__(self, k: int) -> None:
         self.rows: dict[int, Row] = {}
@@ -78,7 +86,10 @@
         return Change(self.number, what, row, there, mark)
 
     def mark(self, now: int, mark: Mark) -> Change | None:
-        """A new status of a row that is known. What is not known can't be marked: its row will come."""
+        """A new status of a row that is known.
+
+        What is not known can't be marked: its row will come.
+        """
         was = self.known(mark.id)
         if was is None or (mark.number, mark.status) <= (was.number, was.status):
             return None
--- a/gullyoke/members/words.py
+++ b/gullyoke/members/words.py
@@ -1,7 +1,10 @@
-"""What members say to each other. Each message bears its sender's row, so that nobody is spoken to unknown,
-and what it thinks of the whole: its view's digest, and the share of the fleet it takes for lost. `signal` is
-a word on how the sender stands, with its turn above it (SIGNAL bits), 0 where it tells none; members only
-carry it."""
+"""What members say to each other.
+
+Each message bears its sender's row, so that nobody is spoken to unknown, and what it thinks of the
+whole: its view's digest, and the share of the fleet it takes for lost. `signal` is a word on how
+the sender stands, with its turn above it (SIGNAL bits), 0 where it tells none; members only carry
+it.
+"""
 
 from __future__ import annotations
 
@@ -72,8 +75,11 @@
 
 
 class Rows(NamedTuple):
-    """Rows of one's view. `parts`, the number and the digest of each part that is told whole; `asked` is
-    whether this answers; `differ`, in how many parts the views differ altogether."""
+    """Rows of one's view.
+
+    `parts`, the number and the digest of each part that is told whole; `asked` is whether this
+    answers; `differ`, in how many parts the views differ altogether.
+    """
 
     row: Row
     parts: tuple[tuple[int, int], ...]
@@ -83,7 +89,10 @@
 
 
 class Letter(NamedTuple):
-    """What is no affair of membership: `topic` says whose it is, `body` is in that one's own form."""
+    """What is no affair of membership.
+
+    `topic` says whose it is, `body` is in that one's own form.
+    """
 
     row: Row
     topic: int
@@ -94,7 +103,10 @@
 
 
 class Send(NamedTuple):
-    """One datagram to be sent, and to whom: an address, and who should be there if that is known."""
+    """One datagram to be sent, and to whom.
+
+    An address, and who should be there if that is known.
+    """
 
     address: str
     message: Message
