--- a/gullyoke/operator/checked.py
+++ b/gullyoke/operator/checked.py
@@ -1,6 +1,9 @@
-"""Files in protobuf text format held against their schema: every fault is one line that says what is right.
+"""Files in protobuf text format held against their schema.
 
-The bounds stand in the schema, as the option `gullyoke.bounds` of each field (operator.proto)."""
+Every fault is one line that says what is right.
+
+The bounds stand in the schema, as the option `gullyoke.bounds` of each field (operator.proto).
+"""
 
 from __future__ import annotations
 
@@ -23,8 +26,11 @@
 
 
 def parsed(path: str, empty: Kind, more: Callable[[Kind], Iterable[tuple[str, str]]]) -> Kind:
-    """The message that a file holds. `more` gives the faults that the schema can't state, as keys and what is
-    wrong with them. Raises `Faulty` with all faults, in the order of their lines."""
+    """The message that a file holds.
+
+    `more` gives the faults that the schema can't state, as keys and what is wrong with them. Raises
+    `Faulty` with all faults, in the order of their lines.
+    """
     try:
         with open(path, "rb") as file:
             data = file.read(LONGEST + 1)
@@ -54,7 +60,9 @@
 
 
 def one_line(said: str, root: Descriptor) -> str:
-    """What the parser says, with the keys it would have taken where it says which message was meant."""
+    """What the parser says, with the keys it would have taken where it says which message was
+    meant.
+    """
     said = " ".join(said.split())
     match = re.search(r'Message type "([\w.]+)" has no field named "(\w+)"', said)
     kind = match and root.file.message_types_by_name.get(match[1].rpartition(".")[2])
@@ -96,7 +104,9 @@
 
 
 def unbound(message: Message, path: str) -> Iterator[tuple[str, str]]:
-    """The fields of a message, and of those in it, that are outside what the schema states of them."""
+    """The fields of a message, and of those in it, that are outside what the schema states of
+    them.
+    """
     for field in message.DESCRIPTOR.fields:
         bounds = field.GetOptions().Extensions[schema.bounds]
         values = given(message, field)
--- a/gullyoke/operator/read.py
+++ b/gullyoke/operator/read.py
@@ -25,7 +25,10 @@
 
 
 def read(path: str) -> Wanted:
-    """What the file says. Raises `Faulty` with all that is wrong with it, in the order of its lines."""
+    """What the file says.
+
+    Raises `Faulty` with all that is wrong with it, in the order of its lines.
+    """
     return wanted(parsed(path, schema.Operator(), faults_of))
 
 
--- a/gullyoke/operator/wanted.py
+++ b/gullyoke/operator/wanted.py
@@ -8,7 +8,10 @@
 
 
 class Faulty(ValueError):
-    """A file that can't be right. `faults` are lines: file, line, key, and what would be right."""
+    """A file that can't be right.
+
+    `faults` are lines: file, line, key, and what would be right.
+    """
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__(faults[0])
@@ -71,8 +74,11 @@
 
 
 class Kept(NamedTuple):
-    """Where what is remembered is kept, and how many bytes it may take. `without`: what becomes of reqs whose
-    notes can't be kept now, `shed` or `go on`; empty where no notes are kept."""
+    """Where what is remembered is kept, and how many bytes it may take.
+
+    `without`: what becomes of reqs whose notes can't be kept now, `shed` or `go on`; empty where no
+    notes are kept.
+    """
 
     folder: str
     quota: int
@@ -116,8 +122,9 @@
 
 
 class Dutied(NamedTuple):
-    """Duties of one: the voters' addresses by name, the number of their set, the lease and how far clocks may
-    run apart, where promises are kept, and which duties there are."""
+    """Duties of one: the voters' addresses by name, the number of their set, the lease and how far
+    clocks may run apart, where promises are kept, and which duties there are.
+    """
 
     voters: dict[str, str]
     set: int
--- a/gullyoke/options.py
+++ b/gullyoke/options.py
@@ -1,7 +1,10 @@
-"""The settings of a site turned into the port's facts, for every front: pairs of a dotted path and a text.
+"""The settings of a site turned into the port's facts, for every front.
 
-The bench's wire has that form already; `flat` gives it to JSON. Read what is known, pass over the rest; a key
-that is absent is what its absence means in the protocol. What can't be right is told by the key's name.
+Pairs of a dotted path and a text.
+
+The bench's wire has that form already; `flat` gives it to JSON. Read what is known, pass over the
+rest; a key that is absent is what its absence means in the protocol. What can't be right is told by
+the key's name.
 """
 
 from __future__ import annotations
@@ -103,7 +106,10 @@
 
 
 def flat(value: object, path: str = "") -> dict[str, str]:
-    """Nested JSON as the wire's pairs: dotted paths, plain lists joined, lists of objects counted."""
+    """Nested JSON as the wire's pairs.
+
+    Dotted paths, plain lists joined, lists of objects counted.
+    """
     if isinstance(value, dict):
         return {
             k: v
--- a/gullyoke/peers/__init__.py
+++ b/gullyoke/peers/__init__.py
@@ -1,1 +1,4 @@
-"""Membership on sockets: datagrams under a key, one small thread, and what an operator asks on loopback."""
+"""Membership on sockets.
+
+Datagrams under a key, one small thread, and what an operator asks on loopback.
+"""
--- a/gullyoke/peers/ask.py
+++ b/gullyoke/peers/ask.py
@@ -1,4 +1,7 @@
-"""What an operator asks a running server on loopback: its view, its last changes. One line in, JSON out."""
+"""What an operator asks a running server on loopback: its view, its last changes.
+
+One line in, JSON out.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +19,10 @@
 
 
 class Answers(threading.Thread):
-    """One asker at a time, none for longer than PATIENCE: what is asked costs the members' lock for a
-    copy."""
+    """One asker at a time, none for longer than PATIENCE.
+
+    What is asked costs the members' lock for a copy.
+    """
 
     def __init__(self, address: tuple[str, int], link: Link, book: Book) -> None:
         """Raises `OSError` where it can't listen."""
--- a/gullyoke/peers/codec.py
+++ b/gullyoke/peers/codec.py
@@ -1,7 +1,9 @@
-"""Messages as bytes: MessagePack arrays with the version first. docs/members-wire.md has the layout.
+"""Messages as bytes: MessagePack arrays with the version first. docs/members-wire.md has the
+layout.
 
-A later release may append to any array; what is appended is passed over, so that two releases live in one
-fleet. Whatever does not have this form is `Malformed`, and nothing of it is used."""
+A later release may append to any array; what is appended is passed over, so that two releases live
+in one fleet. Whatever does not have this form is `Malformed`, and nothing of it is used.
+"""
 
 from __future__ import annotations
 
@@ -45,8 +47,10 @@
 
 
 class NewsWire(Array):
-    """`kind` 0: a row; 1: a mark, as id, number, status, by, accusing, standing; 2: a report, as observer,
-    number, seq, unsure, and its entries in threes."""
+    """`kind` 0: a row; 1: a mark, as id, number, status, by, accusing, standing; 2.
+
+    A report, as observer, number, seq, unsure, and its entries in threes.
+    """
 
     kind: int
     row: RowWire | None = None
--- a/gullyoke/peers/duties.py
+++ b/gullyoke/peers/duties.py
@@ -1,7 +1,8 @@
 """Duties on the members' datagrams: letters as bytes, promises through the disk, and one lock.
 
-A body is a MessagePack array of a kind and its fields; what another release appends is passed over. An answer
-that rests on a promise goes out once the disk has it, told by the thread that wrote it."""
+A body is a MessagePack array of a kind and its fields; what another release appends is passed over.
+An answer that rests on a promise goes out once the disk has it, told by the thread that wrote it.
+"""
 
 from __future__ import annotations
 
@@ -89,10 +90,13 @@
 
 
 class Duties:
-    """A `Topic`. `voters`: stated addresses by name; `taken`: the address of whom the view takes for a name;
-    `members`: all addresses of the view but one's own; `disk` makes a record durable and tells; `send` sends
-    from a thread that is not the link's. Tables: `registers`, one a duty that is held here; `fan`, addresses
-    that are still to hear a notice, filled anew each time."""
+    """A `Topic`.
+
+    `voters`: stated addresses by name; `taken`: the address of whom the view takes for a name;
+    `members`: all addresses of the view but one's own; `disk` makes a record durable and tells;
+    `send` sends from a thread that is not the link's. Tables: `registers`, one a duty that is held
+    here; `fan`, addresses that are still to hear a notice, filled anew each time.
+    """
 
     def __init__(
         self,
--- a/gullyoke/peers/kept.py
+++ b/gullyoke/peers/kept.py
@@ -1,5 +1,6 @@
-"""The start's number on a lasting disk, so that the next start takes one above it, whatever the clock
-says."""
+"""The start's number on a lasting disk, so that the next start takes one above it, whatever the
+clock says.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +14,11 @@
 
 
 class Number:
-    """`folder` None: nothing is kept, and the others' memory and the clock must do. A disk that fails is said
-    and counted, never waited for. `files` opens the folder; a plain `Disk` where it is not given."""
+    """`folder` None: nothing is kept, and the others' memory and the clock must do.
+
+    A disk that fails is said and counted, never waited for. `files` opens the folder; a plain
+    `Disk` where it is not given.
+    """
 
     def __init__(self, folder: str | None, book: Book, files: Callable | None = None) -> None:
         self.book, self.latest, self.committer, self._known = book, 0, None, 0
--- a/gullyoke/peers/link.py
+++ b/gullyoke/peers/link.py
@@ -1,7 +1,11 @@
-"""The datagrams of one member: a socket, a thread with a small stack that hears, takes its turns and sends.
+"""The datagrams of one member.
 
-What comes is only used if it is whole, verifies, is new and of this fleet; all else is dropped and counted.
-No lock but its own small one, under which nothing waits; a fault here ends no thread and touches no req."""
+A socket, a thread with a small stack that hears, takes its turns and sends.
+
+What comes is only used if it is whole, verifies, is new and of this fleet; all else is dropped and
+counted. No lock but its own small one, under which nothing waits; a fault here ends no thread and
+touches no req.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +38,10 @@
 
 
 class Topic(Protocol):
-    """One that sends letters of its own beside membership. Called under the link's lock, by its thread."""
+    """One that sends letters of its own beside membership.
+
+    Called under the link's lock, by its thread.
+    """
 
     def turn(self, now: int) -> Iterable[Post]: ...
 
@@ -43,9 +50,11 @@
 
 
 class Link(threading.Thread):
-    """Tables: `known`, addresses in the system's form, emptied when there are KNOWN; `topics`, by number, who
-    else sends by this; `told`, what else `fleet status` says, and `asked`, what else can be asked there, by
-    name."""
+    """Tables: `known`, addresses in the system's form, emptied when there are KNOWN.
+
+    `topics`, by number, who else sends by this; `told`, what else `fleet status` says, and `asked`,
+    what else can be asked there, by name.
+    """
 
     def __init__(self, listen: tuple[str, int], seal: Seal, book: Book) -> None:
         """Raises `OSError` where it can't listen there."""
@@ -158,10 +167,11 @@
         if len(data) > codec.LONGEST:
             self.book.add("peers.too_long")
             return
-        # Guards against what an earlier datagram met, which comes up at this one's sending: taken note of,
-        # and
+        # Guards against what an earlier datagram met, which comes up at this one's sending: taken
+        # note of, and
 
-        # this one is sent again. Without that whoever is named after one that is gone would hear nothing.
+        # this one is sent again. Without that whoever is named after one that is gone would hear
+        # nothing.
         for _ in range(TRIES):
             try:
                 self.sock.sendto(data, self.system(send.address))
--- a/gullyoke/peers/seal.py
+++ b/gullyoke/peers/seal.py
@@ -1,8 +1,11 @@
-"""The seal of a datagram: a keyed digest over it, its count and the fleet's name, under one of two keys.
+"""The seal of a datagram.
 
-What does not verify is dropped and counted, never answered. The first key of the file seals; both verify, so
-that a new one can come in before the old one goes. Counts grow with each datagram of a start and are kept by
-sender: one that is old or came already is dropped."""
+A keyed digest over it, its count and the fleet's name, under one of two keys.
+
+What does not verify is dropped and counted, never answered. The first key of the file seals; both
+verify, so that a new one can come in before the old one goes. Counts grow with each datagram of a
+start and are kept by sender: one that is old or came already is dropped.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,10 @@
 
 
 def keys_in(text: str) -> tuple[bytes, ...]:
-    """The keys of a file: one or two lines of hex digits, the first one sealing; `#` begins a comment."""
+    """The keys of a file: one or two lines of hex digits, the first one sealing.
+
+    `#` begins a comment.
+    """
     lines = [line.partition("#")[0].strip() for line in text.splitlines()]
     try:
         keys = tuple(bytes.fromhex(line) for line in lines if line)
@@ -65,8 +71,11 @@
 
 
 class Counts:
-    """Which datagrams came already. Table: one row a sender's start, at most SENDERS: the highest count, and
-    a bit for each of the WINDOW before it."""
+    """Which datagrams came already.
+
+    Table: one row a sender's start, at most SENDERS: the highest count, and a bit for each of the
+    WINDOW before it.
+    """
 
     def __init__(self) -> None:
         self.rows: OrderedDict[int, tuple[int, int]] = OrderedDict()
--- a/gullyoke/peers/sharing.py
+++ b/gullyoke/peers/sharing.py
@@ -1,9 +1,12 @@
-"""Shares on the members' datagrams: their letters as bytes, to whom each goes, and the slots that the
-decisions ask, behind one small lock.
+"""Shares on the members' datagrams.
 
-A body is a MessagePack array: the digest of the stated homes and limit, the kind, and its fields. What
-another release appends is passed over; letters of a fleet stated otherwise are dropped: their tokens are
-others."""
+Their letters as bytes, to whom each goes, and the slots that the decisions ask, behind one small
+lock.
+
+A body is a MessagePack array: the digest of the stated homes and limit, the kind, and its fields.
+What another release appends is passed over; letters of a fleet stated otherwise are dropped: their
+tokens are others.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,10 @@
 
 
 def stated(homes: Mapping[str, str], limit: int, floor: int, *more: str) -> int:
-    """The digest of what has to be stated alike: `limit` in tokens; of a quota whose it is and its rate."""
+    """The digest of what has to be stated alike.
+
+    `limit` in tokens; of a quota whose it is and its rate.
+    """
     return whole(
         " ".join(
             [*(f"{name}@{at}" for name, at in sorted(homes.items())), str(limit), str(floor), *more]
@@ -57,8 +63,11 @@
 
 
 class Shared:
-    """One shared limit. `homes`: stated addresses by name. `taken` gives the address of whom the view takes
-    for a name. A `Topic` for the link; `lock` is held for moments."""
+    """One shared limit.
+
+    `homes`: stated addresses by name. `taken` gives the address of whom the view takes for a name.
+    A `Topic` for the link; `lock` is held for moments.
+    """
 
     def __init__(
         self, own: Part, homes: Mapping[str, str], digest: int, taken: Callable[[str], str | None]
@@ -89,8 +98,10 @@
         return self.post(letter, sender.address) if letter is not None else ()
 
     def post(self, letter: Letter, asker: str) -> list[Post]:
-        """A lender is whoever is taken for that home, or stands in for it; a voter, whoever is at its stated
-        address."""
+        """A lender is whoever is taken for that home, or stands in for it.
+
+        A voter, whoever is at its stated address.
+        """
         stated_at, (instead, until) = self.homes.get(letter.home, ""), self.stands_in
         to = asker if letter.to == ASKER else stated_at
         if letter.to == LENDER:
@@ -156,8 +167,10 @@
 
 
 class Quotas:
-    """A `Topic` for all customers' quotas. Table: `limits`, by the digest of what is stated, one a customer
-    whose quota is lent."""
+    """A `Topic` for all customers' quotas.
+
+    Table: `limits`, by the digest of what is stated, one a customer whose quota is lent.
+    """
 
     def __init__(self, limits: Iterable[SharedQuota]) -> None:
         self.limits = {limit.digest: limit for limit in limits}
--- a/gullyoke/pools.py
+++ b/gullyoke/pools.py
@@ -1,4 +1,6 @@
-"""Pools of core time by class, and a reserve: which class's req goes on within what the threshold admits.
+"""Pools of core time by class, and a reserve.
+
+Which class's req goes on within what the threshold admits.
 
 Joined to gullyoke/choice.py by `Server`. Values marked "ours" are not from the paper.
 """
@@ -21,18 +23,25 @@
 
 
 class Pools:
-    """Each class may take in what its limit in core time lets it. Limits are found anew at each wake-up: what
-    is completed while work waits is handed out in the order of value for a unit of work, to each class what
-    it asked for of late, so that what one leaves is lent at once to the next; none gets less than `minimum`
-    of it, if it asks. They bind only where the threshold does.
+    """Each class may take in what its limit in core time lets it.
+
+    Limits are found anew at each wake-up: what is completed while work waits is handed out in the
+    order of value for a unit of work, to each class what it asked for of late, so that what one
+    leaves is lent at once to the next; none gets less than `minimum` of it, if it asks. They bind
+    only where the threshold does.
 
-    The reserve (trunk reservation, Miller 1969): a req of a class meets the threshold as if the classes worth
-    more already had in hand what they usually bring in one run's time. Table: a pool for each class."""
+    The reserve (trunk reservation, Miller 1969): a req of a class meets the threshold as if the
+    classes worth more already had in hand what they usually bring in one run's time. Table: a pool
+    for each class.
+    """
 
     def __init__(
         self, now: int, cores: int, classes: dict, minimum=0.02, limits=True, reserve=True
     ) -> None:
-        """`classes`: each handler's class, any hashable; `minimum`: a share of what is completed."""
+        """`classes`: each handler's class, any hashable; `minimum`.
+
+        A share of what is completed.
+        """
         self.cores, self.minimum, self.capacity, self.last = cores, minimum, float(cores), now
         self.limits, self.reserves, self.virtual, self.done = limits, reserve, 0.0, 0.0
         made: dict = {}
@@ -40,7 +49,10 @@
         self.rows = list(made.values())
 
     def passed(self, now: int, on: int) -> None:
-        """`on` reqs shared the cores since the last call: each got so much core time (`virtual`)."""
+        """`on` reqs shared the cores since the last call.
+
+        Each got so much core time (`virtual`).
+        """
         self.virtual += (now - self.last) * min(1.0, self.cores / max(1, on))
         self.last = now
 
@@ -72,7 +84,8 @@
         least = {pool: min(pool.asked, self.minimum * self.capacity) for pool in self.rows}
         kept, before = sum(least.values()), 0.0
         for pool in sorted(self.rows, key=lambda p: -p.worth):
-            # Nobody worth more asks: there is nothing to keep it from, and the threshold alone is its limit.
+            # Nobody worth more asks: there is nothing to keep it from, and the threshold alone is
+            # its limit.
             pool.free, before = (
                 not self.limits or before < 0.01 * self.capacity,
                 before + pool.asked,
--- a/gullyoke/port/__init__.py
+++ b/gullyoke/port/__init__.py
@@ -1,8 +1,8 @@
 """The interface between the decisions (gullyoke/choice.py) and whatever carries reqs to them.
 
-A front (the drill's adapter today, others later) makes one server of decisions per process, fills in the
-types of `facts`, carries out what comes through its `Door`. A req's path is a generator; `stage` steps it.
-Nothing here decides anything or knows any wire.
+A front (the drill's adapter today, others later) makes one server of decisions per process, fills
+in the types of `facts`, carries out what comes through its `Door`. A req's path is a generator;
+`stage` steps it. Nothing here decides anything or knows any wire.
 """
 
 from gullyoke.port.beside import ALONE, UNSHARED, Beside, Slots
--- a/gullyoke/port/facts.py
+++ b/gullyoke/port/facts.py
@@ -1,4 +1,7 @@
-"""What a server is told: stated facts in small records by subject, and reqs. Times are whole microseconds."""
+"""What a server is told: stated facts in small records by subject, and reqs.
+
+Times are whole microseconds.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,10 @@
 
 
 class StopMode(Enum):
-    """What stopping running work does: nothing is possible, progress is lost, or progress is kept."""
+    """What stopping running work does.
+
+    Nothing is possible, progress is lost, or progress is kept.
+    """
 
     NEVER = "never"
     DISCARD = "discard"
@@ -28,7 +34,10 @@
 
 @dataclass(slots=True, eq=False)
 class Handler:
-    """A type of req. `open` is False while what its runs need is not to be had: newcomers are told so."""
+    """A type of req.
+
+    `open` is False while what its runs need is not to be had: newcomers are told so.
+    """
 
     name: str
     target: int
@@ -45,9 +54,11 @@
 
 @dataclass(slots=True, eq=False)
 class Customer:
-    """One of those who share the servers; `quota` reqs a second over all servers are within its share. `lent`
-    is told of each of its reqs, with the time, and says what part of that is this server's now; None where
-    that is not known."""
+    """One of those who share the servers.
+
+    `quota` reqs a second over all servers are within its share. `lent` is told of each of its reqs,
+    with the time, and says what part of that is this server's now; None where that is not known.
+    """
 
     name: str
     quota: float
@@ -81,8 +92,10 @@
 
 @dataclass(slots=True)
 class Below:
-    """What reqs call while they run. `share` is None where no bound is stated; `slots`, what this server has
-    of those that all share."""
+    """What reqs call while they run.
+
+    `share` is None where no bound is stated; `slots`, what this server has of those that all share.
+    """
 
     exists: bool
     share: float | None
@@ -108,8 +121,9 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """The servers beside this one, how their work is counted, how many callers there are, and what the others
-    tell."""
+    """The servers beside this one, how their work is counted, how many callers there are, and what
+    the others tell.
+    """
 
     size: int
     by_work: bool
@@ -120,8 +134,11 @@
 
 
 class Gauges(NamedTuple):
-    """A server's own gauges: share of cores busy lately, what wants a core now, connections open; and how
-    many runs can be had at once where the cores are not its own, None where they are."""
+    """A server's own gauges.
+
+    Share of cores busy lately, what wants a core now, connections open; and how many runs can be
+    had at once where the cores are not its own, None where they are.
+    """
 
     busy: float | None = None
     wanting: float | None = None
@@ -138,7 +155,10 @@
 
 @dataclass(slots=True, eq=False)
 class Req:
-    """A req in hand. `arrived` is when it reached the machine; `due`, when the last answer counts."""
+    """A req in hand.
+
+    `arrived` is when it reached the machine; `due`, when the last answer counts.
+    """
 
     handler: Handler
     arrived: int
--- a/gullyoke/port/stage.py
+++ b/gullyoke/port/stage.py
@@ -54,7 +54,10 @@
 
 
 class Shed(NamedTuple):
-    """Final answer: turned away unrun; the caller may be told when to come back or not to try elsewhere."""
+    """Final answer: turned away unrun.
+
+    The caller may be told when to come back or not to try elsewhere.
+    """
 
     retry_in: int = 0
     dont_retry: bool = False
@@ -86,8 +89,10 @@
     def log(self, text: str) -> None: ...
 
     def think(self, work: Iterator) -> None:
-        """Carry on with `work`, a piece a step to its end, one work after the other; at once, or between
-        handlings. Never two pieces at a time, and none beside a handling."""
+        """Carry on with `work`, a piece a step to its end, one work after the other.
+
+        At once, or between handlings. Never two pieces at a time, and none beside a handling.
+        """
 
 
 class Stage:
@@ -97,7 +102,10 @@
         self.do, self.over = door.do, door.over
 
     def step(self, req: Req, word: Word | None = None) -> bool:
-        """Resume `req` with `word`; carry out what it yields until it waits. False once it has ended."""
+        """Resume `req` with `word`; carry out what it yields until it waits.
+
+        False once it has ended.
+        """
         send = req.life.send
         try:
             while True:
--- a/gullyoke/rig/__init__.py
+++ b/gullyoke/rig/__init__.py
@@ -1,2 +1,3 @@
-"""Several processes of this program on loopback, faults between them from a script, and a verdict (extra
-`lab`)."""
+"""Several processes of this program on loopback, faults between them from a script, and a verdict
+(extra `lab`).
+"""
--- a/gullyoke/rig/faults.py
+++ b/gullyoke/rig/faults.py
@@ -1,4 +1,7 @@
-"""What happens to a datagram on its way from one member to another, by the script alone. No I/O."""
+"""What happens to a datagram on its way from one member to another, by the script alone.
+
+No I/O.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +40,10 @@
             setattr(self, step.what, float(words[0]))
 
     def fate(self, from_: str, to: str) -> list[float]:
-        """Seconds after which each copy of it arrives: none where it is lost, two where it is doubled."""
+        """Seconds after which each copy of it arrives.
+
+        None where it is lost, two where it is doubled.
+        """
         lost = max([self.loss, *(share for a, b, share in self.cuts if from_ in a and to in b)])
         if lost and self.chance.random() < lost:
             return []
--- a/gullyoke/rig/faulty.py
+++ b/gullyoke/rig/faulty.py
@@ -1,11 +1,14 @@
-"""The command line with faults under its disks, by a file that says which: for plays and tests alone.
+"""The command line with faults under its disks, by a file that says which.
+
+For plays and tests alone.
 
     python -m gullyoke.rig.faulty FILE serve --operator ...
 
-The file holds one word, read again at each call, and none where it is missing: `full` (what needs new room
-does not fit), `failing` (an error of the device), `hang` (syncs and writes in place come back once the word
-changes), `slow MS`, `low BYTES` (so much is left), `read-only`, `gone`. Files that were made before go on
-being written in place on a full disk, as they do."""
+The file holds one word, read again at each call, and none where it is missing: `full` (what needs
+new room does not fit), `failing` (an error of the device), `hang` (syncs and writes in place come
+back once the word changes), `slow MS`, `low BYTES` (so much is left), `read-only`, `gone`. Files
+that were made before go on being written in place on a full disk, as they do.
+"""
 
 from __future__ import annotations
 
--- a/gullyoke/rig/history.py
+++ b/gullyoke/rig/history.py
@@ -1,5 +1,8 @@
-"""Whether a history of acts on a resource is one that duties of one may leave: each epoch one process's,
-epochs that only grow, nothing taken that is older than something taken before. Pure."""
+"""Whether a history of acts on a resource is one that duties of one may leave.
+
+Each epoch one process's, epochs that only grow, nothing taken that is older than something taken
+before. Pure.
+"""
 
 from __future__ import annotations
 
--- a/gullyoke/rig/load.py
+++ b/gullyoke/rig/load.py
@@ -20,10 +20,12 @@
 
 
 class Load:
-    """`rate` reqs a second to each member, whatever happens to it. Counts by outcome: done, shed, errored;
-    late, an answer after the client timeout; twice, bytes after an answer; refused, a connection that was
-    (which proves that nothing ran); none, no answer where the member was up all the time; gone, no answer
-    from one that was not."""
+    """`rate` reqs a second to each member, whatever happens to it.
+
+    Counts by outcome: done, shed, errored; late, an answer after the client timeout; twice, bytes
+    after an answer; refused, a connection that was (which proves that nothing ran); none, no answer
+    where the member was up all the time; gone, no answer from one that was not.
+    """
 
     def __init__(
         self, processes: list[Process], rate: float, span: int = SPAN, uniqued: float = 0.0
@@ -81,8 +83,10 @@
             self.rows[what] += 1
 
     def ask_keyed(self, process: Process, number: int) -> None:
-        """A key's tries at one server, until one is done or shed; through its restarts. Every fourth that was
-        done is asked for once more, and has to be done again."""
+        """A key's tries at one server, until one is done or shed; through its restarts.
+
+        Every fourth that was done is asked for once more, and has to be done again.
+        """
         heard: list[str] = []
         for i in range(TRIES):
             data = asked(
@@ -149,7 +153,10 @@
         return [part[:3].decode("latin-1") for part in got.split(b"HTTP/1.1 ")[1:]], took
 
     def disturb(self, name: str, on: bool) -> None:
-        """A member that was stopped or killed on purpose answers nobody: from now on, or no longer."""
+        """A member that was stopped or killed on purpose answers nobody.
+
+        From now on, or no longer.
+        """
         (self.disturbed.add if on else self.disturbed.discard)(name)
         self.since[name] = time.monotonic()
 
--- a/gullyoke/rig/play.py
+++ b/gullyoke/rig/play.py
@@ -1,4 +1,6 @@
-"""Plays a script: starts the members, lets its faults happen, asks what must be so, and gives a verdict."""
+"""Plays a script: starts the members, lets its faults happen, asks what must be so, and gives a
+verdict.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +27,10 @@
 
 
 class Held(NamedTuple):
-    """One thing that had to be so: whether it was, and when, in seconds after the fault before it."""
+    """One thing that had to be so.
+
+    Whether it was, and when, in seconds after the fault before it.
+    """
 
     what: str
     held: bool
@@ -33,7 +38,10 @@
 
 
 class Seen(NamedTuple):
-    """A member's view of another at a time of the play; `state` is gone where it is not in the view."""
+    """A member's view of another at a time of the play.
+
+    `state` is gone where it is not in the view.
+    """
 
     at: float
     by: str
@@ -168,7 +176,10 @@
         return time.monotonic() - self.began
 
     def _steps(self) -> list[Held]:
-        """Faults at their times; each check from the fault before it until it is so or its time is up."""
+        """Faults at their times.
+
+        Each check from the fault before it until it is so or its time is up.
+        """
         faults, checks, held = list(self.script.faults), list(self.script.checks), []
         since = 0.0
         waiting: list[tuple[Step, float]] = []
@@ -347,8 +358,10 @@
     # What the members see.
 
     def supervise(self) -> None:
-        """Whoever ended in good order without being asked by the script was told to by a roll: started again,
-        as whoever starts servers would."""
+        """Whoever ended in good order without being asked by the script was told to by a roll.
+
+        Started again, as whoever starts servers would.
+        """
         for process in self.processes.values():
             ended = process.starts and not process.up() and not process.asked_to_end
             if ended and process.child.returncode == 0 and process.name not in self.starting:
@@ -431,7 +444,9 @@
         return sum(s["in_force"] for s in self.all_shares()) >= float(share) * self.script.slots
 
     def starving(self, name: str, shares: dict) -> None:
-        """How long one was without a slot that it wanted while another had plenty that it did not use."""
+        """How long one was without a slot that it wanted while another had plenty that it did not
+        use.
+        """
         refused, _, since = self.want.get(name, (shares["refused"], 0, None))
         short = shares["refused"] > refused
         idle = max(
@@ -468,8 +483,11 @@
         return sorted(found)
 
     def _always(self) -> list[Held]:
-        """What must hold in every play: each req exactly one answer in time, none run twice, no process that
-        ended by itself, no fault of our own; and what the script says never to be."""
+        """What must hold in every play.
+
+        Each req exactly one answer in time, none run twice, no process that ended by itself, no
+        fault of our own; and what the script says never to be.
+        """
         rows = self.load.rows
         twice = sum(
             n > 1 for p in self.processes.values() if p.engine for n in p.engine.begun.values()
--- a/gullyoke/rig/processes.py
+++ b/gullyoke/rig/processes.py
@@ -1,4 +1,7 @@
-"""The members of a play: real processes of this program, each with an engine of its own, on loopback."""
+"""The members of a play.
+
+Real processes of this program, each with an engine of its own, on loopback.
+"""
 
 from __future__ import annotations
 
@@ -34,8 +37,10 @@
 
 
 class Counting(Engine):
-    """Counts how often each req was begun, and by `keyed` each key, over all engines of a member: twice would
-    be a rule broken. A key's reqs have all but the last three bits of their ids in common."""
+    """Counts how often each req was begun, and by `keyed` each key, over all engines of a member:
+    twice would be a rule broken. A key's reqs have all but the last three bits of their ids in
+    common.
+    """
 
     def __init__(self, cores: int, calls: set[str], keyed: Counter[int]) -> None:
         self.begun: dict[str, int] = {}
@@ -218,9 +223,11 @@
         return usage.resident(self.child.pid) / 1024
 
     def disk(self, how: str, *more: str) -> None:
-        """Its duties' folder: `lost` is a fresh one from its next start on, `ill` one that can't be written;
-        all its folders: the words of gullyoke/rig/faulty.py; `well` all of it again. `copied` is a backup of
-        what it keeps, and `restored` that backup in its place, while the process is down."""
+        """Its duties' folder: `lost` is a fresh one from its next start on, `ill` one that can't be
+        written; all its folders: the words of gullyoke/rig/faulty.py; `well` all of it again.
+        `copied` is a backup of what it keeps, and `restored` that backup in its place, while the
+        process is down.
+        """
         store, copy = self.folder / f"{self.name}-store", self.folder / f"{self.name}-copy"
         if how == "copied":
             shutil.copytree(store, copy)
--- a/gullyoke/rig/relay.py
+++ b/gullyoke/rig/relay.py
@@ -1,5 +1,8 @@
-"""The links between members: a socket of the rig's own at each member's advertised address, through which all
-that is sent to it must come; by who sent it, the pair is known and its faults apply."""
+"""The links between members.
+
+A socket of the rig's own at each member's advertised address, through which all that is sent to it
+must come; by who sent it, the pair is known and its faults apply.
+"""
 
 from __future__ import annotations
 
@@ -18,8 +21,11 @@
 
 
 class Relay(threading.Thread):
-    """Tables: `queue`, datagrams on their way; `sockets`, one a member, none while its process is killed, so
-    that its machine's refusals are real."""
+    """Tables: `queue`, datagrams on their way.
+
+    `sockets`, one a member, none while its process is killed, so that its machine's refusals are
+    real.
+    """
 
     def __init__(self, real: dict[str, tuple[str, int]], faults: Faults) -> None:
         super().__init__(name="relay", daemon=True)
--- a/gullyoke/rig/report.py
+++ b/gullyoke/rig/report.py
@@ -1,4 +1,6 @@
-"""A play kept: every change on one time line as CSV and Parquet, and a chart of who was taken for what."""
+"""A play kept: every change on one time line as CSV and Parquet, and a chart of who was taken for
+what.
+"""
 
 from __future__ import annotations
 
--- a/gullyoke/rig/script.py
+++ b/gullyoke/rig/script.py
@@ -1,16 +1,12 @@
-"""A play's script: how many members, what happens when, and what must be so by when. No I/O.
-
-members 5 zones 3 seed 7 load 20      # load: reqs a second to each member
-up 4 slots 12 call_ms 100             # the first four at the start; slots below, shared by the fleet
-backends 8 subset 3 work_ms 20        # SCGI back ends in the engines' place
-voters 3 lease_ms 1500                # duties of one, with a resource that takes acts by their epoch
-uniqued 0.3 go_on 0                   # of the load, with keys that are kept; go on where they can't be
-at 8 kill m1
-by 14 gone m1
-at 20 start m1
-by 30 equal
-never removed m0 m2..m4
-end 32
+"""A play's script: how many members, what happens when, and what must be so by when.
+
+No I/O.
+
+members 5 zones 3 seed 7 load 20 # load: reqs a second to each member up 4 slots 12 call_ms 100 #
+the first four at the start; slots below, shared by the fleet backends 8 subset 3 work_ms 20 # SCGI
+back ends in the engines' place voters 3 lease_ms 1500 # duties of one, with a resource that takes
+acts by their epoch uniqued 0.3 go_on 0 # of the load, with keys that are kept; go on where they
+can't be at 8 kill m1 by 14 gone m1 at 20 start m1 by 30 equal never removed m0 m2..m4 end 32
 """
 
 from __future__ import annotations
@@ -124,7 +120,9 @@
         return f"z{int(name[1:]) % self.zones}"
 
     def chosen(self, words: tuple[str, ...]) -> list[str]:
-        """What words name: `m1`, `m1..m3`, `z0`, `all`, back ends `b0..b2`, with commas or without."""
+        """What words name: `m1`, `m1..m3`, `z0`, `all`, back ends `b0..b2`, with commas or
+        without.
+        """
         found: list[str] = []
         for word in (part for text in words for part in text.split(",")):
             if word == "all":
--- a/gullyoke/rig/standins.py
+++ b/gullyoke/rig/standins.py
@@ -1,6 +1,8 @@
-"""What the members of a play share below: a dependency that counts what it has in hand, and SCGI back ends
-that count their runs. They speak their published protocols on loopback; what is counted is what crossed the
-sockets."""
+"""What the members of a play share below.
+
+A dependency that counts what it has in hand, and SCGI back ends that count their runs. They speak
+their published protocols on loopback; what is counted is what crossed the sockets.
+"""
 
 from __future__ import annotations
 
@@ -24,8 +26,11 @@
 
 
 class Below(Peer):
-    """A dependency: each call takes `span` seconds, its stated time at the most. `most` is the most it had in
-    hand at once; `asked`, calls so far; a call given up stays in hand for LINGER."""
+    """A dependency: each call takes `span` seconds, its stated time at the most.
+
+    `most` is the most it had in hand at once; `asked`, calls so far; a call given up stays in hand
+    for LINGER.
+    """
 
     def __init__(self, span: float) -> None:
         self.span, self.dead, self.pen = (
@@ -65,8 +70,10 @@
 
 
 class Act(NamedTuple):
-    """An act that came to the resource: when it came and was dealt with, in seconds, and whether it was
-    taken."""
+    """An act that came to the resource.
+
+    When it came and was dealt with, in seconds, and whether it was taken.
+    """
 
     came: float
     at: float
@@ -77,8 +84,10 @@
 
 
 class Resource(Peer):
-    """What a duty acts on: takes acts by their epoch, refuses those older than the newest it has taken, and
-    keeps the history. `late`: for so many seconds an act of this process's stays on its way, by its life."""
+    """What a duty acts on: takes acts by their epoch, refuses those older than the newest it has
+    taken, and keeps the history. `late`: for so many seconds an act of this process's stays on its
+    way, by its life.
+    """
 
     def __init__(self) -> None:
         self.pen, self.acts, self.newest, self.late = threading.Lock(), [], {}, 0.0
@@ -101,7 +110,10 @@
 
 
 class BackEnd:
-    """An application server that speaks SCGI at an address of its own; each run takes `span` seconds."""
+    """An application server that speaks SCGI at an address of its own.
+
+    Each run takes `span` seconds.
+    """
 
     def __init__(self, name: str, span: float) -> None:
         self.name, self.span, self.address = name, span, free()
--- a/gullyoke/routing/__init__.py
+++ b/gullyoke/routing/__init__.py
@@ -1,7 +1,8 @@
 """Which back end a run goes to, how many each takes, who is set aside, and what is tried again.
 
-Decisions and state alone: no I/O, no clock but the caller's, chance from the caller's generator. The same
-events bring the same moves. `Dispatch` is what a carrier of runs calls; the others decide one thing each.
+Decisions and state alone: no I/O, no clock but the caller's, chance from the caller's generator.
+The same events bring the same moves. `Dispatch` is what a carrier of runs calls; the others decide
+one thing each.
 """
 
 from gullyoke.routing.budget import Budget
--- a/gullyoke/routing/dispatch.py
+++ b/gullyoke/routing/dispatch.py
@@ -1,4 +1,7 @@
-"""The way of a run through the pool: sent, waiting, tried again or told. What a carrier of runs calls."""
+"""The way of a run through the pool: sent, waiting, tried again or told.
+
+What a carrier of runs calls.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +16,11 @@
 
 
 class Run:
-    """A run that the decisions began. `tried`: the members it was at, the last one last; `stopped`: whether
-    the decisions asked for its end; `perhaps`: whether a try that failed may have run."""
+    """A run that the decisions began.
+
+    `tried`: the members it was at, the last one last; `stopped`: whether the decisions asked for
+    its end; `perhaps`: whether a try that failed may have run.
+    """
 
     __slots__ = ("due", "kind", "perhaps", "req", "stopped", "tried")
 
@@ -47,8 +53,10 @@
 
 
 class Dispatch:
-    """Every method takes the clock and gives the moves that follow, in order. Not safe for threads: its
-    caller keeps it behind a lock of its own."""
+    """Every method takes the clock and gives the moves that follow, in order.
+
+    Not safe for threads: its caller keeps it behind a lock of its own.
+    """
 
     def __init__(self, pool: Pool, budget: Budget) -> None:
         self.pool, self.budget, self.line = pool, budget, Line()
@@ -71,9 +79,12 @@
         return self._next(now, run, fate) + self.turn(now)
 
     def _next(self, now: int, run: Run, fate: Fate) -> list[Move]:
-        """Another try, or the word for it. What is known not to have run may go elsewhere whatever its kind;
-        what may have run only where it may run again (rule 2). Neither without budget, nor without time left
-        for the usual answer, nor to a back end it was at."""
+        """Another try, or the word for it.
+
+        What is known not to have run may go elsewhere whatever its kind; what may have run only
+        where it may run again (rule 2). Neither without budget, nor without time left for the usual
+        answer, nor to a back end it was at.
+        """
         free = fate is Fate.UNRUN or fate is Fate.LOST and run.kind is Kind.REPLAYABLE
         run.perhaps |= fate is Fate.LOST
         if free and run.wanted() and self.budget.has() and now + self.pool.usual() < run.due:
@@ -93,7 +104,10 @@
         return Send(run, member)
 
     def stop(self, now: int, run: Run) -> list[Move]:
-        """The decisions asked for its end. In line it ends at once; at a back end its carrier ends it."""
+        """The decisions asked for its end.
+
+        In line it ends at once; at a back end its carrier ends it.
+        """
         run.stopped = True
         return [Tell(run, Word.STOPPED, Fate.STOPPED)] if self.line.drop(run) else []
 
@@ -119,8 +133,11 @@
         return moves
 
     def gauges(self, now: int, cores: int) -> tuple[float, float, float]:
-        """What the decisions hear of the pool: the share of it that is busy, what wants a core of `cores`,
-        and how many it takes at once. With all set aside no core is free."""
+        """What the decisions hear of the pool.
+
+        The share of it that is busy, what wants a core of `cores`, and how many it takes at once.
+        With all set aside no core is free.
+        """
         room, there = self.pool.room(now), self.pool.in_hand(now) + len(self.line.runs)
         if not room:
             return 1.0, float(max(cores, there)), 0.0
--- a/gullyoke/routing/fates.py
+++ b/gullyoke/routing/fates.py
@@ -20,7 +20,8 @@
     STOPPED = "stopped"  # closed here, as the decisions asked
 
 
-# What the decisions hear when a try is the last one. A stalled run's caller was answered long before.
+# What the decisions hear when a try is the last one. A stalled run's caller was answered long
+# before.
 WORDS = {
     Fate.DONE: Word.DONE,
     Fate.FAILED: Word.ERRORED,
@@ -51,6 +52,7 @@
 
 
 def fate_of(end: End, written: bool) -> Fate:
-    """The one place where the end of a back end's connection, before its answer was whole, is given its
-    meaning. `written`: whether any byte of the req may have reached the back end."""
+    """The one place where the end of a back end's connection, before its answer was whole, is given
+    its meaning. `written`: whether any byte of the req may have reached the back end.
+    """
     return (_WRITTEN if written else _UNWRITTEN)[end]
--- a/gullyoke/routing/health.py
+++ b/gullyoke/routing/health.py
@@ -1,4 +1,7 @@
-"""Whether a back end is asked: set aside by its faults, tried by one run, then let back in slowly."""
+"""Whether a back end is asked.
+
+Set aside by its faults, tried by one run, then let back in slowly.
+"""
 
 from __future__ import annotations
 
@@ -26,12 +29,16 @@
 
 
 class Health:
-    """State of one back end. Nothing here grows: two decayed counts, a count in a row, a few times.
+    """State of one back end.
+
+    Nothing here grows: two decayed counts, a count in a row, a few times.
 
-    `consecutive` faults in a row set it aside; so does a share of faults `over` that of its peers, once
-    `enough` runs are counted. It stays aside for `first_out`, twice that each time it fails its trial or
-    comes back and fails at once, up to `longest_out`, each drawn a little apart by `draw`, which gives a
-    number from 0 to 1. Then one run is its trial, then `slow_start`. Times in microseconds."""
+    `consecutive` faults in a row set it aside; so does a share of faults `over` that of its peers,
+    once `enough` runs are counted. It stays aside for `first_out`, twice that each time it fails
+    its trial or comes back and fails at once, up to `longest_out`, each drawn a little apart by
+    `draw`, which gives a number from 0 to 1. Then one run is its trial, then `slow_start`. Times in
+    microseconds.
+    """
 
     def __init__(
         self,
@@ -74,8 +81,11 @@
             self.good, self.bad, self.counted = self.good * keep, self.bad * keep, now
 
     def ended(self, now: int, fate: Fate, peers: float, may_eject: bool) -> bool:
-        """A run there ended so; whether that set it aside. `peers`: the share of faults of the others;
-        `may_eject`: whether the pool can spare one more."""
+        """A run there ended so; whether that set it aside.
+
+        `peers`: the share of faults of the others; `may_eject`: whether the pool can spare one
+        more.
+        """
         if fate is Fate.STOPPED:  # no word on the back end; a trial was none
             if self.standing is Standing.TRIAL:
                 self.to(now, Standing.OUT)
--- a/gullyoke/routing/limit.py
+++ b/gullyoke/routing/limit.py
@@ -9,14 +9,17 @@
 
 
 class Limit:
-    """Grows by one a round of runs while it is used up and runs take no longer than usual; falls by a tenth
-    once a usual run's time while they take twice that, and faster where runs are lost.
+    """Grows by one a round of runs while it is used up and runs take no longer than usual.
 
-    `usual` is the lowest smoothed time seen, and what a probe sees: now and then a back end that is used up
-    gets half of its limit for as long as it takes to measure a few runs. Without probes one that was crowded
-    from the start would look usual; with a usual time that drifts upwards instead, the limit crept up with
-    it without end (tried, 47 where 8 crowd; tests/routing). It needs no knowledge of handlers: a mix that
-    changes moves it at the next probe. Times in microseconds."""
+    Falls by a tenth once a usual run's time while they take twice that, and faster where runs are
+    lost.
+
+    `usual` is the lowest smoothed time seen, and what a probe sees: now and then a back end that is
+    used up gets half of its limit for as long as it takes to measure a few runs. Without probes one
+    that was crowded from the start would look usual; with a usual time that drifts upwards instead,
+    the limit crept up with it without end (tried, 47 where 8 crowd; tests/routing). It needs no
+    knowledge of handlers: a mix that changes moves it at the next probe. Times in microseconds.
+    """
 
     def __init__(self, first: int, least: int, most: int) -> None:
         self.least, self.most = least, most
--- a/gullyoke/routing/member.py
+++ b/gullyoke/routing/member.py
@@ -14,8 +14,11 @@
 
 
 class Stated(NamedTuple):
-    """What an operator states of a back end: `name` tells it apart and is its address, as text; `weight`
-    its share of the work beside others; `least` and `most` the bounds of what it takes at once."""
+    """What an operator states of a back end.
+
+    `name` tells it apart and is its address, as text; `weight` its share of the work beside others;
+    `least` and `most` the bounds of what it takes at once.
+    """
 
     name: str
     weight: float = 1.0
@@ -24,8 +27,11 @@
 
 
 class Member:
-    """Tables: `began`, the start of each run that is there, which leaves at its end; `ghosts`, the times
-    until which runs that may go on unheard are counted, at most as many as its limit was."""
+    """Tables: `began`, the start of each run that is there, which leaves at its end.
+
+    `ghosts`, the times until which runs that may go on unheard are counted, at most as many as its
+    limit was.
+    """
 
     def __init__(self, stated: Stated, health: Health, first: int) -> None:
         self.stated, self.health = stated, health
@@ -54,10 +60,12 @@
         return ramp > 0 and self.in_hand(now) < max(1, int(self.limit.now * ramp))
 
     def response(self, now: int, mean: float) -> float:
-        """Its response time: what was measured, which decays to the `mean` of all while nothing is, so that
-        one that was slow is asked again; or the age of the oldest run that is there if that is more.
+        """Its response time: what was measured, which decays to the `mean` of all while nothing is,
+        so that one that was slow is asked again; or the age of the oldest run that is there if that
+        is more.
 
-        Guards against one that takes all and answers nothing, of which no time is ever measured."""
+        Guards against one that takes all and answers nothing, of which no time is ever measured.
+        """
         oldest = next(iter(self.began.values()), now)
         pace = self.pace or mean
         if pace > mean:
@@ -65,7 +73,10 @@
         return max(1.0, pace, now - oldest)
 
     def score(self, now: int, mean: float) -> float:
-        """What a run more is likely to wait there, the least is the best; `mean` stands for the unknown."""
+        """What a run more is likely to wait there, the least is the best.
+
+        `mean` stands for the unknown.
+        """
         weight = self.stated.weight * self.health.ramp(now)
         if weight <= 0:
             return math.inf
@@ -76,8 +87,11 @@
         self.sent += 1
 
     def ended(self, now: int, run: object, fate: Fate, linger: int, usual: float) -> int:
-        """The run is no longer heard of here; how long it was. One that may go on is counted for `linger`
-        more. A fault counts as four of the pool's `usual` times at least: failing fast is not being fast."""
+        """The run is no longer heard of here; how long it was.
+
+        One that may go on is counted for `linger` more. A fault counts as four of the pool's
+        `usual` times at least: failing fast is not being fast.
+        """
         there = self.in_hand(now)
         took = now - self.began.pop(run, now)
         if fate in MAY_RUN_ON and linger:
--- a/gullyoke/routing/pool.py
+++ b/gullyoke/routing/pool.py
@@ -14,12 +14,14 @@
 class Pool:
     """Choice of two by work in hand over weight times response time.
 
-    Two drawn by chance and the better of them taken: nearly as even as asking the best of all, without the
-    herd that all go to the one that looked best last (Mitzenmacher 2001). `out_share` is the largest share
-    of the pool that may be ejected at once; one that refuses connections is away, not ejected, and counts
-    in it only while others are left. `health` makes the state of a new member from a source of chance.
-    `may` says whether a trial of a member may be made now, where others take turns with this one.
-    Table: `members`, one row a back end that is stated or still has runs."""
+    Two drawn by chance and the better of them taken: nearly as even as asking the best of all,
+    without the herd that all go to the one that looked best last (Mitzenmacher 2001). `out_share`
+    is the largest share of the pool that may be ejected at once; one that refuses connections is
+    away, not ejected, and counts in it only while others are left. `health` makes the state of a
+    new member from a source of chance. `may` says whether a trial of a member may be made now,
+    where others take turns with this one. Table: `members`, one row a back end that is stated or
+    still has runs.
+    """
 
     def __init__(
         self,
@@ -37,8 +39,11 @@
     # Membership.
 
     def state(self, now: int, stated: Iterable[Stated]) -> tuple[list[str], list[str]]:
-        """These belong to it from now on; the names that came and those that go. The first ever are asked
-        like all others; later ones start slowly; those that go finish what they have."""
+        """These belong to it from now on; the names that came and those that go.
+
+        The first ever are asked like all others; later ones start slowly; those that go finish what
+        they have.
+        """
         wanted, begun = {s.name: s for s in stated}, bool(self.members)
         came, go = [], []
         for name, one in wanted.items():
@@ -82,8 +87,11 @@
         return sorted(known)[len(known) // 2] if known else 0.0
 
     def pick(self, now: int, kind: Kind, tried: Sequence[Member] = ()) -> Member | None:
-        """Where the next run goes; None if no one takes one now. A trial is made with a first try of a
-        replayable run, which can be made again elsewhere, or with any when nobody else is left."""
+        """Where the next run goes; None if no one takes one now.
+
+        A trial is made with a first try of a replayable run, which can be made again elsewhere, or
+        with any when nobody else is left.
+        """
         ready = [m for m in self.members.values() if m not in tried and m.takes(now)]
         if kind is Kind.REPLAYABLE and not tried or not ready:
             for member in self.members.values():
--- a/gullyoke/store/__init__.py
+++ b/gullyoke/store/__init__.py
@@ -1,8 +1,11 @@
-"""An embedded store that survives cuts: records in segments, an index in memory, compaction, recovery.
+"""An embedded store that survives cuts.
 
-One writer, no server. `Store` is the core and does what it is told, on the caller's thread; `Committer` puts
-it behind a thread that groups what is to be durable. docs/store.md has the format. The daemon imports it only
-where an operator's file names a folder."""
+Records in segments, an index in memory, compaction, recovery.
+
+One writer, no server. `Store` is the core and does what it is told, on the caller's thread;
+`Committer` puts it behind a thread that groups what is to be durable. docs/store.md has the format.
+The daemon imports it only where an operator's file names a folder.
+"""
 
 from gullyoke.store.cells import Cells
 from gullyoke.store.commit import Committer
--- a/gullyoke/store/cells.py
+++ b/gullyoke/store/cells.py
@@ -1,10 +1,12 @@
-"""Fixed rows in a file whose room is taken at the start: what is to be written there always fits, also on a
-disk that has no room left.
+"""Fixed rows in a file whose room is taken at the start.
 
-Each key has a cell of two copies; a write goes to the copy that is not the newest, so one that is cut leaves
-the other. A copy is a record of the store's (gullyoke/store/record.py), whole or not there. The file is
-written in place; on file systems that copy on write the room may be lacking after all, and the write fails as
-on any disk."""
+What is to be written there always fits, also on a disk that has no room left.
+
+Each key has a cell of two copies; a write goes to the copy that is not the newest, so one that is
+cut leaves the other. A copy is a record of the store's (gullyoke/store/record.py), whole or not
+there. The file is written in place; on file systems that copy on write the room may be lacking
+after all, and the write fails as on any disk.
+"""
 
 from __future__ import annotations
 
@@ -37,8 +39,11 @@
 
 
 class Cells:
-    """Table: `index`, a row a key, `count` at the most; one that is gone leaves its cell to another.
-    `dropped` counts copies that were no whole record and not empty."""
+    """Table: `index`, a row a key, `count` at the most.
+
+    One that is gone leaves its cell to another. `dropped` counts copies that were no whole record
+    and not empty.
+    """
 
     def __init__(self, files: Fixed, count: int = 128) -> None:
         self.files, self.count = files, count
@@ -77,9 +82,12 @@
             yield key, place.record.value
 
     def put(self, batch: Iterable[tuple[str, bytes | None]]) -> None:
-        """Make a batch durable; None takes a key out. Each by itself whole or absent after a crash. Raises
-        `Full` where a value is too long for a cell or no cell is left, with nothing of it in force, or
-        `Faulted`: it may or may not be there then."""
+        """Make a batch durable; None takes a key out.
+
+        Each by itself whole or absent after a crash. Raises `Full` where a value is too long for a
+        cell or no cell is left, with nothing of it in force, or `Faulted`: it may or may not be
+        there then.
+        """
         newest = list({key: value for key, value in batch}.items())
         wanted = [(key, value) for key, value in newest if value is not None or key in self.index]
         if sum(key not in self.index for key, _ in wanted) > len(self.free):
--- a/gullyoke/store/cold.py
+++ b/gullyoke/store/cold.py
@@ -1,10 +1,13 @@
-"""A memory of cold starts: how long runs took by the age of the server, so that the next cold start knows
-what it is like. No I/O.
+"""A memory of cold starts.
 
-What a warm server learned does not help a cold one (gullyoke/store/remember.py); what one learned while cold
-is of the same machine in the same state. Kept is the time that nine in ten runs did not exceed, by age in
-steps that double: a cold server does better to think itself slow than to begin what comes too late
-(docs/store.md has the figures, the mean's and other quantiles' beside them)."""
+How long runs took by the age of the server, so that the next cold start knows what it is like. No
+I/O.
+
+What a warm server learned does not help a cold one (gullyoke/store/remember.py); what one learned
+while cold is of the same machine in the same state. Kept is the time that nine in ten runs did not
+exceed, by age in steps that double: a cold server does better to think itself slow than to begin
+what comes too late (docs/store.md has the figures, the mean's and other quantiles' beside them).
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,10 @@
 
 
 class Cold(msgspec.Struct, frozen=True):
-    """`costs`: by handler, a time of runs for each step of EDGES, 0 where none was seen; microseconds."""
+    """`costs`: by handler, a time of runs for each step of EDGES, 0 where none was seen.
+
+    Microseconds.
+    """
 
     stated: int
     at: float
@@ -37,8 +43,10 @@
 
 
 class Curve:
-    """What one start is like. Table: `rows`, the last SAMPLES times that were seen in each step, by
-    handler."""
+    """What one start is like.
+
+    Table: `rows`, the last SAMPLES times that were seen in each step, by handler.
+    """
 
     def __init__(self) -> None:
         self.rows: dict[str, list[list[float]]] = {}
@@ -70,8 +78,11 @@
 
 
 def fit(found: Cold | None, stated: int, starts: Starts) -> bool:
-    """Whether a start may go by it: another machine's or other handlers' is none, nor is one under which
-    starts go ill again and again."""
+    """Whether a start may go by it.
+
+    Another machine's or other handlers' is none, nor is one under which starts go ill again and
+    again.
+    """
     return (
         found is not None
         and found.version == VERSION
--- a/gullyoke/store/commit.py
+++ b/gullyoke/store/commit.py
@@ -1,4 +1,7 @@
-"""A thread that makes durable what others queue, many at once: who holds a lock waits for no disk."""
+"""A thread that makes durable what others queue, many at once.
+
+Who holds a lock waits for no disk.
+"""
 
 from __future__ import annotations
 
@@ -12,9 +15,12 @@
 
 
 class Committer:
-    """`put` only queues, `most` entries and `bytes` at once; `told` hears on the committer's thread whether
-    it is durable. `weak` after a fault of the disk, until a batch goes well again; `refused` counts what
-    found the queue full; `held`, the bytes that wait or are being written. `first` is put before all else."""
+    """`put` only queues, `most` entries and `bytes` at once.
+
+    `told` hears on the committer's thread whether it is durable. `weak` after a fault of the disk,
+    until a batch goes well again; `refused` counts what found the queue full; `held`, the bytes
+    that wait or are being written. `first` is put before all else.
+    """
 
     def __init__(
         self,
@@ -88,7 +94,10 @@
             told(durable)
 
     def close(self, patience: float | None = None) -> bool:
-        """All that is queued is made durable first, for so many seconds at the most; whether it was."""
+        """All that is queued is made durable first, for so many seconds at the most.
+
+        Whether it was.
+        """
         try:
             self.queue.put(None, timeout=patience)
         except queue.Full:
--- a/gullyoke/store/disk.py
+++ b/gullyoke/store/disk.py
@@ -10,8 +10,11 @@
 
 
 class Files(Protocol):
-    """Each raises `OSError`. What was appended is durable once `sync` has returned; that a file came or went,
-    once `sync_folder` has."""
+    """Each raises `OSError`.
+
+    What was appended is durable once `sync` has returned; that a file came or went, once
+    `sync_folder` has.
+    """
 
     def names(self) -> list[str]: ...
     def read(self, name: str) -> bytes: ...
@@ -26,9 +29,10 @@
 
 
 class Disk:
-    """A folder, made if it is not there unless `made` is False, with a lock against a second process. Raises
-    `BlockingIOError` where another has it. Table: `open`, the files that are written to; the store closes all
-    but one."""
+    """A folder, made if it is not there unless `made` is False, with a lock against a second
+    process. Raises `BlockingIOError` where another has it. Table: `open`, the files that are
+    written to; the store closes all but one.
+    """
 
     def __init__(self, folder: str | os.PathLike, locked: bool = True, made: bool = True) -> None:
         self.folder = pathlib.Path(folder)
@@ -74,7 +78,10 @@
                 sent += os.write(self.open[name], view[sent:])
 
     def make(self, name: str, size: int) -> None:
-        """A file of so many bytes whose room is taken now, whatever it held; it is written in place."""
+        """A file of so many bytes whose room is taken now, whatever it held.
+
+        It is written in place.
+        """
         number = os.open(self.folder / name, os.O_RDWR | os.O_CREAT, 0o600)
         try:
             os.posix_fallocate(number, 0, size)
--- a/gullyoke/store/lines.py
+++ b/gullyoke/store/lines.py
@@ -13,8 +13,11 @@
 
 
 class Lines:
-    """Begun anew at `longest` bytes; one file more is kept. `faults` counts lines that did not come to the
-    file in a row, `why` says what was wrong with the last of them. `fit`: whether to write at all now."""
+    """Begun anew at `longest` bytes; one file more is kept.
+
+    `faults` counts lines that did not come to the file in a row, `why` says what was wrong with the
+    last of them. `fit`: whether to write at all now.
+    """
 
     def __init__(self, path: str, longest: int, watch: Watch, fit: Callable[[], bool]) -> None:
         self.path, self.longest, self.watch, self.fit = path, longest, watch, fit
--- a/gullyoke/store/log.py
+++ b/gullyoke/store/log.py
@@ -1,4 +1,6 @@
-"""The store: segments of records in a folder, the newest record of each key found by an index in memory."""
+"""The store: segments of records in a folder, the newest record of each key found by an index in
+memory.
+"""
 
 from __future__ import annotations
 
@@ -28,8 +30,10 @@
 
 
 class Faulted(OSError):
-    """It was not made durable: the segment is closed and the next batch begins another. What it held may or
-    may not be there after a crash; the caller's batch is not in force."""
+    """It was not made durable: the segment is closed and the next batch begins another.
+
+    What it held may or may not be there after a crash; the caller's batch is not in force.
+    """
 
 
 class Newer(OSError):
@@ -37,11 +41,15 @@
 
 
 class Store:
-    """Opened on a folder, whatever state that is in. Counts what it met: `dropped` bytes that were no whole
-    record, `faults` of the disk; `format`, the oldest of its segments.
+    """Opened on a folder, whatever state that is in.
+
+    Counts what it met: `dropped` bytes that were no whole record, `faults` of the disk; `format`,
+    the oldest of its segments.
 
-    Never appends behind what an earlier life wrote: each start begins a segment, so that a torn end stays an
-    end. Raises `OSError` only where the folder can't be read or written at all, or is `Newer`."""
+    Never appends behind what an earlier life wrote: each start begins a segment, so that a torn end
+    stays an end. Raises `OSError` only where the folder can't be read or written at all, or is
+    `Newer`.
+    """
 
     def __init__(self, files: Files, roll: int = 2**22, quota: int = 2**28) -> None:
         self.files, self.plan = files, Plan(roll, quota)
@@ -73,8 +81,10 @@
     # Reading.
 
     def get(self, key: str) -> bytes | None:
-        """The newest value of a key; None where there is none. A record that can't be read any more counts as
-        dropped and is not served."""
+        """The newest value of a key; None where there is none.
+
+        A record that can't be read any more counts as dropped and is not served.
+        """
         place = self.plan.index.get(key)
         if place is None or place.gone:
             return None
@@ -97,8 +107,11 @@
     # Writing.
 
     def put(self, batch: Iterable[tuple[str, bytes | None]]) -> None:
-        """Make a batch durable; None takes a key out. In force once this returns, and each record by itself
-        whole or absent after a crash. Raises `Full` with nothing of it in force, or `Faulted`."""
+        """Make a batch durable; None takes a key out.
+
+        In force once this returns, and each record by itself whole or absent after a crash. Raises
+        `Full` with nothing of it in force, or `Faulted`.
+        """
         records = [
             Record(self.plan.next_seq(), key, value or b"", GONE if value is None else PUT)
             for key, value in batch
@@ -118,7 +131,8 @@
             self.files.append(name, b"".join(packed))
             self.files.sync(name)
         except OSError as fault:
-            # A sync that failed may have thrown away what it was to write: another one proves nothing.
+            # A sync that failed may have thrown away what it was to write: another one proves
+            # nothing.
             self.faults += 1
             if self.active is not None:
                 self._close(size)
@@ -148,9 +162,10 @@
     # Compaction.
 
     def compact(self, most: int = 1, eager: bool = False) -> int:
-        """Copy the live records of the oldest segments forward and remove these, `most` of them where that is
-        due, or where anything is dead if `eager`; how many it were. A fault of the disk leaves all as it
-        is."""
+        """Copy the live records of the oldest segments forward and remove these, `most` of them
+        where that is due, or where anything is dead if `eager`; how many it were. A fault of the
+        disk leaves all as it is.
+        """
         done = 0
         while (
             done < most and (oldest := self.plan.to_compact(self.active or -1, eager)) is not None
@@ -177,7 +192,10 @@
         return done
 
     def _copy(self, records: list[Record]) -> None:
-        """As they are, sequence and all: after a crash between copy and removal both say the same."""
+        """As they are, sequence and all.
+
+        After a crash between copy and removal both say the same.
+        """
         packed = [pack(record) for record in records]
         if self.active is None or self.plan.rolls(self.active, sum(map(len, packed))):
             self._begin()
--- a/gullyoke/store/plan.py
+++ b/gullyoke/store/plan.py
@@ -1,4 +1,7 @@
-"""What the store decides, free of I/O: what is live, when a segment rolls, what is compacted or refused."""
+"""What the store decides, free of I/O.
+
+What is live, when a segment rolls, what is compacted or refused.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +13,10 @@
 
 
 class Place(NamedTuple):
-    """Where a key's newest record lies. `gone` for a key that was taken out: kept while an older one may lie
-    in a segment before it."""
+    """Where a key's newest record lies.
+
+    `gone` for a key that was taken out: kept while an older one may lie in a segment before it.
+    """
 
     segment: int
     at: int
@@ -30,10 +35,13 @@
 
 
 class Plan:
-    """Tables: `index`, a row for each key that is there or whose end must still be known; `segments`.
+    """Tables: `index`, a row for each key that is there or whose end must still be known.
+
+    `segments`.
 
-    `roll` is the size at which a segment is closed, `quota` what all may take, `slack` the share that may be
-    dead before it is compacted. Bytes."""
+    `roll` is the size at which a segment is closed, `quota` what all may take, `slack` the share
+    that may be dead before it is compacted. Bytes.
+    """
 
     def __init__(self, roll: int, quota: int, slack: float = 0.5) -> None:
         self.roll, self.quota, self.slack = roll, quota, slack
@@ -49,8 +57,11 @@
         self.segments[number] = Segment(number)
 
     def note(self, record: Record, segment: int, at: int, size: int) -> None:
-        """A whole record lies there: whichever of its key is newest counts, in whatever order they are read;
-        of two that are the same the later segment, since compaction copies forward."""
+        """A whole record lies there.
+
+        Whichever of its key is newest counts, in whatever order they are read; of two that are the
+        same the later segment, since compaction copies forward.
+        """
         self.seq = max(self.seq, record.seq)
         row = self.segments[segment]
         row.size = max(row.size, at + size)
@@ -80,9 +91,11 @@
         return self.segments[segment].size + size > self.roll and self.segments[segment].size > 0
 
     def to_compact(self, active: int, eager: bool = False) -> int | None:
-        """The segment whose live records are copied forward next: always the oldest, so that the end of a key
-        can be forgotten with it; None while little is dead and all is within the quota, or next to
-        nothing is dead in what is closed if `eager`."""
+        """The segment whose live records are copied forward next.
+
+        Always the oldest, so that the end of a key can be forgotten with it; None while little is
+        dead and all is within the quota, or next to nothing is dead in what is closed if `eager`.
+        """
         closed = [n for n in self.segments if n != active]
         if not closed:
             return None
@@ -94,8 +107,10 @@
         return min(closed)
 
     def kept(self, segment: int) -> list[str]:
-        """The keys whose newest record lies there and must go on. It is the oldest: of keys that are gone no
-        older record is left, and they are forgotten."""
+        """The keys whose newest record lies there and must go on.
+
+        It is the oldest: of keys that are gone no older record is left, and they are forgotten.
+        """
         return [
             key for key, place in self.index.items() if place.segment == segment and not place.gone
         ]
--- a/gullyoke/store/record.py
+++ b/gullyoke/store/record.py
@@ -1,7 +1,11 @@
-"""Records as bytes, and the reading of bytes that may have been cut, lost or changed anywhere. No I/O.
+"""Records as bytes, and the reading of bytes that may have been cut, lost or changed anywhere.
 
-A record is a mark, the size of its payload, its kind, a CRC-32C over size, kind and payload, and the payload:
-MessagePack of [sequence, key, value]. The mark lets a reader go on behind what is spoilt."""
+No I/O.
+
+A record is a mark, the size of its payload, its kind, a CRC-32C over size, kind and payload, and
+the payload: MessagePack of [sequence, key, value]. The mark lets a reader go on behind what is
+spoilt.
+"""
 
 from __future__ import annotations
 
@@ -71,7 +75,10 @@
 
 
 def header() -> bytes:
-    """What a segment begins with: a record of a kind of its own that bears the format in its sequence."""
+    """What a segment begins with.
+
+    A record of a kind of its own that bears the format in its sequence.
+    """
     return pack(Record(FORMAT, "", b"", HEADER))
 
 
--- a/gullyoke/store/remember.py
+++ b/gullyoke/store/remember.py
@@ -1,9 +1,12 @@
-"""What a server remembers over a restart, and when it trusts it. No I/O: records in, verdicts out.
+"""What a server remembers over a restart, and when it trusts it.
 
-What is remembered are the usual times of runs and of calls below. What is not: the learner's counts (tried:
-half of them given back cost 0.034 of the value in the first 30 s after a cold start, simulated over 30 seeds;
-a cold server is not the machine that they were taken from), limits (they follow from what is stated), keys
-(they need a word before each run), anything of reqs."""
+No I/O: records in, verdicts out.
+
+What is remembered are the usual times of runs and of calls below. What is not: the learner's counts
+(tried: half of them given back cost 0.034 of the value in the first 30 s after a cold start,
+simulated over 30 seeds; a cold server is not the machine that they were taken from), limits (they
+follow from what is stated), keys (they need a word before each run), anything of reqs.
+"""
 
 from __future__ import annotations
 
@@ -25,8 +28,11 @@
 
 
 class Learned(msgspec.Struct, frozen=True):
-    """One snapshot. `stated` is the digest of what the server was told; `at` Unix seconds; times of runs and
-    calls in microseconds."""
+    """One snapshot.
+
+    `stated` is the digest of what the server was told; `at` Unix seconds; times of runs and calls
+    in microseconds.
+    """
 
     stated: int
     at: float
@@ -50,25 +56,37 @@
 
 
 def digest(stated: object) -> int:
-    """Of all that the server was told: a memory of another machine, other handlers or limits is none."""
+    """Of all that the server was told.
+
+    A memory of another machine, other handlers or limits is none.
+    """
     return google_crc32c.value(json.dumps(stated, sort_keys=True, default=str).encode())
 
 
 def fit(costs: dict[str, float], usual: dict[str, float], warm: bool, leaving: bool) -> bool:
-    """Whether this moment may be remembered: warm, not leaving, runs no slower than twice the usual. Times
-    learned in a slow or cold spell would shed, after the restart, what a well server can do."""
+    """Whether this moment may be remembered.
+
+    Warm, not leaving, runs no slower than twice the usual. Times learned in a slow or cold spell
+    would shed, after the restart, what a well server can do.
+    """
     slow = any(cost > SLOWER * usual.get(name, cost) for name, cost in costs.items())
     return warm and not leaving and not slow
 
 
 def settle(costs: dict[str, float], usual: dict[str, float]) -> dict[str, float]:
-    """The usual times, moved a little towards those of now: the lowest of late, rising by a tenth a snapshot
-    at most, so that a lasting change is believed in the end."""
+    """The usual times, moved a little towards those of now.
+
+    The lowest of late, rising by a tenth a snapshot at most, so that a lasting change is believed
+    in the end.
+    """
     return {name: min(cost, 1.1 * usual.get(name, cost)) for name, cost in costs.items()}
 
 
 def trust(found: Learned | None, stated: int, now: float, starts: Starts) -> Verdict:
-    """How much of a snapshot a start may use. A clock that went back makes it neither younger nor older."""
+    """How much of a snapshot a start may use.
+
+    A clock that went back makes it neither younger nor older.
+    """
     if found is None:
         return Verdict(0.0, "nothing remembered")
     if found.version != VERSION:
@@ -89,7 +107,10 @@
 
 
 def calm(served: float, faults: int, crowded: bool) -> bool:
-    """Whether this start has gone well: so many seconds of service, without faults of our own or a crowd."""
+    """Whether this start has gone well.
+
+    So many seconds of service, without faults of our own or a crowd.
+    """
     return served >= CALM and not faults and not crowded
 
 
--- a/gullyoke/store/watch.py
+++ b/gullyoke/store/watch.py
@@ -1,5 +1,8 @@
-"""One folder's disk under watch: every call on it is timed and its faults are told, room is looked at, and
-one that is not well is tried now and then. What that means is decided in gullyoke/durable/condition.py."""
+"""One folder's disk under watch.
+
+Every call on it is timed and its faults are told, room is looked at, and one that is not well is
+tried now and then. What that means is decided in gullyoke/durable/condition.py.
+"""
 
 from __future__ import annotations
 
@@ -34,8 +37,11 @@
 
 
 class Watch:
-    """`files` gives what a store calls. `heed` hears each turn, on whatever thread came to see it, and must
-    not block. One thread; it ends with `end`, or with the process should the disk hang."""
+    """`files` gives what a store calls.
+
+    `heed` hears each turn, on whatever thread came to see it, and must not block. One thread; it
+    ends with `end`, or with the process should the disk hang.
+    """
 
     def __init__(
         self, folder: str, book: Book, draw: Callable[[], float], quota: int | None = None
--- a/gullyoke/together/fair.py
+++ b/gullyoke/together/fair.py
@@ -1,5 +1,8 @@
-"""What many want of what there is, given out by weight: nobody gets more than it wants, and who wants more
-than its part shares what the others leave (max-min fairness, Bertsekas and Gallager 1992)."""
+"""What many want of what there is, given out by weight.
+
+Nobody gets more than it wants, and who wants more than its part shares what the others leave
+(max-min fairness, Bertsekas and Gallager 1992).
+"""
 
 from __future__ import annotations
 
@@ -18,13 +21,17 @@
     weight: float = 1.0
 
     def part(self, level: float) -> float:
-        """What it gets where all are filled up to `level` times their weight, counting what they hold
-        elsewhere."""
+        """What it gets where all are filled up to `level` times their weight, counting what they
+        hold elsewhere.
+        """
         return min(float(self.want), max(0.0, level * self.weight - self.elsewhere))
 
 
 def level(total: int, wishes: Iterable[Wish]) -> float:
-    """To where all are filled, so that `total` is given out; infinite where there is enough for all."""
+    """To where all are filled, so that `total` is given out.
+
+    Infinite where there is enough for all.
+    """
     wishes = list(wishes)
     if sum(wish.want for wish in wishes) <= total:
         return math.inf
@@ -41,8 +48,9 @@
 def split(
     limit: int, largest: int, homes: Iterable[str], floor_share: float
 ) -> tuple[int, dict[str, int]]:
-    """A limit for the whole fleet as a floor that each of `largest` processes has by right, and what each of
-    `homes` has to lend: all together the limit. Raises `ValueError` for what can't be."""
+    """A limit for the whole fleet as a floor that each of `largest` processes has by right, and
+    what each of `homes` has to lend: all together the limit. Raises `ValueError` for what can't be.
+    """
     if limit < 0 or largest < 1 or not 0 <= floor_share <= 1:
         raise ValueError(f"a limit of {limit} for {largest} with a floor of {floor_share}")
     floor, names = int(limit * floor_share / largest), sorted(homes)
--- a/gullyoke/together/quotas.py
+++ b/gullyoke/together/quotas.py
@@ -1,9 +1,10 @@
 """A customer's quota of all servers, lent as rates: who has its reqs now has its quota now.
 
-A quota is cut into tokens, each a small part of the rate; a server's part is what it has in force, by right
-and on loan (gullyoke/together/shares.py), so the parts of all servers never come to more than the quota. What
-a rate allows may be saved up for a while by whoever has it (`Server.note_share` keeps two seconds): a home
-takes a part that came back for in use for so long."""
+A quota is cut into tokens, each a small part of the rate; a server's part is what it has in force,
+by right and on loan (gullyoke/together/shares.py), so the parts of all servers never come to more
+than the quota. What a rate allows may be saved up for a while by whoever has it
+(`Server.note_share` keeps two seconds): a home takes a part that came back for in use for so long.
+"""
 
 from __future__ import annotations
 
@@ -23,8 +24,10 @@
 
 
 class Rate:
-    """How many reqs a second come, over the last whole bin and the one before; the larger counts, since what
-    comes in bursts has to be let in as it comes."""
+    """How many reqs a second come, over the last whole bin and the one before.
+
+    The larger counts, since what comes in bursts has to be let in as it comes.
+    """
 
     def __init__(self) -> None:
         self.at, self.bins = 0, [0, 0, 0]
@@ -46,7 +49,10 @@
 
 
 class Quota(Part):
-    """`rate`: reqs a second of all servers, `whole` tokens. `lent` is asked for each req of the customer."""
+    """`rate`: reqs a second of all servers, `whole` tokens.
+
+    `lent` is asked for each req of the customer.
+    """
 
     def __init__(self, sharing: Sharing, rate: float, whole: int) -> None:
         super().__init__(sharing, 0)
--- a/gullyoke/together/shares.py
+++ b/gullyoke/together/shares.py
@@ -1,13 +1,17 @@
-"""Shares of a limit for the whole fleet, conserved: what is in force together is never above the limit.
+"""Shares of a limit for the whole fleet, conserved.
 
-**Who lends.** The limit above the floors is cut into equal parts; each has a home, a member by its stated
-name. A home lends tokens for LOAN, none twice. Which process is the home of that name is promised by a
-majority of all homes for LEASE, so that two processes under one name never lend the same tokens (leases by a
-majority: Gray and Cheriton 1989). **Who is asked.** A borrower asks the homes in turn, itself first if it is
-one. **When it comes back.** Told, or when its time is out: the borrower counts from before it asked, the
-home from after it gave, and longer by all that clocks may differ. A home that starts, or held its name with
-a break, waits out a whole loan first; a voter that starts promises nothing for a whole lease. Nobody's word
-on who is alive is asked for: a failure detector that errs costs time, never a token."""
+What is in force together is never above the limit.
+
+**Who lends.** The limit above the floors is cut into equal parts; each has a home, a member by its
+stated name. A home lends tokens for LOAN, none twice. Which process is the home of that name is
+promised by a majority of all homes for LEASE, so that two processes under one name never lend the
+same tokens (leases by a majority: Gray and Cheriton 1989). **Who is asked.** A borrower asks the
+homes in turn, itself first if it is one. **When it comes back.** Told, or when its time is out: the
+borrower counts from before it asked, the home from after it gave, and longer by all that clocks may
+differ. A home that starts, or held its name with a break, waits out a whole loan first; a voter
+that starts promises nothing for a whole lease. Nobody's word on who is alive is asked for: a
+failure detector that errs costs time, never a token.
+"""
 
 from __future__ import annotations
 
@@ -45,8 +49,11 @@
 
 
 class Want(NamedTuple):
-    """A loan is asked for, or asked for again: `want` tokens, under the borrower's own number for it. A lower
-    `seq` than the last is old. `elsewhere`: what it has besides."""
+    """A loan is asked for, or asked for again.
+
+    `want` tokens, under the borrower's own number for it. A lower `seq` than the last is old.
+    `elsewhere`: what it has besides.
+    """
 
     home: str
     borrower: int
@@ -75,8 +82,11 @@
 
 
 class Voter:
-    """One home's word on who holds which name. Table: one row a home, as many as are stated; a row's promise
-    ends with its time. Nothing is kept over a start: it begins by waiting out what it may have promised."""
+    """One home's word on who holds which name.
+
+    Table: one row a home, as many as are stated; a row's promise ends with its time. Nothing is
+    kept over a start: it begins by waiting out what it may have promised.
+    """
 
     def __init__(self, now: int, name: str, homes: Iterable[str]) -> None:
         self.name, self.homes, self.mute = name, frozenset(homes), now + surely(LEASE)
@@ -129,8 +139,11 @@
 
 
 class Loan:
-    """One borrower's loan at its home. `tokens` may be in force until `until`; `told`, what it was last given
-    and uses at the most once it has heard of it."""
+    """One borrower's loan at its home.
+
+    `tokens` may be in force until `until`; `told`, what it was last given and uses at the most once
+    it has heard of it.
+    """
 
     __slots__ = ("seq", "tokens", "told", "until")
 
@@ -139,9 +152,12 @@
 
 
 class Home:
-    """The lender of one name's tokens. Tables: `loans`, one a borrower's process, gone when its time is out;
-    `wants`, what each last asked for, gone after ASKED. `after`: microseconds for which what was used to the
-    end of a loan counts on, where the limit is on a mean."""
+    """The lender of one name's tokens.
+
+    Tables: `loans`, one a borrower's process, gone when its time is out; `wants`, what each last
+    asked for, gone after ASKED. `after`: microseconds for which what was used to the end of a loan
+    counts on, where the limit is on a mean.
+    """
 
     def __init__(self, holding: Holding, tokens: int, after: int = 0) -> None:
         self.holding, self.total, self.after = holding, tokens, after
@@ -173,15 +189,19 @@
             if tokens <= 0:
                 return Grant(want.home, want.borrower, want.seq, 0)
             loan = self.loans[want.borrower] = Loan()
-        # Shrinking frees nothing yet: what it has it may use until it says otherwise or its time is out.
+        # Shrinking frees nothing yet: what it has it may use until it says otherwise or its time is
+        # out.
         loan.seq, loan.told, loan.tokens = want.seq, tokens, max(has, tokens)
         if tokens > 0:
             loan.until = now + surely(LOAN + self.after)
         return Grant(want.home, want.borrower, want.seq, tokens)
 
     def fair(self, now: int, borrower: Hashable, wish: Wish) -> int:
-        """Its part in whole tokens: what rounding leaves goes to one and then to another, told by a hash, so
-        that nobody is left without for ever where there are fewer than want one."""
+        """Its part in whole tokens.
+
+        What rounding leaves goes to one and then to another, told by a hash, so that nobody is left
+        without for ever where there are fewer than want one.
+        """
         if self.weighed is None or now - self.weighed >= WEIGHED:
             self.weighed = now
             for who in [who for who, (_, at) in self.wants.items() if now - at > ASKED]:
@@ -192,7 +212,10 @@
         return min(wish.want, int(part + draw))
 
     def returned(self, now: int, back: Return) -> None:
-        """It uses no more than that now, whatever it was granted up to `seq`: later ones are on their way."""
+        """It uses no more than that now, whatever it was granted up to `seq`.
+
+        Later ones are on their way.
+        """
         loan = self.loans.get(back.borrower)
         if loan is not None and back.seq == loan.seq:
             loan.tokens = min(loan.tokens, max(back.tokens, loan.told))
@@ -207,8 +230,10 @@
 
 
 class Borrower:
-    """One process's share: its floor by right, from `begins` on, and what homes lend it. Tables: `held`,
-    `asked` and `owed`, one row a home at the most."""
+    """One process's share: its floor by right, from `begins` on, and what homes lend it.
+
+    Tables: `held`, `asked` and `owed`, one row a home at the most.
+    """
 
     def __init__(
         self, life: int, floor: int, homes: Iterable[str], mine: str | None = None, begins: int = 0
@@ -231,7 +256,10 @@
         return self.floor if now >= self.begins else 0
 
     def sure(self, now: int, count: int) -> float:
-        """Until when `count` are surely its own: infinite within the floor, now where they are not."""
+        """Until when `count` are surely its own.
+
+        Infinite within the floor, now where they are not.
+        """
         count -= self.right(now)
         if count <= 0:
             return math.inf
@@ -242,8 +270,11 @@
         return now
 
     def ask(self, now: int, need: int) -> list[Want]:
-        """What to ask for now, so that all together comes to `need`: what is held is asked for again, what is
-        missing at one home more, the next one in turn; sooner where something is missing."""
+        """What to ask for now, so that all together comes to `need`.
+
+        What is held is asked for again, what is missing at one home more, the next one in turn;
+        sooner where something is missing.
+        """
         missing = max(0, need - self.in_force(now))
         if now < self.next and not (missing and now >= self.short):
             return []
--- a/gullyoke/together/sharing.py
+++ b/gullyoke/together/sharing.py
@@ -1,7 +1,10 @@
-"""One process's part in a shared limit: it borrows, and where it is at a home it lends and votes. What it
-says and hears are the messages of gullyoke/together/shares.py; who carries them is not its affair.
+"""One process's part in a shared limit.
 
-`need` and `used` are told to it: what it would use, and what it has in use at this moment."""
+It borrows, and where it is at a home it lends and votes. What it says and hears are the messages of
+gullyoke/together/shares.py; who carries them is not its affair.
+
+`need` and `used` are told to it: what it would use, and what it has in use at this moment.
+"""
 
 from __future__ import annotations
 
@@ -24,8 +27,10 @@
 
 
 class Letter(NamedTuple):
-    """To whom: a voter, at the stated address of that home; a lender, whoever is taken for that home; or
-    back to the process that asked."""
+    """To whom: a voter, at the stated address of that home.
+
+    A lender, whoever is taken for that home; or back to the process that asked.
+    """
 
     to: str
     home: str
@@ -36,9 +41,12 @@
 
 
 class Sharing:
-    """`home` is the name it lends under, None where it is at none; `votes`, whether it is at that home's
-    stated address. `tokens` is what this home has to lend, `floor` what each process has by right;
-    `linger` and `after`, for how long what a process used before its end stays in use, and counts."""
+    """`home` is the name it lends under, None where it is at none.
+
+    `votes`, whether it is at that home's stated address. `tokens` is what this home has to lend,
+    `floor` what each process has by right; `linger` and `after`, for how long what a process used
+    before its end stays in use, and counts.
+    """
 
     def __init__(
         self,
@@ -99,7 +107,8 @@
             lender.returned(now, message)
         return None
 
-    # What homes that ended had to lend, given out here: the name's own majority keeps it safe, whoever asks.
+    # What homes that ended had to lend, given out here: the name's own majority keeps it safe,
+    # whoever asks.
 
     def lenders(self) -> list[Home]:
         return ([self.lender] if self.lender else []) + list(self.estates.values())
@@ -108,9 +117,11 @@
         return self.lender if home == self.home else self.estates.get(home)
 
     def take_over(self, tokens: Mapping[str, int]) -> None:
-        """Lend under these homes' names from now on, and under no others but one's own. A name is had only
-        once a majority of the homes has no promise of it out any more; one that comes back gets it when this
-        stops claiming."""
+        """Lend under these homes' names from now on, and under no others but one's own.
+
+        A name is had only once a majority of the homes has no promise of it out any more; one that
+        comes back gets it when this stops claiming.
+        """
 
         def made(home: str, count: int) -> Home:
             return self.estates.get(home) or Home(
--- a/gullyoke/together/signals.py
+++ b/gullyoke/together/signals.py
@@ -1,11 +1,14 @@
-"""What servers tell each other of how they stand, and what each makes of it: is it slow, or is the fleet
-full?
+"""What servers tell each other of how they stand, and what each makes of it.
 
-A reading is four figures in a few steps each, carried on the membership's messages; a few per sender and
-second reach each server from those it observes and those who observe it, a sample of the fleet drawn by
-hashes. All that is made of them are medians over that sample, one word a sender, young ones only: one that
-lies or is stuck moves a median by one place at the most. The learned threshold and the cap go on deciding
-what is let in; this states facts and shapes advice, nothing else."""
+Is it slow, or is the fleet full?
+
+A reading is four figures in a few steps each, carried on the membership's messages; a few per
+sender and second reach each server from those it observes and those who observe it, a sample of the
+fleet drawn by hashes. All that is made of them are medians over that sample, one word a sender,
+young ones only: one that lies or is stuck moves a median by one place at the most. The learned
+threshold and the cap go on deciding what is let in; this states facts and shapes advice, nothing
+else.
+"""
 
 from __future__ import annotations
 
@@ -33,8 +36,11 @@
 
 
 class Reading(NamedTuple):
-    """`room`: the share of what it could run that is free; `shed`: of late; `pace`: its usual time for a run
-    over that which the handler's target lets expect, 1 where it is as planned; `stage`."""
+    """`room`: the share of what it could run that is free; `shed`: of late; `pace`.
+
+    Its usual time for a run over that which the handler's target lets expect, 1 where it is as
+    planned; `stage`.
+    """
 
     room: float
     shed: float
@@ -43,8 +49,11 @@
 
     @classmethod
     def of(cls, server, stage: Stage) -> Reading:
-        """That of a server of decisions (gullyoke/choice.py). A run's usual time is held against what is
-        taken for it before any has run: the same yardstick on all servers."""
+        """That of a server of decisions (gullyoke/choice.py).
+
+        A run's usual time is held against what is taken for it before any has run: the same
+        yardstick on all servers.
+        """
         room = max(0.0, 1 - (server.on + server.hold.size) / max(1.0, server.cap.now))
         paces = [cost / (handler.target / 6) for handler, cost in server.hold.cost.items()]
         return cls(room, server.advice.shedding, sum(paces) / max(1, len(paces)), stage)
@@ -71,8 +80,11 @@
 
 
 class Telling:
-    """One's own reading as it is sent: smoothed, and a step changes only when the figure is well past it, so
-    that a figure at the edge of two steps does not flicker."""
+    """One's own reading as it is sent.
+
+    Smoothed, and a step changes only when the figure is well past it, so that a figure at the edge
+    of two steps does not flicker.
+    """
 
     def __init__(self, weight: float = 0.25) -> None:
         self.weight, self.smooth, self.sent = weight, None, 0
@@ -94,13 +106,19 @@
 
 
 class Heard:
-    """What others last told. Table: `rows`, one a sender, at most MOST; one leaves when it is old."""
+    """What others last told.
+
+    Table: `rows`, one a sender, at most MOST; one leaves when it is old.
+    """
 
     def __init__(self) -> None:
         self.rows: dict[int, tuple[int, int, Reading]] = {}
 
     def hear(self, now: int, sender: int, count: int, word: int) -> None:
-        """`count` grows with each word of a sender: what comes late does not take a newer one's place."""
+        """`count` grows with each word of a sender.
+
+        What comes late does not take a newer one's place.
+        """
         old = self.rows.get(sender)
         if old is not None and old[1] >= count:
             return
@@ -120,7 +138,10 @@
 
 
 class Outlook(NamedTuple):
-    """What is made of the peers' readings; None where too few are young, and then all is as without them."""
+    """What is made of the peers' readings.
+
+    None where too few are young, and then all is as without them.
+    """
 
     room: float  # the median peer's
     shed: float
@@ -146,16 +167,20 @@
 
 
 class Judgement:
-    """One server's answers to 'slow or full?': the part of the port that the decisions ask (`Beside`). `draw`
-    gives a number from 0 to 1."""
+    """One server's answers to 'slow or full?'.
+
+    The part of the port that the decisions ask (`Beside`). `draw` gives a number from 0 to 1.
+    """
 
     def __init__(self, draw: Callable[[], float]) -> None:
         self.draw, self.back, self.since, self.room = draw, False, None, 0.0
         self.seen: Outlook | None = None
 
     def weigh(self, now: int, own: Reading, readings: list[Reading]) -> None:
-        """Take the peers in, and see whether this one alone is slow. It comes back when it is well again or
-        the others are as slow; both have to last."""
+        """Take the peers in, and see whether this one alone is slow.
+
+        It comes back when it is well again or the others are as slow; both have to last.
+        """
         self.room, seen = own.room, outlook(readings)
         self.seen = seen
         if seen is None:
@@ -171,14 +196,20 @@
             self.back, self.since = not self.back, None
 
     def full(self, alone: bool) -> bool:
-        """Whether a shed should not be tried at another server: where this one says so by itself, or where a
-        third of the peers are full. (That others have room does not unsay it: half of them full as the only
-        measure cost 0.010 of the value in a burst, docs/together-design.md.)"""
+        """Whether a shed should not be tried at another server.
+
+        Where this one says so by itself, or where a third of the peers are full. (That others have
+        room does not unsay it: half of them full as the only measure cost 0.010 of the value in a
+        burst, docs/together-design.md.)
+        """
         return alone or self.seen is not None and self.seen.full >= FULLS
 
     def stay(self, wait: int) -> int:
-        """How long a caller should stay away: longer where the others have more room than this one, and drawn
-        around that, so that those who heed it do not come back together."""
+        """How long a caller should stay away.
+
+        Longer where the others have more room than this one, and drawn around that, so that those
+        who heed it do not come back together.
+        """
         if self.seen is None:
             return wait
         wait = int(wait * (1 + max(0.0, min(1.0, self.seen.room - self.room))))
--- a/gullyoke/together/slots.py
+++ b/gullyoke/together/slots.py
@@ -1,12 +1,16 @@
-"""One server's part of what all servers share below: what the decisions ask of it (the port's `Slots`).
+"""One server's part of what all servers share below.
 
-Two kinds of limit. `Own`: so many calls in hand at every moment. A call takes a slot from when it goes out
-until it is over, and one that was lost until its linger is over as well: the dependency may have it in hand
-so long. `Mean`: so many in the mean of a span. What is lent then is a part of that mean, in UNITs, and
-call time that was used counts for a whole span, so what is passed on is free of it first.
+What the decisions ask of it (the port's `Slots`).
 
-A call never goes out for longer than what it stands on is surely this server's. What is wanted is told from
-the most that were out and waiting of late."""
+Two kinds of limit. `Own`: so many calls in hand at every moment. A call takes a slot from when it
+goes out until it is over, and one that was lost until its linger is over as well: the dependency
+may have it in hand so long. `Mean`: so many in the mean of a span. What is lent then is a part of
+that mean, in UNITs, and call time that was used counts for a whole span, so what is passed on is
+free of it first.
+
+A call never goes out for longer than what it stands on is surely this server's. What is wanted is
+told from the most that were out and waiting of late.
+"""
 
 from __future__ import annotations
 
@@ -129,7 +133,10 @@
         ]
 
     def free(self, now: int, waiting: int) -> bool:
-        """The mean in force bounds it. Who waits wants twice what it has, and one call at the least."""
+        """The mean in force bounds it.
+
+        Who waits wants twice what it has, and one call at the least.
+        """
         if waiting:
             self.refused += 1
             self.peak.note(now, 2 * self.sharing.in_force(now) + UNIT)
--- a/gullyoke/together/spans.py
+++ b/gullyoke/together/spans.py
@@ -1,5 +1,7 @@
-"""Spans on clocks that need not agree: only that no two run apart by more than one part in RATE is
-believed."""
+"""Spans on clocks that need not agree.
+
+Only that no two run apart by more than one part in RATE is believed.
+"""
 
 from __future__ import annotations
 
--- a/gullyoke/together/subsets.py
+++ b/gullyoke/together/subsets.py
@@ -1,9 +1,12 @@
-"""Which back ends a server keeps connections to, where all to all costs too much: told by the view alone.
+"""Which back ends a server keeps connections to, where all to all costs too much.
 
-Both sides stand in an order of hashes; each server takes `k` back ends in a row from where its place among
-the servers falls among the back ends (deterministic apertures). docs/together-design.md weighs it against
-rendezvous hashing with bounded loads: that moves less when a server goes, more when a back end goes, is
-uneven by up to six, and its work grows with the product of both sides."""
+Told by the view alone.
+
+Both sides stand in an order of hashes; each server takes `k` back ends in a row from where its
+place among the servers falls among the back ends (deterministic apertures). docs/together-design.md
+weighs it against rendezvous hashing with bounded loads: that moves less when a server goes, more
+when a back end goes, is uneven by up to six, and its work grows with the product of both sides.
+"""
 
 from __future__ import annotations
 
@@ -30,9 +33,11 @@
 
 
 def chosen(servers: Mapping[str, str], back_ends: Mapping[str, str], k: int) -> Chosen:
-    """The subsets of all servers, names by zone on both sides. A zone's servers take the zone's own back ends
-    first; where these are fewer than `k`, the rest comes from all other zones, even over these. The same for
-    all who see the same."""
+    """The subsets of all servers, names by zone on both sides.
+
+    A zone's servers take the zone's own back ends first; where these are fewer than `k`, the rest
+    comes from all other zones, even over these. The same for all who see the same.
+    """
     out: Chosen = {}
     for zone in sorted(set(servers.values())):
         here = [s for s, z in servers.items() if z == zone]
@@ -44,8 +49,10 @@
 
 
 def alone(server: str, back_ends: Sequence[str]) -> tuple[str, ...]:
-    """The order in which one that knows of no other takes the back ends: from a place of its own, so that
-    many who know of nobody do not all take the same."""
+    """The order in which one that knows of no other takes the back ends.
+
+    From a place of its own, so that many who know of nobody do not all take the same.
+    """
     ring = sorted(back_ends, key=whole)
     start = whole(server) % max(1, len(ring))
     return tuple(ring[start:] + ring[:start])
@@ -59,12 +66,15 @@
 
 
 class Subset:
-    """One server's subset in force. It follows what is chosen once that has stood for SETTLE, one back end
-    each PACE; the place of one that is gone is kept for as long, so that one that flaps moves nothing.
+    """One server's subset in force.
 
-    Where fewer than half of it are well, as seen from here, for LACKING, the next in order help out, one each
-    PACE, until half are; they go when its own are well again for SETTLE. Table: `held` and `help`, each at
-    most as many as are chosen and one."""
+    It follows what is chosen once that has stood for SETTLE, one back end each PACE; the place of
+    one that is gone is kept for as long, so that one that flaps moves nothing.
+
+    Where fewer than half of it are well, as seen from here, for LACKING, the next in order help
+    out, one each PACE, until half are; they go when its own are well again for SETTLE. Table:
+    `held` and `help`, each at most as many as are chosen and one.
+    """
 
     def __init__(self, now: int, wanted: Sequence[str]) -> None:
         self.held, self.help = list(wanted), []
@@ -88,8 +98,10 @@
         return tuple(self.held)
 
     def helped(self, now: int, order: Sequence[str], ill: Collection[str]) -> tuple[str, ...]:
-        """The subset with those who help out. `order`: all back ends, the next first; `ill`: those that are
-        set aside here."""
+        """The subset with those who help out.
+
+        `order`: all back ends, the next first; `ill`: those that are set aside here.
+        """
         half = -(-len(self.held) // 2)
         own = sum(b not in ill for b in self.held)
         if own >= half:
--- a/gullyoke/together/turns.py
+++ b/gullyoke/together/turns.py
@@ -1,9 +1,13 @@
-"""Turns: what many may do, but only so many at a time. Who has one is told by the view and the clock alone.
+"""Turns: what many may do, but only so many at a time.
 
-Time is cut into slots; in each, the members in the order of a hash of name, duty and round are taken `k` at a
-time, so in ceil(n / k) slots everybody has had one: nobody is left out, and one that is not used passes on
-with its slot. Two whose views differ by d members give at most k more for each side's reading: where it must
-be exclusive, a duty is needed, not a turn. A short gap at each slot's end keeps clocks that differ apart."""
+Who has one is told by the view and the clock alone.
+
+Time is cut into slots; in each, the members in the order of a hash of name, duty and round are
+taken `k` at a time, so in ceil(n / k) slots everybody has had one: nobody is left out, and one that
+is not used passes on with its slot. Two whose views differ by d members give at most k more for
+each side's reading: where it must be exclusive, a duty is needed, not a turn. A short gap at each
+slot's end keeps clocks that differ apart.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,9 @@
 
 
 def shared(what: str, count: int, slot: int, slots: int) -> Turns:
-    """Turns of so many members that come round within `slots` slots, an eighth of each a gap at both ends."""
+    """Turns of so many members that come round within `slots` slots, an eighth of each a gap at
+    both ends.
+    """
     return Turns(what, max(1, -(-count // slots)), slot, slot // 8)
 
 
@@ -26,7 +32,10 @@
         self.what, self.k, self.slot, self.gap = what, k, slot, gap
 
     def order(self, round_: int, members: Iterable[str]) -> list[str]:
-        """The members in this round's order: another one each round, the same for all who see the same."""
+        """The members in this round's order.
+
+        Another one each round, the same for all who see the same.
+        """
         return sorted(members, key=lambda name: whole(f"{self.what} {round_} {name}"))
 
     def at(self, wall: int, count: int) -> tuple[int, int, bool]:
--- a/gullyoke/walk/duty.py
+++ b/gullyoke/walk/duty.py
@@ -1,11 +1,13 @@
-"""A duty in small: three voters with disks, two candidates, one resource with a fence. Times are a few ticks;
-clocks may be a tick apart in all.
+"""A duty in small: three voters with disks, two candidates, one resource with a fence.
 
-What can happen: rounds that come to some voters only, words that are late, stalls of any length in the middle
-of an act, a disk that fails a promise, voters that start anew with their promises or without, a candidate
-that starts anew. What is looked for: two that hold it at once, an act taken after one of a newer epoch, two
-processes whose acts are taken under one epoch, an epoch of a voter's promise that goes back. The modules are
-those that run (gullyoke/duty)."""
+Times are a few ticks; clocks may be a tick apart in all.
+
+What can happen: rounds that come to some voters only, words that are late, stalls of any length in
+the middle of an act, a disk that fails a promise, voters that start anew with their promises or
+without, a candidate that starts anew. What is looked for: two that hold it at once, an act taken
+after one of a newer epoch, two processes whose acts are taken under one epoch, an epoch of a
+voter's promise that goes back. The modules are those that run (gullyoke/duty).
+"""
 
 from __future__ import annotations
 
@@ -50,8 +52,11 @@
 
 
 class Duty:
-    """`disks`: what each voter's disk holds. `acts`: acts that a candidate has begun and not yet done, with
-    the epoch they were begun under. `taken`: by epoch, who acted; `newest`: of the acts taken."""
+    """`disks`: what each voter's disk holds.
+
+    `acts`: acts that a candidate has begun and not yet done, with the epoch they were begun under.
+    `taken`: by epoch, who acted; `newest`: of the acts taken.
+    """
 
     def __init__(self, restarts: int = 1, faults: int = 1, fenced: bool = True) -> None:
         self.clocks = dict.fromkeys((*NAMES, "a", "b"), 0)
@@ -145,8 +150,10 @@
             self.round(move[1], move[2].split("+"), what)
 
     def round(self, name: str, reached: list[str], what: str) -> None:
-        """A whole round at these voters: a sound and an ask, or a renewal. `late`: the last one's word stays
-        on its way; `ill`: the last one's disk fails its promise."""
+        """A whole round at these voters: a sound and an ask, or a renewal.
+
+        `late`: the last one's word stays on its way; `ill`: the last one's disk fails its promise.
+        """
         one, now = self.candidates[name], self.clocks[name]
         if what.startswith("renew"):
             posts = one._renew(now)
@@ -375,6 +382,8 @@
 
 
 def found(mutant: str | None, depth: int, most: int = 10**6) -> tuple[int, str | None]:
-    """States walked from all starts, with one guard taken out or none, and what was found with its way."""
+    """States walked from all starts, with one guard taken out or none, and what was found with its
+    way.
+    """
     with whole_ticks(), MUTANTS[mutant]() if mutant else contextlib.nullcontext():
         return from_all(STARTS, begun, depth, most)
--- a/gullyoke/walk/explore.py
+++ b/gullyoke/walk/explore.py
@@ -1,8 +1,9 @@
 """Every state that a world can come to within so many moves, each looked at once.
 
-Breadth first, so that the first wrong state found has the shortest way to it. A state is kept as the digest
-of its key; worlds on the frontier are kept pickled. Moves that a world says to be alike for what is asked
-(its `moves` leaves them out) are not walked: that is where a world reduces."""
+Breadth first, so that the first wrong state found has the shortest way to it. A state is kept as
+the digest of its key; worlds on the frontier are kept pickled. Moves that a world says to be alike
+for what is asked (its `moves` leaves them out) are not walked: that is where a world reduces.
+"""
 
 from __future__ import annotations
 
@@ -30,8 +31,11 @@
 
 
 class Walked(NamedTuple):
-    """`states`, how many were looked at; `depth`, how many moves deep all of them; `whole`, whether nothing
-    was left out for want of room; `found`, the first wrong thing with the way to it."""
+    """`states`, how many were looked at; `depth`, how many moves deep all of them.
+
+    `whole`, whether nothing was left out for want of room; `found`, the first wrong thing with the
+    way to it.
+    """
 
     states: int
     depth: int
@@ -47,7 +51,9 @@
 def walked(
     start: World, depth: int, most: int = 10**6, every: Callable[[int], None] | None = None
 ) -> Walked:
-    """Walk until something is wrong, nothing is new, `depth` moves are made or `most` states are seen."""
+    """Walk until something is wrong, nothing is new, `depth` moves are made or `most` states are
+    seen.
+    """
     first = pickle.dumps(start, -1)
     seen: dict[bytes, tuple[bytes, Move] | None] = {digest(start.key()): None}
     frontier = [(first, digest(start.key()))]
@@ -80,7 +86,9 @@
 def from_all(
     names: Iterable[str], begun: Callable[[str], World], depth: int, most: int
 ) -> tuple[int, str | None]:
-    """States walked from each start by its name, and the first wrong thing with its start and way."""
+    """States walked from each start by its name, and the first wrong thing with its start and
+    way.
+    """
     states = 0
     for name in names:
         walk = walked(begun(name), depth, most)
--- a/gullyoke/walk/notes.py
+++ b/gullyoke/walk/notes.py
@@ -1,9 +1,12 @@
-"""The notes of one uniqued req in small: tries of it, a disk that fails or keeps what it said it did not, an
-engine that runs, and crashes in which any of what was on its way to the disk may have come there.
+"""The notes of one uniqued req in small.
 
-What is looked for: a run begun a second time within its window, a try turned away after a run, an end that
-was told and is not known any more, one told that never was. The rules are those that run
-(gullyoke/durable); the disk, the engine and the callers are the world's."""
+Tries of it, a disk that fails or keeps what it said it did not, an engine that runs, and crashes in
+which any of what was on its way to the disk may have come there.
+
+What is looked for: a run begun a second time within its window, a try turned away after a run, an
+end that was told and is not known any more, one told that never was. The rules are those that run
+(gullyoke/durable); the disk, the engine and the callers are the world's.
+"""
 
 from __future__ import annotations
 
@@ -22,8 +25,11 @@
 
 
 class Notes:
-    """`disk`: what it has of the key; `queue`, what is on its way, in order. `runs`: runs begun in this
-    window. `going`: the try whose run is promised or goes on; `told`, what callers heard, without sheds."""
+    """`disk`: what it has of the key; `queue`, what is on its way, in order.
+
+    `runs`: runs begun in this window. `going`: the try whose run is promised or goes on; `told`,
+    what callers heard, without sheds.
+    """
 
     def __init__(
         self, tries: int = 3, crashes: int = 2, faults: int = 1, without: Without = Without.SHED
@@ -98,7 +104,9 @@
             self.runs, self.ended_well, self.told = 0, 0, []
 
     def asked(self, fit: bool) -> None:
-        """A try comes: it waits for one that is under way, is answered from what is known, or asks."""
+        """A try comes: it waits for one that is under way, is answered from what is known, or
+        asks.
+        """
         if self.going:
             return  # answered with that one; what it hears is the same
         note = self.ledger.past(self.now, KEY)
--- a/gullyoke/walk/played.py
+++ b/gullyoke/walk/played.py
@@ -1,6 +1,9 @@
-"""The way to a wrong state of the walk of duties as a script for the rig: the same stalls, restarts, lost
-folders and failing disks, on real processes. What a walk does in one move takes a process a while, so a
-script is the nearest that the rig can do, not the same order of events to the letter."""
+"""The way to a wrong state of the walk of duties as a script for the rig.
+
+The same stalls, restarts, lost folders and failing disks, on real processes. What a walk does in
+one move takes a process a while, so a script is the nearest that the rig can do, not the same order
+of events to the letter.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,10 @@
 
 
 def script(way: Iterable[Move], seed: int = 1) -> str:
-    """Lines for `gullyoke fleet play`. Whoever holds the duty stands for the walk's candidates."""
+    """Lines for `gullyoke fleet play`.
+
+    Whoever holds the duty stands for the walk's candidates.
+    """
     lines = [
         f"members 5 zones 5 seed {seed} load 4 voters 3 lease_ms {LEASE * 1000:g}",
         "at 0 heal",
--- a/gullyoke/walk/shares.py
+++ b/gullyoke/walk/shares.py
@@ -1,10 +1,14 @@
-"""The protocol of shares in small: three homes that vote, one of which lends, a second process under that
-name, two borrowers. Times are a few ticks; clocks may be one tick apart in all.
+"""The protocol of shares in small.
 
-Two walks, since the whole at once grows too fast: `loans`, in which the home's name is safe and whatever can
-happen between it and its borrowers does; `names`, in which borrowers ask without faults and whatever can
-happen to the name does. What is looked for in both: more of the home's tokens in force than there are. The
-modules are those that run (gullyoke/together/shares.py), with their times put to ticks."""
+Three homes that vote, one of which lends, a second process under that name, two borrowers. Times
+are a few ticks; clocks may be one tick apart in all.
+
+Two walks, since the whole at once grows too fast: `loans`, in which the home's name is safe and
+whatever can happen between it and its borrowers does; `names`, in which borrowers ask without
+faults and whatever can happen to the name does. What is looked for in both: more of the home's
+tokens in force than there are. The modules are those that run (gullyoke/together/shares.py), with
+their times put to ticks.
+"""
 
 from __future__ import annotations
 
@@ -43,8 +47,11 @@
 
 
 class Sharing:
-    """`lenders`: processes under the name h0, the second one started later; `borrowers` want all there is.
-    `clocks`: ticks by process. `net`: messages on their way, from and to a process."""
+    """`lenders`: processes under the name h0, the second one started later.
+
+    `borrowers` want all there is. `clocks`: ticks by process. `net`: messages on their way, from
+    and to a process.
+    """
 
     def __init__(self, names: bool, restarts: int = 1) -> None:
         self.clocks = dict.fromkeys(("v0", "v1", "v2", "l0", "l1", "b0", "b1"), 0)
@@ -63,8 +70,8 @@
             holding.since, holding.until, holding.next = self.clocks[name], FOREVER, FOREVER
         self.lenders[name] = Home(holding, TOKENS)
 
-    # What can happen. An exchange that nothing comes between is one move; whatever of it can be lost or late
-    # is a move of its own.
+    # What can happen. An exchange that nothing comes between is one move; whatever of it can be
+    # lost or late is a move of its own.
 
     def moves(self) -> list[Move]:
         out: list[Move] = [("time",)]
@@ -224,7 +231,10 @@
 
 
 def lending(names: bool, restarts: int = 1) -> Sharing:
-    """A world in which the home lends all to the first borrower. Its way there is one without faults."""
+    """A world in which the home lends all to the first borrower.
+
+    Its way there is one without faults.
+    """
     world = Sharing(names, restarts)
     for _ in range(20):
         for move in (("claim", "l0", REACHED[0]), ("ask", "b0", "done")):
@@ -236,7 +246,8 @@
     return world
 
 
-# Where walks begin, each in the middle of something: whether the name is at stake, and the way there.
+# Where walks begin, each in the middle of something: whether the name is at stake, and the way
+# there.
 STARTS = {
     "all is well": (False, ""),
     "a late grant": (False, "time; ask b0 grant-late; time; time"),
@@ -336,6 +347,8 @@
 
 
 def found(mutant: str | None, depth: int, most: int = 10**6) -> tuple[int, str | None]:
-    """States walked from all starts, with one guard taken out or none, and what was found with its way."""
+    """States walked from all starts, with one guard taken out or none, and what was found with its
+    way.
+    """
     with ticks(), MUTANTS[mutant]() if mutant else contextlib.nullcontext():
         return from_all(STARTS, begun, depth, most)
--- a/gullyoke/work/__init__.py
+++ b/gullyoke/work/__init__.py
@@ -6,9 +6,12 @@
 
 
 class Work(Protocol):
-    """What the house needs of whoever runs reqs. `run`, `feed`, `skip` and `halt` are called under the desk's
-    lock and must not block; `flush` after it, to send what these gave, and must not block either; `stat` is
-    called without it, and is answered by the gauges, then or later."""
+    """What the house needs of whoever runs reqs.
+
+    `run`, `feed`, `skip` and `halt` are called under the desk's lock and must not block; `flush`
+    after it, to send what these gave, and must not block either; `stat` is called without it, and
+    is answered by the gauges, then or later.
+    """
 
     def start(self, heard) -> None: ...
     def move(self, address: tuple[str, int]) -> None: ...
--- a/gullyoke/work/backends.py
+++ b/gullyoke/work/backends.py
@@ -1,5 +1,8 @@
-"""Work at a pool of application servers that speak SCGI, in the engine's place. What goes where is decided
-in gullyoke/routing; here it is carried: a connection a try, a thread each, read to its end or its time."""
+"""Work at a pool of application servers that speak SCGI, in the engine's place.
+
+What goes where is decided in gullyoke/routing; here it is carried: a connection a try, a thread
+each, read to its end or its time.
+"""
 
 from __future__ import annotations
 
@@ -54,11 +57,14 @@
 
 
 class Backends:
-    """Tables: `runs`, one row a run that is not over, and `carried`, its connection; a run leaves both when
-    the decisions hear of its end.
+    """Tables: `runs`, one row a run that is not over, and `carried`, its connection.
+
+    A run leaves both when the decisions hear of its end.
 
-    `linger` is how long, in microseconds, an answer is still waited for after its caller's time, and a run
-    whose connection broke is counted; `closes` whether closing the connection stops the application."""
+    `linger` is how long, in microseconds, an answer is still waited for after its caller's time,
+    and a run whose connection broke is counted; `closes` whether closing the connection stops the
+    application.
+    """
 
     def __init__(
         self,
@@ -132,8 +138,10 @@
         """As above."""
 
     def halt(self, req: Taken) -> None:
-        """The decisions ask for its end, which they do only where closing stops it. The thread that reads
-        finds the end and tells it."""
+        """The decisions ask for its end, which they do only where closing stops it.
+
+        The thread that reads finds the end and tells it.
+        """
         with self.lock:
             run = self.runs.get(req)
             if run is None:
@@ -172,7 +180,9 @@
                 self.told(move, None)
 
     def give(self, send: Send) -> None:
-        """To a thread that rests, or to the one that starts threads, which takes too long for here."""
+        """To a thread that rests, or to the one that starts threads, which takes too long for
+        here.
+        """
         self.book.add("backends.sent")
         send.run.req.at = send.member.stated.name
         if not self.crew.hand(send):
@@ -223,7 +233,10 @@
         return End.DECLARED if send.run.stopped and self.closes else end
 
     def exchange(self, send: Send, carriage: Carriage) -> Answer:
-        """The req out and its answer in. Raises `Ended` before its first byte was written, then `Broken`."""
+        """The req out and its answer in.
+
+        Raises `Ended` before its first byte was written, then `Broken`.
+        """
         run, req = send.run, send.run.req
         until = run.due + self.linger
         left = (until - clock.now()) / 1e6
@@ -246,7 +259,8 @@
             answer = scgi.read_answer(Buffer(wire, scgi.ANSWER_HEAD + self.most + 1), self.most)
         except Ended as ended:
             raise Broken(ended.end, str(ended)) from None
-        # What a back end refuses has reached it: our callers must not read the promise that it never ran.
+        # What a back end refuses has reached it: our callers must not read the promise that it
+        # never ran.
         return answer._replace(status=502) if answer.status in PROMISES else answer
 
     def ended(self, send: Send, fate: Fate, answer: Answer | None, why: str) -> None:
--- a/gullyoke/work/engine.py
+++ b/gullyoke/work/engine.py
@@ -1,4 +1,6 @@
-"""Send, to the engine: the link that is kept open, its commands, its notices, and attaching to it again."""
+"""Send, to the engine: the link that is kept open, its commands, its notices, and attaching to it
+again.
+"""
 
 from __future__ import annotations
 
@@ -30,10 +32,13 @@
 
 
 class Engine:
-    """Tables: `outbox`, commands not yet written; `sent`, written since the last gauges that were answered,
-    which prove that the engine read what was written before. Both hold a few for each req in hand; where
-    gauges stay out for long, `sent` is rid of reqs that are over. `rest` is
-    what the link did not take at once of the last command; `writing`, whether the thread writes."""
+    """Tables: `outbox`, commands not yet written.
+
+    `sent`, written since the last gauges that were answered, which prove that the engine read what
+    was written before. Both hold a few for each req in hand; where gauges stay out for long, `sent`
+    is rid of reqs that are over. `rest` is what the link did not take at once of the last command;
+    `writing`, whether the thread writes.
+    """
 
     def __init__(self, address: tuple[str, int], gauges: tuple[str, ...], book: Book) -> None:
         self.address, self.gauges, self.book, self.heard = address, gauges, book, None
@@ -54,7 +59,10 @@
         ).start()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Its address is another from now on. Runs go on; the new link tells what the old one did not."""
+        """Its address is another from now on.
+
+        Runs go on; the new link tells what the old one did not.
+        """
         with self.bell:
             self.address = address
             if self.sock is not None:
@@ -88,8 +96,11 @@
             self.outbox.append(sent)
 
     def flush(self) -> None:
-        """Write what was given, where the link takes it without waiting: that saves a change of threads for
-        each command. What it does not take is left to the writing thread. Called without the desk's lock."""
+        """Write what was given, where the link takes it without waiting.
+
+        That saves a change of threads for each command. What it does not take is left to the
+        writing thread. Called without the desk's lock.
+        """
         with self.bell:
             if not self.outbox or not self.attached or self.rest or self.writing:
                 return  # the writing thread is at it, or will be
@@ -108,7 +119,10 @@
         self.book.add("engine.commands", len(batch))
 
     def _batch(self) -> list[Sent]:
-        """All that is to be written now; from here on it may have reached the engine, in part or whole."""
+        """All that is to be written now.
+
+        From here on it may have reached the engine, in part or whole.
+        """
         batch = list(self.outbox)
         self.outbox.clear()
         self.sent.extend(batch)
@@ -227,10 +241,12 @@
                     pass
 
     def reattached(self) -> None:
-        """What may have been lost with the last link is given once more, unless a notice shows it was read.
+        """What may have been lost with the last link is given once more, unless a notice shows it
+        was read.
 
-        Guards against commands lost on a link that breaks. `RUN` may be repeated, `SKIP` names its notice. A
-        `FEED` might be doubled where its run goes on without a notice; no call of it waits then.
+        Guards against commands lost on a link that breaks. `RUN` may be repeated, `SKIP` names its
+        notice. A `FEED` might be doubled where its run goes on without a notice; no call of it
+        waits then.
         """
         with self.bell:
             again = [s for s in self.sent if self._in_hand(s) and s.noticed == s.req.noticed]
--- a/tests/cli/test_operator.py
+++ b/tests/cli/test_operator.py
@@ -1,4 +1,7 @@
-"""The operator's file and the command line: what is right, and one line for each thing that is not."""
+"""The operator's file and the command line.
+
+What is right, and one line for each thing that is not.
+"""
 
 import pathlib
 import re
@@ -158,7 +161,10 @@
         self.assertEqual(run(main, ["serve", "--operator", "/nowhere"]).exit_code, 2)
 
     def test_lean(self):
-        """Without an operator's file none of what it needs is imported: memory on the platform is short."""
+        """Without an operator's file none of what it needs is imported.
+
+        Memory on the platform is short.
+        """
         code = (
             "import sys; import gullyoke.daemon.house, gullyoke.daemon.start, gullyoke.daemon.options;"
             "print([m for m in sys.modules if m.split('.')[0] in ('google', 'click', 'pythonjsonlogger')"
--- a/tests/codec/test_codecs.py
+++ b/tests/codec/test_codecs.py
@@ -1,4 +1,7 @@
-"""Property tests of the codecs: what is written reads back, cuts change nothing, what is spoilt is named."""
+"""Property tests of the codecs.
+
+What is written reads back, cuts change nothing, what is spoilt is named.
+"""
 
 import unittest
 
@@ -59,7 +62,9 @@
         st.booleans(),
     )
     def test_spoilt(self, fields, body, cut, changes, answer):
-        """Whatever bytes come: a message or a named fault, and nothing is kept beyond the bounds."""
+        """Whatever bytes come: a message or a named fault, and nothing is kept beyond the
+        bounds.
+        """
         message = Message(("POST", "/call/view", "HTTP/1.1"), fields, body)
         data = (
             scgi.answer(Answer(200, body, tuple(fields.items())))
@@ -90,7 +95,10 @@
         self.assertIsNone(scgi.read(reading(b"")))
 
     def test_answers_that_are_none(self):
-        """Each is spoilt, by name; guards against an answer that another reader would take for two."""
+        """Each is spoilt, by name.
+
+        Guards against an answer that another reader would take for two.
+        """
         for data, said in (
             (b"Status: 200 OK\r\nContent-Length: 3\r\n\r\nabcd", "more than one answer"),
             (b"Status: 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", "two values"),
@@ -111,7 +119,9 @@
     @QUICK
     @given(FIELDS, st.binary(max_size=300), st.lists(st.integers(0, 2000), max_size=5))
     def test_both(self, fields, body, cuts):
-        """The same req through both protocols is the same message, but for the version it came by."""
+        """The same req through both protocols is the same message, but for the version it came
+        by.
+        """
         head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
         data = (
             f"POST /call/view HTTP/1.1\r\n{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
--- a/tests/crossing/live.py
+++ b/tests/crossing/live.py
@@ -1,8 +1,7 @@
 """A whole server inside the test's own process, so that a test can stop it between two lines.
 
-`apart` runs a test in a process of its own: what a server leaves behind (threads, the size of stacks) ends
-there.
-`REPEATS` is how often each crossing is forced; GULLYOKE_REPEATS sets it.
+`apart` runs a test in a process of its own: what a server leaves behind (threads, the size of
+stacks) ends there. `REPEATS` is how often each crossing is forced; GULLYOKE_REPEATS sets it.
 """
 
 import contextlib
@@ -45,8 +44,11 @@
 
 
 class Children:
-    """The tests that run apart, a few at a time, since they wait more than they work. Where all of a module
-    are to run, the first that is asked for starts them all. Table: `going`, a row a test."""
+    """The tests that run apart, a few at a time, since they wait more than they work.
+
+    Where all of a module are to run, the first that is asked for starts them all. Table: `going`, a
+    row a test.
+    """
 
     def __init__(self):
         self.pool = ThreadPoolExecutor(SIDE_BY_SIDE)
@@ -99,7 +101,10 @@
         self.sock.sendall(message(name, handler, **fields))
 
     def answer(self):
-        """Status and body of the next answer; None at the connection's end. Raises where it was reset."""
+        """Status and body of the next answer; None at the connection's end.
+
+        Raises where it was reset.
+        """
         first = self.file.readline().split()
         if not first:
             return None
@@ -156,7 +161,10 @@
             return self.book.rows[name]
 
     def run(self, name, again=()):
-        """Wait for the engine to be told to run it. `again`: what may be given once more before that."""
+        """Wait for the engine to be told to run it.
+
+        `again`: what may be given once more before that.
+        """
         while (got := self.engine.heard.get(timeout=PATIENCE))[1] in again:
             pass
         assert got[:2] == ["RUN", name], f"heard {got[:3]}"
--- a/tests/crossing/test_connections.py
+++ b/tests/crossing/test_connections.py
@@ -1,4 +1,6 @@
-"""Client connections: a request, half of one, or an end that comes between two lines of the server's own."""
+"""Client connections: a request, half of one, or an end that comes between two lines of the
+server's own.
+"""
 
 import errno
 import queue
@@ -30,8 +32,10 @@
     """The end of an idle connection, and a request on its way."""
 
     def crossed(self, when):
-        """A request sent `before` or `after` the half-close reaches the server: the client sees an orderly
-        end, and nothing of the request is run."""
+        """A request sent `before` or `after` the half-close reaches the server.
+
+        The client sees an orderly end, and nothing of the request is run.
+        """
         with Live() as live:
             for i in range(REPEATS):
                 client, real = live.client(), connection_module.half_close
@@ -82,7 +86,8 @@
                     held.set()
                     go.wait(10)
 
-                # The owner has read nothing yet: it stands before its receive, the bytes lie in the socket.
+                # The owner has read nothing yet: it stands before its receive, the bytes lie in the
+                # socket.
                 with live.hook(Connection, "rest", wait):
                     live.served(client, f"a{i}")
                     self.assertTrue(held.wait(10))
@@ -98,7 +103,10 @@
 
     @apart
     def test_read_but_not_begun(self):
-        """The owner has received the first bytes and the end is decided before it says so: orderly, unrun."""
+        """The owner has received the first bytes and the end is decided before it says so.
+
+        Orderly, unrun.
+        """
         with Live() as live:
             for i in range(REPEATS):
                 client = live.client()
@@ -119,7 +127,9 @@
 
     @apart
     def test_half_a_message_is_not_idle(self):
-        """Half a line has come: no sweep takes the connection for idle, and the rest of it is answered."""
+        """Half a line has come: no sweep takes the connection for idle, and the rest of it is
+        answered.
+        """
         with Live(idle=200) as live:
             client = live.client()
             live.served(client, "first")
@@ -138,7 +148,9 @@
 
     @apart
     def test_peer_that_never_closes(self):
-        """A client that keeps its side open after our half-close holds no thread or descriptor for long."""
+        """A client that keeps its side open after our half-close holds no thread or descriptor for
+        long.
+        """
         with Live() as live:
             for i in range(max(3, REPEATS // 10)):
                 clients = [live.client() for _ in range(5)]
@@ -190,7 +202,10 @@
 
     @apart
     def test_sweep_meets_a_message_that_is_whole(self):
-        """The sweep has seen an old message in the making; by the time it acts, its request is in hand."""
+        """The sweep has seen an old message in the making.
+
+        By the time it acts, its request is in hand.
+        """
         with Live() as live:
             client = live.client()
             live.served(client, "first")
@@ -220,7 +235,10 @@
 class Listeners(unittest.TestCase):
     @apart
     def test_connection_between_last_accept_and_close(self):
-        """It is neither run nor left open: the client is told by the end of the connection at once."""
+        """It is neither run nor left open.
+
+        The client is told by the end of the connection at once.
+        """
         desk = Desk(facts_of(flat(site())), 1, Book())
         real = connections_module.shut
         for _ in range(REPEATS):
@@ -243,7 +261,8 @@
             except OSError as fault:
                 self.assertEqual(fault.errno, errno.ECONNRESET)
                 answer = None
-            # Its accepting thread may have been quicker: then the request is answered, unrun, and closed.
+            # Its accepting thread may have been quicker: then the request is answered, unrun, and
+            # closed.
             self.assertIn(answer, (None, (503, "")))
             clients[0].close()
             eventually(lambda table=table: not table.open, "closed")
@@ -251,7 +270,9 @@
 
     @apart
     def test_newcomers_wait_for_closing_ones(self):
-        """However fast newcomers come, those that close hold no more descriptors than are set aside."""
+        """However fast newcomers come, those that close hold no more descriptors than are set
+        aside.
+        """
         with Live(sockets=64) as live:
             table, most = live.connections, live.house.room.most
             clients, peak = [], [0]
@@ -296,7 +317,10 @@
 
 class Workers(unittest.TestCase):
     def test_handed_over_as_it_stops_resting(self):
-        """A worker's rest is over in the very moment in which it is handed a connection: it serves it."""
+        """A worker's rest is over in the very moment in which it is handed a connection.
+
+        It serves it.
+        """
         for _ in range(REPEATS):
             acted = []
             crew = Crew(acted.append)
@@ -311,7 +335,10 @@
 
 
 class BadInput(unittest.TestCase):
-    """Each kind of what can't be read gets its status and its counter; no thread or descriptor is left."""
+    """Each kind of what can't be read gets its status and its counter.
+
+    No thread or descriptor is left.
+    """
 
     CASES = (
         (b"nonsense\r\n\r\n", 400),
--- a/tests/crossing/test_dependency.py
+++ b/tests/crossing/test_dependency.py
@@ -1,4 +1,6 @@
-"""Thirty servers of one process each, every one deciding alone, over one dependency that is cold and slow."""
+"""Thirty servers of one process each, every one deciding alone, over one dependency that is cold
+and slow.
+"""
 
 import contextlib
 import json
@@ -25,7 +27,10 @@
 
 
 class Dependency(StandIn):
-    """Answers each call after its time. Table: `spans`, when each call came into its hands and left them."""
+    """Answers each call after its time.
+
+    Table: `spans`, when each call came into its hands and left them.
+    """
 
     def __init__(self):
         self.spans, self.in_hand, self.pen, self.began = [], 0, threading.Lock(), time.monotonic()
@@ -155,8 +160,11 @@
 
 class Cold(unittest.TestCase):
     def test_sum_of_all_calls(self):
-        """All together never hold more calls in the mean of a span than their shares add up to: neither while
-        the dependency is cold and the callers come again at once, nor as it gets well."""
+        """All together never hold more calls in the mean of a span than their shares add up to.
+
+        Neither while the dependency is cold and the callers come again at once, nor as it gets
+        well.
+        """
         with contextlib.ExitStack() as stack:
             folder = stack.enter_context(tempfile.TemporaryDirectory())
             dependency, naming = Dependency(), Names()
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -1,4 +1,7 @@
-"""Requests, runs and calls: an answer, a repeat, a reply or a broken link that comes between two lines."""
+"""Requests, runs and calls.
+
+An answer, a repeat, a reply or a broken link that comes between two lines.
+"""
 
 import socket
 import threading
@@ -49,7 +52,10 @@
 
 class Deadline(unittest.TestCase):
     def meet(self, first):
-        """A request's time is up as its run ends; `first` says which of the two comes first by a moment."""
+        """A request's time is up as its run ends.
+
+        `first` says which of the two comes first by a moment.
+        """
         with Live() as live:
             client = live.client()
 
@@ -98,7 +104,10 @@
 
 class Keyed(unittest.TestCase):
     def meet(self, first):
-        """A repeat comes as the run of the one it repeats ends: both are answered by that one run."""
+        """A repeat comes as the run of the one it repeats ends.
+
+        Both are answered by that one run.
+        """
         with Live() as live:
             one, two = live.client(), live.client()
             for i in range(REPEATS):
@@ -130,7 +139,9 @@
 
     @apart
     def test_repeat_in_hand_at_the_end(self):
-        """The repeat is in hand, waiting for the run, when that ends well, fails, or was never begun."""
+        """The repeat is in hand, waiting for the run, when that ends well, fails, or was never
+        begun.
+        """
         for end, wanted in (("ok", (200, "fine")), ("failed", (500, "")), ("void", (500, ""))):
             with self.subTest(end), Live() as live:
                 one, two = live.client(), live.client()
@@ -146,8 +157,10 @@
                     live.unheard()
 
     def test_end_of_a_window(self):
-        """To the microsecond: within the window it is a repeat, later another request; while the first is in
-        hand it is a repeat whenever it comes."""
+        """To the microsecond: within the window it is a repeat, later another request.
+
+        While the first is in hand it is a repeat whenever it comes.
+        """
         handler = Handler("book", 1, 1, 1.0, Kind.UNIQUED, 0.0, 1000, False, 0.0, 0.0)
         for kept in range(REPEATS):
 
@@ -170,8 +183,10 @@
 
 class Calls(unittest.TestCase):
     def meet(self, first):
-        """A call's reply comes as the call is given up: the decisions hear one of them, and the run goes on
-        or fails by that one."""
+        """A call's reply comes as the call is given up.
+
+        The decisions hear one of them, and the run goes on or fails by that one.
+        """
         with Live() as live:
             heard, turn = [], {}
 
@@ -231,7 +246,10 @@
 
     @apart
     def test_taken_back_while_it_connects(self):
-        """A call is given up while its connection comes about: the connection carries the next call."""
+        """A call is given up while its connection comes about.
+
+        The connection carries the next call.
+        """
         with (
             Live() as live,
             mock.patch.object(live.desk.server.below, "try_for", lambda req, now: 60_000),
@@ -264,7 +282,10 @@
 
     @apart
     def test_reused_id(self):
-        """Replies bear ids alone: a second copy of the last reply never answers the next call of its id."""
+        """Replies bear ids alone.
+
+        A second copy of the last reply never answers the next call of its id.
+        """
         with Live() as live:
             client = live.client()
             for i in range(REPEATS):
@@ -285,8 +306,10 @@
 class EngineLink(unittest.TestCase):
     @apart
     def test_link_breaks_after_the_run_is_written(self):
-        """The link breaks with a run's notices on their way; on the new link they are told, twice each under
-        one number: one call, one answer."""
+        """The link breaks with a run's notices on their way.
+
+        On the new link they are told, twice each under one number: one call, one answer.
+        """
         with Live() as live:
             client = live.client()
             for i in range(REPEATS):
@@ -314,7 +337,10 @@
 
     @apart
     def test_address_moves_while_it_attaches(self):
-        """A new address that comes while a link to the old one is made: the link goes to the new one."""
+        """A new address that comes while a link to the old one is made.
+
+        The link goes to the new one.
+        """
         with Live() as live:
             client, real = live.client(), Engine.attach_and_read.__globals__["connected"]
             for i in range(max(3, REPEATS // 10)):
@@ -339,7 +365,10 @@
 
     @apart
     def test_closed_beside_a_writer(self):
-        """The link is closed as another thread writes on it: never before that thread is done with it."""
+        """The link is closed as another thread writes on it.
+
+        Never before that thread is done with it.
+        """
         with Live() as live:
             work, client = live.house.work, live.client()
             for i in range(REPEATS):
@@ -347,7 +376,9 @@
                 sock, closed_under = work.sock, []
 
                 class Slow:
-                    """A socket whose writes take a while, and that tells who closes it meanwhile."""
+                    """A socket whose writes take a while, and that tells who closes it
+                    meanwhile.
+                    """
 
                     def __init__(self, sock, closed_under=closed_under):
                         self.sock, self.closed_under, self.writing = sock, closed_under, False
--- a/tests/crossing/test_signals.py
+++ b/tests/crossing/test_signals.py
@@ -1,5 +1,7 @@
-"""Signals that come between two lines: before the masks, while the server is put together, in a reload, in
-the drain. Each is raised by the server's process itself, at a point that a hook names.
+"""Signals that come between two lines.
+
+Before the masks, while the server is put together, in a reload, in the drain. Each is raised by the
+server's process itself, at a point that a hook names.
 
 Run as a program, this file is that process: `test_signals.py POINT`.
 """
--- a/tests/daemon/test_lean.py
+++ b/tests/daemon/test_lean.py
@@ -1,4 +1,7 @@
-"""The deploy file's `run` as the platform starts it, looked at from outside: one lean process of ours."""
+"""The deploy file's `run` as the platform starts it, looked at from outside.
+
+One lean process of ours.
+"""
 
 import contextlib
 import os
@@ -31,8 +34,11 @@
         return line.replace(".venv/bin/python", shlex.quote(sys.executable), 1)
 
     def test_build_is_whole_or_not_there(self):
-        """A build that was cut off is made anew: guards against a first build whose folder alone is taken for
-        the whole by the next one. Played with stand-ins for the two commands that take long."""
+        """A build that was cut off is made anew.
+
+        Guards against a first build whose folder alone is taken for the whole by the next one.
+        Played with stand-ins for the two commands that take long.
+        """
         build = self.deploy()["build"]
         with contextlib.ExitStack() as stack:
             scene = stack.enter_context(contextlib.closing(Sockets()))
@@ -58,7 +64,9 @@
             )  # twice: the third found it whole
 
     def test_run(self):
-        """One process by `exec`, linked dynamically, nothing foreign in it, no child, no Unix socket."""
+        """One process by `exec`, linked dynamically, nothing foreign in it, no child, no Unix
+        socket.
+        """
         with contextlib.closing(Sockets()) as scene:
             scene.configure_file()
             scene.process = subprocess.Popen(
@@ -98,7 +106,10 @@
             self.assertLess(cpu, CPU_S)
 
     def test_imports(self):
-        """What the lean start imports: the standard library and the packages that the deploy file names."""
+        """What the lean start imports.
+
+        The standard library and the packages that the deploy file names.
+        """
         code = (
             "import sys, gullyoke.daemon.start\n"
             "for name, one in sorted(sys.modules.items()):\n"
--- a/tests/daemon/test_naming.py
+++ b/tests/daemon/test_naming.py
@@ -16,7 +16,10 @@
 
 class Reports(unittest.TestCase):
     def served(self, stack, pieces, pause):
-        """A name service that writes these pieces, `pause` seconds apart, for each report; and its client."""
+        """A name service that writes these pieces, `pause` seconds apart, for each report.
+
+        And its client.
+        """
         listener = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
 
         def serve():
@@ -33,7 +36,10 @@
         return Naming(listener.getsockname(), "n3", lambda: True, random.Random(1), Book())
 
     def test_byte_by_byte(self):
-        """Each byte comes in time, the answer does not: it is given up when its own time is over."""
+        """Each byte comes in time, the answer does not.
+
+        It is given up when its own time is over.
+        """
         with contextlib.ExitStack() as stack:
             naming = self.served(stack, [ANSWER[i : i + 1] for i in range(len(ANSWER))], LIMIT / 10)
             began = time.monotonic()
@@ -43,7 +49,10 @@
             self.assertLess(time.monotonic() - began, 3 * LIMIT)
 
     def test_more_than_one_answer(self):
-        """A connection that is out of step is not used again: its next answer would be this report's."""
+        """A connection that is out of step is not used again.
+
+        Its next answer would be this report's.
+        """
         with contextlib.ExitStack() as stack:
             naming = self.served(stack, [ANSWER + ANSWER], 0)
             self.assertIs(naming.report(), End.DECLARED)
--- a/tests/durable/test_durable.py
+++ b/tests/durable/test_durable.py
@@ -16,9 +16,11 @@
         on_sockets(self, HERE)
 
     def test_fleet(self):
-        """Four servers with keys: the voters' disks are full, one is killed and its duty promised anew on
-        them; there is room again, and another comes back on an older copy of its folder, which is not
-        believed."""
+        """Four servers with keys.
+
+        The voters' disks are full, one is killed and its duty promised anew on them; there is room
+        again, and another comes back on an older copy of its folder, which is not believed.
+        """
         verdict = Play(
             read("""
             members 4 zones 2 seed 5 load 6 voters 3 lease_ms 1000 uniqued 0.5
--- a/tests/durable/test_rules.py
+++ b/tests/durable/test_rules.py
@@ -1,4 +1,7 @@
-"""The rules of what lasts, without a disk: its state, waits, rooms, trust, the notes of reqs, cells."""
+"""The rules of what lasts, without a disk.
+
+Its state, waits, rooms, trust, the notes of reqs, cells.
+"""
 
 import errno
 import pathlib
@@ -75,8 +78,9 @@
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6))
     def test_no_flapping(self, seed):
-        """A disk that fails now and then for a while turns at most so often, however calls come; a minute and
-        a half after it is well for good it is so said."""
+        """A disk that fails now and then for a while turns at most so often, however calls come; a
+        minute and a half after it is well for good it is so said.
+        """
         chance, now, turns = random.Random(seed), 0, []
         one = Condition(0, chance.random)
         one.heed.append(turns.append)
@@ -94,8 +98,11 @@
 
 class Waiting(unittest.TestCase):
     def test_waits(self):
-        """What is usual is learned; one that does not come back makes the next one longer, and no promise is
-        asked for that would come too late."""
+        """What is usual is learned.
+
+        One that does not come back makes the next one longer, and no promise is asked for that
+        would come too late.
+        """
         waits = Waits()
         for i in range(100):
             waits.began(i * 10_000, i)
@@ -113,7 +120,10 @@
 
 class Shares(unittest.TestCase):
     def test_rooms(self):
-        """What is worth least goes first, notes in force never; in trouble only promises are written."""
+        """What is worth least goes first, notes in force never.
+
+        In trouble only promises are written.
+        """
         rooms = Rooms(10_000)
         rooms.used |= {Kind.MEMORY: 50, Kind.RECORD: 100, Kind.RESULTS: 4_000, Kind.NOTES: 2_000}
         self.assertAlmostEqual(rooms.left(), 0.385)
@@ -138,7 +148,10 @@
 
 class Trusting(unittest.TestCase):
     def test_folders(self):
-        """Each folder that may lie there after a restart: whether it is believed, written to, doubted."""
+        """Each folder that may lie there after a restart.
+
+        Whether it is believed, written to, doubted.
+        """
         now = 10**15
         own = Mark(2, "n1", 100, now)
         for mark, rows, known, at, wanted in (
@@ -167,9 +180,10 @@
 
 class Ledgers(unittest.TestCase):
     def test_walked(self):
-        """Every order of tries, writes that fail or come late, ends and crashes of one key, to the last
-        state: never a second run, never turned away after one, never an end told that is lost. Without one of
-        the guards the walk finds one."""
+        """Every order of tries, writes that fail or come late, ends and crashes of one key, to the
+        last state: never a second run, never turned away after one, never an end told that is lost.
+        Without one of the guards the walk finds one.
+        """
         for without in Without:
             states, wrong = notes.found(None, 30, without)
             self.assertIsNone(wrong)
@@ -181,8 +195,11 @@
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6), st.sampled_from(list(Without)))
     def test_bounds(self, seed, without):
-        """Whatever the disk says and in whatever moment: each run that was asked for is told one thing; bytes
-        stay within the bound and are those of the rows; when all windows are over nothing is left."""
+        """Whatever the disk says and in whatever moment.
+
+        Each run that was asked for is told one thing; bytes stay within the bound and are those of
+        the rows; when all windows are over nothing is left.
+        """
         chance, one, now, queue = random.Random(seed), Ledger(1, without, 20_000), 0, []
         asked, told, running = 0, 0, []
 
@@ -269,8 +286,10 @@
 
 class Cell(unittest.TestCase):
     def test_cuts(self):
-        """A write cut at every byte: the value before or the new one, whole; all others as they were; it
-        opens and goes on."""
+        """A write cut at every byte.
+
+        The value before or the new one, whole; all others as they were; it opens and goes on.
+        """
         for cut in range(0, SIZE, 7):
             files = Fixed()
             cells = Cells(files, 3)
@@ -296,7 +315,10 @@
         )
     )
     def test_like_a_dict(self, steps):
-        """Any puts and removals, starts in between: what was put is there; a sixth key finds no cell."""
+        """Any puts and removals, starts in between.
+
+        What was put is there; a sixth key finds no cell.
+        """
         files, wanted = Fixed(), {}
         cells = Cells(files, 4)
         for key, value, anew in steps:
--- a/tests/duty/test_duty.py
+++ b/tests/duty/test_duty.py
@@ -1,5 +1,8 @@
-"""Voters, candidates and what stands on them, without sockets: many seeds of loss, stalls, restarts and
-failing disks in the model's clock; the roll, the register and the asking each by itself."""
+"""Voters, candidates and what stands on them, without sockets.
+
+Many seeds of loss, stalls, restarts and failing disks in the model's clock; the roll, the register
+and the asking each by itself.
+"""
 
 import random
 import unittest
@@ -26,8 +29,9 @@
 
 class Leases(unittest.TestCase):
     def test_through_anything(self):
-        """At no event do two hold it, acts that the resource takes are one process's an epoch and in order,
-        and once faults end somebody holds it within a lease and two seconds."""
+        """At no event do two hold it, acts that the resource takes are one process's an epoch and
+        in order, and once faults end somebody holds it within a lease and two seconds.
+        """
         for seed in range(12):
             with self.subTest(seed):
                 play = Play(seed, voters=3 + 2 * (seed % 2), members=7)
@@ -41,8 +45,10 @@
                 self.assertEqual(len(play.holders()), 1)
 
     def test_one_sided(self):
-        """A holder that hears but is not heard, and one that is heard but hears nothing, loses it within a
-        lease and its margin, the next has it two seconds later, and epochs grow by two at the most."""
+        """A holder that hears but is not heard, and one that is heard but hears nothing, loses it
+        within a lease and its margin, the next has it two seconds later, and epochs grow by two at
+        the most.
+        """
         for way in ("out", "in"):
             with self.subTest(way):
                 play = Play(3, voters=3, members=6)
@@ -72,7 +78,10 @@
         self.assertEqual(play.most, 1)
 
     def test_no_majority(self):
-        """With two of three voters down nobody holds it after a lease; with one back somebody does."""
+        """With two of three voters down nobody holds it after a lease.
+
+        With one back somebody does.
+        """
         play = Play(6, voters=3, members=5)
         play.run(6 * SECOND)
         for name in ("m0", "m1"):
@@ -84,8 +93,11 @@
         self.assertEqual(len(play.holders()), 1)
 
     def test_disks(self):
-        """A voter whose disk fails promises nothing new; the others go on. One whose folder is lost speaks
-        only once it has learned, and no epoch is given out a second time."""
+        """A voter whose disk fails promises nothing new; the others go on.
+
+        One whose folder is lost speaks only once it has learned, and no epoch is given out a second
+        time.
+        """
         play = Play(7, voters=3, members=5)
         play.run(6 * SECOND)
         play.ill.add("m1")
@@ -104,8 +116,9 @@
         self.assertEqual((play.most, history.faults(play.acts)), (1, []))
 
     def test_voters_one_by_one(self):
-        """From three voters to five and back, one at a time, under a lease that is held all along but for the
-        moment of each change; never two."""
+        """From three voters to five and back, one at a time, under a lease that is held all along
+        but for the moment of each change; never two.
+        """
         play = Play(8, voters=3, members=7)
         play.run(6 * SECOND)
         for count in (4, 5, 4, 3):
@@ -125,7 +138,9 @@
         self.assertEqual((said.voters, one.hear(0, said), one.yes), (2, [], set()))
 
     def test_next_set(self):
-        """A running server takes over the next set of voters, one more or fewer, and nothing else."""
+        """A running server takes over the next set of voters, one more or fewer, and nothing
+        else.
+        """
         three = {"a": "1:1", "b": "1:2", "c": "1:3"}
         part = Duty(Dutied(three, 4, 10**6, 1000, "/f", False, False, False, False, ()))
         part.fleet = mock.Mock()
@@ -165,7 +180,10 @@
         )
     )
     def test_order(self, members):
-        """The same for all, whatever order they see; who leaves is last; who is first waits for nobody."""
+        """The same for all, whatever order they see; who leaves is last.
+
+        Who is first waits for nobody.
+        """
         ranked = order("d", members)
         self.assertEqual(ranked, order("d", reversed(members)))
         leaving = [one.leaving for name in ranked for one in members if one.name == name]
@@ -220,8 +238,10 @@
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6))
     def test_register(self, seed):
-        """Holders one after another, each cut off from some voters, and writes that come late: what a new one
-        reads is the last that any before it was told is safe, or a later one."""
+        """Holders one after another, each cut off from some voters, and writes that come late.
+
+        What a new one reads is the last that any before it was told is safe, or a later one.
+        """
         chance = random.Random(seed)
         voters = {f"v{i}": Shelf() for i in range(3)}
         late, safe, epoch = [], b"", 0
@@ -260,9 +280,10 @@
 
 class Asks(unittest.TestCase):
     def test_a_dead_dependency(self):
-        """It is taken for dead after a row of failures, asked by the holder twice a second, by others not
-        while its word is young, and seldom by one that hears of none; when it is back all come back little
-        by little."""
+        """It is taken for dead after a row of failures, asked by the holder twice a second, by
+        others not while its word is young, and seldom by one that hears of none; when it is back
+        all come back little by little.
+        """
         one, chance = Asking(random.Random(1).random), random.Random(2)
         now = SILENT
         for _ in range(5):
@@ -312,8 +333,11 @@
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6))
     def test_all_once(self, seed):
-        """Whoever conducts, and however often that changes: each server is told to go once, never more at
-        once than may be away, of the fleet and of a zone; at the end all have started anew."""
+        """Whoever conducts, and however often that changes.
+
+        Each server is told to go once, never more at once than may be away, of the fleet and of a
+        zone; at the end all have started anew.
+        """
         chance = random.Random(seed)
         n, zones = chance.randrange(3, 14), chance.randrange(1, 4)
         at_once, a_zone = chance.choice((0.1, 0.3)), chance.choice((0.3, 0.5))
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -69,7 +69,10 @@
         self.interval(mean, wanted)
 
     def test_sharing(self):
-        """All run at once on one core: the mean of processor sharing, whatever the spread of work."""
+        """All run at once on one core.
+
+        The mean of processor sharing, whatever the spread of work.
+        """
 
         def mean(seed):
             day = exponential(1, 0.6, 150 * SECOND, seed)
@@ -89,8 +92,10 @@
         self.assertNotEqual(play(3), play(4))
 
     def test_answers(self):
-        """Each first try gets its last answer within its time, over all kinds of trouble; no server near its
-        memory or crowd."""
+        """Each first try gets its last answer within its time, over all kinds of trouble.
+
+        No server near its memory or crowd.
+        """
         for pools in (False, True):
             for load, more in (
                 (0.7, {}),
@@ -113,8 +118,9 @@
                 self.assertLess(max(got.memory, got.crowd), 0.95)
 
     def test_bound(self):
-        """On tiny days no plan found by trying all subsets in all orders earns more than the bound; and the
-        bound is not idle: it is within half of the best plan's value on most."""
+        """On tiny days no plan found by trying all subsets in all orders earns more than the bound;
+        and the bound is not idle: it is within half of the best plan's value on most.
+        """
         chance, close = random.Random(3), 0
         for _ in range(12):
             rows = sorted(
--- a/tests/front/test_fronts.py
+++ b/tests/front/test_fronts.py
@@ -1,4 +1,7 @@
-"""One script through both fronts' bytes, with a stated clock: the same decisions, action for action."""
+"""One script through both fronts' bytes, with a stated clock.
+
+The same decisions, action for action.
+"""
 
 import random
 import unittest
@@ -53,7 +56,10 @@
 
 
 class Played:
-    """A script of arrivals, ends and gauges; `through(i)` says by which protocol the i-th req comes."""
+    """A script of arrivals, ends and gauges.
+
+    `through(i)` says by which protocol the i-th req comes.
+    """
 
     def __init__(self, script, through, cut=None):
         self.now, self.arrived = START, 0
@@ -103,7 +109,9 @@
 
 
 def a_script(seed, length=400):
-    """Twice what two cores do, in bursts, with ends at random, slow spells and a drain at the end."""
+    """Twice what two cores do, in bursts, with ends at random, slow spells and a drain at the
+    end.
+    """
     chance, script, names = random.Random(seed), [], []
     for i in range(length):
         after = chance.choice((0, 0, 1000, 15_000, 40_000))
--- a/tests/members/test_members.py
+++ b/tests/members/test_members.py
@@ -1,4 +1,7 @@
-"""Plays the scenarios of membership in the emulator's clock; each guard shown to matter by taking it out."""
+"""Plays the scenarios of membership in the emulator's clock.
+
+Each guard shown to matter by taking it out.
+"""
 
 import contextlib
 import pathlib
@@ -87,7 +90,10 @@
             self.net.leave(name)
 
     def at_start(self, who, *given):
-        """Starts, or starts again: `seeds=`, `behind=` seconds of a clock that went back, `as=` a name."""
+        """Starts, or starts again.
+
+        `seeds=`, `behind=` seconds of a clock that went back, `as=` a name.
+        """
         told = dict(x.split("=", 1) for x in given)
         seeds = told.get("seeds", "m0,m1,m2").split(",")
         for name in names(self.net, who):
@@ -107,7 +113,8 @@
 
     def at_within(self, span, verb, *rest):
         """`within 5 gone m1`, `within 5 equal`, `within 3 stage m1 out`, `within 4 sees m0 m1
-        unreachable`."""
+        unreachable`.
+        """
         asks = {
             "gone": self.gone,
             "equal": self.net.equal,
@@ -206,9 +213,11 @@
                     play(path, seed)
 
     def test_guards(self):
-        """Each of these scenarios fails where its guard is taken out: guards against tests that pass whatever
-        the rule says. Where another guard covers the same ground that one is out in both plays, so that what
-        is shown is this one alone."""
+        """Each of these scenarios fails where its guard is taken out.
+
+        Guards against tests that pass whatever the rule says. Where another guard covers the same
+        ground that one is out in both plays, so that what is shown is this one alone.
+        """
 
         def without(where, **names):
             return mock.patch.multiple(where, **names)
@@ -237,8 +246,11 @@
                         play(HERE / f"{name}.txt", seed)
 
     def test_own_pause(self):
-        """A member that wakes asks before it accuses: what went unanswered while it stood still says nothing.
-        Here it was in doubt already, through loss that ended while it stood still."""
+        """A member that wakes asks before it accuses.
+
+        What went unanswered while it stood still says nothing. Here it was in doubt already,
+        through loss that ended while it stood still.
+        """
 
         def accused(guard):
             with contextlib.ExitStack() as stack:
@@ -255,8 +267,10 @@
         self.assertEqual((accused(True), accused(False) > 0), (0, True))
 
     def test_refutation(self):
-        """An accusation that outlives its cause is contradicted by the accused: without that, those who hear
-        no withdrawal would go on counting it."""
+        """An accusation that outlives its cause is contradicted by the accused.
+
+        Without that, those who hear no withdrawal would go on counting it.
+        """
 
         def told(refutes):
             with contextlib.ExitStack() as stack:
@@ -276,7 +290,10 @@
         self.assertEqual(told(False)[0], 0)
 
     def test_no_seed_listens(self):
-        """One whose seeds are all strange goes on alone, and says so; nothing is sent without bound."""
+        """One whose seeds are all strange goes on alone, and says so.
+
+        Nothing is sent without bound.
+        """
         net = fleet(1, 3)
         net.start("lone", ["nowhere1", "nowhere2", "nowhere3"])
         net.run(net.now + 60 * SECOND)
@@ -300,7 +317,9 @@
         self.assertEqual(once(), once())
 
     def test_bounds(self):
-        """Every datagram that a member sends in a fleet of 60 fits, joining, a third lost, healing."""
+        """Every datagram that a member sends in a fleet of 60 fits, joining, a third lost,
+        healing.
+        """
         from gullyoke.emulator.peers import HEAD, weight
 
         net = fleet(60, 2, joined=True)
--- a/tests/members/test_peers.py
+++ b/tests/members/test_peers.py
@@ -1,4 +1,7 @@
-"""Members on real sockets of one process: joining, refusals, whatever does not verify, and what is kept."""
+"""Members on real sockets of one process.
+
+Joining, refusals, whatever does not verify, and what is kept.
+"""
 
 import json
 import pathlib
@@ -57,9 +60,11 @@
             time.sleep(0.02)
 
     def test_named_after_one_that_is_gone(self):
-        """What a machine refuses costs that datagram alone. Guards against the refusal coming up at the next
-        one's sending, which was not sent then: whoever was always named after one that is gone heard
-        nothing."""
+        """What a machine refuses costs that datagram alone.
+
+        Guards against the refusal coming up at the next one's sending, which was not sent then:
+        whoever was always named after one that is gone heard nothing.
+        """
         links = self.links(2)
         self.begin(links, (text(links[0].address),))
         self.eventually(lambda: all(len(k.member.view.rings) == 2 for k in links), "two in")
@@ -78,8 +83,11 @@
         self.assertNotIn("peers.unsent", links[0].book.rows)
 
     def test_a_fleet(self):
-        """Three join; what does not verify is dropped and counted; one that ends is refused by the machine
-        and removed by the others, sooner than silence would tell."""
+        """Three join; what does not verify is dropped and counted.
+
+        One that ends is refused by the machine and removed by the others, sooner than silence would
+        tell.
+        """
         links = self.links(3)
         self.begin(links, (text(links[0].address),))
         self.eventually(lambda: all(len(k.member.view.rings) == 3 for k in links), "three in")
@@ -174,8 +182,10 @@
         self.assertEqual(links[1].signals.rows, {})
 
     def test_number_kept(self):
-        """The next start takes a number above the last one's, on a clock that went back too; a folder that
-        can't be used is counted and nothing waits for it."""
+        """The next start takes a number above the last one's, on a clock that went back too.
+
+        A folder that can't be used is counted and nothing waits for it.
+        """
         with tempfile.TemporaryDirectory() as folder:
             book, first = Book(), began(1_000_000)
             number = Number(folder, book)
@@ -192,8 +202,9 @@
             self.assertEqual((broken.known(), book.rows["fleet.unkept"]), (0, 1))
 
     def test_size_for_the_decisions(self):
-        """The decisions go by the size agreed on where that is wanted and can be trusted, by the one told at
-        the start elsewhere."""
+        """The decisions go by the size agreed on where that is wanted and can be trusted, by the
+        one told at the start elsewhere.
+        """
         given = types.SimpleNamespace(size=12)
         house = types.SimpleNamespace(
             told=types.SimpleNamespace(facts=types.SimpleNamespace(fleet=given)),
@@ -221,7 +232,10 @@
         self.assertEqual(given.size, 12)
 
     def test_operator_file(self):
-        """`fleet` as it is read, its faults, and a key file that can't be right: the one in force stays."""
+        """`fleet` as it is read, its faults, and a key file that can't be right.
+
+        The one in force stays.
+        """
         with tempfile.TemporaryDirectory() as folder:
             key, path = pathlib.Path(folder, "key"), pathlib.Path(folder, "operator.textproto")
             key.write_text("ab" * 32 + "  # ours\n")
--- a/tests/members/test_properties.py
+++ b/tests/members/test_properties.py
@@ -1,5 +1,8 @@
-"""Membership under any order of faults: a state machine, every short play of three members, merging in any
-order, and datagrams of any bytes."""
+"""Membership under any order of faults.
+
+A state machine, every short play of three members, merging in any order, and datagrams of any
+bytes.
+"""
 
 import itertools
 import random
@@ -48,8 +51,10 @@
 
 
 class Faults(RuleBasedStateMachine):
-    """Three to six members under any loss, doubling, cuts, pauses, ends and starts. Afterwards, when all
-    faults have ended, all views are one within `HEALED`."""
+    """Three to six members under any loss, doubling, cuts, pauses, ends and starts.
+
+    Afterwards, when all faults have ended, all views are one within `HEALED`.
+    """
 
     HEALED = 60 * SECOND  # an own removal may have to settle first, longer after each
 
@@ -141,8 +146,10 @@
         )
 
     def test_every_short_play(self):
-        """Every play of four steps of 1.6 s of a fleet of three, each under one of five faults: once they
-        end, the views are one again, and nobody removed anybody twice within one start."""
+        """Every play of four steps of 1.6 s of a fleet of three, each under one of five faults.
+
+        Once they end, the views are one again, and nobody removed anybody twice within one start.
+        """
 
         def cuts(*pairs):
             return lambda now, a, b: 1.0 if (a.name, b.name) in pairs else 0.0
@@ -217,7 +224,10 @@
             pass
 
     def test_a_later_release(self):
-        """What a later release appends to any array is passed over; news of a kind not known too."""
+        """What a later release appends to any array is passed over.
+
+        News of a kind not known too.
+        """
         import msgspec
 
         row = ["m1", 5, 1, "a:1", "z", 9, "more"]
@@ -242,8 +252,10 @@
         self.assertEqual([x.name for x in found.news], ["m1"])
 
     def test_seal(self):
-        """Another key, another fleet, a changed byte: none verifies. Two keys do, while one replaces the
-        other."""
+        """Another key, another fleet, a changed byte: none verifies.
+
+        Two keys do, while one replaces the other.
+        """
         old, new = b"a" * 32, b"b" * 32
         data = Seal("f", (old,)).seal(b"hello")
         self.assertEqual(Seal("f", (new, old)).open(data), (b"hello", 1))
@@ -259,8 +271,10 @@
                 keys_in(text)
 
     def test_counts(self):
-        """A datagram that came already, or is far behind, is not new; order does not matter within the
-        window."""
+        """A datagram that came already, or is far behind, is not new.
+
+        Order does not matter within the window.
+        """
         counts = Counts()
         self.assertEqual(
             [counts.fresh(1, n) for n in (1, 3, 2, 2, 3, 2000, 976, 977, 1999, 1999)],
--- a/tests/members/test_rig.py
+++ b/tests/members/test_rig.py
@@ -55,8 +55,11 @@
 
 class Rig(unittest.TestCase):
     def test_split_and_rolling(self):
-        """A cut that leaves three of five together, its healing, and members replaced in turn: the smaller
-        side removes nobody, an orderly end is no removal, and every req is answered once."""
+        """A cut that leaves three of five together, its healing, and members replaced in turn.
+
+        The smaller side removes nobody, an orderly end is no removal, and every req is answered
+        once.
+        """
         verdict = Play(read(ROLLING)).run()
         self.assertTrue(verdict.good(), [one for one in verdict.held if not one.held])
         self.assertEqual(
@@ -64,8 +67,10 @@
         )
 
     def test_faults(self):
-        """A process killed, one that stands still for 3 s, loss, one that hears nobody, an orderly end: those
-        who are well are kept by all, each fault is known in its time, and every req is answered once."""
+        """A process killed, one that stands still for 3 s, loss, one that hears nobody, an orderly
+        end: those who are well are kept by all, each fault is known in its time, and every req is
+        answered once.
+        """
         script = read(PLAY)
         verdict = Play(script).run()
         self.assertTrue(verdict.good(), [one for one in verdict.held if not one.held])
@@ -105,7 +110,9 @@
                 read(text)
 
     def test_ports(self):
-        """No port is handed out twice, and none that the system could give to somebody else meanwhile."""
+        """No port is handed out twice, and none that the system could give to somebody else
+        meanwhile.
+        """
         found = [free() for _ in range(40)]
         with socket.create_server(("127.0.0.1", 0)) as given:
             self.assertTrue(all(port < given.getsockname()[1] for _, port in found))
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -1,4 +1,6 @@
-"""The router alone: text scenarios, scripted pools on a stated clock, random scripts held to its rules."""
+"""The router alone: text scenarios, scripted pools on a stated clock, random scripts held to its
+rules.
+"""
 
 import pathlib
 import random
@@ -114,8 +116,10 @@
 
 
 class Simulated:
-    """A pool of back ends on a stated clock: each runs `slots` at once, the rest wait there. Figures from it
-    are simulated."""
+    """A pool of back ends on a stated clock: each runs `slots` at once, the rest wait there.
+
+    Figures from it are simulated.
+    """
 
     def __init__(self, dispatch, took, fate=lambda name, now: Fate.DONE, slots=8):
         self.d, self.took, self.fate, self.slots = dispatch, took, fate, slots
@@ -162,8 +166,10 @@
                 play(path, Scene().play)
 
     def test_fates(self):
-        """Every end of a connection has one meaning, before and after its first byte; only what was never
-        written is known not to have run."""
+        """Every end of a connection has one meaning, before and after its first byte.
+
+        Only what was never written is known not to have run.
+        """
         for end in End:
             before, after = fate_of(end, False), fate_of(end, True)
             self.assertIn(before, (Fate.UNRUN, Fate.STOPPED))
@@ -174,8 +180,10 @@
         self.assertNotIn(Fate.UNRUN, MAY_RUN_ON)
 
     def test_failing_fast(self):
-        """One of three fails each run within 1 ms: it does not draw runs by being quick. It is ejected within
-        half a second, and gets under one run in fifty after that (simulated)."""
+        """One of three fails each run within 1 ms: it does not draw runs by being quick.
+
+        It is ejected within half a second, and gets under one run in fifty after that (simulated).
+        """
         sim = Simulated(
             a_dispatch(first_out=2_000_000),
             lambda name, now: 40_000,
@@ -191,7 +199,10 @@
         self.assertLessEqual(sim.d.again, 0.1 * 1000 + 11)
 
     def test_slow(self):
-        """One of three is ten times slower: it keeps answering, and gets less than a fifth of the others."""
+        """One of three is ten times slower.
+
+        It keeps answering, and gets less than a fifth of the others.
+        """
         sim = Simulated(
             a_dispatch(), lambda name, now: 300_000 if name == "c" and now > 1_000_000 else 30_000
         )
@@ -202,8 +213,11 @@
         self.assertEqual(set(sim.tells), {Word.DONE})
 
     def test_return(self):
-        """One is gone for 3 s and comes back: it has its full share again within 12 s, and its trial and slow
-        start lose nothing more (simulated)."""
+        """One is gone for 3 s and comes back.
+
+        It has its full share again within 12 s, and its trial and slow start lose nothing more
+        (simulated).
+        """
 
         def fate(name, now):
             return Fate.UNRUN if name == "a" and 2_000_000 < now < 5_000_000 else Fate.DONE
@@ -219,7 +233,9 @@
         self.assertLess(early, 0.25)
 
     def test_all_gone(self):
-        """All refuse: every run is told at once that it can't be run, none waits, and the room is 0."""
+        """All refuse: every run is told at once that it can't be run, none waits, and the room is
+        0.
+        """
         sim = Simulated(a_dispatch(), lambda name, now: 30_000, lambda name, now: Fate.UNRUN)
         sim.run(200, 3_000_000)
         self.assertEqual(set(sim.tells), {Word.UNRUN})
@@ -232,7 +248,10 @@
         self.assertGreater(back.tells[Word.DONE], 0.9 * sum(back.tells.values()))
 
     def test_limit(self):
-        """A back end that crowds above eight at once: the limit finds its way there from both sides."""
+        """A back end that crowds above eight at once.
+
+        The limit finds its way there from both sides.
+        """
         for first in (2, 60):
             limit, at = Limit(first, 1, 64), 0
             for _ in range(3000):
@@ -277,9 +296,12 @@
         st.sampled_from([0.0, 0.34, 0.5, 1.0]),
     )
     def test_rules(self, script, share, out):
-        """Whatever happens: each run is told once; a try that may have run is followed by another only where
-        that may be; no run is twice at one back end; tries stay within their budget; ejected ones within
-        their share; a back end never has more than its limit; nothing is kept of runs that are over."""
+        """Whatever happens: each run is told once.
+
+        A try that may have run is followed by another only where that may be; no run is twice at
+        one back end; tries stay within their budget; ejected ones within their share; a back end
+        never has more than its limit; nothing is kept of runs that are over.
+        """
         d = a_dispatch("abcd", share=share, burst=3.0, out=out)
         now, there, told, begun, first, tries = 0, {}, {}, [], 0, 0
 
--- a/tests/scgi/test_scgi.py
+++ b/tests/scgi/test_scgi.py
@@ -22,13 +22,15 @@
         on_sockets(self, HERE)
 
     def test_overload(self):
-        """Both protocols mixed at twice the capacity: each req gets exactly one answer, none late, and sheds
-        do not ask by which protocol it came.
+        """Both protocols mixed at twice the capacity.
 
-        A coin says by which protocol each req comes. If that is nothing to the daemon, the sheds among those
-        that came by SCGI are a draw without replacement from all sheds of the handler, and by Hoeffding's
-        bound their share is off by t with a chance under 2 exp(-2 m t^2). t is such that all three handlers
-        together come under one in a million."""
+        Each req gets exactly one answer, none late, and sheds do not ask by which protocol it came.
+
+        A coin says by which protocol each req comes. If that is nothing to the daemon, the sheds
+        among those that came by SCGI are a draw without replacement from all sheds of the handler,
+        and by Hoeffding's bound their share is off by t with a chance under 2 exp(-2 m t^2). t is
+        such that all three handlers together come under one in a million.
+        """
         chance, told, threads = random.Random(11), [], []
         with contextlib.closing(Sockets()) as scene:
             scene.engine.down()
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,6 @@
-"""Stand-ins for what a real server talks to, on loopback, and the script that plays a scenario with them."""
+"""Stand-ins for what a real server talks to, on loopback, and the script that plays a scenario with
+them.
+"""
 
 import contextlib
 import json
@@ -109,8 +111,10 @@
 
 
 def message(name, handler, length="", scgi=False, of=None, **fields):
-    """A gateway's req; fields that are given as 'no' are left out. `of` is the first try that this one
-    repeats: a repeat carries the same body."""
+    """A gateway's req; fields that are given as 'no' are left out.
+
+    `of` is the first try that this one repeats: a repeat carries the same body.
+    """
     body = f"body of {of or name}".encode()
     if scgi:
         fields |= {"Content-Length": "no"}
@@ -142,7 +146,10 @@
 
 
 class StandIn:
-    """One that listens. What comes is put in `heard`, message by message; `links` holds its connections."""
+    """One that listens.
+
+    What comes is put in `heard`, message by message; `links` holds its connections.
+    """
 
     def __init__(self):
         self.heard, self.links, self.listener, self.address = (
@@ -231,7 +238,10 @@
 
 
 class Busy(Engine):
-    """An engine that works by itself: `cores` runs at a time, `span` seconds each, in their order."""
+    """An engine that works by itself.
+
+    `cores` runs at a time, `span` seconds each, in their order.
+    """
 
     def __init__(self, cores, span):
         self.cores, self.span, self.tasks, self.there = cores, span, queue.SimpleQueue(), 0
--- a/tests/store/test_remember.py
+++ b/tests/store/test_remember.py
@@ -17,7 +17,9 @@
         return running.nodes[0].server
 
     def test_round(self):
-        """A snapshot read back gives a young server its usual times in part, beside its first guesses."""
+        """A snapshot read back gives a young server its usual times in part, beside its first
+        guesses.
+        """
         server = self.learned()
         kept = r.taken(server, 7, 100.0)
         found = r.unpacked(r.packed(kept), r.Learned)
@@ -36,7 +38,10 @@
             self.assertIsNone(r.unpacked(spoilt, r.Learned))
 
     def test_trust(self):
-        """Bound to what was stated; discounted by age; never for a crash loop; a clock set back is no age."""
+        """Bound to what was stated; discounted by age; never for a crash loop.
+
+        A clock set back is no age.
+        """
         found = r.Learned(7, 1000.0, {}, 0.0)
         well = r.Starts(0)
         self.assertEqual(r.trust(found, 7, 1000.0, well).weight, r.MOST)
@@ -61,7 +66,10 @@
         self.assertEqual(r.digest({"a": 1, "b": 2}), r.digest({"b": 2, "a": 1}))
 
     def test_fit(self):
-        """A slow or cold spell, or a drain, is not remembered; a lasting change is believed in the end."""
+        """A slow or cold spell, or a drain, is not remembered.
+
+        A lasting change is believed in the end.
+        """
         usual = {"a": 100.0}
         self.assertTrue(r.fit({"a": 150.0}, usual, True, False))
         self.assertFalse(r.fit({"a": 250.0}, usual, True, False))
@@ -73,9 +81,10 @@
         self.assertEqual(r.settle({"a": 50.0}, usual), {"a": 50.0})
 
     def test_cold(self):
-        """What nine in ten runs did not exceed at an age is what a next cold start begins with there,
-        together with what earlier ones had; not where other things were stated, and never once it is
-        warm."""
+        """What nine in ten runs did not exceed at an age is what a next cold start begins with
+        there, together with what earlier ones had; not where other things were stated, and never
+        once it is warm.
+        """
         curve = cold.Curve()
         for took in range(1, 101):
             curve.ran(600_000, "box-view", took * 1000.0)
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,4 +1,6 @@
-"""The store: crash states of small runs, cuts and flips of files, random runs against a dict, SIGKILL."""
+"""The store: crash states of small runs, cuts and flips of files, random runs against a dict,
+SIGKILL.
+"""
 
 import itertools
 import json
@@ -23,7 +25,10 @@
 
 
 class Memory:
-    """Files that remember what was synced. `fail` names calls that break, by their count from now on."""
+    """Files that remember what was synced.
+
+    `fail` names calls that break, by their count from now on.
+    """
 
     def __init__(self, files=()):
         self.files = dict(files)  # all that was written
@@ -74,8 +79,11 @@
         self.folder, self.gone = set(self.files), {}
 
     def crashes(self):
-        """Every state that a power cut now may leave: unsynced bytes cut anywhere, or whole blocks of them
-        never written, files that came there or not, files that went there still or not."""
+        """Every state that a power cut now may leave.
+
+        Unsynced bytes cut anywhere, or whole blocks of them never written, files that came there or
+        not, files that went there still or not.
+        """
         fixed = {
             n: d for n, d in self.files.items() if n in self.folder and self.synced[n] == len(d)
         }
@@ -109,8 +117,10 @@
 
 class Stores(unittest.TestCase):
     def test_formats(self):
-        """A folder of version 1, whose segments have no header, is read and gone on with; one of a later
-        version is refused, and nothing in it changes."""
+        """A folder of version 1, whose segments have no header, is read and gone on with.
+
+        One of a later version is refused, and nothing in it changes.
+        """
         old = Memory({"0000000001.seg": pack(Record(1, "a", b"1")) + pack(Record(2, "b", b"2"))})
         store = Store(old)
         self.assertEqual(
@@ -129,8 +139,11 @@
         self.assertEqual(later.files, before)
 
     def test_crashes(self):
-        """Power cut at every call, in every state it may leave, compaction included: what was acknowledged is
-        there, nothing is half there, the store opens and goes on, and opens again."""
+        """Power cut at every call, in every state it may leave, compaction included.
+
+        What was acknowledged is there, nothing is half there, the store opens and goes on, and
+        opens again.
+        """
         files, states, acked, going = Memory(), 0, {}, {}
         store, compactions = Store(files, roll=120), 0
 
@@ -162,7 +175,10 @@
         self.assertEqual(dict(store.items()), {k: v for k, v in acked.items() if v is not None})
 
     def test_cuts(self):
-        """Any file cut at any byte, any byte flipped or gone: each record whole or dropped and counted."""
+        """Any file cut at any byte, any byte flipped or gone.
+
+        Each record whole or dropped and counted.
+        """
         files = Memory()
         store = Store(files, roll=150)
         for batch in SCRIPT:
@@ -241,7 +257,10 @@
                 self.assertEqual(store.get(key), wanted.get(key))
 
     def test_faults(self):
-        """A full disk, one that can't sync, a quota: said, counted, and the store goes on when it can."""
+        """A full disk, one that can't sync, a quota.
+
+        Said, counted, and the store goes on when it can.
+        """
         files = Memory()
         store = Store(files, roll=500, quota=400)
         store.put([("a", b"1" * 100)])
@@ -277,7 +296,9 @@
         self.assertEqual(len(store.keys()), 50)
 
     def test_disk(self):
-        """A real folder: a second process is refused, a restart finds all, commands tell what is there."""
+        """A real folder: a second process is refused, a restart finds all, commands tell what is
+        there.
+        """
         with tempfile.TemporaryDirectory() as folder:
             disk = Disk(folder)
             store = Store(disk, roll=300)
@@ -301,7 +322,10 @@
             )
 
     def test_committer(self):
-        """Many threads wait at once, few groups; a full queue refuses; a weak disk tells so and recovers."""
+        """Many threads wait at once, few groups; a full queue refuses.
+
+        A weak disk tells so and recovers.
+        """
         files = Memory()
         committer = Committer(Store(files), most=100)
         told, all_told = [], threading.Semaphore(0)
@@ -325,7 +349,10 @@
         self.assertEqual((told[-1], committer.weak, committer.store.get("x")), (True, False, b"2"))
 
     def test_killed(self):
-        """A writer killed with SIGKILL at a random moment: every key that it said was durable is there."""
+        """A writer killed with SIGKILL at a random moment.
+
+        Every key that it said was durable is there.
+        """
         code = (
             "import sys; from gullyoke.store import *\n"
             "s = Store(Disk(sys.argv[1]), roll=3000)\n"
