--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,4 +1,7 @@
-"""Pools and the reserve: the hard cases on emulated days, limits under random demand, and the lab."""
+"""Pools and the reserve.
+
+The hard cases on emulated days, limits under random demand, and the lab.
+"""
 
 import pathlib
 import tempfile
@@ -24,7 +27,10 @@
 
 class Limits(unittest.TestCase):
     def demand(self, pools, rates, seconds, now=0):
-        """Each handler asks for so many cores' worth of work; what fits is done. Shares of asks that fit."""
+        """Each handler asks for so many cores' worth of work; what fits is done.
+
+        Shares of asks that fit.
+        """
         fits, asked = {}, {}
         for _ in range(seconds * 10):
             now += 100_000
@@ -38,8 +44,10 @@
         return {h: fits.get(h, 0) / asked[h] for h in asked}, now
 
     def test_order(self):
-        """At three times the capacity the class worth most gets all it asks for, the last what is left and
-        never less than its minimum; what one leaves is lent, and had back within a run's time."""
+        """At three times the capacity the class worth most gets all it asks for, the last what is
+        left and never less than its minimum; what one leaves is lent, and had back within a run's
+        time.
+        """
         low, high = handler("low", 1.0, 200_000), handler("high", 3.0, 100_000)
         pools = Pools(0, 4, {low: 1, high: 2}, minimum=0.05)
         self.demand(pools, {low: 10.0, high: 2.0}, 5)
@@ -55,7 +63,10 @@
         self.assertGreater(got[low], 0.01)  # its minimum
 
     def test_alone(self):
-        """A class with nobody worth more beside it is never bound by its pool: the threshold is its limit."""
+        """A class with nobody worth more beside it is never bound by its pool.
+
+        The threshold is its limit.
+        """
         one = handler("one", 1.0, 100_000)
         pools = Pools(0, 2, {one: one})
         got, _ = self.demand(pools, {one: 20.0}, 5)
@@ -63,7 +74,10 @@
         self.assertEqual(pools.reserve(one), 0)
 
     def test_no_room(self):
-        """Guards against a limit of next to nothing, whose wait is no number that fits: advice is bounded."""
+        """Guards against a limit of next to nothing, whose wait is no number that fits.
+
+        Advice is bounded.
+        """
         low, high = handler("low", 1.0, 2201), handler("high", 1.0, 2200)
         pools = Pools(0, 1, {low: low, high: high}, 2.2e-309)
         self.demand(pools, {low: 2.0, high: 2.0}, 3)
@@ -82,8 +96,11 @@
         st.floats(0, 0.01),
     )
     def test_sums(self, classes, cores, minimum):
-        """A hundred classes, one core: limits together stay under what is completed and a tenth, nobody
-        gets more than it asks for, and the reserve leaves half of the cores to everybody."""
+        """A hundred classes, one core.
+
+        Limits together stay under what is completed and a tenth, nobody gets more than it asks for,
+        and the reserve leaves half of the cores to everybody.
+        """
         rates = {
             handler(f"h{i}", value, work): load for i, (value, work, load) in enumerate(classes)
         }
@@ -122,7 +139,10 @@
         return counts["done"] / max(1, sum(counts.values()))
 
     def test_floods(self):
-        """At 2, 5 and 10 times the capacity the class worth most is kept in time; without pools it is not."""
+        """At 2, 5 and 10 times the capacity the class worth most is kept in time.
+
+        Without pools it is not.
+        """
         for load, least, more in ((2.0, 0.97, -0.01), (5.0, 0.75, 0.1), (10.0, 0.45, 0.2)):
             without, pooled = self.both(load)
             self.assertGreater(self.inside(pooled, DROP), least)
@@ -142,7 +162,10 @@
         self.assertGreater(pooled.share(), without.share())
 
     def test_silent(self):
-        """A class that was silent comes with ten times its share: nothing stands in its way for long."""
+        """A class that was silent comes with ten times its share.
+
+        Nothing stands in its way for long.
+        """
         without, pooled = self.both(2.0, 10, silent=(DROP, 5 * SECOND))
         self.assertGreater(self.inside(pooled, DROP), max(0.55, self.inside(without, DROP) - 0.02))
 
@@ -164,7 +187,10 @@
         self.assertGreater(self.inside(pooled, DROP), 0.9)
 
     def test_heavy(self):
-        """A class whose runs are ten times its first guess: its cost is learned, the others go on."""
+        """A class whose runs are ten times its first guess.
+
+        Its cost is learned, the others go on.
+        """
         works = (
             W[BOX]._replace(work=2_800_000, target=8_000_000, timeout=12_000_000),
             W[SET],
@@ -206,8 +232,10 @@
     )
 
     def test_run(self):
-        """Tables, charts and a report come out; a cut row is played again and the rest stands; another
-        experiment's rows are refused."""
+        """Tables, charts and a report come out; a cut row is played again and the rest stands.
+
+        Another experiment's rows are refused.
+        """
         with tempfile.TemporaryDirectory() as name:
             folder, file = pathlib.Path(name, "out"), pathlib.Path(name, "t.experiment")
             file.write_text(self.TEXT)
@@ -239,7 +267,10 @@
             self.assertIn(":2: work[1].timeout_ms: 9 is under", wrong.stderr)
 
     def test_try(self):
-        """A newcomer's first run: a real daemon and its emulated platform on loopback answer every req."""
+        """A newcomer's first run.
+
+        A real daemon and its emulated platform on loopback answer every req.
+        """
         got = CliRunner().invoke(main, ["try", "--seconds", "2", "--load", "2"])
         self.assertEqual(got.exit_code, 0, got.output)
         self.assertIn("value earned", got.output)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,7 @@
-"""Plays the scenarios beside this file against the decisions alone; their notation is in tests/README.md."""
+"""Plays the scenarios beside this file against the decisions alone.
+
+Their notation is in tests/README.md.
+"""
 
 import contextlib
 import io
@@ -67,7 +70,10 @@
 
 
 class Scene:
-    """One server under a scenario: the port's Door, the script's events, statements on what came of it."""
+    """One server under a scenario.
+
+    The port's Door, the script's events, statements on what came of it.
+    """
 
     def __init__(self):
         self.given = dict(
@@ -310,7 +316,10 @@
 
 
 def on_sockets(case, folder):
-    """Plays a folder's scenarios on real servers, three side by side: they wait more than they work."""
+    """Plays a folder's scenarios on real servers, three side by side.
+
+    They wait more than they work.
+    """
 
     def one(path):
         with contextlib.closing(Sockets()) as scene:
@@ -341,7 +350,10 @@
 
 class Scenarios(unittest.TestCase):
     def test_wire(self):
-        """What is not the wire is told in one line that names the line; the input's end is no fault."""
+        """What is not the wire is told in one line that names the line.
+
+        The input's end is no fault.
+        """
         frame = "frame TimeUs=5 seq=1\n"
         self.assertEqual(
             self.wire(frame + "eob\nframe TimeUs=9 seq=2\neob\n"), "eor seq=1\neor seq=2\n"
@@ -392,7 +404,10 @@
         self.assertLess(len(long.data), 9 * 4096)  # endless input does not grow it without end
 
     def test_options(self):
-        """One plain line that names the key, whatever is wrong with it; both fronts read the same facts."""
+        """One plain line that names the key, whatever is wrong with it.
+
+        Both fronts read the same facts.
+        """
         whole = {
             "name": "n3",
             "listen": "127.0.0.1:7001",
@@ -466,7 +481,10 @@
         return rows
 
     def test_no_dependency(self):
-        """Where the settings name nothing below, no address of a database is needed; where they do, it is."""
+        """Where the settings name nothing below, no address of a database is needed.
+
+        Where they do, it is.
+        """
         alone = {
             "name": "n3",
             "listen": "127.0.0.1:7001",
@@ -484,7 +502,9 @@
             self.told(alone | {"db": "nowhere"})
 
     def test_another_servers_file(self):
-        """A new configuration with another name, other classes or other tenants is another server's."""
+        """A new configuration with another name, other classes or other tenants is another
+        server's.
+        """
         whole = {
             "name": "n3",
             "listen": "127.0.0.1:7001",
@@ -512,7 +532,9 @@
             return told({"NODE_CONFIG": file.name})
 
     def test_gauges(self):
-        """A wake-up waits for its gauges from its own time on, however long ago the last event was."""
+        """A wake-up waits for its gauges from its own time on, however long ago the last event
+        was.
+        """
         times, desk = [], mock.Mock(now=0)
         route = Route(
             desk,
@@ -553,7 +575,10 @@
         self.assertEqual(scene.due, scene.now + TICK)
 
     def test_pieces(self):
-        """An episode is solved in pieces: between them the lock is free and the last policy stands."""
+        """An episode is solved in pieces.
+
+        Between them the lock is free and the last policy stands.
+        """
         desk, learner = Desk(facts_of(flat(site())), 1, Book()), Learner(0, 40, 2, 1e5, 1e-6)
         learner.steepness, last = [1.0] * 41, learner.policy
         learner.visits[0][6] += 9.0
@@ -569,7 +594,10 @@
         self.assertIsNot(learner.policy, last)
 
     def test_log(self):
-        """Of one event few lines a span are written, the next says how many were left out; errors all are."""
+        """Of one event few lines a span are written, the next says how many were left out.
+
+        Errors all are.
+        """
         lines = Bounded(queue.Queue(), most=2, span=10.0)
         made = [
             logging.makeLogRecord({"msg": "x", "created": t, "levelno": level})
@@ -579,7 +607,10 @@
         self.assertEqual([getattr(r, "pairs", None) for r in made[4:]], [{"left_out": 2}, None])
 
     def test_ends(self):
-        """Every end has its outcome for each peer; only one that never came about proves that no call ran."""
+        """Every end has its outcome for each peer.
+
+        Only one that never came about proves that no call ran.
+        """
         for end in End:
             word = outcome(Peer.DATABASE, end)
             self.assertIs(
--- a/tests/together/test_quotas.py
+++ b/tests/together/test_quotas.py
@@ -1,4 +1,7 @@
-"""Customers' quotas lent as rates: they follow who is asked, and never come to more than there is."""
+"""Customers' quotas lent as rates.
+
+They follow who is asked, and never come to more than there is.
+"""
 
 import random
 import time
@@ -22,9 +25,10 @@
 
 class Quotaed(unittest.TestCase):
     def test_follows(self):
-        """A customer that asks two of sixteen servers keeps what it is entitled to, and where it moves too;
-        by the fleet's size an eighth of it. With loss and without, the parts of all are never over the
-        quota."""
+        """A customer that asks two of sixteen servers keeps what it is entitled to, and where it
+        moves too; by the fleet's size an eighth of it. With loss and without, the parts of all are
+        never over the quota.
+        """
         for load, moves, loss, least in (
             (0.9, False, 0.0, 0.7),
             (0.9, True, 0.0, 0.45),
@@ -52,8 +56,11 @@
         self.assertIsNone(Customer("c", 5.0).lent(0))
 
     def test_on_sockets(self):
-        """Three servers, two customers: each quota goes by letters of its own, one server comes to have most
-        of one, and what is stated otherwise is counted and nothing else."""
+        """Three servers, two customers.
+
+        Each quota goes by letters of its own, one server comes to have most of one, and what is
+        stated otherwise is counted and nothing else.
+        """
         links = [Link(("127.0.0.1", 0), Seal("f", (b"k" * 32,)), Book()) for _ in range(3)]
         at = ["{}:{}".format(*link.address) for link in links]
         homes, whole = {f"p{i}": at[i] for i in range(3)}, tokens(3)
--- a/tests/together/test_shares.py
+++ b/tests/together/test_shares.py
@@ -1,4 +1,7 @@
-"""Shares: what is in force together is never above what there is, whatever happens; and they follow need."""
+"""Shares: what is in force together is never above what there is, whatever happens.
+
+And they follow need.
+"""
 
 import random
 import unittest
@@ -17,9 +20,11 @@
 
 
 def troubled(seed, span=24):
-    """A play with everything at once: loss, messages up to 3 s late, pauses up to 9 s, ends and starts of
-    homes and borrowers, double starts under a home's name, cuts. The most of one home's tokens that were in
-    force."""
+    """A play with everything at once.
+
+    Loss, messages up to 3 s late, pauses up to 9 s, ends and starts of homes and borrowers, double
+    starts under a home's name, cuts. The most of one home's tokens that were in force.
+    """
     chance = random.Random(seed)
     play = Play(
         seed,
@@ -57,8 +62,10 @@
 
 
 def used(seed, span=24):
-    """As above, with processes that make calls as their slots allow: the most that a dependency had in hand,
-    and the limit."""
+    """As above, with processes that make calls as their slots allow.
+
+    The most that a dependency had in hand, and the limit.
+    """
     chance = random.Random(seed)
     homes, floor = chance.choice((1, 3, 5)), chance.choice((0, 2))
     play = Play(
@@ -96,16 +103,19 @@
 
 class Shares(unittest.TestCase):
     def test_conserved(self):
-        """Never more of one home's tokens than there are, at any event of any play; and not since nothing was
-        lent."""
+        """Never more of one home's tokens than there are, at any event of any play.
+
+        And not since nothing was lent.
+        """
         worst = [troubled(seed) for seed in range(24)]
         self.assertLessEqual(max(worst), TOKENS)
         self.assertGreater(sum(one == TOKENS for one in worst), 12)
 
     def test_in_hand_below(self):
-        """What the dependency has in hand never goes over the limit, through pauses, restarts, cuts and needs
-        that swing; and without one of these it does: what is in use when a loan shrinks stays out, and a
-        call ends with the loan it stands on."""
+        """What the dependency has in hand never goes over the limit, through pauses, restarts, cuts
+        and needs that swing; and without one of these it does: what is in use when a loan shrinks
+        stays out, and a call ends with the loan it stands on.
+        """
         plays = [used(seed) for seed in range(16)]
         self.assertTrue(all(most <= limit for most, limit in plays), plays)
         self.assertGreater(sum(most > 0.8 * limit for most, limit in plays), 8)
@@ -133,7 +143,10 @@
                 )
 
     def passed_on(self, seed, cut):
-        """All is lent to one who uses it; then another wants it, and the first wants less, or is cut off."""
+        """All is lent to one who uses it.
+
+        Then another wants it, and the first wants less, or is cut off.
+        """
         play = Play(seed, homes=1, others=2, tokens=TOKENS)
         play.processes["b0"].calls = 60
         play.run(16 * SECOND)
@@ -146,8 +159,10 @@
         return play.worst_below
 
     def twice(self, seed, restart=()):
-        """h0 has lent all; then half of the borrowers take another process for h0, and the first is cut off
-        from the voters, but not from its own borrowers; `restart` names voters that start anew then."""
+        """h0 has lent all; then half of the borrowers take another process for h0, and the first is
+        cut off from the voters, but not from its own borrowers; `restart` names voters that start
+        anew then.
+        """
         play = Play(seed, homes=3, others=4, tokens=TOKENS)
         play.processes["b0"].need = play.processes["b1"].need = 100
         play.run(20 * SECOND)
@@ -181,8 +196,10 @@
         return play.worst
 
     def test_names_and_starts(self):
-        """Two processes for one home, voters that forget, a home that forgets: nothing is lent twice, and
-        each of these would be without its guard."""
+        """Two processes for one home, voters that forget, a home that forgets.
+
+        Nothing is lent twice, and each of these would be without its guard.
+        """
 
         def early(self, now, after=0):
             return self.holds(now)
@@ -213,8 +230,9 @@
                     self.assertTrue(any(play(seed) > TOKENS for seed in range(40)))
 
     def test_follows_need(self):
-        """With no fault, what is wanted is lent within seconds, fairly where more is wanted than there is,
-        and follows when the need moves; nobody who wants some is left with none."""
+        """With no fault, what is wanted is lent within seconds, fairly where more is wanted than
+        there is, and follows when the need moves; nobody who wants some is left with none.
+        """
         play = Play(7, homes=3, others=3, tokens=40, floor=2)
         play.run(12 * SECOND)  # names are held, old loans waited out
         for key, need in (("b0", 30), ("b1", 200), ("b2", 200)):
@@ -232,8 +250,11 @@
         self.assertLessEqual(play.worst, 40)
 
     def test_a_home_that_ends(self):
-        """Its tokens are nobody's for a while; once a process is back at its address they are lent again, and
-        the others' are lent all along."""
+        """Its tokens are nobody's for a while.
+
+        Once a process is back at its address they are lent again, and the others' are lent all
+        along.
+        """
         play = Play(3, homes=3, others=2, tokens=20)
         for process in play.processes.values():
             process.need = 100
@@ -252,7 +273,9 @@
             Sharing(0, 1, ("h0", "h1"), 10, 1, "h2")
 
     def test_alone(self):
-        """One that reaches nobody falls back to its floor within a loan's time, by its own clock alone."""
+        """One that reaches nobody falls back to its floor within a loan's time, by its own clock
+        alone.
+        """
         play = Play(5, homes=3, others=1, tokens=20, floor=3)
         play.processes["b0"].need = 40
         play.run(20 * SECOND)
@@ -272,8 +295,11 @@
         ),
     )
     def test_level(self, total, wishes):
-        """All that there is, or is wanted, is given out; who gets less than it wants has, for its weight and
-        with what it holds elsewhere, as much as anybody who gets some."""
+        """All that there is, or is wanted, is given out.
+
+        Who gets less than it wants has, for its weight and with what it holds elsewhere, as much as
+        anybody who gets some.
+        """
         found = level(total, wishes)
         parts = [wish.part(found) for wish in wishes]
         self.assertTrue(
@@ -291,8 +317,10 @@
             self.assertGreaterEqual(min(short), max(some) - 0.01)
 
     def test_nobody_starves(self):
-        """More borrowers than tokens at the homes: each has one in turn, and who has some elsewhere does not
-        get more before who has none."""
+        """More borrowers than tokens at the homes.
+
+        Each has one in turn, and who has some elsewhere does not get more before who has none.
+        """
         play = Play(9, homes=3, others=18, tokens=4)
         for process in play.processes.values():
             process.need = 3
--- a/tests/together/test_signals.py
+++ b/tests/together/test_signals.py
@@ -1,5 +1,7 @@
-"""Signals: told in few bits without flicker; one that lies or is stuck has little weight; slow is not
-full."""
+"""Signals: told in few bits without flicker; one that lies or is stuck has little weight.
+
+Slow is not full.
+"""
 
 import random
 import unittest
@@ -59,7 +61,9 @@
         READING,
     )
     def test_a_liar_moves_a_median_by_one_place(self, readings, lie):
-        """Whatever one says, what is made of them stays between what its neighbours in order said."""
+        """Whatever one says, what is made of them stays between what its neighbours in order
+        said.
+        """
         told = outlook([*readings, lie._replace(stage=Stage.WARM)])
         for name in ("room", "shed", "pace"):
             ranked = sorted(getattr(r, name) for r in readings)
@@ -70,7 +74,9 @@
             )
 
     def test_old_words(self):
-        """What is old, came late or was told before a pause does not count, and too few say nothing."""
+        """What is old, came late or was told before a pause does not count, and too few say
+        nothing.
+        """
         heard = Heard()
         for sender in range(LEAST):
             heard.hear(0, sender, 5, WELL.pack())
@@ -86,8 +92,10 @@
         self.assertIsNone(outlook([WELL._replace(stage=Stage.DRAINING)] * 20))
 
     def test_slow_or_full(self):
-        """Alone slow: its sheds go elsewhere and it takes itself back after a while. All full: they do not,
-        and it stays. Nothing known: as without the others."""
+        """Alone slow: its sheds go elsewhere and it takes itself back after a while.
+
+        All full: they do not, and it stays. Nothing known: as without the others.
+        """
         judged, slow = Judgement(lambda: 0.5), WELL._replace(pace=2.5)
         self.assertEqual((judged.full(True), judged.full(False)), (True, False))
         self.assertEqual(judged.stay(1000), 1000)
@@ -103,8 +111,11 @@
         self.assertEqual((judged.full(False), judged.back), (True, False))
 
     def test_few_take_themselves_back(self):
-        """A third of the fleet turns slow together: no more than a tenth and one a look of it goes, the rest
-        serves on. A liar alone never gets anybody to go."""
+        """A third of the fleet turns slow together.
+
+        No more than a tenth and one a look of it goes, the rest serves on. A liar alone never gets
+        anybody to go.
+        """
         judges = [Judgement(lambda: 0.5) for _ in range(30)]
         paces = [3.0 if i < 10 else 1.0 for i in range(30)]
         for look in range(40):
@@ -126,7 +137,9 @@
         self.assertFalse(beside_liar.back)
 
     def test_advice_spreads(self):
-        """Those who heed it come back spread over its whole length, later where the others have more room."""
+        """Those who heed it come back spread over its whole length, later where the others have
+        more room.
+        """
         judged = Judgement(random.Random(3).random)
         judged.weigh(0, WELL._replace(room=0.0), [WELL] * 10)
         told = [judged.stay(100_000) for _ in range(4000)]
--- a/tests/together/test_subsets.py
+++ b/tests/together/test_subsets.py
@@ -19,7 +19,10 @@
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(COUNT, COUNT, st.integers(1, 30))
     def test_even(self, n, m, k):
-        """Each back end in as many subsets as any other within one; each subset whole and without repeats."""
+        """Each back end in as many subsets as any other within one.
+
+        Each subset whole and without repeats.
+        """
         found = apertures(named("s", n), named("b", m), k)
         taken = Counter(b for subset in found.values() for b in subset)
         counts = [taken[b] for b in named("b", m)]
@@ -28,7 +31,10 @@
         self.assertEqual(found, apertures(named("s", n)[::-1], named("b", m)[::-1], k))
 
     def test_little_moves(self):
-        """One server or back end more or fewer: at most so much is opened anew, at the worst one of all."""
+        """One server or back end more or fewer.
+
+        At most so much is opened anew, at the worst one of all.
+        """
         for n, m, k, most in (
             (10, 10, 3, 0.34),
             (50, 50, 10, 0.11),
@@ -73,8 +79,10 @@
         self.assertGreaterEqual(min(taken[b] for b in back_ends[1:]), 0.6 * 20)
 
     def test_flapping(self):
-        """One that comes and goes moves nothing; one that is gone for good is replaced, one move at a
-        time."""
+        """One that comes and goes moves nothing.
+
+        One that is gone for good is replaced, one move at a time.
+        """
         one = Subset(0, ("a", "b", "c"))
         for second in range(0, 60, 2):
             wanted = ("a", "b", "c") if second % 4 else ("a", "c", "d")
--- a/tests/together/test_wire.py
+++ b/tests/together/test_wire.py
@@ -1,4 +1,7 @@
-"""Shares between links on real sockets of one process: lent, passed on, and whatever does not fit dropped."""
+"""Shares between links on real sockets of one process.
+
+Lent, passed on, and whatever does not fit dropped.
+"""
 
 import random
 import time
@@ -33,8 +36,10 @@
     @settings(max_examples=200, deadline=None, derandomize=True, database=None)
     @given(LETTER, st.binary(max_size=60))
     def test_letters(self, letter, noise):
-        """A letter comes back as it was, with what a later release appends passed over; of another limit
-        none; noise is malformed or none, and never anything else."""
+        """A letter comes back as it was, with what a later release appends passed over.
+
+        Of another limit none; noise is malformed or none, and never anything else.
+        """
         self.assertEqual(unpack(5, pack(5, letter)), letter)
         self.assertIsNone(unpack(6, pack(5, letter)))
         kind = (Claim, Promise, Want, Grant, Return).index(type(letter))
@@ -51,8 +56,11 @@
                 pass
 
     def test_on_sockets(self):
-        """Three share what two homes' majority lends; what one gives up another gets; a sender stated
-        otherwise is counted and gets nothing; a vote from elsewhere than its home's address is none."""
+        """Three share what two homes' majority lends; what one gives up another gets.
+
+        A sender stated otherwise is counted and gets nothing; a vote from elsewhere than its home's
+        address is none.
+        """
         links = [Link(("127.0.0.1", 0), Seal("f", (b"k" * 32,)), Book()) for _ in range(4)]
         at = ["{}:{}".format(*link.address) for link in links]
         homes = {f"p{i}": at[i] for i in range(3)}
--- a/tests/walk/test_walk.py
+++ b/tests/walk/test_walk.py
@@ -28,7 +28,9 @@
 
 class Walk(unittest.TestCase):
     def test_explorer(self):
-        """All states are seen once, the shortest way to a wrong one is found, and a bound is kept."""
+        """All states are seen once, the shortest way to a wrong one is found, and a bound is
+        kept.
+        """
         whole = walked(Counting(9), 20)
         self.assertEqual((whole.states, whole.whole, whole.found), (25, True, None))
         found = walked(Counting(4), 20)
@@ -38,8 +40,9 @@
         self.assertEqual(walked(Counting(9), 20, 7)[:3:2], (7, False))
 
     def test_shares(self):
-        """No order of losses, late messages, restarts, double starts and clocks a tick apart brings more in
-        force than there is; without one of the guards some does."""
+        """No order of losses, late messages, restarts, double starts and clocks a tick apart brings
+        more in force than there is; without one of the guards some does.
+        """
         states, wrong = shares.found(None, 4)
         self.assertIsNone(wrong)
         self.assertGreater(states, 15_000)
@@ -48,9 +51,10 @@
                 self.assertIsNotNone(shares.found(guard, 4)[1])
 
     def test_duty(self):
-        """No order of losses, late words, stalls, restarts, wiped and failing disks and clocks a tick apart
-        brings two holders at once, an act after one of a newer epoch, or an epoch that goes back; without one
-        of the guards some does."""
+        """No order of losses, late words, stalls, restarts, wiped and failing disks and clocks a
+        tick apart brings two holders at once, an act after one of a newer epoch, or an epoch that
+        goes back; without one of the guards some does.
+        """
         states, wrong = duty.found(None, 3)
         self.assertIsNone(wrong)
         self.assertGreater(states, 6_000)
@@ -59,7 +63,9 @@
                 self.assertIsNotNone(duty.found(guard, 3)[1])
 
     def test_played(self):
-        """The way to each of the walk's starts is a script that the rig takes, with the faults in it."""
+        """The way to each of the walk's starts is a script that the rig takes, with the faults in
+        it.
+        """
         faults = {
             "a voter lost its promises": "disk m1 lost",
             "a disk failed a promise": "disk m2 ill",
--- a/tests/work/test_writing.py
+++ b/tests/work/test_writing.py
@@ -1,4 +1,6 @@
-"""Commands to the engine and answers to gateways go out by the thread that made them, and in their order."""
+"""Commands to the engine and answers to gateways go out by the thread that made them, and in their
+order.
+"""
 
 import contextlib
 import socket
@@ -46,9 +48,12 @@
         return engine, theirs
 
     def test_full_link(self):
-        """A link that takes part of a command: the rest follows before anything else, and nobody who gives
-        commands waits for it. Guards against bytes of two commands mixed, and against a desk that stands
-        still behind an engine that does not read."""
+        """A link that takes part of a command.
+
+        The rest follows before anything else, and nobody who gives commands waits for it. Guards
+        against bytes of two commands mixed, and against a desk that stands still behind an engine
+        that does not read.
+        """
         with contextlib.ExitStack() as stack:
             engine, theirs = self.linked(stack)
             wanted = b""
@@ -65,7 +70,10 @@
             self.assertEqual(got, wanted)
 
     def test_gauges_that_stay_out(self):
-        """An engine that answers no gauges: what was sent for reqs that are over does not pile up."""
+        """An engine that answers no gauges.
+
+        What was sent for reqs that are over does not pile up.
+        """
         with contextlib.ExitStack() as stack:
             engine, theirs = self.linked(stack)
             engine.heard = types.SimpleNamespace(desk=types.SimpleNamespace(reqs={}))
@@ -80,8 +88,10 @@
             self.assertEqual(sum(s.req is kept for s in engine.sent), 1)
 
     def test_rest_is_void_on_a_new_link(self):
-        """What a broken link did not take of a command is not written to the next one: it would be garbled,
-        and the command is given again whole."""
+        """What a broken link did not take of a command is not written to the next one.
+
+        It would be garbled, and the command is given again whole.
+        """
         with contextlib.ExitStack() as stack:
             engine, theirs = self.linked(stack)
             engine.heard = types.SimpleNamespace(desk=types.SimpleNamespace(reqs={}))
@@ -95,8 +105,10 @@
             self.assertEqual(theirs.recv(5), b"RUN 0")
 
     def test_gates_open_after_the_lock(self):
-        """The thread that writes an answer is woken when the decisions are free again: woken before, it would
-        wait for the one that woke it."""
+        """The thread that writes an answer is woken when the decisions are free again.
+
+        Woken before, it would wait for the one that woke it.
+        """
         facts = facts_of(flat(site()))
         desk = Desk(facts, 1, Book())
         desk.door = types.SimpleNamespace(over=lambda _: None, do=None)
