--- /dev/null
+++ b/tests/compatibility/test_promise_cells.py
@@ -0,0 +1,136 @@
+"""A voter's promises and what duties keep, in the cells of its folder."""
+import gzip
+import unittest
+
+from compatibility.recorded import DATA, files_in, temporary_folder
+from gullyoke.core.book import Book
+from gullyoke.duty.kept import Fetch, Fetched, Keep, Kept, Shelf
+from gullyoke.duty.roll import Plan
+from gullyoke.duty.roll import unpacked as unpacked_plan
+from gullyoke.duty.spans import Spans
+from gullyoke.duty.voter import Row, Voter
+from gullyoke.duty.words import Ask, Learn, Learned
+from gullyoke.features.duties import FOLDER, OURS, ours
+from gullyoke.members import Row as Member
+from gullyoke.members import Status
+from gullyoke.peers.duties import Duties, pack, row_bytes, rows_in, unpack
+from gullyoke.store import Cells, Disk
+from gullyoke.store.cells import NAME, SIZE
+
+NOW = 1_700_000_000_000_000
+VOTERS = {"server-1": "10.0.0.1:7900", "server-2": "10.0.0.2:7900", "server-3": "10.0.0.3:7900"}
+
+RAW = {
+    "voter": b"server-2 3",
+    "promise ask": bytes.fromhex("93ce6553f103cd1122a87365727665722d31"),
+    "promise roll": bytes.fromhex("93ce6553f104cfffffffffffffffffa87365727665722d33"),
+    "kept roll": bytes.fromhex("93ce6553f10402c402ff00"),
+}
+PROMISED = {"ask": Row(1_700_000_003, 0x1122, "server-1"),
+            "roll": Row(1_700_000_004, 2**64 - 1, "server-3")}
+KEPT = {"roll": (1_700_000_004, 2, b"\xff\x00")}
+
+PLAN = Plan(4, "paused", 1_700_000_000, 0.25, 0.5,
+            (("server-1", NOW, 1_699_999_000), ("server-3", NOW + 5, 1_699_999_001)),
+            ("server-2",), 0.125, "asked for")
+PLAN_BYTES = (
+    b'{"number":4,"state":"paused","before":1700000000,"at_once":0.25,"a_zone":0.5,'
+    b'"doing":[["server-1",1700000000000000,1699999000],'
+    b'["server-3",1700000000000005,1699999001]],"strays":["server-2"],"shed":0.125,'
+    b'"why":"asked for"}')
+
+
+def write_cells(folder):
+    """First promises, one of them renewed under a later epoch, and one duty that is taken out."""
+    disk = Disk(folder)
+    cells = Cells(disk)
+    first = Row(1_700_000_001, 1, "server-3")
+    cells.put([(OURS, b"server-2 2"), ("promise ask", row_bytes(first))])
+    cells.put([("promise gone", row_bytes(Row(5, 6, "server-1")))])
+    cells.put([(OURS, RAW["voter"]), ("promise ask", row_bytes(PROMISED["ask"]))])
+    cells.put([("promise roll", row_bytes(PROMISED["roll"])), ("kept roll", RAW["kept roll"])])
+    cells.put([("promise gone", None)])
+    disk.close()
+
+
+class PromiseCells(unittest.TestCase):
+    def folder(self):
+        folder = temporary_folder(self)
+        data = gzip.decompress((DATA / "cells.gz").read_bytes())
+        (folder / "cells").write_bytes(data)
+        return folder
+
+    def opened(self):
+        disk = Disk(self.folder())
+        self.addCleanup(disk.close)
+        return Cells(disk)
+
+    def voter(self):
+        promised, _ = rows_in(self.opened().items())
+        return Voter(NOW, "server-2", 0x22, ["server-1", "server-3"], Spans(), promised, 3)
+
+    def test_constants(self):
+        self.assertEqual((FOLDER, OURS, NAME, SIZE), ("duties", "voter", "cells", 1024))
+
+    def test_recorded_cells_are_read(self):
+        cells = self.opened()
+        found = dict(cells.items())
+        self.assertEqual((cells.dropped, found), (0, RAW))
+        self.assertEqual(ours(found.pop(OURS)), ("server-2", 3))
+        self.assertEqual(rows_in(found.items()), (PROMISED, KEPT))
+
+    def test_cells_are_written_with_the_same_bytes(self):
+        folder = temporary_folder(self)
+        write_cells(folder)
+        self.assertEqual(files_in(folder), files_in(self.folder()))
+
+    def test_recorded_promises_bind_the_voter(self):
+        """Nothing is granted under an epoch that was promised; a later one is written as before."""
+        voter, after = self.voter(), NOW + 10_000_000
+        self.assertEqual(voter.teach(after, Learn("server-1", 9, 1)), Learned("server-2", 1, (
+            ("ask", 1_700_000_003, 0x1122, "server-1"),
+            ("roll", 1_700_000_004, 2**64 - 1, "server-3"))))
+        refused = voter.ask(after, Ask("ask", 0x33, "server-3", 1_700_000_003, 1, 3))
+        self.assertEqual((refused.yes, refused.epoch), (False, 1_700_000_003))
+        write = voter.ask(after, Ask("ask", 0x33, "server-3", 1_700_000_009, 2, 3))
+        self.assertEqual(row_bytes(write.row).hex(), "93ce6553f10933a87365727665722d33")
+
+    def test_recorded_shelf_is_fetched(self):
+        _, kept = rows_in(self.opened().items())
+        shelf = Shelf(kept)
+        self.assertEqual(shelf.fetched(Fetch("roll", 5, 1_700_000_010), "server-2"), Fetched(
+            "roll", 5, "server-2", 1_700_000_010, 1_700_000_004, 2, b"\xff\x00"))
+        self.assertFalse(shelf.fits(Keep("roll", 5, 1_700_000_004, 2, b""), 0))
+        self.assertTrue(shelf.fits(Keep("roll", 5, 1_700_000_004, 3, b""), 0))
+
+    def test_letters_are_written_with_the_same_bytes(self):
+        """What a letter makes durable: key and value as they go to the cells."""
+        written, sent = [], []
+
+        def disk(key, data, told):
+            written.append((key, data.hex()))
+            told(True)
+            return True
+
+        duties = Duties("server-2", 0x22, self.voter(), Shelf(KEPT), {}, VOTERS, VOTERS.get, disk,
+                        Book())
+        duties.send = sent.extend
+        after = NOW + 10_000_000
+        sender = Member("server-3", 1, Status.ALIVE, "10.0.0.3:7900", "a", 0x33)
+        duties.hear(after, sender, pack(Ask("ask", 0x33, "server-3", 1_700_000_009, 2, 3)))
+        duties.hear(after, sender, pack(Keep("ask", 0x33, 1_700_000_009, 1, b"body")))
+        self.assertEqual(written, [
+            ("promise ask", "93ce6553f10933a87365727665722d33"),
+            ("kept ask", "93ce6553f10901c404626f6479")])
+        (_, granted), (_, kept) = sent
+        self.assertTrue(unpack(granted).yes)
+        self.assertEqual(unpack(kept), Kept("ask", 0x33, "server-2", 1_700_000_009, 1, True))
+
+    def test_rolling_restart_plan(self):
+        """The plan that the duty `roll` keeps."""
+        self.assertEqual(PLAN.pack(), PLAN_BYTES)
+        self.assertEqual(unpacked_plan(PLAN_BYTES), PLAN)
+
+
+if __name__ == "__main__":
+    unittest.main()
