--- /dev/null
+++ b/tests/compatibility/test_memory_store.py
@@ -0,0 +1,93 @@
+"""What a server remembers of usual times over a restart, as its store has it."""
+import unittest
+
+from compatibility.recorded import copy_of, files_in, temporary_folder
+from gullyoke.core.book import Book
+from gullyoke.features.disks import Room
+from gullyoke.features.memory import COLD, LEARNED, STARTS, Remembered
+from gullyoke.store import Disk, Store
+from gullyoke.store.cold import EDGES, Cold
+from gullyoke.store.record import Found, scan
+from gullyoke.store.remember import Learned, Starts, digest, packed, trust, unpacked
+
+QUOTA = 2**20
+SETTINGS = {"Profiles.count": "1", "Profiles.0.Name": "view", "FamilyInfo.Cores": "4"}
+SETTINGS_DIGEST = 1_687_762_731
+
+STARTS_VALUE = Starts(2)
+LEARNED_VALUE = Learned(SETTINGS_DIGEST, 1_700_000_000.5,
+                        {"view": 12_500.25, "book": 80_000.0}, 3_000.5)
+COLD_VALUE = Cold(SETTINGS_DIGEST, 1_700_000_001.0,
+                  {"view": [50_000.0, 40_000.0, 0.0, 20_000.0, 15_000.0, 12_500.5]})
+
+STARTS_BYTES = "82a6756e77656c6c02a776657273696f6e01"
+LEARNED_BYTES = (
+    "85a6737461746564ce6499372ba26174cb41d954fc40200000a5636f73747382a476696577cb40c86a200000"
+    "0000a4626f6f6bcb40f3880000000000a463616c6ccb40a7710000000000a776657273696f6e01")
+COLD_BYTES = (
+    "84a6737461746564ce6499372ba26174cb41d954fc40400000a5636f73747381a47669657796cb40e86a0000"
+    "000000cb40e3880000000000cb0000000000000000cb40d3880000000000cb40cd4c0000000000cb40c86a40"
+    "00000000a776657273696f6e01")
+
+
+def write_memory(folder):
+    disk = Disk(folder)
+    store = Store(disk, roll=QUOTA // 8, quota=QUOTA)
+    store.put([(STARTS, packed(STARTS_VALUE))])
+    store.put([(COLD, packed(COLD_VALUE))])
+    store.put([(LEARNED, packed(LEARNED_VALUE))])
+    disk.close()
+
+
+class MemoryStore(unittest.TestCase):
+    def test_constants(self):
+        self.assertEqual((LEARNED, STARTS, COLD), ("learned", "starts", "cold"))
+        self.assertEqual(EDGES, (500_000, 1_000_000, 2_000_000, 4_000_000, 8_000_000, 16_000_000))
+
+    def test_settings_digest(self):
+        """The digest by which a memory is bound to a server's settings."""
+        self.assertEqual(digest(SETTINGS), SETTINGS_DIGEST)
+
+    def test_rows(self):
+        """Each row is a MessagePack map; its names are part of the format."""
+        for row, text in ((STARTS_VALUE, STARTS_BYTES), (LEARNED_VALUE, LEARNED_BYTES),
+                          (COLD_VALUE, COLD_BYTES)):
+            self.assertEqual(packed(row).hex(), text)
+            self.assertEqual(unpacked(bytes.fromhex(text), type(row)), row)
+
+    def test_recorded_memory_is_recalled(self):
+        """A server opened on the recorded folder has the same memory, and counts its start."""
+        folder = copy_of(self, "memory")
+        room = Room(str(folder), QUOTA, Book())
+        memory = Remembered(room, QUOTA, SETTINGS, Book())
+        self.assertEqual(memory.found, LEARNED_VALUE)
+        self.assertEqual(memory.cold, COLD_VALUE)
+        self.assertEqual(memory.starts, STARTS_VALUE)
+        self.assertTrue(memory.committer.close(10))
+        room.watch.end()
+        written = [one.record for one in scan(files_in(folder)["0000000002.seg"])
+                   if isinstance(one, Found)][1:]
+        self.assertEqual([(one.seq, one.key, one.value) for one in written],
+                         [(4, "starts", packed(Starts(3)))])
+
+    def test_recorded_memory_is_trusted(self):
+        disk = Disk(copy_of(self, "memory"))
+        self.addCleanup(disk.close)
+        found = unpacked(Store(disk).get(LEARNED), Learned)
+        at = 1_700_000_000.5
+        self.assertEqual(trust(found, SETTINGS_DIGEST, at, STARTS_VALUE)[0], 0.5)
+        self.assertEqual(trust(found, SETTINGS_DIGEST, at + 3600, STARTS_VALUE)[0], 0.25)
+        self.assertEqual(trust(found, SETTINGS_DIGEST + 1, at, STARTS_VALUE)[0], 0.0)
+
+    def test_folder_is_written_with_the_same_bytes(self):
+        folder = temporary_folder(self)
+        write_memory(folder)
+        self.assertEqual(files_in(folder), files_in(copy_of(self, "memory")))
+
+    def test_other_form_is_not_read(self):
+        """A row whose names are others is no row: the server starts with nothing."""
+        self.assertIsNone(unpacked(bytes.fromhex("82a3666f6f01a776657273696f6e01"), Learned))
+
+
+if __name__ == "__main__":
+    unittest.main()
