--- /dev/null
+++ b/tests/compatibility/test_datagrams.py
@@ -0,0 +1,159 @@
+"""Datagrams of membership: each kind of message, the digests that peers compare, and the seal."""
+import unittest
+
+import msgspec
+
+from compatibility.recorded import recorded_hex
+from gullyoke.members import Row, Status, began
+from gullyoke.members.row import TURNS, Entry, Kind, Mark, Report, identity
+from gullyoke.members.view import BUCKETS, View
+from gullyoke.members.words import (
+    SIGNAL,
+    Ack,
+    Ask,
+    Compare,
+    Gossip,
+    Hello,
+    Letter,
+    Ping,
+    Rows,
+)
+from gullyoke.peers.codec import LONGEST, VERSION, Malformed, pack, unpack
+from gullyoke.peers.seal import Seal, keys_in
+from gullyoke.together.signals import Reading, Stage
+from gullyoke.together.signals import unpack as unpack_reading
+
+NUMBER = 1_700_000_000 << 20
+U64_MOST = 2**64 - 1
+SENDER = Row("server-1", NUMBER, Status.ALIVE, "10.0.0.1:7900", "makati", 0x1122334455667788)
+TARGET = Row("server-2", NUMBER + 3, Status.JOINING, "10.0.0.2:7900", "-", 2)
+LEAVING = Row("server-3", NUMBER + 1, Status.LEAVING, "10.0.0.3:7900", "pasig", 3)
+GONE = Row("server-4", NUMBER + 2, Status.LEFT, "10.0.0.4:7900", "pasig", 4)
+NEWS = (
+    LEAVING,
+    Mark(identity("server-5"), NUMBER + 7, Status.DEAD, identity("server-1"), 5, 8),
+    Report(identity("server-1"), NUMBER, 12, True, (
+        Entry(identity("server-5"), NUMBER + 7, Kind.SILENT),
+        Entry(identity("server-6"), NUMBER, Kind.REFUSED))),
+    GONE,
+)
+
+MESSAGES = {
+    "ping": Ping(SENDER, 7, 0xABCDEF, 0),
+    "ping with news and signal": Ping(SENDER, 8, U64_MOST, 255, NEWS, 5 << 14 | 0x1234),
+    "ack": Ack(SENDER, 7, identity("server-2"), 0xABCDEF, 3, NEWS[:1], 1),
+    "ask": Ask(SENDER, 9, TARGET, 0xABCDEF, 3, NEWS[1:2], 0),
+    "gossip": Gossip(SENDER, 0xABCDEF, 3, NEWS, 77),
+    "hello": Hello(SENDER),
+    "compare": Compare(SENDER, tuple(range(0, 64 * 1_000_003, 1_000_003))),
+    "rows": Rows(SENDER, ((3, 0xABC), (63, U64_MOST)), (TARGET, LEAVING, GONE), True, 5),
+    "letter": Letter(SENDER, 2, b"\x00body\xff"),
+}
+RECORDED = recorded_hex("membership.json")
+
+FIRST_KEY = bytes(range(32))
+SECOND_KEY = b"k" * 16
+KEY_FILE = f"# of the fleet\n{FIRST_KEY.hex()}  # seals\n\n{SECOND_KEY.hex()}\n"
+SEALED = (
+    "0000000000000001c70ea7da4ad147f4b186add4d080918f",
+    "000000000000000283c9563e3a91ddd06ae7094c9c1165d1",
+)
+
+
+class Messages(unittest.TestCase):
+    def test_constants(self):
+        self.assertEqual((VERSION, LONGEST, SIGNAL, TURNS, BUCKETS), (1, 1200, 14, 2**20, 64))
+        self.assertEqual([int(one) for one in Status], [0, 1, 2, 3, 4])
+        self.assertEqual([int(one) for one in Kind], [1, 2])
+
+    def test_each_message_is_recorded(self):
+        self.assertEqual(list(RECORDED), list(MESSAGES))
+
+    def test_messages_are_read(self):
+        for name, message in MESSAGES.items():
+            with self.subTest(name):
+                found = unpack(RECORDED[name])
+                self.assertIs(type(found), type(message))
+                self.assertEqual(found, message)
+
+    def test_messages_are_written_with_the_same_bytes(self):
+        for name, message in MESSAGES.items():
+            with self.subTest(name):
+                self.assertEqual(pack(message).hex(), RECORDED[name].hex())
+
+    def test_what_a_later_release_appends_is_passed_over(self):
+        for name, message in MESSAGES.items():
+            with self.subTest(name):
+                fields = msgspec.msgpack.decode(RECORDED[name])
+                self.assertEqual(len(fields), 13)
+                fields[2] += ["later"]
+                longer = msgspec.msgpack.encode([*fields, "later", 1])
+                self.assertEqual(unpack(longer), message)
+
+    def test_other_version_is_malformed(self):
+        fields = msgspec.msgpack.decode(RECORDED["hello"])
+        for version, kind in ((0, 4), (1, 8)):
+            with self.assertRaises(Malformed):
+                unpack(msgspec.msgpack.encode([version, kind, *fields[2:]]))
+
+
+def members(count):
+    return [Row(f"other-{i}", NUMBER + i, Status.ALIVE, f"10.0.1.{i}:7900", "cavite", 100 + i)
+            for i in range(count)]
+
+
+class Digests(unittest.TestCase):
+    """Figures that two releases in one fleet have to agree on."""
+
+    def test_identity_and_row_digest(self):
+        self.assertEqual(f"{identity('server-1'):016x}", "6a3707065ea30a2c")
+        self.assertEqual(f"{SENDER.digest:016x}", "f1c79d4f8ac49715")
+        self.assertEqual(f"{GONE.digest:016x}", "a6e60c4a15b523cd")
+
+    def test_start_number(self):
+        self.assertEqual(began(1_700_000_000), NUMBER)
+        self.assertEqual(began(5, NUMBER, NUMBER + 2 * TURNS), NUMBER + 3 * TURNS)
+
+    def test_view_digest_and_observers(self):
+        view = View(2)
+        for row in (SENDER, TARGET, LEAVING, GONE, *members(6)):
+            view.merge(0, row)
+        self.assertEqual(f"{view.digest:016x}", "12cc9f6f70b5cba1")
+        used = [i for i, digest in enumerate(view.buckets) if digest]
+        self.assertEqual(used, [12, 14, 17, 33, 41, 44, 55, 56])
+        names = {row.id: row.name for row in view.rows.values()}
+        observers = sorted(names[one] for one in view.rings.observers(SENDER.id))
+        self.assertEqual(observers, ["other-3", "other-4"])
+
+
+class Signals(unittest.TestCase):
+    """The 14 bits on how a server stands."""
+
+    def test_reading(self):
+        self.assertEqual([int(stage) for stage in Stage], [0, 1, 2, 3])
+        for reading, word in ((Reading(1.0, 0.0, 1.0, Stage.WARM), 0x150F),
+                              (Reading(0.2, 0.4, 2.4, Stage.BACK), 0x3C63),
+                              (Reading(0.0, 1.0, 3.0, Stage.DRAINING), 0x2FF0),
+                              (Reading(0.0, 0.0, 0.0, Stage.COLD), 0)):
+            self.assertEqual(reading.pack(), word)
+            self.assertEqual(unpack_reading(word), reading)
+
+
+class Seals(unittest.TestCase):
+    def test_key_file(self):
+        self.assertEqual(keys_in(KEY_FILE), (FIRST_KEY, SECOND_KEY))
+
+    def test_sealed_datagrams(self):
+        """Message, count and keyed digest, for the first two datagrams of a start."""
+        seal = Seal("orders", (FIRST_KEY, SECOND_KEY))
+        for count, text in enumerate(SEALED, 1):
+            self.assertEqual(seal.seal(RECORDED["hello"]).hex(), RECORDED["hello"].hex() + text)
+            sealed = bytes.fromhex(RECORDED["hello"].hex() + text)
+            for keys in ((FIRST_KEY,), (SECOND_KEY, FIRST_KEY)):
+                self.assertEqual(Seal("orders", keys).open(sealed), (RECORDED["hello"], count))
+            self.assertIsNone(Seal("orders", (SECOND_KEY,)).open(sealed))
+            self.assertIsNone(Seal("others", (FIRST_KEY,)).open(sealed))
+
+
+if __name__ == "__main__":
+    unittest.main()
