--- /dev/null
+++ b/tests/compatibility/test_letters.py
@@ -0,0 +1,117 @@
+"""Letters between members, beside membership: of shares, of quotas and of duties."""
+import unittest
+
+import msgspec
+
+from compatibility.recorded import recorded_hex
+from gullyoke.duty.kept import Fetch, Fetched, Keep, Kept
+from gullyoke.duty.notices import Notice, Order, Plea
+from gullyoke.duty.words import NOBODY, Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
+from gullyoke.peers import duties, sharing
+from gullyoke.peers.codec import Malformed
+from gullyoke.together.shares import Claim, Grant, Promise, Return, Want
+
+U64_MOST = 2**64 - 1
+LIFE = 0x1122334455667788
+HOMES = {"server-2": "10.0.0.2:7900", "server-1": "10.0.0.1:7900", "server-3": "10.0.0.3:7900"}
+SLOTS_DIGEST = 0xc60444cc64f92d3c
+QUOTA_DIGEST = 0x9e3265cc29afa4d2
+
+SHARES_LETTERS = {
+    "claim": Claim("server-1", LIFE, 3),
+    "promise": Promise("server-1", LIFE, 3, "server-2", True),
+    "want": Want("server-1", LIFE, 9, 12, 2.5, 4),
+    "want with defaults": Want("server-1", LIFE, 10, 1),
+    "grant": Grant("server-1", LIFE, 9, 11),
+    "return": Return("server-1", LIFE, 9, 7),
+}
+DUTY_LETTERS = {
+    "sound": Sound("roll", LIFE, "server-1", 5, 2),
+    "ask": Ask("roll", LIFE, "server-1", 1_700_000_000, 6, 2),
+    "said": Said("roll", LIFE, 6, "server-2", True, True, 1_700_000_000, LIFE, "server-1",
+                 3_000_000, 2),
+    "said of nobody": Said("roll", LIFE, 5, "server-2", False, False, 0, NOBODY, "", 0, 2),
+    "done": Done("roll", LIFE, 1_700_000_000, "server-3", True),
+    "pass": Pass("roll", LIFE, 1_700_000_000),
+    "ready": Ready("roll", U64_MOST, 1_700_000_000),
+    "learn": Learn("server-2", LIFE, 4),
+    "learned": Learned("server-3", 4, (("ask", 7, LIFE, "server-1"), ("roll", 8, 0, "")), False),
+    "learned of a fresh one": Learned("server-3", 4, (), True),
+    "keep": Keep("roll", LIFE, 1_700_000_000, 2, b'{"state":"idle"}\xff'),
+    "kept": Kept("roll", LIFE, "server-2", 1_700_000_000, 2, True),
+    "fetch": Fetch("roll", LIFE, 1_700_000_000),
+    "fetched": Fetched("roll", LIFE, "server-2", 1_700_000_000, 1_699_999_999, 9, b"body"),
+    "notice": Notice("ask", 1_700_000_000, LIFE, "server-1", b"dead"),
+    "order": Order("roll", 1_700_000_000, LIFE, "drain", b"1699999999"),
+    "plea": Plea("roll", "pause"),
+}
+
+
+class SharesLetters(unittest.TestCase):
+    recorded = recorded_hex("shares-letters.json")
+
+    def test_topics(self):
+        self.assertEqual((sharing.TOPIC, duties.TOPIC, sharing.QUOTAS), (1, 2, 3))
+
+    def test_digest_of_what_is_stated(self):
+        """Servers that are stated alike have the same digest, in any order of the homes."""
+        self.assertEqual(sharing.stated(HOMES, 120, 8), SLOTS_DIGEST)
+        self.assertEqual(sharing.stated(HOMES, 160, 4, "acme", f"{12.5:g}"), QUOTA_DIGEST)
+
+    def test_letters_are_read(self):
+        self.assertEqual(list(self.recorded), list(SHARES_LETTERS))
+        for name, message in SHARES_LETTERS.items():
+            with self.subTest(name):
+                found = sharing.unpack(SLOTS_DIGEST, self.recorded[name])
+                self.assertIs(type(found), type(message))
+                self.assertEqual(found, message)
+                self.assertIsNone(sharing.unpack(QUOTA_DIGEST, self.recorded[name]))
+
+    def test_letters_are_written_with_the_same_bytes(self):
+        for name, message in SHARES_LETTERS.items():
+            with self.subTest(name):
+                self.assertEqual(sharing.pack(SLOTS_DIGEST, message).hex(),
+                                 self.recorded[name].hex())
+
+    def test_what_a_later_release_appends_is_passed_over(self):
+        for name, message in SHARES_LETTERS.items():
+            with self.subTest(name):
+                digest, kind, fields = msgspec.msgpack.decode(self.recorded[name])
+                longer = msgspec.msgpack.encode([digest, kind, [*fields, "later"]])
+                self.assertEqual(sharing.unpack(SLOTS_DIGEST, longer), message)
+
+    def test_unknown_kind_is_malformed(self):
+        with self.assertRaises(Malformed):
+            sharing.unpack(SLOTS_DIGEST, msgspec.msgpack.encode([SLOTS_DIGEST, 5, []]))
+
+
+class DutyLetters(unittest.TestCase):
+    recorded = recorded_hex("duty-letters.json")
+
+    def test_letters_are_read(self):
+        self.assertEqual(list(self.recorded), list(DUTY_LETTERS))
+        for name, message in DUTY_LETTERS.items():
+            with self.subTest(name):
+                found = duties.unpack(self.recorded[name])
+                self.assertIs(type(found), type(message))
+                self.assertEqual(found, message)
+
+    def test_letters_are_written_with_the_same_bytes(self):
+        for name, message in DUTY_LETTERS.items():
+            with self.subTest(name):
+                self.assertEqual(duties.pack(message).hex(), self.recorded[name].hex())
+
+    def test_what_a_later_release_appends_is_passed_over(self):
+        for name, message in DUTY_LETTERS.items():
+            with self.subTest(name):
+                kind, fields = msgspec.msgpack.decode(self.recorded[name])
+                longer = msgspec.msgpack.encode([kind, [*fields, "later"]])
+                self.assertEqual(duties.unpack(longer), message)
+
+    def test_unknown_kind_is_malformed(self):
+        with self.assertRaises(Malformed):
+            duties.unpack(msgspec.msgpack.encode([15, []]))
+
+
+if __name__ == "__main__":
+    unittest.main()
