--- /dev/null
+++ b/tests/compatibility/test_configuration.py
@@ -0,0 +1,152 @@
+"""The daemon's own configuration: the JSON file, the environment and the settings in it."""
+import dataclasses
+import json
+import tempfile
+import unittest
+
+from compatibility.recorded import DATA
+from gullyoke.daemon.options import told
+from gullyoke.options import Facts, Misstated, facts_of, flat
+from gullyoke.port import (
+    Below,
+    Customer,
+    Fleet,
+    Handler,
+    Kind,
+    Limits,
+    Machine,
+    Permits,
+    StopMode,
+)
+
+FILE = DATA / "daemon.json"
+FACTS = Facts(
+    [Handler("view", 250_000, 700_000, 1.5, Kind.REPLAYABLE, 0.25, 3_000_000, True, 0.4, 2.0),
+     Handler("book", 400_000, 1_200_000, 3.0, Kind.UNIQUED, 0.0, 5_000_000, False, 0.0, 0.0),
+     Handler("pay", 300_000, 800_000, 5.0, Kind.NON_REPLAYABLE, 0.0, 0, True, 0.125, 0.0)],
+    [Customer("acme", 12.5), Customer("zenith", 60.0)],
+    Machine(4, 50_000.0, 4.5, 12.25, True, StopMode.FREEZE, ("core_use", "on_cores", "links")),
+    Limits(80_000, 2_000_000, 8.0, 1_500_000, 0.25, 18_000_000),
+    Below(True, 6.25, 5_000_000, 200_000),
+    Permits(True, 1_000_000, "floor", 1_000_000, True, True, True, True, 30_000_000),
+    Fleet(12, True, 0.125, 900_000, 7),
+)
+
+
+def values(record):
+    """A record's fields in their order, with the records in it."""
+    if isinstance(record, list | tuple):
+        return [values(one) for one in record]
+    if dataclasses.is_dataclass(record):
+        return [values(getattr(record, field.name)) for field in dataclasses.fields(record)]
+    return record
+
+
+class Configuration(unittest.TestCase):
+    maxDiff = None
+
+    def told(self, apart=False, environment=None, **changes):
+        """What is read of the recorded file with these keys changed; None leaves one out."""
+        found = json.loads(FILE.read_text()) | changes
+        found = {key: value for key, value in found.items() if value is not None}
+        with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
+            json.dump(found, file)
+            file.flush()
+            return told({"NODE_CONFIG": file.name} | (environment or {}), apart)
+
+    def test_file(self):
+        found = told({"NODE_CONFIG": str(FILE)})
+        self.assertEqual(tuple(found[:8]), (
+            "server-1", ("127.0.0.1", 7001), ("127.0.0.1", 7002), ("127.0.0.1", 7003),
+            ("127.0.0.1", 7004), 0x1F2E3D4C, 2_500_000, 300))
+        self.assertEqual(values(found[8]), values(FACTS))
+        self.assertEqual(found[9], "INFO")
+        self.assertEqual(found[10], flat(json.loads(FILE.read_text())["settings"]))
+        self.assertEqual(len(found), 11)
+
+    def test_environment(self):
+        found = self.told(environment={"NODE_NAME": "server-9", "NODE_LISTEN": "0.0.0.0:8001",
+                                       "GULLYOKE_LOG": "debug"})
+        self.assertEqual(tuple(found[:2]), ("server-9", ("0.0.0.0", 8001)))
+        self.assertEqual(found[9], "DEBUG")
+        with self.assertRaises(Misstated):
+            told({})
+
+    def test_optional_keys(self):
+        self.assertEqual(self.told(limits=None)[7], 1024)
+        self.assertEqual(self.told(seed=7)[5], 7)
+        self.assertEqual(tuple(self.told(apart=True, engine=None, naming=None, db=None)[2:5]),
+                         (None, None, None))
+        for key in ("name", "listen", "engine", "naming", "db", "seed", "stop_ms", "settings"):
+            with self.subTest(key), self.assertRaisesRegex(Misstated, key):
+                self.told(**{key: None})
+
+    def test_settings_as_pairs(self):
+        """Nested settings become dotted paths, as the simulator's wire has them."""
+        pairs = flat(json.loads(FILE.read_text())["settings"])
+        self.assertEqual(pairs["Profiles.count"], "3")
+        self.assertEqual(pairs["Profiles.1.Name"], "book")
+        self.assertEqual(pairs["FamilyInfo.CallsByClass"], "true,false,true")
+        self.assertEqual(pairs["FamilyInfo.OwnStats"], "core_use,on_cores,links")
+        self.assertNotIn("Unknown.Key", pairs)
+        self.assertEqual(values(facts_of(pairs)), values(FACTS))
+
+
+class Settings(unittest.TestCase):
+    maxDiff = None
+
+    def pairs(self, **changes):
+        pairs = flat(json.loads(FILE.read_text())["settings"])
+        return pairs | {key.replace("_", "."): text for key, text in changes.items()}
+
+    def test_choices(self):
+        """Each word that a setting may be, and what it is read as."""
+        for key, part, place, words in (
+                ("Profiles_0_Semantics", 0, 4, {
+                    "repeatable": Kind.REPLAYABLE, "by_key": Kind.UNIQUED,
+                    "once": Kind.NON_REPLAYABLE}),
+                ("FamilyInfo_StopMode", 2, 5, {
+                    "off": StopMode.NEVER, "discard": StopMode.DISCARD,
+                    "freeze": StopMode.FREEZE}),
+                ("FamilyInfo_DependsOn", 4, 0, {"off": False, "one_for_all": True, "tier": True}),
+                ("FamilyInfo_Say", 5, 2, {
+                    "off": None, "floor": "floor", "allowance": "allowance",
+                    "weight": "weight"}),
+                ("WorthBy", 6, 1, {"request": False, "work": True}),
+                ("FamilyInfo_FreshStart", 2, 4, {
+                    "true": True, "false": False, "1": True, "0": False})):
+            for word, value in words.items():
+                with self.subTest(key, word=word):
+                    read = values(facts_of(self.pairs(**{key: word}))[part])
+                    self.assertEqual((read[0] if part == 0 else read)[place], value)
+            with self.subTest(key), self.assertRaises(Misstated):
+                facts_of(self.pairs(**{key: "else"}))
+
+    def test_share_below_counts_only_where_all_share_it(self):
+        self.assertIsNone(values(facts_of(self.pairs(FamilyInfo_DependsOn="tier"))[4])[1])
+
+    def test_defaults(self):
+        """What stands where a setting is absent."""
+        needed = {
+            "Profiles.count": "1", "Profiles.0.Name": "view", "Profiles.0.ObjectiveUs": "250000",
+            "Profiles.0.DeadlineUs": "700000", "Profiles.0.Importance": "1",
+            "Profiles.0.Semantics": "repeatable", "FamilyInfo.Cores": "4",
+            "FamilyInfo.MemoryKb": "50000", "FamilyInfo.Blowup": "4", "FleetSize": "1",
+            "Rules.AnswerSlackUs": "80000", "Rules.DrainGraceUs": "2000000",
+            "Rules.TipMultiple": "8", "Rules.TipAfterUs": "1500000",
+            "Rules.StartCapacity": "0.25", "Rules.ColdUs": "18000000"}
+        self.assertEqual(values(facts_of(needed)), values(Facts(
+            [Handler("view", 250_000, 700_000, 1.0, Kind.REPLAYABLE, 0.0, 0, False, 0.0, 0.0)],
+            [], Machine(4, 50_000.0, 4.0, 0.0, False, StopMode.NEVER, ()),
+            Limits(80_000, 2_000_000, 8.0, 1_500_000, 0.25, 18_000_000),
+            Below(False, None, 0, 0),
+            Permits(False, 0, None, 0, False, False, False, False, 0),
+            Fleet(1, False, 1.0, 0, 0))))
+        for key in needed:
+            with self.subTest(key), self.assertRaises(Misstated) as fault:
+                facts_of({name: text for name, text in needed.items() if name != key})
+            self.assertIn(key, str(fault.exception))
+
+
+if __name__ == "__main__":
+    unittest.main()
