--- /dev/null
+++ b/tests/compatibility/test_duty_messages.py
@@ -0,0 +1,122 @@
+"""What holders of duties say: notices, orders, lines of the record and to an application."""
+import json
+import pathlib
+import socket
+import threading
+import time
+import unittest
+from unittest import mock
+
+from compatibility.recorded import temporary_folder
+from gullyoke.core.book import Book as Counters
+from gullyoke.duty.notices import Notice, Order
+from gullyoke.duty.roll import Plan
+from gullyoke.features.charges import Ask, Book, Record, Roll, Told
+from gullyoke.features.disks import Room
+from gullyoke.members import Row, Status
+from gullyoke.operator.wanted import OwnDuty
+
+EPOCH = 1_700_000_000
+PATIENCE = 10
+
+
+def fleet_of(name):
+    fleet = mock.MagicMock()
+    fleet.house.told.name, fleet.house.told.seed = name, 7
+    return fleet
+
+
+class DutyMessages(unittest.TestCase):
+    def test_dependency_notice(self):
+        """`ask`: dead or well, as the holder sees it and as the others take it."""
+        holder, other = (Ask(fleet_of(name), mock.MagicMock()) for name in ("server-1", "server-2"))
+        self.assertEqual(holder.notice(), b"well")
+        for at in range(20):
+            holder.asking.note(1_000_000 + at * 100_000, False)
+        self.assertEqual(holder.notice(), b"dead")
+        for body, dead in ((b"dead", True), (b"well", False)):
+            other.heard(5, Notice("ask", EPOCH, 7, "server-1", body))
+            self.assertEqual(other.asking.word[2], dead)
+
+    def test_book_notice(self):
+        """`book`: by home that ended, the address of who lends for it."""
+        book = Book.__new__(Book)
+        book.fleet, book.shares, book.gone = fleet_of("server-1"), mock.MagicMock(), ("server-3",)
+        book.fleet.wanted.advertise = "10.0.0.1:7900"
+        self.assertEqual(book.notice(), b'{"server-3": "10.0.0.1:7900"}')
+        book.heard(5, Notice("book", EPOCH, 7, "server-1", book.notice()))
+        self.assertEqual(book.shares.shared.stands_in[0], {"server-3": "10.0.0.1:7900"})
+
+    def test_roll_order(self):
+        """`roll`: the word to drain names the start that is meant, and a late one drains nobody."""
+        fleet, duties = fleet_of("server-1"), mock.MagicMock()
+        fleet.member.view.rows = {1: Row("server-2", EPOCH << 20, Status.ALIVE, "a:1", "-", 2)}
+        duties.holds.return_value = 9
+        roll = Roll(fleet, duties)
+        roll.plan = Plan(1, "going", EPOCH + 1, 0.1, 0.5, (("server-2", 5, EPOCH),))
+        roll.send(5_000_000, 9)
+        duties.order.assert_called_once_with("roll", 9, "server-2", "drain", b"1700000000")
+        told = roll.notice()
+        roll.heard(5, Notice("roll", EPOCH, 7, "server-1", told))
+        self.assertEqual(roll.plan, Plan(1, "going", EPOCH + 1, 0.1, 0.5,
+                                         (("server-2", 5, EPOCH),)))
+        fleet.member.row.number, fleet.house.desk.stop_at = EPOCH << 20, None
+        with mock.patch.object(roll, "drain") as drain:
+            roll.obey(6, Order("roll", 9, 7, "drain", b"1699999999"))
+            drain.assert_not_called()
+            roll.obey(6, Order("roll", 9, 7, "drain", b"1700000000"))
+            drain.assert_called_once_with(6, 9)
+
+    def test_record_line(self):
+        """`record`: a line of JSON in the holder's folder; the count goes on as text."""
+        folder = temporary_folder(self)
+        room = Room(str(folder), 2**20, Counters())
+        self.addCleanup(room.watch.end)
+        record, register = Record(fleet_of("server-1"), mock.MagicMock(), room), mock.MagicMock()
+        record.count, record.epoch = 41, EPOCH
+        row = {"what": "view", "members": 3, "seen": 2, "digest": f"{7:016x}"}
+        record.write(5, row, register)
+        register.put.assert_called_once_with(b"42")
+        line = self.line_of(folder / "record.jsonl")
+        found = json.loads(line)
+        self.assertIsInstance(found["at"], int)
+        self.assertEqual(line, json.dumps({"n": 42, "epoch": EPOCH, "by": "server-1",
+                                           "at": found["at"], **row}) + "\n")
+
+    def line_of(self, path: pathlib.Path) -> str:
+        until = time.monotonic() + PATIENCE
+        while not path.exists() or not path.read_text().endswith("\n"):
+            self.assertLess(time.monotonic(), until, "the line never came")
+            time.sleep(0.01)
+        return path.read_text()
+
+    def test_application_line(self):
+        """An application is told of its duty in one line; its STALE lets the duty go."""
+        heard = []
+        listener = socket.create_server(("127.0.0.1", 0))
+        self.addCleanup(listener.close)
+
+        def serve():
+            conn, _ = listener.accept()
+            with conn:
+                heard.append(conn.recv(256))
+                conn.sendall(b"STALE\n")
+
+        server = threading.Thread(target=serve)
+        server.start()
+        duties = mock.MagicMock()
+        duties.life = 0x1122
+        duties.holds.return_value = EPOCH
+        duties.candidates["report"].left.return_value = 1_500_999
+        told = Told(fleet_of("server-1"), duties,
+                    OwnDuty("report", listener.getsockname(), 400_000))
+        told.going.acquire()
+        told.tell(EPOCH)
+        server.join(PATIENCE)
+        self.assertEqual(heard, [b"HOLD report 1700000000 4386 1500\n"])
+        self.assertEqual(told.stale, 1)
+        duties.leave.assert_called_once()
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -7,7 +7,9 @@
 
 from gullyoke.core import clock
 from gullyoke.core.book import Book
+from gullyoke.durable.condition import State as DiskState
 from gullyoke.duty.candidate import Candidate, Turn
+from gullyoke.duty.candidate import State as DutyState
 from gullyoke.duty.kept import Shelf
 from gullyoke.duty.roll import Plan
 from gullyoke.duty.spans import Spans
@@ -61,9 +63,13 @@
         self.assertEqual(self.ask(b"what"), {"fault": "right would be status or events"})
 
     def test_stages(self):
-        """The texts by which an answer names a member's stage."""
+        """The texts by which an answer names a member's stage, a disk's and a duty's state."""
         self.assertEqual([stage.value for stage in Stage],
                          ["alone", "joining", "in", "out", "displaced"])
+        self.assertEqual([state.value for state in DiskState],
+                         ["well", "near full", "full", "failing", "stalled", "read-only", "gone"])
+        self.assertEqual([state.value for state in DutyState],
+                         ["idle", "sounding", "asking", "holding"])
 
     def test_status(self):
         other = Row("server-2", NUMBER + (1 << 20) + 3, Status.ALIVE, "10.0.0.2:7900", "-", 8)
