--- a/tests/compatibility/test_configuration.py
+++ b/tests/compatibility/test_configuration.py
@@ -69,8 +69,22 @@
                                        "GULLYOKE_LOG": "debug"})
         self.assertEqual(tuple(found[:2]), ("server-9", ("0.0.0.0", 8001)))
         self.assertEqual(found[9], "DEBUG")
-        with self.assertRaises(Misstated):
-            told({})
+        for level in ("DEBUG", "INFO", "WARNING", "ERROR"):
+            self.assertEqual(self.told(environment={"GULLYOKE_LOG": level})[9], level)
+        for environment in ({}, {"NODE_CONFIG": str(FILE), "GULLYOKE_LOG": "LOUD"}):
+            with self.assertRaises(Misstated):
+                told(environment)
+
+    def test_another_configuration(self):
+        """What makes a file another server's: its name, its classes or its tenants."""
+        found, settings = self.told(), json.loads(FILE.read_text())["settings"]
+        fewer = {key: {**settings, key: settings[key][:1]} for key in ("Profiles", "Orgs")}
+        for new, key in ((self.told(seed=1, stop_ms=7), None), (self.told(name="other"), "name"),
+                         (self.told(settings=fewer["Profiles"]), "settings.Profiles"),
+                         (self.told(settings=fewer["Orgs"]), "settings.Orgs")):
+            self.assertEqual(found.strange(new), key)
+        self.assertEqual(found.changed(found), [])
+        self.assertEqual(found.changed(self.told(seed=1)), [])
 
     def test_optional_keys(self):
         self.assertEqual(self.told(limits=None)[7], 1024)
--- a/tests/compatibility/test_operator_file.py
+++ b/tests/compatibility/test_operator_file.py
@@ -103,6 +103,16 @@
         found = self.read_text('store { folder: "/var/lib/gullyoke" }')
         self.assertEqual(found[4], Kept("/var/lib/gullyoke", 16_777_216, ""))
 
+    def test_signals_and_heed(self):
+        """Whoever heeds signals sends them as well."""
+        fleet = ('fleet { name: "orders" listen: "10.0.0.4:7900" seed: "10.0.0.4:7900" '
+                 'key_file: "/etc/key" %s }')
+        for text, signals, heed in (("", False, False), ("signals: true", True, False),
+                                    ("heed: true", True, True)):
+            with self.subTest(text):
+                found = self.read_text(fleet % text)[5]
+                self.assertEqual(tuple(found[8:10]), (signals, heed))
+
     def test_unknown_field_is_refused(self):
         with self.assertRaises(Faulty):
             self.read_text("fleets { }")
