--- a/tests/compatibility/recorded.py
+++ b/tests/compatibility/recorded.py
@@ -1,4 +1,5 @@
 """Access to the recorded files in data/, shared by the tests of this package."""
+
 from __future__ import annotations
 
 import json
--- a/tests/compatibility/test_configuration.py
+++ b/tests/compatibility/test_configuration.py
@@ -1,4 +1,5 @@
 """The daemon's own configuration: the JSON file, the environment and the settings in it."""
+
 import dataclasses
 import json
 import tempfile
@@ -21,9 +22,11 @@
 
 FILE = DATA / "daemon.json"
 FACTS = Facts(
-    [Handler("view", 250_000, 700_000, 1.5, Kind.REPLAYABLE, 0.25, 3_000_000, True, 0.4, 2.0),
-     Handler("book", 400_000, 1_200_000, 3.0, Kind.UNIQUED, 0.0, 5_000_000, False, 0.0, 0.0),
-     Handler("pay", 300_000, 800_000, 5.0, Kind.NON_REPLAYABLE, 0.0, 0, True, 0.125, 0.0)],
+    [
+        Handler("view", 250_000, 700_000, 1.5, Kind.REPLAYABLE, 0.25, 3_000_000, True, 0.4, 2.0),
+        Handler("book", 400_000, 1_200_000, 3.0, Kind.UNIQUED, 0.0, 5_000_000, False, 0.0, 0.0),
+        Handler("pay", 300_000, 800_000, 5.0, Kind.NON_REPLAYABLE, 0.0, 0, True, 0.125, 0.0),
+    ],
     [Customer("acme", 12.5), Customer("zenith", 60.0)],
     Machine(4, 50_000.0, 4.5, 12.25, True, StopMode.FREEZE, ("core_use", "on_cores", "links")),
     Limits(80_000, 2_000_000, 8.0, 1_500_000, 0.25, 18_000_000),
@@ -56,17 +59,32 @@
 
     def test_file(self):
         found = told({"NODE_CONFIG": str(FILE)})
-        self.assertEqual(tuple(found[:8]), (
-            "server-1", ("127.0.0.1", 7001), ("127.0.0.1", 7002), ("127.0.0.1", 7003),
-            ("127.0.0.1", 7004), 0x1F2E3D4C, 2_500_000, 300))
+        self.assertEqual(
+            tuple(found[:8]),
+            (
+                "server-1",
+                ("127.0.0.1", 7001),
+                ("127.0.0.1", 7002),
+                ("127.0.0.1", 7003),
+                ("127.0.0.1", 7004),
+                0x1F2E3D4C,
+                2_500_000,
+                300,
+            ),
+        )
         self.assertEqual(values(found[8]), values(FACTS))
         self.assertEqual(found[9], "INFO")
         self.assertEqual(found[10], flat(json.loads(FILE.read_text())["settings"]))
         self.assertEqual(len(found), 11)
 
     def test_environment(self):
-        found = self.told(environment={"NODE_NAME": "server-9", "NODE_LISTEN": "0.0.0.0:8001",
-                                       "GULLYOKE_LOG": "debug"})
+        found = self.told(
+            environment={
+                "NODE_NAME": "server-9",
+                "NODE_LISTEN": "0.0.0.0:8001",
+                "GULLYOKE_LOG": "debug",
+            }
+        )
         self.assertEqual(tuple(found[:2]), ("server-9", ("0.0.0.0", 8001)))
         self.assertEqual(found[9], "DEBUG")
         for level in ("DEBUG", "INFO", "WARNING", "ERROR"):
@@ -79,9 +97,12 @@
         """What makes a file another server's: its name, its classes or its tenants."""
         found, settings = self.told(), json.loads(FILE.read_text())["settings"]
         fewer = {key: {**settings, key: settings[key][:1]} for key in ("Profiles", "Orgs")}
-        for new, key in ((self.told(seed=1, stop_ms=7), None), (self.told(name="other"), "name"),
-                         (self.told(settings=fewer["Profiles"]), "settings.Profiles"),
-                         (self.told(settings=fewer["Orgs"]), "settings.Orgs")):
+        for new, key in (
+            (self.told(seed=1, stop_ms=7), None),
+            (self.told(name="other"), "name"),
+            (self.told(settings=fewer["Profiles"]), "settings.Profiles"),
+            (self.told(settings=fewer["Orgs"]), "settings.Orgs"),
+        ):
             self.assertEqual(found.strange(new), key)
         self.assertEqual(found.changed(found), [])
         self.assertEqual(found.changed(self.told(seed=1)), [])
@@ -89,8 +110,9 @@
     def test_optional_keys(self):
         self.assertEqual(self.told(limits=None)[7], 1024)
         self.assertEqual(self.told(seed=7)[5], 7)
-        self.assertEqual(tuple(self.told(apart=True, engine=None, naming=None, db=None)[2:5]),
-                         (None, None, None))
+        self.assertEqual(
+            tuple(self.told(apart=True, engine=None, naming=None, db=None)[2:5]), (None, None, None)
+        )
         for key in ("name", "listen", "engine", "naming", "db", "seed", "stop_ms", "settings"):
             with self.subTest(key), self.assertRaisesRegex(Misstated, key):
                 self.told(**{key: None})
@@ -116,19 +138,32 @@
     def test_choices(self):
         """Each word that a setting may be, and what it is read as."""
         for key, part, place, words in (
-                ("Profiles_0_Semantics", 0, 4, {
-                    "repeatable": Kind.REPLAYABLE, "by_key": Kind.UNIQUED,
-                    "once": Kind.NON_REPLAYABLE}),
-                ("FamilyInfo_StopMode", 2, 5, {
-                    "off": StopMode.NEVER, "discard": StopMode.DISCARD,
-                    "freeze": StopMode.FREEZE}),
-                ("FamilyInfo_DependsOn", 4, 0, {"off": False, "one_for_all": True, "tier": True}),
-                ("FamilyInfo_Say", 5, 2, {
-                    "off": None, "floor": "floor", "allowance": "allowance",
-                    "weight": "weight"}),
-                ("WorthBy", 6, 1, {"request": False, "work": True}),
-                ("FamilyInfo_FreshStart", 2, 4, {
-                    "true": True, "false": False, "1": True, "0": False})):
+            (
+                "Profiles_0_Semantics",
+                0,
+                4,
+                {
+                    "repeatable": Kind.REPLAYABLE,
+                    "by_key": Kind.UNIQUED,
+                    "once": Kind.NON_REPLAYABLE,
+                },
+            ),
+            (
+                "FamilyInfo_StopMode",
+                2,
+                5,
+                {"off": StopMode.NEVER, "discard": StopMode.DISCARD, "freeze": StopMode.FREEZE},
+            ),
+            ("FamilyInfo_DependsOn", 4, 0, {"off": False, "one_for_all": True, "tier": True}),
+            (
+                "FamilyInfo_Say",
+                5,
+                2,
+                {"off": None, "floor": "floor", "allowance": "allowance", "weight": "weight"},
+            ),
+            ("WorthBy", 6, 1, {"request": False, "work": True}),
+            ("FamilyInfo_FreshStart", 2, 4, {"true": True, "false": False, "1": True, "0": False}),
+        ):
             for word, value in words.items():
                 with self.subTest(key, word=word):
                     read = values(facts_of(self.pairs(**{key: word}))[part])
@@ -142,20 +177,41 @@
     def test_defaults(self):
         """What stands where a setting is absent."""
         needed = {
-            "Profiles.count": "1", "Profiles.0.Name": "view", "Profiles.0.ObjectiveUs": "250000",
-            "Profiles.0.DeadlineUs": "700000", "Profiles.0.Importance": "1",
-            "Profiles.0.Semantics": "repeatable", "FamilyInfo.Cores": "4",
-            "FamilyInfo.MemoryKb": "50000", "FamilyInfo.Blowup": "4", "FleetSize": "1",
-            "Rules.AnswerSlackUs": "80000", "Rules.DrainGraceUs": "2000000",
-            "Rules.TipMultiple": "8", "Rules.TipAfterUs": "1500000",
-            "Rules.StartCapacity": "0.25", "Rules.ColdUs": "18000000"}
-        self.assertEqual(values(facts_of(needed)), values(Facts(
-            [Handler("view", 250_000, 700_000, 1.0, Kind.REPLAYABLE, 0.0, 0, False, 0.0, 0.0)],
-            [], Machine(4, 50_000.0, 4.0, 0.0, False, StopMode.NEVER, ()),
-            Limits(80_000, 2_000_000, 8.0, 1_500_000, 0.25, 18_000_000),
-            Below(False, None, 0, 0),
-            Permits(False, 0, None, 0, False, False, False, False, 0),
-            Fleet(1, False, 1.0, 0, 0))))
+            "Profiles.count": "1",
+            "Profiles.0.Name": "view",
+            "Profiles.0.ObjectiveUs": "250000",
+            "Profiles.0.DeadlineUs": "700000",
+            "Profiles.0.Importance": "1",
+            "Profiles.0.Semantics": "repeatable",
+            "FamilyInfo.Cores": "4",
+            "FamilyInfo.MemoryKb": "50000",
+            "FamilyInfo.Blowup": "4",
+            "FleetSize": "1",
+            "Rules.AnswerSlackUs": "80000",
+            "Rules.DrainGraceUs": "2000000",
+            "Rules.TipMultiple": "8",
+            "Rules.TipAfterUs": "1500000",
+            "Rules.StartCapacity": "0.25",
+            "Rules.ColdUs": "18000000",
+        }
+        self.assertEqual(
+            values(facts_of(needed)),
+            values(
+                Facts(
+                    [
+                        Handler(
+                            "view", 250_000, 700_000, 1.0, Kind.REPLAYABLE, 0.0, 0, False, 0.0, 0.0
+                        )
+                    ],
+                    [],
+                    Machine(4, 50_000.0, 4.0, 0.0, False, StopMode.NEVER, ()),
+                    Limits(80_000, 2_000_000, 8.0, 1_500_000, 0.25, 18_000_000),
+                    Below(False, None, 0, 0),
+                    Permits(False, 0, None, 0, False, False, False, False, 0),
+                    Fleet(1, False, 1.0, 0, 0),
+                )
+            ),
+        )
         for key in needed:
             with self.subTest(key), self.assertRaises(Misstated) as fault:
                 facts_of({name: text for name, text in needed.items() if name != key})
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -1,4 +1,5 @@
 """Datagrams of membership: each kind of message, the digests that peers compare, and the seal."""
+
 import unittest
 
 import msgspec
@@ -32,9 +33,16 @@
 NEWS = (
     LEAVING,
     Mark(identity("server-5"), NUMBER + 7, Status.DEAD, identity("server-1"), 5, 8),
-    Report(identity("server-1"), NUMBER, 12, True, (
-        Entry(identity("server-5"), NUMBER + 7, Kind.SILENT),
-        Entry(identity("server-6"), NUMBER, Kind.REFUSED))),
+    Report(
+        identity("server-1"),
+        NUMBER,
+        12,
+        True,
+        (
+            Entry(identity("server-5"), NUMBER + 7, Kind.SILENT),
+            Entry(identity("server-6"), NUMBER, Kind.REFUSED),
+        ),
+    ),
     GONE,
 )
 
@@ -98,8 +106,10 @@
 
 
 def members(count):
-    return [Row(f"other-{i}", NUMBER + i, Status.ALIVE, f"10.0.1.{i}:7900", "cavite", 100 + i)
-            for i in range(count)]
+    return [
+        Row(f"other-{i}", NUMBER + i, Status.ALIVE, f"10.0.1.{i}:7900", "cavite", 100 + i)
+        for i in range(count)
+    ]
 
 
 class Digests(unittest.TestCase):
@@ -131,10 +141,12 @@
 
     def test_reading(self):
         self.assertEqual([int(stage) for stage in Stage], [0, 1, 2, 3])
-        for reading, word in ((Reading(1.0, 0.0, 1.0, Stage.WARM), 0x150F),
-                              (Reading(0.2, 0.4, 2.4, Stage.BACK), 0x3C63),
-                              (Reading(0.0, 1.0, 3.0, Stage.DRAINING), 0x2FF0),
-                              (Reading(0.0, 0.0, 0.0, Stage.COLD), 0)):
+        for reading, word in (
+            (Reading(1.0, 0.0, 1.0, Stage.WARM), 0x150F),
+            (Reading(0.2, 0.4, 2.4, Stage.BACK), 0x3C63),
+            (Reading(0.0, 1.0, 3.0, Stage.DRAINING), 0x2FF0),
+            (Reading(0.0, 0.0, 0.0, Stage.COLD), 0),
+        ):
             self.assertEqual(reading.pack(), word)
             self.assertEqual(unpack_reading(word), reading)
 
--- a/tests/compatibility/test_duty_messages.py
+++ b/tests/compatibility/test_duty_messages.py
@@ -1,4 +1,5 @@
 """What holders of duties say: notices, orders, lines of the record and to an application."""
+
 import json
 import pathlib
 import socket
@@ -58,8 +59,9 @@
         duties.order.assert_called_once_with("roll", 9, "server-2", "drain", b"1700000000")
         told = roll.notice()
         roll.heard(5, Notice("roll", EPOCH, 7, "server-1", told))
-        self.assertEqual(roll.plan, Plan(1, "going", EPOCH + 1, 0.1, 0.5,
-                                         (("server-2", 5, EPOCH),)))
+        self.assertEqual(
+            roll.plan, Plan(1, "going", EPOCH + 1, 0.1, 0.5, (("server-2", 5, EPOCH),))
+        )
         fleet.member.row.number, fleet.house.desk.stop_at = EPOCH << 20, None
         with mock.patch.object(roll, "drain") as drain:
             roll.obey(6, Order("roll", 9, 7, "drain", b"1699999999"))
@@ -80,8 +82,11 @@
         line = self.line_of(folder / "record.jsonl")
         found = json.loads(line)
         self.assertIsInstance(found["at"], int)
-        self.assertEqual(line, json.dumps({"n": 42, "epoch": EPOCH, "by": "server-1",
-                                           "at": found["at"], **row}) + "\n")
+        self.assertEqual(
+            line,
+            json.dumps({"n": 42, "epoch": EPOCH, "by": "server-1", "at": found["at"], **row})
+            + "\n",
+        )
 
     def line_of(self, path: pathlib.Path) -> str:
         until = time.monotonic() + PATIENCE
@@ -108,8 +113,9 @@
         duties.life = 0x1122
         duties.holds.return_value = EPOCH
         duties.candidates["report"].left.return_value = 1_500_999
-        told = Told(fleet_of("server-1"), duties,
-                    OwnDuty("report", listener.getsockname(), 400_000))
+        told = Told(
+            fleet_of("server-1"), duties, OwnDuty("report", listener.getsockname(), 400_000)
+        )
         told.going.acquire()
         told.tell(EPOCH)
         server.join(PATIENCE)
--- a/tests/compatibility/test_letters.py
+++ b/tests/compatibility/test_letters.py
@@ -1,4 +1,5 @@
 """Letters between members, beside membership: of shares, of quotas and of duties."""
+
 import unittest
 
 import msgspec
@@ -14,8 +15,8 @@
 U64_MOST = 2**64 - 1
 LIFE = 0x1122334455667788
 HOMES = {"server-2": "10.0.0.2:7900", "server-1": "10.0.0.1:7900", "server-3": "10.0.0.3:7900"}
-SLOTS_DIGEST = 0xc60444cc64f92d3c
-QUOTA_DIGEST = 0x9e3265cc29afa4d2
+SLOTS_DIGEST = 0xC60444CC64F92D3C
+QUOTA_DIGEST = 0x9E3265CC29AFA4D2
 
 SHARES_LETTERS = {
     "claim": Claim("server-1", LIFE, 3),
@@ -28,8 +29,9 @@
 DUTY_LETTERS = {
     "sound": Sound("roll", LIFE, "server-1", 5, 2),
     "ask": Ask("roll", LIFE, "server-1", 1_700_000_000, 6, 2),
-    "said": Said("roll", LIFE, 6, "server-2", True, True, 1_700_000_000, LIFE, "server-1",
-                 3_000_000, 2),
+    "said": Said(
+        "roll", LIFE, 6, "server-2", True, True, 1_700_000_000, LIFE, "server-1", 3_000_000, 2
+    ),
     "said of nobody": Said("roll", LIFE, 5, "server-2", False, False, 0, NOBODY, "", 0, 2),
     "done": Done("roll", LIFE, 1_700_000_000, "server-3", True),
     "pass": Pass("roll", LIFE, 1_700_000_000),
@@ -70,8 +72,9 @@
     def test_letters_are_written_with_the_same_bytes(self):
         for name, message in SHARES_LETTERS.items():
             with self.subTest(name):
-                self.assertEqual(sharing.pack(SLOTS_DIGEST, message).hex(),
-                                 self.recorded[name].hex())
+                self.assertEqual(
+                    sharing.pack(SLOTS_DIGEST, message).hex(), self.recorded[name].hex()
+                )
 
     def test_what_a_later_release_appends_is_passed_over(self):
         for name, message in SHARES_LETTERS.items():
--- a/tests/compatibility/test_memory_store.py
+++ b/tests/compatibility/test_memory_store.py
@@ -1,4 +1,5 @@
 """What a server remembers of usual times over a restart, as its store has it."""
+
 import unittest
 
 from compatibility.recorded import copy_of, files_in, temporary_folder
@@ -15,19 +16,25 @@
 SETTINGS_DIGEST = 1_687_762_731
 
 STARTS_VALUE = Starts(2)
-LEARNED_VALUE = Learned(SETTINGS_DIGEST, 1_700_000_000.5,
-                        {"view": 12_500.25, "book": 80_000.0}, 3_000.5)
-COLD_VALUE = Cold(SETTINGS_DIGEST, 1_700_000_001.0,
-                  {"view": [50_000.0, 40_000.0, 0.0, 20_000.0, 15_000.0, 12_500.5]})
+LEARNED_VALUE = Learned(
+    SETTINGS_DIGEST, 1_700_000_000.5, {"view": 12_500.25, "book": 80_000.0}, 3_000.5
+)
+COLD_VALUE = Cold(
+    SETTINGS_DIGEST,
+    1_700_000_001.0,
+    {"view": [50_000.0, 40_000.0, 0.0, 20_000.0, 15_000.0, 12_500.5]},
+)
 
 STARTS_BYTES = "82a6756e77656c6c02a776657273696f6e01"
 LEARNED_BYTES = (
     "85a6737461746564ce6499372ba26174cb41d954fc40200000a5636f73747382a476696577cb40c86a200000"
-    "0000a4626f6f6bcb40f3880000000000a463616c6ccb40a7710000000000a776657273696f6e01")
+    "0000a4626f6f6bcb40f3880000000000a463616c6ccb40a7710000000000a776657273696f6e01"
+)
 COLD_BYTES = (
     "84a6737461746564ce6499372ba26174cb41d954fc40400000a5636f73747381a47669657796cb40e86a0000"
     "000000cb40e3880000000000cb0000000000000000cb40d3880000000000cb40cd4c0000000000cb40c86a40"
-    "00000000a776657273696f6e01")
+    "00000000a776657273696f6e01"
+)
 
 
 def write_memory(folder):
@@ -50,8 +57,11 @@
 
     def test_rows(self):
         """Each row is a MessagePack map; its names are part of the format."""
-        for row, text in ((STARTS_VALUE, STARTS_BYTES), (LEARNED_VALUE, LEARNED_BYTES),
-                          (COLD_VALUE, COLD_BYTES)):
+        for row, text in (
+            (STARTS_VALUE, STARTS_BYTES),
+            (LEARNED_VALUE, LEARNED_BYTES),
+            (COLD_VALUE, COLD_BYTES),
+        ):
             self.assertEqual(packed(row).hex(), text)
             self.assertEqual(unpacked(bytes.fromhex(text), type(row)), row)
 
@@ -65,10 +75,12 @@
         self.assertEqual(memory.starts, STARTS_VALUE)
         self.assertTrue(memory.committer.close(10))
         room.watch.end()
-        written = [one.record for one in scan(files_in(folder)["0000000002.seg"])
-                   if isinstance(one, Found)][1:]
-        self.assertEqual([(one.seq, one.key, one.value) for one in written],
-                         [(4, "starts", packed(Starts(3)))])
+        written = [
+            one.record for one in scan(files_in(folder)["0000000002.seg"]) if isinstance(one, Found)
+        ][1:]
+        self.assertEqual(
+            [(one.seq, one.key, one.value) for one in written], [(4, "starts", packed(Starts(3)))]
+        )
 
     def test_recorded_memory_is_trusted(self):
         disk = Disk(copy_of(self, "memory"))
--- a/tests/compatibility/test_note_store.py
+++ b/tests/compatibility/test_note_store.py
@@ -1,4 +1,5 @@
 """The store folder with notes of idempotency keys: segments, records, the mark and the notes."""
+
 import unittest
 
 from compatibility.recorded import copy_of, files_in, temporary_folder
@@ -38,8 +39,15 @@
 
 MARK_VALUE = Mark(2, "server-1", 41, NOW)
 RUNNING_NOTE = Note(Phase.NOTED, START, NOW - 5_000, WINDOW_END)
-ENDED_NOTE = Note(Phase.ENDED, START, NOW - 9_000, WINDOW_END, 200,
-                  (("content-type", "text/plain"), ("x-größe", "7")), b"order 77\x00\xff")
+ENDED_NOTE = Note(
+    Phase.ENDED,
+    START,
+    NOW - 9_000,
+    WINDOW_END,
+    200,
+    (("content-type", "text/plain"), ("x-größe", "7")),
+    b"order 77\x00\xff",
+)
 REMOVED_NOTE = Note(Phase.ENDED, START, NOW, WINDOW_END, 500, (), b"r" * 400)
 OTHER_NOTE = Note(Phase.ENDED, START - 100, NOW - 700_000_000, NOW - 100_000_000)
 
@@ -48,11 +56,17 @@
     """Two batches: the mark and three notes, then an end, a removal and one more note."""
     disk = Disk(folder)
     store = Store(disk, roll=4096, quota=2**20)
-    store.put([(MARK, encode(tuple(Mark(2, "server-1", 40, NOW - 1_000_000)))),
-               (RUNNING, packed(RUNNING_NOTE)), (REMOVED, packed(REMOVED_NOTE)),
-               (ENDED, packed(RUNNING_NOTE))])
-    store.put([(ENDED, packed(ENDED_NOTE)), (REMOVED, packed(None)),
-               (OTHER_START, packed(OTHER_NOTE))])
+    store.put(
+        [
+            (MARK, encode(tuple(Mark(2, "server-1", 40, NOW - 1_000_000)))),
+            (RUNNING, packed(RUNNING_NOTE)),
+            (REMOVED, packed(REMOVED_NOTE)),
+            (ENDED, packed(RUNNING_NOTE)),
+        ]
+    )
+    store.put(
+        [(ENDED, packed(ENDED_NOTE)), (REMOVED, packed(None)), (OTHER_START, packed(OTHER_NOTE))]
+    )
     disk.close()
 
 
@@ -84,10 +98,9 @@
     def test_record(self):
         """A record's bytes: mark, size, kind, checksum, MessagePack payload."""
         for record, data in (
-                (Record(7, "key", b"value"),
-                 "f5676c790d00000001954d568f9307a36b6579c40576616c7565"),
-                (Record(8, "key", b"", GONE),
-                 "f5676c79080000000251066da09308a36b6579c400")):
+            (Record(7, "key", b"value"), "f5676c790d00000001954d568f9307a36b6579c40576616c7565"),
+            (Record(8, "key", b"", GONE), "f5676c79080000000251066da09308a36b6579c400"),
+        ):
             self.assertEqual(pack(record).hex(), data)
             found = unpack(bytes.fromhex(data), 0)
             self.assertEqual(found, Found(record, 0, len(data) // 2))
@@ -116,8 +129,9 @@
         self.assertIs(judged(ledger.past(NOW, ENDED), NOW), Verdict.RESULT)
         self.assertIsNone(ledger.past(WINDOW_END + 1, ENDED))
         mark = Mark(*decode_mark(store.get(MARK)))
-        self.assertEqual(tuple(trusted(mark, len(notes), "server-1", 41, NOW))[:3],
-                         (True, True, False))
+        self.assertEqual(
+            tuple(trusted(mark, len(notes), "server-1", 41, NOW))[:3], (True, True, False)
+        )
         self.assertEqual(marked(mark, "server-1", 7, NOW + 5), Mark(2, "server-1", 42, NOW + 5))
 
     def test_folder_is_written_with_the_same_bytes(self):
@@ -162,9 +176,15 @@
         self.assertTrue(committer.close(10))
         disk.close()
         found = [one.record for one in scan(files_in(folder)["0000000001.seg"])]
-        self.assertEqual(found, [
-            Record(2, "", b"", HEADER), Record(1, MARK, encode(tuple(MARK_VALUE))),
-            Record(2, RUNNING, packed(RUNNING_NOTE)), Record(3, RUNNING, b"", GONE)])
+        self.assertEqual(
+            found,
+            [
+                Record(2, "", b"", HEADER),
+                Record(1, MARK, encode(tuple(MARK_VALUE))),
+                Record(2, RUNNING, packed(RUNNING_NOTE)),
+                Record(3, RUNNING, b"", GONE),
+            ],
+        )
 
 
 class StartNumber(unittest.TestCase):
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -1,4 +1,5 @@
 """What an operator asks a running server on loopback: one line in, one JSON object out."""
+
 import json
 import random
 import socket
@@ -64,49 +65,106 @@
 
     def test_stages(self):
         """The texts by which an answer names a member's stage, a disk's and a duty's state."""
-        self.assertEqual([stage.value for stage in Stage],
-                         ["alone", "joining", "in", "out", "displaced"])
-        self.assertEqual([state.value for state in DiskState],
-                         ["well", "near full", "full", "failing", "stalled", "read-only", "gone"])
-        self.assertEqual([state.value for state in DutyState],
-                         ["idle", "sounding", "asking", "holding"])
+        self.assertEqual(
+            [stage.value for stage in Stage], ["alone", "joining", "in", "out", "displaced"]
+        )
+        self.assertEqual(
+            [state.value for state in DiskState],
+            ["well", "near full", "full", "failing", "stalled", "read-only", "gone"],
+        )
+        self.assertEqual(
+            [state.value for state in DutyState], ["idle", "sounding", "asking", "holding"]
+        )
 
     def test_status(self):
         other = Row("server-2", NUMBER + (1 << 20) + 3, Status.ALIVE, "10.0.0.2:7900", "-", 8)
         self.member.view.merge(clock.now(), other)
         self.link.signals = Heard()
-        self.link.signals.hear(clock.now(), other.id, 1,
-                               Reading(0.6, 0.2, 1.4, Standing.WARM).pack())
+        self.link.signals.hear(
+            clock.now(), other.id, 1, Reading(0.6, 0.2, 1.4, Standing.WARM).pack()
+        )
         sharing = Sharing(clock.now(), 7, VOTERS, 30, 5, "server-1", True)
         slots = SharedSlots(Own(sharing, 0), VOTERS, stated(VOTERS, 120, 5), VOTERS.get)
         self.link.told["shares"] = slots.told
         self.link.told["disks"] = lambda now: {"/var/lib/gullyoke": "well"}
         found = self.ask(b"status")
         self.assertIsInstance(found.pop("age_ms"), int)
-        self.assertEqual(found, {
-            "name": "server-1", "stage": "in", "view": 3, "digest": "2dee442c4f426447",
-            "members": 2, "seen": 2, "confidence": 0.5, "unsure": False, "failing": 0.0,
-            "lost": 0.0,
-            "rows": [
-                {"name": "server-1", "state": "alive", "zone": "makati",
-                 "address": "10.0.0.1:7900", "start": 1_700_000_000, "refuted": 0,
-                 "accused_by": 0, "round_trip_ms": None, "room": None, "shed": None,
-                 "pace": None},
-                {"name": "server-2", "state": "alive", "zone": "-",
-                 "address": "10.0.0.2:7900", "start": 1_700_000_001, "refuted": 3,
-                 "accused_by": 0, "round_trip_ms": None, "room": 0.6, "shed": 0.2,
-                 "pace": 1.4}],
-            "shares": {"in_force": 5, "floor": 5, "used": 0, "need": 0, "refused": 0,
-                       "home": "server-1", "lends": False, "lent": 0, "others": 0},
-            "disks": {"/var/lib/gullyoke": "well"}})
+        self.assertEqual(
+            found,
+            {
+                "name": "server-1",
+                "stage": "in",
+                "view": 3,
+                "digest": "2dee442c4f426447",
+                "members": 2,
+                "seen": 2,
+                "confidence": 0.5,
+                "unsure": False,
+                "failing": 0.0,
+                "lost": 0.0,
+                "rows": [
+                    {
+                        "name": "server-1",
+                        "state": "alive",
+                        "zone": "makati",
+                        "address": "10.0.0.1:7900",
+                        "start": 1_700_000_000,
+                        "refuted": 0,
+                        "accused_by": 0,
+                        "round_trip_ms": None,
+                        "room": None,
+                        "shed": None,
+                        "pace": None,
+                    },
+                    {
+                        "name": "server-2",
+                        "state": "alive",
+                        "zone": "-",
+                        "address": "10.0.0.2:7900",
+                        "start": 1_700_000_001,
+                        "refuted": 3,
+                        "accused_by": 0,
+                        "round_trip_ms": None,
+                        "room": 0.6,
+                        "shed": 0.2,
+                        "pace": 1.4,
+                    },
+                ],
+                "shares": {
+                    "in_force": 5,
+                    "floor": 5,
+                    "used": 0,
+                    "need": 0,
+                    "refused": 0,
+                    "home": "server-1",
+                    "lends": False,
+                    "lent": 0,
+                    "others": 0,
+                },
+                "disks": {"/var/lib/gullyoke": "well"},
+            },
+        )
 
     def test_events(self):
         found = self.ask(b"events")
         for event in found["events"]:
             self.assertIsInstance(event.pop("ago_ms"), int)
-        self.assertEqual(found, {"name": "server-1", "events": [
-            {"view": 2, "what": "changed", "name": "server-1", "status": "alive", "by": "-",
-             "evidence": "own word"}]})
+        self.assertEqual(
+            found,
+            {
+                "name": "server-1",
+                "events": [
+                    {
+                        "view": 2,
+                        "what": "changed",
+                        "name": "server-1",
+                        "status": "alive",
+                        "by": "-",
+                        "evidence": "own word",
+                    }
+                ],
+            },
+        )
 
 
 class DutyAsks(Asked):
@@ -115,47 +173,116 @@
     def setUp(self):
         super().setUp()
         now = clock.now()
-        voter = Voter(now, "server-1", 7, ["server-2", "server-3"], Spans(),
-                      {"roll": Promise(1_700_000_003, 8, "server-2")}, 4)
+        voter = Voter(
+            now,
+            "server-1",
+            7,
+            ["server-2", "server-3"],
+            Spans(),
+            {"roll": Promise(1_700_000_003, 8, "server-2")},
+            4,
+        )
         candidate = Candidate("roll", "server-1", 7, VOTERS, Spans(), lambda: 0.5, 4)
-        self.duties = Duties("server-1", 7, voter, Shelf(), {"roll": candidate}, VOTERS,
-                             VOTERS.get, lambda key, data, told: False, self.book)
+        self.duties = Duties(
+            "server-1",
+            7,
+            voter,
+            Shelf(),
+            {"roll": candidate},
+            VOTERS,
+            VOTERS.get,
+            lambda key, data, told: False,
+            self.book,
+        )
         fleet = mock.MagicMock()
         fleet.link, fleet.member, fleet.house.told.name = self.link, self.member, "server-1"
         self.roll = Roll(fleet, self.duties)
-        self.part = Duty(Dutied(VOTERS, 4, 3_000_000, 1000, "/var/lib/gullyoke", False, False,
-                                True, False, ()))
+        self.part = Duty(
+            Dutied(VOTERS, 4, 3_000_000, 1000, "/var/lib/gullyoke", False, False, True, False, ())
+        )
         self.part.fleet, self.part.duties = fleet, self.duties
         self.part.charges = {"roll": self.roll}
         self.part.turns = [Turn(now, "held", 1_700_000_001, "granted by server-1, server-2")]
-        self.link.asked |= {"duties": self.part.asked_duties, "roll": self.part.asked_roll,
-                            "hand-over": self.part.asked_hand_over}
+        self.link.asked |= {
+            "duties": self.part.asked_duties,
+            "roll": self.part.asked_roll,
+            "hand-over": self.part.asked_hand_over,
+        }
 
     def test_duties(self):
         found = self.ask(b"duties")
         (turn,) = found["turns"]
         self.assertIsInstance(turn.pop("ago_ms"), int)
         self.assertIsInstance(turn.pop("at"), int)
-        self.assertEqual(found, {
-            "name": "server-1",
-            "duties": {"roll": {
-                "holder": "", "epoch": 0, "left_ms": 0, "state": "idle", "number": 0,
-                "before": 0, "at_once": 0.1, "a_zone": 0.5, "doing": [], "strays": [],
-                "shed": 0.0, "why": "", "left": [], "members": 1}},
-            "votes": {"speaks": False, "fresh": False, "disk_well": True, "refused": 0, "set": 4,
-                      "promised": {"roll": [1_700_000_003, "server-2"]}},
-            "turns": [{"what": "held", "epoch": 1_700_000_001,
-                       "why": "granted by server-1, server-2"}],
-            "stale_refused": 0, "started": 1_700_000_000})
+        self.assertEqual(
+            found,
+            {
+                "name": "server-1",
+                "duties": {
+                    "roll": {
+                        "holder": "",
+                        "epoch": 0,
+                        "left_ms": 0,
+                        "state": "idle",
+                        "number": 0,
+                        "before": 0,
+                        "at_once": 0.1,
+                        "a_zone": 0.5,
+                        "doing": [],
+                        "strays": [],
+                        "shed": 0.0,
+                        "why": "",
+                        "left": [],
+                        "members": 1,
+                    }
+                },
+                "votes": {
+                    "speaks": False,
+                    "fresh": False,
+                    "disk_well": True,
+                    "refused": 0,
+                    "set": 4,
+                    "promised": {"roll": [1_700_000_003, "server-2"]},
+                },
+                "turns": [
+                    {"what": "held", "epoch": 1_700_000_001, "why": "granted by server-1, server-2"}
+                ],
+                "stale_refused": 0,
+                "started": 1_700_000_000,
+            },
+        )
 
     def test_roll_status(self):
-        self.roll.plan = Plan(4, "paused", 1_700_000_001, 0.25, 0.5,
-                              (("server-3", 5, 1_699_999_001),), ("server-2",), 0.125, "asked for")
-        self.assertEqual(self.ask(b"roll status"), {
-            "holder": "", "epoch": 0, "left_ms": 0, "state": "paused", "number": 4,
-            "before": 1_700_000_001, "at_once": 0.25, "a_zone": 0.5,
-            "doing": [["server-3", 5, 1_699_999_001]], "strays": ["server-2"], "shed": 0.125,
-            "why": "asked for", "left": ["server-1"], "members": 1})
+        self.roll.plan = Plan(
+            4,
+            "paused",
+            1_700_000_001,
+            0.25,
+            0.5,
+            (("server-3", 5, 1_699_999_001),),
+            ("server-2",),
+            0.125,
+            "asked for",
+        )
+        self.assertEqual(
+            self.ask(b"roll status"),
+            {
+                "holder": "",
+                "epoch": 0,
+                "left_ms": 0,
+                "state": "paused",
+                "number": 4,
+                "before": 1_700_000_001,
+                "at_once": 0.25,
+                "a_zone": 0.5,
+                "doing": [["server-3", 5, 1_699_999_001]],
+                "strays": ["server-2"],
+                "shed": 0.125,
+                "why": "asked for",
+                "left": ["server-1"],
+                "members": 1,
+            },
+        )
 
     def test_faults(self):
         self.assertEqual(self.ask(b"roll start 0.1 0.5"), {"fault": "nobody is known to hold roll"})
--- a/tests/compatibility/test_operator_file.py
+++ b/tests/compatibility/test_operator_file.py
@@ -1,4 +1,5 @@
 """The operator's file: one with every field of the schema, and one with as little as it needs."""
+
 import tempfile
 import unittest
 
@@ -38,7 +39,7 @@
             value = None
         if isinstance(value, Message):
             found += unset(value, f"{path}{field.name}.")
-        elif value is None or not value and not field.has_presence:
+        elif value is None or (not value and not field.has_presence):
             found.append(path + field.name)
     return found
 
@@ -52,49 +53,128 @@
     def test_schema_package(self):
         """The names that other programs generated from the schema go by."""
         self.assertEqual(schema.DESCRIPTOR.package, "gullyoke")
-        self.assertEqual([field.name for field in schema.Operator.DESCRIPTOR.fields],
-                         ["log", "listener", "backends", "pools", "store", "fleet", "duties"])
+        self.assertEqual(
+            [field.name for field in schema.Operator.DESCRIPTOR.fields],
+            ["log", "listener", "backends", "pools", "store", "fleet", "duties"],
+        )
 
     def test_every_field_is_read(self):
         found = read(str(FILE))
         self.assertEqual(found[0], True)
-        self.assertEqual(found[1], (
-            Way("second", "HTTP_1", ("127.0.0.1", 4001)),
-            Way("local", "SCGI", "/run/gullyoke/scgi.sock")))
-        self.assertEqual(found[2], Pooled(
-            (BackEnd("127.0.0.1:9001", ("127.0.0.1", 9001), 2.5, 3, 32, "makati"),
-             BackEnd("unix:/run/app/scgi.sock", "/run/app/scgi.sock", 1.0, 1, 64, "-")),
-            1_500_000, True, 131_072, 12, 0.25, 20.0,
-            Ejecting(7, 0.375, 0.625, 1_100_000, 31_000_000, 4_500_000), 2))
-        self.assertEqual(found[3], Classed(
-            0.0625, {"view": "reads", "list": "reads", "book": "writes"}))
+        self.assertEqual(
+            found[1],
+            (
+                Way("second", "HTTP_1", ("127.0.0.1", 4001)),
+                Way("local", "SCGI", "/run/gullyoke/scgi.sock"),
+            ),
+        )
+        self.assertEqual(
+            found[2],
+            Pooled(
+                (
+                    BackEnd("127.0.0.1:9001", ("127.0.0.1", 9001), 2.5, 3, 32, "makati"),
+                    BackEnd("unix:/run/app/scgi.sock", "/run/app/scgi.sock", 1.0, 1, 64, "-"),
+                ),
+                1_500_000,
+                True,
+                131_072,
+                12,
+                0.25,
+                20.0,
+                Ejecting(7, 0.375, 0.625, 1_100_000, 31_000_000, 4_500_000),
+                2,
+            ),
+        )
+        self.assertEqual(
+            found[3], Classed(0.0625, {"view": "reads", "list": "reads", "book": "writes"})
+        )
         self.assertEqual(found[4], Kept("/var/lib/gullyoke", 25_165_824, "go on"))
-        self.assertEqual(found[5], Together(
-            "orders", ("10.0.0.4", 7900), "192.168.0.4:7901", ("10.0.0.5:7900", "10.0.0.6:7900"),
-            "makati", "/etc/gullyoke/fleet.key", ("127.0.0.1", 7990), True, True, True,
-            Slotted(HOMES, 120, 12, 0.5, 1.75, True, True)))
-        self.assertEqual(found[6], Dutied(
-            HOMES, 4, 2_500_000, 750, "/var/lib/gullyoke", True, True, True, True,
-            (OwnDuty("report", ("127.0.0.1", 9100), 400_000),
-             OwnDuty("billing", ("127.0.0.1", 9101), 500_000))))
+        self.assertEqual(
+            found[5],
+            Together(
+                "orders",
+                ("10.0.0.4", 7900),
+                "192.168.0.4:7901",
+                ("10.0.0.5:7900", "10.0.0.6:7900"),
+                "makati",
+                "/etc/gullyoke/fleet.key",
+                ("127.0.0.1", 7990),
+                True,
+                True,
+                True,
+                Slotted(HOMES, 120, 12, 0.5, 1.75, True, True),
+            ),
+        )
+        self.assertEqual(
+            found[6],
+            Dutied(
+                HOMES,
+                4,
+                2_500_000,
+                750,
+                "/var/lib/gullyoke",
+                True,
+                True,
+                True,
+                True,
+                (
+                    OwnDuty("report", ("127.0.0.1", 9100), 400_000),
+                    OwnDuty("billing", ("127.0.0.1", 9101), 500_000),
+                ),
+            ),
+        )
         self.assertEqual(len(found), 7)
 
     def test_defaults(self):
         home = {"server-1": "10.0.0.4:7900"}
-        self.assertEqual(read(str(DEFAULTS)), Wanted(
-            False,
-            (Way("scgi", "SCGI", ("127.0.0.1", 4000)),),
-            Pooled((BackEnd("127.0.0.1:9001", ("127.0.0.1", 9001), 1.0, 1, 64, "-"),
-                    BackEnd("127.0.0.1:9002", ("127.0.0.1", 9002), 1.0, 70, 70, "-")),
-                   2_000_000, False, 65_536, 8, 0.1, 10.0,
-                   Ejecting(5, 0.3, 0.5, 1_000_000, 30_000_000, 5_000_000), 0),
-            Classed(0.02, {}),
-            Kept("/var/lib/gullyoke", 16_777_216, "shed"),
-            Together("orders", ("10.0.0.4", 7900), "10.0.0.4:7900", ("10.0.0.4:7900",), "-",
-                     "/etc/gullyoke/fleet.key", None, False, False, False,
-                     Slotted(home, 40, 3, 0.25, 1.0, False, False)),
-            Dutied(home, 1, 3_000_000, 1000, "/var/lib/gullyoke", False, False, False,
-                   False, (OwnDuty("report", ("127.0.0.1", 9100), 500_000),))))
+        self.assertEqual(
+            read(str(DEFAULTS)),
+            Wanted(
+                False,
+                (Way("scgi", "SCGI", ("127.0.0.1", 4000)),),
+                Pooled(
+                    (
+                        BackEnd("127.0.0.1:9001", ("127.0.0.1", 9001), 1.0, 1, 64, "-"),
+                        BackEnd("127.0.0.1:9002", ("127.0.0.1", 9002), 1.0, 70, 70, "-"),
+                    ),
+                    2_000_000,
+                    False,
+                    65_536,
+                    8,
+                    0.1,
+                    10.0,
+                    Ejecting(5, 0.3, 0.5, 1_000_000, 30_000_000, 5_000_000),
+                    0,
+                ),
+                Classed(0.02, {}),
+                Kept("/var/lib/gullyoke", 16_777_216, "shed"),
+                Together(
+                    "orders",
+                    ("10.0.0.4", 7900),
+                    "10.0.0.4:7900",
+                    ("10.0.0.4:7900",),
+                    "-",
+                    "/etc/gullyoke/fleet.key",
+                    None,
+                    False,
+                    False,
+                    False,
+                    Slotted(home, 40, 3, 0.25, 1.0, False, False),
+                ),
+                Dutied(
+                    home,
+                    1,
+                    3_000_000,
+                    1000,
+                    "/var/lib/gullyoke",
+                    False,
+                    False,
+                    False,
+                    False,
+                    (OwnDuty("report", ("127.0.0.1", 9100), 500_000),),
+                ),
+            ),
+        )
 
     def test_empty_file(self):
         self.assertEqual(self.read_text(""), Wanted(False, (), None, None, None, None, None))
@@ -105,10 +185,15 @@
 
     def test_signals_and_heed(self):
         """Whoever heeds signals sends them as well."""
-        fleet = ('fleet { name: "orders" listen: "10.0.0.4:7900" seed: "10.0.0.4:7900" '
-                 'key_file: "/etc/key" %s }')
-        for text, signals, heed in (("", False, False), ("signals: true", True, False),
-                                    ("heed: true", True, True)):
+        fleet = (
+            'fleet { name: "orders" listen: "10.0.0.4:7900" seed: "10.0.0.4:7900" '
+            'key_file: "/etc/key" %s }'
+        )
+        for text, signals, heed in (
+            ("", False, False),
+            ("signals: true", True, False),
+            ("heed: true", True, True),
+        ):
             with self.subTest(text):
                 found = self.read_text(fleet % text)[5]
                 self.assertEqual(tuple(found[8:10]), (signals, heed))
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -1,4 +1,5 @@
 """A voter's promises and what duties keep, in the cells of its folder."""
+
 import gzip
 import unittest
 
@@ -26,18 +27,29 @@
     "promise roll": bytes.fromhex("93ce6553f104cfffffffffffffffffa87365727665722d33"),
     "kept roll": bytes.fromhex("93ce6553f10402c402ff00"),
 }
-PROMISED = {"ask": Row(1_700_000_003, 0x1122, "server-1"),
-            "roll": Row(1_700_000_004, 2**64 - 1, "server-3")}
+PROMISED = {
+    "ask": Row(1_700_000_003, 0x1122, "server-1"),
+    "roll": Row(1_700_000_004, 2**64 - 1, "server-3"),
+}
 KEPT = {"roll": (1_700_000_004, 2, b"\xff\x00")}
 
-PLAN = Plan(4, "paused", 1_700_000_000, 0.25, 0.5,
-            (("server-1", NOW, 1_699_999_000), ("server-3", NOW + 5, 1_699_999_001)),
-            ("server-2",), 0.125, "asked for")
+PLAN = Plan(
+    4,
+    "paused",
+    1_700_000_000,
+    0.25,
+    0.5,
+    (("server-1", NOW, 1_699_999_000), ("server-3", NOW + 5, 1_699_999_001)),
+    ("server-2",),
+    0.125,
+    "asked for",
+)
 PLAN_BYTES = (
     b'{"number":4,"state":"paused","before":1700000000,"at_once":0.25,"a_zone":0.5,'
     b'"doing":[["server-1",1700000000000000,1699999000],'
     b'["server-3",1700000000000005,1699999001]],"strays":["server-2"],"shed":0.125,'
-    b'"why":"asked for"}')
+    b'"why":"asked for"}'
+)
 
 
 def write_cells(folder):
@@ -87,9 +99,17 @@
     def test_recorded_promises_bind_the_voter(self):
         """Nothing is granted under an epoch that was promised; a later one is written as before."""
         voter, after = self.voter(), NOW + 10_000_000
-        self.assertEqual(voter.teach(after, Learn("server-1", 9, 1)), Learned("server-2", 1, (
-            ("ask", 1_700_000_003, 0x1122, "server-1"),
-            ("roll", 1_700_000_004, 2**64 - 1, "server-3"))))
+        self.assertEqual(
+            voter.teach(after, Learn("server-1", 9, 1)),
+            Learned(
+                "server-2",
+                1,
+                (
+                    ("ask", 1_700_000_003, 0x1122, "server-1"),
+                    ("roll", 1_700_000_004, 2**64 - 1, "server-3"),
+                ),
+            ),
+        )
         refused = voter.ask(after, Ask("ask", 0x33, "server-3", 1_700_000_003, 1, 3))
         self.assertEqual((refused.yes, refused.epoch), (False, 1_700_000_003))
         write = voter.ask(after, Ask("ask", 0x33, "server-3", 1_700_000_009, 2, 3))
@@ -98,8 +118,10 @@
     def test_recorded_shelf_is_fetched(self):
         _, kept = rows_in(self.opened().items())
         shelf = Shelf(kept)
-        self.assertEqual(shelf.fetched(Fetch("roll", 5, 1_700_000_010), "server-2"), Fetched(
-            "roll", 5, "server-2", 1_700_000_010, 1_700_000_004, 2, b"\xff\x00"))
+        self.assertEqual(
+            shelf.fetched(Fetch("roll", 5, 1_700_000_010), "server-2"),
+            Fetched("roll", 5, "server-2", 1_700_000_010, 1_700_000_004, 2, b"\xff\x00"),
+        )
         self.assertFalse(shelf.fits(Keep("roll", 5, 1_700_000_004, 2, b""), 0))
         self.assertTrue(shelf.fits(Keep("roll", 5, 1_700_000_004, 3, b""), 0))
 
@@ -112,16 +134,21 @@
             told(True)
             return True
 
-        duties = Duties("server-2", 0x22, self.voter(), Shelf(KEPT), {}, VOTERS, VOTERS.get, disk,
-                        Book())
+        duties = Duties(
+            "server-2", 0x22, self.voter(), Shelf(KEPT), {}, VOTERS, VOTERS.get, disk, Book()
+        )
         duties.send = sent.extend
         after = NOW + 10_000_000
         sender = Member("server-3", 1, Status.ALIVE, "10.0.0.3:7900", "a", 0x33)
         duties.hear(after, sender, pack(Ask("ask", 0x33, "server-3", 1_700_000_009, 2, 3)))
         duties.hear(after, sender, pack(Keep("ask", 0x33, 1_700_000_009, 1, b"body")))
-        self.assertEqual(written, [
-            ("promise ask", "93ce6553f10933a87365727665722d33"),
-            ("kept ask", "93ce6553f10901c404626f6479")])
+        self.assertEqual(
+            written,
+            [
+                ("promise ask", "93ce6553f10933a87365727665722d33"),
+                ("kept ask", "93ce6553f10901c404626f6479"),
+            ],
+        )
         (_, granted), (_, kept) = sent
         self.assertTrue(unpack(granted).yes)
         self.assertEqual(unpack(kept), Kept("ask", 0x33, "server-2", 1_700_000_009, 1, True))
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -1,4 +1,5 @@
 """The simulator's wire: recorded batches of three servers get the recorded replies."""
+
 import io
 import itertools
 import pathlib
@@ -11,16 +12,42 @@
 from gullyoke.drill.batches import Malformed, Play, play
 from gullyoke.port import Gauges
 
-CONFIGURE = next(line for line in (DATA / "simulator-batches.txt").read_text().splitlines()
-                 if line.startswith("configure "))
+CONFIGURE = next(
+    line
+    for line in (DATA / "simulator-batches.txt").read_text().splitlines()
+    if line.startswith("configure ")
+)
 ROOT = pathlib.Path(__file__).parents[2]
 BATCHES = (DATA / "simulator-batches.txt").read_bytes()
 REPLIES = (DATA / "simulator-replies.txt").read_text()
 
-EVENTS = {"configure", "arrival", "finished", "needs", "call_done", "fired", "timed_out_client",
-          "quiesce", "power_off"}
-ACTIONS = {"start", "bounce", "error", "ask_below", "bypass", "keep", "forget", "answer_from",
-           "suspend", "notify_me", "mark_health", "stamp", "keepalive", "log"}
+EVENTS = {
+    "configure",
+    "arrival",
+    "finished",
+    "needs",
+    "call_done",
+    "fired",
+    "timed_out_client",
+    "quiesce",
+    "power_off",
+}
+ACTIONS = {
+    "start",
+    "bounce",
+    "error",
+    "ask_below",
+    "bypass",
+    "keep",
+    "forget",
+    "answer_from",
+    "suspend",
+    "notify_me",
+    "mark_health",
+    "stamp",
+    "keepalive",
+    "log",
+}
 
 
 def first_words(text):
@@ -57,37 +84,65 @@
 
     def test_command(self):
         """The command that the simulator starts gives the same output."""
-        run = subprocess.run([sys.executable, "-m", "gullyoke.drill"], input=BATCHES, cwd=ROOT,
-                             capture_output=True, timeout=60, check=True)
+        run = subprocess.run(
+            [sys.executable, "-m", "gullyoke.drill"],
+            input=BATCHES,
+            cwd=ROOT,
+            capture_output=True,
+            timeout=60,
+            check=True,
+        )
         self.assertEqual(run.stdout.decode(), REPLIES)
         self.assertEqual(run.stderr, b"")
 
     def test_arrival_fields(self):
         """Each field of an arrival, and what stands where it is absent."""
         game = Play()
-        for line in ("frame TimeUs=1000000 seq=1", "on Who=server_0", CONFIGURE,
-                     "arrival Tid=00000000000000a1 Type=book", "eob",
-                     "frame TimeUs=2000000 seq=2", "on Who=server_0",
-                     "arrival Tid=00000000000000a2 NotAfterUs=2700000 BacklogTimeUs=1850 "
-                     "Update=1 Footprint=24.5 Resent=1 Forerunner=00000000000000a1 NameKey=k:7 "
-                     "Type=view Standing=0.625 SrcPeer=17 Owner=acme CostUs=12000"):
+        for line in (
+            "frame TimeUs=1000000 seq=1",
+            "on Who=server_0",
+            CONFIGURE,
+            "arrival Tid=00000000000000a1 Type=book",
+            "eob",
+            "frame TimeUs=2000000 seq=2",
+            "on Who=server_0",
+            "arrival Tid=00000000000000a2 NotAfterUs=2700000 BacklogTimeUs=1850 "
+            "Update=1 Footprint=24.5 Resent=1 Forerunner=00000000000000a1 NameKey=k:7 "
+            "Type=view Standing=0.625 SrcPeer=17 Owner=acme CostUs=12000",
+        ):
             game.line(line)
         first, second = game.seats["server_0"].reqs.values()
-        self.assertEqual((first.tid, first.handler.name, first.arrived, first.due, first.kb),
-                         ("00000000000000a1", "book", 1_000_000, 2_200_000, 0.0))
-        self.assertEqual((first.resent, first.prior, first.keyed, first.customer, first.hint,
-                          first.rank), (False, None, False, None, 0, 0.0))
-        self.assertEqual((second.tid, second.handler.name, second.arrived, second.due, second.kb),
-                         ("00000000000000a2", "view", 1_998_150, 2_700_000, 24.5))
-        self.assertEqual((second.resent, second.prior, second.keyed, second.customer.name,
-                          second.hint, second.rank), (True, first, True, "acme", 12_000, 0.625))
+        self.assertEqual(
+            (first.tid, first.handler.name, first.arrived, first.due, first.kb),
+            ("00000000000000a1", "book", 1_000_000, 2_200_000, 0.0),
+        )
+        self.assertEqual(
+            (first.resent, first.prior, first.keyed, first.customer, first.hint, first.rank),
+            (False, None, False, None, 0, 0.0),
+        )
+        self.assertEqual(
+            (second.tid, second.handler.name, second.arrived, second.due, second.kb),
+            ("00000000000000a2", "view", 1_998_150, 2_700_000, 24.5),
+        )
+        self.assertEqual(
+            (
+                second.resent,
+                second.prior,
+                second.keyed,
+                second.customer.name,
+                second.hint,
+                second.rank,
+            ),
+            (True, first, True, "acme", 12_000, 0.625),
+        )
 
     def test_truth_values(self):
         game = Play()
         for line in ("frame TimeUs=1000000 seq=1", "on Who=server_0", CONFIGURE):
             game.line(line)
-        for tid, (text, value) in enumerate((("1", True), ("0", False), ("true", True),
-                                             ("false", False))):
+        for tid, (text, value) in enumerate(
+            (("1", True), ("0", False), ("true", True), ("false", False))
+        ):
             game.line(f"arrival Tid={tid:016x} Type=view Resent={text}")
             self.assertIs(game.seats["server_0"].reqs[f"{tid:016x}"].resent, value)
 
@@ -97,8 +152,10 @@
         for line in ("frame TimeUs=1000000 seq=1", "on Who=server_0", CONFIGURE):
             game.line(line)
         server = game.seats["server_0"].server = mock.MagicMock()
-        for text, gauges in (("core_use:0.62,on_cores:3,heap_share:0.41,links:120",
-                              Gauges(0.62, 3.0, 120.0)), ("links:7", Gauges(None, None, 7.0))):
+        for text, gauges in (
+            ("core_use:0.62,on_cores:3,heap_share:0.41,links:120", Gauges(0.62, 3.0, 120.0)),
+            ("links:7", Gauges(None, None, 7.0)),
+        ):
             game.line(f"fired Token=1 Telemetry={text}")
             server.gauges.assert_called_with(1_000_000, gauges)
 
@@ -106,9 +163,13 @@
         self.assertEqual(replies_to(b"frame TimeUs=5 seq=1\neob\n"), [["eor seq=1"]])
 
     def test_broken_lines_are_refused(self):
-        for text in (b"eob\n", b"frame TimeUs=5 seq=1\n", b"frame TimeUs=5 seq=1\narrival Tid=1\n",
-                     b"frame TimeUs=5 seq=1\non Who=server_0\nwhat Tid=1\n",
-                     b"frame TimeUs=5 seq=1\non Who=server_0\nconfigure Entropy=1\n"):
+        for text in (
+            b"eob\n",
+            b"frame TimeUs=5 seq=1\n",
+            b"frame TimeUs=5 seq=1\narrival Tid=1\n",
+            b"frame TimeUs=5 seq=1\non Who=server_0\nwhat Tid=1\n",
+            b"frame TimeUs=5 seq=1\non Who=server_0\nconfigure Entropy=1\n",
+        ):
             with self.subTest(text), self.assertRaises(Malformed):
                 replies_to(text)
 
