--- a/tests/scgi/test_scgi.py
+++ b/tests/scgi/test_scgi.py
@@ -44,12 +44,12 @@
             scene.said("event=serving")
             start = time.monotonic()
             for i in range(2000):
-                by, handler = chance.random() < 0.5, chance.choice(HANDLERS)
+                by, request_class = chance.random() < 0.5, chance.choice(HANDLERS)
                 wait = start + i / 400 - time.monotonic()
                 if wait > 0:
                     time.sleep(wait)
                 threads.append(
-                    threading.Thread(target=self.ask, args=(scene, i, by, handler, told))
+                    threading.Thread(target=self.ask, args=(scene, i, by, request_class, told))
                 )
                 threads[-1].start()
             for thread in threads:
@@ -58,31 +58,37 @@
         self.assertEqual({len(answers) for *_, answers, _ in told}, {1})
         self.assertLess(max(took for *_, took in told), 0.9 + 1.0)  # a second for our own threads
         sheds, asked = Counter(), Counter()
-        for by, handler, (status,), _ in told:
+        for by, request_class, (status,), _ in told:
             self.assertIn(status, ("200", "503", "500"))
-            asked[by, handler] += 1
-            sheds[by, handler] += status == "503"
+            asked[by, request_class] += 1
+            sheds[by, request_class] += status == "503"
         self.assertGreater(sum(sheds.values()), 500)
-        for handler in set(HANDLERS):
-            n = asked[True, handler] + asked[False, handler]
-            share = (sheds[True, handler] + sheds[False, handler]) / n
-            band = math.sqrt(math.log(2 * 3 * 1e6) / (2 * asked[True, handler]))
-            self.assertLess(abs(sheds[True, handler] / asked[True, handler] - share), band, handler)
+        for request_class in set(HANDLERS):
+            n = asked[True, request_class] + asked[False, request_class]
+            share = (sheds[True, request_class] + sheds[False, request_class]) / n
+            band = math.sqrt(math.log(2 * 3 * 1e6) / (2 * asked[True, request_class]))
+            self.assertLess(
+                abs(sheds[True, request_class] / asked[True, request_class] - share),
+                band,
+                request_class,
+            )
 
     @staticmethod
-    def ask(scene, i, by, handler, told):
+    def ask(scene, i, by, request_class, told):
         """One req on a connection of its own, read to its end: all answers' statuses."""
-        fields = {"Max-Wait-Ms": "900"} | ({"Replay-Key": f"k{i}"} if handler == "book" else {})
+        fields = {"Max-Wait-Ms": "900"} | (
+            {"Replay-Key": f"k{i}"} if request_class == "book" else {}
+        )
         if not by:
             fields["Connection"] = "close"
         began, data = time.monotonic(), b""
         with socket.create_connection(scene.scgi if by else scene.listen, 10) as conn:
-            conn.sendall(message(f"r{i}", handler, scgi=by, **fields))
+            conn.sendall(message(f"r{i}", request_class, scgi=by, **fields))
             while got := conn.recv(4096):
                 data += got
         mark = b"Status: " if by else b"HTTP/1.1 "
         answers = [part[:3].decode() for part in data.split(mark)[1:]]
-        told.append((by, handler, answers, time.monotonic() - began))
+        told.append((by, request_class, answers, time.monotonic() - began))
 
 
 if __name__ == "__main__":
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -110,7 +110,7 @@
     return word
 
 
-def message(name, handler, length="", scgi=False, of=None, **fields):
+def message(name, request_class, length="", scgi=False, of=None, **fields):
     """A gateway's req; fields that are given as 'no' are left out.
 
     `of` is the first try that this one repeats: a repeat carries the same body.
@@ -132,12 +132,12 @@
             "CONTENT_LENGTH": length or str(len(body)),
             "SCGI": "1",
             "REQUEST_METHOD": "POST",
-            "REQUEST_URI": f"/call/{handler}?x=1",
+            "REQUEST_URI": f"/call/{request_class}?x=1",
         }
         headers |= {"HTTP_" + k.upper().replace("-", "_"): v for k, v in given.items() if v != "no"}
         return netstring(headers) + body
     head = "".join(f"{key}: {value}\r\n" for key, value in given.items() if value != "no")
-    return f"POST /call/{handler} HTTP/1.1\r\nHost: origin.svc\r\n{head}\r\n".encode() + body
+    return f"POST /call/{request_class} HTTP/1.1\r\nHost: origin.svc\r\n{head}\r\n".encode() + body
 
 
 def netstring(headers):
@@ -623,11 +623,11 @@
         for i in range(int(count)):
             self.gateways[f"crowd{i}"] = socket.create_connection(self.listen, PATIENCE), None
 
-    def at_swarm(self, kind, count, handler):
+    def at_swarm(self, kind, count, request_class):
         """So many connections, each with a req of its own; those that find no place are closed."""
         for i in range(int(count)):
             with contextlib.suppress(OSError):
-                self.gateway(f"{kind}{1000 + i}", ["read", f"w{i}", handler])
+                self.gateway(f"{kind}{1000 + i}", ["read", f"w{i}", request_class])
 
     def at_each(self, count, verb, what, *rest):
         """The same on connections 1 to `count`: a req each, or the answer that each gets."""
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -16,13 +16,15 @@
 from gullyoke.emulator.day import SECOND, Machines, Shared, drawn
 from gullyoke.emulator.fleet import Running, deciding
 from gullyoke.pools import Pools
-from gullyoke.port import Handler, Kind
+from gullyoke.port import RUN, Idempotency, RequestClass
 
 BOX, SET, DROP = range(3)
 
 
-def handler(name, value, work):
-    return Handler(name, 6 * work, 20 * work, value, Kind.REPLAYABLE, 0.0, 0, False, 0.0, 0.0)
+def request_class(name, value, work):
+    return RequestClass(
+        name, 6 * work, 20 * work, value, Idempotency.IDEMPOTENT, 0.0, 0, False, 0.0, 0.0
+    )
 
 
 class Limits(unittest.TestCase):
@@ -48,7 +50,7 @@
         left and never less than its minimum; what one leaves is lent, and had back within a run's
         time.
         """
-        low, high = handler("low", 1.0, 200_000), handler("high", 3.0, 100_000)
+        low, high = request_class("low", 1.0, 200_000), request_class("high", 3.0, 100_000)
         pools = Pools(0, 4, {low: 1, high: 2}, minimum=0.05)
         self.demand(pools, {low: 10.0, high: 2.0}, 5)
         got, now = self.demand(pools, {low: 10.0, high: 2.0}, 5, 5 * SECOND)
@@ -67,7 +69,7 @@
 
         The threshold is its limit.
         """
-        one = handler("one", 1.0, 100_000)
+        one = request_class("one", 1.0, 100_000)
         pools = Pools(0, 2, {one: one})
         got, _ = self.demand(pools, {one: 20.0}, 5)
         self.assertEqual(got, {one: 1.0})
@@ -78,7 +80,7 @@
 
         Advice is bounded.
         """
-        low, high = handler("low", 1.0, 2201), handler("high", 1.0, 2200)
+        low, high = request_class("low", 1.0, 2201), request_class("high", 1.0, 2200)
         pools = Pools(0, 1, {low: low, high: high}, 2.2e-309)
         self.demand(pools, {low: 2.0, high: 2.0}, 3)
         for pool in pools.rows:
@@ -102,7 +104,8 @@
         and the reserve leaves half of the cores to everybody.
         """
         rates = {
-            handler(f"h{i}", value, work): load for i, (value, work, load) in enumerate(classes)
+            request_class(f"h{i}", value, work): load
+            for i, (value, work, load) in enumerate(classes)
         }
         pools = Pools(0, cores, {h: h for h in rates}, minimum)
         now = 0
@@ -210,13 +213,15 @@
         day = drawn(W, Machines(servers=2), 2.0, 6 * SECOND, 3)
         running = Running(day, deciding())
         node = running.nodes[0]
-        running.at(2 * SECOND, lambda: node.server.leave(running.now(), running.now() + 3 * SECOND))
-        late, do = [], node.do
+        running.at(
+            2 * SECOND, lambda: node.server.begin_drain(running.now(), running.now() + 3 * SECOND)
+        )
+        late, do = [], node.execute
 
-        def watched(req, command):
-            if command.name == "run" and req.arrived > 4 * SECOND:
-                late.append(req)
-            do(req, command)
+        def watched(request, command):
+            if command is RUN and request.arrived > 4 * SECOND:
+                late.append(request)
+            do(request, command)
 
         node.server.stage.do = watched
         got = running.play()
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -17,7 +17,7 @@
 
 from standins import Sockets, site
 
-from gullyoke.choice import TICK, Learner, Server
+from gullyoke.choice import TICK, AdmissionController, Learner
 from gullyoke.codec import http, lines
 from gullyoke.codec.buffer import Buffer
 from gullyoke.core import clock
@@ -31,25 +31,62 @@
 from gullyoke.options import Misstated, facts_of, flat
 from gullyoke.port import (
     FAIL,
+    RUN,
+    Await,
+    AwaitDuplicate,
     Below,
-    Call,
-    Customer,
+    CallDependency,
+    Cancel,
+    Enqueue,
+    Fail,
     Fleet,
+    ForgetKey,
     Gauges,
-    Handler,
-    Keep,
-    Kind,
+    Idempotency,
     Limits,
     Machine,
-    Permits,
-    Req,
-    Shed,
+    Permissions,
+    Reject,
+    RememberKey,
+    Request,
+    RequestClass,
+    RequestEvent,
+    Run,
+    SkipDependencyCall,
     StopMode,
-    Word,
+    Tenant,
 )
 
 HERE = pathlib.Path(__file__).parent
-WORDS = {w.name.lower().replace("_", "-"): w for w in Word}
+WORDS = {
+    "go": RequestEvent.ADMITTED,
+    "out": RequestEvent.EVICTED,
+    "late": RequestEvent.DEADLINE_NEAR,
+    "gone": RequestEvent.CLIENT_GONE,
+    "done": RequestEvent.COMPLETED,
+    "errored": RequestEvent.FAILED,
+    "stopped": RequestEvent.CANCELLED,
+    "moot": RequestEvent.NOT_STARTED,
+    "unrun": RequestEvent.NO_CAPACITY,
+    "needs": RequestEvent.DEPENDENCY_CALL_NEEDED,
+    "call-ok": RequestEvent.CALL_SUCCEEDED,
+    "call-unrun": RequestEvent.CALL_NOT_SENT,
+    "call-lost": RequestEvent.CALL_OUTCOME_UNKNOWN,
+    "call-spoilt": RequestEvent.CALL_REPLY_LOST,
+}
+COMMANDS = {
+    Enqueue: "hold",
+    Run: "run",
+    Await: "wait",
+    CallDependency: "call",
+    SkipDependencyCall: "skip",
+    AwaitDuplicate: "reuse",
+    Cancel: "stop",
+    RememberKey: "keep",
+    ForgetKey: "forget",
+    Reject: "shed",
+    Fail: "fail",
+}
 ENDS = ("done", "errored", "stopped", "moot")
 
 
@@ -57,7 +94,7 @@
     """What a scenario has break."""
 
 
-class Named(Req):
+class Named(Request):
     __slots__ = ("name",)
 
 
@@ -96,45 +133,45 @@
             "linger": 200,
             "callers": 1,
         }
-        self.handlers, self.customers, self.reqs = {}, {}, {}
+        self.request_classes, self.tenants, self.requests = {}, {}, {}
         self.server, self.now, self.due, self.use, self.links = None, 0, None, 1.0, None
         self.said, self.ever, self.notes, self.most = [], [], {}, 0
         self.running, self.trip = set(), None
 
     # The Door.
 
-    def do(self, req, command):
-        text = f"{command.name} {req.name}"
+    def execute(self, request, command):
+        text = f"{COMMANDS[type(command)]} {request.name}"
         if text == self.trip:
             raise Tripped(text)
-        if isinstance(command, Call | Keep | Shed):
-            self.notes[req.name] = command
-        if command.name in ("hold", "wait"):
+        if isinstance(command, CallDependency | RememberKey | Reject):
+            self.notes[request.name] = command
+        if isinstance(command, Enqueue | Await):
             return
         self.said.append(text)
         self.ever.append((self.now, text))
-        if command.name == "run":
-            self.running.add(req.name)
+        if command is RUN:
+            self.running.add(request.name)
 
-    def over(self, req):
-        self.running.discard(req.name)
+    def finished(self, request):
+        self.running.discard(request.name)
 
-    def wake(self, after):
+    def schedule_tick(self, after):
         self.due = self.now + after
 
-    def health(self, good, cheap):
+    def set_health(self, good, cheap):
         self.ever.append((self.now, f"health {'good' if good else 'bad'}"))
 
-    def stamp(self, level):
+    def set_load_signal(self, level):
         self.ever.append((self.now, f"stamp {level}"))
 
-    def idle(self, span):
+    def set_idle_timeout(self, span):
         self.ever.append((self.now, f"idle {span}"))
 
     def log(self, text):
         pass
 
-    def think(self, work):
+    def run_in_background(self, work):
         for _ in work:
             pass
 
@@ -155,7 +192,7 @@
             80_000, int(g["grace"] * 1000), g["tip"], 1_500_000, 0.25, int(g["cold"] * 1000)
         )
         share, span = (None, 0) if g["share"] == "none" else (g["share"], 5_000_000)
-        permits = Permits(
+        permissions = Permissions(
             g["retry"] > 0,
             int(g["retry"] * 1000),
             g["stamp"],
@@ -166,16 +203,16 @@
             False,
             30_000_000,
         )
-        self.server = Server(
+        self.server = AdmissionController(
             self.now,
             self,
             random.Random(1),
-            list(self.handlers.values()),
-            list(self.customers.values()),
+            list(self.request_classes.values()),
+            list(self.tenants.values()),
             machine,
             limits,
             Below(True, share, span, int(g["linger"] * 1000)),
-            permits,
+            permissions,
             Fleet(
                 int(g["fleet"]),
                 bool(g["work"]),
@@ -189,8 +226,8 @@
         """Let the wake-ups up to then come."""
         while self.due is not None and self.due <= time:
             self.now, self.due = self.due, None
-            self.server.gauges(self.now, Gauges(self.use, len(self.running), self.links))
-            self.server.settle(self.now)
+            self.server.on_tick(self.now, Gauges(self.use, len(self.running), self.links))
+            self.server.dispatch(self.now)
         self.now = time
 
     def line(self, parts):
@@ -209,12 +246,12 @@
                 "skip": 0,
             }
             n.update(numbers(parts[2:]))
-            self.handlers[parts[1]] = Handler(
+            self.request_classes[parts[1]] = RequestClass(
                 parts[1],
                 int(n["target"] * 1000),
                 int(n["timeout"] * 1000),
                 n["value"],
-                Kind(n["kind"]),
+                Idempotency(n["kind"]),
                 n["late"],
                 int(n["window"] * 1000),
                 bool(n["calls"]),
@@ -222,7 +259,7 @@
                 0,
             )
         elif verb == "customer":
-            self.customers[parts[1]] = Customer(parts[1], float(parts[2]))
+            self.tenants[parts[1]] = Tenant(parts[1], float(parts[2]))
         elif verb == ">":
             wanted = [x.strip() for x in " ".join(parts[1:]).split(";") if x.strip()]
             assert self.said == wanted, f"wanted {wanted}, got {self.said}"
@@ -259,14 +296,14 @@
             self.use = float(parts[1])
             self.until((time // TICK + 1) * TICK)
         elif verb in ("shut", "open"):
-            self.handlers[parts[1]].open = verb == "open"
+            self.request_classes[parts[1]].accepting = verb == "open"
         elif verb == "links":
             self.links = float(parts[1])
         elif verb == "leave":
-            self.server.leave(self.now, int(parts[1]) * 1000)
+            self.server.begin_drain(self.now, int(parts[1]) * 1000)
         elif verb in WORDS:
             for name in parts[1:]:
-                self.server.tell(self.now, self.reqs[name], WORDS[verb])
+                self.server.on_event(self.now, self.requests[name], WORDS[verb])
                 if verb == "needs" or verb in ENDS:
                     self.running.discard(name)
                 if verb == "call-ok":
@@ -274,28 +311,28 @@
         elif verb != "wait":
             raise AssertionError(f"unknown '{verb}'")
         with contextlib.suppress(Tripped):
-            self.server.settle(self.now)
+            self.server.dispatch(self.now)
         self.most = max(self.most, len(self.running))
 
     def read(self, parts):
         """Read NAME[xN] HANDLER [age=ms] [kb=n] [due=ms] [prior=NAME] [customer=NAME]."""
         first, _, times = parts[0].partition("x")
-        handler, n = self.handlers[parts[1]], numbers(parts[2:])
+        request_class, n = self.request_classes[parts[1]], numbers(parts[2:])
         for i in range(int(times or 1)):
             arrived = self.now - int(n.get("age", 0) * 1000)
-            due = int(n["due"] * 1000) if "due" in n else arrived + handler.timeout
-            prior = self.reqs.get(n.get("prior"))
-            req = Named(
-                handler,
+            due = int(n["due"] * 1000) if "due" in n else arrived + request_class.timeout
+            prior = self.requests.get(n.get("prior"))
+            request = Named(
+                request_class,
                 arrived,
                 due,
                 n.get("kb", 10),
-                prior=prior,
-                customer=self.customers.get(n.get("customer")),
+                duplicate_of=prior,
+                tenant=self.tenants.get(n.get("customer")),
             )
-            req.name = f"{first}{i + 1}" if times else first
-            self.reqs[req.name] = req
-            self.server.read(self.now, req)
+            request.name = f"{first}{i + 1}" if times else first
+            self.requests[request.name] = request
+            self.server.on_request(self.now, request)
 
     def play(self, parts):
         if parts[0].isdigit():
@@ -423,7 +460,7 @@
         self.assertEqual(
             (right.listen, right.seed, right.stop), (("127.0.0.1", 7001), 0x8C1F, 3_200_000)
         )
-        self.assertEqual(right.facts.handlers[1].kind, Kind.UNIQUED)
+        self.assertEqual(right.facts.request_classes[1].idempotency, Idempotency.KEYED)
         self.assertEqual(right.facts.below.share, 50.0)
         for path, value, said in (
             ("name", None, "'name'"),
@@ -547,23 +584,23 @@
         route.ask()
         self.assertGreaterEqual(times[0], before + 1000)
         desk.now, route.due = 1_000_300, 1_000_000  # handled a little late: the beat stays
-        route.wake(TICK)
+        route.schedule_tick(TICK)
         self.assertEqual(times[1], 1_000_000 + TICK)
 
     def test_fault(self):
         """An error in the decisions costs its own req an errored answer; the desk goes on."""
-        desk, req = (
+        desk, request = (
             Desk(facts_of(flat(site())), 1, Book()),
             mock.Mock(outcome=None, entry=None, tid="a"),
         )
-        desk.server, desk.reqs["a"] = mock.Mock(), req
-        desk.door = mock.Mock(over=desk.over)
-        desk.server.tell.side_effect = ZeroDivisionError
+        desk.server, desk.requests["a"] = mock.Mock(), request
+        desk.executor = mock.Mock(finished=desk.over)
+        desk.server.on_event.side_effect = ZeroDivisionError
         with self.assertLogs("gullyoke", "ERROR"):
-            desk.tell(req, Word.NEEDS)
-        self.assertIs(req.outcome, FAIL)
-        self.assertTrue(req.gate.release.called and desk.server.settle.called)
-        self.assertFalse(desk.lock.locked() or desk.reqs)
+            desk.tell(request, RequestEvent.DEPENDENCY_CALL_NEEDED)
+        self.assertIs(request.outcome, FAIL)
+        self.assertTrue(request.gate.release.called and desk.server.dispatch.called)
+        self.assertFalse(desk.lock.locked() or desk.requests)
 
     def test_beat(self):
         """An error in the decisions at a wake-up: the next wake-up comes all the same."""
@@ -614,9 +651,12 @@
         for end in End:
             word = outcome(Peer.DATABASE, end)
             self.assertIs(
-                word, Word.CALL_UNRUN if end in (End.REFUSED, End.UNREACHED) else Word.CALL_SPOILT
+                word,
+                RequestEvent.CALL_NOT_SENT
+                if end in (End.REFUSED, End.UNREACHED)
+                else RequestEvent.CALL_REPLY_LOST,
             )
-            self.assertIn(outcome(Peer.GATEWAY, end), (None, Word.GONE))
+            self.assertIn(outcome(Peer.GATEWAY, end), (None, RequestEvent.CLIENT_GONE))
             self.assertIsNone(outcome(Peer.ENGINE, end) or outcome(Peer.NAMING, end))
 
     def test_scenarios(self):
--- a/tests/together/test_quotas.py
+++ b/tests/together/test_quotas.py
@@ -15,7 +15,7 @@
 from gullyoke.peers.link import Link
 from gullyoke.peers.seal import Seal
 from gullyoke.peers.sharing import QUOTAS, Quotas, SharedQuota, encode, stated
-from gullyoke.port import Customer
+from gullyoke.port import Tenant
 from gullyoke.together.quotas import BIN, Quota, Rate, tokens
 from gullyoke.together.sharing import Sharing
 
@@ -53,7 +53,7 @@
         self.assertEqual(rate.now(SECOND + 3 * BIN), 0.0)
 
     def test_not_lent(self):
-        self.assertIsNone(Customer("c", 5.0).lent(0))
+        self.assertIsNone(Tenant("c", 5.0).leased_quota(0))
 
     def test_on_sockets(self):
         """Three servers, two customers.
@@ -86,7 +86,7 @@
         until, part = time.monotonic() + PATIENCE, 0.0
         while part < 240:
             self.assertLess(time.monotonic(), until, part)
-            part = big.lent(clock.now())
+            part = big.leased_quota(clock.now())
             time.sleep(0.004)
         self.assertEqual(small.own.part(clock.now()), 25.0)
         self.assertEqual(topics[0].hear(0, None, encode((1, 0, []))), ())
--- a/tests/work/test_writing.py
+++ b/tests/work/test_writing.py
@@ -11,17 +11,17 @@
 from standins import site
 
 from gullyoke.core.book import Book
-from gullyoke.core.desk import Desk, Taken
+from gullyoke.core.desk import Desk, PendingRequest
 from gullyoke.core.message import Message
 from gullyoke.options import facts_of, flat
 from gullyoke.port import FAIL
 from gullyoke.work.engine import SENT, Engine
 
 
-def req(number):
+def request(number):
     return types.SimpleNamespace(
         tid=f"{number:016x}",
-        handler=types.SimpleNamespace(name="view"),
+        request_class=types.SimpleNamespace(name="view"),
         noticed=0,
         message=Message(("", "", ""), {}, bytes([65 + number % 26]) * 2000),
     )
@@ -58,7 +58,7 @@
             engine, theirs = self.linked(stack)
             wanted = b""
             for i in range(200):
-                engine.run(req(i))
+                engine.run(request(i))
                 engine.flush()
                 wanted += (
                     f"RUN {i:016x} view 2000\r\n".encode() + bytes([65 + i % 26]) * 2000 + b"\r\n"
@@ -76,16 +76,16 @@
         """
         with contextlib.ExitStack() as stack:
             engine, theirs = self.linked(stack)
-            engine.heard = types.SimpleNamespace(desk=types.SimpleNamespace(reqs={}))
+            engine.heard = types.SimpleNamespace(desk=types.SimpleNamespace(requests={}))
             threading.Thread(target=swallow, args=(theirs,), daemon=True).start()
-            kept = req(0)
-            engine.heard.desk.reqs[kept.tid] = kept
+            kept = request(0)
+            engine.heard.desk.requests[kept.tid] = kept
             engine.run(kept)
             for i in range(2000):
-                engine.run(req(i))
+                engine.run(request(i))
                 engine.stat(i)
             self.assertLessEqual(len(engine.sent), 2 * SENT)
-            self.assertEqual(sum(s.req is kept for s in engine.sent), 1)
+            self.assertEqual(sum(s.request is kept for s in engine.sent), 1)
 
     def test_rest_is_void_on_a_new_link(self):
         """What a broken link did not take of a command is not written to the next one.
@@ -94,11 +94,11 @@
         """
         with contextlib.ExitStack() as stack:
             engine, theirs = self.linked(stack)
-            engine.heard = types.SimpleNamespace(desk=types.SimpleNamespace(reqs={}))
+            engine.heard = types.SimpleNamespace(desk=types.SimpleNamespace(requests={}))
             engine.rest = b"half a command\r\n"
             engine.attached = False
-            one = req(1)
-            engine.heard.desk.reqs[one.tid] = one
+            one = request(1)
+            engine.heard.desk.requests[one.tid] = one
             engine.run(one)
             engine.reattached()
             theirs.settimeout(10)
@@ -111,9 +111,9 @@
         """
         facts = facts_of(flat(site()))
         desk = Desk(facts, 1, Book())
-        desk.door = types.SimpleNamespace(over=lambda _: None, do=None)
-        desk.server = types.SimpleNamespace(settle=lambda _: None)
-        one = Taken(facts.handlers[0], 0, 10**9, 1.0)
+        desk.executor = types.SimpleNamespace(over=lambda _: None, do=None)
+        desk.server = types.SimpleNamespace(dispatch=lambda _: None)
+        one = PendingRequest(facts.request_classes[0], 0, 10**9, 1.0)
         one.carry("1" * 16, None, Message(("", "", ""), {}, b""), "gateway")
         locked = []
         one.gate = types.SimpleNamespace(release=lambda: locked.append(desk.lock.locked()))
