--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -63,7 +63,7 @@
 
         return wrapped
 
-    for name in ("read", "tell", "settle", "gauges"):
+    for name in ("on_request", "on_event", "dispatch", "on_tick"):
         setattr(server, name, timed(getattr(server, name)))
     running.play()
     return spent / len(day.arrivals) * 1e6
--- a/gullyoke/below/database.py
+++ b/gullyoke/below/database.py
@@ -15,8 +15,8 @@
 from gullyoke.codec.buffer import Buffer
 from gullyoke.codec.lines import command
 from gullyoke.core import clock
-from gullyoke.core.book import Book, log, pairs
-from gullyoke.core.ends import End, Ended, Peer, outcome, served
+from gullyoke.core.book import Metrics, log, pairs
+from gullyoke.core.ends import CloseReason, ConnectionClosedError, PeerKind, outcome, served
 from gullyoke.core.sockets import Receiver, connected, shut
 from gullyoke.core.timer import Timer
 from gullyoke.port import RequestEvent
@@ -111,12 +111,12 @@
     most.
     """
 
-    def __init__(self, address: tuple[str, int], most: int, timer: Timer, book: Book) -> None:
-        self.address, self.most, self.timer, self.book, self.heard = (
+    def __init__(self, address: tuple[str, int], most: int, timer: Timer, metrics: Metrics) -> None:
+        self.address, self.most, self.timer, self.metrics, self.heard = (
             address,
             most,
             timer,
-            book,
+            metrics,
             None,
         )
         self.lock, self.count, self.last = threading.Lock(), 0, None
@@ -127,7 +127,7 @@
     def start(self, heard) -> None:
         self.heard = heard
         threading.Thread(
-            target=self.book.forever,
+            target=self.metrics.run_forever,
             args=("database", self.open),
             name="database-open",
             daemon=True,
@@ -157,7 +157,7 @@
     def ask(self, request, try_for: int) -> None:
         data = command("Q", request.tid, max(1, try_for // 1000), body=request.asking)
         request.asked = asked = Asked(request, data)
-        self.timer.at(self.heard.desk.now + try_for, lambda: self.limit(asked))
+        self.timer.at(self.heard.dispatcher.now + try_for, lambda: self.limit(asked))
         with self.lock:
             wire = self._free(request.tid)
             if wire is None:
@@ -216,7 +216,7 @@
     def limit(self, asked: Asked) -> None:
         """Its time is up."""
         if self._ended(asked):
-            self.book.add("calls.given_up")
+            self.metrics.increment("calls.given_up")
             self.heard.called(
                 asked.request,
                 RequestEvent.CALL_OUTCOME_UNKNOWN
@@ -227,7 +227,7 @@
 
     def _ended(self, asked: Asked) -> bool:
         """Whether this is the first to end the call."""
-        with self.heard.desk.lock:
+        with self.heard.dispatcher.lock:
             first = asked.request.asked is asked
             if first:
                 asked.request.asked = None
@@ -241,35 +241,37 @@
         try:
             threading.Thread(target=self.carry, args=(asked,), name="database", daemon=True).start()
         except RuntimeError as fault:  # no thread to be had
-            self.over(None, asked, End.UNREACHED, str(fault))
+            self.over(None, asked, CloseReason.UNREACHED, str(fault))
 
     def carry(self, asked: Asked) -> None:
         """A connection's life: opened for a call, and read until it ends."""
         try:
             address = self.address
             wire = Wire(connected(address, CONNECT), address)
-        except Ended as fault:
+        except ConnectionClosedError as fault:
             self.over(None, asked, fault.end, str(fault))
             return
         with self.lock:
             first = self._take(wire, None if asked.over else asked)
         if first is not None:
             wire.send(first)
-        end, why = served(lambda: self.replies(wire), lambda: self.book.fault("database"))
+        end, why = served(
+            lambda: self.replies(wire), lambda: self.metrics.record_internal_error("database")
+        )
         with self.lock:
             asked, wire.asked = wire.asked, None
             self.idle = [x for x in self.idle if x is not wire]
         wire.close()
         self.over(wire, asked, end, why)
 
-    def over(self, wire: Wire | None, asked: Asked | None, end: End, why: str) -> None:
+    def over(self, wire: Wire | None, asked: Asked | None, end: CloseReason, why: str) -> None:
         """A connection has ended, or never came about; a call on it ends with it."""
         with self.lock:
             self.count -= 1
             if self.waiting:
                 self._queue(self.waiting.popleft())
-        self.book.add(f"ends.database.{end.value}")
-        if asked is not None or end not in (End.CLOSED, End.DECLARED):
+        self.metrics.increment(f"ends.database.{end.value}")
+        if asked is not None or end not in (CloseReason.CLOSED, CloseReason.DECLARED):
             # A day of broken replies would fill the log with one line; the counters go on counting.
             log.log(
                 DEBUG if end is self.last else WARNING,
@@ -278,9 +280,9 @@
             )
             self.last = end
         if asked is not None and self._ended(asked):
-            self.heard.called(asked.request, outcome(Peer.DATABASE, end), b"")
+            self.heard.called(asked.request, outcome(PeerKind.DATABASE, end), b"")
 
-    def replies(self, wire: Wire) -> End:
+    def replies(self, wire: Wire) -> CloseReason:
         # Guards, by the piece, against lines without end and lengths that promise more than comes.
         buffer, strange = Buffer(Receiver(wire.sock, PIECE), lines.BUFFER), False
         while (words := lines.read(buffer)) is not None:
@@ -292,7 +294,7 @@
             more = None
             with self.lock:
                 if wire.asked is not asked:
-                    return End.DECLARED  # taken back meanwhile
+                    return CloseReason.DECLARED  # taken back meanwhile
                 asked.over, wire.asked, wire.last, wire.since = True, None, words[0], clock.now()
                 strange |= len(buffer) > 0 or wire.address != self.address
                 if not strange:
@@ -302,12 +304,12 @@
             if self._ended(asked):
                 self.heard.called(asked.request, word, body)
             if strange:
-                return End.DECLARED
-        return End.CLOSED
+                return CloseReason.DECLARED
+        return CloseReason.CLOSED
 
     def reply(self, words: list[str], buffer: Buffer) -> tuple[RequestEvent, bytes]:
         if len(words) == 3 and words[1] == "ROWS":
             return RequestEvent.CALL_SUCCEEDED, lines.content(buffer, words[2])
         if len(words) == 2 and words[1] in CALL_ENDS and words[1] != "ROWS":
             return CALL_ENDS[words[1]], b""
-        raise Ended(End.GARBLED, " ".join(words)[:100])
+        raise ConnectionClosedError(CloseReason.GARBLED, " ".join(words)[:100])
--- a/gullyoke/cli/fleet.py
+++ b/gullyoke/cli/fleet.py
@@ -150,13 +150,13 @@
     import pathlib
 
     from gullyoke.rig.play import Play
-    from gullyoke.rig.script import Misplayed, read
+    from gullyoke.rig.script import ScriptError, read
 
     say = (lambda text: None) if as_json else click.echo
     try:
         found = read(pathlib.Path(script).read_text(encoding="utf-8"))
         verdict = Play(found, say).run()
-    except (Misplayed, ChildProcessError, UnicodeDecodeError) as fault:
+    except (ScriptError, ChildProcessError, UnicodeDecodeError) as fault:
         refuse([f"{script}: {fault}"])
     if keep:
         from gullyoke.rig.report import write
--- a/gullyoke/cli/lab.py
+++ b/gullyoke/cli/lab.py
@@ -45,7 +45,7 @@
     from gullyoke.lab.experiment import read
     from gullyoke.lab.report import report
     from gullyoke.lab.run import run
-    from gullyoke.operator.wanted import Faulty
+    from gullyoke.operator.wanted import OperatorFileError
 
     try:
         found = read(experiment)
@@ -58,7 +58,7 @@
                 workers=workers,
                 done=lambda n, of: progress.update(task, completed=n, total=of),
             )
-    except Faulty as faulty:
+    except OperatorFileError as faulty:
         refuse(faulty.faults)
     except (OSError, ValueError) as fault:
         refuse([str(fault)])
@@ -78,11 +78,11 @@
     """
     from gullyoke.emulator.bound import bound
     from gullyoke.lab.experiment import read
-    from gullyoke.operator.wanted import Faulty
+    from gullyoke.operator.wanted import OperatorFileError
 
     try:
         found = read(experiment)
-    except Faulty as faulty:
+    except OperatorFileError as faulty:
         refuse(faulty.faults)
     if day not in [d.name for d in found.found.day]:
         refuse(
--- a/gullyoke/cli/main.py
+++ b/gullyoke/cli/main.py
@@ -58,11 +58,11 @@
     if operator is None:
         sys.exit(run())
     from gullyoke.features.file import OperatorFile
-    from gullyoke.operator.wanted import Faulty
+    from gullyoke.operator.wanted import OperatorFileError
 
     try:
         extra = OperatorFile(operator)
-    except Faulty as faulty:
+    except OperatorFileError as faulty:
         refuse(faulty.faults)
     form = None
     if extra.wanted.json_log:
@@ -82,11 +82,11 @@
       gullyoke check deploy/scgi.textproto
     """
     from gullyoke.operator.read import read
-    from gullyoke.operator.wanted import Faulty
+    from gullyoke.operator.wanted import OperatorFileError
 
     try:
         found = read(file)
-    except Faulty as faulty:
+    except OperatorFileError as faulty:
         refuse(faulty.faults)
     pool = f"{len(found.pool.back_ends)} back ends" if found.pool else "the engine"
     fleet = (
--- a/gullyoke/codec/buffer.py
+++ b/gullyoke/codec/buffer.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from gullyoke.core.ends import End, Ended
+from gullyoke.core.ends import CloseReason, ConnectionClosedError
 
 FIRST = 2048
 
@@ -38,7 +38,9 @@
             elif len(self.data) < self.most:
                 self.data.extend(bytes(min(len(self.data), self.most - len(self.data))))
             else:
-                raise Ended(End.GARBLED, f"over {self.most} bytes in one message")
+                raise ConnectionClosedError(
+                    CloseReason.GARBLED, f"over {self.most} bytes in one message"
+                )
         with memoryview(self.data) as view:
             got = self.receive(view[self.end :], begun)
         self.end += got
@@ -51,7 +53,7 @@
         """
         at = self.data.find(b"\n", self.start, self.end)
         if (at < 0 and len(self) > longest) or at - self.start > longest:
-            raise Ended(End.GARBLED, f"a line of over {longest} bytes")
+            raise ConnectionClosedError(CloseReason.GARBLED, f"a line of over {longest} bytes")
         if at < 0:
             return None
         text = bytes(self.data[self.start : at]).removesuffix(b"\r")
--- a/gullyoke/codec/http.py
+++ b/gullyoke/codec/http.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core.ends import End, Ended
-from gullyoke.core.message import Answer, Message, Unfit
+from gullyoke.core.ends import CloseReason, ConnectionClosedError
+from gullyoke.core.message import Answer, BadRequestError, Message
 
 HEAD, BODY = 4096, 8192  # the longest that are read, in bytes
 BUFFER = HEAD + BODY
@@ -34,33 +34,33 @@
     begun()
     while (head := buffer.until(b"\r\n\r\n")) is None:
         if len(buffer) > HEAD:
-            raise Unfit(431, "head too long")
+            raise BadRequestError(431, "head too long")
         more(buffer)
     lines = head.decode("latin-1").split("\r\n")[:-2]
     if head.count(b"\n") != len(lines) + 1 or b"\0" in head:  # an end of line to some readers
-        raise Unfit(400, "line ends")
+        raise BadRequestError(400, "line ends")
     first = tuple(lines[0].split(" ", 2))
     if len(first) != 3:
-        raise Unfit(400, "first line")
+        raise BadRequestError(400, "first line")
     if not first[2].startswith("HTTP/1.") and first[0] not in VERSIONS:
-        raise Unfit(505, "version")
+        raise BadRequestError(505, "version")
     fields: dict[str, str] = {}
     for line in lines[1:]:
         name, mark, value = line.partition(":")
         name, value = NAMES.get(name) or named(name), value.strip()
         if not mark:
-            raise Unfit(400, "field")
+            raise BadRequestError(400, "field")
         if fields.setdefault(name, value) != value:
-            raise Unfit(400, f"two values of {name}")
+            raise BadRequestError(400, f"two values of {name}")
     if "transfer-encoding" in fields:
-        raise Unfit(501, "transfer coding")
+        raise BadRequestError(501, "transfer coding")
     text = fields.get("content-length", "" if first[0] == "POST" else "0")
     if not text:
-        raise Unfit(411, "no length")
+        raise BadRequestError(411, "no length")
     if not (text.isascii() and text.isdigit()):
-        raise Unfit(400, "content length")
+        raise BadRequestError(400, "content length")
     if len(text) > 9 or int(text) > BODY:
-        raise Unfit(413, "body too long")
+        raise BadRequestError(413, "body too long")
     while (body := buffer.take(int(text))) is None:
         more(buffer)
     return Message(first, fields, body)
@@ -73,7 +73,7 @@
     """
     low = name.lower()
     if not low or low != low.strip():
-        raise Unfit(400, "field")
+        raise BadRequestError(400, "field")
     if len(NAMES) < MOST:
         NAMES[name] = low
     return low
@@ -81,7 +81,7 @@
 
 def more(buffer: Buffer) -> None:
     if not buffer.fill():
-        raise Ended(End.CUT)
+        raise ConnectionClosedError(CloseReason.CUT)
 
 
 def answer(given: Answer, close: bool = False) -> bytes:
--- a/gullyoke/codec/lines.py
+++ b/gullyoke/codec/lines.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core.ends import End, Ended
+from gullyoke.core.ends import CloseReason, ConnectionClosedError
 
 LINE, CONTENT = 4096, 65536  # the longest that are read, in bytes
 BUFFER = LINE + CONTENT + 2
@@ -17,7 +17,7 @@
     while (line := buffer.line(LINE)) is None:
         if not buffer.fill():
             if len(buffer):
-                raise Ended(End.CUT)
+                raise ConnectionClosedError(CloseReason.CUT)
             return None
     return line.decode("latin-1").split(" ")
 
@@ -25,18 +25,18 @@
 def content(buffer: Buffer, size: str) -> bytes:
     """The bytes that follow a line whose last word is their number."""
     if whole(size) > CONTENT:
-        raise Ended(End.GARBLED, f"a content of {size} bytes")
+        raise ConnectionClosedError(CloseReason.GARBLED, f"a content of {size} bytes")
     while (got := buffer.take(int(size) + 2)) is None:
         if not buffer.fill(True):
-            raise Ended(End.CUT)
+            raise ConnectionClosedError(CloseReason.CUT)
     if not got.endswith(b"\r\n"):
-        raise Ended(End.GARBLED, "no line end after a content")
+        raise ConnectionClosedError(CloseReason.GARBLED, "no line end after a content")
     return got[:-2]
 
 
 def whole(text: str) -> int:
     if not (text.isascii() and text.isdigit() and len(text) < 19):
-        raise Ended(End.GARBLED, f"{text[:20]!r} is no number")
+        raise ConnectionClosedError(CloseReason.GARBLED, f"{text[:20]!r} is no number")
     return int(text)
 
 
--- a/gullyoke/codec/scgi.py
+++ b/gullyoke/codec/scgi.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable, Iterable
 
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core.ends import End, Ended
-from gullyoke.core.message import Answer, Message, Unfit
+from gullyoke.core.ends import CloseReason, ConnectionClosedError
+from gullyoke.core.message import Answer, BadRequestError, Message
 
 HEAD, BODY, COUNT = 8192, 8192, 128  # the longest head and body in bytes, and the most headers
 DIGITS = 9  # the longest netstring length that is looked at
@@ -51,19 +51,19 @@
     while (block := buffer.take(size + 1)) is None:
         _more(buffer)
     if block[-1:] != b",":
-        raise Unfit(400, "no comma after the headers")
+        raise BadRequestError(400, "no comma after the headers")
     headers = headers_of(block[:-1])
     length = _length(headers)
     while (body := buffer.take(length)) is None:
         _more(buffer)
     if len(buffer):
-        raise Unfit(400, "bytes after the body")
+        raise BadRequestError(400, "bytes after the body")
     return message_of(headers, body)
 
 
 def _more(buffer: Buffer) -> None:
     if not buffer.fill():
-        raise Ended(End.CUT)
+        raise ConnectionClosedError(CloseReason.CUT)
 
 
 def head_size(buffer: Buffer) -> int:
@@ -71,12 +71,12 @@
     while True:
         digits, mark, _ = buffer.peek(DIGITS + 1).partition(b":")
         if not digits.isdigit() or digits[:1] == b"0" or len(digits) > DIGITS:
-            raise Unfit(400, "no netstring")
+            raise BadRequestError(400, "no netstring")
         if mark:
             break
         _more(buffer)
     if int(digits) > HEAD:
-        raise Unfit(431, "headers too long")
+        raise BadRequestError(431, "headers too long")
     buffer.take(len(digits) + 1)
     return int(digits)
 
@@ -84,34 +84,34 @@
 def headers_of(block: bytes) -> dict[str, str]:
     """The headers, by their names as they came; `CONTENT_LENGTH` is the first of them."""
     if not block.endswith(b"\0"):
-        raise Unfit(400, "a header without its end")
+        raise BadRequestError(400, "a header without its end")
     parts = block[:-1].decode("latin-1").split("\0")
     if len(parts) % 2:
-        raise Unfit(400, "a name without a value")
+        raise BadRequestError(400, "a name without a value")
     if len(parts) > 2 * COUNT:
-        raise Unfit(431, "too many headers")
+        raise BadRequestError(431, "too many headers")
     headers: dict[str, str] = {}
     for name, value in zip(parts[::2], parts[1::2], strict=True):
         if not name or not TOKEN.issuperset(name):
-            raise Unfit(400, "a name that is none")
+            raise BadRequestError(400, "a name that is none")
         if name in headers:
-            raise Unfit(400, f"two values of {name}")
+            raise BadRequestError(400, f"two values of {name}")
         if "\r" in value or "\n" in value:  # could become a field of its own behind us
-            raise Unfit(400, f"a line end in {name}")
+            raise BadRequestError(400, f"a line end in {name}")
         headers[name] = value
     if parts[0] != "CONTENT_LENGTH":
-        raise Unfit(400, "CONTENT_LENGTH is not the first header")
+        raise BadRequestError(400, "CONTENT_LENGTH is not the first header")
     if headers.get("SCGI") != "1":
-        raise Unfit(400, "SCGI is not 1")
+        raise BadRequestError(400, "SCGI is not 1")
     return headers
 
 
 def _length(headers: dict[str, str]) -> int:
     text = headers["CONTENT_LENGTH"]
     if not (text.isascii() and text.isdigit()) or (len(text) > 1 and text[0] == "0"):
-        raise Unfit(400, "CONTENT_LENGTH")
+        raise BadRequestError(400, "CONTENT_LENGTH")
     if len(text) > 9 or int(text) > BODY:
-        raise Unfit(413, "body too long")
+        raise BadRequestError(413, "body too long")
     return int(text)
 
 
@@ -120,18 +120,18 @@
     path = headers.get("PATH_INFO") or headers.get("REQUEST_URI", "").partition("?")[0]
     method = headers.get("REQUEST_METHOD", "")
     if not method or not path:
-        raise Unfit(400, "no method or path")
+        raise BadRequestError(400, "no method or path")
     fields: dict[str, str] = {}
     for name, value in headers.items():
         if name.startswith("HTTP_"):
             field = name[5:].replace("_", "-").lower()
             if field in fields:
-                raise Unfit(400, f"two values of {field}")
+                raise BadRequestError(400, f"two values of {field}")
             fields[field] = value.strip()
     if "transfer-encoding" in fields or fields.get("content-length", str(len(body))) != str(
         len(body)
     ):
-        raise Unfit(400, "another length than CONTENT_LENGTH")
+        raise BadRequestError(400, "another length than CONTENT_LENGTH")
     if "CONTENT_TYPE" in headers:
         fields["content-type"] = headers["CONTENT_TYPE"]
     return Message((method, path, headers.get("SERVER_PROTOCOL", "SCGI/1")), fields, body)
@@ -183,23 +183,23 @@
     """
     while (head := _answer_head(buffer)) is None:
         if len(buffer) > ANSWER_HEAD:
-            raise Ended(End.GARBLED, "an answer's head too long")
+            raise ConnectionClosedError(CloseReason.GARBLED, "an answer's head too long")
         if not buffer.fill(True):
-            raise Ended(End.CUT if len(buffer) else End.CLOSED)
+            raise ConnectionClosedError(CloseReason.CUT if len(buffer) else CloseReason.CLOSED)
     status, fields, length = answer_fields(head)
     if length is None:
         while len(buffer) <= most and buffer.fill(True):
             pass
         if len(buffer) > most:
-            raise Ended(End.GARBLED, f"an answer of over {most} bytes")
+            raise ConnectionClosedError(CloseReason.GARBLED, f"an answer of over {most} bytes")
         return Answer(status, buffer.take(len(buffer)), fields)
     if length > most:
-        raise Ended(End.GARBLED, f"an answer of over {most} bytes")
+        raise ConnectionClosedError(CloseReason.GARBLED, f"an answer of over {most} bytes")
     while (body := buffer.take(length)) is None:
         if not buffer.fill(True):
-            raise Ended(End.CUT)
+            raise ConnectionClosedError(CloseReason.CUT)
     if len(buffer):
-        raise Ended(End.GARBLED, "more than one answer")
+        raise ConnectionClosedError(CloseReason.GARBLED, "more than one answer")
     return Answer(status, body, fields)
 
 
@@ -217,9 +217,9 @@
         name, mark, value = raw.removesuffix("\r").partition(":")
         value, low = value.strip(" \t"), name.lower()
         if not mark or not name or not TOKEN.issuperset(name) or not _plain(value):
-            raise Ended(End.GARBLED, f"a field {name[:20]!r}")
+            raise ConnectionClosedError(CloseReason.GARBLED, f"a field {name[:20]!r}")
         if low in ("status", "content-length") and low in named:
-            raise Ended(End.GARBLED, f"two values of {low}")
+            raise ConnectionClosedError(CloseReason.GARBLED, f"two values of {low}")
         named.add(low)
         if low == "status":
             digits = value[:3]
@@ -229,16 +229,16 @@
                 and value[3:4] in ("", " ")
                 and digits >= "200"
             ):
-                raise Ended(End.GARBLED, "status")
+                raise ConnectionClosedError(CloseReason.GARBLED, "status")
             status = int(digits)
         elif low == "content-length":
             if not (value.isascii() and value.isdigit()) or len(value) > 12:
-                raise Ended(End.GARBLED, "length")
+                raise ConnectionClosedError(CloseReason.GARBLED, "length")
             length = int(value)
         elif low not in OWN:
             fields.append((name, value))
     if not named & {"status", "content-type", "location"}:
-        raise Ended(End.GARBLED, "neither status nor type nor location")
+        raise ConnectionClosedError(CloseReason.GARBLED, "neither status nor type nor location")
     if status is None:
         status = 302 if "location" in named else 200
     return status, tuple(fields), length
--- a/gullyoke/core/book.py
+++ b/gullyoke/core/book.py
@@ -16,29 +16,29 @@
 from collections.abc import Callable
 
 
-class Book:
+class Metrics:
     """Counters by dotted name. Table: one row a name; the names are fixed in the code."""
 
     def __init__(self) -> None:
         self.rows: Counter[str] = Counter()
         self.lock = threading.Lock()
 
-    def add(self, name: str, n: int = 1) -> None:
+    def increment(self, name: str, n: int = 1) -> None:
         with self.lock:
             self.rows[name] += n
 
-    def fault(self, where: str, request: str = "-") -> None:
+    def record_internal_error(self, where: str, request: str = "-") -> None:
         """An error of our own, in the handling of an exception."""
-        self.add(f"faults.{where}")
+        self.increment(f"faults.{where}")
         log.exception("fault", extra=pairs(where=where, request=request))
 
-    def forever(self, where: str, step: Callable[[], None]) -> None:
+    def run_forever(self, where: str, step: Callable[[], None]) -> None:
         """A thread's whole life: an error of our own in one step must not end all later ones."""
         while True:
             try:
                 step()
             except Exception:
-                self.fault(where)
+                self.record_internal_error(where)
                 time.sleep(0.05)
 
     def print(self, why: str) -> None:
--- a/gullyoke/core/crew.py
+++ b/gullyoke/core/crew.py
@@ -11,7 +11,7 @@
 RESTING, REST = 64, 2.0  # threads that rest at most, and for how many seconds each
 
 
-class Crew:
+class WorkerPool:
     """`act` is what each does with what it is handed.
 
     Table: `resting`, a box for each thread that rests.
--- a/gullyoke/core/desk.py
+++ b/gullyoke/core/desk.py
@@ -11,7 +11,7 @@
 
 from gullyoke.choice import AdmissionController
 from gullyoke.core import clock
-from gullyoke.core.book import Book, log
+from gullyoke.core.book import Metrics, log
 from gullyoke.core.message import Answer, Message
 from gullyoke.core.repeats import Repeats
 from gullyoke.options import Facts
@@ -55,7 +55,7 @@
         self.gate.acquire()
 
 
-class Desk:
+class Dispatcher:
     """`handle` is the way in for everything that the decisions hear.
 
     Tables: `reqs` in hand, which leave at their end; `later`, words that came of handling, told
@@ -63,8 +63,8 @@
     lines; `thoughts`, work in pieces, one new episode at most for each that began.
     """
 
-    def __init__(self, facts: Facts, seed: int, book: Book) -> None:
-        self.facts, self.seed, self.book = facts, seed, book
+    def __init__(self, facts: Facts, seed: int, metrics: Metrics) -> None:
+        self.facts, self.seed, self.metrics = facts, seed, metrics
         self.request_classes = {h.name: h for h in facts.request_classes}
         self.tenants = {c.name: c for c in facts.tenants}
         self.lock, self.answering = threading.Lock(), threading.Lock()
@@ -158,7 +158,7 @@
         try:
             act()
         except Exception:
-            self.book.fault("decisions", request.tid if request else "-")
+            self.metrics.record_internal_error("decisions", request.tid if request else "-")
             if request is not None:
                 self.executor.finished(request)
 
@@ -183,7 +183,7 @@
             except StopIteration:
                 return False
             except Exception:
-                self.book.fault("decisions")
+                self.metrics.record_internal_error("decisions")
                 return False
 
     def tell(self, request: PendingRequest, word: RequestEvent) -> None:
@@ -238,7 +238,7 @@
             request,
             0.02,
         )
-        self.book.add("answers.overdue")
+        self.metrics.increment("answers.overdue")
         self.answer(request, FAIL)
 
 
--- a/gullyoke/core/ends.py
+++ b/gullyoke/core/ends.py
@@ -5,10 +5,11 @@
 from collections.abc import Callable
 from enum import Enum
 
+from gullyoke.errors import GullyokeError
 from gullyoke.port import RequestEvent
 
 
-class End(Enum):
+class CloseReason(Enum):
     """How a connection ended. The value is what the log and the counters call it."""
 
     CLOSED = "closed"  # the peer closed it between two messages
@@ -26,7 +27,7 @@
     FAULT = "fault"  # an error of our own
 
 
-class Peer(Enum):
+class PeerKind(Enum):
     GATEWAY = "gateway"
     ENGINE = "engine"
     DATABASE = "database"
@@ -36,46 +37,46 @@
 # What the decisions hear of each req that the connection carried then. A gateway's end is no word
 # on its caller unless the connection is broken or gone. Runs outlive a link to the engine; the name
 # service has no part in a req.
-UNRUN = {End.REFUSED, End.UNREACHED}
-GONE = {End.CLOSED, End.CUT, End.RESET}
+UNRUN = {CloseReason.REFUSED, CloseReason.UNREACHED}
+GONE = {CloseReason.CLOSED, CloseReason.CUT, CloseReason.RESET}
 
 
-def outcome(peer: Peer, end: End) -> RequestEvent | None:
-    if peer is Peer.DATABASE:
+def outcome(peer: PeerKind, end: CloseReason) -> RequestEvent | None:
+    if peer is PeerKind.DATABASE:
         return RequestEvent.CALL_NOT_SENT if end in UNRUN else RequestEvent.CALL_REPLY_LOST
-    if peer is Peer.GATEWAY and end in GONE:
+    if peer is PeerKind.GATEWAY and end in GONE:
         return RequestEvent.CLIENT_GONE
     return None
 
 
-class Ended(Exception):
+class ConnectionClosedError(GullyokeError):
     """Raised where a connection turns out to have ended."""
 
-    def __init__(self, end: End, why: str = "") -> None:
+    def __init__(self, end: CloseReason, why: str = "") -> None:
         super().__init__(why or end.value)
         self.end = end
 
 
-def served(serve: Callable[[], End], fault: Callable[[], None]) -> tuple[End, str]:
+def served(serve: Callable[[], CloseReason], fault: Callable[[], None]) -> tuple[CloseReason, str]:
     """Serve a connection to its end: how it ended, and why.
 
     `fault` is told of an error of our own.
     """
     try:
         return serve(), ""
-    except Ended as ended:
+    except ConnectionClosedError as ended:
         return ended.end, str(ended)
     except OSError as broken:
         return end_of(broken), str(broken)
     except Exception as own:  # it ends this connection and nothing else
         fault()
-        return End.FAULT, type(own).__name__
+        return CloseReason.FAULT, type(own).__name__
 
 
-def end_of(fault: OSError) -> End:
+def end_of(fault: OSError) -> CloseReason:
     """What an error of the operating system means for the connection it struck."""
     if isinstance(fault, ConnectionRefusedError):
-        return End.REFUSED
+        return CloseReason.REFUSED
     if isinstance(fault, TimeoutError):
-        return End.STALLED
-    return End.RESET
+        return CloseReason.STALLED
+    return CloseReason.RESET
--- a/gullyoke/core/message.py
+++ b/gullyoke/core/message.py
@@ -4,6 +4,8 @@
 
 from typing import NamedTuple
 
+from gullyoke.errors import GullyokeError
+
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -22,7 +24,7 @@
 }
 
 
-class Unfit(Exception):
+class BadRequestError(GullyokeError):
     """A message that is answered with a plain status and a close."""
 
     def __init__(self, status: int, why: str) -> None:
--- a/gullyoke/core/sockets.py
+++ b/gullyoke/core/sockets.py
@@ -7,7 +7,7 @@
 import time
 
 from gullyoke.core import clock
-from gullyoke.core.ends import End, Ended, end_of
+from gullyoke.core.ends import CloseReason, ConnectionClosedError, end_of
 
 
 def connected(address: tuple[str, int] | str | None, patience: float) -> socket.socket:
@@ -16,7 +16,7 @@
     That none came about has two ends, told apart by whether the peer said so.
     """
     if address is None:
-        raise Ended(End.UNREACHED, "no address is stated")
+        raise ConnectionClosedError(CloseReason.UNREACHED, "no address is stated")
     try:
         if isinstance(address, str):
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -30,9 +30,9 @@
             sock = socket.create_connection(address, patience)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except (ConnectionRefusedError, FileNotFoundError) as fault:
-        raise Ended(End.REFUSED, str(fault)) from None
+        raise ConnectionClosedError(CloseReason.REFUSED, str(fault)) from None
     except OSError as fault:
-        raise Ended(End.UNREACHED, str(fault)) from None
+        raise ConnectionClosedError(CloseReason.UNREACHED, str(fault)) from None
     sock.settimeout(None)
     return sock
 
@@ -53,7 +53,7 @@
                 self.sock.settimeout(self.piece)
             got = self.sock.recv_into(view)
         except OSError as fault:
-            raise Ended(end_of(fault), str(fault)) from None
+            raise ConnectionClosedError(end_of(fault), str(fault)) from None
         if bounded:
             self.sock.settimeout(None)
         return got
@@ -70,13 +70,13 @@
             self.sock.settimeout(self.left())
             return self.sock.recv_into(view)
         except OSError as fault:
-            raise Ended(end_of(fault), str(fault)) from None
+            raise ConnectionClosedError(end_of(fault), str(fault)) from None
 
     def left(self) -> float:
         """Seconds left; guards against a peer that sends a byte now and then for ever."""
         left = (self.until - clock.now()) / 1e6
         if left <= 0:
-            raise Ended(End.STALLED, "its time is over")
+            raise ConnectionClosedError(CloseReason.STALLED, "its time is over")
         return left
 
     def send(self, data: bytes) -> bool:
@@ -92,13 +92,17 @@
                     self.sock.settimeout(self.left())
                     sent += self.sock.send(view[sent:])
         except OSError as fault:
-            raise (Broken if sent else Ended)(end_of(fault), str(fault)) from None
-        except Ended as fault:
-            raise (Broken if sent else Ended)(fault.end, str(fault)) from None
+            raise (ConnectionBrokenError if sent else ConnectionClosedError)(
+                end_of(fault), str(fault)
+            ) from None
+        except ConnectionClosedError as fault:
+            raise (ConnectionBrokenError if sent else ConnectionClosedError)(
+                fault.end, str(fault)
+            ) from None
         return True
 
 
-class Broken(Ended):
+class ConnectionBrokenError(ConnectionClosedError):
     """A connection that ended after something was written to it."""
 
 
--- a/gullyoke/core/standing.py
+++ b/gullyoke/core/standing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Standing:
+class Lifecycle:
     """`good`: what checks are told; `idle`.
 
     Microseconds after which silent connections are closed, 0 for never; `level`: the free value
--- a/gullyoke/core/timer.py
+++ b/gullyoke/core/timer.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from gullyoke.core import clock
-from gullyoke.core.book import Book
+from gullyoke.core.book import Metrics
 
 
 class Timer(threading.Thread):
@@ -18,13 +18,13 @@
     call of the last seconds.
     """
 
-    def __init__(self, book: Book) -> None:
+    def __init__(self, metrics: Metrics) -> None:
         super().__init__(name="timer", daemon=True)
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.bell, self.count, self.book = (
+        self.bell, self.count, self.metrics = (
             threading.Condition(threading.Lock()),
             itertools.count(),
-            book,
+            metrics,
         )
 
     def at(self, time: int, act: Callable[[], None]) -> None:
@@ -34,7 +34,7 @@
                 self.bell.notify()
 
     def run(self) -> None:
-        self.book.forever("timer", self.next)
+        self.metrics.run_forever("timer", self.next)
 
     def next(self) -> None:
         with self.bell:
--- a/gullyoke/daemon/house.py
+++ b/gullyoke/daemon/house.py
@@ -14,19 +14,19 @@
 
 from gullyoke.below.database import Database
 from gullyoke.core import clock, signals
-from gullyoke.core.book import Book, log, pairs, start_log
-from gullyoke.core.desk import Desk
-from gullyoke.core.standing import Standing
+from gullyoke.core.book import Metrics, log, pairs, start_log
+from gullyoke.core.desk import Dispatcher
+from gullyoke.core.standing import Lifecycle
 from gullyoke.core.timer import Timer
 from gullyoke.daemon.naming import Naming
-from gullyoke.daemon.options import Told, told
+from gullyoke.daemon.options import DaemonConfiguration, load_configuration
 from gullyoke.daemon.relay import Relay
 from gullyoke.daemon.route import Route
 from gullyoke.front.connections import ConnectionTable
 from gullyoke.front.http1 import Http1
 from gullyoke.front.intake import Intake
 from gullyoke.front.room import Room
-from gullyoke.options import Misstated
+from gullyoke.options import ConfigurationError
 from gullyoke.work import Work
 from gullyoke.work.engine import Engine
 
@@ -52,16 +52,16 @@
     `end` at the end of the drain.
     """
 
-    def work(self, told: Told, book: Book) -> Work | None:
+    def work(self, load_configuration: DaemonConfiguration, metrics: Metrics) -> Work | None:
         """What carries out the work in the engine's place, if this does."""
 
-    def around(self, house: House, work: Work) -> Work:
+    def around(self, daemon: Daemon, work: Work) -> Work:
         """What stands before the work from now on; `work` itself where this adds nothing to it."""
 
     def held(self) -> int:
         """The most descriptors that it holds."""
 
-    def join(self, house: House) -> None: ...
+    def join(self, daemon: Daemon) -> None: ...
     def start(self) -> None: ...
     def print(self) -> None: ...
     def leave(self) -> None: ...
@@ -78,40 +78,57 @@
     def reload(self) -> bool: ...
 
 
-class House:
+class Daemon:
     """`extra` is the operator's file, None where there is none.
 
     `form`, the log's where it is not ours.
     """
 
     def __init__(
-        self, told: Told, extra: Extra | None = None, form: logging.Formatter | None = None
+        self,
+        load_configuration: DaemonConfiguration,
+        extra: Extra | None = None,
+        form: logging.Formatter | None = None,
     ) -> None:
         threading.stack_size(STACK)
         sys.setswitchinterval(0.001)  # a thread that solves holds up others this long at most
-        self.told, self.book, self.extra = told, Book(), extra
+        self.configuration, self.metrics, self.extra = load_configuration, Metrics(), extra
         self.features: list[Feature] = extra.features if extra else []
-        self.logging = start_log(told.level, form)
-        self.timer = Timer(self.book)
-        self.desk = Desk(told.facts, told.seed, self.book)
-        self.calls = told.sockets // CALLS
-        works = [work for one in self.features if (work := one.work(told, self.book)) is not None]
+        self.logging = start_log(load_configuration.level, form)
+        self.timer = Timer(self.metrics)
+        self.dispatcher = Dispatcher(
+            load_configuration.facts, load_configuration.seed, self.metrics
+        )
+        self.calls = load_configuration.sockets // CALLS
+        works = [
+            work
+            for one in self.features
+            if (work := one.work(load_configuration, self.metrics)) is not None
+        ]
         self.work: Work = (
-            works[0] if works else Engine(told.engine, told.facts.machine.gauges, self.book)
+            works[0]
+            if works
+            else Engine(
+                load_configuration.engine, load_configuration.facts.machine.gauges, self.metrics
+            )
         )
         for one in self.features:
             self.work = one.around(self, self.work)
-        self.desk.flush = self.work.flush
-        self.database = Database(told.database, self.calls, self.timer, self.book)
-        self.standing = Standing(told.facts.permissions.max_idle)
-        self.route = Route(self.desk, self.work, self.database, self.timer, self.standing)
-        self.relay = Relay(self.desk, self.route, self.book)
-        self.intake = Intake(self.desk, self.standing, self.book)
+        self.dispatcher.flush = self.work.flush
+        self.database = Database(load_configuration.database, self.calls, self.timer, self.metrics)
+        self.lifecycle = Lifecycle(load_configuration.facts.permissions.max_idle)
+        self.route = Route(self.dispatcher, self.work, self.database, self.timer, self.lifecycle)
+        self.relay = Relay(self.dispatcher, self.route, self.metrics)
+        self.intake = Intake(self.dispatcher, self.lifecycle, self.metrics)
         self.room = Room(self.places())
-        self.connections = ConnectionTable(self.room, self.desk, self.standing, self.book)
-        self.connections.listen(told.listen, Http1(self.intake))
-        self.naming = told.naming and Naming(
-            told.naming, told.name, lambda: self.standing.good, random.Random(told.seed), self.book
+        self.connections = ConnectionTable(self.room, self.dispatcher, self.lifecycle, self.metrics)
+        self.connections.listen(load_configuration.listen, Http1(self.intake))
+        self.naming = load_configuration.naming and Naming(
+            load_configuration.naming,
+            load_configuration.name,
+            lambda: self.lifecycle.good,
+            random.Random(load_configuration.seed),
+            self.metrics,
         )
         for one in self.features:
             one.join(self)
@@ -119,12 +136,17 @@
 
     def places(self) -> int:
         """How many connections all fronts may have: what calls, back ends and the rest leave."""
-        return self.told.sockets - SPARE - self.calls - sum(one.held() for one in self.features)
+        return (
+            self.configuration.sockets
+            - SPARE
+            - self.calls
+            - sum(one.held() for one in self.features)
+        )
 
     def start(self) -> None:
         """Serve, from now on."""
         self.timer.start()
-        threading.Thread(target=self.desk.think, name="think", daemon=True).start()
+        threading.Thread(target=self.dispatcher.think, name="think", daemon=True).start()
         for one in self.features:
             one.start()
         self.work.start(self.relay)
@@ -134,7 +156,10 @@
         if self.naming:
             self.naming.start()
         log.info(
-            "started", extra=pairs(name=self.told.name, listen=":".join(map(str, self.told.listen)))
+            "started",
+            extra=pairs(
+                name=self.configuration.name, listen=":".join(map(str, self.configuration.listen))
+            ),
         )
 
     def run(self) -> int:
@@ -156,7 +181,7 @@
         return True
 
     def print(self, why: str) -> None:
-        self.book.print(why)
+        self.metrics.print(why)
         for one in self.features:
             one.print()
 
@@ -168,13 +193,13 @@
         Guards against a file that is missing, torn, impossible or another server's: the one in
         force stays, whole. Another server's engine knows none of the requests in hand here.
         """
-        self.book.add("reloads")
+        self.metrics.increment("reloads")
         try:
-            new = told(os.environ, self.told.engine is None)
-        except Misstated as fault:
+            new = load_configuration(os.environ, self.configuration.engine is None)
+        except ConfigurationError as fault:
             log.error("configuration kept", extra=pairs(why=fault))
             return
-        if (strange := self.told.strange(new)) is not None:
+        if (strange := self.configuration.strange(new)) is not None:
             log.error(
                 "configuration kept", extra=pairs(why=f"'{strange}' is that of another server")
             )
@@ -182,7 +207,7 @@
         if self.extra and not self.extra.reload():
             return
         self.room.state(self.places())
-        changed = new.changed(self.told)
+        changed = new.changed(self.configuration)
         for part, name in (
             (self.work, "engine"),
             (self.database, "database"),
@@ -190,7 +215,7 @@
         ):
             if name in changed and part and getattr(new, name):
                 part.move(getattr(new, name))
-        self.told = self.told._replace(
+        self.configuration = self.configuration._replace(
             **{name: getattr(new, name) for name in changed if name in TAKEN}
         )
         log.warning(
@@ -207,12 +232,15 @@
         At its end no connection is left unread.
         """
         log.info(
-            "leaving", extra=pairs(stop_ms=self.told.stop // 1000, in_hand=len(self.desk.requests))
+            "leaving",
+            extra=pairs(
+                stop_ms=self.configuration.stop // 1000, in_hand=len(self.dispatcher.requests)
+            ),
         )
-        self.desk.leave(self.told.stop)
+        self.dispatcher.leave(self.configuration.stop)
         for one in self.features:
             one.leave()
-        stop = self.desk.stop_at
+        stop = self.dispatcher.stop_at
         while (left := (stop - LAST - clock.now()) / 1e6) > 0:
             if (sign := signal.sigtimedwait(signals.HANDLED, left)) is not None:
                 self.heed(sign.si_signo)
@@ -221,7 +249,9 @@
             time.sleep(0.005)
         log.info(
             "left",
-            extra=pairs(in_hand=len(self.desk.requests), connections=len(self.connections.open)),
+            extra=pairs(
+                in_hand=len(self.dispatcher.requests), connections=len(self.connections.open)
+            ),
         )
         for one in self.features:
             one.end()
--- a/gullyoke/daemon/naming.py
+++ b/gullyoke/daemon/naming.py
@@ -14,9 +14,9 @@
 from gullyoke.codec import http
 from gullyoke.codec.buffer import Buffer
 from gullyoke.core import clock
-from gullyoke.core.book import Book, log, pairs
-from gullyoke.core.ends import End, Ended, served
-from gullyoke.core.message import Unfit
+from gullyoke.core.book import Metrics, log, pairs
+from gullyoke.core.ends import CloseReason, ConnectionClosedError, served
+from gullyoke.core.message import BadRequestError
 from gullyoke.core.sockets import Until, connected
 
 EVERY, LIMIT = 0.8, 0.5  # seconds between reports, and for each; an entry lapses after 3
@@ -30,10 +30,15 @@
         name: str,
         good: Callable[[], bool],
         chance: random.Random,
-        book: Book,
+        metrics: Metrics,
     ) -> None:
         super().__init__(name="naming", daemon=True)
-        self.address, self.path, self.good, self.book = address, f"/ns/hosts/{name}", good, book
+        self.address, self.path, self.good, self.metrics = (
+            address,
+            f"/ns/hosts/{name}",
+            good,
+            metrics,
+        )
         self.chance, self.sock, self.at = chance.uniform, None, address
 
     def move(self, address: tuple[str, int]) -> None:
@@ -43,21 +48,21 @@
     def run(self) -> None:
         pause, last = PAUSES[0], None
         while True:
-            end, why = served(self.report, lambda: self.book.fault("naming"))
-            if end is not End.DECLARED:
+            end, why = served(self.report, lambda: self.metrics.record_internal_error("naming"))
+            if end is not CloseReason.DECLARED:
                 self.close()
-                self.book.add(f"ends.naming.{end.value}")
+                self.metrics.increment(f"ends.naming.{end.value}")
                 log.log(
                     DEBUG if end is last else WARNING,
                     "report to the name service failed",
                     extra=pairs(end=end.value, why=why),
                 )
             last = end
-            wait = EVERY if end is End.DECLARED else pause
-            pause = PAUSES[0] if end is End.DECLARED else min(2 * pause, PAUSES[1])
+            wait = EVERY if end is CloseReason.DECLARED else pause
+            pause = PAUSES[0] if end is CloseReason.DECLARED else min(2 * pause, PAUSES[1])
             time.sleep(wait * self.chance(0.8, 1.0))
 
-    def report(self) -> End:
+    def report(self) -> CloseReason:
         """One report; DECLARED when it was taken, whether the connection stays open or not."""
         if self.sock is None or self.at != self.address:
             self.close()
@@ -71,16 +76,16 @@
         until.send(head.encode("latin-1") + body)
         try:
             said = http.read(buffer)
-        except Unfit as fault:
-            raise Ended(End.GARBLED, str(fault)) from None
+        except BadRequestError as fault:
+            raise ConnectionClosedError(CloseReason.GARBLED, str(fault)) from None
         if said is None:
-            raise Ended(End.CLOSED)
+            raise ConnectionClosedError(CloseReason.CLOSED)
         if said.first[1] != "204":
-            raise Ended(End.GARBLED, f"answered {said.first[1][:20]}")
-        self.book.add("naming.reports")
+            raise ConnectionClosedError(CloseReason.GARBLED, f"answered {said.first[1][:20]}")
+        self.metrics.increment("naming.reports")
         if said.closes() or len(buffer):  # more than one answer: out of step
             self.close()
-        return End.DECLARED
+        return CloseReason.DECLARED
 
     def close(self) -> None:
         if self.sock is not None:
--- a/gullyoke/daemon/options.py
+++ b/gullyoke/daemon/options.py
@@ -6,12 +6,12 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from gullyoke.options import Facts, Misstated, facts_of, flat
+from gullyoke.options import ConfigurationError, Facts, facts_of, flat
 
 Address = tuple[str, int]
 
 
-class Told(NamedTuple):
+class DaemonConfiguration(NamedTuple):
     """What this server is told at its start."""
 
     name: str
@@ -26,7 +26,7 @@
     level: str
     settings: dict[str, str]
 
-    def strange(self, new: Told) -> str | None:
+    def strange(self, new: DaemonConfiguration) -> str | None:
         """What shows that another configuration is not this server's.
 
         Its name, or the names of its classes or tenants; None where it may be. Figures may differ:
@@ -42,7 +42,7 @@
             return "settings.Orgs"
         return None
 
-    def changed(self, old: Told) -> list[str]:
+    def changed(self, old: DaemonConfiguration) -> list[str]:
         """The names of what differs from another configuration.
 
         The seed is new with each file.
@@ -54,7 +54,7 @@
         ]
 
 
-def told(env: Mapping[str, str], apart: bool = False) -> Told:
+def load_configuration(env: Mapping[str, str], apart: bool = False) -> DaemonConfiguration:
     """From the environment and the file that it names.
 
     NODE_NAME and NODE_LISTEN stand over the file's. Where the operator's file names the back ends
@@ -63,14 +63,14 @@
     """
     path = env.get("NODE_CONFIG")
     if not path:
-        raise Misstated("missing environment variable 'NODE_CONFIG'")
+        raise ConfigurationError("missing environment variable 'NODE_CONFIG'")
     try:
         with open(path, encoding="utf-8") as file:
             found = json.load(file)
     except (OSError, ValueError) as fault:
-        raise Misstated(f"NODE_CONFIG: {path} can't be read: {fault}") from None
+        raise ConfigurationError(f"NODE_CONFIG: {path} can't be read: {fault}") from None
     if not isinstance(found, dict):
-        raise Misstated(f"NODE_CONFIG: {path} holds no object")
+        raise ConfigurationError(f"NODE_CONFIG: {path} holds no object")
     found = found | {
         key: env[name]
         for key, name in (("name", "NODE_NAME"), ("listen", "NODE_LISTEN"))
@@ -79,7 +79,9 @@
     limits = part(found, "limits", {})
     level = env.get("GULLYOKE_LOG", "INFO").upper()
     if level not in ("DEBUG", "INFO", "WARNING", "ERROR"):
-        raise Misstated(f"environment variable 'GULLYOKE_LOG' is {level!r}, not a level of logging")
+        raise ConfigurationError(
+            f"environment variable 'GULLYOKE_LOG' is {level!r}, not a level of logging"
+        )
     settings = flat(part(found, "settings"))
     facts = facts_of(settings)
     missing = {"engine": apart, "naming": apart, "db": apart or not facts.below.exists}
@@ -87,7 +89,7 @@
         None if may_miss and key not in found else address(found, key)
         for key, may_miss in missing.items()
     )
-    return Told(
+    return DaemonConfiguration(
         word(found, "name"),
         address(found, "listen"),
         engine,
@@ -105,14 +107,14 @@
 def get(found: dict, key: str, default: object = None) -> object:
     value = found.get(key.rsplit(".", 1)[-1], default)
     if value is None:
-        raise Misstated(f"missing key '{key}'")
+        raise ConfigurationError(f"missing key '{key}'")
     return value
 
 
 def part(found: dict, key: str, default: dict | None = None) -> dict:
     value = get(found, key, default)
     if not isinstance(value, dict):
-        raise Misstated(f"key '{key}' is {value!r}, not an object")
+        raise ConfigurationError(f"key '{key}' is {value!r}, not an object")
     return value
 
 
@@ -124,7 +126,7 @@
         or not value.isprintable()
         or set(value) & set(" /?#%")
     ):
-        raise Misstated(f"key '{key}' is {value!r}, not a name")
+        raise ConfigurationError(f"key '{key}' is {value!r}, not a name")
     return value
 
 
@@ -136,7 +138,7 @@
         or value != int(value)
         or value < least
     ):
-        raise Misstated(f"key '{key}' is {value!r}, not a whole number from {least} on")
+        raise ConfigurationError(f"key '{key}' is {value!r}, not a whole number from {least} on")
     return int(value)
 
 
@@ -145,12 +147,12 @@
     try:
         return value if isinstance(value, int) else int(str(value), 16)
     except ValueError:
-        raise Misstated(f"key 'seed' is {value!r}, not hex digits") from None
+        raise ConfigurationError(f"key 'seed' is {value!r}, not hex digits") from None
 
 
 def address(found: dict, key: str) -> Address:
     value = get(found, key)
     host, _, port = str(value).rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
-        raise Misstated(f"key '{key}' is {value!r}, not an address such as 127.0.0.1:7001")
+        raise ConfigurationError(f"key '{key}' is {value!r}, not an address such as 127.0.0.1:7001")
     return host, int(port)
--- a/gullyoke/daemon/relay.py
+++ b/gullyoke/daemon/relay.py
@@ -6,8 +6,8 @@
 from __future__ import annotations
 
 from gullyoke.core import clock
-from gullyoke.core.book import Book, log, pairs
-from gullyoke.core.desk import Desk, PendingRequest
+from gullyoke.core.book import Metrics, log, pairs
+from gullyoke.core.desk import Dispatcher, PendingRequest
 from gullyoke.core.message import Answer
 from gullyoke.daemon.route import Route
 from gullyoke.port import FAIL, RequestEvent
@@ -23,74 +23,76 @@
 class Relay:
     """Heard by engine and database on their reading threads."""
 
-    def __init__(self, desk: Desk, route: Route, book: Book) -> None:
-        self.desk, self.route, self.book = desk, route, book
+    def __init__(self, dispatcher: Dispatcher, route: Route, metrics: Metrics) -> None:
+        self.dispatcher, self.route, self.metrics = dispatcher, route, metrics
 
     def hello(self, state: str, ms: int) -> None:
         """The engine is up; the decisions begin with it, cold if it is."""
-        if self.desk.server is None:
-            self.desk.facts.machine.starts_cold |= state == "cold"
-            self.desk.open(self.route, clock.now() - ms * 1000)
+        if self.dispatcher.server is None:
+            self.dispatcher.facts.machine.starts_cold |= state == "cold"
+            self.dispatcher.open(self.route, clock.now() - ms * 1000)
             log.info("serving", extra=pairs(engine=state, up_ms=ms))
 
     def done(self, tid: str, end: str, result: bytes) -> None:
-        self.book.add(f"runs.{end}")
+        self.metrics.increment(f"runs.{end}")
         self._with(tid, lambda request: self._done(request, RUN_ENDS[end], Answer(200, result)))
 
     def ran(self, request: PendingRequest, word: RequestEvent, answer: Answer | None) -> None:
         """A run at a back end is over, or there is nowhere to run it."""
-        self.book.add(f"runs.{word.name.lower()}")
+        self.metrics.increment(f"runs.{word.name.lower()}")
 
         def act() -> None:
-            if self.desk.requests.get(request.tid) is request:
+            if self.dispatcher.requests.get(request.tid) is request:
                 self._done(request, word, answer)
 
-        self.desk.handle(act, request)
+        self.dispatcher.handle(act, request)
 
     def _done(self, request: PendingRequest, word: RequestEvent, result: Answer | None) -> None:
-        desk = self.desk
+        dispatcher = self.dispatcher
         request.noticed += 1
         if word is RequestEvent.COMPLETED:
-            desk.answer(request, word, result)
+            dispatcher.answer(request, word, result)
         elif word is RequestEvent.FAILED:
-            desk.answer(
+            dispatcher.answer(
                 request, FAIL, result if result is not None and result.status != 200 else None
             )
         if request.entry is not None and word not in (
             RequestEvent.NOT_STARTED,
             RequestEvent.NO_CAPACITY,
         ):
-            for waiter in desk.repeats.ended(
-                request, result if word is RequestEvent.COMPLETED else None, desk.now
+            for waiter in dispatcher.repeats.ended(
+                request, result if word is RequestEvent.COMPLETED else None, dispatcher.now
             ):
                 if word is RequestEvent.COMPLETED:
-                    desk.answer(waiter, word, result)
-                desk.later.append(
+                    dispatcher.answer(waiter, word, result)
+                dispatcher.later.append(
                     (waiter, word if word is RequestEvent.COMPLETED else RequestEvent.FAILED)
                 )
-        desk.server.on_event(desk.now, request, word)
+        dispatcher.server.on_event(dispatcher.now, request, word)
 
     def need(self, tid: str, notice: int, body: bytes) -> None:
-        self.book.add("runs.needs")
+        self.metrics.increment("runs.needs")
 
         def act(request: PendingRequest) -> None:
             request.noticed += 1
             request.need, request.asking = notice, body
-            self.desk.server.on_event(self.desk.now, request, RequestEvent.DEPENDENCY_CALL_NEEDED)
+            self.dispatcher.server.on_event(
+                self.dispatcher.now, request, RequestEvent.DEPENDENCY_CALL_NEEDED
+            )
 
         self._with(tid, act)
 
     def not_done(self, command: str, tid: str) -> None:
         """The engine did not carry a command out. A run that never began is over."""
-        self.book.add("engine.no")
+        self.metrics.increment("engine.no")
         log.warning(
             "the engine did not carry out a command", extra=pairs(command=command, request=tid)
         )
         if command == "RUN":
             self._with(
                 tid,
-                lambda request: self.desk.server.on_event(
-                    self.desk.now, request, RequestEvent.NOT_STARTED
+                lambda request: self.dispatcher.server.on_event(
+                    self.dispatcher.now, request, RequestEvent.NOT_STARTED
                 ),
             )
 
@@ -100,17 +102,17 @@
 
     def called(self, request: PendingRequest, word: RequestEvent, reply: bytes) -> None:
         """A call has ended, as the database or the end of its connection told."""
-        self.book.add(f"calls.{word.name.lower().removeprefix('call_')}")
+        self.metrics.increment(f"calls.{word.name.lower().removeprefix('call_')}")
 
         def act() -> None:
-            if self.desk.requests.get(request.tid) is request:
+            if self.dispatcher.requests.get(request.tid) is request:
                 if word is RequestEvent.CALL_SUCCEEDED:
                     self.route.engine.feed(request, reply)
-                self.desk.server.on_event(self.desk.now, request, word)
+                self.dispatcher.server.on_event(self.dispatcher.now, request, word)
 
-        self.desk.handle(act, request)
+        self.dispatcher.handle(act, request)
 
     def _with(self, tid: str, act) -> None:
-        request = self.desk.requests.get(tid)
+        request = self.dispatcher.requests.get(tid)
         if request is not None:
-            self.desk.handle(lambda: act(request), request)
+            self.dispatcher.handle(lambda: act(request), request)
--- a/gullyoke/daemon/route.py
+++ b/gullyoke/daemon/route.py
@@ -9,8 +9,8 @@
 
 from gullyoke.below.database import Database
 from gullyoke.core import clock
-from gullyoke.core.desk import Desk, PendingRequest
-from gullyoke.core.standing import Standing
+from gullyoke.core.desk import Dispatcher, PendingRequest
+from gullyoke.core.standing import Lifecycle
 from gullyoke.core.timer import Timer
 from gullyoke.port import (
     AWAIT_DUPLICATE,
@@ -34,15 +34,25 @@
     """The door of one server of decisions. All of it is called under the desk's lock."""
 
     def __init__(
-        self, desk: Desk, engine: Work, database: Database, timer: Timer, standing: Standing
+        self,
+        dispatcher: Dispatcher,
+        engine: Work,
+        database: Database,
+        timer: Timer,
+        lifecycle: Lifecycle,
     ) -> None:
-        self.desk, self.engine, self.database, self.timer = desk, engine, database, timer
-        self.standing = standing
+        self.dispatcher, self.engine, self.database, self.timer = (
+            dispatcher,
+            engine,
+            database,
+            timer,
+        )
+        self.lifecycle = lifecycle
         self.awaited = 0  # the wake-up that is out; one at a time
         self.due = 0  # when the last one was due
 
     def execute(self, request: PendingRequest, command: Command) -> None:
-        desk, engine = self.desk, self.engine
+        dispatcher, engine = self.dispatcher, self.engine
         if command is RUN:
             engine.run(request)
         elif command is SKIP_DEPENDENCY_CALL:
@@ -50,55 +60,55 @@
         elif command is CANCEL:
             engine.halt(request)
         elif command is FAIL or isinstance(command, Reject):
-            desk.answer(request, command)
+            dispatcher.answer(request, command)
         elif isinstance(command, CallDependency):
             self.database.ask(request, command.timeout)
         elif isinstance(command, RememberKey):
-            desk.repeats.keep(request, desk.now + command.duration)
+            dispatcher.repeats.keep(request, dispatcher.now + command.duration)
         elif command is FORGET_KEY:
-            desk.later.extend(
-                (waiter, RequestEvent.FAILED) for waiter in desk.repeats.forget(request)
+            dispatcher.later.extend(
+                (waiter, RequestEvent.FAILED) for waiter in dispatcher.repeats.forget(request)
             )
         elif command is AWAIT_DUPLICATE:
             self.reuse(request)
 
     def reuse(self, request: PendingRequest) -> None:
-        entry, _ = self.desk.repeats.find(request, self.desk.now)
+        entry, _ = self.dispatcher.repeats.find(request, self.dispatcher.now)
         if entry is not None and entry.holder is not None:
             entry.waiting.append(request)
         elif entry is not None and entry.result is not None:
-            self.desk.answer(request, RequestEvent.COMPLETED, entry.result)
-            self.desk.later.append((request, RequestEvent.COMPLETED))
+            self.dispatcher.answer(request, RequestEvent.COMPLETED, entry.result)
+            self.dispatcher.later.append((request, RequestEvent.COMPLETED))
         else:
-            self.desk.later.append((request, RequestEvent.FAILED))
+            self.dispatcher.later.append((request, RequestEvent.FAILED))
 
     def finished(self, request: PendingRequest) -> None:
         if request.asked is not None:
             self.database.drop(request)
-        self.desk.over(request)
+        self.dispatcher.over(request)
 
     def schedule_tick(self, after: int) -> None:
         """Counted from when the last one was due.
 
         Waiting for gauges must not push all later ones back.
         """
-        self.due = max(self.desk.now, self.due + after)
+        self.due = max(self.dispatcher.now, self.due + after)
         self.timer.at(self.due, self.ask)
 
     def set_health(self, good: bool, cheap: bool) -> None:
-        self.standing.good = good
+        self.lifecycle.good = good
 
     def set_load_signal(self, level: float) -> None:
-        self.standing.level = level
+        self.lifecycle.level = level
 
     def set_idle_timeout(self, span: int) -> None:
-        self.standing.idle = span or self.standing.longest_idle
+        self.lifecycle.idle = span or self.lifecycle.longest_idle
 
     def log(self, text: str) -> None:
-        self.desk.notes.append(text)
+        self.dispatcher.notes.append(text)
 
     def run_in_background(self, work: Iterator) -> None:
-        self.desk.thoughts.put(work)
+        self.dispatcher.thoughts.put(work)
 
     # The wake-up: the engine's gauges first, or none if they don't come soon.
 
@@ -111,9 +121,9 @@
         self.engine.stat(tag)
 
     def woken(self, tag: int, got: dict[str, float]) -> None:
-        with self.desk.lock:
+        with self.dispatcher.lock:
             if tag != self.awaited:
                 return
             self.awaited += 1
-            self.desk.repeats.expire(self.desk.now)
-        self.desk.gauges(got)
+            self.dispatcher.repeats.expire(self.dispatcher.now)
+        self.dispatcher.gauges(got)
--- a/gullyoke/daemon/start.py
+++ b/gullyoke/daemon/start.py
@@ -7,9 +7,9 @@
 import sys
 
 from gullyoke.core import signals
-from gullyoke.daemon.house import Extra, House
-from gullyoke.daemon.options import told
-from gullyoke.options import Misstated
+from gullyoke.daemon.house import Daemon, Extra
+from gullyoke.daemon.options import load_configuration
+from gullyoke.options import ConfigurationError
 
 
 def serve(
@@ -21,8 +21,8 @@
     """
     signals.hold()  # where the command line has not
     try:
-        house = House(told(os.environ, apart), extra, form)
-    except (Misstated, OSError) as fault:
+        daemon = Daemon(load_configuration(os.environ, apart), extra, form)
+    except (ConfigurationError, OSError) as fault:
         print(f"gullyoke: {fault}", file=sys.stderr)
         return 2
-    return house.run()
+    return daemon.run()
--- a/gullyoke/drill/__main__.py
+++ b/gullyoke/drill/__main__.py
@@ -2,11 +2,11 @@
 
 import sys
 
-from gullyoke.drill.batches import Malformed, play
+from gullyoke.drill.batches import MalformedMessageError, play
 
 if __name__ == "__main__":
     try:
         play(sys.stdin.buffer, sys.stdout)
-    except Malformed as fault:
+    except MalformedMessageError as fault:
         print(fault, file=sys.stderr)
         sys.exit(2)
--- a/gullyoke/drill/batches.py
+++ b/gullyoke/drill/batches.py
@@ -11,6 +11,7 @@
 from typing import TextIO
 
 from gullyoke.choice import AdmissionController
+from gullyoke.errors import GullyokeError
 from gullyoke.options import Facts, facts_of
 from gullyoke.port import (
     PAST,
@@ -55,7 +56,7 @@
 }
 
 
-class Malformed(Exception):
+class MalformedMessageError(GullyokeError):
     """What came in is not the wire; the text names the line."""
 
 
@@ -303,11 +304,11 @@
             text = raw.decode("utf-8").rstrip("\r\n")
             reply = game.line(text) if text else None
         except KeyError as fault:
-            raise Malformed(f"line {number}: missing or unknown {fault}") from None
+            raise MalformedMessageError(f"line {number}: missing or unknown {fault}") from None
         except ValueError as fault:
-            raise Malformed(f"line {number}: {fault}") from None
+            raise MalformedMessageError(f"line {number}: {fault}") from None
         if reply is not None:
             sink.write("\n".join(reply) + "\n")
             sink.flush()
     if game.within:
-        raise Malformed("the input ended inside a batch")
+        raise MalformedMessageError("the input ended inside a batch")
--- a/gullyoke/features/back_ends.py
+++ b/gullyoke/features/back_ends.py
@@ -4,11 +4,11 @@
 
 import random
 
-from gullyoke.core.book import Book
-from gullyoke.daemon.options import Told
+from gullyoke.core.book import Metrics
+from gullyoke.daemon.options import DaemonConfiguration
 from gullyoke.features.unit import Plain
 from gullyoke.operator.wanted import Pooled, Wanted
-from gullyoke.options import Misstated
+from gullyoke.options import ConfigurationError
 from gullyoke.port import StopMode
 from gullyoke.routing import Budget, Dispatch, Health, Pool, Stated
 from gullyoke.work.backends import Address as At
@@ -29,7 +29,7 @@
     def held(self) -> int:
         return self.wanted.most()
 
-    def work(self, told: Told, book: Book) -> Backends:
+    def work(self, told: DaemonConfiguration, metrics: Metrics) -> Backends:
         """The back ends. Raises `Misstated` where they leave no room for connections."""
         wanted, self.sockets = self.wanted, told.sockets
         self.roomy(wanted)
@@ -55,7 +55,7 @@
             wanted.linger,
             wanted.stops_on_close,
             wanted.answer_bytes,
-            book,
+            metrics,
             machine.starts_cold,
         )
         self.state(wanted)
@@ -63,7 +63,7 @@
 
     def roomy(self, wanted: Pooled) -> None:
         if wanted.most() > self.sockets // 2:
-            raise Misstated(
+            raise ConfigurationError(
                 f"{self.path}: backends.backend: their `most` come to {wanted.most()} together; "
                 f"right would be {self.sockets // 2} at most, half of limits.sockets"
             )
--- a/gullyoke/features/charges.py
+++ b/gullyoke/features/charges.py
@@ -110,7 +110,7 @@
 
     def __init__(self, fleet: Fleet, duties: Duties) -> None:
         super().__init__(fleet, duties)
-        told = fleet.house.told
+        told = fleet.daemon.configuration
         self.asking = Asking(random.Random(told.seed ^ 0xA5C).random)
         below = told.facts.below
         self.gate = below.slots = Gated(
@@ -121,7 +121,7 @@
     def act(self, now: int, epoch: int) -> None:
         if self.asking.dead != self.was:
             self.was = self.asking.dead
-            self.fleet.house.book.add(
+            self.fleet.daemon.metrics.increment(
                 "duty.dependency_dead" if self.was else "duty.dependency_well"
             )
             log.warning("dependency", extra=pairs(dead=self.was, epoch=epoch))
@@ -211,13 +211,13 @@
                 self.plan = rolls.unpacked(register.body)
             except (ValueError, TypeError, KeyError):
                 self.plan = rolls.Plan()
-                self.fleet.house.book.add("duty.roll_unreadable")
+                self.fleet.daemon.metrics.increment("duty.roll_unreadable")
             self.epoch = epoch
             self.ordered.clear()
         if not register.safe or now < self.next:
             return
         self.next = now + 300_000
-        plan = rolls.step(self.plan, now, self.seen(now), self.fleet.house.told.name)
+        plan = rolls.step(self.plan, now, self.seen(now), self.fleet.daemon.configuration.name)
         if plan != self.plan:
             self.take(plan, "step")
             return  # what follows waits until that is kept
@@ -241,7 +241,7 @@
         if self.plan.state != "going":
             return
         starts = {one.name: one.start for one in self.seen(now).members}
-        me = self.fleet.house.told.name
+        me = self.fleet.daemon.configuration.name
         for name, _, start in self.plan.doing:
             if starts.get(name) != start or now - self.ordered.get(name, 0) < 1_000_000:
                 continue
@@ -257,7 +257,7 @@
 
     def drain(self, now: int, epoch: int) -> None:
         """This server's own turn: it leaves by the way that a notice to leave takes."""
-        self.fleet.house.book.add("duty.drained")
+        self.fleet.daemon.metrics.increment("duty.drained")
         log.warning("roll: this server's turn", extra=pairs(epoch=epoch))
         os.kill(os.getpid(), signal.SIGTERM)
 
@@ -269,7 +269,7 @@
         """
         own = self.fleet.member.row.number // TURNS
         meant = order.what == "drain" and order.body == str(own).encode()
-        if meant and self.fleet.house.desk.stop_at is None:
+        if meant and self.fleet.daemon.dispatcher.stop_at is None:
             self.drain(now, order.epoch)
 
     def seen(self, now: int) -> rolls.Fleet:
@@ -336,7 +336,7 @@
         try:
             self.plan = rolls.unpacked(notice.body)
         except (ValueError, TypeError, KeyError):
-            self.fleet.house.book.add("duty.roll_unreadable")
+            self.fleet.daemon.metrics.increment("duty.roll_unreadable")
 
     def told(self, now: int) -> dict:
         found = self.plan._asdict()
@@ -380,7 +380,7 @@
             size, view = self.fleet.member.size(now), self.fleet.member.view
             state = size.members, f"{view.digest:016x}"
         if self.lines.faults:  # its disk fails: another may do better
-            self.fleet.house.book.add("duty.record_faults")
+            self.fleet.daemon.metrics.increment("duty.record_faults")
             self.lines.faults = 0
             self.duties.leave(self.name, f"its disk: {self.lines.why}", ill=True)
             return
@@ -397,7 +397,7 @@
                 {
                     "n": self.count,
                     "epoch": self.epoch,
-                    "by": self.fleet.house.told.name,
+                    "by": self.fleet.daemon.configuration.name,
                     "at": int(time.time()),
                     **row,
                 }
@@ -439,15 +439,15 @@
             self.faults = 0
             if said == b"STALE":
                 self.stale += 1
-                self.fleet.house.book.add("duty.told_stale")
+                self.fleet.daemon.metrics.increment("duty.told_stale")
                 self.duties.leave(self.name, "the application has seen a newer epoch")
         except OSError as fault:
             self.faults += 1
-            self.fleet.house.book.add("duty.untold")
+            self.fleet.daemon.metrics.increment("duty.untold")
             if self.faults >= 3:  # it fails here again and again: it moves on
                 self.faults = 0
                 self.duties.leave(self.name, f"the application: {fault}", ill=True)
         except Exception:
-            self.fleet.house.book.fault("duty")
+            self.fleet.daemon.metrics.record_internal_error("duty")
         finally:
             self.going.release()
--- a/gullyoke/features/disks.py
+++ b/gullyoke/features/disks.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from gullyoke.core import clock
-from gullyoke.core.book import Book
+from gullyoke.core.book import Metrics
 from gullyoke.durable.condition import State
 from gullyoke.durable.rooms import Kind, Rooms
 from gullyoke.store.watch import Watch
@@ -21,9 +21,9 @@
     what is dead. All are called by the watch's thread, and may wait for the disk.
     """
 
-    def __init__(self, folder: str, quota: int, book: Book) -> None:
-        self.folder, self.rooms, self.book = folder, Rooms(quota), book
-        self.watch = Watch(folder, book, random.Random(folder).random, quota)
+    def __init__(self, folder: str, quota: int, metrics: Metrics) -> None:
+        self.folder, self.rooms, self.metrics = folder, Rooms(quota), metrics
+        self.watch = Watch(folder, metrics, random.Random(folder).random, quota)
         self.watch.left = self.rooms.left
         self.watch.looked = self.look
         self.size: dict[Kind, Callable[[], int]] = {}
@@ -53,7 +53,7 @@
                 tidy()
         for one in self.rooms.goes(state):
             if one.kind in self.give:
-                self.book.add(f"disk.gave_{one.kind.name.lower()}")
+                self.metrics.increment(f"disk.gave_{one.kind.name.lower()}")
                 self.give[one.kind](one.bytes)
 
 
@@ -63,7 +63,7 @@
     def __init__(self) -> None:
         self.rooms: dict[str, Room] = {}
 
-    def at(self, folder: str, quota: int, book: Book) -> Room:
+    def at(self, folder: str, quota: int, metrics: Metrics) -> Room:
         if folder not in self.rooms:
-            self.rooms[folder] = Room(folder, quota, book)
+            self.rooms[folder] = Room(folder, quota, metrics)
         return self.rooms[folder]
--- a/gullyoke/features/duties.py
+++ b/gullyoke/features/duties.py
@@ -26,7 +26,7 @@
 from gullyoke.members.entry import Stage
 from gullyoke.members.row import TURNS
 from gullyoke.operator.wanted import Dutied, Wanted
-from gullyoke.options import Misstated
+from gullyoke.options import ConfigurationError
 from gullyoke.peers.duties import TOPIC, Duties, rows_in
 
 ACT = 100_000  # microseconds between looks at what is held
@@ -57,21 +57,21 @@
 
     def join(self, fleet: Fleet) -> None:
         """Raises `Misstated` where this server is a voter and has no folder that it can use."""
-        name = fleet.house.told.name
+        name = fleet.daemon.configuration.name
         at = self.wanted.voters.get(name)
         if at == fleet.wanted.advertise and not self.wanted.folder:
-            raise Misstated(
+            raise ConfigurationError(
                 f"{fleet.path}: duties.folder: {name} is a voter; right would be the path of a "
                 "folder on a disk that lasts"
             )
 
     def begin(self, fleet: Fleet) -> None:
-        wanted, told = self.wanted, fleet.house.told
+        wanted, told = self.wanted, fleet.daemon.configuration
         self.fleet, row = fleet, fleet.member.row
         self.spans = spans = Spans(wanted.lease, wanted.drift, min(200_000, wanted.lease // 10))
         voter, shelf = None, Shelf()
         if wanted.folder:
-            self.room = fleet.disks.at(wanted.folder, QUOTA, fleet.house.book)
+            self.room = fleet.disks.at(wanted.folder, QUOTA, fleet.daemon.metrics)
             self.room.start()
         if wanted.voters.get(told.name) == fleet.wanted.advertise:
             voter, shelf = self.voter(told.name, row, spans)
@@ -108,7 +108,7 @@
             wanted.voters,
             fleet.taken,
             self.disk,
-            fleet.house.book,
+            fleet.daemon.metrics,
         )
         for name, one in candidates.items():
             one.heed.append(lambda turn, name=name: self.turned(name, turn))
@@ -170,7 +170,7 @@
             self.committer = Committer(store)
             self.committer.put(OURS, f"{name} {number}".encode())
         except (OSError, ValueError) as fault:
-            self.fleet.house.book.add("duty.unkept")
+            self.fleet.daemon.metrics.increment("duty.unkept")
             log.error("promises can't be kept", extra=pairs(folder=self.wanted.folder, why=fault))
         others = [other for other in self.wanted.voters if other != name]
         voter = Voter(clock.now(), name, row.life, others, spans, rows, number)
@@ -189,7 +189,7 @@
         """
         if new.duties is None or not self.fits(new.duties):
             return {}
-        wanted, name = new.duties, self.fleet.house.told.name
+        wanted, name = new.duties, self.fleet.daemon.configuration.name
         self.wanted = self.wanted._replace(voters=wanted.voters, set=wanted.set)
         votes, duties, now = (
             wanted.voters.get(name) == self.fleet.wanted.advertise,
@@ -222,7 +222,7 @@
         """
         old = self.wanted
         moved = set(old.voters.items()) ^ set(new.voters.items())
-        folder = new.voters.get(self.fleet.house.told.name) is None or bool(old.folder)
+        folder = new.voters.get(self.fleet.daemon.configuration.name) is None or bool(old.folder)
         return (
             new.set == old.set + 1
             and len({name for name, _ in moved}) <= 1
@@ -243,7 +243,7 @@
     # Who tries.
 
     def look(self, now: int) -> None:
-        fleet, me = self.fleet, self.fleet.house.told.name
+        fleet, me = self.fleet, self.fleet.daemon.configuration.name
         with fleet.link.lock:
             one = fleet.member
             inside, leaving = one.entry.stage is Stage.IN, one.row.status is not Status.ALIVE
@@ -273,7 +273,7 @@
     def turned(self, name: str, turn: Turn) -> None:
         """Called under the duties' lock."""
         self.turns = [*self.turns[-HISTORY + 1 :], turn]
-        self.fleet.house.book.add(f"duty.{turn.what}")
+        self.fleet.daemon.metrics.increment(f"duty.{turn.what}")
         log.warning("duty", extra=pairs(duty=name, what=turn.what, epoch=turn.epoch, why=turn.why))
 
     # What is held.
@@ -284,7 +284,7 @@
             try:
                 self.act()
             except Exception:  # an error of our own ends one look, not the thread
-                self.fleet.house.book.fault("duties")
+                self.fleet.daemon.metrics.record_internal_error("duties")
 
     def act(self) -> None:
         now = clock.now()
@@ -337,7 +337,7 @@
 
     def next(self, duty: str) -> str:
         """Who is best placed but this one."""
-        me = self.fleet.house.told.name
+        me = self.fleet.daemon.configuration.name
         ranked = order(duty, [one for one in self.placed if one.name != me])
         return ranked[0] if ranked else ""
 
@@ -368,7 +368,7 @@
         one, known = self.duties.candidates[name], self.duties.board.rows.get(name)
         epoch = self.duties.holds(now, name)
         if epoch is not None:
-            return self.fleet.house.told.name, epoch
+            return self.fleet.daemon.configuration.name, epoch
         if known is None:
             return "", one.top
         return known.notice.name if now - known.at < YOUNG else "", known.notice.epoch
@@ -403,7 +403,7 @@
             )
             turns = [{"ago_ms": (now - t.at) // 1000, **t._asdict()} for t in self.turns]
         return {
-            "name": self.fleet.house.told.name,
+            "name": self.fleet.daemon.configuration.name,
             "duties": found,
             "votes": vote,
             "turns": turns,
--- a/gullyoke/features/file.py
+++ b/gullyoke/features/file.py
@@ -10,8 +10,8 @@
 from gullyoke.features.listeners import Listeners
 from gullyoke.features.pools import ClassPools
 from gullyoke.operator.read import read
-from gullyoke.operator.wanted import Faulty, Wanted
-from gullyoke.options import Misstated
+from gullyoke.operator.wanted import OperatorFileError, Wanted
+from gullyoke.options import ConfigurationError
 
 
 class Unit(Feature, Protocol):
@@ -51,7 +51,7 @@
             new = read(self.path)
             for one in self.features:
                 one.fits(new)
-        except (Faulty, Misstated) as fault:
+        except (OperatorFileError, ConfigurationError) as fault:
             log.error("configuration kept", extra=pairs(why=fault))
             return False
         ignored = ["json_log"] if new.json_log != self.wanted.json_log else []
--- a/gullyoke/features/fleet.py
+++ b/gullyoke/features/fleet.py
@@ -14,18 +14,18 @@
 
 from gullyoke.core import clock
 from gullyoke.core.book import log, pairs
-from gullyoke.daemon.house import House
+from gullyoke.daemon.house import Daemon
 from gullyoke.features.disks import Disks
 from gullyoke.features.part import Part
 from gullyoke.features.unit import Plain
 from gullyoke.members import Change, Member, Row, Status, began
 from gullyoke.members.row import identity
 from gullyoke.operator.wanted import Dutied, Kept, Pooled, Together, Wanted
-from gullyoke.options import Misstated
+from gullyoke.options import ConfigurationError
 from gullyoke.peers.ask import Answers
 from gullyoke.peers.kept import Number
 from gullyoke.peers.link import Link
-from gullyoke.peers.seal import Seal, Unusable, keys_in
+from gullyoke.peers.seal import Seal, UnusableKeyError, keys_in
 
 LOOK = 1_000_000  # microseconds between looks at the size
 LAST_WORDS, BETWEEN = 3, 0.02  # how often it is said that this one has left, and seconds between
@@ -47,7 +47,7 @@
         super().__init__(wanted)
         self.disks = disks or Disks()
         self.path, self.wanted, self.kept = path, wanted, kept
-        self.house: House | None = None
+        self.daemon: Daemon | None = None
         self.link: Link | None = None
         self.member: Member | None = None
         self.number: Number | None = None
@@ -58,16 +58,16 @@
     def held(self) -> int:
         return DESCRIPTORS
 
-    def join(self, house: House) -> None:
+    def join(self, daemon: Daemon) -> None:
         """Raises `Misstated` for a key file that can't be right, `OSError` where it can't
         listen.
         """
-        self.house = house
+        self.daemon = daemon
         self.link = Link(
-            self.wanted.listen, Seal(self.wanted.name, self.keys(self.wanted)), house.book
+            self.wanted.listen, Seal(self.wanted.name, self.keys(self.wanted)), daemon.metrics
         )
         self.answers = (
-            Answers(self.wanted.status, self.link, house.book) if self.wanted.status else None
+            Answers(self.wanted.status, self.link, daemon.metrics) if self.wanted.status else None
         )
         for part in self.parts:
             part.join(self)
@@ -76,19 +76,21 @@
         try:
             with open(wanted.key_file, encoding="utf-8") as file:
                 return keys_in(file.read(4096))
-        except (OSError, UnicodeDecodeError, Unusable) as fault:
-            raise Misstated(f"{self.path}: fleet.key_file: {wanted.key_file}: {fault}") from None
+        except (OSError, UnicodeDecodeError, UnusableKeyError) as fault:
+            raise ConfigurationError(
+                f"{self.path}: fleet.key_file: {wanted.key_file}: {fault}"
+            ) from None
 
     def start(self) -> None:
-        house, wanted = self.house, self.wanted
-        self.told = self.size = house.told.facts.fleet.size
+        daemon, wanted = self.daemon, self.wanted
+        self.told = self.size = daemon.configuration.facts.fleet.size
         files = None
         if self.kept:
-            files = self.disks.at(self.kept.folder, self.kept.quota, house.book).watch.files
-        self.number = Number(self.kept.folder if self.kept else None, house.book, files)
-        chance = random.Random(house.told.seed ^ 0x5EED)
+            files = self.disks.at(self.kept.folder, self.kept.quota, daemon.metrics).watch.files
+        self.number = Number(self.kept.folder if self.kept else None, daemon.metrics, files)
+        chance = random.Random(daemon.configuration.seed ^ 0x5EED)
         row = Row(
-            house.told.name,
+            daemon.configuration.name,
             began(int(time.time()), self.number.known()),
             Status.JOINING,
             wanted.advertise,
@@ -106,7 +108,7 @@
         self.link.begin(self.member)
         if self.answers:
             self.answers.start()
-        house.timer.at(clock.now() + LOOK, self.look)
+        daemon.timer.at(clock.now() + LOOK, self.look)
         log.info(
             "fleet",
             extra=pairs(
@@ -121,7 +123,7 @@
     def changed(self, change: Change) -> None:
         """A line a change; called by the link's thread."""
         row, mark = change.row, change.mark
-        self.house.book.add(f"fleet.{change.what}")
+        self.daemon.metrics.increment(f"fleet.{change.what}")
         log.info(
             "member",
             extra=pairs(
@@ -138,8 +140,8 @@
 
     def look(self) -> None:
         """The size in force, given to the decisions where that is wanted."""
-        house = self.house
-        house.timer.at(clock.now() + LOOK, self.look)
+        daemon = self.daemon
+        daemon.timer.at(clock.now() + LOOK, self.look)
         for part in self.parts:
             part.look(clock.now())
         with self.link.lock:
@@ -148,8 +150,10 @@
         if not self.wanted.size or in_force == self.size:
             return
         self.size = in_force
-        with house.desk.lock:
-            house.told.facts.fleet.size = in_force  # the decisions' own record of the fleet
+        with daemon.dispatcher.lock:
+            daemon.configuration.facts.fleet.size = (
+                in_force  # the decisions' own record of the fleet
+            )
         log.info(
             "fleet size",
             extra=pairs(
--- a/gullyoke/features/keys.py
+++ b/gullyoke/features/keys.py
@@ -22,7 +22,7 @@
 from gullyoke.core.desk import PendingRequest
 from gullyoke.core.message import Answer
 from gullyoke.core.repeats import Entry, Repeats
-from gullyoke.daemon.house import House
+from gullyoke.daemon.house import Daemon
 from gullyoke.durable import Ledger, Mark, Note, Phase, State, Trust, Without, trusted
 from gullyoke.durable.condition import BAD, Turn
 from gullyoke.durable.rooms import Kind as What
@@ -33,7 +33,7 @@
 from gullyoke.members.row import TURNS
 from gullyoke.operator.wanted import Kept, Wanted
 from gullyoke.port import PAST, Idempotency
-from gullyoke.store import Committer, Newer, Store
+from gullyoke.store import Committer, Store, StoreVersionError
 from gullyoke.work import Work
 
 FOLDER, MARK = "keys", "mark"
@@ -93,20 +93,24 @@
 
     # Put together.
 
-    def around(self, house: House, work: Work) -> Work:
-        self.house = house
+    def around(self, daemon: Daemon, work: Work) -> Work:
+        self.daemon = daemon
         self.ledger = Ledger(
             int(time.time()), Without(self.kept.without), min(RESULTS, self.kept.quota // 2)
         )
-        self.room = self.disks.at(self.kept.folder, self.kept.quota, house.book)
-        self.window = max([h.key_ttl for h in house.told.facts.request_classes], default=0)
-        self.promised = Promised(work, house.desk, self.ledger, self.fit, self.put, house.book)
-        house.desk.repeats = Remembered(
-            house.told.facts.fleet.read_cache_ttl, self.past, self.doubts
+        self.room = self.disks.at(self.kept.folder, self.kept.quota, daemon.metrics)
+        self.window = max(
+            [h.key_ttl for h in daemon.configuration.facts.request_classes], default=0
+        )
+        self.promised = Promised(
+            work, daemon.dispatcher, self.ledger, self.fit, self.put, daemon.metrics
+        )
+        daemon.dispatcher.repeats = Remembered(
+            daemon.configuration.facts.fleet.read_cache_ttl, self.past, self.doubts
         )
         return self.promised
 
-    def join(self, house: House) -> None:
+    def join(self, daemon: Daemon) -> None:
         """The folder is read on a thread of its own: a disk that hangs holds up no start."""
         threading.Thread(target=self.open, name="keys", daemon=True).start()
         if not self.ready.wait(OPEN):
@@ -121,7 +125,7 @@
         self.room.tidy.append(self.tidy)
         self.room.start()
         self.room.watch.heed.append(self.turned)
-        self.house.timer.at(clock.now() + SWEEP, self.sweep)
+        self.daemon.timer.at(clock.now() + SWEEP, self.sweep)
 
     def opened(self) -> Store:
         self.files = self.room.watch.files(os.path.join(self.kept.folder, FOLDER))
@@ -140,14 +144,14 @@
                 elif key.startswith(NOTE) and (note := unpacked(value)) is not None:
                     found.append((key, note))
         except (OSError, ValueError, msgspec.MsgspecError) as fault:
-            self.house.book.add("keys.unread")
+            self.daemon.metrics.increment("keys.unread")
             log.error("keys not read", extra=pairs(folder=self.kept.folder, why=fault))
             if self.trust is None:
                 self.trust, self.doubted = Trust(False, False, True, str(fault)), now + self.window
-            self.lost = not isinstance(fault, Newer)  # read once it can be
+            self.lost = not isinstance(fault, StoreVersionError)  # read once it can be
             self.ready.set()
             return
-        trust = trusted(mark, len(found), self.house.told.name, 0, now)
+        trust = trusted(mark, len(found), self.daemon.configuration.name, 0, now)
         with self.promised.pen:
             rows = [(key, packed(row.note)) for key, row in self.ledger.rows.items()]
             known = {key for key, _ in rows}
@@ -155,7 +159,7 @@
             past = self.ledger.recover(now, found if trust.notes else [])
             if self.mark is None:
                 self.last = mark.number if mark is not None else 0
-                self.mark = marked(mark, self.house.told.name, int(time.time()), now)
+                self.mark = marked(mark, self.daemon.configuration.name, int(time.time()), now)
             if self.trust is None:
                 self.trust, self.doubted = trust, now + self.window if trust.doubts else 0
             gone = past if trust.notes else [key for key, _ in found]
@@ -181,7 +185,7 @@
         """Once in a fleet: a copy that is older than what the others know is believed no more, and
         the mark grows with this server's own start there.
         """
-        fleet = next((one for one in self.house.features if one.name == "fleet"), None)
+        fleet = next((one for one in self.daemon.features if one.name == "fleet"), None)
         member = getattr(fleet, "member", None)
         if member is None or self.mark is None or self.committer is None:
             return
@@ -194,7 +198,7 @@
             with self.promised.pen:
                 for key in self.ledger.forget_others():
                     self.put(key, None)
-            self.house.book.add("keys.older_copy")
+            self.daemon.metrics.increment("keys.older_copy")
             log.error("keys not believed", extra=pairs(why=self.trust.why))
         if own > self.mark.number:
             self.mark = self.mark._replace(number=own, at=now)
@@ -222,7 +226,7 @@
 
     def sweep(self) -> None:
         now = clock.now()
-        self.house.timer.at(now + SWEEP, self.sweep)
+        self.daemon.timer.at(now + SWEEP, self.sweep)
         self.promised.overdue(now)
         bad = self.room.watch.state() in BAD
         self.state(not bad and self.committer is not None)
@@ -239,7 +243,7 @@
         shut = not fit and self.ledger.without is Without.SHED
         if shut != self.shut:
             self.shut = shut
-            for request_class in self.house.told.facts.request_classes:
+            for request_class in self.daemon.configuration.facts.request_classes:
                 request_class.accepting = not (
                     shut and request_class.idempotency is Idempotency.KEYED
                 )
@@ -254,7 +258,7 @@
                     packed(put.note),
                     lambda durable, put=put: self.promised.told(put, durable),
                 )
-        self.house.book.add("keys.results_dropped", len(puts))
+        self.daemon.metrics.increment("keys.results_dropped", len(puts))
 
     def tidy(self) -> None:
         if self.committer is not None:
@@ -274,7 +278,7 @@
         if self.committer is not None:
             self.committer.close(CLOSE)
             self.files.close()
-        self.house.book.add("keys.begun_anew")
+        self.daemon.metrics.increment("keys.begun_anew")
         self.open()
 
     def ignored(self, new: Wanted) -> list[str]:
--- a/gullyoke/features/listeners.py
+++ b/gullyoke/features/listeners.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from gullyoke.daemon.house import House
+from gullyoke.daemon.house import Daemon
 from gullyoke.features.unit import Plain
 from gullyoke.front.http1 import Http1
 from gullyoke.front.scgi import Scgi
@@ -18,6 +18,6 @@
         super().__init__(ways)
         self.ways = ways
 
-    def join(self, house: House) -> None:
+    def join(self, daemon: Daemon) -> None:
         for way in self.ways:
-            house.connections.listen(way.address, PROTOCOLS[way.protocol](house.intake, way.name))
+            daemon.connections.listen(way.address, PROTOCOLS[way.protocol](daemon.intake, way.name))
--- a/gullyoke/features/memory.py
+++ b/gullyoke/features/memory.py
@@ -12,10 +12,10 @@
 import time
 
 from gullyoke.core import clock
-from gullyoke.core.book import Book, log, pairs
-from gullyoke.core.desk import Desk
+from gullyoke.core.book import Metrics, log, pairs
+from gullyoke.core.desk import Dispatcher
 from gullyoke.core.timer import Timer
-from gullyoke.daemon.house import House
+from gullyoke.daemon.house import Daemon
 from gullyoke.durable.rooms import Kind
 from gullyoke.features.disks import Disks, Room
 from gullyoke.features.unit import Plain
@@ -36,25 +36,27 @@
 
     def __init__(self, kept: Kept, disks: Disks) -> None:
         super().__init__(kept)
-        self.kept, self.disks, self.memory, self.house = kept, disks, None, None
+        self.kept, self.disks, self.memory, self.daemon = kept, disks, None, None
 
-    def join(self, house: House) -> None:
-        self.house = house
-        self.room = self.disks.at(self.kept.folder, self.kept.quota, house.book)
-        self.memory = Remembered(self.room, self.kept.quota, house.told.settings, house.book)
+    def join(self, daemon: Daemon) -> None:
+        self.daemon = daemon
+        self.room = self.disks.at(self.kept.folder, self.kept.quota, daemon.metrics)
+        self.memory = Remembered(
+            self.room, self.kept.quota, daemon.configuration.settings, daemon.metrics
+        )
 
     def start(self) -> None:
         self.room.size[Kind.MEMORY] = self.memory.size
         self.room.give[Kind.MEMORY] = lambda size: self.memory.give()
         self.room.start()
-        self.memory.watch(self.house.desk, self.house.timer)
+        self.memory.watch(self.daemon.dispatcher, self.daemon.timer)
 
 
 class Remembered:
     """Table: none but its curve's; the store holds three rows."""
 
-    def __init__(self, room: Room, quota: int, stated: object, book: Book) -> None:
-        self.stated, self.book, self.committer = rules.digest(stated), book, None
+    def __init__(self, room: Room, quota: int, stated: object, metrics: Metrics) -> None:
+        self.stated, self.metrics, self.committer = rules.digest(stated), metrics, None
         self.room, folder = room, room.folder
         self.found, self.weight, self.starts = None, 0.0, rules.Starts()
         self.cold, self.curve, self.step = None, colds.Curve(), -1
@@ -80,23 +82,23 @@
                 ),
             )
         except OSError as fault:
-            book.add("memory.faults")
+            metrics.increment("memory.faults")
             log.error("memory not used", extra=pairs(folder=folder, why=fault))
 
-    def watch(self, desk: Desk, timer: Timer) -> None:
+    def watch(self, dispatcher: Dispatcher, timer: Timer) -> None:
         """From now on: recall once there is a learner, keep a snapshot now and then."""
         if self.committer is not None:
-            timer.at(clock.now() + LOOK, lambda: self.look(desk, timer))
-            timer.at(clock.now() + COLD_LOOK, lambda: self.look_cold(desk, timer))
+            timer.at(clock.now() + LOOK, lambda: self.look(dispatcher, timer))
+            timer.at(clock.now() + COLD_LOOK, lambda: self.look_cold(dispatcher, timer))
 
-    def look_cold(self, desk: Desk, timer: Timer) -> None:
+    def look_cold(self, dispatcher: Dispatcher, timer: Timer) -> None:
         """While the server is cold.
 
         Usual times as they were then, by age; what this start is like is noted. At the end of it
         that is kept.
         """
-        with desk.lock:
-            server = desk.server
+        with dispatcher.lock:
+            server = dispatcher.server
             if server is not None and not server.machine.starts_cold:
                 return  # it began warm
             age = clock.now() - server.guards.started if server is not None else 0
@@ -107,11 +109,11 @@
                 self.step = step
                 if step is not None and colds.fit(self.cold, self.stated, self.starts):
                     colds.recall(server, self.cold, age)
-                    self.book.add("memory.cold_recalled")
+                    self.metrics.increment("memory.cold_recalled")
         if step is not None:
-            timer.at(clock.now() + COLD_LOOK, lambda: self.look_cold(desk, timer))
+            timer.at(clock.now() + COLD_LOOK, lambda: self.look_cold(dispatcher, timer))
             return
-        with desk.lock:
+        with dispatcher.lock:
             del server.hold.ran  # the class's own again
             row = self.curve.taken(self.stated, time.time(), self.cold)
         if row.costs:
@@ -127,20 +129,23 @@
 
         server.hold.ran = noted
 
-    def look(self, desk: Desk, timer: Timer) -> None:
-        timer.at(clock.now() + LOOK, lambda: self.look(desk, timer))
-        with desk.lock:  # copies of small tables
-            server = desk.server
+    def look(self, dispatcher: Dispatcher, timer: Timer) -> None:
+        timer.at(clock.now() + LOOK, lambda: self.look(dispatcher, timer))
+        with dispatcher.lock:  # copies of small tables
+            server = dispatcher.server
             if server is None or server.learner is None:
                 return
             if not self.recalled:
                 self.recalled = True
                 if self.weight > 0:
                     rules.recall(server, self.found, self.weight)
-                self.book.add("memory.recalled" if self.weight > 0 else "memory.fresh")
+                self.metrics.increment("memory.recalled" if self.weight > 0 else "memory.fresh")
             row = rules.taken(server, self.stated, time.time())
-            warm = server.guards.speed(desk.now) >= 1.0
-            leaving, crowd = desk.stop_at is not None, server.on > server.guards.crowd(desk.now)
+            warm = server.guards.speed(dispatcher.now) >= 1.0
+            leaving, crowd = (
+                dispatcher.stop_at is not None,
+                server.on > server.guards.crowd(dispatcher.now),
+            )
         self.keep(row, warm, leaving, crowd)
 
     def keep(self, row: rules.Learned, warm: bool, leaving: bool, crowd: bool) -> None:
@@ -153,7 +158,7 @@
         self.kept = now
         if fit:
             self.put(LEARNED, rules.packed(row))
-        faults = sum(n for name, n in self.book.rows.items() if name.startswith("faults."))
+        faults = sum(n for name, n in self.metrics.rows.items() if name.startswith("faults."))
         if not self.calm and rules.calm((now - self.began) / 1e6, faults, crowd):
             self.calm = True
             self.put(STARTS, rules.packed(rules.Starts()))
@@ -170,11 +175,11 @@
         if not self.room.writes(
             Kind.MEMORY
         ):  # what is worth least is not written where room is short
-            self.book.add("memory.skipped")
+            self.metrics.increment("memory.skipped")
             return
 
         def told(durable: bool) -> None:
-            self.book.add("memory.kept" if durable else "memory.faults")
+            self.metrics.increment("memory.kept" if durable else "memory.faults")
 
         if not self.committer.put(key, data, told):
-            self.book.add("memory.refused")
+            self.metrics.increment("memory.refused")
--- a/gullyoke/features/pools.py
+++ b/gullyoke/features/pools.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from gullyoke.daemon.house import House
+from gullyoke.daemon.house import Daemon
 from gullyoke.features.unit import Plain
 from gullyoke.operator.wanted import Classed
-from gullyoke.options import Misstated
+from gullyoke.options import ConfigurationError
 
 
 class ClassPools(Plain):
@@ -15,13 +15,13 @@
         super().__init__(classed)
         self.path, self.classed = path, classed
 
-    def join(self, house: House) -> None:
+    def join(self, daemon: Daemon) -> None:
         """Raises `Misstated` for a handler that the site does not have."""
-        desk = house.desk
+        dispatcher = daemon.dispatcher
         for name in self.classed.classes:
-            if name not in desk.request_classes:
-                raise Misstated(
+            if name not in dispatcher.request_classes:
+                raise ConfigurationError(
                     f"{self.path}: pools.class.handler: {name!r} is no handler of this site; "
-                    f"right would be one of {', '.join(desk.request_classes)}"
+                    f"right would be one of {', '.join(dispatcher.request_classes)}"
                 )
-        desk.pool(self.classed.minimum, self.classed.classes)
+        dispatcher.pool(self.classed.minimum, self.classed.classes)
--- a/gullyoke/features/promised.py
+++ b/gullyoke/features/promised.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from gullyoke.core import clock
-from gullyoke.core.book import Book
-from gullyoke.core.desk import Desk, PendingRequest
+from gullyoke.core.book import Metrics
+from gullyoke.core.desk import Dispatcher, PendingRequest
 from gullyoke.core.message import Answer
 from gullyoke.durable import Act, Do, Ledger, Note, Phase, Put
 from gullyoke.port import Idempotency, RequestEvent
@@ -61,8 +61,10 @@
     The reqs in hand, and words on a run that it was just given.
     """
 
-    def __init__(self, desk: Desk, soon: Callable[[PendingRequest, RequestEvent], None]) -> None:
-        self.requests, self.soon = desk.requests, soon
+    def __init__(
+        self, dispatcher: Dispatcher, soon: Callable[[PendingRequest, RequestEvent], None]
+    ) -> None:
+        self.requests, self.soon = dispatcher.requests, soon
 
 
 class Promised:
@@ -76,18 +78,24 @@
     def __init__(
         self,
         inner: Work,
-        desk: Desk,
+        dispatcher: Dispatcher,
         ledger: Ledger,
         fit: Callable[[], bool],
         disk: Disk,
-        book: Book,
+        metrics: Metrics,
     ) -> None:
-        self.inner, self.real, self.ledger, self.fit, self.disk = inner, desk, ledger, fit, disk
-        self.book, self.pen = book, threading.RLock()
+        self.inner, self.real, self.ledger, self.fit, self.disk = (
+            inner,
+            dispatcher,
+            ledger,
+            fit,
+            disk,
+        )
+        self.metrics, self.pen = metrics, threading.RLock()
         self.going: dict[str, PendingRequest] = {}
         self.keys: dict[str, str] = {}
         self.ends: dict[str, Callable[[bool], None]] = {}
-        self.desk = Ear(desk, self.soon)
+        self.dispatcher = Ear(dispatcher, self.soon)
         self.feed, self.skip, self.halt, self.flush = (
             inner.feed,
             inner.skip,
@@ -132,7 +140,7 @@
         if (
             said is not None and said.do is Do.KNOWN
         ):  # a non-replayable one that may have run before
-            self.book.add("keys.known")
+            self.metrics.increment("keys.known")
             self.real.soon(request, RequestEvent.FAILED)
         elif said is not None:
             self.carry(said, True)
@@ -227,7 +235,7 @@
 
     def told(self, put: Put, durable: bool) -> None:
         """The disk's word on a write, on the committer's thread."""
-        self.book.add("keys.kept" if durable else "keys.unkept")
+        self.metrics.increment("keys.kept" if durable else "keys.unkept")
         said = self.ruled(lambda: self.ledger.written(clock.now(), put, durable))
         if said is not None:
             self.carry(said, False)
@@ -239,10 +247,10 @@
             request = self.going.get(act.key)
         if tell is not None:
             if act.do is Do.UNKNOWN:
-                self.book.add("keys.unknown")
+                self.metrics.increment("keys.unknown")
             tell(act.do is Do.END)
         elif act.do is Do.UNRUN and request is not None:
-            self.book.add("keys.unrun")
+            self.metrics.increment("keys.unrun")
             self.left(request.tid)
             (self.real.soon if inside else self.real.tell)(request, RequestEvent.NO_CAPACITY)
         elif act.do is Do.RUN and request is not None:
@@ -268,5 +276,5 @@
         with self.pen:
             acts = self.ledger.overdue(now)
         for act in acts:
-            self.book.add("keys.overdue")
+            self.metrics.increment("keys.overdue")
             self.carry(act, False)
--- a/gullyoke/features/shares.py
+++ b/gullyoke/features/shares.py
@@ -10,7 +10,7 @@
 from gullyoke.features.fleet import Fleet
 from gullyoke.features.part import Part
 from gullyoke.operator.wanted import Slotted
-from gullyoke.options import Misstated
+from gullyoke.options import ConfigurationError
 from gullyoke.peers.sharing import QUOTAS, TOPIC, Quotas, SharedQuota, SharedSlots, stated
 from gullyoke.together import quotas
 from gullyoke.together.fair import split
@@ -31,20 +31,23 @@
 
     def join(self, fleet: Fleet) -> None:
         """Raises `Misstated` where there is nothing below that could be shared."""
-        below, tenants = fleet.house.told.facts.below, fleet.house.told.facts.tenants
+        below, tenants = (
+            fleet.daemon.configuration.facts.below,
+            fleet.daemon.configuration.facts.tenants,
+        )
         if self.wanted.quotas and not tenants:
-            raise Misstated(
+            raise ConfigurationError(
                 f"{fleet.path}: fleet.shares.quotas: the settings name no customers (Orgs); "
                 "right would be none"
             )
         if not self.wanted.slots:
             return
         if not below.exists:
-            raise Misstated(
+            raise ConfigurationError(
                 f"{fleet.path}: fleet.shares: no calls go below from here; right would be none"
             )
         if self.wanted.mean and not below.span:
-            raise Misstated(
+            raise ConfigurationError(
                 f"{fleet.path}: fleet.shares.mean: the settings state no span (ShareSpanUs); "
                 "right would be slots at every moment"
             )
@@ -57,7 +60,7 @@
 
     def sharing(self, fleet: Fleet, limit: int, linger: int, after: int) -> tuple[Sharing, int]:
         """This process's part in a limit of so many tokens, and the floor."""
-        wanted, name = self.wanted, fleet.house.told.name
+        wanted, name = self.wanted, fleet.daemon.configuration.name
         floor, tokens = split(limit, wanted.largest, wanted.homes, wanted.floor_share)
         home = name if name in wanted.homes else None
         votes = home is not None and wanted.homes[home] == fleet.wanted.advertise
@@ -89,9 +92,9 @@
     def begin_quotas(self, fleet: Fleet) -> None:
         """The quotas of those who have most; the others' go by the size agreed on."""
         whole = quotas.tokens(self.wanted.largest)
-        tenants = sorted(fleet.house.told.facts.tenants, key=lambda c: (-c.quota, c.name))[
-            : quotas.MOST
-        ]
+        tenants = sorted(
+            fleet.daemon.configuration.facts.tenants, key=lambda c: (-c.quota, c.name)
+        )[: quotas.MOST]
         for tenant in tenants:
             made, floor = self.sharing(fleet, whole, 0, quotas.SAVED)
             digest = stated(self.wanted.homes, whole, floor, tenant.name, f"{tenant.quota:g}")
@@ -107,7 +110,7 @@
         }
 
     def begin_slots(self, fleet: Fleet) -> None:
-        wanted, below = self.wanted, fleet.house.told.facts.below
+        wanted, below = self.wanted, fleet.daemon.configuration.facts.below
         unit, after = self.unit(), below.span if wanted.mean else 0
         sharing, floor = self.sharing(fleet, wanted.slots * unit, below.linger, after)
         own = Mean(sharing, below.linger, below.span) if wanted.mean else Own(sharing, below.linger)
--- a/gullyoke/features/signals.py
+++ b/gullyoke/features/signals.py
@@ -9,7 +9,7 @@
 
 from gullyoke.core import clock
 from gullyoke.core.book import log, pairs
-from gullyoke.core.desk import Desk
+from gullyoke.core.desk import Dispatcher
 from gullyoke.features.fleet import Fleet
 from gullyoke.features.part import Part
 from gullyoke.together.signals import Heard, Judgement, Reading, Stage, Telling
@@ -24,7 +24,7 @@
         self.judgement: Judgement | None = None
 
     def begin(self, fleet: Fleet) -> None:
-        self.fleet, told = fleet, fleet.house.told
+        self.fleet, told = fleet, fleet.daemon.configuration
         fleet.link.signals = Heard()
         fleet.member.signalled = fleet.link.signals.hear
         self.judgement = Judgement(random.Random(told.seed ^ 0x51C).random)
@@ -32,9 +32,9 @@
             told.facts.fleet.feedback = self.judgement
 
     def look(self, now: int) -> None:
-        fleet, desk, judged = self.fleet, self.fleet.house.desk, self.judgement
-        with desk.lock:  # a few figures
-            reading = None if desk.server is None else standing(desk)
+        fleet, dispatcher, judged = self.fleet, self.fleet.daemon.dispatcher, self.judgement
+        with dispatcher.lock:  # a few figures
+            reading = None if dispatcher.server is None else standing(dispatcher)
         if reading is None:
             return
         with fleet.link.lock:
@@ -52,10 +52,10 @@
 
     def turned(self, reading: Reading) -> None:
         """Alone slow from now on, or no longer: checks say so, unless it leaves anyway."""
-        judged, house = self.judgement, self.fleet.house
-        if self.heed and house.desk.stop_at is None:
-            house.standing.good = not judged.back
-        house.book.add("fleet.slow_alone" if judged.back else "fleet.well_again")
+        judged, daemon = self.judgement, self.fleet.daemon
+        if self.heed and daemon.dispatcher.stop_at is None:
+            daemon.lifecycle.good = not judged.back
+        daemon.metrics.increment("fleet.slow_alone" if judged.back else "fleet.well_again")
         log.warning(
             "slow alone" if judged.back else "no longer slow alone",
             extra=pairs(
@@ -66,9 +66,9 @@
         )
 
 
-def standing(desk: Desk) -> Reading:
+def standing(dispatcher: Dispatcher) -> Reading:
     """How this server stands, in the words of the signals; under the desk's lock."""
-    server = desk.server
-    cold = server.guards.speed(desk.now) < 1
-    stage = Stage.DRAINING if desk.stop_at is not None else Stage.COLD if cold else Stage.WARM
+    server = dispatcher.server
+    cold = server.guards.speed(dispatcher.now) < 1
+    stage = Stage.DRAINING if dispatcher.stop_at is not None else Stage.COLD if cold else Stage.WARM
     return Reading.of(server, stage)
--- a/gullyoke/features/subsets.py
+++ b/gullyoke/features/subsets.py
@@ -28,11 +28,13 @@
 
     def begin(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.pool = next(one for one in fleet.house.features if isinstance(one, BackEnds))
+        self.pool = next(one for one in fleet.daemon.features if isinstance(one, BackEnds))
         self.pool.backends.dispatch.pool.may = self.may
         if self.k:
             zones = self.zones()
-            self.subset = Subset(clock.now(), alone(fleet.house.told.name, list(zones))[: self.k])
+            self.subset = Subset(
+                clock.now(), alone(fleet.daemon.configuration.name, list(zones))[: self.k]
+            )
             self.pool.use(frozenset(self.subset.held))
             fleet.link.told["subset"] = lambda now: sorted(self.pool.only or ())
 
@@ -50,7 +52,7 @@
         self.names = tuple(row.name for row in rows)
         if self.subset is None:
             return
-        me, servers = fleet.house.told.name, {row.name: row.zone for row in rows}
+        me, servers = fleet.daemon.configuration.name, {row.name: row.zone for row in rows}
         order = chosen(servers, zones, len(zones))[me] if me in servers else alone(me, list(zones))
         if me in servers:  # not in: what was chosen last stands
             self.subset.follow(now, order[: self.k])
@@ -67,7 +69,7 @@
 
         One that knows nobody tries when it likes.
         """
-        me, names = self.fleet.house.told.name, self.names
+        me, names = self.fleet.daemon.configuration.name, self.names
         if me not in names:
             return True
         return shared(f"trial {name}", len(names), SLOT, ROUND).mine(
--- a/gullyoke/features/unit.py
+++ b/gullyoke/features/unit.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from gullyoke.core.book import Book
-from gullyoke.daemon.house import House
-from gullyoke.daemon.options import Told
+from gullyoke.core.book import Metrics
+from gullyoke.daemon.house import Daemon
+from gullyoke.daemon.options import DaemonConfiguration
 from gullyoke.operator.wanted import Wanted
 from gullyoke.work import Work
 
@@ -25,13 +25,13 @@
     def held(self) -> int:
         return 0
 
-    def work(self, told: Told, book: Book) -> Work | None:
+    def work(self, told: DaemonConfiguration, metrics: Metrics) -> Work | None:
         return None
 
-    def around(self, house: House, work: Work) -> Work:
+    def around(self, daemon: Daemon, work: Work) -> Work:
         return work
 
-    def join(self, house: House) -> None: ...
+    def join(self, daemon: Daemon) -> None: ...
 
     def start(self) -> None: ...
 
--- a/gullyoke/front/admit.py
+++ b/gullyoke/front/admit.py
@@ -5,8 +5,8 @@
 import re
 
 from gullyoke.core import clock
-from gullyoke.core.desk import Desk, PendingRequest
-from gullyoke.core.message import Message, Unfit
+from gullyoke.core.desk import Dispatcher, PendingRequest
+from gullyoke.core.message import BadRequestError, Message
 
 PATH = "/call/"
 LONGEST = 24 * 3600 * 1000  # ms; no caller waits longer, and no stamp is older
@@ -24,7 +24,7 @@
     if text is None:
         return default
     if not FIGURE.fullmatch(text) or not least <= (value := float(text)) < most:
-        raise Unfit(400, f"field {name}")
+        raise BadRequestError(400, f"field {name}")
     return value
 
 
@@ -34,27 +34,27 @@
     if text is None:
         return 0
     if not (text.isascii() and text.isdigit() and len(text) < 16):
-        raise Unfit(400, f"field {name}")
+        raise BadRequestError(400, f"field {name}")
     return min(clock.since(int(text)), LONGEST * 1000)
 
 
-def made(desk: Desk, message: Message, front: str) -> PendingRequest:
+def made(dispatcher: Dispatcher, message: Message, front: str) -> PendingRequest:
     """The req that a message holds."""
     method, path, _ = message.first
     if not path.startswith(PATH):
-        raise Unfit(404, "path")
+        raise BadRequestError(404, "path")
     if method != "POST":
-        raise Unfit(405, "method")
-    request_class = desk.request_classes.get(path[len(PATH) :])
+        raise BadRequestError(405, "method")
+    request_class = dispatcher.request_classes.get(path[len(PATH) :])
     if request_class is None:
-        raise Unfit(404, "handler")
+        raise BadRequestError(404, "handler")
     fields = message.fields
     tid = fields.get("trace-id", "")
     if not ID.fullmatch(tid):
-        raise Unfit(400, "field trace-id")
+        raise BadRequestError(400, "field trace-id")
     tenant = fields.get("project")
-    if tenant is not None and tenant not in desk.tenants:
-        raise Unfit(400, "field project")
+    if tenant is not None and tenant not in dispatcher.tenants:
+        raise BadRequestError(400, "field project")
     arrived = clock.now() - stamp(fields, "accepted-at-ms")
     wait = int(number(fields, "max-wait-ms", request_class.timeout / 1000, LONGEST) * 1000)
     key = fields.get("replay-key") or fields.get("lookup-key")
@@ -66,7 +66,7 @@
         fields.get("is-retry") == "1",
         None,
         key is not None,
-        desk.tenants.get(tenant),
+        dispatcher.tenants.get(tenant),
         int(number(fields, "expected-ms", 0.0, LONGEST) * 1000),
         number(fields, "standing", 0.0, 1.0),
     )
@@ -74,7 +74,7 @@
     return request
 
 
-def admit(desk: Desk, request: PendingRequest) -> None:
+def admit(dispatcher: Dispatcher, request: PendingRequest) -> None:
     """Hand it to the decisions.
 
     Raises `Unfit` where it could be taken for another: then nothing runs.
@@ -82,22 +82,22 @@
 
     def read() -> None:
         nonlocal unfit
-        unfit = mistakable(desk, request)
+        unfit = mistakable(dispatcher, request)
         if unfit is None:
-            desk.requests[request.tid] = request
-            _, request.duplicate_of = desk.repeats.find(request, desk.now)
-            desk.server.on_request(desk.now, request)
+            dispatcher.requests[request.tid] = request
+            _, request.duplicate_of = dispatcher.repeats.find(request, dispatcher.now)
+            dispatcher.server.on_request(dispatcher.now, request)
 
-    unfit: Unfit | None = None
-    desk.handle(read, request)
+    unfit: BadRequestError | None = None
+    dispatcher.handle(read, request)
     if unfit is not None:
         raise unfit
 
 
-def mistakable(desk: Desk, request: PendingRequest) -> Unfit | None:
+def mistakable(dispatcher: Dispatcher, request: PendingRequest) -> BadRequestError | None:
     """What forbids to take it beside what is in hand or was answered."""
-    if request.tid in desk.requests:
-        return Unfit(409, "a request of this id is in hand already")
-    if desk.repeats.conflicts(request):
-        return Unfit(422, "another request came under this key")
+    if request.tid in dispatcher.requests:
+        return BadRequestError(409, "a request of this id is in hand already")
+    if dispatcher.repeats.conflicts(request):
+        return BadRequestError(422, "another request came under this key")
     return None
--- a/gullyoke/front/connection.py
+++ b/gullyoke/front/connection.py
@@ -14,12 +14,14 @@
 
 from gullyoke.core import clock
 from gullyoke.core.desk import PendingRequest
-from gullyoke.core.ends import End, Ended
+from gullyoke.core.ends import CloseReason, ConnectionClosedError
 from gullyoke.core.sockets import drain, half_close, shut
 
 # Ends after which the peer may have sent something that we did not read, and is worth waiting for:
 # closing over unread bytes resets the connection, and takes from the peer what it has yet to read.
-LINGERING = frozenset({End.DECLARED, End.IDLE, End.LEAVING, End.GARBLED})
+LINGERING = frozenset(
+    {CloseReason.DECLARED, CloseReason.IDLE, CloseReason.LEAVING, CloseReason.GARBLED}
+)
 
 
 class State(Enum):
@@ -46,7 +48,7 @@
         self.opened = self.since = clock.now()
         self.request: PendingRequest | None = None
         self.served = False  # whether it has had an answer
-        self.end: End | None = None
+        self.end: CloseReason | None = None
 
     # By its own thread.
 
@@ -65,8 +67,8 @@
         self.table.idle.pop(self, None)
         try:
             self._enter(State.READING)
-        except Ended:
-            self.table.book.add("messages.crossed")
+        except ConnectionClosedError:
+            self.table.metrics.increment("messages.crossed")
             raise
 
     def begin_request(self, request: PendingRequest) -> None:
@@ -84,7 +86,7 @@
         self.request, self.served = None, True
         self.table.fresh.pop(self, None)
 
-    def close(self, end: End) -> None:
+    def close(self, end: CloseReason) -> None:
         """Close the socket, by the one thread that may.
 
         Half-close, take what is on its way, close.
@@ -100,12 +102,12 @@
     def _enter(self, state: State) -> None:
         with self.lock:
             if self.end is not None:
-                raise Ended(self.end)
+                raise ConnectionClosedError(self.end)
             self.state, self.since = state, clock.now()
 
     # By other threads.
 
-    def close_idle(self, end: End) -> bool:
+    def close_idle(self, end: CloseReason) -> bool:
         """Half-close it if it is idle and nothing of a next message has come.
 
         Whether that was so.
@@ -120,7 +122,7 @@
             half_close(self.sock)
             return True
 
-    def abort(self, end: End, states: Collection[State], since: int) -> bool:
+    def abort(self, end: CloseReason, states: Collection[State], since: int) -> bool:
         """End both directions at once if it is in one of these states since then.
 
         Whether it was.
@@ -133,7 +135,7 @@
             shut(self.sock)
             return True
 
-    def _decide(self, end: End) -> None:
+    def _decide(self, end: CloseReason) -> None:
         self.state, self.end, self.since = State.CLOSING, end, clock.now()
         self.table.idle.pop(self, None)
 
--- a/gullyoke/front/connections.py
+++ b/gullyoke/front/connections.py
@@ -13,13 +13,13 @@
 
 from gullyoke.codec.buffer import Buffer
 from gullyoke.core import clock
-from gullyoke.core.book import Book, log, pairs
-from gullyoke.core.crew import Crew
-from gullyoke.core.desk import Desk
-from gullyoke.core.ends import End, Peer, outcome, served
-from gullyoke.core.message import Answer, Unfit
+from gullyoke.core.book import Metrics, log, pairs
+from gullyoke.core.crew import WorkerPool
+from gullyoke.core.desk import Dispatcher
+from gullyoke.core.ends import CloseReason, PeerKind, outcome, served
+from gullyoke.core.message import Answer, BadRequestError
 from gullyoke.core.sockets import Receiver, shut
-from gullyoke.core.standing import Standing
+from gullyoke.core.standing import Lifecycle
 from gullyoke.front.connection import Connection, State
 from gullyoke.front.listening import listening
 from gullyoke.front.room import Room
@@ -43,7 +43,7 @@
     name: str
     buffer: int
 
-    def exchange(self, connection: Connection, buffer: Buffer) -> End:
+    def exchange(self, connection: Connection, buffer: Buffer) -> CloseReason:
         """Messages and their answers, until a side ends it."""
 
 
@@ -66,13 +66,20 @@
     first; `closing`, whose end is decided. Each leaves at its end.
     """
 
-    def __init__(self, room: Room, desk: Desk, standing: Standing, book: Book) -> None:
-        self.room, self.desk, self.standing, self.book = room, desk, standing, book
+    def __init__(
+        self, room: Room, dispatcher: Dispatcher, lifecycle: Lifecycle, metrics: Metrics
+    ) -> None:
+        self.room, self.dispatcher, self.lifecycle, self.metrics = (
+            room,
+            dispatcher,
+            lifecycle,
+            metrics,
+        )
         self.open: dict[Connection, None] = {}
         self.fresh: dict[Connection, None] = {}
         self.idle: dict[Connection, None] = {}
         self.closing: dict[Connection, None] = {}
-        self.workers = Crew(self.serve)
+        self.workers = WorkerPool(self.serve)
         self.listeners: list[Listener] = []
         self.admission = threading.Lock()  # one newcomer at a time, whichever listener it comes by
         self.left = threading.Condition(threading.Lock())  # told when a descriptor has come free
@@ -97,9 +104,9 @@
             try:
                 sock, _ = listener.sock.accept()
             except OSError as fault:
-                if not self.standing.closing:  # what waits stays in the backlog
+                if not self.lifecycle.closing:  # what waits stays in the backlog
                     # Guards against running out of descriptors or memory.
-                    self.book.add("accept.failed")
+                    self.metrics.increment("accept.failed")
                     log.warning("accept failed", extra=pairs(why=fault))
                 time.sleep(ACCEPT_RETRY_S)
                 continue
@@ -115,29 +122,29 @@
         need.
         """
         with self.left:
-            while len(self.open) >= self.room.most + CLOSING_MOST and not self.standing.closing:
+            while len(self.open) >= self.room.most + CLOSING_MOST and not self.lifecycle.closing:
                 self.left.wait(0.1)
 
     def take(self, sock: socket.socket, listener: Listener) -> None:
         """Serve a connection that has been accepted."""
         with self.admission:
             connection = Connection(sock, listener, self)
-            self.book.add("connections.opened")
+            self.metrics.increment("connections.opened")
             self.open[connection] = self.fresh[connection] = listener.placed[connection] = None
             try:
                 if sock.family != socket.AF_UNIX:
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 if not self.make_room(listener):
-                    self.ended(connection, End.CROWDED, "")
+                    self.ended(connection, CloseReason.CROWDED, "")
                     return
                 if not self.workers.hand(connection):
                     threading.Thread(
                         target=self.workers.work, args=(connection,), name="gateway", daemon=True
                     ).start()
-                    self.book.add("threads.gateway")
+                    self.metrics.increment("threads.gateway")
             except (OSError, RuntimeError) as fault:  # no thread to be had, or gone already
                 log.warning("connection not served", extra=pairs(why=fault))
-                self.ended(connection, End.FAULT, str(fault))
+                self.ended(connection, CloseReason.FAULT, str(fault))
 
     def make_room(self, listener: Listener) -> bool:
         """Too many at once: one goes, so that engine and database can still be reached.
@@ -166,7 +173,7 @@
             states |= {State.READING} if now - since > HALF_MESSAGE_US else set()
             if not self.room.may_lose(connection.listener, listener, count):
                 continue
-            if connection.abort(End.SILENT, states, since):
+            if connection.abort(CloseReason.SILENT, states, since):
                 self.decided(connection)
                 return True
         return False
@@ -175,7 +182,7 @@
         """End the one longest idle; whether there was one."""
         for connection in list(self.idle):
             if self.room.may_lose(connection.listener, listener, count) and connection.close_idle(
-                End.IDLE
+                CloseReason.IDLE
             ):
                 self.decided(connection)
                 self.hurry()
@@ -186,7 +193,7 @@
         """Too many wait for their peers to close: the one that has waited longest waits no more."""
         if len(self.closing) > CLOSING_MOST:
             oldest = next(iter(self.closing))
-            oldest.abort(End.IDLE, {State.CLOSING}, oldest.since)
+            oldest.abort(CloseReason.IDLE, {State.CLOSING}, oldest.since)
 
     def decided(self, connection: Connection) -> None:
         """Its end is decided: its place is free, its descriptor will be."""
@@ -200,21 +207,21 @@
         front = connection.listener.front
         end, why = served(
             lambda: front.exchange(connection, Buffer(Receiver(connection.sock), front.buffer)),
-            lambda: self.book.fault(front.name),
+            lambda: self.metrics.record_internal_error(front.name),
         )
         self.ended(connection, connection.end or end, why)
 
-    def ended(self, connection: Connection, end: End, why: str) -> None:
+    def ended(self, connection: Connection, end: CloseReason, why: str) -> None:
         """The one place where a client connection ends."""
         front = connection.listener.front.name
-        self.book.add(f"ends.{front}.{end.value}")
-        if end in (End.GARBLED, End.STALLED, End.CUT):
+        self.metrics.increment(f"ends.{front}.{end.value}")
+        if end in (CloseReason.GARBLED, CloseReason.STALLED, CloseReason.CUT):
             log.warning(
                 "connection of a gateway ended", extra=pairs(end=end.value, why=why, front=front)
             )
-        word = outcome(Peer.GATEWAY, end)
+        word = outcome(PeerKind.GATEWAY, end)
         if connection.request is not None and word is not None:
-            self.desk.tell(connection.request, word)
+            self.dispatcher.tell(connection.request, word)
         for table in (self.fresh, self.idle):
             table.pop(connection, None)
         try:
@@ -225,9 +232,9 @@
             with self.left:
                 self.left.notify_all()
 
-    def refused(self, connection: Connection, fault: Unfit) -> Answer:
+    def refused(self, connection: Connection, fault: BadRequestError) -> Answer:
         """What came is no request: counted, said, and what is answered."""
-        self.book.add(f"unfit.{fault.status}")
+        self.metrics.increment(f"unfit.{fault.status}")
         log.warning(
             "message refused",
             extra=pairs(status=fault.status, why=fault, front=connection.listener.front.name),
@@ -249,18 +256,18 @@
         spent = now - since
         if state is State.CLOSING:
             if connection in self.closing and spent > LINGER_US:  # its peer keeps its side open
-                connection.abort(End.IDLE, {state}, since)
+                connection.abort(CloseReason.IDLE, {state}, since)
             return False
         if state in (State.READING, State.WRITING) and spent > STALL_US:
-            return connection.abort(End.STALLED, {state}, since)
+            return connection.abort(CloseReason.STALLED, {state}, since)
         unheard = state in (State.IDLE, State.READING) and not connection.served
         if unheard and now - connection.opened > FIRST_MESSAGE_US:
             return connection.abort(
-                End.SILENT if state is State.IDLE else End.STALLED, {state}, since
+                CloseReason.SILENT if state is State.IDLE else CloseReason.STALLED, {state}, since
             )
-        if self.standing.closing:
-            return connection.close_idle(End.LEAVING)
-        return 0 < self.standing.idle < spent and connection.close_idle(End.IDLE)
+        if self.lifecycle.closing:
+            return connection.close_idle(CloseReason.LEAVING)
+        return 0 < self.lifecycle.idle < spent and connection.close_idle(CloseReason.IDLE)
 
     def hear_gone(self, waiting: list[Connection]) -> None:
         """A connection that is broken while its request waits.
@@ -282,15 +289,15 @@
             ):  # its number may be another's now
                 continue
             if request is not None and not request.client_gone:
-                self.book.add("reqs.gone")
-                self.desk.tell(request, outcome(Peer.GATEWAY, End.RESET))
+                self.metrics.increment("reqs.gone")
+                self.dispatcher.tell(request, outcome(PeerKind.GATEWAY, CloseReason.RESET))
 
     def leave(self) -> None:
         """The end of the drain: take what waits in the backlogs, then no more.
 
         Idle connections end.
         """
-        self.standing.closing = True
+        self.lifecycle.closing = True
         for listener in self.listeners:
             listener.sock.setblocking(False)
             while True:
--- a/gullyoke/front/http1.py
+++ b/gullyoke/front/http1.py
@@ -4,8 +4,8 @@
 
 from gullyoke.codec import http
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core.ends import End
-from gullyoke.core.message import Answer, Message, Unfit
+from gullyoke.core.ends import CloseReason
+from gullyoke.core.message import Answer, BadRequestError, Message
 from gullyoke.front.connection import Connection
 from gullyoke.front.intake import Intake
 
@@ -20,19 +20,19 @@
     def __init__(self, intake: Intake, name: str = "gateway") -> None:
         self.intake, self.name = intake, name
 
-    def exchange(self, connection: Connection, buffer: Buffer) -> End:
+    def exchange(self, connection: Connection, buffer: Buffer) -> CloseReason:
         while True:
             connection.rest()
             try:
                 message = http.read(buffer, connection.begin_message)
                 if message is None:
-                    return End.CLOSED
+                    return CloseReason.CLOSED
                 answer, close = self.take(message, connection)
-            except Unfit as fault:
+            except BadRequestError as fault:
                 answer, close = connection.table.refused(connection, fault), True
             connection.answer(http.answer(answer, close))
             if close:
-                return End.DECLARED
+                return CloseReason.DECLARED
 
     def take(self, message: Message, connection: Connection) -> tuple[Answer, bool]:
         """The answer, and whether the connection is closed after it."""
@@ -40,7 +40,7 @@
         close = message.closes() or version == "HTTP/1.0"
         if path == HEALTH:
             if method not in ("GET", "HEAD"):
-                raise Unfit(405, "method")
+                raise BadRequestError(405, "method")
             return self.intake.health(), close
         answer = self.intake.request(message, connection)
-        return answer, close or self.intake.standing.closing
+        return answer, close or self.intake.lifecycle.closing
--- a/gullyoke/front/intake.py
+++ b/gullyoke/front/intake.py
@@ -5,10 +5,10 @@
 from __future__ import annotations
 
 from gullyoke.core import clock
-from gullyoke.core.book import Book
-from gullyoke.core.desk import Desk, told_of
+from gullyoke.core.book import Metrics
+from gullyoke.core.desk import Dispatcher, told_of
 from gullyoke.core.message import Answer, Message
-from gullyoke.core.standing import Standing
+from gullyoke.core.standing import Lifecycle
 from gullyoke.front import admit
 from gullyoke.front.connection import Connection
 from gullyoke.port import Reject
@@ -17,37 +17,37 @@
 class Intake:
     """What the fronts share behind their codecs: both ways end here, under the same rules."""
 
-    def __init__(self, desk: Desk, standing: Standing, book: Book) -> None:
-        self.desk, self.standing, self.book = desk, standing, book
+    def __init__(self, dispatcher: Dispatcher, lifecycle: Lifecycle, metrics: Metrics) -> None:
+        self.dispatcher, self.lifecycle, self.metrics = dispatcher, lifecycle, metrics
 
     def health(self) -> Answer:
-        self.book.add("checks")
-        good = self.standing.good and self.desk.server is not None
+        self.metrics.increment("checks")
+        good = self.lifecycle.good and self.dispatcher.server is not None
         return Answer(200 if good else 503, fields=self.feedback())
 
     def request(self, message: Message, connection: Connection) -> Answer:
         """The one final answer to a request; raises `Unfit` where the message is none."""
-        request = admit.made(self.desk, message, connection.listener.front.name)
+        request = admit.made(self.dispatcher, message, connection.listener.front.name)
         connection.begin_request(request)
-        if self.desk.server is None:  # nothing runs before the engine is up
-            self.book.add("answers.early")
+        if self.dispatcher.server is None:  # nothing runs before the engine is up
+            self.metrics.increment("answers.early")
             return Answer(503)
-        admit.admit(self.desk, request)
-        self.book.add("reqs.read")
+        admit.admit(self.dispatcher, request)
+        self.metrics.increment("reqs.read")
         if not request.gate.acquire(timeout=max(0.0, (request.deadline - clock.now()) / 1e6)):
-            self.desk.overdue(request)
-        self.book.add(f"answers.{told_of(request.outcome)}")
+            self.dispatcher.overdue(request)
+        self.metrics.increment(f"answers.{told_of(request.outcome)}")
         if isinstance(request.outcome, Reject):
             return Answer(503, b"", self.feedback() + advice(request.outcome))
         made = request.answer or Answer(500)  # what the run made goes out unchanged
         return (
             made
-            if self.standing.level is None
+            if self.lifecycle.level is None
             else made._replace(fields=made.fields + self.feedback())
         )
 
     def feedback(self) -> tuple[tuple[str, str], ...]:
-        level = self.standing.level
+        level = self.lifecycle.level
         return () if level is None else (("Feedback", str(level)),)
 
 
--- a/gullyoke/front/scgi.py
+++ b/gullyoke/front/scgi.py
@@ -4,8 +4,8 @@
 
 from gullyoke.codec import scgi
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core.ends import End
-from gullyoke.core.message import Answer, Message, Unfit
+from gullyoke.core.ends import CloseReason
+from gullyoke.core.message import Answer, BadRequestError, Message
 from gullyoke.front.connection import Connection
 from gullyoke.front.http1 import HEALTH
 from gullyoke.front.intake import Intake
@@ -19,22 +19,22 @@
     def __init__(self, intake: Intake, name: str = "scgi") -> None:
         self.intake, self.name = intake, name
 
-    def exchange(self, connection: Connection, buffer: Buffer) -> End:
+    def exchange(self, connection: Connection, buffer: Buffer) -> CloseReason:
         connection.rest()
         try:
             message = scgi.read(buffer, connection.begin_message)
             if message is None:
-                return End.CLOSED
+                return CloseReason.CLOSED
             answer = self.take(message, connection)
-        except Unfit as fault:
+        except BadRequestError as fault:
             answer = connection.table.refused(connection, fault)
         connection.answer(scgi.answer(answer))
-        return End.DECLARED
+        return CloseReason.DECLARED
 
     def take(self, message: Message, connection: Connection) -> Answer:
         method, path, _ = message.first
         if path == HEALTH:
             if method not in ("GET", "HEAD"):
-                raise Unfit(405, "method")
+                raise BadRequestError(405, "method")
             return self.intake.health()
         return self.intake.request(message, connection)
--- a/gullyoke/lab/world.py
+++ b/gullyoke/lab/world.py
@@ -22,7 +22,7 @@
 from collections.abc import Iterator
 
 from gullyoke.core import clock
-from gullyoke.core.book import Book
+from gullyoke.core.book import Metrics
 from gullyoke.core.timer import Timer
 from gullyoke.emulator.cores import Cores
 from gullyoke.emulator.day import Day
@@ -68,7 +68,7 @@
     """
 
     def __init__(self, cores: int, calls: set[str]) -> None:
-        self.timer, self.pen, self.calls = Timer(Book()), threading.RLock(), calls
+        self.timer, self.pen, self.calls = Timer(Metrics()), threading.RLock(), calls
         self.timer.start()
         self.cores = Cores(cores, 3.0, 0.1, clock.now, self.later)
         self.notices, self.link, self.runs = 0, None, {}
--- a/gullyoke/operator/checked.py
+++ b/gullyoke/operator/checked.py
@@ -17,7 +17,7 @@
 from google.protobuf.message import Message
 
 from gullyoke.operator import operator_pb2 as schema
-from gullyoke.operator.wanted import Faulty
+from gullyoke.operator.wanted import OperatorFileError
 
 LONGEST = 2**20  # bytes of a file that are read
 NAME = re.compile(r"[A-Za-z_]\w*")
@@ -35,17 +35,19 @@
         with open(path, "rb") as file:
             data = file.read(LONGEST + 1)
         if len(data) > LONGEST:
-            raise Faulty(
+            raise OperatorFileError(
                 [f"{path}:1: the file: over {LONGEST} bytes; right would be a file of a few pages"]
             )
         text = data.decode("utf-8")
     except (OSError, UnicodeDecodeError) as fault:
-        raise Faulty([f"{path}:1: the file: can't be read: {fault}"]) from None
+        raise OperatorFileError([f"{path}:1: the file: can't be read: {fault}"]) from None
     try:
         found = text_format.Parse(text, empty)
     except text_format.ParseError as fault:
         line, _, said = PLACE.fullmatch(str(fault)).groups()
-        raise Faulty([f"{path}:{line or 1}: {one_line(said, empty.DESCRIPTOR)}"]) from None
+        raise OperatorFileError(
+            [f"{path}:{line or 1}: {one_line(said, empty.DESCRIPTOR)}"]
+        ) from None
     lines = places(text)
     faults = sorted(
         (
@@ -55,7 +57,7 @@
         key=lambda row: row[0],
     )
     if faults:
-        raise Faulty([f"{path}:{line}: {key}: {why}" for line, key, why in faults])
+        raise OperatorFileError([f"{path}:{line}: {key}: {why}" for line, key, why in faults])
     return found
 
 
--- a/gullyoke/operator/wanted.py
+++ b/gullyoke/operator/wanted.py
@@ -4,10 +4,12 @@
 
 from typing import NamedTuple
 
+from gullyoke.errors import GullyokeError
+
 Address = tuple[str, int] | str
 
 
-class Faulty(ValueError):
+class OperatorFileError(GullyokeError, ValueError):
     """A file that can't be right.
 
     `faults` are lines: file, line, key, and what would be right.
--- a/gullyoke/options.py
+++ b/gullyoke/options.py
@@ -13,6 +13,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
+from gullyoke.errors import GullyokeError
 from gullyoke.port import (
     Below,
     Fleet,
@@ -38,7 +39,7 @@
 MUST = object()
 
 
-class Misstated(ValueError):
+class ConfigurationError(GullyokeError, ValueError):
     """A setting that is missing or can't be right; the text names its key."""
 
 
@@ -66,7 +67,7 @@
     def text(self, key: str, default: object = MUST) -> str:
         value = self.pairs.get(self.path + key, default)
         if value is MUST:
-            raise Misstated(f"missing setting '{self.path}{key}'")
+            raise ConfigurationError(f"missing setting '{self.path}{key}'")
         return value
 
     def _read(self, key: str, default: object, make, wanted: str):
@@ -74,7 +75,9 @@
         try:
             return make(text) if isinstance(text, str) else text
         except (ValueError, KeyError, OverflowError):
-            raise Misstated(f"setting '{self.path}{key}' is {text!r}, not {wanted}") from None
+            raise ConfigurationError(
+                f"setting '{self.path}{key}' is {text!r}, not {wanted}"
+            ) from None
 
     def number(self, key: str, default: object = MUST, least: float = 0.0) -> float:
         return self._read(
--- a/gullyoke/peers/ask.py
+++ b/gullyoke/peers/ask.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from gullyoke.core import clock
-from gullyoke.core.book import Book
+from gullyoke.core.book import Metrics
 from gullyoke.members.row import TURNS
 from gullyoke.peers.link import Link
 
@@ -24,11 +24,11 @@
     What is asked costs the members' lock for a copy.
     """
 
-    def __init__(self, address: tuple[str, int], link: Link, book: Book) -> None:
+    def __init__(self, address: tuple[str, int], link: Link, metrics: Metrics) -> None:
         """Raises `OSError` where it can't listen."""
         super().__init__(name="fleet-status", daemon=True)
         self.sock = socket.create_server(address, backlog=8)
-        self.link, self.book, self.ended = link, book, False
+        self.link, self.metrics, self.ended = link, metrics, False
 
     def run(self) -> None:
         while not self.ended:
@@ -41,9 +41,9 @@
                     conn.settimeout(PATIENCE)
                     self.answer(conn)
             except OSError:
-                self.book.add("fleet.status.broken")
+                self.metrics.increment("fleet.status.broken")
             except Exception:
-                self.book.fault("fleet-status")
+                self.metrics.record_internal_error("fleet-status")
 
     def answer(self, conn: socket.socket) -> None:
         line = b""
--- a/gullyoke/peers/codec.py
+++ b/gullyoke/peers/codec.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from gullyoke.errors import GullyokeError
 from gullyoke.members.row import TURNS, Entry, Kind, Mark, News, Report, Row, Status
 from gullyoke.members.words import (
     WHOLE,
@@ -29,7 +30,7 @@
 U64 = 1 << 64
 
 
-class Malformed(ValueError):
+class MalformedDatagramError(GullyokeError, ValueError):
     """Bytes that are no message of ours."""
 
 
@@ -90,11 +91,11 @@
         or not 0 < len(wire.address) <= ADDRESS
         or len(wire.zone) > ZONE
     ):
-        raise Malformed("a row's texts")
+        raise MalformedDatagramError("a row's texts")
     if not (
         0 <= wire.number < U64 - TURNS and 0 <= wire.life < U64 and 0 <= wire.status <= Status.DEAD
     ):
-        raise Malformed("a row's figures")
+        raise MalformedDatagramError("a row's figures")
     return Row(wire.name, wire.number, Status(wire.status), wire.address, wire.zone, wire.life)
 
 
@@ -113,7 +114,7 @@
     """None for a kind that a later release has."""
     figures = wire.figures
     if any(not 0 <= x < U64 for x in figures):
-        raise Malformed("a figure out of bounds")
+        raise MalformedDatagramError("a figure out of bounds")
     if wire.kind == 0 and wire.row is not None:
         return row_in(wire.row)
     if wire.kind == 1 and len(figures) >= 6 and figures[2] <= Status.DEAD:
@@ -124,7 +125,7 @@
         return Report(figures[0], figures[1], figures[2], bool(figures[3]), entries)
     if wire.kind > 2:
         return None
-    raise Malformed("news")
+    raise MalformedDatagramError("news")
 
 
 def pack(message: Message) -> bytes:
@@ -167,16 +168,16 @@
     try:
         wire = decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise Malformed(str(fault)) from None
+        raise MalformedDatagramError(str(fault)) from None
     if wire.version < 1 or not 0 <= wire.kind < len(KINDS):
-        raise Malformed(f"version {wire.version}, kind {wire.kind}")
+        raise MalformedDatagramError(f"version {wire.version}, kind {wire.kind}")
     if (
         not all(
             0 <= x < U64 for x in (wire.seq, wire.digest, wire.about, wire.signal, *wire.figures)
         )
         or not 0 <= wire.lost <= WHOLE
     ):
-        raise Malformed("a figure out of bounds")
+        raise MalformedDatagramError("a figure out of bounds")
     kind, sender = KINDS[wire.kind], row_in(wire.sender)
     if kind is Hello:
         return Hello(sender)
@@ -186,7 +187,7 @@
         return Compare(sender, tuple(wire.figures))
     if kind is Rows:
         if len(wire.figures) < 2 or len(wire.figures) % 2:
-            raise Malformed("rows")
+            raise MalformedDatagramError("rows")
         parts = tuple(zip(wire.figures[2::2], wire.figures[3::2], strict=True))
         return Rows(
             sender, parts, tuple(map(row_in, wire.rows)), bool(wire.figures[0]), wire.figures[1]
@@ -199,5 +200,5 @@
     if kind is Ping:
         return Ping(sender, wire.seq, wire.digest, wire.lost, news, wire.signal)
     if wire.target is None:
-        raise Malformed("asked for nobody")
+        raise MalformedDatagramError("asked for nobody")
     return Ask(sender, wire.seq, row_in(wire.target), wire.digest, wire.lost, news, wire.signal)
--- a/gullyoke/peers/duties.py
+++ b/gullyoke/peers/duties.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from gullyoke.core import clock
-from gullyoke.core.book import Book
+from gullyoke.core.book import Metrics
 from gullyoke.duty.candidate import Candidate
 from gullyoke.duty.candidate import Post as Said_to
 from gullyoke.duty.fence import Fence
@@ -21,7 +21,7 @@
 from gullyoke.duty.voter import Row, Voter, Write
 from gullyoke.duty.words import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
 from gullyoke.members.row import Row as Member
-from gullyoke.peers.codec import Malformed
+from gullyoke.peers.codec import MalformedDatagramError
 from gullyoke.peers.link import Post
 
 TOPIC = 2
@@ -60,13 +60,13 @@
     try:
         kind, fields = decode(body)
         if not 0 <= kind < len(KINDS):
-            raise Malformed(f"a duty's letter of kind {kind}")
+            raise MalformedDatagramError(f"a duty's letter of kind {kind}")
         made = KINDS[kind]
         message = msgspec.convert(fields[: len(made._fields)], made)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-        raise Malformed(str(fault)) from None
+        raise MalformedDatagramError(str(fault)) from None
     if any(type(x) is int and not 0 <= x < 2**64 for x in message):
-        raise Malformed("a figure out of bounds")
+        raise MalformedDatagramError("a figure out of bounds")
     return message
 
 
@@ -108,11 +108,11 @@
         voters: Mapping[str, str],
         taken: Callable[[str], str | None],
         disk: Disk,
-        book: Book,
+        metrics: Metrics,
     ) -> None:
         self.name, self.life, self.voter, self.shelf = name, life, voter, shelf
         self.candidates, self.voters, self.taken = dict(candidates), dict(voters), taken
-        self.disk, self.book, self.fence, self.board = disk, book, Fence(), Board()
+        self.disk, self.metrics, self.fence, self.board = disk, metrics, Fence(), Board()
         self.lock = threading.RLock()
         self.send: Callable[[list[Post]], None] = lambda posts: None
         self.registers: dict[str, tuple[Register, int]] = {}
@@ -189,7 +189,7 @@
         def told(durable: bool) -> None:
             with self.lock:
                 said = self.voter.written(clock.now(), write, durable)
-            self.book.add("duty.promised" if durable else "duty.unpromised")
+            self.metrics.increment("duty.promised" if durable else "duty.unpromised")
             if said is not None:
                 self.send([(asker, pack(said))])
 
@@ -299,7 +299,7 @@
             return ()
         with self.lock:
             if not self.fence.admits(message.duty, message.epoch, message.life):
-                self.book.add("duty.stale_refused")
+                self.metrics.increment("duty.stale_refused")
                 return ()
             news = not isinstance(message, Notice) or self.board.take(now, message)
         if isinstance(message, Order):
--- a/gullyoke/peers/kept.py
+++ b/gullyoke/peers/kept.py
@@ -7,7 +7,7 @@
 import os
 from collections.abc import Callable
 
-from gullyoke.core.book import Book, log, pairs
+from gullyoke.core.book import Metrics, log, pairs
 
 KEY, FOLDER, QUOTA = "number", "fleet", 2**20
 CLOSE = 0.5  # seconds that the end waits for a disk that hangs
@@ -20,8 +20,8 @@
     `Disk` where it is not given.
     """
 
-    def __init__(self, folder: str | None, book: Book, files: Callable | None = None) -> None:
-        self.book, self.latest, self.committer, self._known = book, 0, None, 0
+    def __init__(self, folder: str | None, metrics: Metrics, files: Callable | None = None) -> None:
+        self.metrics, self.latest, self.committer, self._known = metrics, 0, None, 0
         if folder is None:
             return
         from gullyoke.store import Committer, Disk, Store
@@ -32,7 +32,7 @@
             self._known = int.from_bytes(store.get(KEY) or b"", "big")
             self.committer = Committer(store)
         except OSError as fault:
-            book.add("fleet.unkept")
+            metrics.increment("fleet.unkept")
             log.error("fleet number not kept", extra=pairs(folder=folder, why=fault))
 
     def known(self) -> int:
@@ -44,7 +44,7 @@
         if self.committer is not None:
 
             def told(durable: bool) -> None:
-                self.book.add("fleet.kept" if durable else "fleet.unkept")
+                self.metrics.increment("fleet.kept" if durable else "fleet.unkept")
 
             self.committer.put(KEY, number.to_bytes(8, "big"), told)
 
--- a/gullyoke/peers/link.py
+++ b/gullyoke/peers/link.py
@@ -19,7 +19,7 @@
 from typing import Protocol
 
 from gullyoke.core import clock
-from gullyoke.core.book import Book
+from gullyoke.core.book import Metrics
 from gullyoke.members import TICK, Member, Row
 from gullyoke.members.words import Letter, Send
 from gullyoke.peers import codec
@@ -57,7 +57,7 @@
     what else can be asked there, by name.
     """
 
-    def __init__(self, listen: tuple[str, int], seal: Seal, book: Book) -> None:
+    def __init__(self, listen: tuple[str, int], seal: Seal, metrics: Metrics) -> None:
         """Raises `OSError` where it can't listen there."""
         super().__init__(name="peers", daemon=True)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -66,9 +66,9 @@
         try:
             self.sock.setsockopt(socket.IPPROTO_IP, TELLS, 1)
         except OSError:  # silence alone must do then
-            book.add("peers.no_refusals")
+            metrics.increment("peers.no_refusals")
         self.address = self.sock.getsockname()
-        self.seal, self.book, self.counts = seal, book, Counts()
+        self.seal, self.metrics, self.counts = seal, metrics, Counts()
         self.member: Member | None = None
         self.signals = None  # what others told of how they stand, if wanted
         self.topics: dict[int, Topic] = {}
@@ -89,7 +89,7 @@
             except Exception:  # an error of our own ends one turn, not the thread
                 if self.ended.is_set():
                     return  # its socket was closed under it: that is its end
-                self.book.fault("peers")
+                self.metrics.record_internal_error("peers")
                 time.sleep(0.05)
 
     def turn(self) -> None:
@@ -114,18 +114,18 @@
                 return
 
     def heard(self, data: bytes) -> None:
-        self.book.add("peers.heard")
+        self.metrics.increment("peers.heard")
         opened = self.seal.open(data) if len(data) <= codec.LONGEST else None
         if opened is None:
-            self.book.add("peers.dropped.seal")
+            self.metrics.increment("peers.dropped.seal")
             return
         try:
             message = codec.unpack(opened[0])
-        except codec.Malformed:
-            self.book.add("peers.dropped.malformed")
+        except codec.MalformedDatagramError:
+            self.metrics.increment("peers.dropped.malformed")
             return
         if not self.counts.fresh(message.row.life, opened[1]):
-            self.book.add("peers.dropped.old")
+            self.metrics.increment("peers.dropped.old")
             return
         now = clock.now()
         if not isinstance(message, Letter):
@@ -133,7 +133,7 @@
         elif message.topic in self.topics:
             self.act(lambda: self.letter(now, message))
         else:
-            self.book.add("peers.dropped.topic")
+            self.metrics.increment("peers.dropped.topic")
 
     def tick(self, now: int) -> list[Send]:
         self.member.tick(now)
@@ -148,8 +148,8 @@
             return self.posted(
                 letter.topic, self.topics[letter.topic].hear(now, letter.row, letter.body)
             )
-        except codec.Malformed:
-            self.book.add("peers.dropped.malformed")
+        except codec.MalformedDatagramError:
+            self.metrics.increment("peers.dropped.malformed")
             return []
 
     def posted(self, topic: int, posts: Iterable[Post]) -> list[Send]:
@@ -166,7 +166,7 @@
     def send(self, send: Send) -> None:
         data = self.seal.seal(codec.pack(send.message))
         if len(data) > codec.LONGEST:
-            self.book.add("peers.too_long")
+            self.metrics.increment("peers.too_long")
             return
         # Guards against what an earlier datagram met, which comes up at this one's sending: taken
         # note of, and
@@ -176,13 +176,13 @@
         for _ in range(TRIES):
             try:
                 self.sock.sendto(data, self.system(send.address))
-                self.book.add("peers.sent")
+                self.metrics.increment("peers.sent")
                 return
             except OSError as fault:
                 if fault.errno != errno.ECONNREFUSED:
                     break
                 self.refusals()
-        self.book.add("peers.unsent")
+        self.metrics.increment("peers.unsent")
 
     def system(self, address: str) -> tuple[str, int]:
         found = self.known.get(address)
@@ -210,7 +210,7 @@
                     and len(data) >= 4
                     and struct.unpack("I", data[:4])[0] == errno.ECONNREFUSED
                 ):
-                    self.book.add("peers.refused")
+                    self.metrics.increment("peers.refused")
                     self.refused("{}:{}".format(*address[:2]))
 
     def refused(self, address: str) -> None:
--- a/gullyoke/peers/seal.py
+++ b/gullyoke/peers/seal.py
@@ -13,13 +13,15 @@
 from collections import OrderedDict
 from hashlib import blake2b
 
+from gullyoke.errors import GullyokeError
+
 DIGEST, COUNT = 16, 8  # bytes at the end of a datagram
 SHORTEST, KEYS = 16, 2  # bytes of a key at the least; keys in a file at the most
 WINDOW = 1024  # counts that may come out of order
 SENDERS = 4096  # of whom counts are kept; the one longest silent goes first
 
 
-class Unusable(ValueError):
+class UnusableKeyError(GullyokeError, ValueError):
     """A key file that can't be right; the text says why."""
 
 
@@ -32,13 +34,13 @@
     try:
         keys = tuple(bytes.fromhex(line) for line in lines if line)
     except ValueError:
-        raise Unusable(
+        raise UnusableKeyError(
             "a line that is not hex digits; right would be 32 or more of them a line"
         ) from None
     if not 1 <= len(keys) <= KEYS:
-        raise Unusable(f"{len(keys)} keys; right would be one or two lines")
+        raise UnusableKeyError(f"{len(keys)} keys; right would be one or two lines")
     if min(map(len, keys)) < SHORTEST or max(map(len, keys)) > blake2b.MAX_KEY_SIZE:
-        raise Unusable(
+        raise UnusableKeyError(
             f"a key of under {SHORTEST} or over {blake2b.MAX_KEY_SIZE} bytes; right would be "
             f"{2 * SHORTEST} to {2 * blake2b.MAX_KEY_SIZE} hex digits"
         )
--- a/gullyoke/peers/sharing.py
+++ b/gullyoke/peers/sharing.py
@@ -17,7 +17,7 @@
 
 from gullyoke.core import clock
 from gullyoke.members.row import Row, whole
-from gullyoke.peers.codec import Malformed
+from gullyoke.peers.codec import MalformedDatagramError
 from gullyoke.peers.link import Post
 from gullyoke.together.shares import Claim, Grant, Promise, Return, Want
 from gullyoke.together.sharing import ASKER, LENDER, Letter, Message
@@ -52,13 +52,13 @@
         if of != digest:
             return None
         if not 0 <= kind < len(KINDS):
-            raise Malformed(f"a share's letter of kind {kind}")
+            raise MalformedDatagramError(f"a share's letter of kind {kind}")
         made = KINDS[kind]
         message = msgspec.convert(fields[: len(made._fields)], made)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-        raise Malformed(str(fault)) from None
+        raise MalformedDatagramError(str(fault)) from None
     if any(isinstance(x, int | float) and not 0 <= x < 2**64 for x in message):
-        raise Malformed("a figure out of bounds")
+        raise MalformedDatagramError("a figure out of bounds")
     return message
 
 
@@ -183,7 +183,7 @@
         try:
             limit = self.limits.get(decode(body)[0])
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-            raise Malformed(str(fault)) from None
+            raise MalformedDatagramError(str(fault)) from None
         if limit is None:
             self.others += 1
             return ()
--- a/gullyoke/rig/script.py
+++ b/gullyoke/rig/script.py
@@ -14,6 +14,8 @@
 import re
 from typing import NamedTuple
 
+from gullyoke.errors import GullyokeError
+
 # What can happen, with how many words follow: at the least, at the most.
 FAULTS = {
     "kill": (1, 99),
@@ -61,7 +63,7 @@
 SPAN = re.compile(r"([mb])(\d+)\.\.\1(\d+)")
 
 
-class Misplayed(ValueError):
+class ScriptError(GullyokeError, ValueError):
     """A script that can't be right: the line, and what would be."""
 
 
@@ -201,7 +203,7 @@
         max(end, last + 1),
     )
     if not 1 <= script.members <= 50 or script.zones < 1 or script.end > 3600:
-        raise Misplayed(
+        raise ScriptError(
             "members, zones or end out of bounds; right would be 1 to 50 members, 1 h at most"
         )
     return script
@@ -224,4 +226,4 @@
 
 
 def wrong(number: int, what: str, right: str):
-    raise Misplayed(f"line {number}: {what} can't be; right would be {right}")
+    raise ScriptError(f"line {number}: {what} can't be; right would be {right}")
--- a/gullyoke/rig/standins.py
+++ b/gullyoke/rig/standins.py
@@ -16,8 +16,8 @@
 
 from gullyoke.codec import scgi
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core.ends import Ended
-from gullyoke.core.message import Answer, Unfit
+from gullyoke.core.ends import ConnectionClosedError
+from gullyoke.core.message import Answer, BadRequestError
 from gullyoke.core.sockets import Receiver
 from gullyoke.lab.ports import free
 from gullyoke.lab.world import Peer
@@ -141,7 +141,7 @@
                 threading.Thread(target=self.serve, args=(conn,), daemon=True).start()
 
     def serve(self, conn: socket.socket) -> None:
-        with contextlib.suppress(OSError, Ended, Unfit), conn:
+        with contextlib.suppress(OSError, ConnectionClosedError, BadRequestError), conn:
             message = scgi.read(Buffer(Receiver(conn), scgi.BUFFER))
             if message is None:
                 return
--- a/gullyoke/routing/fates.py
+++ b/gullyoke/routing/fates.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from gullyoke.core.ends import End
+from gullyoke.core.ends import CloseReason
 from gullyoke.port import RequestEvent
 
 
@@ -41,17 +41,17 @@
 MAY_RUN_ON = {Fate.LOST, Fate.STALLED, Fate.STOPPED}  # its work may not be over
 
 # Every way the connection can end that is not an answer's own end.
-_UNWRITTEN = dict.fromkeys(End, Fate.UNRUN)
-_WRITTEN = dict.fromkeys(End, Fate.LOST) | {
-    End.GARBLED: Fate.SPOILT,
-    End.FAULT: Fate.SPOILT,
-    End.STALLED: Fate.STALLED,
-    End.DECLARED: Fate.STOPPED,
+_UNWRITTEN = dict.fromkeys(CloseReason, Fate.UNRUN)
+_WRITTEN = dict.fromkeys(CloseReason, Fate.LOST) | {
+    CloseReason.GARBLED: Fate.SPOILT,
+    CloseReason.FAULT: Fate.SPOILT,
+    CloseReason.STALLED: Fate.STALLED,
+    CloseReason.DECLARED: Fate.STOPPED,
 }
-_UNWRITTEN[End.DECLARED] = Fate.STOPPED
+_UNWRITTEN[CloseReason.DECLARED] = Fate.STOPPED
 
 
-def fate_of(end: End, written: bool) -> Fate:
+def fate_of(end: CloseReason, written: bool) -> Fate:
     """The one place where the end of a back end's connection, before its answer was whole, is given
     its meaning. `written`: whether any byte of the req may have reached the back end.
     """
--- a/gullyoke/store/__init__.py
+++ b/gullyoke/store/__init__.py
@@ -10,6 +10,15 @@
 from gullyoke.store.cells import Cells
 from gullyoke.store.commit import Committer
 from gullyoke.store.disk import Disk, Files
-from gullyoke.store.log import Faulted, Full, Newer, Store
+from gullyoke.store.log import Store, StoreFaultedError, StoreFullError, StoreVersionError
 
-__all__ = ["Cells", "Committer", "Disk", "Faulted", "Files", "Full", "Newer", "Store"]
+__all__ = [
+    "Cells",
+    "Committer",
+    "Disk",
+    "Files",
+    "Store",
+    "StoreFaultedError",
+    "StoreFullError",
+    "StoreVersionError",
+]
--- a/gullyoke/store/cells.py
+++ b/gullyoke/store/cells.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple, Protocol
 
-from gullyoke.store.log import Faulted, Full
+from gullyoke.store.log import StoreFaultedError, StoreFullError
 from gullyoke.store.record import GONE, PUT, Record, pack, unpack
 
 SIZE = 1024  # bytes of a copy
@@ -95,14 +95,14 @@
         newest = list(dict(batch).items())
         wanted = [(key, value) for key, value in newest if value is not None or key in self.index]
         if sum(key not in self.index for key, _ in wanted) > len(self.free):
-            raise Full(f"no cell is left of {self.count}")
+            raise StoreFullError(f"no cell is left of {self.count}")
         free, places = list(self.free), []
         for key, value in wanted:
             self.seq += 1
             record = Record(self.seq, key, value or b"", GONE if value is None else PUT)
             data = pack(record)
             if len(data) > SIZE:
-                raise Full(f"{len(data)} bytes; a cell holds {SIZE}")
+                raise StoreFullError(f"{len(data)} bytes; a cell holds {SIZE}")
             cell, copy = self.index[key][:2] if key in self.index else free.pop()
             places.append((Place(cell, 1 - copy, record), data))
         try:
@@ -114,7 +114,7 @@
                 self.files.sync(NAME)
         except OSError as fault:
             self.faults += 1
-            raise Faulted(*fault.args) from fault
+            raise StoreFaultedError(*fault.args) from fault
         self.free = free
         for place, _ in places:
             if place.record.kind == GONE:
--- a/gullyoke/store/commit.py
+++ b/gullyoke/store/commit.py
@@ -9,7 +9,7 @@
 import threading
 from collections.abc import Callable
 
-from gullyoke.store.log import Faulted, Full, Store
+from gullyoke.store.log import Store, StoreFaultedError, StoreFullError
 
 Told = Callable[[bool], None]
 
@@ -47,7 +47,7 @@
             if fits:
                 self.queue.put_nowait((key, value, told))
                 return True
-        except queue.Full:
+        except queue.StoreFullError:
             with self.pen:
                 self.held -= size
         self.refused += 1
@@ -85,7 +85,7 @@
         try:
             self.store.put([(key, value) for key, value, _ in batch if key])
             self.weak, durable = False, True
-        except (Full, Faulted):
+        except (StoreFullError, StoreFaultedError):
             self.weak, durable = True, False
         self.groups, self.put_in = self.groups + 1, self.put_in + len(batch)
         with self.pen:
@@ -100,7 +100,7 @@
         """
         try:
             self.queue.put(None, timeout=patience)
-        except queue.Full:
+        except queue.StoreFullError:
             return False
         self.thread.join(patience)
         return not self.thread.is_alive()
--- a/gullyoke/store/lines.py
+++ b/gullyoke/store/lines.py
@@ -28,7 +28,7 @@
     def add(self, line: str) -> None:
         try:
             self.queue.put_nowait(line)
-        except queue.Full:
+        except queue.StoreFullError:
             self.faults, self.why = self.faults + 1, "the disk does not come back"
 
     def size(self) -> int:
--- a/gullyoke/store/log.py
+++ b/gullyoke/store/log.py
@@ -7,6 +7,7 @@
 import re
 from collections.abc import Iterable, Iterator
 
+from gullyoke.errors import GullyokeError
 from gullyoke.store.disk import Files
 from gullyoke.store.plan import Plan
 from gullyoke.store.record import (
@@ -25,18 +26,18 @@
 NAME = re.compile(r"([0-9]{10})\.seg")
 
 
-class Full(OSError):
+class StoreFullError(GullyokeError, OSError):
     """What was to be put does not fit the quota, or the disk. What is there stays."""
 
 
-class Faulted(OSError):
+class StoreFaultedError(GullyokeError, OSError):
     """It was not made durable: the segment is closed and the next batch begins another.
 
     What it held may or may not be there after a crash; the caller's batch is not in force.
     """
 
 
-class Newer(OSError):
+class StoreVersionError(GullyokeError, OSError):
     """A later release wrote it. Nothing of it is read, and nothing is written to it."""
 
 
@@ -67,7 +68,7 @@
             if isinstance(found, Found) and found.record.kind == HEADER:
                 format_ = found.record.seq
                 if format_ > FORMAT:
-                    raise Newer(
+                    raise StoreVersionError(
                         f"{name_of(number)} is of format {format_}; {FORMAT} is the newest known"
                     )
                 self.plan.dropped(number, found.size)
@@ -123,7 +124,7 @@
         packed = [pack(record) for record in records]
         size = sum(map(len, packed))
         if not self.plan.fits(size):
-            raise Full(f"{size} bytes more than the quota of {self.plan.quota}")
+            raise StoreFullError(f"{size} bytes more than the quota of {self.plan.quota}")
         try:
             if self.active is None or self.plan.rolls(self.active, size):
                 self._begin()
@@ -136,7 +137,7 @@
             self.faults += 1
             if self.active is not None:
                 self._close(size)
-            raise Faulted(*fault.args) from fault
+            raise StoreFaultedError(*fault.args) from fault
         at = self.plan.segments[self.active].size
         for record, data in zip(records, packed, strict=True):
             self.plan.note(record, self.active, at, len(data))
--- a/gullyoke/store/watch.py
+++ b/gullyoke/store/watch.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from gullyoke.core import clock
-from gullyoke.core.book import Book, log, pairs
+from gullyoke.core.book import Metrics, log, pairs
 from gullyoke.durable.condition import BAD, Condition, State, Turn
 from gullyoke.store import disk
 
@@ -44,9 +44,9 @@
     """
 
     def __init__(
-        self, folder: str, book: Book, draw: Callable[[], float], quota: int | None = None
+        self, folder: str, metrics: Metrics, draw: Callable[[], float], quota: int | None = None
     ) -> None:
-        self.folder, self.book, self.quota = folder, book, quota
+        self.folder, self.metrics, self.quota = folder, metrics, quota
         self.lock, self.condition = threading.RLock(), Condition(clock.now(), draw)
         self.condition.heed.append(self.turned)
         self.heed: list[Callable[[Turn], None]] = []
@@ -92,7 +92,7 @@
 
     def turned(self, turn: Turn) -> None:
         """Called under the lock."""
-        self.book.add(f"disk.{turn.now.name.lower()}")
+        self.metrics.increment(f"disk.{turn.now.name.lower()}")
         log.log(
             40 if turn.now in BAD else 30,
             "disk",
@@ -109,7 +109,7 @@
             except OSError:
                 pass  # it was told
             except Exception:
-                self.book.fault("disk")
+                self.metrics.record_internal_error("disk")
 
     def look(self) -> None:
         with self.lock:
--- a/gullyoke/work/backends.py
+++ b/gullyoke/work/backends.py
@@ -16,12 +16,12 @@
 from gullyoke.codec import scgi
 from gullyoke.codec.buffer import Buffer
 from gullyoke.core import clock
-from gullyoke.core.book import Book, log, pairs
-from gullyoke.core.crew import Crew
+from gullyoke.core.book import Metrics, log, pairs
+from gullyoke.core.crew import WorkerPool
 from gullyoke.core.desk import PendingRequest, of
-from gullyoke.core.ends import End, Ended, end_of
+from gullyoke.core.ends import CloseReason, ConnectionClosedError, end_of
 from gullyoke.core.message import Answer
-from gullyoke.core.sockets import Broken, Until, connected, shut
+from gullyoke.core.sockets import ConnectionBrokenError, Until, connected, shut
 from gullyoke.port import RequestEvent
 from gullyoke.routing import (
     SET_ASIDE,
@@ -73,22 +73,22 @@
         linger: int,
         closes: bool,
         most: int,
-        book: Book,
+        metrics: Metrics,
         cold: bool = False,
     ) -> None:
         self.dispatch, self.cores, self.linger, self.closes = dispatch, cores, linger, closes
-        self.most, self.book, self.heard, self.cold = most, book, None, cold
+        self.most, self.metrics, self.heard, self.cold = most, metrics, None, cold
         self.lock = threading.Lock()  # over `dispatch` and `runs`; taken after the desk's
         self.where: dict[str, tuple[str, int] | str] = {}
         self.runs: dict[PendingRequest, Run] = {}
         self.carried: dict[Run, Carriage] = {}
         self.opening: queue.SimpleQueue[Send] = queue.SimpleQueue()
-        self.crew = Crew(self.carry)
+        self.crew = WorkerPool(self.carry)
 
     def start(self, heard) -> None:
         self.heard = heard
         threading.Thread(
-            target=self.book.forever,
+            target=self.metrics.run_forever,
             args=("backends", self.open),
             name="backends-open",
             daemon=True,
@@ -129,7 +129,7 @@
         with self.lock:
             self.runs[request] = run
             moves = self.dispatch.begin(clock.now(), run)
-        self.follow(moves, self.heard.desk.soon)
+        self.follow(moves, self.heard.dispatcher.soon)
 
     def feed(self, request: PendingRequest, reply: bytes) -> None:
         """No call of a back end's run comes by us."""
@@ -151,7 +151,7 @@
             sock = carriage.sock if carriage else None
             if sock is not None and self.closes:
                 shut(sock)
-        self.follow(moves, self.heard.desk.soon)
+        self.follow(moves, self.heard.dispatcher.soon)
 
     def flush(self) -> None:
         """Each run has a thread of its own, which sends it."""
@@ -176,7 +176,7 @@
                 self.give(move)
             elif tell is not None:
                 self.over(move)
-                self.book.add(f"runs.{move.word.name.lower()}")
+                self.metrics.increment(f"runs.{move.word.name.lower()}")
                 tell(move.run.request, move.word)
             else:
                 self.told(move, None)
@@ -185,7 +185,7 @@
         """To a thread that rests, or to the one that starts threads, which takes too long for
         here.
         """
-        self.book.add("backends.sent")
+        self.metrics.increment("backends.sent")
         send.run.request.at = send.member.stated.name
         if not self.crew.hand(send):
             self.opening.put(send)
@@ -206,7 +206,7 @@
             threading.Thread(
                 target=self.crew.work, args=(send,), name="backend", daemon=True
             ).start()
-            self.book.add("threads.backend")
+            self.metrics.increment("threads.backend")
         except RuntimeError as fault:  # no thread to be had
             self.ended(send, Fate.UNRUN, None, str(fault))
 
@@ -216,23 +216,23 @@
         try:
             answer = self.exchange(send, carriage)
             fate = Fate.DONE if answer.status < 500 else Fate.FAILED
-        except Broken as ended:
+        except ConnectionBrokenError as ended:
             fate, why = fate_of(self.end(send, ended.end), True), str(ended)
-        except Ended as ended:
+        except ConnectionClosedError as ended:
             fate, why = fate_of(self.end(send, ended.end), False), str(ended)
         except OSError as broken:
             fate, why = fate_of(self.end(send, end_of(broken)), True), str(broken)
         except Exception:
-            self.book.fault("backends", send.run.request.tid)
-            fate, why = fate_of(End.FAULT, True), "fault"
+            self.metrics.record_internal_error("backends", send.run.request.tid)
+            fate, why = fate_of(CloseReason.FAULT, True), "fault"
         if carriage.sock is not None:
             shut(carriage.sock)
             carriage.sock.close()
         self.ended(send, fate, answer, why)
 
-    def end(self, send: Send, end: End) -> End:
+    def end(self, send: Send, end: CloseReason) -> CloseReason:
         """Closed here, where that was asked for."""
-        return End.DECLARED if send.run.stopped and self.closes else end
+        return CloseReason.DECLARED if send.run.stopped and self.closes else end
 
     def exchange(self, send: Send, carriage: Carriage) -> Answer:
         """The req out and its answer in.
@@ -243,14 +243,16 @@
         until = run.due + self.linger
         left = (until - clock.now()) / 1e6
         if left <= 0:
-            raise Ended(End.DECLARED, "its time is over")  # no fault of the back end's
+            raise ConnectionClosedError(
+                CloseReason.DECLARED, "its time is over"
+            )  # no fault of the back end's
         with self.lock:
             where = self.where[send.member.stated.name]
         carriage.sock = connected(where, min(CONNECT, left))
         with self.lock:
             self.carried[run] = carriage
             if run.stopped and self.closes:
-                raise Ended(End.DECLARED, "stopped")
+                raise ConnectionClosedError(CloseReason.DECLARED, "stopped")
         over = {
             "max-wait-ms": str(max(0, (run.due - clock.now()) // 1000)),
             "accepted-at-ms": str(clock.unix_ms()),
@@ -259,8 +261,8 @@
         wire.send(scgi.request(request.message, over))
         try:
             answer = scgi.read_answer(Buffer(wire, scgi.ANSWER_HEAD + self.most + 1), self.most)
-        except Ended as ended:
-            raise Broken(ended.end, str(ended)) from None
+        except ConnectionClosedError as ended:
+            raise ConnectionBrokenError(ended.end, str(ended)) from None
         # What a back end refuses has reached it: our callers must not read the promise that it
         # never ran.
         return answer._replace(status=502) if answer.status in PROMISES else answer
@@ -268,7 +270,7 @@
     def ended(self, send: Send, fate: Fate, answer: Answer | None, why: str) -> None:
         """What the try came to, for the router; and what follows."""
         run, request, now = send.run, send.run.request, clock.now()
-        self.book.add(f"backends.{fate.value}")
+        self.metrics.increment(f"backends.{fate.value}")
         if fate not in (Fate.DONE, Fate.STOPPED):
             log.warning(
                 "try at a back end failed", extra=pairs(fate=fate.value, why=why, **of(request))
@@ -285,12 +287,12 @@
                 self.told(move, answer)
             else:
                 if isinstance(move, Send) and move.run is run:
-                    self.book.add("backends.again")
+                    self.metrics.increment("backends.again")
                 self.follow([move])
 
     def stands(self, member: Member, standing: Standing, span: int) -> None:
         aside = standing in (Standing.OUT, Standing.AWAY)
-        self.book.add(f"backends.to_{standing.value}")
+        self.metrics.increment(f"backends.to_{standing.value}")
         trial = {"trial_in_ms": span // 1000} if aside else {}
         log.log(
             WARNING if aside else INFO,
--- a/gullyoke/work/engine.py
+++ b/gullyoke/work/engine.py
@@ -13,8 +13,8 @@
 from gullyoke.codec import lines
 from gullyoke.codec.buffer import Buffer
 from gullyoke.codec.lines import command
-from gullyoke.core.book import Book, log, pairs
-from gullyoke.core.ends import End, Ended, served
+from gullyoke.core.book import Metrics, log, pairs
+from gullyoke.core.ends import CloseReason, ConnectionClosedError, served
 from gullyoke.core.sockets import Receiver, connected, shut
 
 CONNECT = 1.0  # seconds for a connection to come about
@@ -40,8 +40,8 @@
     `writing`, whether the thread writes.
     """
 
-    def __init__(self, address: tuple[str, int], gauges: tuple[str, ...], book: Book) -> None:
-        self.address, self.gauges, self.book, self.heard = address, gauges, book, None
+    def __init__(self, address: tuple[str, int], gauges: tuple[str, ...], metrics: Metrics) -> None:
+        self.address, self.gauges, self.metrics, self.heard = address, gauges, metrics, None
         self.bell = threading.Condition(threading.Lock())
         self.outbox: deque[Sent] = deque()
         self.sent: deque[Sent] = deque()
@@ -55,7 +55,10 @@
         self.heard = heard
         threading.Thread(target=self.keep, name="engine-read", daemon=True).start()
         threading.Thread(
-            target=self.book.forever, args=("engine", self.write), name="engine-write", daemon=True
+            target=self.metrics.run_forever,
+            args=("engine", self.write),
+            name="engine-write",
+            daemon=True,
         ).start()
 
     def move(self, address: tuple[str, int]) -> None:
@@ -119,7 +122,7 @@
             if took < len(data):
                 self.rest = data[took:]
                 self.bell.notify_all()
-        self.book.add("engine.commands", len(batch))
+        self.metrics.increment("engine.commands", len(batch))
 
     def _batch(self) -> list[Sent]:
         """All that is to be written now.
@@ -136,7 +139,7 @@
         return batch
 
     def _in_hand(self, sent: Sent) -> bool:
-        return sent.request is not None and sent.request.tid in self.heard.desk.requests
+        return sent.request is not None and sent.request.tid in self.heard.dispatcher.requests
 
     def write(self) -> None:
         """Write what there is, once there is something and a link to write it on."""
@@ -147,7 +150,7 @@
             self.rest, self.writing = b"", True
         try:
             sock.sendall(rest + b"".join(s.data for s in batch))
-            self.book.add("engine.commands", len(batch))
+            self.metrics.increment("engine.commands", len(batch))
         except OSError:
             shut(sock)  # the reading side tells how it ended
         finally:
@@ -162,9 +165,11 @@
         pause, last = PAUSES[0], None
         while True:
             before = self.last
-            end, why = served(self.attach_and_read, lambda: self.book.fault("engine"))
+            end, why = served(
+                self.attach_and_read, lambda: self.metrics.record_internal_error("engine")
+            )
             self.close()
-            self.book.add(f"ends.engine.{end.value}")
+            self.metrics.increment(f"ends.engine.{end.value}")
             # A peer that stays away would fill the log with one line; the counters go on counting.
             log.log(
                 DEBUG if end is last else WARNING,
@@ -188,18 +193,20 @@
                 self.bell.wait()
         sock.close()
 
-    def attach_and_read(self) -> End:
+    def attach_and_read(self) -> CloseReason:
         address = self.address
         sock = connected(address, CONNECT)
         with self.bell:
             self.sock, self.mark = sock, ""
             if address != self.address:  # moved while this link came about
-                raise Ended(End.DECLARED, "the engine's address is another now")
+                raise ConnectionClosedError(
+                    CloseReason.DECLARED, "the engine's address is another now"
+                )
         sock.sendall(command("ATTACH", self.last))
         buffer = Buffer(Receiver(sock), lines.BUFFER)
         while (words := lines.read(buffer)) is not None:
             self.notice(words, buffer)
-        return End.CLOSED
+        return CloseReason.CLOSED
 
     def notice(self, words: list[str], buffer: Buffer) -> None:
         kind, heard = words[0], self.heard
@@ -227,7 +234,7 @@
         elif kind == "NOTE" and len(words) >= 2:
             self.new(words[1])
         else:
-            raise Ended(End.GARBLED, " ".join(words)[:100])
+            raise ConnectionClosedError(CloseReason.GARBLED, " ".join(words)[:100])
 
     def new(self, number: str) -> bool:
         """Whether this notice was not read before."""
@@ -258,11 +265,11 @@
             self.attached, self.mark, self.rest = True, "", b""  # the old link's rest is void
             self.bell.notify_all()
         if again:
-            self.book.add("engine.repeated", len(again))
+            self.metrics.increment("engine.repeated", len(again))
 
 
 def figure(text: str) -> float:
     try:
         return float(text)
     except ValueError:
-        raise Ended(End.GARBLED, f"gauge {text[:20]!r}") from None
+        raise ConnectionClosedError(CloseReason.GARBLED, f"gauge {text[:20]!r}") from None
--- a/tests/cli/test_operator.py
+++ b/tests/cli/test_operator.py
@@ -19,7 +19,7 @@
 from gullyoke.cli.main import main
 from gullyoke.operator import operator_pb2 as schema
 from gullyoke.operator.read import read
-from gullyoke.operator.wanted import Faulty
+from gullyoke.operator.wanted import OperatorFileError
 
 ROOT = pathlib.Path(__file__).parents[2]
 WELL_KNOWN = pathlib.Path(grpc_tools.__file__).parent / "_proto"
@@ -129,11 +129,11 @@
         ):
             with self.subTest(text):
                 path = self.write(text)
-                with self.assertRaisesRegex(Faulty, said) as caught:
+                with self.assertRaisesRegex(OperatorFileError, said) as caught:
                     read(path)
                 for line in caught.exception.faults:
                     self.assertTrue(line.startswith(path) and "\n" not in line)
-        with self.assertRaisesRegex(Faulty, "can't be read"):
+        with self.assertRaisesRegex(OperatorFileError, "can't be read"):
             read("/nowhere/at/all")
 
     def test_all_faults(self):
--- a/tests/codec/test_codecs.py
+++ b/tests/codec/test_codecs.py
@@ -12,8 +12,8 @@
 
 from gullyoke.codec import http, scgi
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core.ends import Ended
-from gullyoke.core.message import Answer, Message, Unfit
+from gullyoke.core.ends import ConnectionClosedError
+from gullyoke.core.message import Answer, BadRequestError, Message
 
 VALUES = st.text(st.characters(min_codepoint=33, max_codepoint=126), max_size=40)
 NAMES = st.from_regex(r"x-[a-z][a-z0-9]{0,10}(-[a-z0-9]{1,5})?", fullmatch=True)
@@ -79,7 +79,7 @@
         try:
             got = scgi.read_answer(buffer, 4096) if answer else scgi.read(buffer)
             self.assertIsInstance(got, (Answer, Message, type(None)))
-        except (Unfit, Ended) as fault:
+        except (BadRequestError, ConnectionClosedError) as fault:
             self.assertTrue(str(fault))
         self.assertLessEqual(len(buffer.data), scgi.BUFFER)
 
@@ -91,7 +91,7 @@
         data = scgi.request(message, {})
         for at in range(1, len(data)):
             self.assertEqual(scgi.read(reading(data, [at])), message)
-            with self.assertRaises((Ended, Unfit)):
+            with self.assertRaises((ConnectionClosedError, BadRequestError)):
                 scgi.read(reading(data[:at]))
         self.assertIsNone(scgi.read(reading(b"")))
 
@@ -112,7 +112,7 @@
             (b"x" * 9000, "head too long"),
             (b"Status: 200 OK\r\n\r\n" + b"x" * 5000, "an answer of over"),
         ):
-            with self.subTest(said), self.assertRaisesRegex(Ended, said):
+            with self.subTest(said), self.assertRaisesRegex(ConnectionClosedError, said):
                 scgi.read_answer(reading(data, (), 20_000), 4096)
         got = scgi.read_answer(reading(b"Location: /a\n\nx"))
         self.assertEqual((got.status, got.fields, got.body), (302, (("Location", "/a"),), b"x"))
--- a/tests/compatibility/test_configuration.py
+++ b/tests/compatibility/test_configuration.py
@@ -6,8 +6,8 @@
 import unittest
 
 from compatibility.recorded import DATA
-from gullyoke.daemon.options import told
-from gullyoke.options import Facts, Misstated, facts_of, flat
+from gullyoke.daemon.options import load_configuration
+from gullyoke.options import ConfigurationError, Facts, facts_of, flat
 from gullyoke.port import (
     Below,
     Fleet,
@@ -54,17 +54,17 @@
 class Configuration(unittest.TestCase):
     maxDiff = None
 
-    def told(self, apart=False, environment=None, **changes):
+    def load(self, apart=False, environment=None, **changes):
         """What is read of the recorded file with these keys changed; None leaves one out."""
         found = json.loads(FILE.read_text()) | changes
         found = {key: value for key, value in found.items() if value is not None}
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(found, file)
             file.flush()
-            return told({"NODE_CONFIG": file.name} | (environment or {}), apart)
+            return load_configuration({"NODE_CONFIG": file.name} | (environment or {}), apart)
 
     def test_file(self):
-        found = told({"NODE_CONFIG": str(FILE)})
+        found = load_configuration({"NODE_CONFIG": str(FILE)})
         self.assertEqual(
             tuple(found[:8]),
             (
@@ -84,7 +84,7 @@
         self.assertEqual(len(found), 11)
 
     def test_environment(self):
-        found = self.told(
+        found = self.load(
             environment={
                 "NODE_NAME": "server-9",
                 "NODE_LISTEN": "0.0.0.0:8001",
@@ -94,34 +94,34 @@
         self.assertEqual(tuple(found[:2]), ("server-9", ("0.0.0.0", 8001)))
         self.assertEqual(found[9], "DEBUG")
         for level in ("DEBUG", "INFO", "WARNING", "ERROR"):
-            self.assertEqual(self.told(environment={"GULLYOKE_LOG": level})[9], level)
+            self.assertEqual(self.load(environment={"GULLYOKE_LOG": level})[9], level)
         for environment in ({}, {"NODE_CONFIG": str(FILE), "GULLYOKE_LOG": "LOUD"}):
-            with self.assertRaises(Misstated):
-                told(environment)
+            with self.assertRaises(ConfigurationError):
+                load_configuration(environment)
 
     def test_another_configuration(self):
         """What makes a file another server's: its name, its classes or its tenants."""
-        found, settings = self.told(), json.loads(FILE.read_text())["settings"]
+        found, settings = self.load(), json.loads(FILE.read_text())["settings"]
         fewer = {key: {**settings, key: settings[key][:1]} for key in ("Profiles", "Orgs")}
         for new, key in (
-            (self.told(seed=1, stop_ms=7), None),
-            (self.told(name="other"), "name"),
-            (self.told(settings=fewer["Profiles"]), "settings.Profiles"),
-            (self.told(settings=fewer["Orgs"]), "settings.Orgs"),
+            (self.load(seed=1, stop_ms=7), None),
+            (self.load(name="other"), "name"),
+            (self.load(settings=fewer["Profiles"]), "settings.Profiles"),
+            (self.load(settings=fewer["Orgs"]), "settings.Orgs"),
         ):
             self.assertEqual(found.strange(new), key)
         self.assertEqual(found.changed(found), [])
-        self.assertEqual(found.changed(self.told(seed=1)), [])
+        self.assertEqual(found.changed(self.load(seed=1)), [])
 
     def test_optional_keys(self):
-        self.assertEqual(self.told(limits=None)[7], 1024)
-        self.assertEqual(self.told(seed=7)[5], 7)
+        self.assertEqual(self.load(limits=None)[7], 1024)
+        self.assertEqual(self.load(seed=7)[5], 7)
         self.assertEqual(
-            tuple(self.told(apart=True, engine=None, naming=None, db=None)[2:5]), (None, None, None)
+            tuple(self.load(apart=True, engine=None, naming=None, db=None)[2:5]), (None, None, None)
         )
         for key in ("name", "listen", "engine", "naming", "db", "seed", "stop_ms", "settings"):
-            with self.subTest(key), self.assertRaisesRegex(Misstated, key):
-                self.told(**{key: None})
+            with self.subTest(key), self.assertRaisesRegex(ConfigurationError, key):
+                self.load(**{key: None})
 
     def test_settings_as_pairs(self):
         """Nested settings become dotted paths, as the simulator's wire has them."""
@@ -174,7 +174,7 @@
                 with self.subTest(key, word=word):
                     read = values(facts_of(self.pairs(**{key: word}))[part])
                     self.assertEqual((read[0] if part == 0 else read)[place], value)
-            with self.subTest(key), self.assertRaises(Misstated):
+            with self.subTest(key), self.assertRaises(ConfigurationError):
                 facts_of(self.pairs(**{key: "else"}))
 
     def test_share_below_counts_only_where_all_share_it(self):
@@ -228,7 +228,7 @@
             ),
         )
         for key in needed:
-            with self.subTest(key), self.assertRaises(Misstated) as fault:
+            with self.subTest(key), self.assertRaises(ConfigurationError) as fault:
                 facts_of({name: text for name, text in needed.items() if name != key})
             self.assertIn(key, str(fault.exception))
 
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -19,7 +19,7 @@
     Ping,
     Rows,
 )
-from gullyoke.peers.codec import LONGEST, VERSION, Malformed, pack, unpack
+from gullyoke.peers.codec import LONGEST, VERSION, MalformedDatagramError, pack, unpack
 from gullyoke.peers.seal import Seal, keys_in
 from gullyoke.together.signals import Reading, Stage
 from gullyoke.together.signals import unpack as unpack_reading
@@ -101,7 +101,7 @@
     def test_other_version_is_malformed(self):
         fields = msgspec.msgpack.decode(RECORDED["hello"])
         for version, kind in ((0, 4), (1, 8)):
-            with self.assertRaises(Malformed):
+            with self.assertRaises(MalformedDatagramError):
                 unpack(msgspec.msgpack.encode([version, kind, *fields[2:]]))
 
 
--- a/tests/compatibility/test_duty_messages.py
+++ b/tests/compatibility/test_duty_messages.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from compatibility.recorded import temporary_folder
-from gullyoke.core.book import Book as Counters
+from gullyoke.core.book import Metrics as Counters
 from gullyoke.duty.notices import Notice, Order
 from gullyoke.duty.roll import Plan
 from gullyoke.features.charges import Ask, Book, Record, Roll, Told
@@ -23,7 +23,7 @@
 
 def fleet_of(name):
     fleet = mock.MagicMock()
-    fleet.house.told.name, fleet.house.told.seed = name, 7
+    fleet.daemon.configuration.name, fleet.daemon.configuration.seed = name, 7
     return fleet
 
 
@@ -42,7 +42,11 @@
     def test_book_notice(self):
         """`book`: by home that ended, the address of who lends for it."""
         book = Book.__new__(Book)
-        book.fleet, book.shares, book.gone = fleet_of("server-1"), mock.MagicMock(), ("server-3",)
+        book.fleet, book.shares, book.gone = (
+            fleet_of("server-1"),
+            mock.MagicMock(),
+            ("server-3",),
+        )
         book.fleet.wanted.advertise = "10.0.0.1:7900"
         self.assertEqual(book.notice(), b'{"server-3": "10.0.0.1:7900"}')
         book.heard(5, Notice("book", EPOCH, 7, "server-1", book.notice()))
@@ -62,7 +66,7 @@
         self.assertEqual(
             roll.plan, Plan(1, "going", EPOCH + 1, 0.1, 0.5, (("server-2", 5, EPOCH),))
         )
-        fleet.member.row.number, fleet.house.desk.stop_at = EPOCH << 20, None
+        fleet.member.row.number, fleet.daemon.dispatcher.stop_at = EPOCH << 20, None
         with mock.patch.object(roll, "drain") as drain:
             roll.obey(6, Order("roll", 9, 7, "drain", b"1699999999"))
             drain.assert_not_called()
--- a/tests/compatibility/test_letters.py
+++ b/tests/compatibility/test_letters.py
@@ -9,7 +9,7 @@
 from gullyoke.duty.notices import Notice, Order, Plea
 from gullyoke.duty.words import NOBODY, Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
 from gullyoke.peers import duties, sharing
-from gullyoke.peers.codec import Malformed
+from gullyoke.peers.codec import MalformedDatagramError
 from gullyoke.together.shares import Claim, Grant, Promise, Return, Want
 
 U64_MOST = 2**64 - 1
@@ -84,7 +84,7 @@
                 self.assertEqual(sharing.unpack(SLOTS_DIGEST, longer), message)
 
     def test_unknown_kind_is_malformed(self):
-        with self.assertRaises(Malformed):
+        with self.assertRaises(MalformedDatagramError):
             sharing.unpack(SLOTS_DIGEST, msgspec.msgpack.encode([SLOTS_DIGEST, 5, []]))
 
 
@@ -112,7 +112,7 @@
                 self.assertEqual(duties.unpack(longer), message)
 
     def test_unknown_kind_is_malformed(self):
-        with self.assertRaises(Malformed):
+        with self.assertRaises(MalformedDatagramError):
             duties.unpack(msgspec.msgpack.encode([15, []]))
 
 
