--- a/gullyoke/daemon/house.py
+++ b/gullyoke/daemon/house.py
@@ -52,7 +52,7 @@
     `end` at the end of the drain.
     """
 
-    def work(self, load_configuration: DaemonConfiguration, metrics: Metrics) -> Work | None:
+    def work(self, configuration: DaemonConfiguration, metrics: Metrics) -> Work | None:
         """What carries out the work in the engine's place, if this does."""
 
     def around(self, daemon: Daemon, work: Work) -> Work:
@@ -86,48 +86,44 @@
 
     def __init__(
         self,
-        load_configuration: DaemonConfiguration,
+        configuration: DaemonConfiguration,
         extra: Extra | None = None,
         form: logging.Formatter | None = None,
     ) -> None:
         threading.stack_size(STACK)
         sys.setswitchinterval(0.001)  # a thread that solves holds up others this long at most
-        self.configuration, self.metrics, self.extra = load_configuration, Metrics(), extra
+        self.configuration, self.metrics, self.extra = configuration, Metrics(), extra
         self.features: list[Feature] = extra.features if extra else []
-        self.logging = start_log(load_configuration.level, form)
+        self.logging = start_log(configuration.level, form)
         self.timer = Timer(self.metrics)
-        self.dispatcher = Dispatcher(
-            load_configuration.facts, load_configuration.seed, self.metrics
-        )
-        self.calls = load_configuration.sockets // CALLS
+        self.dispatcher = Dispatcher(configuration.facts, configuration.seed, self.metrics)
+        self.calls = configuration.sockets // CALLS
         works = [
             work
             for one in self.features
-            if (work := one.work(load_configuration, self.metrics)) is not None
+            if (work := one.work(configuration, self.metrics)) is not None
         ]
         self.work: Work = (
             works[0]
             if works
-            else Engine(
-                load_configuration.engine, load_configuration.facts.machine.gauges, self.metrics
-            )
+            else Engine(configuration.engine, configuration.facts.machine.gauges, self.metrics)
         )
         for one in self.features:
             self.work = one.around(self, self.work)
         self.dispatcher.flush = self.work.flush
-        self.database = Database(load_configuration.database, self.calls, self.timer, self.metrics)
-        self.lifecycle = Lifecycle(load_configuration.facts.permissions.max_idle)
+        self.database = Database(configuration.database, self.calls, self.timer, self.metrics)
+        self.lifecycle = Lifecycle(configuration.facts.permissions.max_idle)
         self.route = Route(self.dispatcher, self.work, self.database, self.timer, self.lifecycle)
         self.relay = Relay(self.dispatcher, self.route, self.metrics)
         self.intake = Intake(self.dispatcher, self.lifecycle, self.metrics)
         self.room = Room(self.places())
         self.connections = ConnectionTable(self.room, self.dispatcher, self.lifecycle, self.metrics)
-        self.connections.listen(load_configuration.listen, Http1(self.intake))
-        self.naming = load_configuration.naming and Naming(
-            load_configuration.naming,
-            load_configuration.name,
+        self.connections.listen(configuration.listen, Http1(self.intake))
+        self.naming = configuration.naming and Naming(
+            configuration.naming,
+            configuration.name,
             lambda: self.lifecycle.good,
-            random.Random(load_configuration.seed),
+            random.Random(configuration.seed),
             self.metrics,
         )
         for one in self.features:
