--- a/benchmarks/disk.py
+++ b/benchmarks/disk.py
@@ -20,13 +20,13 @@
 from contextlib import contextmanager
 
 from benchmarks.pools import W
-from gullyoke.durable import Without
+from gullyoke.durability import Without
 from gullyoke.emulator.day import SECOND, Machines, drawn
 from gullyoke.emulator.fleet import Running, deciding
-from gullyoke.rig.play import Play
-from gullyoke.rig.script import read
-from gullyoke.store import cold
-from gullyoke.walk import notes
+from gullyoke.fault_testing.play import Play
+from gullyoke.fault_testing.script import read
+from gullyoke.model_checking import notes
+from gullyoke.storage import cold
 
 LOAD = 24.0  # reqs a second: what the play's servers do with ease
 QUEUE, RESULTS = 4, 16  # MB that may wait for the disk, and that notes and results may take
@@ -88,8 +88,8 @@
     """
     import socket
 
-    from gullyoke.lab.world import asked
-    from gullyoke.rig.load import KEYED, UNIQUED
+    from gullyoke.experiments.world import asked
+    from gullyoke.fault_testing.load import KEYED, UNIQUED
 
     text = f"members 1 seed 3 load 0.01 uniqued 0.01\nat 0.1 heal\nend {seconds + 1.5}\n"
     if not uniqued:
--- a/benchmarks/duty.py
+++ b/benchmarks/duty.py
@@ -14,14 +14,14 @@
 import random
 from concurrent.futures import ProcessPoolExecutor
 
-from gullyoke.duty.asking import FAILED, Asking
-from gullyoke.duty.spans import Spans
 from gullyoke.emulator.duty import SECOND, Play
-from gullyoke.rig import history
-from gullyoke.rig.play import Play as Real
-from gullyoke.rig.processes import DUTY
-from gullyoke.rig.script import read
-from gullyoke.walk import duty as walk
+from gullyoke.fault_testing import history
+from gullyoke.fault_testing.play import Play as Real
+from gullyoke.fault_testing.processes import DUTY
+from gullyoke.fault_testing.script import read
+from gullyoke.leases.asking import FAILED, Asking
+from gullyoke.leases.spans import Spans
+from gullyoke.model_checking import duty as walk
 
 PLAIN = "members 5 zones 5 seed 4 load 8\nat 0 heal\nby 3 equal\nend 8"
 ROLL = """
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -23,8 +23,8 @@
 
 from gullyoke.emulator.peers import SECOND, Network, fleet
 from gullyoke.emulator.swim import Lifeguard, Swim
-from gullyoke.lab import usage
-from gullyoke.members import Member
+from gullyoke.experiments import usage
+from gullyoke.membership import Member
 
 MAKES = {"ours": Member, "swim": Swim, "lifeguard": Lifeguard}
 
@@ -108,8 +108,8 @@
 
 def real() -> dict:
     """Five processes: idle first, then one killed, with a few reqs a second beside."""
-    from gullyoke.rig.play import Play
-    from gullyoke.rig.script import read
+    from gullyoke.fault_testing.play import Play
+    from gullyoke.fault_testing.script import read
 
     idle = Play(read("members 5 zones 5 seed 2\nat 0.1 heal\nend 2.5")).run()
     alone = Play(read("members 1 seed 2\nat 0.1 heal\nend 2.5")).run()
@@ -123,8 +123,8 @@
         e.name for v in (idle, play) for e in v.events if e.what == "removed" and e.at >= 0
     } - {"m1"}
     code = (
-        "import sys, gullyoke.daemon.start; print(sum(m.startswith(('gullyoke.members', 'gullyoke.peers',"
-        " 'gullyoke.features', 'msgspec')) for m in sys.modules))"
+        "import sys, gullyoke.daemon.serve; print(sum(m.startswith(('gullyoke.membership', 'gullyoke.peer_transport',"
+        " 'gullyoke.extensions', 'msgspec')) for m in sys.modules))"
     )
     foreign = int(subprocess.check_output([sys.executable, "-c", code], text=True))
     return {
--- a/benchmarks/scgi.py
+++ b/benchmarks/scgi.py
@@ -27,7 +27,7 @@
 
 from standins import Busy, Sockets, message
 
-from gullyoke.lab.usage import cpu, resident
+from gullyoke.experiments.usage import cpu, resident
 
 
 @contextlib.contextmanager
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -17,7 +17,7 @@
 from benchmarks.pools import W
 from gullyoke.emulator.day import SECOND, Machines, drawn
 from gullyoke.emulator.fleet import Running, deciding
-from gullyoke.store import Committer, Disk, Store, remember
+from gullyoke.storage import Committer, Disk, Store, remember
 
 
 def durable(waiting: int, seconds: float) -> dict:
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -19,20 +19,20 @@
 from collections import Counter
 from concurrent.futures import ProcessPoolExecutor
 
+from gullyoke.coordination.sharing import Sharing
+from gullyoke.coordination.signals import Judgement, Reading, Stage
+from gullyoke.coordination.slots import Mean
+from gullyoke.coordination.subsets import apertures, moved
 from gullyoke.emulator import shares as model
 from gullyoke.emulator.beside import Beside, playing
 from gullyoke.emulator.bound import bound
 from gullyoke.emulator.kinds import KINDS, grown
 from gullyoke.emulator.quotas import asked
-from gullyoke.lab.compare import mean_of
-from gullyoke.peers.sharing import pack
-from gullyoke.rig.play import Play
-from gullyoke.rig.script import read
-from gullyoke.together.sharing import Sharing
-from gullyoke.together.signals import Judgement, Reading, Stage
-from gullyoke.together.slots import Mean
-from gullyoke.together.subsets import apertures, moved
-from gullyoke.walk import shares as walk
+from gullyoke.experiments.compare import mean_of
+from gullyoke.fault_testing.play import Play
+from gullyoke.fault_testing.script import read
+from gullyoke.model_checking import shares as walk
+from gullyoke.peer_transport.sharing import pack
 
 SECOND = model.SECOND
 ARMS = {"today": None, "signals": (True, False), "shares": (False, True), "together": (True, True)}
--- a/gullyoke/__main__.py
+++ b/gullyoke/__main__.py
@@ -5,10 +5,10 @@
 
 import sys
 
-from gullyoke.core import signals
+from gullyoke.runtime import signals
 
 if __name__ == "__main__":
     signals.hold()
-    from gullyoke.daemon.start import serve
+    from gullyoke.daemon.serve import serve
 
     sys.exit(serve())
--- a/gullyoke/pools.py
+++ b/gullyoke/admission/class_pools.py
@@ -2,7 +2,7 @@
 
 Which class's req goes on within what the threshold admits.
 
-Joined to gullyoke/choice.py by `Server`. Values marked "ours" are not from the paper.
+Joined to gullyoke/admission/controller.py by `Server`. Values marked "ours" are not from the paper.
 """
 
 from __future__ import annotations
--- a/gullyoke/choice.py
+++ b/gullyoke/admission/controller.py
@@ -1,6 +1,6 @@
 """All of gullyoke's decisions.
 
-The interface is gullyoke/port: types, commands a req yields, their stepping.
+The interface is gullyoke/admission/interface: types, commands a req yields, their stepping.
 
 A front makes one `Server` a process and calls it with the clock in whole microseconds: `read` for
 each req read, `tell` for each word on a req in hand, `gauges` when its wake-up comes, `leave` at
@@ -14,7 +14,7 @@
 import math
 from collections import deque
 
-from gullyoke.port import (
+from gullyoke.admission.interface import (
     AWAIT,
     AWAIT_DUPLICATE,
     CANCEL,
@@ -586,7 +586,7 @@
         fleet,
         pools=None,
     ) -> None:
-        self.pools = pools  # gullyoke/pools.py, or None: off
+        self.pools = pools  # gullyoke/admission/class_pools.py, or None: off
         self.now, self.executor, self.stage = (
             now,
             executor,
--- a/gullyoke/port/__init__.py
+++ b/gullyoke/admission/interface/__init__.py
@@ -5,8 +5,7 @@
 Nothing here decides anything or knows any protocol.
 """
 
-from gullyoke.port.beside import ALONE, UNSHARED, Beside, Slots
-from gullyoke.port.commands import (
+from gullyoke.admission.interface.commands import (
     AWAIT,
     AWAIT_DUPLICATE,
     CANCEL,
@@ -28,8 +27,8 @@
     Run,
     SkipDependencyCall,
 )
-from gullyoke.port.events import RequestEvent
-from gullyoke.port.facts import (
+from gullyoke.admission.interface.events import RequestEvent
+from gullyoke.admission.interface.facts import (
     PAST,
     Below,
     Fleet,
@@ -44,7 +43,8 @@
     StopMode,
     Tenant,
 )
-from gullyoke.port.stepper import CommandExecutor, RequestStepper
+from gullyoke.admission.interface.fleet_feedback import ALONE, UNSHARED, Beside, Slots
+from gullyoke.admission.interface.stepper import CommandExecutor, RequestStepper
 
 __all__ = [
     "ALONE",
--- a/gullyoke/port/facts.py
+++ b/gullyoke/admission/interface/facts.py
@@ -7,9 +7,9 @@
 from enum import Enum
 from typing import NamedTuple
 
-from gullyoke.port.beside import ALONE, UNSHARED, Beside, Slots
-from gullyoke.port.commands import Command
-from gullyoke.port.events import RequestEvent
+from gullyoke.admission.interface.commands import Command
+from gullyoke.admission.interface.events import RequestEvent
+from gullyoke.admission.interface.fleet_feedback import ALONE, UNSHARED, Beside, Slots
 
 
 class Idempotency(Enum):
--- a/gullyoke/port/stepper.py
+++ b/gullyoke/admission/interface/stepper.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterator
 from typing import Protocol
 
-from gullyoke.port.commands import Command
-from gullyoke.port.events import RequestEvent
-from gullyoke.port.facts import Request
+from gullyoke.admission.interface.commands import Command
+from gullyoke.admission.interface.events import RequestEvent
+from gullyoke.admission.interface.facts import Request
 
 
 class CommandExecutor(Protocol):
--- a/gullyoke/cli/first.py
+++ b/gullyoke/cli/first.py
@@ -45,7 +45,7 @@
     from gullyoke.emulator.baselines import PlainPool
     from gullyoke.emulator.day import SECOND, Machines, Work, drawn
     from gullyoke.emulator.fleet import Running
-    from gullyoke.lab.world import daemon
+    from gullyoke.experiments.world import daemon
 
     works = (
         Work("box-view", 0.57, 70_000, 0.6, 1_000_000, 2_500_000, 1.0, 0.1, True, 0.3),
@@ -109,8 +109,8 @@
 
 def together(members: int, seed: int) -> None:
     """A live fleet: who is there as it goes on, and what each fault came to."""
-    from gullyoke.rig.play import Play
-    from gullyoke.rig.script import read
+    from gullyoke.fault_testing.play import Play
+    from gullyoke.fault_testing.script import read
 
     click.echo(
         f"{members} servers on loopback, 10 reqs a second to each; m1 is killed and comes back, then "
--- a/gullyoke/cli/fleet.py
+++ b/gullyoke/cli/fleet.py
@@ -149,8 +149,8 @@
     """
     import pathlib
 
-    from gullyoke.rig.play import Play
-    from gullyoke.rig.script import ScriptError, read
+    from gullyoke.fault_testing.play import Play
+    from gullyoke.fault_testing.script import ScriptError, read
 
     say = (lambda text: None) if as_json else click.echo
     try:
@@ -159,7 +159,7 @@
     except (ScriptError, ChildProcessError, UnicodeDecodeError) as fault:
         refuse([f"{script}: {fault}"])
     if keep:
-        from gullyoke.rig.report import write
+        from gullyoke.fault_testing.report import write
 
         for path in write(verdict, found, pathlib.Path(keep)):
             say(f"kept {path}")
@@ -406,10 +406,10 @@
         )
     import os
 
-    from gullyoke.duty.voter import Row
-    from gullyoke.features.duties import FOLDER, OURS
-    from gullyoke.peers.duties import row_bytes, rows_in
-    from gullyoke.store import Cells, Disk
+    from gullyoke.extensions.duties import FOLDER, OURS
+    from gullyoke.leases.voter import Row
+    from gullyoke.peer_transport.duties import row_bytes, rows_in
+    from gullyoke.storage import Cells, Disk
 
     files = Disk(os.path.join(folder, FOLDER))
     try:
--- a/gullyoke/cli/lab.py
+++ b/gullyoke/cli/lab.py
@@ -34,7 +34,7 @@
     "--workers", type=click.IntRange(1), help="Processes; as many as there are cores if not given."
 )
 def run_(experiment: str, out: pathlib.Path, resume: bool, workers: int | None) -> None:
-    """Play an EXPERIMENT (protobuf text format, gullyoke/lab/experiment.proto).
+    """Play an EXPERIMENT (protobuf text format, gullyoke/experiments/experiment.proto).
 
     \b
     Example:
@@ -42,10 +42,10 @@
     """
     from rich.progress import Progress
 
-    from gullyoke.lab.experiment import read
-    from gullyoke.lab.report import report
-    from gullyoke.lab.run import run
-    from gullyoke.operator.wanted import OperatorFileError
+    from gullyoke.experiments.experiment import read
+    from gullyoke.experiments.report import report
+    from gullyoke.experiments.run import run
+    from gullyoke.operator_config.wanted import OperatorFileError
 
     try:
         found = read(experiment)
@@ -77,8 +77,8 @@
       gullyoke lab bound deploy/pools.experiment --day steady
     """
     from gullyoke.emulator.bound import bound
-    from gullyoke.lab.experiment import read
-    from gullyoke.operator.wanted import OperatorFileError
+    from gullyoke.experiments.experiment import read
+    from gullyoke.operator_config.wanted import OperatorFileError
 
     try:
         found = read(experiment)
--- a/gullyoke/cli/main.py
+++ b/gullyoke/cli/main.py
@@ -16,7 +16,7 @@
 from gullyoke.cli.lab import lab
 from gullyoke.cli.say import refuse
 from gullyoke.cli.store import store
-from gullyoke.core import signals
+from gullyoke.runtime import signals
 
 FILE = click.Path(exists=True, dir_okay=False, readable=True)
 
@@ -51,14 +51,14 @@
       NODE_CONFIG=config.json gullyoke serve --operator deploy/scgi.textproto
     """
     signals.hold()
-    from gullyoke.daemon.start import serve as run
+    from gullyoke.daemon.serve import serve as run
 
     if config:
         os.environ["NODE_CONFIG"] = config
     if operator is None:
         sys.exit(run())
-    from gullyoke.features.file import OperatorFile
-    from gullyoke.operator.wanted import OperatorFileError
+    from gullyoke.extensions.file import OperatorFile
+    from gullyoke.operator_config.wanted import OperatorFileError
 
     try:
         extra = OperatorFile(operator)
@@ -66,7 +66,7 @@
         refuse(faulty.faults)
     form = None
     if extra.wanted.json_log:
-        from gullyoke.features.log_form import Flat
+        from gullyoke.extensions.log_form import Flat
 
         form = Flat()
     sys.exit(run(extra, extra.apart(), form))
@@ -81,8 +81,8 @@
     Example:
       gullyoke check deploy/scgi.textproto
     """
-    from gullyoke.operator.read import read
-    from gullyoke.operator.wanted import OperatorFileError
+    from gullyoke.operator_config.read import read
+    from gullyoke.operator_config.wanted import OperatorFileError
 
     try:
         found = read(file)
--- a/gullyoke/cli/store.py
+++ b/gullyoke/cli/store.py
@@ -26,7 +26,7 @@
 
 def opened(folder: str):
     """The store there, with the lock of a writer."""
-    from gullyoke.store import Disk, Store
+    from gullyoke.storage import Disk, Store
 
     try:
         disk = Disk(folder)
--- a/gullyoke/codec/buffer.py
+++ b/gullyoke/codec/buffer.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from gullyoke.core.ends import CloseReason, ConnectionClosedError
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
 
 FIRST = 2048
 
--- a/gullyoke/codec/http.py
+++ b/gullyoke/codec/http.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core.ends import CloseReason, ConnectionClosedError
-from gullyoke.core.message import Answer, BadRequestError, Message
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
+from gullyoke.runtime.messages import Answer, BadRequestError, Message
 
 HEAD, BODY = 4096, 8192  # the longest that are read, in bytes
 BUFFER = HEAD + BODY
--- a/gullyoke/codec/lines.py
+++ b/gullyoke/codec/lines.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core.ends import CloseReason, ConnectionClosedError
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
 
 LINE, CONTENT = 4096, 65536  # the longest that are read, in bytes
 BUFFER = LINE + CONTENT + 2
--- a/gullyoke/codec/scgi.py
+++ b/gullyoke/codec/scgi.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable, Iterable
 
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core.ends import CloseReason, ConnectionClosedError
-from gullyoke.core.message import Answer, BadRequestError, Message
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
+from gullyoke.runtime.messages import Answer, BadRequestError, Message
 
 HEAD, BODY, COUNT = 8192, 8192, 128  # the longest head and body in bytes, and the most headers
 DIGITS = 9  # the longest netstring length that is looked at
--- a/gullyoke/together/shares.py
+++ b/gullyoke/coordination/shares.py
@@ -19,9 +19,9 @@
 from collections.abc import Hashable, Iterable
 from typing import NamedTuple
 
-from gullyoke.members.row import whole
-from gullyoke.together.fair import Wish, level
-from gullyoke.together.spans import surely
+from gullyoke.coordination.fair import Wish, level
+from gullyoke.coordination.spans import surely
+from gullyoke.membership.row import whole
 
 LEASE, LOAN = 3_000_000, 4_000_000  # microseconds for which a name and a loan are held
 RENEW = 1_000_000  # both are asked for again after so long
--- a/gullyoke/together/signals.py
+++ b/gullyoke/coordination/signals.py
@@ -49,7 +49,7 @@
 
     @classmethod
     def of(cls, server, stage: Stage) -> Reading:
-        """That of a server of decisions (gullyoke/choice.py).
+        """That of a server of decisions (gullyoke/admission/controller.py).
 
         A run's usual time is held against what is taken for it before any has run: the same
         yardstick on all servers.
--- a/gullyoke/together/subsets.py
+++ b/gullyoke/coordination/subsets.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Collection, Mapping, Sequence
 
-from gullyoke.members.row import whole
+from gullyoke.membership.row import whole
 
 Chosen = dict[str, tuple[str, ...]]
 
--- a/gullyoke/together/turns.py
+++ b/gullyoke/coordination/turns.py
@@ -13,7 +13,7 @@
 
 from collections.abc import Iterable
 
-from gullyoke.members.row import whole
+from gullyoke.membership.row import whole
 
 
 def shared(what: str, count: int, slot: int, slots: int) -> Turns:
--- a/gullyoke/daemon/route.py
+++ b/gullyoke/daemon/command_router.py
@@ -7,12 +7,7 @@
 
 from collections.abc import Iterator
 
-from gullyoke.below.database import Database
-from gullyoke.core import clock
-from gullyoke.core.desk import Dispatcher, PendingRequest
-from gullyoke.core.standing import Lifecycle
-from gullyoke.core.timer import Timer
-from gullyoke.port import (
+from gullyoke.admission.interface import (
     AWAIT_DUPLICATE,
     CANCEL,
     FAIL,
@@ -25,7 +20,12 @@
     RememberKey,
     RequestEvent,
 )
-from gullyoke.work import Work
+from gullyoke.dependencies.database import Database
+from gullyoke.executors import Work
+from gullyoke.runtime import clock
+from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
+from gullyoke.runtime.lifecycle import Lifecycle
+from gullyoke.runtime.timer import Timer
 
 STATS_WAIT = 30_000  # how long a wake-up waits for the engine's gauges, in microseconds
 
--- a/gullyoke/daemon/options.py
+++ b/gullyoke/daemon/configuration.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from gullyoke.options import ConfigurationError, Facts, facts_of, flat
+from gullyoke.settings.site_settings import ConfigurationError, Facts, facts_of, flat
 
 Address = tuple[str, int]
 
--- a/gullyoke/daemon/house.py
+++ b/gullyoke/daemon/daemon.py
@@ -12,23 +12,23 @@
 import time
 from typing import Protocol
 
-from gullyoke.below.database import Database
-from gullyoke.core import clock, signals
-from gullyoke.core.book import Metrics, log, pairs, start_log
-from gullyoke.core.desk import Dispatcher
-from gullyoke.core.standing import Lifecycle
-from gullyoke.core.timer import Timer
-from gullyoke.daemon.naming import Naming
-from gullyoke.daemon.options import DaemonConfiguration, load_configuration
-from gullyoke.daemon.relay import Relay
-from gullyoke.daemon.route import Route
-from gullyoke.front.connections import ConnectionTable
-from gullyoke.front.http1 import Http1
-from gullyoke.front.intake import Intake
-from gullyoke.front.room import Room
-from gullyoke.options import ConfigurationError
-from gullyoke.work import Work
-from gullyoke.work.engine import Engine
+from gullyoke.daemon.command_router import Route
+from gullyoke.daemon.configuration import DaemonConfiguration, load_configuration
+from gullyoke.daemon.event_relay import Relay
+from gullyoke.daemon.service_discovery import Naming
+from gullyoke.dependencies.database import Database
+from gullyoke.executors import Work
+from gullyoke.executors.engine_link import Engine
+from gullyoke.frontends.connection_limits import Room
+from gullyoke.frontends.connections import ConnectionTable
+from gullyoke.frontends.http1 import Http1
+from gullyoke.frontends.message_handler import Intake
+from gullyoke.runtime import clock, signals
+from gullyoke.runtime.dispatcher import Dispatcher
+from gullyoke.runtime.lifecycle import Lifecycle
+from gullyoke.runtime.metrics import Metrics, log, pairs, start_log
+from gullyoke.runtime.timer import Timer
+from gullyoke.settings.site_settings import ConfigurationError
 
 STACK = 128 * 1024  # bytes of stack a thread; the deepest path needs under 32 KiB
 SWEEP = 100_000  # microseconds between looks at the connections
@@ -44,7 +44,7 @@
 
 
 class Feature(Protocol):
-    """One thing that an operator's file adds (gullyoke/features/), so that the lean start imports
+    """One thing that an operator's file adds (gullyoke/extensions/), so that the lean start imports
     none of it.
 
     Asked in this order: `work`, `around` and `held` while the house is put together, `join` when it
--- a/gullyoke/daemon/relay.py
+++ b/gullyoke/daemon/event_relay.py
@@ -5,12 +5,12 @@
 
 from __future__ import annotations
 
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics, log, pairs
-from gullyoke.core.desk import Dispatcher, PendingRequest
-from gullyoke.core.message import Answer
-from gullyoke.daemon.route import Route
-from gullyoke.port import FAIL, RequestEvent
+from gullyoke.admission.interface import FAIL, RequestEvent
+from gullyoke.daemon.command_router import Route
+from gullyoke.runtime import clock
+from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
+from gullyoke.runtime.messages import Answer
+from gullyoke.runtime.metrics import Metrics, log, pairs
 
 RUN_ENDS = {
     "ok": RequestEvent.COMPLETED,
--- a/gullyoke/daemon/start.py
+++ b/gullyoke/daemon/serve.py
@@ -6,10 +6,10 @@
 import os
 import sys
 
-from gullyoke.core import signals
-from gullyoke.daemon.house import Daemon, Extra
-from gullyoke.daemon.options import load_configuration
-from gullyoke.options import ConfigurationError
+from gullyoke.daemon.configuration import load_configuration
+from gullyoke.daemon.daemon import Daemon, Extra
+from gullyoke.runtime import signals
+from gullyoke.settings.site_settings import ConfigurationError
 
 
 def serve(
--- a/gullyoke/daemon/naming.py
+++ b/gullyoke/daemon/service_discovery.py
@@ -13,11 +13,11 @@
 
 from gullyoke.codec import http
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics, log, pairs
-from gullyoke.core.ends import CloseReason, ConnectionClosedError, served
-from gullyoke.core.message import BadRequestError
-from gullyoke.core.sockets import Until, connected
+from gullyoke.runtime import clock
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, served
+from gullyoke.runtime.messages import BadRequestError
+from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.sockets import Until, connected
 
 EVERY, LIMIT = 0.8, 0.5  # seconds between reports, and for each; an entry lapses after 3
 PAUSES = (0.1, 0.8)  # before the next try after a failure: the first, and the longest
--- a/gullyoke/below/database.py
+++ b/gullyoke/dependencies/database.py
@@ -11,15 +11,21 @@
 from collections import deque
 from logging import DEBUG, WARNING
 
+from gullyoke.admission.interface import RequestEvent
 from gullyoke.codec import lines
 from gullyoke.codec.buffer import Buffer
 from gullyoke.codec.lines import command
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics, log, pairs
-from gullyoke.core.ends import CloseReason, ConnectionClosedError, PeerKind, outcome, served
-from gullyoke.core.sockets import Receiver, connected, shut
-from gullyoke.core.timer import Timer
-from gullyoke.port import RequestEvent
+from gullyoke.runtime import clock
+from gullyoke.runtime.close_reasons import (
+    CloseReason,
+    ConnectionClosedError,
+    PeerKind,
+    outcome,
+    served,
+)
+from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.sockets import Receiver, connected, shut
+from gullyoke.runtime.timer import Timer
 
 CONNECT = 1.0  # seconds for a connection to come about
 PIECE = 0.1  # seconds for the next piece of a reply that has begun
--- a/gullyoke/durable/__init__.py
+++ b/gullyoke/durability/__init__.py
@@ -7,12 +7,12 @@
 says what was weighed, docs/store.md what an operator sees.
 """
 
-from gullyoke.durable.condition import Condition, State, Turn
-from gullyoke.durable.ledger import Act, Do, Ledger, Put, Without
-from gullyoke.durable.note import Note, Phase, Verdict, judged
-from gullyoke.durable.rooms import Kind, Rooms
-from gullyoke.durable.trust import Mark, Trust, trusted
-from gullyoke.durable.waits import Waits
+from gullyoke.durability.condition import Condition, State, Turn
+from gullyoke.durability.ledger import Act, Do, Ledger, Put, Without
+from gullyoke.durability.note import Note, Phase, Verdict, judged
+from gullyoke.durability.rooms import Kind, Rooms
+from gullyoke.durability.trust import Mark, Trust, trusted
+from gullyoke.durability.waits import Waits
 
 __all__ = [
     "Act",
--- a/gullyoke/durable/trust.py
+++ b/gullyoke/durability/trust.py
@@ -4,7 +4,7 @@
 that is another's, of an older copy, or newer than this program says nothing that may be gone by.
 What was promised under its name then is not known, and for as long as a promise can last the server
 says so: tries that are marked as further ones are errored, and a voter is silent
-(gullyoke/duty/voter.py waits by itself).
+(gullyoke/leases/voter.py waits by itself).
 """
 
 from __future__ import annotations
--- a/gullyoke/emulator/baselines.py
+++ b/gullyoke/emulator/baselines.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-from gullyoke.port import FAIL, RUN, CallDependency, Reject, RequestEvent
+from gullyoke.admission.interface import FAIL, RUN, CallDependency, Reject, RequestEvent
 
 TICK = 100_000
 
--- a/gullyoke/emulator/beside.py
+++ b/gullyoke/emulator/beside.py
@@ -9,13 +9,13 @@
 import random
 from collections.abc import Callable
 
-from gullyoke.choice import AdmissionController
+from gullyoke.admission.controller import AdmissionController
+from gullyoke.admission.interface import Below, Fleet
+from gullyoke.coordination.fair import split
+from gullyoke.coordination.sharing import ASKER, Letter, Sharing
+from gullyoke.coordination.signals import Heard, Judgement, Reading, Stage, Telling
+from gullyoke.coordination.slots import UNIT, Mean
 from gullyoke.emulator.fleet import Node, Running, deciding
-from gullyoke.port import Below, Fleet
-from gullyoke.together.fair import split
-from gullyoke.together.sharing import ASKER, Letter, Sharing
-from gullyoke.together.signals import Heard, Judgement, Reading, Stage, Telling
-from gullyoke.together.slots import UNIT, Mean
 
 SECOND, TURN = 1_000_000, 100_000
 PEERS, HOMES, FLOOR = (
--- a/gullyoke/emulator/day.py
+++ b/gullyoke/emulator/day.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from gullyoke.port import Idempotency, RequestClass
+from gullyoke.admission.interface import Idempotency, RequestClass
 
 SECOND = 1_000_000
 
--- a/gullyoke/emulator/duty.py
+++ b/gullyoke/emulator/duty.py
@@ -11,13 +11,13 @@
 import random
 from collections.abc import Callable
 
-from gullyoke.duty.candidate import Candidate, Post
-from gullyoke.duty.fence import Fence
-from gullyoke.duty.rank import Placed, after
-from gullyoke.duty.spans import Spans
-from gullyoke.duty.voter import Row, Voter, Write
-from gullyoke.duty.words import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
-from gullyoke.rig.standins import Act
+from gullyoke.fault_testing.standins import Act
+from gullyoke.leases.candidate import Candidate, Post
+from gullyoke.leases.fence import Fence
+from gullyoke.leases.rank import Placed, after
+from gullyoke.leases.spans import Spans
+from gullyoke.leases.voter import Row, Voter, Write
+from gullyoke.leases.words import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
 
 SECOND, TURN, ACT, SYNC = 1_000_000, 50_000, 100_000, 5_000
 DUTY = "d"
--- a/gullyoke/emulator/fleet.py
+++ b/gullyoke/emulator/fleet.py
@@ -12,11 +12,9 @@
 import numpy as np
 import simpy
 
-from gullyoke.choice import AdmissionController
-from gullyoke.emulator.cores import Cores
-from gullyoke.emulator.day import Day, Shared
-from gullyoke.pools import Pools
-from gullyoke.port import (
+from gullyoke.admission.class_pools import Pools
+from gullyoke.admission.controller import AdmissionController
+from gullyoke.admission.interface import (
     FAIL,
     RUN,
     SKIP_DEPENDENCY_CALL,
@@ -32,6 +30,8 @@
     RequestEvent,
     StopMode,
 )
+from gullyoke.emulator.cores import Cores
+from gullyoke.emulator.day import Day, Shared
 
 TICK, MEAN = 100_000, 5_000_000
 LEARN, STOP = (
--- a/gullyoke/emulator/peers.py
+++ b/gullyoke/emulator/peers.py
@@ -1,6 +1,6 @@
 """Members without sockets.
 
-The decisions of gullyoke/members in the model's clock, and a network between them that loses,
+The decisions of gullyoke/membership in the model's clock, and a network between them that loses,
 delays, doubles and cuts. All figures from here are simulated.
 """
 
@@ -12,12 +12,12 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from gullyoke.members import TICK, Change, Member, Row, Status, began
-from gullyoke.members.entry import Stage
-from gullyoke.members.news import size
-from gullyoke.members.row import identity
-from gullyoke.members.view import View
-from gullyoke.members.words import Message
+from gullyoke.membership import TICK, Change, Member, Row, Status, began
+from gullyoke.membership.entry import Stage
+from gullyoke.membership.news import size
+from gullyoke.membership.row import identity
+from gullyoke.membership.view import View
+from gullyoke.membership.words import Message
 
 SECOND = 1_000_000
 HEAD = 130  # bytes of a datagram beside its news, about
--- a/gullyoke/emulator/quotas.py
+++ b/gullyoke/emulator/quotas.py
@@ -8,9 +8,9 @@
 
 from typing import NamedTuple
 
+from gullyoke.coordination.fair import split
+from gullyoke.coordination.quotas import Quota, tokens
 from gullyoke.emulator.shares import SECOND, Play, Process
-from gullyoke.together.fair import split
-from gullyoke.together.quotas import Quota, tokens
 
 FLOOR = 0.25
 
--- a/gullyoke/emulator/shares.py
+++ b/gullyoke/emulator/shares.py
@@ -11,9 +11,9 @@
 import itertools
 import random
 
-from gullyoke.together.sharing import ASKER, LENDER, VOTER, Letter, Sharing
-from gullyoke.together.slots import Own, Part
-from gullyoke.together.spans import RATE
+from gullyoke.coordination.sharing import ASKER, LENDER, VOTER, Letter, Sharing
+from gullyoke.coordination.slots import Own, Part
+from gullyoke.coordination.spans import RATE
 
 SECOND = 1_000_000
 TURN = 100_000
--- a/gullyoke/emulator/swim.py
+++ b/gullyoke/emulator/swim.py
@@ -11,8 +11,8 @@
 import random
 from typing import NamedTuple
 
-from gullyoke.members.row import Row
-from gullyoke.members.view import Change
+from gullyoke.membership.row import Row
+from gullyoke.membership.view import Change
 
 PERIOD, TIMEOUT, GOSSIP = 1_000_000, 500_000, 200_000
 INDIRECT, FANOUT, PICKED, ROUNDS = 3, 3, 6, 4
--- a/gullyoke/work/engine.py
+++ b/gullyoke/executors/engine_link.py
@@ -13,9 +13,9 @@
 from gullyoke.codec import lines
 from gullyoke.codec.buffer import Buffer
 from gullyoke.codec.lines import command
-from gullyoke.core.book import Metrics, log, pairs
-from gullyoke.core.ends import CloseReason, ConnectionClosedError, served
-from gullyoke.core.sockets import Receiver, connected, shut
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, served
+from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.sockets import Receiver, connected, shut
 
 CONNECT = 1.0  # seconds for a connection to come about
 PAUSES = (0.02, 1.0)  # seconds before the next try: the first, and the longest
--- a/gullyoke/work/backends.py
+++ b/gullyoke/executors/scgi_backends.py
@@ -13,16 +13,9 @@
 from logging import INFO, WARNING
 from typing import NamedTuple
 
+from gullyoke.admission.interface import RequestEvent
 from gullyoke.codec import scgi
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics, log, pairs
-from gullyoke.core.crew import WorkerPool
-from gullyoke.core.desk import PendingRequest, of
-from gullyoke.core.ends import CloseReason, ConnectionClosedError, end_of
-from gullyoke.core.message import Answer
-from gullyoke.core.sockets import ConnectionBrokenError, Until, connected, shut
-from gullyoke.port import RequestEvent
 from gullyoke.routing import (
     SET_ASIDE,
     Dispatch,
@@ -35,6 +28,13 @@
     Tell,
     fate_of,
 )
+from gullyoke.runtime import clock
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, end_of
+from gullyoke.runtime.dispatcher import PendingRequest, of
+from gullyoke.runtime.messages import Answer
+from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.sockets import ConnectionBrokenError, Until, connected, shut
+from gullyoke.runtime.worker_pool import WorkerPool
 
 CONNECT = 1.0  # seconds for a connection to come about, at most
 PROMISES = (429, 503)  # statuses by which our callers know that a req never ran
--- a/gullyoke/lab/experiment.py
+++ b/gullyoke/experiments/experiment.py
@@ -13,8 +13,8 @@
 from gullyoke.emulator.day import SECOND, Day, Machines, Work, drawn
 from gullyoke.emulator.fleet import LIMITS, RESERVE, Node, deciding
 from gullyoke.emulator.kinds import grown
-from gullyoke.lab import experiment_pb2 as schema
-from gullyoke.operator.checked import parsed
+from gullyoke.experiments import experiment_pb2 as schema
+from gullyoke.operator_config.checked import parsed
 
 LINE = 4  # reqs a core in the line of the plain pool
 
--- a/gullyoke/lab/report.py
+++ b/gullyoke/experiments/report.py
@@ -10,7 +10,7 @@
 from hdrh.histogram import HdrHistogram
 from pyarrow import csv, parquet
 
-from gullyoke.lab.compare import differences, of_bound, shares
+from gullyoke.experiments.compare import differences, of_bound, shares
 
 matplotlib.use("Agg")
 from matplotlib import pyplot as plt
--- a/gullyoke/lab/run.py
+++ b/gullyoke/experiments/run.py
@@ -15,7 +15,7 @@
 
 from gullyoke.emulator.bound import bound
 from gullyoke.emulator.fleet import Running
-from gullyoke.lab.experiment import Job, read
+from gullyoke.experiments.experiment import Job, read
 
 LONGEST = 600_000_000  # microseconds that a histogram tells apart, to three digits
 
--- a/gullyoke/lab/world.py
+++ b/gullyoke/experiments/world.py
@@ -21,12 +21,12 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics
-from gullyoke.core.timer import Timer
 from gullyoke.emulator.cores import Cores
 from gullyoke.emulator.day import Day
-from gullyoke.lab.ports import free
+from gullyoke.experiments.ports import free
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import Metrics
+from gullyoke.runtime.timer import Timer
 
 QUERY = 0.015  # seconds that the database takes for a call
 
--- a/gullyoke/features/back_ends.py
+++ b/gullyoke/extensions/back_ends.py
@@ -4,15 +4,15 @@
 
 import random
 
-from gullyoke.core.book import Metrics
-from gullyoke.daemon.options import DaemonConfiguration
-from gullyoke.features.unit import Plain
-from gullyoke.operator.wanted import Pooled, Wanted
-from gullyoke.options import ConfigurationError
-from gullyoke.port import StopMode
+from gullyoke.admission.interface import StopMode
+from gullyoke.daemon.configuration import DaemonConfiguration
+from gullyoke.executors.scgi_backends import Address as At
+from gullyoke.executors.scgi_backends import Backends
+from gullyoke.extensions.unit import Plain
+from gullyoke.operator_config.wanted import Pooled, Wanted
 from gullyoke.routing import Budget, Dispatch, Health, Pool, Stated
-from gullyoke.work.backends import Address as At
-from gullyoke.work.backends import Backends
+from gullyoke.runtime.metrics import Metrics
+from gullyoke.settings.site_settings import ConfigurationError
 
 
 class BackEnds(Plain):
--- a/gullyoke/features/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -15,21 +15,21 @@
 import time
 from collections.abc import Callable
 
-from gullyoke.core import clock
-from gullyoke.core.book import log, pairs
-from gullyoke.durable.rooms import Kind
-from gullyoke.duty import roll as rolls
-from gullyoke.duty.asking import Asking
-from gullyoke.duty.notices import Notice, Order
-from gullyoke.features.disks import Room
-from gullyoke.features.fleet import Fleet
-from gullyoke.members import Status
-from gullyoke.members.row import TURNS
-from gullyoke.operator.wanted import OwnDuty
-from gullyoke.peers.duties import Duties
-from gullyoke.port import Slots
-from gullyoke.store.lines import Lines
-from gullyoke.together.fair import split
+from gullyoke.admission.interface import Slots
+from gullyoke.coordination.fair import split
+from gullyoke.durability.rooms import Kind
+from gullyoke.extensions.disks import Room
+from gullyoke.extensions.fleet import Fleet
+from gullyoke.leases import roll as rolls
+from gullyoke.leases.asking import Asking
+from gullyoke.leases.notices import Notice, Order
+from gullyoke.membership import Status
+from gullyoke.membership.row import TURNS
+from gullyoke.operator_config.wanted import OwnDuty
+from gullyoke.peer_transport.duties import Duties
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import log, pairs
+from gullyoke.storage.lines import Lines
 
 YOUNG = 6_000_000  # a notice counts for so long
 LONGEST = 2**20  # bytes of the record's file
--- a/gullyoke/features/disks.py
+++ b/gullyoke/extensions/disks.py
@@ -5,11 +5,11 @@
 import random
 from collections.abc import Callable
 
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics
-from gullyoke.durable.condition import State
-from gullyoke.durable.rooms import Kind, Rooms
-from gullyoke.store.watch import Watch
+from gullyoke.durability.condition import State
+from gullyoke.durability.rooms import Kind, Rooms
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import Metrics
+from gullyoke.storage.watch import Watch
 
 EACH = 1_000_000  # microseconds between looks at who has how much
 
--- a/gullyoke/features/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -11,23 +11,23 @@
 import threading
 import time
 
-from gullyoke.core import clock
-from gullyoke.core.book import log, pairs
-from gullyoke.duty.candidate import Candidate, Turn
-from gullyoke.duty.kept import Shelf
-from gullyoke.duty.notices import Notice, Order, Plea
-from gullyoke.duty.rank import Placed, after, order
-from gullyoke.duty.spans import Spans
-from gullyoke.duty.voter import Voter
-from gullyoke.features.charges import YOUNG, Ask, Book, Charge, Record, Roll, Told
-from gullyoke.features.fleet import Fleet
-from gullyoke.features.part import Part
-from gullyoke.members import Row, Status
-from gullyoke.members.entry import Stage
-from gullyoke.members.row import TURNS
-from gullyoke.operator.wanted import Dutied, Wanted
-from gullyoke.options import ConfigurationError
-from gullyoke.peers.duties import TOPIC, Duties, rows_in
+from gullyoke.extensions.charges import YOUNG, Ask, Book, Charge, Record, Roll, Told
+from gullyoke.extensions.fleet import Fleet
+from gullyoke.extensions.part import Part
+from gullyoke.leases.candidate import Candidate, Turn
+from gullyoke.leases.kept import Shelf
+from gullyoke.leases.notices import Notice, Order, Plea
+from gullyoke.leases.rank import Placed, after, order
+from gullyoke.leases.spans import Spans
+from gullyoke.leases.voter import Voter
+from gullyoke.membership import Row, Status
+from gullyoke.membership.entry import Stage
+from gullyoke.membership.row import TURNS
+from gullyoke.operator_config.wanted import Dutied, Wanted
+from gullyoke.peer_transport.duties import TOPIC, Duties, rows_in
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import log, pairs
+from gullyoke.settings.site_settings import ConfigurationError
 
 ACT = 100_000  # microseconds between looks at what is held
 NOTICE = 2_000_000  # and between notices of each duty
@@ -153,7 +153,7 @@
 
         A folder that is new, another's or can't be used makes it begin anew.
         """
-        from gullyoke.store import Cells, Committer
+        from gullyoke.storage import Cells, Committer
 
         rows, kept, number = None, {}, self.wanted.set
         try:
--- a/gullyoke/features/file.py
+++ b/gullyoke/extensions/file.py
@@ -4,14 +4,14 @@
 
 from typing import Protocol
 
-from gullyoke.core.book import log, pairs
-from gullyoke.daemon.house import Feature
-from gullyoke.features.back_ends import BackEnds
-from gullyoke.features.listeners import Listeners
-from gullyoke.features.pools import ClassPools
-from gullyoke.operator.read import read
-from gullyoke.operator.wanted import OperatorFileError, Wanted
-from gullyoke.options import ConfigurationError
+from gullyoke.daemon.daemon import Feature
+from gullyoke.extensions.back_ends import BackEnds
+from gullyoke.extensions.listeners import Listeners
+from gullyoke.extensions.pools import ClassPools
+from gullyoke.operator_config.read import read
+from gullyoke.operator_config.wanted import OperatorFileError, Wanted
+from gullyoke.runtime.metrics import log, pairs
+from gullyoke.settings.site_settings import ConfigurationError
 
 
 class Unit(Feature, Protocol):
@@ -89,19 +89,19 @@
     if wanted.classed is not None:
         units.append(ClassPools(path, wanted.classed))
     if wanted.kept is not None or wanted.fleet is not None:
-        from gullyoke.features.disks import Disks
+        from gullyoke.extensions.disks import Disks
 
         disks = Disks()
     if wanted.kept is not None:
-        from gullyoke.features.memory import Memory
+        from gullyoke.extensions.memory import Memory
 
         units.append(Memory(wanted.kept, disks))
     if wanted.fleet is not None:
-        from gullyoke.features.fleet import Fleet
+        from gullyoke.extensions.fleet import Fleet
 
         units.append(Fleet(path, wanted.fleet, wanted.kept, wanted.pool, wanted.duties, disks))
     if wanted.kept is not None and wanted.kept.without:
-        from gullyoke.features.keys import Keys
+        from gullyoke.extensions.keys import Keys
 
         units.append(Keys(wanted.kept, disks))
     return units
--- a/gullyoke/features/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -3,7 +3,7 @@
 Who is there, on sockets, beside the reqs.
 
 Nothing of it is in a req's way: what the decisions get of it is the fleet's size, one figure a
-second, and what its parts state (gullyoke/features/part.py). Whatever fails here, the four rules
+second, and what its parts state (gullyoke/extensions/part.py). Whatever fails here, the four rules
 hold.
 """
 
@@ -12,20 +12,20 @@
 import random
 import time
 
-from gullyoke.core import clock
-from gullyoke.core.book import log, pairs
-from gullyoke.daemon.house import Daemon
-from gullyoke.features.disks import Disks
-from gullyoke.features.part import Part
-from gullyoke.features.unit import Plain
-from gullyoke.members import Change, Member, Row, Status, began
-from gullyoke.members.row import identity
-from gullyoke.operator.wanted import Dutied, Kept, Pooled, Together, Wanted
-from gullyoke.options import ConfigurationError
-from gullyoke.peers.ask import Answers
-from gullyoke.peers.kept import Number
-from gullyoke.peers.link import Link
-from gullyoke.peers.seal import Seal, UnusableKeyError, keys_in
+from gullyoke.daemon.daemon import Daemon
+from gullyoke.extensions.disks import Disks
+from gullyoke.extensions.part import Part
+from gullyoke.extensions.unit import Plain
+from gullyoke.membership import Change, Member, Row, Status, began
+from gullyoke.membership.row import identity
+from gullyoke.operator_config.wanted import Dutied, Kept, Pooled, Together, Wanted
+from gullyoke.peer_transport.ask import Answers
+from gullyoke.peer_transport.kept import Number
+from gullyoke.peer_transport.link import Link
+from gullyoke.peer_transport.seal import Seal, UnusableKeyError, keys_in
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import log, pairs
+from gullyoke.settings.site_settings import ConfigurationError
 
 LOOK = 1_000_000  # microseconds between looks at the size
 LAST_WORDS, BETWEEN = 3, 0.02  # how often it is said that this one has left, and seconds between
@@ -241,19 +241,19 @@
     """The parts that the file asks for."""
     parts: list[Part] = []
     if wanted.signals:
-        from gullyoke.features.signals import Signals
+        from gullyoke.extensions.signals import Signals
 
         parts.append(Signals(wanted.heed))
     if wanted.shares is not None:
-        from gullyoke.features.shares import Shares
+        from gullyoke.extensions.shares import Shares
 
         parts.append(Shares(wanted.shares))
     if pool is not None:
-        from gullyoke.features.subsets import Subsets
+        from gullyoke.extensions.subsets import Subsets
 
         parts.append(Subsets(pool.subset))
     if duties is not None:
-        from gullyoke.features.duties import Duty
+        from gullyoke.extensions.duties import Duty
 
         parts.append(Duty(duties))
     return parts
--- a/gullyoke/features/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -1,6 +1,6 @@
 """Notes of reqs that must not run twice, kept over restarts.
 
-What the rules of gullyoke/durable come to on a real folder.
+What the rules of gullyoke/durability come to on a real folder.
 
 A run is given once its note is on the disk, and its end told once that is; both wait on the
 committer's thread, never under the desk's lock. The decisions hear of a req that could not be
@@ -17,24 +17,24 @@
 
 import msgspec
 
-from gullyoke.core import clock
-from gullyoke.core.book import log, pairs
-from gullyoke.core.desk import PendingRequest
-from gullyoke.core.message import Answer
-from gullyoke.core.repeats import Entry, Repeats
-from gullyoke.daemon.house import Daemon
-from gullyoke.durable import Ledger, Mark, Note, Phase, State, Trust, Without, trusted
-from gullyoke.durable.condition import BAD, Turn
-from gullyoke.durable.rooms import Kind as What
-from gullyoke.durable.trust import marked, older
-from gullyoke.features.disks import Disks
-from gullyoke.features.promised import NOTE, Promised, digest, encode, packed, unpacked
-from gullyoke.features.unit import Plain
-from gullyoke.members.row import TURNS
-from gullyoke.operator.wanted import Kept, Wanted
-from gullyoke.port import PAST, Idempotency
-from gullyoke.store import Committer, Store, StoreVersionError
-from gullyoke.work import Work
+from gullyoke.admission.interface import PAST, Idempotency
+from gullyoke.daemon.daemon import Daemon
+from gullyoke.durability import Ledger, Mark, Note, Phase, State, Trust, Without, trusted
+from gullyoke.durability.condition import BAD, Turn
+from gullyoke.durability.rooms import Kind as What
+from gullyoke.durability.trust import marked, older
+from gullyoke.executors import Work
+from gullyoke.extensions.disks import Disks
+from gullyoke.extensions.promised import NOTE, Promised, digest, encode, packed, unpacked
+from gullyoke.extensions.unit import Plain
+from gullyoke.membership.row import TURNS
+from gullyoke.operator_config.wanted import Kept, Wanted
+from gullyoke.runtime import clock
+from gullyoke.runtime.dispatcher import PendingRequest
+from gullyoke.runtime.duplicate_table import Entry, Repeats
+from gullyoke.runtime.messages import Answer
+from gullyoke.runtime.metrics import log, pairs
+from gullyoke.storage import Committer, Store, StoreVersionError
 
 FOLDER, MARK = "keys", "mark"
 SWEEP, LOOK = (
--- a/gullyoke/features/listeners.py
+++ b/gullyoke/extensions/listeners.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from gullyoke.daemon.house import Daemon
-from gullyoke.features.unit import Plain
-from gullyoke.front.http1 import Http1
-from gullyoke.front.scgi import Scgi
-from gullyoke.operator.wanted import Way
+from gullyoke.daemon.daemon import Daemon
+from gullyoke.extensions.unit import Plain
+from gullyoke.frontends.http1 import Http1
+from gullyoke.frontends.scgi import Scgi
+from gullyoke.operator_config.wanted import Way
 
 PROTOCOLS = {"SCGI": Scgi, "HTTP_1": Http1}
 
--- a/gullyoke/features/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -2,7 +2,7 @@
 
 Read at the start, given to the learner, kept as it goes on.
 
-The rules are in gullyoke/store/remember.py; here they meet the store, the clock and the desk's
+The rules are in gullyoke/storage/remember.py; here they meet the store, the clock and the desk's
 lock. Nothing of it stops a server: a folder that can't be used is said and counted, and the server
 starts with nothing.
 """
@@ -11,18 +11,18 @@
 
 import time
 
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics, log, pairs
-from gullyoke.core.desk import Dispatcher
-from gullyoke.core.timer import Timer
-from gullyoke.daemon.house import Daemon
-from gullyoke.durable.rooms import Kind
-from gullyoke.features.disks import Disks, Room
-from gullyoke.features.unit import Plain
-from gullyoke.operator.wanted import Kept
-from gullyoke.store import Committer, Store
-from gullyoke.store import cold as colds
-from gullyoke.store import remember as rules
+from gullyoke.daemon.daemon import Daemon
+from gullyoke.durability.rooms import Kind
+from gullyoke.extensions.disks import Disks, Room
+from gullyoke.extensions.unit import Plain
+from gullyoke.operator_config.wanted import Kept
+from gullyoke.runtime import clock
+from gullyoke.runtime.dispatcher import Dispatcher
+from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.timer import Timer
+from gullyoke.storage import Committer, Store
+from gullyoke.storage import cold as colds
+from gullyoke.storage import remember as rules
 
 LOOK, KEEP = 500_000, 5_000_000  # microseconds between looks, and between snapshots
 COLD_LOOK = 50_000  # and between looks while cold
--- a/gullyoke/features/part.py
+++ b/gullyoke/extensions/part.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from gullyoke.operator.wanted import Wanted
+from gullyoke.operator_config.wanted import Wanted
 
 if TYPE_CHECKING:
-    from gullyoke.features.fleet import Fleet
+    from gullyoke.extensions.fleet import Fleet
 
 
 class Part:
--- a/gullyoke/features/pools.py
+++ b/gullyoke/extensions/pools.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from gullyoke.daemon.house import Daemon
-from gullyoke.features.unit import Plain
-from gullyoke.operator.wanted import Classed
-from gullyoke.options import ConfigurationError
+from gullyoke.daemon.daemon import Daemon
+from gullyoke.extensions.unit import Plain
+from gullyoke.operator_config.wanted import Classed
+from gullyoke.settings.site_settings import ConfigurationError
 
 
 class ClassPools(Plain):
--- a/gullyoke/features/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -1,7 +1,7 @@
 """Work whose runs wait for their notes on the disk, and whose ends wait for theirs.
 
 Stands before the work for the decisions, and before the relay for the work. What the rules say
-(gullyoke/durable/ledger.py) and what is queued for the disk happen under one small lock, `pen`, so
+(gullyoke/durability/ledger.py) and what is queued for the disk happen under one small lock, `pen`, so
 that the disk gets the writes of a key in the order of the rules; nothing waits under it.
 """
 
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics
-from gullyoke.core.desk import Dispatcher, PendingRequest
-from gullyoke.core.message import Answer
-from gullyoke.durable import Act, Do, Ledger, Note, Phase, Put
-from gullyoke.port import Idempotency, RequestEvent
-from gullyoke.work import Work
+from gullyoke.admission.interface import Idempotency, RequestEvent
+from gullyoke.durability import Act, Do, Ledger, Note, Phase, Put
+from gullyoke.executors import Work
+from gullyoke.runtime import clock
+from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
+from gullyoke.runtime.messages import Answer
+from gullyoke.runtime.metrics import Metrics
 
 NOTE = "n"  # what a note's key begins with
 ENDS = (RequestEvent.COMPLETED, RequestEvent.FAILED, RequestEvent.CANCELLED)
--- a/gullyoke/features/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -5,17 +5,17 @@
 
 from __future__ import annotations
 
-from gullyoke.core import clock
-from gullyoke.core.book import log, pairs
-from gullyoke.features.fleet import Fleet
-from gullyoke.features.part import Part
-from gullyoke.operator.wanted import Slotted
-from gullyoke.options import ConfigurationError
-from gullyoke.peers.sharing import QUOTAS, TOPIC, Quotas, SharedQuota, SharedSlots, stated
-from gullyoke.together import quotas
-from gullyoke.together.fair import split
-from gullyoke.together.sharing import Sharing
-from gullyoke.together.slots import UNIT, Mean, Own
+from gullyoke.coordination import quotas
+from gullyoke.coordination.fair import split
+from gullyoke.coordination.sharing import Sharing
+from gullyoke.coordination.slots import UNIT, Mean, Own
+from gullyoke.extensions.fleet import Fleet
+from gullyoke.extensions.part import Part
+from gullyoke.operator_config.wanted import Slotted
+from gullyoke.peer_transport.sharing import QUOTAS, TOPIC, Quotas, SharedQuota, SharedSlots, stated
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import log, pairs
+from gullyoke.settings.site_settings import ConfigurationError
 
 
 class Shares(Part):
--- a/gullyoke/features/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -7,12 +7,12 @@
 
 import random
 
-from gullyoke.core import clock
-from gullyoke.core.book import log, pairs
-from gullyoke.core.desk import Dispatcher
-from gullyoke.features.fleet import Fleet
-from gullyoke.features.part import Part
-from gullyoke.together.signals import Heard, Judgement, Reading, Stage, Telling
+from gullyoke.coordination.signals import Heard, Judgement, Reading, Stage, Telling
+from gullyoke.extensions.fleet import Fleet
+from gullyoke.extensions.part import Part
+from gullyoke.runtime import clock
+from gullyoke.runtime.dispatcher import Dispatcher
+from gullyoke.runtime.metrics import log, pairs
 
 
 class Signals(Part):
--- a/gullyoke/features/subsets.py
+++ b/gullyoke/extensions/subsets.py
@@ -6,14 +6,14 @@
 
 import time
 
-from gullyoke.core import clock
-from gullyoke.core.book import log, pairs
-from gullyoke.features.back_ends import BackEnds
-from gullyoke.features.fleet import Fleet
-from gullyoke.features.part import Part
-from gullyoke.members.row import LIVE, Status
-from gullyoke.together.subsets import Subset, alone, chosen
-from gullyoke.together.turns import shared
+from gullyoke.coordination.subsets import Subset, alone, chosen
+from gullyoke.coordination.turns import shared
+from gullyoke.extensions.back_ends import BackEnds
+from gullyoke.extensions.fleet import Fleet
+from gullyoke.extensions.part import Part
+from gullyoke.membership.row import LIVE, Status
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import log, pairs
 
 SLOT, ROUND = 250_000, 20  # microseconds of a turn to try a back end, and turns in a round
 
--- a/gullyoke/features/unit.py
+++ b/gullyoke/extensions/unit.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from gullyoke.core.book import Metrics
-from gullyoke.daemon.house import Daemon
-from gullyoke.daemon.options import DaemonConfiguration
-from gullyoke.operator.wanted import Wanted
-from gullyoke.work import Work
+from gullyoke.daemon.configuration import DaemonConfiguration
+from gullyoke.daemon.daemon import Daemon
+from gullyoke.executors import Work
+from gullyoke.operator_config.wanted import Wanted
+from gullyoke.runtime.metrics import Metrics
 
 
 class Plain:
--- a/gullyoke/rig/faults.py
+++ b/gullyoke/fault_testing/faults.py
@@ -7,7 +7,7 @@
 
 import random
 
-from gullyoke.rig.script import Script, Step
+from gullyoke.fault_testing.script import Script, Step
 
 
 class Faults:
--- a/gullyoke/rig/faulty.py
+++ b/gullyoke/fault_testing/faulty.py
@@ -2,7 +2,7 @@
 
 For plays and tests alone.
 
-    python -m gullyoke.rig.faulty FILE serve --operator ...
+    python -m gullyoke.fault_testing.faulty FILE serve --operator ...
 
 The file holds one word, read again at each call, and none where it is missing: `full` (what needs
 new room does not fit), `failing` (an error of the device), `hang` (syncs and writes in place come
@@ -17,7 +17,7 @@
 import sys
 import time
 
-from gullyoke.store import disk
+from gullyoke.storage import disk
 
 POLL = 0.02  # seconds between looks at the file while a call hangs
 NEW, CHANGE, SYNC = ("create", "append", "make"), ("write_at", "remove"), ("sync", "sync_folder")
--- a/gullyoke/rig/history.py
+++ b/gullyoke/fault_testing/history.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from gullyoke.rig.standins import Act
+from gullyoke.fault_testing.standins import Act
 
 
 def faults(acts: Iterable[Act]) -> list[str]:
--- a/gullyoke/rig/load.py
+++ b/gullyoke/fault_testing/load.py
@@ -9,8 +9,8 @@
 from collections import Counter
 
 from gullyoke.emulator.day import Work
-from gullyoke.lab.world import asked
-from gullyoke.rig.processes import UNIQUED, Process
+from gullyoke.experiments.world import asked
+from gullyoke.fault_testing.processes import UNIQUED, Process
 
 WORK = Work("view", 1.0, 10_000, 0.3, 1_000_000, 2_000_000, 1.0, 0.1, False, 0.0)
 OUTCOMES = {"200": "done", "503": "shed", "500": "errored", "refused": "refused"}
--- a/gullyoke/rig/play.py
+++ b/gullyoke/fault_testing/play.py
@@ -14,12 +14,12 @@
 from typing import NamedTuple
 
 from gullyoke.emulator.day import Machines, drawn
-from gullyoke.rig import history
-from gullyoke.rig.faults import Faults
-from gullyoke.rig.load import KEYED, WORK, Load
-from gullyoke.rig.processes import DUTY, Process, Shared, text
-from gullyoke.rig.relay import Relay
-from gullyoke.rig.script import Script, Step
+from gullyoke.fault_testing import history
+from gullyoke.fault_testing.faults import Faults
+from gullyoke.fault_testing.load import KEYED, WORK, Load
+from gullyoke.fault_testing.processes import DUTY, Process, Shared, text
+from gullyoke.fault_testing.relay import Relay
+from gullyoke.fault_testing.script import Script, Step
 
 LOOK = 0.1  # seconds between looks at the members
 TOGETHER = 20.0  # for the fleet to come together before the play begins
@@ -60,7 +60,7 @@
 
 
 class Verdict(NamedTuple):
-    """What a play came to. `reqs` counts by outcome (gullyoke/rig/load.py)."""
+    """What a play came to. `reqs` counts by outcome (gullyoke/fault_testing/load.py)."""
 
     held: list[Held]
     seen: list[Seen]
--- a/gullyoke/rig/processes.py
+++ b/gullyoke/fault_testing/processes.py
@@ -21,11 +21,11 @@
 from collections import Counter
 
 from gullyoke.emulator.day import Day
-from gullyoke.lab import usage
-from gullyoke.lab.ports import free
-from gullyoke.lab.world import Database, Engine, Names, Peer, config, good
-from gullyoke.rig.script import Script
-from gullyoke.rig.standins import BackEnd, Below, Resource
+from gullyoke.experiments import usage
+from gullyoke.experiments.ports import free
+from gullyoke.experiments.world import Database, Engine, Names, Peer, config, good
+from gullyoke.fault_testing.script import Script
+from gullyoke.fault_testing.standins import BackEnd, Below, Resource
 
 DUTY = "play"  # the application's duty that plays have
 UNIQUED = "set"  # the class of the reqs with keys
@@ -66,7 +66,9 @@
         self.voters: dict[str, str] = {}
         self.set = 1  # the number of that set of voters
         self.listen, self.status, self.members = free(), free(), free()
-        self.faults = folder / f"{name}-faults"  # what its disks do (gullyoke/rig/faulty.py)
+        self.faults = (
+            folder / f"{name}-faults"
+        )  # what its disks do (gullyoke/fault_testing/faulty.py)
         self.advertised = self.members
         self.seeds: list[str] = []
         self.engine: Counting | None = None
@@ -154,7 +156,9 @@
         )
         self.asked_to_end = False
         command = (
-            ["gullyoke.rig.faulty", str(self.faults)] if self.script.faulty() else ["gullyoke.cli"]
+            ["gullyoke.fault_testing.faulty", str(self.faults)]
+            if self.script.faulty()
+            else ["gullyoke.cli"]
         )
         self.child = subprocess.Popen(
             [sys.executable, "-m", *command, "serve", "--operator", str(self.operator())],
@@ -224,7 +228,7 @@
 
     def disk(self, how: str, *more: str) -> None:
         """Its duties' folder: `lost` is a fresh one from its next start on, `ill` one that can't be
-        written; all its folders: the words of gullyoke/rig/faulty.py; `well` all of it again.
+        written; all its folders: the words of gullyoke/fault_testing/faulty.py; `well` all of it again.
         `copied` is a backup of what it keeps, and `restored` that backup in its place, while the
         process is down.
         """
--- a/gullyoke/rig/relay.py
+++ b/gullyoke/fault_testing/relay.py
@@ -14,8 +14,8 @@
 import threading
 import time
 
-from gullyoke.lab.ports import free
-from gullyoke.rig.faults import Faults
+from gullyoke.experiments.ports import free
+from gullyoke.fault_testing.faults import Faults
 
 LONGEST = 2048
 
--- a/gullyoke/rig/report.py
+++ b/gullyoke/fault_testing/report.py
@@ -7,8 +7,8 @@
 import csv
 import pathlib
 
-from gullyoke.rig.play import Verdict
-from gullyoke.rig.script import Script
+from gullyoke.fault_testing.play import Verdict
+from gullyoke.fault_testing.script import Script
 
 COLOURS = {
     "alive": "#7fb069",
--- a/gullyoke/rig/standins.py
+++ b/gullyoke/fault_testing/standins.py
@@ -16,11 +16,11 @@
 
 from gullyoke.codec import scgi
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core.ends import ConnectionClosedError
-from gullyoke.core.message import Answer, BadRequestError
-from gullyoke.core.sockets import Receiver
-from gullyoke.lab.ports import free
-from gullyoke.lab.world import Peer
+from gullyoke.experiments.ports import free
+from gullyoke.experiments.world import Peer
+from gullyoke.runtime.close_reasons import ConnectionClosedError
+from gullyoke.runtime.messages import Answer, BadRequestError
+from gullyoke.runtime.sockets import Receiver
 
 LINGER = 0.15  # seconds for which a call given up stays in hand
 
--- a/gullyoke/front/connection.py
+++ b/gullyoke/frontends/connection.py
@@ -12,10 +12,10 @@
 from collections.abc import Collection
 from enum import Enum
 
-from gullyoke.core import clock
-from gullyoke.core.desk import PendingRequest
-from gullyoke.core.ends import CloseReason, ConnectionClosedError
-from gullyoke.core.sockets import drain, half_close, shut
+from gullyoke.runtime import clock
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
+from gullyoke.runtime.dispatcher import PendingRequest
+from gullyoke.runtime.sockets import drain, half_close, shut
 
 # Ends after which the peer may have sent something that we did not read, and is worth waiting for:
 # closing over unread bytes resets the connection, and takes from the peer what it has yet to read.
--- a/gullyoke/front/connections.py
+++ b/gullyoke/frontends/connections.py
@@ -12,17 +12,17 @@
 from typing import Protocol
 
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics, log, pairs
-from gullyoke.core.crew import WorkerPool
-from gullyoke.core.desk import Dispatcher
-from gullyoke.core.ends import CloseReason, PeerKind, outcome, served
-from gullyoke.core.message import Answer, BadRequestError
-from gullyoke.core.sockets import Receiver, shut
-from gullyoke.core.standing import Lifecycle
-from gullyoke.front.connection import Connection, State
-from gullyoke.front.listening import listening
-from gullyoke.front.room import Room
+from gullyoke.frontends.connection import Connection, State
+from gullyoke.frontends.connection_limits import Room
+from gullyoke.frontends.listening import listening
+from gullyoke.runtime import clock
+from gullyoke.runtime.close_reasons import CloseReason, PeerKind, outcome, served
+from gullyoke.runtime.dispatcher import Dispatcher
+from gullyoke.runtime.lifecycle import Lifecycle
+from gullyoke.runtime.messages import Answer, BadRequestError
+from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.sockets import Receiver, shut
+from gullyoke.runtime.worker_pool import WorkerPool
 
 FIRST_MESSAGE_US = 2_500_000  # from connecting to a whole first message
 STALL_US = 5_000_000  # for a later message to come whole, or an answer to be taken
--- a/gullyoke/front/http1.py
+++ b/gullyoke/frontends/http1.py
@@ -4,10 +4,10 @@
 
 from gullyoke.codec import http
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core.ends import CloseReason
-from gullyoke.core.message import Answer, BadRequestError, Message
-from gullyoke.front.connection import Connection
-from gullyoke.front.intake import Intake
+from gullyoke.frontends.connection import Connection
+from gullyoke.frontends.message_handler import Intake
+from gullyoke.runtime.close_reasons import CloseReason
+from gullyoke.runtime.messages import Answer, BadRequestError, Message
 
 HEALTH = "/ping"
 
--- a/gullyoke/front/intake.py
+++ b/gullyoke/frontends/message_handler.py
@@ -4,14 +4,14 @@
 
 from __future__ import annotations
 
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics
-from gullyoke.core.desk import Dispatcher, told_of
-from gullyoke.core.message import Answer, Message
-from gullyoke.core.standing import Lifecycle
-from gullyoke.front import admit
-from gullyoke.front.connection import Connection
-from gullyoke.port import Reject
+from gullyoke.admission.interface import Reject
+from gullyoke.frontends import request_parsing
+from gullyoke.frontends.connection import Connection
+from gullyoke.runtime import clock
+from gullyoke.runtime.dispatcher import Dispatcher, told_of
+from gullyoke.runtime.lifecycle import Lifecycle
+from gullyoke.runtime.messages import Answer, Message
+from gullyoke.runtime.metrics import Metrics
 
 
 class Intake:
@@ -27,12 +27,12 @@
 
     def request(self, message: Message, connection: Connection) -> Answer:
         """The one final answer to a request; raises `Unfit` where the message is none."""
-        request = admit.made(self.dispatcher, message, connection.listener.front.name)
+        request = request_parsing.made(self.dispatcher, message, connection.listener.front.name)
         connection.begin_request(request)
         if self.dispatcher.server is None:  # nothing runs before the engine is up
             self.metrics.increment("answers.early")
             return Answer(503)
-        admit.admit(self.dispatcher, request)
+        request_parsing.admit(self.dispatcher, request)
         self.metrics.increment("reqs.read")
         if not request.gate.acquire(timeout=max(0.0, (request.deadline - clock.now()) / 1e6)):
             self.dispatcher.overdue(request)
--- a/gullyoke/front/admit.py
+++ b/gullyoke/frontends/request_parsing.py
@@ -4,9 +4,9 @@
 
 import re
 
-from gullyoke.core import clock
-from gullyoke.core.desk import Dispatcher, PendingRequest
-from gullyoke.core.message import BadRequestError, Message
+from gullyoke.runtime import clock
+from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
+from gullyoke.runtime.messages import BadRequestError, Message
 
 PATH = "/call/"
 LONGEST = 24 * 3600 * 1000  # ms; no caller waits longer, and no stamp is older
--- a/gullyoke/duty/__init__.py
+++ b/gullyoke/leases/__init__.py
@@ -6,10 +6,10 @@
 things up. docs/duty-design.md says what was taken from where.
 """
 
-from gullyoke.duty.candidate import Candidate
-from gullyoke.duty.fence import Fence
-from gullyoke.duty.voter import Voter, Write
-from gullyoke.duty.words import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
+from gullyoke.leases.candidate import Candidate
+from gullyoke.leases.fence import Fence
+from gullyoke.leases.voter import Voter, Write
+from gullyoke.leases.words import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
 
 __all__ = [
     "Ask",
--- a/gullyoke/duty/notices.py
+++ b/gullyoke/leases/notices.py
@@ -1,7 +1,7 @@
 """What a holder tells all members, and what anybody asks of a holder.
 
 Whoever hears a notice or an order holds its epoch against the newest it has seen
-(gullyoke/duty/fence.py).
+(gullyoke/leases/fence.py).
 """
 
 from __future__ import annotations
--- a/gullyoke/duty/rank.py
+++ b/gullyoke/leases/rank.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from gullyoke.members.row import whole
+from gullyoke.membership.row import whole
 
 STEP = 200_000  # microseconds that each better placed one is given first
 TRIES = 4  # so many try at all; the others only once these have had their time
--- a/gullyoke/members/compare.py
+++ b/gullyoke/membership/compare.py
@@ -6,10 +6,10 @@
 
 from collections.abc import Callable, Sequence
 
-from gullyoke.members.news import size
-from gullyoke.members.row import Row
-from gullyoke.members.view import BUCKETS, View
-from gullyoke.members.words import Rows
+from gullyoke.membership.news import size
+from gullyoke.membership.row import Row
+from gullyoke.membership.view import BUCKETS, View
+from gullyoke.membership.words import Rows
 
 ROOM = 950  # bytes of rows in one datagram
 DATAGRAMS = 6  # for one asking
--- a/gullyoke/members/edge.py
+++ b/gullyoke/membership/edge.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from gullyoke.members.row import Kind
+from gullyoke.membership.row import Kind
 
 PERIOD = 800_000  # microseconds between askings while all is well
 PATIENCE = 200_000  # for an answer, or four usual round trips if more
--- a/gullyoke/members/entry.py
+++ b/gullyoke/membership/entry.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from gullyoke.members.row import Row, Status, began
+from gullyoke.membership.row import Row, Status, began
 
 ASK, ASK_LONGEST = (
     400_000,
--- a/gullyoke/members/history.py
+++ b/gullyoke/membership/history.py
@@ -5,7 +5,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from gullyoke.members.view import Change
+from gullyoke.membership.view import Change
 
 MOST = 256
 
--- a/gullyoke/members/member.py
+++ b/gullyoke/membership/member.py
@@ -12,18 +12,18 @@
 import random
 from collections.abc import Callable
 
-from gullyoke.members import compare
-from gullyoke.members.edge import PERIOD, Edge
-from gullyoke.members.entry import Entry, Stage
-from gullyoke.members.history import History
-from gullyoke.members.news import Queue
-from gullyoke.members.row import Entry as Accusation
-from gullyoke.members.row import Mark, News, Report, Row, Status
-from gullyoke.members.size import Size, sized
-from gullyoke.members.tally import Holding, Tally
-from gullyoke.members.trust import Trust
-from gullyoke.members.view import Change, View
-from gullyoke.members.words import (
+from gullyoke.membership import compare
+from gullyoke.membership.edge import PERIOD, Edge
+from gullyoke.membership.entry import Entry, Stage
+from gullyoke.membership.history import History
+from gullyoke.membership.news import Queue
+from gullyoke.membership.row import Entry as Accusation
+from gullyoke.membership.row import Mark, News, Report, Row, Status
+from gullyoke.membership.size import Size, sized
+from gullyoke.membership.tally import Holding, Tally
+from gullyoke.membership.trust import Trust
+from gullyoke.membership.view import Change, View
+from gullyoke.membership.words import (
     SIGNAL,
     Ack,
     Ask,
--- a/gullyoke/members/news.py
+++ b/gullyoke/membership/news.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from collections.abc import Hashable
 
-from gullyoke.members.row import Mark, News, Report, Row
+from gullyoke.membership.row import Mark, News, Report, Row
 
 ROUNDS = 3  # each item is carried so often, times log2 of the fleet's size
 BUDGET = 900  # bytes of news in one datagram
--- a/gullyoke/members/rings.py
+++ b/gullyoke/membership/rings.py
@@ -10,7 +10,7 @@
 from bisect import bisect_left, insort
 from functools import lru_cache
 
-from gullyoke.members.row import whole
+from gullyoke.membership.row import whole
 
 Place = tuple[int, int]  # where on a ring, and who
 
--- a/gullyoke/members/tally.py
+++ b/gullyoke/membership/tally.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from gullyoke.members.row import Entry, Kind, Report
+from gullyoke.membership.row import Entry, Kind, Report
 
 SHARE, LEAST = 0.6, 2  # of the standing observers, and how many at the least
 DOUBTED = 3  # held silent by one in so many of its observers it does not stand
--- a/gullyoke/members/trust.py
+++ b/gullyoke/membership/trust.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable
 from statistics import median
 
-from gullyoke.members.edge import Edge
-from gullyoke.members.row import Kind
-from gullyoke.members.words import WHOLE
+from gullyoke.membership.edge import Edge
+from gullyoke.membership.row import Kind
+from gullyoke.membership.words import WHOLE
 
 PAUSE = 700_000  # microseconds without a turn that are a pause
 CALM = 1_000_000  # after one, nobody is accused for so long
--- a/gullyoke/members/view.py
+++ b/gullyoke/membership/view.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from gullyoke.members.rings import Rings
-from gullyoke.members.row import LIVE, Mark, Row, Status
+from gullyoke.membership.rings import Rings
+from gullyoke.membership.row import LIVE, Mark, Row, Status
 
 BUCKETS = 64  # parts that two views are compared by
 REMEMBER = 120_000_000  # microseconds that one who is gone is known to be
--- a/gullyoke/members/words.py
+++ b/gullyoke/membership/words.py
@@ -10,7 +10,7 @@
 
 from typing import NamedTuple
 
-from gullyoke.members.row import News, Row
+from gullyoke.membership.row import News, Row
 
 WHOLE = 255  # `lost` is a share in 255ths
 SIGNAL = 14  # bits of a signal below the turn in which it was told
--- a/gullyoke/walk/duty.py
+++ b/gullyoke/model_checking/duty.py
@@ -6,7 +6,7 @@
 the middle of an act, a disk that fails a promise, voters that start anew with their promises or
 without, a candidate that starts anew. What is looked for: two that hold it at once, an act taken
 after one of a newer epoch, two processes whose acts are taken under one epoch, an epoch of a
-voter's promise that goes back. The modules are those that run (gullyoke/duty).
+voter's promise that goes back. The modules are those that run (gullyoke/leases).
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from collections.abc import Callable
 from unittest import mock
 
-from gullyoke.duty import candidate as candidates
-from gullyoke.duty import voter as voters
-from gullyoke.duty.candidate import Candidate, State
-from gullyoke.duty.fence import Fence
-from gullyoke.duty.spans import Spans
-from gullyoke.duty.voter import Row, Voter, Write
-from gullyoke.duty.words import Ask, Done, Said
-from gullyoke.walk.explore import Move, from_all
+from gullyoke.leases import candidate as candidates
+from gullyoke.leases import voter as voters
+from gullyoke.leases.candidate import Candidate, State
+from gullyoke.leases.fence import Fence
+from gullyoke.leases.spans import Spans
+from gullyoke.leases.voter import Row, Voter, Write
+from gullyoke.leases.words import Ask, Done, Said
+from gullyoke.model_checking.explore import Move, from_all
 
 DUTY, NET = "d", 2
 NAMES = ("v0", "v1", "v2")
--- a/gullyoke/walk/notes.py
+++ b/gullyoke/model_checking/notes.py
@@ -5,7 +5,7 @@
 
 What is looked for: a run begun a second time within its window, a try turned away after a run, an
 end that was told and is not known any more, one told that never was. The rules are those that run
-(gullyoke/durable); the disk, the engine and the callers are the world's.
+(gullyoke/durability); the disk, the engine and the callers are the world's.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from collections.abc import Callable
 from unittest import mock
 
-from gullyoke.durable import ledger as ledgers
-from gullyoke.durable.ledger import Act, Do, Ledger, Put, Stage, Without
-from gullyoke.durable.note import Note, Phase, Verdict, judged
-from gullyoke.durable.waits import LONGEST
-from gullyoke.walk.explore import Move, walked
+from gullyoke.durability import ledger as ledgers
+from gullyoke.durability.ledger import Act, Do, Ledger, Put, Stage, Without
+from gullyoke.durability.note import Note, Phase, Verdict, judged
+from gullyoke.durability.waits import LONGEST
+from gullyoke.model_checking.explore import Move, walked
 
 KEY, WINDOW, DUE, RUN = "k", 100 * LONGEST, 10 * LONGEST, 1000
 QUEUE = 3  # writes on their way at the most
--- a/gullyoke/walk/played.py
+++ b/gullyoke/model_checking/played.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterable
 
-from gullyoke.walk.explore import Move
+from gullyoke.model_checking.explore import Move
 
 LEASE = 1.5  # seconds of a lease in the play
 TICK = LEASE / 3  # a walk's lease is three ticks
--- a/gullyoke/walk/shares.py
+++ b/gullyoke/model_checking/shares.py
@@ -6,7 +6,7 @@
 Two walks, since the whole at once grows too fast: `loans`, in which the home's name is safe and
 whatever can happen between it and its borrowers does; `names`, in which borrowers ask without
 faults and whatever can happen to the name does. What is looked for in both: more of the home's
-tokens in force than there are. The modules are those that run (gullyoke/together/shares.py), with
+tokens in force than there are. The modules are those that run (gullyoke/coordination/shares.py), with
 their times put to ticks.
 """
 
@@ -16,8 +16,8 @@
 from collections.abc import Callable, Iterator
 from unittest import mock
 
-from gullyoke.together import shares
-from gullyoke.together.shares import (
+from gullyoke.coordination import shares
+from gullyoke.coordination.shares import (
     Borrower,
     Claim,
     Grant,
@@ -28,7 +28,7 @@
     Voter,
     Want,
 )
-from gullyoke.walk.explore import Move, from_all
+from gullyoke.model_checking.explore import Move, from_all
 
 TOKENS, NET = 2, 2  # what the home lends; late messages on their way at once
 FOREVER = 10**6
--- a/gullyoke/operator/checked.py
+++ b/gullyoke/operator_config/checked.py
@@ -16,8 +16,8 @@
 from google.protobuf.descriptor import Descriptor, FieldDescriptor
 from google.protobuf.message import Message
 
-from gullyoke.operator import operator_pb2 as schema
-from gullyoke.operator.wanted import OperatorFileError
+from gullyoke.operator_config import operator_pb2 as schema
+from gullyoke.operator_config.wanted import OperatorFileError
 
 LONGEST = 2**20  # bytes of a file that are read
 NAME = re.compile(r"[A-Za-z_]\w*")
--- a/gullyoke/operator/read.py
+++ b/gullyoke/operator_config/read.py
@@ -6,9 +6,9 @@
 
 from google.protobuf.message import Message
 
-from gullyoke.operator import operator_pb2 as schema
-from gullyoke.operator.checked import parsed
-from gullyoke.operator.wanted import (
+from gullyoke.operator_config import operator_pb2 as schema
+from gullyoke.operator_config.checked import parsed
+from gullyoke.operator_config.wanted import (
     Address,
     BackEnd,
     Classed,
--- a/gullyoke/peers/ask.py
+++ b/gullyoke/peer_transport/ask.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics
-from gullyoke.members.row import TURNS
-from gullyoke.peers.link import Link
+from gullyoke.membership.row import TURNS
+from gullyoke.peer_transport.link import Link
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import Metrics
 
 PATIENCE, LINE = 1.0, 256  # seconds for a whole question, and its bytes
 
--- a/gullyoke/peers/codec.py
+++ b/gullyoke/peer_transport/codec.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from gullyoke.errors import GullyokeError
-from gullyoke.members.row import TURNS, Entry, Kind, Mark, News, Report, Row, Status
-from gullyoke.members.words import (
+from gullyoke.membership.row import TURNS, Entry, Kind, Mark, News, Report, Row, Status
+from gullyoke.membership.words import (
     WHOLE,
     Ack,
     Ask,
--- a/gullyoke/peers/duties.py
+++ b/gullyoke/peer_transport/duties.py
@@ -11,18 +11,18 @@
 
 import msgspec
 
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics
-from gullyoke.duty.candidate import Candidate
-from gullyoke.duty.candidate import Post as Said_to
-from gullyoke.duty.fence import Fence
-from gullyoke.duty.kept import Fetch, Fetched, Keep, Kept, Register, Shelf
-from gullyoke.duty.notices import Board, Notice, Order, Plea
-from gullyoke.duty.voter import Row, Voter, Write
-from gullyoke.duty.words import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
-from gullyoke.members.row import Row as Member
-from gullyoke.peers.codec import MalformedDatagramError
-from gullyoke.peers.link import Post
+from gullyoke.leases.candidate import Candidate
+from gullyoke.leases.candidate import Post as Said_to
+from gullyoke.leases.fence import Fence
+from gullyoke.leases.kept import Fetch, Fetched, Keep, Kept, Register, Shelf
+from gullyoke.leases.notices import Board, Notice, Order, Plea
+from gullyoke.leases.voter import Row, Voter, Write
+from gullyoke.leases.words import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
+from gullyoke.membership.row import Row as Member
+from gullyoke.peer_transport.codec import MalformedDatagramError
+from gullyoke.peer_transport.link import Post
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import Metrics
 
 TOPIC = 2
 KINDS = (
--- a/gullyoke/peers/kept.py
+++ b/gullyoke/peer_transport/kept.py
@@ -7,7 +7,7 @@
 import os
 from collections.abc import Callable
 
-from gullyoke.core.book import Metrics, log, pairs
+from gullyoke.runtime.metrics import Metrics, log, pairs
 
 KEY, FOLDER, QUOTA = "number", "fleet", 2**20
 CLOSE = 0.5  # seconds that the end waits for a disk that hangs
@@ -24,7 +24,7 @@
         self.metrics, self.latest, self.committer, self._known = metrics, 0, None, 0
         if folder is None:
             return
-        from gullyoke.store import Committer, Disk, Store
+        from gullyoke.storage import Committer, Disk, Store
 
         try:
             self.disk = (files or Disk)(os.path.join(folder, FOLDER))
--- a/gullyoke/peers/link.py
+++ b/gullyoke/peer_transport/link.py
@@ -18,12 +18,12 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics
-from gullyoke.members import TICK, Member, Row
-from gullyoke.members.words import Letter, Send
-from gullyoke.peers import codec
-from gullyoke.peers.seal import Counts, Seal
+from gullyoke.membership import TICK, Member, Row
+from gullyoke.membership.words import Letter, Send
+from gullyoke.peer_transport import codec
+from gullyoke.peer_transport.seal import Counts, Seal
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import Metrics
 
 BUFFER = 2**20  # bytes that the system keeps of what was not read yet
 TELLS = getattr(
--- a/gullyoke/peers/sharing.py
+++ b/gullyoke/peer_transport/sharing.py
@@ -15,13 +15,13 @@
 
 import msgspec
 
-from gullyoke.core import clock
-from gullyoke.members.row import Row, whole
-from gullyoke.peers.codec import MalformedDatagramError
-from gullyoke.peers.link import Post
-from gullyoke.together.shares import Claim, Grant, Promise, Return, Want
-from gullyoke.together.sharing import ASKER, LENDER, Letter, Message
-from gullyoke.together.slots import Part
+from gullyoke.coordination.shares import Claim, Grant, Promise, Return, Want
+from gullyoke.coordination.sharing import ASKER, LENDER, Letter, Message
+from gullyoke.coordination.slots import Part
+from gullyoke.membership.row import Row, whole
+from gullyoke.peer_transport.codec import MalformedDatagramError
+from gullyoke.peer_transport.link import Post
+from gullyoke.runtime import clock
 
 TOPIC, QUOTAS = 1, 3
 KINDS = (Claim, Promise, Want, Grant, Return)
--- a/gullyoke/routing/__init__.py
+++ b/gullyoke/routing/__init__.py
@@ -5,14 +5,14 @@
 one thing each.
 """
 
-from gullyoke.routing.budget import Budget
+from gullyoke.routing.backend import Member, Stated
+from gullyoke.routing.concurrency_limit import Limit
 from gullyoke.routing.dispatch import Dispatch, Run, Send, Tell
-from gullyoke.routing.fates import Fate, fate_of
-from gullyoke.routing.health import SET_ASIDE, Health, Standing
-from gullyoke.routing.limit import Limit
-from gullyoke.routing.line import Line
-from gullyoke.routing.member import Member, Stated
+from gullyoke.routing.outcomes import Fate, fate_of
+from gullyoke.routing.outlier_detection import SET_ASIDE, Health, Standing
 from gullyoke.routing.pool import Pool
+from gullyoke.routing.retry_budget import Budget
+from gullyoke.routing.wait_queue import Line
 
 __all__ = [
     "SET_ASIDE",
--- a/gullyoke/routing/member.py
+++ b/gullyoke/routing/backend.py
@@ -6,9 +6,9 @@
 from collections import deque
 from typing import NamedTuple
 
-from gullyoke.routing.fates import FAULTS, MAY_RUN_ON, Fate
-from gullyoke.routing.health import Health, Standing
-from gullyoke.routing.limit import Limit
+from gullyoke.routing.concurrency_limit import Limit
+from gullyoke.routing.outcomes import FAULTS, MAY_RUN_ON, Fate
+from gullyoke.routing.outlier_detection import Health, Standing
 
 TAU = 2_000_000  # microseconds in which a response time loses most of its weight
 
--- a/gullyoke/routing/dispatch.py
+++ b/gullyoke/routing/dispatch.py
@@ -7,12 +7,12 @@
 
 from typing import NamedTuple
 
-from gullyoke.port import Idempotency, Request, RequestEvent
-from gullyoke.routing.budget import Budget
-from gullyoke.routing.fates import WORDS, Fate
-from gullyoke.routing.line import Line
-from gullyoke.routing.member import Member, Stated
+from gullyoke.admission.interface import Idempotency, Request, RequestEvent
+from gullyoke.routing.backend import Member, Stated
+from gullyoke.routing.outcomes import WORDS, Fate
 from gullyoke.routing.pool import Pool
+from gullyoke.routing.retry_budget import Budget
+from gullyoke.routing.wait_queue import Line
 
 
 class Run:
--- a/gullyoke/routing/fates.py
+++ b/gullyoke/routing/outcomes.py
@@ -4,8 +4,8 @@
 
 from enum import Enum
 
-from gullyoke.core.ends import CloseReason
-from gullyoke.port import RequestEvent
+from gullyoke.admission.interface import RequestEvent
+from gullyoke.runtime.close_reasons import CloseReason
 
 
 class Fate(Enum):
--- a/gullyoke/routing/health.py
+++ b/gullyoke/routing/outlier_detection.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from gullyoke.routing.fates import FAULTS, Fate
+from gullyoke.routing.outcomes import FAULTS, Fate
 
 
 class Standing(Enum):
--- a/gullyoke/routing/pool.py
+++ b/gullyoke/routing/pool.py
@@ -5,10 +5,10 @@
 import random
 from collections.abc import Callable, Iterable, Sequence
 
-from gullyoke.port import Idempotency
-from gullyoke.routing.fates import Fate
-from gullyoke.routing.health import SET_ASIDE, Health, Standing
-from gullyoke.routing.member import Member, Stated
+from gullyoke.admission.interface import Idempotency
+from gullyoke.routing.backend import Member, Stated
+from gullyoke.routing.outcomes import Fate
+from gullyoke.routing.outlier_detection import SET_ASIDE, Health, Standing
 
 
 class Pool:
--- a/gullyoke/core/ends.py
+++ b/gullyoke/runtime/close_reasons.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from enum import Enum
 
+from gullyoke.admission.interface import RequestEvent
 from gullyoke.errors import GullyokeError
-from gullyoke.port import RequestEvent
 
 
 class CloseReason(Enum):
--- a/gullyoke/core/desk.py
+++ b/gullyoke/runtime/dispatcher.py
@@ -9,14 +9,14 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 
-from gullyoke.choice import AdmissionController
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics, log
-from gullyoke.core.message import Answer, Message
-from gullyoke.core.repeats import Repeats
-from gullyoke.options import Facts
-from gullyoke.pools import Pools
-from gullyoke.port import FAIL, Gauges, Reject, Request, RequestEvent
+from gullyoke.admission.class_pools import Pools
+from gullyoke.admission.controller import AdmissionController
+from gullyoke.admission.interface import FAIL, Gauges, Reject, Request, RequestEvent
+from gullyoke.runtime import clock
+from gullyoke.runtime.duplicate_table import Repeats
+from gullyoke.runtime.messages import Answer, Message
+from gullyoke.runtime.metrics import Metrics, log
+from gullyoke.settings.site_settings import Facts
 
 PAUSE = 0.002  # seconds between two pieces: others come first where CPU is short
 
--- a/gullyoke/core/repeats.py
+++ b/gullyoke/runtime/duplicate_table.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from gullyoke.core.message import Answer
-from gullyoke.port import PAST, Idempotency, RequestClass
+from gullyoke.admission.interface import PAST, Idempotency, RequestClass
+from gullyoke.runtime.messages import Answer
 
 RESULTS = 16 * 2**20  # bytes of results that are kept at most
 
--- a/gullyoke/core/sockets.py
+++ b/gullyoke/runtime/sockets.py
@@ -6,8 +6,8 @@
 import socket
 import time
 
-from gullyoke.core import clock
-from gullyoke.core.ends import CloseReason, ConnectionClosedError, end_of
+from gullyoke.runtime import clock
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, end_of
 
 
 def connected(address: tuple[str, int] | str | None, patience: float) -> socket.socket:
--- a/gullyoke/core/timer.py
+++ b/gullyoke/runtime/timer.py
@@ -7,8 +7,8 @@
 import threading
 from collections.abc import Callable
 
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import Metrics
 
 
 class Timer(threading.Thread):
--- a/gullyoke/options.py
+++ b/gullyoke/settings/site_settings.py
@@ -13,8 +13,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from gullyoke.errors import GullyokeError
-from gullyoke.port import (
+from gullyoke.admission.interface import (
     Below,
     Fleet,
     Idempotency,
@@ -25,6 +24,7 @@
     StopMode,
     Tenant,
 )
+from gullyoke.errors import GullyokeError
 
 KINDS = {
     "repeatable": Idempotency.IDEMPOTENT,
--- a/gullyoke/drill/__main__.py
+++ b/gullyoke/simulator_adapter/__main__.py
@@ -1,8 +1,8 @@
-"""Run the decisions on the bench's wire: `python -m gullyoke.drill`, batches in, replies out."""
+"""Run the decisions on the bench's wire: `python -m gullyoke.simulator_adapter`, batches in, replies out."""
 
 import sys
 
-from gullyoke.drill.batches import MalformedMessageError, play
+from gullyoke.simulator_adapter.batches import MalformedMessageError, play
 
 if __name__ == "__main__":
     try:
--- a/gullyoke/drill/batches.py
+++ b/gullyoke/simulator_adapter/batches.py
@@ -10,10 +10,8 @@
 from collections.abc import Callable, Iterable
 from typing import TextIO
 
-from gullyoke.choice import AdmissionController
-from gullyoke.errors import GullyokeError
-from gullyoke.options import Facts, facts_of
-from gullyoke.port import (
+from gullyoke.admission.controller import AdmissionController
+from gullyoke.admission.interface import (
     PAST,
     AwaitDuplicate,
     CallDependency,
@@ -29,6 +27,8 @@
     Run,
     SkipDependencyCall,
 )
+from gullyoke.errors import GullyokeError
+from gullyoke.settings.site_settings import Facts, facts_of
 
 RUN_ENDS = {
     "200": RequestEvent.COMPLETED,
--- a/gullyoke/store/cells.py
+++ b/gullyoke/storage/cells.py
@@ -3,7 +3,7 @@
 What is to be written there always fits, also on a disk that has no room left.
 
 Each key has a cell of two copies; a write goes to the copy that is not the newest, so one that is
-cut leaves the other. A copy is a record of the store's (gullyoke/store/record.py), whole or not
+cut leaves the other. A copy is a record of the store's (gullyoke/storage/record.py), whole or not
 there. The file is written in place; on file systems that copy on write the room may be lacking
 after all, and the write fails as on any disk.
 """
@@ -13,8 +13,8 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple, Protocol
 
-from gullyoke.store.log import StoreFaultedError, StoreFullError
-from gullyoke.store.record import GONE, PUT, Record, pack, unpack
+from gullyoke.storage.log import StoreFaultedError, StoreFullError
+from gullyoke.storage.record import GONE, PUT, Record, pack, unpack
 
 SIZE = 1024  # bytes of a copy
 NAME = "cells"
--- a/gullyoke/store/lines.py
+++ b/gullyoke/storage/lines.py
@@ -7,7 +7,7 @@
 import threading
 from collections.abc import Callable
 
-from gullyoke.store.watch import Watch
+from gullyoke.storage.watch import Watch
 
 WAITING = 64  # lines that may wait
 
--- a/gullyoke/store/log.py
+++ b/gullyoke/storage/log.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterable, Iterator
 
 from gullyoke.errors import GullyokeError
-from gullyoke.store.disk import Files
-from gullyoke.store.plan import Plan
-from gullyoke.store.record import (
+from gullyoke.storage.disk import Files
+from gullyoke.storage.plan import Plan
+from gullyoke.storage.record import (
     FORMAT,
     GONE,
     HEADER,
--- a/gullyoke/store/plan.py
+++ b/gullyoke/storage/plan.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-from gullyoke.store.record import GONE, Record
+from gullyoke.storage.record import GONE, Record
 
 LITTLE = 256  # dead bytes of a segment that are not worth a copy
 
--- a/gullyoke/store/remember.py
+++ b/gullyoke/storage/remember.py
@@ -16,7 +16,7 @@
 import google_crc32c
 import msgspec
 
-from gullyoke.choice import AdmissionController
+from gullyoke.admission.controller import AdmissionController
 
 VERSION = 1
 HALF_LIFE = 3600.0  # seconds in which what was learned loses half of its weight
--- a/gullyoke/store/watch.py
+++ b/gullyoke/storage/watch.py
@@ -1,7 +1,7 @@
 """One folder's disk under watch.
 
 Every call on it is timed and its faults are told, room is looked at, and one that is not well is
-tried now and then. What that means is decided in gullyoke/durable/condition.py.
+tried now and then. What that means is decided in gullyoke/durability/condition.py.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from contextlib import contextmanager
 from typing import Any
 
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics, log, pairs
-from gullyoke.durable.condition import BAD, Condition, State, Turn
-from gullyoke.store import disk
+from gullyoke.durability.condition import BAD, Condition, State, Turn
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.storage import disk
 
 LOOK = 0.25  # seconds between looks
 TRIAL, TRIED = "trial", 16 * 1024  # a file, and the bytes that it is tried with
--- a/tests/cli/test_operator.py
+++ b/tests/cli/test_operator.py
@@ -17,9 +17,9 @@
 
 from gullyoke import __version__
 from gullyoke.cli.main import main
-from gullyoke.operator import operator_pb2 as schema
-from gullyoke.operator.read import read
-from gullyoke.operator.wanted import OperatorFileError
+from gullyoke.operator_config import operator_pb2 as schema
+from gullyoke.operator_config.read import read
+from gullyoke.operator_config.wanted import OperatorFileError
 
 ROOT = pathlib.Path(__file__).parents[2]
 WELL_KNOWN = pathlib.Path(grpc_tools.__file__).parent / "_proto"
@@ -43,7 +43,7 @@
                         f"-I{ROOT}",
                         f"-I{WELL_KNOWN}",
                         f"--descriptor_set_out={out.name}",
-                        f"{ROOT}/gullyoke/operator/operator.proto",
+                        f"{ROOT}/gullyoke/operator_config/operator.proto",
                     ]
                 ),
                 0,
@@ -165,9 +165,9 @@
         Memory on the platform is short.
         """
         code = (
-            "import sys; import gullyoke.daemon.house, gullyoke.daemon.start, gullyoke.daemon.options;"
+            "import sys; import gullyoke.daemon.daemon, gullyoke.daemon.serve, gullyoke.daemon.configuration;"
             "print([m for m in sys.modules if m.split('.')[0] in ('google', 'click', 'pythonjsonlogger')"
-            " or m.startswith(('gullyoke.routing', 'gullyoke.operator', 'gullyoke.cli'))])"
+            " or m.startswith(('gullyoke.routing', 'gullyoke.operator_config', 'gullyoke.cli'))])"
         )
         got = subprocess.check_output([sys.executable, "-c", code], cwd=ROOT, text=True)
         self.assertEqual(got.strip(), "[]")
--- a/tests/codec/test_codecs.py
+++ b/tests/codec/test_codecs.py
@@ -12,8 +12,8 @@
 
 from gullyoke.codec import http, scgi
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core.ends import ConnectionClosedError
-from gullyoke.core.message import Answer, BadRequestError, Message
+from gullyoke.runtime.close_reasons import ConnectionClosedError
+from gullyoke.runtime.messages import Answer, BadRequestError, Message
 
 VALUES = st.text(st.characters(min_codepoint=33, max_codepoint=126), max_size=40)
 NAMES = st.from_regex(r"x-[a-z][a-z0-9]{0,10}(-[a-z0-9]{1,5})?", fullmatch=True)
--- a/tests/compatibility/test_configuration.py
+++ b/tests/compatibility/test_configuration.py
@@ -6,9 +6,7 @@
 import unittest
 
 from compatibility.recorded import DATA
-from gullyoke.daemon.options import load_configuration
-from gullyoke.options import ConfigurationError, Facts, facts_of, flat
-from gullyoke.port import (
+from gullyoke.admission.interface import (
     Below,
     Fleet,
     Idempotency,
@@ -19,6 +17,8 @@
     StopMode,
     Tenant,
 )
+from gullyoke.daemon.configuration import load_configuration
+from gullyoke.settings.site_settings import ConfigurationError, Facts, facts_of, flat
 
 FILE = DATA / "daemon.json"
 FACTS = Facts(
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -5,10 +5,12 @@
 import msgspec
 
 from compatibility.recorded import recorded_hex
-from gullyoke.members import Row, Status, began
-from gullyoke.members.row import TURNS, Entry, Kind, Mark, Report, identity
-from gullyoke.members.view import BUCKETS, View
-from gullyoke.members.words import (
+from gullyoke.coordination.signals import Reading, Stage
+from gullyoke.coordination.signals import unpack as unpack_reading
+from gullyoke.membership import Row, Status, began
+from gullyoke.membership.row import TURNS, Entry, Kind, Mark, Report, identity
+from gullyoke.membership.view import BUCKETS, View
+from gullyoke.membership.words import (
     SIGNAL,
     Ack,
     Ask,
@@ -19,10 +21,8 @@
     Ping,
     Rows,
 )
-from gullyoke.peers.codec import LONGEST, VERSION, MalformedDatagramError, pack, unpack
-from gullyoke.peers.seal import Seal, keys_in
-from gullyoke.together.signals import Reading, Stage
-from gullyoke.together.signals import unpack as unpack_reading
+from gullyoke.peer_transport.codec import LONGEST, VERSION, MalformedDatagramError, pack, unpack
+from gullyoke.peer_transport.seal import Seal, keys_in
 
 NUMBER = 1_700_000_000 << 20
 U64_MOST = 2**64 - 1
--- a/tests/compatibility/test_duty_messages.py
+++ b/tests/compatibility/test_duty_messages.py
@@ -9,13 +9,13 @@
 from unittest import mock
 
 from compatibility.recorded import temporary_folder
-from gullyoke.core.book import Metrics as Counters
-from gullyoke.duty.notices import Notice, Order
-from gullyoke.duty.roll import Plan
-from gullyoke.features.charges import Ask, Book, Record, Roll, Told
-from gullyoke.features.disks import Room
-from gullyoke.members import Row, Status
-from gullyoke.operator.wanted import OwnDuty
+from gullyoke.extensions.charges import Ask, Book, Record, Roll, Told
+from gullyoke.extensions.disks import Room
+from gullyoke.leases.notices import Notice, Order
+from gullyoke.leases.roll import Plan
+from gullyoke.membership import Row, Status
+from gullyoke.operator_config.wanted import OwnDuty
+from gullyoke.runtime.metrics import Metrics as Counters
 
 EPOCH = 1_700_000_000
 PATIENCE = 10
--- a/tests/compatibility/test_letters.py
+++ b/tests/compatibility/test_letters.py
@@ -5,12 +5,12 @@
 import msgspec
 
 from compatibility.recorded import recorded_hex
-from gullyoke.duty.kept import Fetch, Fetched, Keep, Kept
-from gullyoke.duty.notices import Notice, Order, Plea
-from gullyoke.duty.words import NOBODY, Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
-from gullyoke.peers import duties, sharing
-from gullyoke.peers.codec import MalformedDatagramError
-from gullyoke.together.shares import Claim, Grant, Promise, Return, Want
+from gullyoke.coordination.shares import Claim, Grant, Promise, Return, Want
+from gullyoke.leases.kept import Fetch, Fetched, Keep, Kept
+from gullyoke.leases.notices import Notice, Order, Plea
+from gullyoke.leases.words import NOBODY, Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
+from gullyoke.peer_transport import duties, sharing
+from gullyoke.peer_transport.codec import MalformedDatagramError
 
 U64_MOST = 2**64 - 1
 LIFE = 0x1122334455667788
--- a/tests/compatibility/test_memory_store.py
+++ b/tests/compatibility/test_memory_store.py
@@ -3,13 +3,13 @@
 import unittest
 
 from compatibility.recorded import copy_of, files_in, temporary_folder
-from gullyoke.core.book import Metrics
-from gullyoke.features.disks import Room
-from gullyoke.features.memory import COLD, LEARNED, STARTS, Remembered
-from gullyoke.store import Disk, Store
-from gullyoke.store.cold import EDGES, Cold
-from gullyoke.store.record import Found, scan
-from gullyoke.store.remember import Learned, Starts, digest, packed, trust, unpacked
+from gullyoke.extensions.disks import Room
+from gullyoke.extensions.memory import COLD, LEARNED, STARTS, Remembered
+from gullyoke.runtime.metrics import Metrics
+from gullyoke.storage import Disk, Store
+from gullyoke.storage.cold import EDGES, Cold
+from gullyoke.storage.record import Found, scan
+from gullyoke.storage.remember import Learned, Starts, digest, packed, trust, unpacked
 
 QUOTA = 2**20
 SETTINGS = {"Profiles.count": "1", "Profiles.0.Name": "view", "FamilyInfo.Cores": "4"}
--- a/tests/compatibility/test_note_store.py
+++ b/tests/compatibility/test_note_store.py
@@ -3,18 +3,18 @@
 import unittest
 
 from compatibility.recorded import copy_of, files_in, temporary_folder
-from gullyoke.core.book import Metrics
-from gullyoke.durable import Ledger, Mark, Note, Phase, Without, trusted
-from gullyoke.durable.note import Verdict, judged
-from gullyoke.durable.trust import FORMAT as FOLDER_FORMAT
-from gullyoke.durable.trust import marked
-from gullyoke.features.keys import FOLDER, MARK, decode_mark
-from gullyoke.features.promised import NOTE, digest, encode, packed, unpacked
-from gullyoke.peers.kept import FOLDER as NUMBER_FOLDER
-from gullyoke.peers.kept import KEY as NUMBER_KEY
-from gullyoke.peers.kept import Number
-from gullyoke.store import Committer, Disk, Store, StoreVersionError
-from gullyoke.store.record import (
+from gullyoke.durability import Ledger, Mark, Note, Phase, Without, trusted
+from gullyoke.durability.note import Verdict, judged
+from gullyoke.durability.trust import FORMAT as FOLDER_FORMAT
+from gullyoke.durability.trust import marked
+from gullyoke.extensions.keys import FOLDER, MARK, decode_mark
+from gullyoke.extensions.promised import NOTE, digest, encode, packed, unpacked
+from gullyoke.peer_transport.kept import FOLDER as NUMBER_FOLDER
+from gullyoke.peer_transport.kept import KEY as NUMBER_KEY
+from gullyoke.peer_transport.kept import Number
+from gullyoke.runtime.metrics import Metrics
+from gullyoke.storage import Committer, Disk, Store, StoreVersionError
+from gullyoke.storage.record import (
     FORMAT,
     GONE,
     HEADER,
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -6,30 +6,30 @@
 import unittest
 from unittest import mock
 
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics
-from gullyoke.durable.condition import State as DiskState
-from gullyoke.duty.candidate import Candidate, Turn
-from gullyoke.duty.candidate import State as DutyState
-from gullyoke.duty.kept import Shelf
-from gullyoke.duty.roll import Plan
-from gullyoke.duty.spans import Spans
-from gullyoke.duty.voter import Row as Promise
-from gullyoke.duty.voter import Voter
-from gullyoke.features.charges import Roll
-from gullyoke.features.duties import Duty
-from gullyoke.members import Member, Row, Status
-from gullyoke.members.entry import Stage
-from gullyoke.operator.wanted import Dutied
-from gullyoke.peers.ask import Answers
-from gullyoke.peers.duties import Duties
-from gullyoke.peers.link import Link
-from gullyoke.peers.seal import Seal
-from gullyoke.peers.sharing import SharedSlots, stated
-from gullyoke.together.sharing import Sharing
-from gullyoke.together.signals import Heard, Reading
-from gullyoke.together.signals import Stage as Standing
-from gullyoke.together.slots import Own
+from gullyoke.coordination.sharing import Sharing
+from gullyoke.coordination.signals import Heard, Reading
+from gullyoke.coordination.signals import Stage as Standing
+from gullyoke.coordination.slots import Own
+from gullyoke.durability.condition import State as DiskState
+from gullyoke.extensions.charges import Roll
+from gullyoke.extensions.duties import Duty
+from gullyoke.leases.candidate import Candidate, Turn
+from gullyoke.leases.candidate import State as DutyState
+from gullyoke.leases.kept import Shelf
+from gullyoke.leases.roll import Plan
+from gullyoke.leases.spans import Spans
+from gullyoke.leases.voter import Row as Promise
+from gullyoke.leases.voter import Voter
+from gullyoke.membership import Member, Row, Status
+from gullyoke.membership.entry import Stage
+from gullyoke.operator_config.wanted import Dutied
+from gullyoke.peer_transport.ask import Answers
+from gullyoke.peer_transport.duties import Duties
+from gullyoke.peer_transport.link import Link
+from gullyoke.peer_transport.seal import Seal
+from gullyoke.peer_transport.sharing import SharedSlots, stated
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import Metrics
 
 NUMBER = 1_700_000_000 << 20
 PATIENCE = 10
--- a/tests/compatibility/test_operator_file.py
+++ b/tests/compatibility/test_operator_file.py
@@ -7,9 +7,9 @@
 from google.protobuf.message import Message
 
 from compatibility.recorded import DATA
-from gullyoke.operator import operator_pb2 as schema
-from gullyoke.operator.read import read
-from gullyoke.operator.wanted import (
+from gullyoke.operator_config import operator_pb2 as schema
+from gullyoke.operator_config.read import read
+from gullyoke.operator_config.wanted import (
     BackEnd,
     Classed,
     Dutied,
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -4,19 +4,19 @@
 import unittest
 
 from compatibility.recorded import DATA, files_in, temporary_folder
-from gullyoke.core.book import Metrics
-from gullyoke.duty.kept import Fetch, Fetched, Keep, Kept, Shelf
-from gullyoke.duty.roll import Plan
-from gullyoke.duty.roll import unpacked as unpacked_plan
-from gullyoke.duty.spans import Spans
-from gullyoke.duty.voter import Row, Voter
-from gullyoke.duty.words import Ask, Learn, Learned
-from gullyoke.features.duties import FOLDER, OURS, ours
-from gullyoke.members import Row as Member
-from gullyoke.members import Status
-from gullyoke.peers.duties import Duties, pack, row_bytes, rows_in, unpack
-from gullyoke.store import Cells, Disk
-from gullyoke.store.cells import NAME, SIZE
+from gullyoke.extensions.duties import FOLDER, OURS, ours
+from gullyoke.leases.kept import Fetch, Fetched, Keep, Kept, Shelf
+from gullyoke.leases.roll import Plan
+from gullyoke.leases.roll import unpacked as unpacked_plan
+from gullyoke.leases.spans import Spans
+from gullyoke.leases.voter import Row, Voter
+from gullyoke.leases.words import Ask, Learn, Learned
+from gullyoke.membership import Row as Member
+from gullyoke.membership import Status
+from gullyoke.peer_transport.duties import Duties, pack, row_bytes, rows_in, unpack
+from gullyoke.runtime.metrics import Metrics
+from gullyoke.storage import Cells, Disk
+from gullyoke.storage.cells import NAME, SIZE
 
 NOW = 1_700_000_000_000_000
 VOTERS = {"server-1": "10.0.0.1:7900", "server-2": "10.0.0.2:7900", "server-3": "10.0.0.3:7900"}
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -9,8 +9,8 @@
 from unittest import mock
 
 from compatibility.recorded import DATA
-from gullyoke.drill.batches import MalformedMessageError, Play, play
-from gullyoke.port import Gauges
+from gullyoke.admission.interface import Gauges
+from gullyoke.simulator_adapter.batches import MalformedMessageError, Play, play
 
 CONFIGURE = next(
     line
@@ -85,7 +85,7 @@
     def test_command(self):
         """The command that the simulator starts gives the same output."""
         run = subprocess.run(
-            [sys.executable, "-m", "gullyoke.drill"],
+            [sys.executable, "-m", "gullyoke.simulator_adapter"],
             input=BATCHES,
             cwd=ROOT,
             capture_output=True,
--- a/tests/together/test_quotas.py
+++ b/tests/coordination/test_quotas.py
@@ -7,17 +7,17 @@
 import time
 import unittest
 
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics
+from gullyoke.admission.interface import Tenant
+from gullyoke.coordination.quotas import BIN, Quota, Rate, tokens
+from gullyoke.coordination.sharing import Sharing
 from gullyoke.emulator.quotas import asked
-from gullyoke.members import Member, Row, Status, began
-from gullyoke.peers.codec import MalformedDatagramError
-from gullyoke.peers.link import Link
-from gullyoke.peers.seal import Seal
-from gullyoke.peers.sharing import QUOTAS, Quotas, SharedQuota, encode, stated
-from gullyoke.port import Tenant
-from gullyoke.together.quotas import BIN, Quota, Rate, tokens
-from gullyoke.together.sharing import Sharing
+from gullyoke.membership import Member, Row, Status, began
+from gullyoke.peer_transport.codec import MalformedDatagramError
+from gullyoke.peer_transport.link import Link
+from gullyoke.peer_transport.seal import Seal
+from gullyoke.peer_transport.sharing import QUOTAS, Quotas, SharedQuota, encode, stated
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import Metrics
 
 PATIENCE = 25
 SECOND = 1_000_000
--- a/tests/together/test_shares.py
+++ b/tests/coordination/test_shares.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from gullyoke.coordination import shares
+from gullyoke.coordination.fair import Wish, level, split
+from gullyoke.coordination.sharing import Sharing
+from gullyoke.coordination.slots import Own
 from gullyoke.emulator.shares import SECOND, Play
-from gullyoke.together import shares
-from gullyoke.together.fair import Wish, level, split
-from gullyoke.together.sharing import Sharing
-from gullyoke.together.slots import Own
 
 TOKENS = 24
 
--- a/tests/together/test_signals.py
+++ b/tests/coordination/test_signals.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullyoke.together.signals import (
+from gullyoke.coordination.signals import (
     LASTS,
     LEAST,
     MOST,
--- a/tests/together/test_subsets.py
+++ b/tests/coordination/test_subsets.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullyoke.together.subsets import PACE, SETTLE, Subset, apertures, chosen, moved
+from gullyoke.coordination.subsets import PACE, SETTLE, Subset, apertures, chosen, moved
 
 COUNT = st.integers(1, 60)
 
--- a/tests/together/test_turns.py
+++ b/tests/coordination/test_turns.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullyoke.together.turns import Turns
+from gullyoke.coordination.turns import Turns
 
 SLOT, GAP = 10_000_000, 500_000
 NAMES = st.sets(st.sampled_from([f"m{i}" for i in range(40)]), min_size=1, max_size=40)
--- a/tests/together/test_wire.py
+++ b/tests/coordination/test_wire.py
@@ -11,16 +11,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics
-from gullyoke.members import Member, Row, Status, began
-from gullyoke.peers.codec import MalformedDatagramError
-from gullyoke.peers.link import Link
-from gullyoke.peers.seal import Seal
-from gullyoke.peers.sharing import TOPIC, SharedSlots, encode, pack, stated, unpack
-from gullyoke.together.shares import Claim, Grant, Promise, Return, Want
-from gullyoke.together.sharing import Sharing
-from gullyoke.together.slots import Own
+from gullyoke.coordination.shares import Claim, Grant, Promise, Return, Want
+from gullyoke.coordination.sharing import Sharing
+from gullyoke.coordination.slots import Own
+from gullyoke.membership import Member, Row, Status, began
+from gullyoke.peer_transport.codec import MalformedDatagramError
+from gullyoke.peer_transport.link import Link
+from gullyoke.peer_transport.seal import Seal
+from gullyoke.peer_transport.sharing import TOPIC, SharedSlots, encode, pack, stated, unpack
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import Metrics
 
 PATIENCE, TOKENS = 25, 8
 FIGURE = st.integers(0, 2**63)
--- a/tests/crossing/live.py
+++ b/tests/crossing/live.py
@@ -19,10 +19,10 @@
 
 from standins import PATIENCE, ROOT, Sockets, message, tid
 
-from gullyoke.core.book import log
-from gullyoke.daemon import house as house_module
-from gullyoke.daemon.house import Daemon
-from gullyoke.daemon.options import load_configuration
+from gullyoke.daemon import daemon as house_module
+from gullyoke.daemon.configuration import load_configuration
+from gullyoke.daemon.daemon import Daemon
+from gullyoke.runtime.metrics import log
 
 REPEATS = int(os.environ.get("GULLYOKE_REPEATS", "100"))
 CHILD = "GULLYOKE_CHILD"
--- a/tests/crossing/test_connections.py
+++ b/tests/crossing/test_connections.py
@@ -13,20 +13,20 @@
 from standins import message, site
 
 from crossing.live import REPEATS, Client, Live, apart, descriptors, eventually, unread
-from gullyoke.core import crew as crew_module
-from gullyoke.core.book import Metrics
-from gullyoke.core.crew import WorkerPool
-from gullyoke.core.desk import Dispatcher
-from gullyoke.core.ends import CloseReason
-from gullyoke.core.standing import Lifecycle
-from gullyoke.front import connection as connection_module
-from gullyoke.front import connections as connections_module
-from gullyoke.front.connection import Connection, State
-from gullyoke.front.connections import ConnectionTable
-from gullyoke.front.http1 import Http1
-from gullyoke.front.intake import Intake
-from gullyoke.front.room import Room
-from gullyoke.options import facts_of, flat
+from gullyoke.frontends import connection as connection_module
+from gullyoke.frontends import connections as connections_module
+from gullyoke.frontends.connection import Connection, State
+from gullyoke.frontends.connection_limits import Room
+from gullyoke.frontends.connections import ConnectionTable
+from gullyoke.frontends.http1 import Http1
+from gullyoke.frontends.message_handler import Intake
+from gullyoke.runtime import worker_pool as crew_module
+from gullyoke.runtime.close_reasons import CloseReason
+from gullyoke.runtime.dispatcher import Dispatcher
+from gullyoke.runtime.lifecycle import Lifecycle
+from gullyoke.runtime.metrics import Metrics
+from gullyoke.runtime.worker_pool import WorkerPool
+from gullyoke.settings.site_settings import facts_of, flat
 
 
 class Idle(unittest.TestCase):
--- a/tests/crossing/test_dependency.py
+++ b/tests/crossing/test_dependency.py
@@ -16,7 +16,7 @@
 from standins import PATIENCE, ROOT, Engine, Names, StandIn, message, site
 
 from crossing.live import eventually
-from gullyoke.lab.ports import free
+from gullyoke.experiments.ports import free
 
 SERVERS = 30
 SHARE, SPAN_S = 0.5, 2.0  # the calls in hand that each server may have, in the mean of a span
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -12,14 +12,14 @@
 from standins import PATIENCE, tid
 
 from crossing.live import REPEATS, Live, apart, eventually
-from gullyoke.below import database as database_module
-from gullyoke.core import desk as desk_module
-from gullyoke.core.desk import Dispatcher
-from gullyoke.core.repeats import Repeats
-from gullyoke.daemon.relay import Relay
-from gullyoke.front import intake as intake_module
-from gullyoke.port import PAST, Idempotency, RequestClass, RequestEvent
-from gullyoke.work.engine import Engine
+from gullyoke.admission.interface import PAST, Idempotency, RequestClass, RequestEvent
+from gullyoke.daemon.event_relay import Relay
+from gullyoke.dependencies import database as database_module
+from gullyoke.executors.engine_link import Engine
+from gullyoke.frontends import message_handler as intake_module
+from gullyoke.runtime import dispatcher as desk_module
+from gullyoke.runtime.dispatcher import Dispatcher
+from gullyoke.runtime.duplicate_table import Repeats
 
 
 def answers(live):
--- a/tests/crossing/test_signals.py
+++ b/tests/crossing/test_signals.py
@@ -28,31 +28,31 @@
 # By point: what is hooked (module, owner, function), and the signals raised there, call by call.
 TERM, HUP = signal.SIGTERM, signal.SIGHUP
 POINTS = {
-    "configuration": [("gullyoke.daemon.start", None, "load_configuration", [TERM])],
-    "put together": [("gullyoke.core.timer", "Timer", "__init__", [TERM])],
-    "listening": [("gullyoke.front.connections", "ConnectionTable", "listen", [TERM])],
-    "accepting": [("gullyoke.front.connections", "ConnectionTable", "start", [TERM])],
+    "configuration": [("gullyoke.daemon.serve", None, "load_configuration", [TERM])],
+    "put together": [("gullyoke.runtime.timer", "Timer", "__init__", [TERM])],
+    "listening": [("gullyoke.frontends.connections", "ConnectionTable", "listen", [TERM])],
+    "accepting": [("gullyoke.frontends.connections", "ConnectionTable", "start", [TERM])],
     "before the wait": [("signal", None, "sigwait", [TERM])],
     "reload": [
         ("signal", None, "sigwait", [HUP]),
-        ("gullyoke.daemon.house", None, "load_configuration", [TERM]),
+        ("gullyoke.daemon.daemon", None, "load_configuration", [TERM]),
     ],
     "two reloads": [
         ("signal", None, "sigwait", [HUP]),
-        ("gullyoke.daemon.house", None, "load_configuration", [HUP, TERM]),
+        ("gullyoke.daemon.daemon", None, "load_configuration", [HUP, TERM]),
     ],
     "twice": [
         ("signal", None, "sigwait", [TERM]),
-        ("gullyoke.core.desk", "Dispatcher", "leave", [TERM]),
-        ("gullyoke.front.connections", "ConnectionTable", "leave", [TERM]),
+        ("gullyoke.runtime.dispatcher", "Dispatcher", "leave", [TERM]),
+        ("gullyoke.frontends.connections", "ConnectionTable", "leave", [TERM]),
     ],
     "reload in the drain": [
         ("signal", None, "sigwait", [TERM]),
-        ("gullyoke.core.desk", "Dispatcher", "leave", [HUP]),
+        ("gullyoke.runtime.dispatcher", "Dispatcher", "leave", [HUP]),
     ],
     "reload at the end": [
         ("signal", None, "sigwait", [TERM]),
-        ("gullyoke.front.connections", "ConnectionTable", "leave", [HUP, TERM]),
+        ("gullyoke.frontends.connections", "ConnectionTable", "leave", [HUP, TERM]),
     ],
 }
 IMPORTING = "importing"
--- a/tests/daemon/test_lean.py
+++ b/tests/daemon/test_lean.py
@@ -17,7 +17,7 @@
 
 from standins import ROOT, Sockets
 
-from gullyoke.lab import usage
+from gullyoke.experiments import usage
 
 FOREIGN = "site-packages"
 # Counted, not timed: the same each time on one version of the language, and some room for others.
@@ -120,7 +120,7 @@
         The standard library and the packages that the deploy file names.
         """
         code = (
-            "import sys, gullyoke.daemon.start\n"
+            "import sys, gullyoke.daemon.serve\n"
             "for name, one in sorted(sys.modules.items()):\n"
             "    print(name, getattr(one, '__file__', None) or '-')"
         )
@@ -133,7 +133,7 @@
         named = (
             self.deploy()["node"]
             + self.deploy()["policy"]
-            + ["gullyoke/port", "gullyoke/options.py"]
+            + ["gullyoke/admission", "gullyoke/settings"]
         )
         allowed = {path.removesuffix(".py").replace("/", ".") for path in named}
         strange = [
--- a/tests/daemon/test_naming.py
+++ b/tests/daemon/test_naming.py
@@ -7,9 +7,9 @@
 import time
 import unittest
 
-from gullyoke.core.book import Metrics
-from gullyoke.core.ends import CloseReason, ConnectionClosedError
-from gullyoke.daemon.naming import LIMIT, Naming
+from gullyoke.daemon.service_discovery import LIMIT, Naming
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
+from gullyoke.runtime.metrics import Metrics
 
 ANSWER = b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n"
 
--- a/tests/durable/test_durable.py
+++ b/tests/durability/test_durable.py
@@ -5,8 +5,8 @@
 
 from test_scenarios import on_sockets
 
-from gullyoke.rig.play import Play
-from gullyoke.rig.script import read
+from gullyoke.fault_testing.play import Play
+from gullyoke.fault_testing.script import read
 
 HERE = pathlib.Path(__file__).parent
 
--- a/tests/durable/test_rules.py
+++ b/tests/durability/test_rules.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullyoke.durable import (
+from gullyoke.durability import (
     Condition,
     Do,
     Ledger,
@@ -27,15 +27,15 @@
     judged,
     trusted,
 )
-from gullyoke.durable.condition import BAD, DWELL_LONGEST
-from gullyoke.durable.ledger import Act, Stage
-from gullyoke.durable.note import recovered
-from gullyoke.durable.rooms import Kind
-from gullyoke.durable.trust import marked
-from gullyoke.durable.waits import LONGEST
-from gullyoke.store import Cells, StoreFaultedError, StoreFullError
-from gullyoke.store.cells import NAME, SIZE
-from gullyoke.walk import notes
+from gullyoke.durability.condition import BAD, DWELL_LONGEST
+from gullyoke.durability.ledger import Act, Stage
+from gullyoke.durability.note import recovered
+from gullyoke.durability.rooms import Kind
+from gullyoke.durability.trust import marked
+from gullyoke.durability.waits import LONGEST
+from gullyoke.model_checking import notes
+from gullyoke.storage import Cells, StoreFaultedError, StoreFullError
+from gullyoke.storage.cells import NAME, SIZE
 
 HERE = pathlib.Path(__file__).parent
 SECOND = 1_000_000
--- a/tests/test_pools.py
+++ b/tests/emulator/test_class_pools.py
@@ -8,15 +8,15 @@
 import unittest
 
 from click.testing import CliRunner
-from emulator.test_emulator import W
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from emulator.test_emulator import W
+from gullyoke.admission.class_pools import Pools
+from gullyoke.admission.interface import RUN, Idempotency, RequestClass
 from gullyoke.cli.main import main
 from gullyoke.emulator.day import SECOND, Machines, Shared, drawn
 from gullyoke.emulator.fleet import Running, deciding
-from gullyoke.pools import Pools
-from gullyoke.port import RUN, Idempotency, RequestClass
 
 BOX, SET, DROP = range(3)
 
--- a/tests/work/test_writing.py
+++ b/tests/executors/test_writing.py
@@ -10,12 +10,12 @@
 
 from standins import site
 
-from gullyoke.core.book import Metrics
-from gullyoke.core.desk import Dispatcher, PendingRequest
-from gullyoke.core.message import Message
-from gullyoke.options import facts_of, flat
-from gullyoke.port import FAIL
-from gullyoke.work.engine import SENT, Engine
+from gullyoke.admission.interface import FAIL
+from gullyoke.executors.engine_link import SENT, Engine
+from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
+from gullyoke.runtime.messages import Message
+from gullyoke.runtime.metrics import Metrics
+from gullyoke.settings.site_settings import facts_of, flat
 
 
 def request(number):
--- a/tests/front/test_fronts.py
+++ b/tests/frontends/test_fronts.py
@@ -10,14 +10,14 @@
 from standins import message, site, tid
 from test_scenarios import Pieces
 
+from gullyoke.admission.interface import Enqueue, Fail, Reject, RememberKey, RequestEvent, Run
 from gullyoke.codec import http, scgi
 from gullyoke.codec.buffer import Buffer
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics
-from gullyoke.core.desk import Dispatcher
-from gullyoke.front import admit
-from gullyoke.options import facts_of, flat
-from gullyoke.port import Enqueue, Fail, Reject, RememberKey, RequestEvent, Run
+from gullyoke.frontends import request_parsing
+from gullyoke.runtime import clock
+from gullyoke.runtime.dispatcher import Dispatcher
+from gullyoke.runtime.metrics import Metrics
+from gullyoke.settings.site_settings import facts_of, flat
 
 START = 1_764_576_000_000_000
 
@@ -96,7 +96,9 @@
         data = message(name, request_class, scgi=by is scgi, of=key, **fields)
         at = len(data) // 2 if self.cut is None else self.cut % len(data)
         got = by.read(Buffer(Pieces(data[:at], data[at:]), scgi.BUFFER))
-        admit.admit(self.dispatcher, admit.made(self.dispatcher, got, by.__name__))
+        request_parsing.admit(
+            self.dispatcher, request_parsing.made(self.dispatcher, got, by.__name__)
+        )
 
     def tell(self, name, word):
         request = self.dispatcher.requests.get(tid(name))
--- a/tests/duty/test_duty.py
+++ b/tests/leases/test_duty.py
@@ -12,19 +12,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullyoke.duty import roll
-from gullyoke.duty.asking import ALONE, OPENING, SILENT, TRIAL, YOUNG, Asking
-from gullyoke.duty.candidate import Candidate
-from gullyoke.duty.fence import Fence
-from gullyoke.duty.kept import Fetch, Register, Shelf
-from gullyoke.duty.rank import Placed, after, order
-from gullyoke.duty.spans import Spans
-from gullyoke.duty.voter import Voter
 from gullyoke.emulator.duty import SECOND, Play
-from gullyoke.features.duties import Duty
-from gullyoke.operator.wanted import Dutied
-from gullyoke.rig import history
-from gullyoke.rig.standins import Act
+from gullyoke.extensions.duties import Duty
+from gullyoke.fault_testing import history
+from gullyoke.fault_testing.standins import Act
+from gullyoke.leases import roll
+from gullyoke.leases.asking import ALONE, OPENING, SILENT, TRIAL, YOUNG, Asking
+from gullyoke.leases.candidate import Candidate
+from gullyoke.leases.fence import Fence
+from gullyoke.leases.kept import Fetch, Register, Shelf
+from gullyoke.leases.rank import Placed, after, order
+from gullyoke.leases.spans import Spans
+from gullyoke.leases.voter import Voter
+from gullyoke.operator_config.wanted import Dutied
 
 
 class Leases(unittest.TestCase):
--- a/tests/members/test_members.py
+++ b/tests/membership/test_members.py
@@ -10,8 +10,8 @@
 from unittest import mock
 
 from gullyoke.emulator.peers import SECOND, fleet
-from gullyoke.members import edge, member, tally, trust
-from gullyoke.members.row import identity
+from gullyoke.membership import edge, member, tally, trust
+from gullyoke.membership.row import identity
 
 HERE = pathlib.Path(__file__).parent
 
@@ -229,11 +229,11 @@
             ("halves", without(trust.Trust, sees_most=mock.Mock(return_value=True)), ()),
             (
                 "clock-back",
-                without("gullyoke.members.entry", began=lambda _, kept=0, known=0: kept),
+                without("gullyoke.membership.entry", began=lambda _, kept=0, known=0: kept),
                 (),
             ),
             ("deaf3", without(trust.Trust, unsure=nothing), ()),
-            ("half-deaf", without("gullyoke.members.entry", WELL=1.1), ()),
+            ("half-deaf", without("gullyoke.membership.entry", WELL=1.1), ()),
             ("loss", without(edge, SILENT=100_000, TRIES=1), (without(tally, HOLD=0),)),
         ):
             with self.subTest(name), contextlib.ExitStack() as stack:
@@ -276,7 +276,7 @@
             with contextlib.ExitStack() as stack:
                 if not refutes:
                     stack.enter_context(
-                        mock.patch("gullyoke.members.entry.Entry.refutes", lambda *_: False)
+                        mock.patch("gullyoke.membership.entry.Entry.refutes", lambda *_: False)
                     )
                 net = fleet(5, 1)
                 accused = net.hosts["m1"].member
--- a/tests/members/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -16,20 +16,20 @@
 from click.testing import CliRunner
 
 from gullyoke.cli.main import main
-from gullyoke.core import clock
-from gullyoke.core.book import Metrics
-from gullyoke.features.fleet import Fleet
-from gullyoke.members import Member, Row, Status, began
-from gullyoke.members.size import Size
-from gullyoke.members.words import Letter, Send
-from gullyoke.operator.read import read
-from gullyoke.operator.wanted import OperatorFileError, Together
-from gullyoke.options import ConfigurationError
-from gullyoke.peers.ask import Answers, status
-from gullyoke.peers.kept import Number
-from gullyoke.peers.link import Link
-from gullyoke.peers.seal import Seal
-from gullyoke.together.signals import Heard, Reading, Stage
+from gullyoke.coordination.signals import Heard, Reading, Stage
+from gullyoke.extensions.fleet import Fleet
+from gullyoke.membership import Member, Row, Status, began
+from gullyoke.membership.size import Size
+from gullyoke.membership.words import Letter, Send
+from gullyoke.operator_config.read import read
+from gullyoke.operator_config.wanted import OperatorFileError, Together
+from gullyoke.peer_transport.ask import Answers, status
+from gullyoke.peer_transport.kept import Number
+from gullyoke.peer_transport.link import Link
+from gullyoke.peer_transport.seal import Seal
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import Metrics
+from gullyoke.settings.site_settings import ConfigurationError
 
 KEY, PATIENCE = b"k" * 32, 20
 FILE = 'fleet { name: "f" listen: "127.0.0.1:7900" seed: "127.0.0.1:7900" key_file: "%s" }'
--- a/tests/members/test_properties.py
+++ b/tests/membership/test_properties.py
@@ -14,11 +14,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from gullyoke.emulator.peers import SECOND, fleet
-from gullyoke.members.row import Entry, Kind, Mark, Report, Row, Status, began, identity
-from gullyoke.members.view import View
-from gullyoke.members.words import Ack, Ask, Compare, Gossip, Hello, Ping, Rows
-from gullyoke.peers import codec
-from gullyoke.peers.seal import Counts, Seal, UnusableKeyError, keys_in
+from gullyoke.membership.row import Entry, Kind, Mark, Report, Row, Status, began, identity
+from gullyoke.membership.view import View
+from gullyoke.membership.words import Ack, Ask, Compare, Gossip, Hello, Ping, Rows
+from gullyoke.peer_transport import codec
+from gullyoke.peer_transport.seal import Counts, Seal, UnusableKeyError, keys_in
 
 TEXT = st.text("abcdefghij0123456789.:-", min_size=1, max_size=20)
 FIGURE, LOST = st.integers(0, 2**63), st.integers(0, 255)
--- a/tests/members/test_rig.py
+++ b/tests/membership/test_rig.py
@@ -5,11 +5,11 @@
 import tempfile
 import unittest
 
-from gullyoke.lab.ports import free, until
-from gullyoke.rig.faults import Faults
-from gullyoke.rig.play import Play
-from gullyoke.rig.report import write
-from gullyoke.rig.script import ScriptError, read
+from gullyoke.experiments.ports import free, until
+from gullyoke.fault_testing.faults import Faults
+from gullyoke.fault_testing.play import Play
+from gullyoke.fault_testing.report import write
+from gullyoke.fault_testing.script import ScriptError, read
 
 ROOT = pathlib.Path(__file__).parents[2]
 
--- a/tests/walk/test_walk.py
+++ b/tests/model_checking/test_walk.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from gullyoke.rig.script import read
-from gullyoke.walk import duty, played, shares
-from gullyoke.walk.explore import walked
+from gullyoke.fault_testing.script import read
+from gullyoke.model_checking import duty, played, shares
+from gullyoke.model_checking.explore import walked
 
 
 class Counting:
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -11,8 +11,7 @@
 from hypothesis import strategies as st
 from test_scenarios import numbers, play
 
-from gullyoke.core.ends import CloseReason
-from gullyoke.port import Idempotency, Request, RequestClass, RequestEvent
+from gullyoke.admission.interface import Idempotency, Request, RequestClass, RequestEvent
 from gullyoke.routing import (
     Budget,
     Dispatch,
@@ -27,7 +26,8 @@
     Tell,
     fate_of,
 )
-from gullyoke.routing.fates import FAULTS, MAY_RUN_ON, WORDS
+from gullyoke.routing.outcomes import FAULTS, MAY_RUN_ON, WORDS
+from gullyoke.runtime.close_reasons import CloseReason
 
 HERE = pathlib.Path(__file__).parent
 KINDS = {"r": Idempotency.IDEMPOTENT, "u": Idempotency.KEYED, "n": Idempotency.NON_IDEMPOTENT}
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from gullyoke.lab.ports import free
+from gullyoke.experiments.ports import free
 
 ROOT = pathlib.Path(__file__).parent.parent
 PATIENCE = 20  # seconds for what must come; what is fast enough never waits that long
@@ -344,7 +344,7 @@
         serve = ["serve", "--operator", str(self.operator)]
         extra = [".cli", *serve] if self.wanted or self.rows else [""]
         if "disk" in self.given:
-            extra = [".rig.faulty", f"{self.folder.name}/faults", *serve]
+            extra = [".fault_testing.faulty", f"{self.folder.name}/faults", *serve]
         self.process = subprocess.Popen(
             [sys.executable, "-m", "gullyoke" + extra[0], *extra[1:]],
             cwd=self.root,
@@ -583,7 +583,7 @@
         elif words[0] == "limit":  # bytes that a file may have, by the system
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (int(words[1]), -1))
         elif words[0] == "mark":  # by another name, or of a later format
-            from gullyoke.store import Disk, Store
+            from gullyoke.storage import Disk, Store
 
             files = Disk(store / "keys")
             Store(files).put([("mark", msgspec.msgpack.encode([int(words[1]), words[2], 1, 0]))])
--- a/tests/store/test_store.py
+++ b/tests/storage/test_store.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from gullyoke.cli.main import main
-from gullyoke.store import (
+from gullyoke.storage import (
     Committer,
     Disk,
     Store,
@@ -26,7 +26,7 @@
     StoreFullError,
     StoreVersionError,
 )
-from gullyoke.store.record import HEADER, Found, Record, header, pack, scan
+from gullyoke.storage.record import HEADER, Found, Record, header, pack, scan
 
 ROOT = pathlib.Path(__file__).parents[2]
 
@@ -361,7 +361,7 @@
         Every key that it said was durable is there.
         """
         code = (
-            "import sys; from gullyoke.store import *\n"
+            "import sys; from gullyoke.storage import *\n"
             "s = Store(Disk(sys.argv[1]), roll=3000)\n"
             "for i in range(10**6):\n"
             "    s.put([(f'k{i % 40}', b'%08d' % i * 5)]); print(i, flush=True)\n"
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -17,19 +17,8 @@
 
 from standins import Sockets, site
 
-from gullyoke.choice import TICK, AdmissionController, Learner
-from gullyoke.codec import http, lines
-from gullyoke.codec.buffer import Buffer
-from gullyoke.core import clock
-from gullyoke.core.book import Bounded, Metrics
-from gullyoke.core.desk import Dispatcher
-from gullyoke.core.ends import CloseReason, ConnectionClosedError, PeerKind, outcome
-from gullyoke.daemon.options import load_configuration
-from gullyoke.daemon.route import Route
-from gullyoke.drill import batches
-from gullyoke.drill.batches import MalformedMessageError
-from gullyoke.options import ConfigurationError, facts_of, flat
-from gullyoke.port import (
+from gullyoke.admission.controller import TICK, AdmissionController, Learner
+from gullyoke.admission.interface import (
     FAIL,
     RUN,
     Await,
@@ -56,6 +45,17 @@
     StopMode,
     Tenant,
 )
+from gullyoke.codec import http, lines
+from gullyoke.codec.buffer import Buffer
+from gullyoke.daemon.command_router import Route
+from gullyoke.daemon.configuration import load_configuration
+from gullyoke.runtime import clock
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, PeerKind, outcome
+from gullyoke.runtime.dispatcher import Dispatcher
+from gullyoke.runtime.metrics import Bounded, Metrics
+from gullyoke.settings.site_settings import ConfigurationError, facts_of, flat
+from gullyoke.simulator_adapter import batches
+from gullyoke.simulator_adapter.batches import MalformedMessageError
 
 HERE = pathlib.Path(__file__).parent
 WORDS = {
