--- a/gullyoke/admission/controller.py
+++ b/gullyoke/admission/controller.py
@@ -14,6 +14,7 @@
 import math
 from collections import deque
 
+from gullyoke.admission.class_pools import Pools
 from gullyoke.admission.interface import (
     AWAIT,
     AWAIT_DUPLICATE,
@@ -25,11 +26,13 @@
     RUN,
     SKIP_DEPENDENCY_CALL,
     CallDependency,
+    CommandExecutor,
     Idempotency,
     Reject,
     RememberKey,
     RequestEvent,
     RequestStepper,
+    SiteFacts,
     StopMode,
 )
 
@@ -574,41 +577,29 @@
 
     def __init__(
         self,
-        now,
-        executor,
-        chance,
-        request_classes,
-        tenants,
-        machine,
-        limits,
-        below,
-        permissions,
-        fleet,
-        pools=None,
+        now: int,
+        executor: CommandExecutor,
+        facts: SiteFacts,
+        pools: Pools | None = None,
     ) -> None:
-        self.pools = pools  # gullyoke/admission/class_pools.py, or None: off
-        self.now, self.executor, self.stage = (
-            now,
-            executor,
-            RequestStepper(executor),
-        )  # of `chance` nothing is drawn so far
+        machine, limits, fleet = facts.machine, facts.limits, facts.fleet
+        below = facts.dependency
+        self.pools = pools
+        self.now, self.executor, self.stage = now, executor, RequestStepper(executor)
         self.machine, self.fleet = machine, fleet
-        self.guards, self.advice = (
-            Guards(now, machine, limits),
-            Advice(executor, permissions, fleet.feedback),
+        self.guards = Guards(now, machine, limits)
+        self.advice = Advice(executor, facts.permissions, fleet.feedback)
+        self.below = CallsBelow(
+            now, below.call_quota, below.quota_window, below.linger, below.slots
         )
-        self.below = CallsBelow(now, below.share, below.span, below.linger, below.slots)
-        self.hold, self.cap = (
-            Hold(request_classes, fleet.weighs_by_work, self.below),
-            RunningCap(machine.cores),
-        )
-        self.open: dict = {}  # reqs in hand; each leaves at its end
+        self.hold = Hold(facts.request_classes, fleet.weighs_by_work, self.below)
+        self.cap = RunningCap(machine.cores)
+        self.open: dict = {}  # requests in hand; each leaves at its end
         self.on = self.off = self.last_read = self.unread = 0
-        self.quota = {c: [1e9, now] for c in tenants}  # one row a customer; full at first
-        self.target, self.learner = (
-            sum(h.latency_objective for h in request_classes) / len(request_classes),
-            None,
-        )
+        self.quota = {c: [1e9, now] for c in facts.tenants}  # one row a tenant; full at first
+        objectives = [h.latency_objective for h in facts.request_classes]
+        self.target = sum(objectives) / len(objectives)
+        self.learner: Learner | None = None
         self.crowd = machine.cores * limits.overload_multiple
         executor.schedule_tick(TICK)
 
--- a/gullyoke/admission/interface/__init__.py
+++ b/gullyoke/admission/interface/__init__.py
@@ -30,7 +30,7 @@
 from gullyoke.admission.interface.events import RequestEvent
 from gullyoke.admission.interface.facts import (
     PAST,
-    Below,
+    DependencyFacts,
     Fleet,
     Gauges,
     Idempotency,
@@ -40,6 +40,7 @@
     Repeat,
     Request,
     RequestClass,
+    SiteFacts,
     StopMode,
     Tenant,
 )
@@ -60,12 +61,12 @@
     "UNSHARED",
     "Await",
     "AwaitDuplicate",
-    "Below",
     "Beside",
     "CallDependency",
     "Cancel",
     "Command",
     "CommandExecutor",
+    "DependencyFacts",
     "Enqueue",
     "Fail",
     "Fleet",
@@ -83,6 +84,7 @@
     "RequestEvent",
     "RequestStepper",
     "Run",
+    "SiteFacts",
     "SkipDependencyCall",
     "Slots",
     "StopMode",
--- a/gullyoke/admission/interface/facts.py
+++ b/gullyoke/admission/interface/facts.py
@@ -125,20 +125,20 @@
 
 
 @dataclass(slots=True)
-class Below:
+class DependencyFacts:
     """The dependency that requests call while they run.
 
     Args:
         exists: Whether there is one.
-        share: Mean number of calls in flight that is this server's; None where no bound is stated.
-        span: Microseconds over which that mean is taken.
+        call_quota: Mean number of calls in flight that is this server's; None for no bound.
+        quota_window: Microseconds over which that mean is taken.
         linger: Microseconds for which an abandoned call stays in the dependency's hands at most.
         slots: What this server has of the calls that all servers share.
     """
 
     exists: bool
-    share: float | None
-    span: int
+    call_quota: float | None
+    quota_window: int
     linger: int
     slots: Slots = UNSHARED
 
@@ -191,6 +191,19 @@
     feedback: Beside = ALONE
 
 
+@dataclass(slots=True)
+class SiteFacts:
+    """All that the settings of a site state."""
+
+    request_classes: list[RequestClass]
+    tenants: list[Tenant]
+    machine: Machine
+    limits: Limits
+    dependency: DependencyFacts
+    permissions: Permissions
+    fleet: Fleet
+
+
 class Gauges(NamedTuple):
     """A server's own gauges; None for what is not measured.
 
--- a/gullyoke/daemon/command_router.py
+++ b/gullyoke/daemon/command_router.py
@@ -83,7 +83,7 @@
             self.dispatcher.later.append((request, RequestEvent.FAILED))
 
     def finished(self, request: PendingRequest) -> None:
-        if request.asked is not None:
+        if request.dependency_call is not None:
             self.database.drop(request)
         self.dispatcher.over(request)
 
--- a/gullyoke/daemon/configuration.py
+++ b/gullyoke/daemon/configuration.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from gullyoke.settings.site_settings import ConfigurationError, Facts, facts_of, flat
+from gullyoke.settings.site_settings import ConfigurationError, SiteFacts, flat, parse_site_facts
 
 Address = tuple[str, int]
 
@@ -22,7 +22,7 @@
     seed: int
     stop: int  # microseconds from the notice to leave to the stop
     sockets: int
-    facts: Facts
+    facts: SiteFacts
     level: str
     settings: dict[str, str]
 
@@ -83,8 +83,8 @@
             f"environment variable 'GULLYOKE_LOG' is {level!r}, not a level of logging"
         )
     settings = flat(part(found, "settings"))
-    facts = facts_of(settings)
-    missing = {"engine": apart, "naming": apart, "db": apart or not facts.below.exists}
+    facts = parse_site_facts(settings)
+    missing = {"engine": apart, "naming": apart, "db": apart or not facts.dependency.exists}
     engine, naming, database = (
         None if may_miss and key not in found else address(found, key)
         for key, may_miss in missing.items()
--- a/gullyoke/daemon/event_relay.py
+++ b/gullyoke/daemon/event_relay.py
@@ -33,30 +33,32 @@
             self.dispatcher.open(self.route, clock.now() - ms * 1000)
             log.info("serving", extra=pairs(engine=state, up_ms=ms))
 
-    def done(self, tid: str, end: str, result: bytes) -> None:
+    def done(self, request_id: str, end: str, result: bytes) -> None:
         self.metrics.increment(f"runs.{end}")
-        self._with(tid, lambda request: self._done(request, RUN_ENDS[end], Answer(200, result)))
+        self._with(
+            request_id, lambda request: self._done(request, RUN_ENDS[end], Answer(200, result))
+        )
 
     def ran(self, request: PendingRequest, word: RequestEvent, answer: Answer | None) -> None:
         """A run at a back end is over, or there is nowhere to run it."""
         self.metrics.increment(f"runs.{word.name.lower()}")
 
         def act() -> None:
-            if self.dispatcher.requests.get(request.tid) is request:
+            if self.dispatcher.requests.get(request.request_id) is request:
                 self._done(request, word, answer)
 
         self.dispatcher.handle(act, request)
 
     def _done(self, request: PendingRequest, word: RequestEvent, result: Answer | None) -> None:
         dispatcher = self.dispatcher
-        request.noticed += 1
+        request.notices_read += 1
         if word is RequestEvent.COMPLETED:
             dispatcher.answer(request, word, result)
         elif word is RequestEvent.FAILED:
             dispatcher.answer(
                 request, FAIL, result if result is not None and result.status != 200 else None
             )
-        if request.entry is not None and word not in (
+        if request.key_entry is not None and word not in (
             RequestEvent.NOT_STARTED,
             RequestEvent.NO_CAPACITY,
         ):
@@ -70,27 +72,28 @@
                 )
         dispatcher.server.on_event(dispatcher.now, request, word)
 
-    def need(self, tid: str, notice: int, body: bytes) -> None:
+    def need(self, request_id: str, notice: int, body: bytes) -> None:
         self.metrics.increment("runs.needs")
 
         def act(request: PendingRequest) -> None:
-            request.noticed += 1
-            request.need, request.asking = notice, body
+            request.notices_read += 1
+            request.call_notice, request.call_body = notice, body
             self.dispatcher.server.on_event(
                 self.dispatcher.now, request, RequestEvent.DEPENDENCY_CALL_NEEDED
             )
 
-        self._with(tid, act)
+        self._with(request_id, act)
 
-    def not_done(self, command: str, tid: str) -> None:
+    def not_done(self, command: str, request_id: str) -> None:
         """The engine did not carry a command out. A run that never began is over."""
         self.metrics.increment("engine.no")
         log.warning(
-            "the engine did not carry out a command", extra=pairs(command=command, request=tid)
+            "the engine did not carry out a command",
+            extra=pairs(command=command, request=request_id),
         )
         if command == "RUN":
             self._with(
-                tid,
+                request_id,
                 lambda request: self.dispatcher.server.on_event(
                     self.dispatcher.now, request, RequestEvent.NOT_STARTED
                 ),
@@ -105,14 +108,14 @@
         self.metrics.increment(f"calls.{word.name.lower().removeprefix('call_')}")
 
         def act() -> None:
-            if self.dispatcher.requests.get(request.tid) is request:
+            if self.dispatcher.requests.get(request.request_id) is request:
                 if word is RequestEvent.CALL_SUCCEEDED:
                     self.route.engine.feed(request, reply)
                 self.dispatcher.server.on_event(self.dispatcher.now, request, word)
 
         self.dispatcher.handle(act, request)
 
-    def _with(self, tid: str, act) -> None:
-        request = self.dispatcher.requests.get(tid)
+    def _with(self, request_id: str, act) -> None:
+        request = self.dispatcher.requests.get(request_id)
         if request is not None:
             self.dispatcher.handle(lambda: act(request), request)
--- a/gullyoke/dependencies/database.py
+++ b/gullyoke/dependencies/database.py
@@ -161,11 +161,11 @@
     # Given under the desk's lock.
 
     def ask(self, request, try_for: int) -> None:
-        data = command("Q", request.tid, max(1, try_for // 1000), body=request.asking)
-        request.asked = asked = Asked(request, data)
+        data = command("Q", request.request_id, max(1, try_for // 1000), body=request.call_body)
+        request.dependency_call = asked = Asked(request, data)
         self.timer.at(self.heard.dispatcher.now + try_for, lambda: self.limit(asked))
         with self.lock:
-            wire = self._free(request.tid)
+            wire = self._free(request.request_id)
             if wire is None:
                 self._queue(asked)
                 return
@@ -174,12 +174,12 @@
 
     def drop(self, request) -> None:
         """Its req is over."""
-        asked, request.asked = request.asked, None
+        asked, request.dependency_call = request.dependency_call, None
         self._withdraw(asked)
 
-    def _free(self, tid: str) -> Wire | None:
+    def _free(self, request_id: str) -> Wire | None:
         for at in range(len(self.idle) - 1, -1, -1):
-            if self.idle[at].last != tid:
+            if self.idle[at].last != request_id:
                 wire = self.idle.pop(at)
                 if wire.sound():
                     return wire
@@ -193,7 +193,7 @@
         against one whose call was taken back while it came about.
         """
         if asked is None:
-            asked = next((one for one in self.waiting if one.request.tid != wire.last), None)
+            asked = next((one for one in self.waiting if one.request.request_id != wire.last), None)
             if asked is None:
                 self.idle.append(wire)
                 return None
@@ -234,9 +234,9 @@
     def _ended(self, asked: Asked) -> bool:
         """Whether this is the first to end the call."""
         with self.heard.dispatcher.lock:
-            first = asked.request.asked is asked
+            first = asked.request.dependency_call is asked
             if first:
-                asked.request.asked = None
+                asked.request.dependency_call = None
             return first
 
     # The connections, a thread each.
@@ -294,7 +294,7 @@
         while (words := lines.read(buffer)) is not None:
             word, body = self.reply(words, buffer)
             asked = wire.asked
-            if asked is None or asked.request.tid != words[0]:
+            if asked is None or asked.request.request_id != words[0]:
                 strange = True  # not ours, but whole: the one that is ours may follow
                 continue
             more = None
--- a/gullyoke/emulator/beside.py
+++ b/gullyoke/emulator/beside.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from gullyoke.admission.controller import AdmissionController
-from gullyoke.admission.interface import Below, Fleet
+from gullyoke.admission.interface import DependencyFacts, Fleet
 from gullyoke.coordination.fair import split
 from gullyoke.coordination.sharing import ASKER, Letter, Sharing
 from gullyoke.coordination.signals import Heard, Judgement, Reading, Stage, Telling
@@ -30,7 +30,7 @@
 class Peer:
     """What one node has of the others."""
 
-    def __init__(self, beside: Beside, node: Node, below: Below, fleet: Fleet) -> None:
+    def __init__(self, beside: Beside, node: Node, below: DependencyFacts, fleet: Fleet) -> None:
         self.beside, self.node, self.count = beside, node, 0
         chance = beside.chance
         self.telling, self.heard = Telling(), Heard()
@@ -53,9 +53,9 @@
                 home,
                 home is not None,
                 below.linger,
-                below.span,
+                below.quota_window,
             )
-            self.own = below.slots = Mean(part, below.linger, below.span)
+            self.own = below.slots = Mean(part, below.linger, below.quota_window)
         # Those who were there at the start know each other, as after a while of running.
         node.fleet.at(chance.randrange(TURN), self.turn)
         node.fleet.at(chance.randrange(SECOND), self.look)
@@ -138,7 +138,7 @@
         self.peers: dict[int, Peer] = {}
         self.words: dict[int, int] = {}
 
-    def __call__(self, node: Node, below: Below, fleet: Fleet) -> None:
+    def __call__(self, node: Node, below: DependencyFacts, fleet: Fleet) -> None:
         self.peers[node.number] = Peer(self, node, below, fleet)
 
     def neighbours(self, number: int) -> list[int]:
--- a/gullyoke/emulator/fleet.py
+++ b/gullyoke/emulator/fleet.py
@@ -4,7 +4,6 @@
 
 from __future__ import annotations
 
-import random
 from collections import deque
 from collections.abc import Callable
 from typing import NamedTuple
@@ -18,8 +17,8 @@
     FAIL,
     RUN,
     SKIP_DEPENDENCY_CALL,
-    Below,
     CallDependency,
+    DependencyFacts,
     Fleet,
     Gauges,
     Limits,
@@ -28,6 +27,7 @@
     Reject,
     Request,
     RequestEvent,
+    SiteFacts,
     StopMode,
 )
 from gullyoke.emulator.cores import Cores
@@ -537,7 +537,7 @@
 def deciding(
     pools: bool | str = True,
     minimum: float = 0.02,
-    beside: Callable[[Node, Below, Fleet], None] = lambda node, below, fleet: None,
+    beside: Callable[[Node, DependencyFacts, Fleet], None] = lambda node, below, fleet: None,
 ) -> Callable[[Node], AdmissionController]:
     """Makes the module's decisions for a node.
 
@@ -547,10 +547,10 @@
 
     def make(node: Node) -> AdmissionController:
         day, m = node.fleet.day, node.fleet.day.machines
-        below, size = Below(day.shared is not None, None, 0, 0), m.told or m.servers
+        below, size = DependencyFacts(day.shared is not None, None, 0, 0), m.told or m.servers
         if day.shared:
             survives = day.shared.survives or 4.0 * day.shared.slots
-            below = Below(True, survives / size, MEAN, 200_000)
+            below = DependencyFacts(True, survives / size, MEAN, 200_000)
         machine = Machine(m.cores, m.memory_kb, m.blowup, 0.0, node.fresh, StopMode.NEVER, ())
         limits = Limits(100_000, 2_000_000, m.tip_multiple, 1_500_000, COLD, WARM)
         request_classes = node.fleet.request_classes
@@ -567,23 +567,9 @@
             else None
         )
         permissions = Permissions(True, 1_000_000, None, 0, False, True, False, False, 30_000_000)
-        chance, fleet = (
-            random.Random(day.seed * 1000 + node.number),
-            Fleet(size, False, 0.0, 0, day.callers.count),
-        )
+        fleet = Fleet(size, False, 0.0, 0, day.callers.count)
         beside(node, below, fleet)
-        return AdmissionController(
-            node.fleet.now(),
-            node,
-            chance,
-            request_classes,
-            [],
-            machine,
-            limits,
-            below,
-            permissions,
-            fleet,
-            shares,
-        )
+        facts = SiteFacts(request_classes, [], machine, limits, below, permissions, fleet)
+        return AdmissionController(node.fleet.now(), node, facts, shares)
 
     return make
--- a/gullyoke/executors/engine_link.py
+++ b/gullyoke/executors/engine_link.py
@@ -77,17 +77,19 @@
     def run(self, request) -> None:
         self._give(
             request,
-            command("RUN", request.tid, request.request_class.name, body=request.message.body),
+            command(
+                "RUN", request.request_id, request.request_class.name, body=request.message.body
+            ),
         )
 
     def feed(self, request, reply: bytes) -> None:
-        self._give(request, command("FEED", request.tid, body=reply))
+        self._give(request, command("FEED", request.request_id, body=reply))
 
     def skip(self, request) -> None:
-        self._give(request, command("SKIP", request.tid, request.need))
+        self._give(request, command("SKIP", request.request_id, request.call_notice))
 
     def halt(self, request) -> None:
-        self._give(request, command("HALT", request.tid))
+        self._give(request, command("HALT", request.request_id))
 
     def stat(self, tag: int) -> None:
         if self.attached:  # without a link they would pile up
@@ -95,7 +97,7 @@
             self.flush()
 
     def _give(self, request, data: bytes) -> None:
-        self._put(Sent(data, request, request.noticed))
+        self._put(Sent(data, request, request.notices_read))
 
     def _put(self, sent: Sent) -> None:
         with self.bell:
@@ -139,7 +141,9 @@
         return batch
 
     def _in_hand(self, sent: Sent) -> bool:
-        return sent.request is not None and sent.request.tid in self.heard.dispatcher.requests
+        return (
+            sent.request is not None and sent.request.request_id in self.heard.dispatcher.requests
+        )
 
     def write(self) -> None:
         """Write what there is, once there is something and a link to write it on."""
@@ -259,7 +263,9 @@
         waits then.
         """
         with self.bell:
-            again = [s for s in self.sent if self._in_hand(s) and s.noticed == s.request.noticed]
+            again = [
+                s for s in self.sent if self._in_hand(s) and s.noticed == s.request.notices_read
+            ]
             self.sent.clear()
             self.outbox.extendleft(reversed(again))
             self.attached, self.mark, self.rest = True, "", b""  # the old link's rest is void
--- a/gullyoke/executors/scgi_backends.py
+++ b/gullyoke/executors/scgi_backends.py
@@ -186,7 +186,7 @@
         here.
         """
         self.metrics.increment("backends.sent")
-        send.run.request.at = send.member.stated.name
+        send.run.request.backend_name = send.member.stated.name
         if not self.crew.hand(send):
             self.opening.put(send)
 
@@ -223,7 +223,7 @@
         except OSError as broken:
             fate, why = fate_of(self.end(send, end_of(broken)), True), str(broken)
         except Exception:
-            self.metrics.record_internal_error("backends", send.run.request.tid)
+            self.metrics.record_internal_error("backends", send.run.request.request_id)
             fate, why = fate_of(CloseReason.FAULT, True), "fault"
         if carriage.sock is not None:
             shut(carriage.sock)
--- a/gullyoke/experiments/world.py
+++ b/gullyoke/experiments/world.py
@@ -108,14 +108,14 @@
             self.busy, self.seen = self.busy + (share - self.busy) / 3, (now, self.cores.busy)
         self.say(f"STATS {tag} {min(1.0, self.busy):.3f} {len(self.cores)} 0.1 10")
 
-    def need(self, tid: str) -> None:
+    def need(self, request_id: str) -> None:
         self.notices += 1
-        self.say(f"NEED {self.notices} {tid} 6\r\nselect")
+        self.say(f"NEED {self.notices} {request_id} 6\r\nselect")
 
-    def done(self, tid: str) -> None:
+    def done(self, request_id: str) -> None:
         self.notices += 1
-        self.runs.pop(tid, None)
-        self.say(f"DONE {self.notices} {tid} ok 1 4\r\ndone")
+        self.runs.pop(request_id, None)
+        self.say(f"DONE {self.notices} {request_id} ok 1 4\r\ndone")
 
     def say(self, text: str) -> None:
         with contextlib.suppress(OSError):
--- a/gullyoke/extensions/back_ends.py
+++ b/gullyoke/extensions/back_ends.py
@@ -37,7 +37,7 @@
         # Whether running work can be stopped is the back ends' affair, not the engine's of the
         # settings.
         machine.stop_mode = StopMode.DISCARD if wanted.stops_on_close else StopMode.NEVER
-        told.facts.below.exists, told.facts.below.share = (
+        told.facts.dependency.exists, told.facts.dependency.call_quota = (
             False,
             None,
         )  # their calls do not come by us
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -112,7 +112,7 @@
         super().__init__(fleet, duties)
         told = fleet.daemon.configuration
         self.asking = Asking(random.Random(told.seed ^ 0xA5C).random)
-        below = told.facts.below
+        below = told.facts.dependency
         self.gate = below.slots = Gated(
             below.slots, self.asking, lambda now: duties.holds(now, self.name) is not None
         )
--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -125,7 +125,7 @@
 
         def asked() -> Put | Act:
             if self.ledger.past(now, key) is None:
-                self.going[key], self.keys[request.tid] = request, key
+                self.going[key], self.keys[request.request_id] = request, key
             return self.ledger.asked(
                 now,
                 key,
@@ -148,41 +148,43 @@
     def soon(self, request: PendingRequest, word: RequestEvent) -> None:
         """A word of the work's on a run that it was just given."""
         if word in (RequestEvent.NO_CAPACITY, RequestEvent.NOT_STARTED):
-            self.left(request.tid)
+            self.left(request.request_id)
         self.real.soon(request, word)
 
     # From the work.
 
-    def done(self, tid: str, end: str, result: bytes) -> None:
+    def done(self, request_id: str, end: str, result: bytes) -> None:
         if end == "void":
-            self.left(tid)
-            self.heard.done(tid, end, result)
+            self.left(request_id)
+            self.heard.done(request_id, end, result)
             return
         self.over(
-            tid,
+            request_id,
             Answer(200 if end == "ok" else 0, result),
-            lambda well: self.heard.done(tid, end if well else "failed", result if well else b""),
+            lambda well: self.heard.done(
+                request_id, end if well else "failed", result if well else b""
+            ),
         )
 
     def ran(self, request: PendingRequest, word: RequestEvent, answer: Answer | None) -> None:
         if word not in ENDS:
-            self.left(request.tid)
+            self.left(request.request_id)
             self.heard.ran(request, word, answer)
             return
         self.over(
-            request.tid,
+            request.request_id,
             answer if answer is not None and word is RequestEvent.COMPLETED else Answer(0),
             lambda well: self.heard.ran(
                 request, word if well else RequestEvent.FAILED, answer if well else None
             ),
         )
 
-    def not_done(self, command: str, tid: str) -> None:
+    def not_done(self, command: str, request_id: str) -> None:
         if command == "RUN":
-            self.left(tid)
-        self.heard.not_done(command, tid)
+            self.left(request_id)
+        self.heard.not_done(command, request_id)
 
-    def over(self, tid: str, answer: Answer, tell: Callable[[bool], None]) -> None:
+    def over(self, request_id: str, answer: Answer, tell: Callable[[bool], None]) -> None:
         """A run is over: `tell` goes on once its end is on the disk, or with False where it can't
         be.
         """
@@ -202,7 +204,7 @@
             )
 
         with self.pen:
-            key = self.keys.pop(tid, None)
+            key = self.keys.pop(request_id, None)
         if key is None:
             tell(True)
             return
@@ -210,10 +212,10 @@
         if said is not None:
             self.carry(said, False)
 
-    def left(self, tid: str) -> None:
+    def left(self, request_id: str) -> None:
         """Nothing of it ran."""
         with self.pen:
-            key = self.keys.pop(tid, None)
+            key = self.keys.pop(request_id, None)
             if key is None:
                 return
             self.going.pop(key, None)
@@ -251,7 +253,7 @@
             tell(act.do is Do.END)
         elif act.do is Do.UNRUN and request is not None:
             self.metrics.increment("keys.unrun")
-            self.left(request.tid)
+            self.left(request.request_id)
             (self.real.soon if inside else self.real.tell)(request, RequestEvent.NO_CAPACITY)
         elif act.do is Do.RUN and request is not None:
             if inside:
@@ -262,13 +264,13 @@
     def go(self, request: PendingRequest) -> None:
         """Its note is durable: it runs, unless nobody waits for it any more."""
         if (
-            self.real.requests.get(request.tid) is request
+            self.real.requests.get(request.request_id) is request
             and not request.answered
             and not request.client_gone
         ):
             self.inner.run(request)
         else:
-            self.left(request.tid)
+            self.left(request.request_id)
             self.real.server.on_event(self.real.now, request, RequestEvent.NO_CAPACITY)
 
     def overdue(self, now: int) -> None:
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -32,7 +32,7 @@
     def join(self, fleet: Fleet) -> None:
         """Raises `Misstated` where there is nothing below that could be shared."""
         below, tenants = (
-            fleet.daemon.configuration.facts.below,
+            fleet.daemon.configuration.facts.dependency,
             fleet.daemon.configuration.facts.tenants,
         )
         if self.wanted.quotas and not tenants:
@@ -46,7 +46,7 @@
             raise ConfigurationError(
                 f"{fleet.path}: fleet.shares: no calls go below from here; right would be none"
             )
-        if self.wanted.mean and not below.span:
+        if self.wanted.mean and not below.quota_window:
             raise ConfigurationError(
                 f"{fleet.path}: fleet.shares.mean: the settings state no span (ShareSpanUs); "
                 "right would be slots at every moment"
@@ -110,10 +110,14 @@
         }
 
     def begin_slots(self, fleet: Fleet) -> None:
-        wanted, below = self.wanted, fleet.daemon.configuration.facts.below
-        unit, after = self.unit(), below.span if wanted.mean else 0
+        wanted, below = self.wanted, fleet.daemon.configuration.facts.dependency
+        unit, after = self.unit(), below.quota_window if wanted.mean else 0
         sharing, floor = self.sharing(fleet, wanted.slots * unit, below.linger, after)
-        own = Mean(sharing, below.linger, below.span) if wanted.mean else Own(sharing, below.linger)
+        own = (
+            Mean(sharing, below.linger, below.quota_window)
+            if wanted.mean
+            else Own(sharing, below.linger)
+        )
         self.shared = SharedSlots(
             own, wanted.homes, stated(wanted.homes, wanted.slots * unit, floor), fleet.taken
         )
--- a/gullyoke/frontends/message_handler.py
+++ b/gullyoke/frontends/message_handler.py
@@ -34,7 +34,9 @@
             return Answer(503)
         request_parsing.admit(self.dispatcher, request)
         self.metrics.increment("reqs.read")
-        if not request.gate.acquire(timeout=max(0.0, (request.deadline - clock.now()) / 1e6)):
+        if not request.answer_gate.acquire(
+            timeout=max(0.0, (request.deadline - clock.now()) / 1e6)
+        ):
             self.dispatcher.overdue(request)
         self.metrics.increment(f"answers.{told_of(request.outcome)}")
         if isinstance(request.outcome, Reject):
--- a/gullyoke/frontends/request_parsing.py
+++ b/gullyoke/frontends/request_parsing.py
@@ -49,8 +49,8 @@
     if request_class is None:
         raise BadRequestError(404, "handler")
     fields = message.fields
-    tid = fields.get("trace-id", "")
-    if not ID.fullmatch(tid):
+    request_id = fields.get("trace-id", "")
+    if not ID.fullmatch(request_id):
         raise BadRequestError(400, "field trace-id")
     tenant = fields.get("project")
     if tenant is not None and tenant not in dispatcher.tenants:
@@ -70,7 +70,7 @@
         int(number(fields, "expected-ms", 0.0, LONGEST) * 1000),
         number(fields, "standing", 0.0, 1.0),
     )
-    request.carry(tid, key, message, front)
+    request.attach_message(request_id, key, message, front)
     return request
 
 
@@ -84,7 +84,7 @@
         nonlocal unfit
         unfit = mistakable(dispatcher, request)
         if unfit is None:
-            dispatcher.requests[request.tid] = request
+            dispatcher.requests[request.request_id] = request
             _, request.duplicate_of = dispatcher.repeats.find(request, dispatcher.now)
             dispatcher.server.on_request(dispatcher.now, request)
 
@@ -96,7 +96,7 @@
 
 def mistakable(dispatcher: Dispatcher, request: PendingRequest) -> BadRequestError | None:
     """What forbids to take it beside what is in hand or was answered."""
-    if request.tid in dispatcher.requests:
+    if request.request_id in dispatcher.requests:
         return BadRequestError(409, "a request of this id is in hand already")
     if dispatcher.repeats.conflicts(request):
         return BadRequestError(422, "another request came under this key")
--- a/gullyoke/runtime/dispatcher.py
+++ b/gullyoke/runtime/dispatcher.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import queue
-import random
 import threading
 import time
 from collections import deque
@@ -16,7 +15,7 @@
 from gullyoke.runtime.duplicate_table import Repeats
 from gullyoke.runtime.messages import Answer, Message
 from gullyoke.runtime.metrics import Metrics, log
-from gullyoke.settings.site_settings import Facts
+from gullyoke.settings.site_settings import SiteFacts
 
 PAUSE = 0.002  # seconds between two pieces: others come first where CPU is short
 
@@ -30,29 +29,39 @@
 
     __slots__ = (
         "answer",
-        "asked",
-        "asking",
-        "at",
-        "content",
-        "entry",
-        "front",
-        "gate",
+        "answer_gate",
+        "backend_name",
+        "body_digest",
+        "call_body",
+        "call_notice",
+        "dependency_call",
+        "frontend_name",
         "key",
+        "key_entry",
         "message",
-        "need",
-        "noticed",
+        "notices_read",
         "outcome",
-        "tid",
+        "request_id",
     )
 
-    def carry(self, tid: str, key: str | None, message: Message, front: str) -> None:
-        """`front` and `at`, the back end it was last sent to, are for the log alone."""
-        self.tid, self.key, self.message, self.front, self.at = tid, key, message, front, "-"
-        self.content = hash(message.body)
-        self.answer = self.outcome = self.entry = self.asked = self.asking = None
-        self.need = self.noticed = 0
-        self.gate = threading.Lock()
-        self.gate.acquire()
+    def attach_message(
+        self, request_id: str, key: str | None, message: Message, frontend_name: str
+    ) -> None:
+        """Note what the message says of it.
+
+        `frontend_name` and `backend_name`, the back end it was last sent to, are for the log alone.
+        """
+        self.request_id = request_id
+        self.key = key
+        self.message = message
+        self.frontend_name = frontend_name
+        self.backend_name = "-"
+        self.body_digest = hash(message.body)
+        self.answer = self.outcome = self.key_entry = None
+        self.dependency_call = self.call_body = None
+        self.call_notice = self.notices_read = 0
+        self.answer_gate = threading.Lock()
+        self.answer_gate.acquire()
 
 
 class Dispatcher:
@@ -63,7 +72,7 @@
     lines; `thoughts`, work in pieces, one new episode at most for each that began.
     """
 
-    def __init__(self, facts: Facts, seed: int, metrics: Metrics) -> None:
+    def __init__(self, facts: SiteFacts, seed: int, metrics: Metrics) -> None:
         self.facts, self.seed, self.metrics = facts, seed, metrics
         self.request_classes = {h.name: h for h in facts.request_classes}
         self.tenants = {c.name: c for c in facts.tenants}
@@ -94,21 +103,9 @@
         stands.
         """
         with self.lock:
-            f, self.executor = self.facts, executor
+            self.executor = executor
             self.now = clock.now()
-            self.server = AdmissionController(
-                began,
-                executor,
-                random.Random(self.seed),
-                f.request_classes,
-                f.tenants,
-                f.machine,
-                f.limits,
-                f.below,
-                f.permissions,
-                f.fleet,
-                self._pools(began),
-            )
+            self.server = AdmissionController(began, executor, self.facts, self._pools(began))
             if self.stop_at is not None:
                 self.server.begin_drain(self.now, self.stop_at)
 
@@ -158,7 +155,7 @@
         try:
             act()
         except Exception:
-            self.metrics.record_internal_error("decisions", request.tid if request else "-")
+            self.metrics.record_internal_error("decisions", request.request_id if request else "-")
             if request is not None:
                 self.executor.finished(request)
 
@@ -213,18 +210,18 @@
                 return
             request.outcome, request.answer = outcome, answer
         if self.handling:
-            self.gates.append(request.gate)
+            self.gates.append(request.answer_gate)
         else:
-            request.gate.release()
+            request.answer_gate.release()
 
     def over(self, request: PendingRequest) -> None:
         """Its life has ended; if it got no answer on its way it errored."""
         if (
-            self.requests.get(request.tid) is request
+            self.requests.get(request.request_id) is request
         ):  # another may have come under its id, and was refused
-            del self.requests[request.tid]
+            del self.requests[request.request_id]
             self.answer(request, FAIL)
-            if request.entry is not None:
+            if request.key_entry is not None:
                 for waiter in self.repeats.ended(request, None, self.now):
                     self.later.append((waiter, RequestEvent.FAILED))
 
@@ -256,8 +253,8 @@
 def of(request: PendingRequest) -> dict[str, str]:
     """What each log line of a req carries."""
     return {
-        "req": request.tid,
-        "front": request.front,
+        "req": request.request_id,
+        "front": request.frontend_name,
         "handler": request.request_class.name,
-        "back_end": request.at,
+        "back_end": request.backend_name,
     }
--- a/gullyoke/runtime/duplicate_table.py
+++ b/gullyoke/runtime/duplicate_table.py
@@ -54,7 +54,7 @@
             and entry.content is not None
             and request.request_class.idempotency is Idempotency.KEYED
         )
-        return known and entry.content != request.content
+        return known and entry.content != request.body_digest
 
     def find(self, request, now: int):
         """The entry it repeats, if it came while that was alive, and what the decisions hear of
@@ -77,13 +77,13 @@
             old = self.entries.pop((request.request_class, request.key), None)
             if old is not None:
                 self._drop(old)
-            request.entry = self.entries[request.request_class, request.key] = Entry(
-                request, until, request.content
+            request.key_entry = self.entries[request.request_class, request.key] = Entry(
+                request, until, request.body_digest
             )
 
     def forget(self, request) -> list:
         """Take its entry out; who waited for it is handed back."""
-        entry, request.entry = request.entry, None
+        entry, request.key_entry = request.key_entry, None
         if entry is None:
             return []
         if self.entries.get((request.request_class, request.key)) is entry:
@@ -93,7 +93,7 @@
 
     def ended(self, request, result: Answer | None, now: int) -> list:
         """Its run is over: note how; who waits for it is handed back."""
-        entry = request.entry
+        entry = request.key_entry
         if entry is None or entry.holder is None:
             return []
         entry.holder, entry.ended = None, now
--- a/gullyoke/settings/site_settings.py
+++ b/gullyoke/settings/site_settings.py
@@ -11,16 +11,16 @@
 
 import math
 from collections.abc import Mapping
-from typing import NamedTuple
 
 from gullyoke.admission.interface import (
-    Below,
+    DependencyFacts,
     Fleet,
     Idempotency,
     Limits,
     Machine,
     Permissions,
     RequestClass,
+    SiteFacts,
     StopMode,
     Tenant,
 )
@@ -43,18 +43,6 @@
     """A setting that is missing or can't be right; the text names its key."""
 
 
-class Facts(NamedTuple):
-    """The port's records, as read from one set of settings."""
-
-    request_classes: list[RequestClass]
-    tenants: list[Tenant]
-    machine: Machine
-    limits: Limits
-    below: Below
-    permissions: Permissions
-    fleet: Fleet
-
-
 class Stated:
     """Typed readings of text pairs; every fault names the whole path of its key."""
 
@@ -147,7 +135,7 @@
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def facts_of(pairs: Mapping[str, str]) -> Facts:
+def parse_site_facts(pairs: Mapping[str, str]) -> SiteFacts:
     get = Stated(pairs)
     info = get.at("FamilyInfo")
     calls = info.listed("CallsByClass", TRUTHS.__getitem__)
@@ -194,7 +182,7 @@
         rules.whole("ColdUs"),
     )
     shared = info.text("DependsOn", "off") == "one_for_all"
-    below = Below(
+    below = DependencyFacts(
         info.choice("DependsOn", BELOW, False),
         info.number("CallsOut", None) if shared else None,
         info.whole("ShareSpanUs", 0),
@@ -219,4 +207,4 @@
         info.whole("FreshForUs", 0),
         info.whole("Callers", 0),
     )
-    return Facts(request_classes, tenants, machine, limits, below, permissions, fleet)
+    return SiteFacts(request_classes, tenants, machine, limits, below, permissions, fleet)
--- a/gullyoke/simulator_adapter/batches.py
+++ b/gullyoke/simulator_adapter/batches.py
@@ -5,7 +5,6 @@
 
 from __future__ import annotations
 
-import random
 import traceback
 from collections.abc import Callable, Iterable
 from typing import TextIO
@@ -28,7 +27,7 @@
     SkipDependencyCall,
 )
 from gullyoke.errors import GullyokeError
-from gullyoke.settings.site_settings import Facts, facts_of
+from gullyoke.settings.site_settings import SiteFacts, parse_site_facts
 
 RUN_ENDS = {
     "200": RequestEvent.COMPLETED,
@@ -63,7 +62,7 @@
 class Ticketed(Request):
     """A req with its id on the wire."""
 
-    __slots__ = ("tid",)
+    __slots__ = ("request_id",)
 
 
 class Seat:
@@ -72,7 +71,7 @@
     `reqs` holds those in hand.
     """
 
-    def __init__(self, now: int, seed: int, facts: Facts) -> None:
+    def __init__(self, now: int, seed: int, facts: SiteFacts) -> None:
         self.lines: list[str] = []
         self.requests: dict[str, Ticketed] = {}
         self.request_classes = {h.name: h for h in facts.request_classes}
@@ -80,42 +79,31 @@
         self.server = None
         guarded(self, lambda: self.open(now, seed, facts))
 
-    def open(self, now: int, seed: int, facts: Facts) -> None:
-        self.server = AdmissionController(
-            now,
-            self,
-            random.Random(seed),
-            facts.request_classes,
-            facts.tenants,
-            facts.machine,
-            facts.limits,
-            facts.below,
-            facts.permissions,
-            facts.fleet,
-        )
+    def open(self, now: int, seed: int, facts: SiteFacts) -> None:
+        self.server = AdmissionController(now, self, facts)
 
     # The Door.
 
     def execute(self, request: Ticketed, command) -> None:
         if isinstance(command, Reject):
-            text = f"bounce Tid={request.tid}"
+            text = f"bounce Tid={request.request_id}"
             if command.stop_retrying:
                 text += " DontRetry=1"
             if command.retry_after:
                 text += f" RetryInUs={command.retry_after}"
         elif isinstance(command, CallDependency):
-            text = f"ask_below Tid={request.tid} TryForUs={command.timeout}"
+            text = f"ask_below Tid={request.request_id} TryForUs={command.timeout}"
         elif isinstance(command, RememberKey):
-            text = f"keep Tid={request.tid} SpanUs={command.duration}"
+            text = f"keep Tid={request.request_id} SpanUs={command.duration}"
         else:
             action = ACTIONS.get(type(command))
             if action is None:
                 return
-            text = f"{action} Tid={request.tid}"
+            text = f"{action} Tid={request.request_id}"
         self.lines.append(text)
 
     def finished(self, request: Ticketed) -> None:
-        self.requests.pop(request.tid, None)
+        self.requests.pop(request.request_id, None)
 
     def schedule_tick(self, after: int) -> None:
         self.lines.append(f"notify_me SpanUs={after} Token=1")
@@ -155,8 +143,8 @@
             int(get.get("CostUs", 0)),
             float(get.get("Standing", 0)),
         )
-        request.tid = get["Tid"]
-        self.requests[request.tid] = request
+        request.request_id = get["Tid"]
+        self.requests[request.request_id] = request
         self.server.on_request(now, request)
 
     def tell(self, now: int, get: dict[str, str], word: RequestEvent) -> None:
@@ -258,7 +246,7 @@
         elif not self.who:
             raise ValueError(f"'{name}' before any 'on'")
         elif name == "configure":
-            seat = Seat(self.now, int(get["Entropy"]), facts_of(get))
+            seat = Seat(self.now, int(get["Entropy"]), parse_site_facts(get))
             seat.server = Checked(seat)
             self.seats[self.who], self.touched[self.who] = seat, None
         elif name == "power_off":
--- a/tests/compatibility/test_configuration.py
+++ b/tests/compatibility/test_configuration.py
@@ -7,7 +7,7 @@
 
 from compatibility.recorded import DATA
 from gullyoke.admission.interface import (
-    Below,
+    DependencyFacts,
     Fleet,
     Idempotency,
     Limits,
@@ -18,10 +18,10 @@
     Tenant,
 )
 from gullyoke.daemon.configuration import load_configuration
-from gullyoke.settings.site_settings import ConfigurationError, Facts, facts_of, flat
+from gullyoke.settings.site_settings import ConfigurationError, SiteFacts, flat, parse_site_facts
 
 FILE = DATA / "daemon.json"
-FACTS = Facts(
+FACTS = SiteFacts(
     [
         RequestClass(
             "view", 250_000, 700_000, 1.5, Idempotency.IDEMPOTENT, 0.25, 3_000_000, True, 0.4, 2.0
@@ -36,7 +36,7 @@
     [Tenant("acme", 12.5), Tenant("zenith", 60.0)],
     Machine(4, 50_000.0, 4.5, 12.25, True, StopMode.FREEZE, ("core_use", "on_cores", "links")),
     Limits(80_000, 2_000_000, 8.0, 1_500_000, 0.25, 18_000_000),
-    Below(True, 6.25, 5_000_000, 200_000),
+    DependencyFacts(True, 6.25, 5_000_000, 200_000),
     Permissions(True, 1_000_000, "floor", 1_000_000, True, True, True, True, 30_000_000),
     Fleet(12, True, 0.125, 900_000, 7),
 )
@@ -131,7 +131,7 @@
         self.assertEqual(pairs["FamilyInfo.CallsByClass"], "true,false,true")
         self.assertEqual(pairs["FamilyInfo.OwnStats"], "core_use,on_cores,links")
         self.assertNotIn("Unknown.Key", pairs)
-        self.assertEqual(values(facts_of(pairs)), values(FACTS))
+        self.assertEqual(values(parse_site_facts(pairs)), values(FACTS))
 
 
 class Settings(unittest.TestCase):
@@ -172,13 +172,13 @@
         ):
             for word, value in words.items():
                 with self.subTest(key, word=word):
-                    read = values(facts_of(self.pairs(**{key: word}))[part])
+                    read = values(parse_site_facts(self.pairs(**{key: word})))[part]
                     self.assertEqual((read[0] if part == 0 else read)[place], value)
             with self.subTest(key), self.assertRaises(ConfigurationError):
-                facts_of(self.pairs(**{key: "else"}))
+                parse_site_facts(self.pairs(**{key: "else"}))
 
     def test_share_below_counts_only_where_all_share_it(self):
-        self.assertIsNone(values(facts_of(self.pairs(FamilyInfo_DependsOn="tier"))[4])[1])
+        self.assertIsNone(values(parse_site_facts(self.pairs(FamilyInfo_DependsOn="tier")))[4][1])
 
     def test_defaults(self):
         """What stands where a setting is absent."""
@@ -201,9 +201,9 @@
             "Rules.ColdUs": "18000000",
         }
         self.assertEqual(
-            values(facts_of(needed)),
+            values(parse_site_facts(needed)),
             values(
-                Facts(
+                SiteFacts(
                     [
                         RequestClass(
                             "view",
@@ -221,7 +221,7 @@
                     [],
                     Machine(4, 50_000.0, 4.0, 0.0, False, StopMode.NEVER, ()),
                     Limits(80_000, 2_000_000, 8.0, 1_500_000, 0.25, 18_000_000),
-                    Below(False, None, 0, 0),
+                    DependencyFacts(False, None, 0, 0),
                     Permissions(False, 0, None, 0, False, False, False, False, 0),
                     Fleet(1, False, 1.0, 0, 0),
                 )
@@ -229,7 +229,7 @@
         )
         for key in needed:
             with self.subTest(key), self.assertRaises(ConfigurationError) as fault:
-                facts_of({name: text for name, text in needed.items() if name != key})
+                parse_site_facts({name: text for name, text in needed.items() if name != key})
             self.assertIn(key, str(fault.exception))
 
 
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -113,7 +113,13 @@
             game.line(line)
         first, second = game.seats["server_0"].requests.values()
         self.assertEqual(
-            (first.tid, first.request_class.name, first.arrived, first.deadline, first.memory_kb),
+            (
+                first.request_id,
+                first.request_class.name,
+                first.arrived,
+                first.deadline,
+                first.memory_kb,
+            ),
             ("00000000000000a1", "book", 1_000_000, 2_200_000, 0.0),
         )
         self.assertEqual(
@@ -129,7 +135,7 @@
         )
         self.assertEqual(
             (
-                second.tid,
+                second.request_id,
                 second.request_class.name,
                 second.arrived,
                 second.deadline,
@@ -153,11 +159,11 @@
         game = Play()
         for line in ("frame TimeUs=1000000 seq=1", "on Who=server_0", CONFIGURE):
             game.line(line)
-        for tid, (text, value) in enumerate(
+        for request_id, (text, value) in enumerate(
             (("1", True), ("0", False), ("true", True), ("false", False))
         ):
-            game.line(f"arrival Tid={tid:016x} Type=view Resent={text}")
-            self.assertIs(game.seats["server_0"].requests[f"{tid:016x}"].is_retry, value)
+            game.line(f"arrival Tid={request_id:016x} Type=view Resent={text}")
+            self.assertIs(game.seats["server_0"].requests[f"{request_id:016x}"].is_retry, value)
 
     def test_gauges(self):
         """The server's own gauges by their names; one that is not told is None."""
--- a/tests/crossing/live.py
+++ b/tests/crossing/live.py
@@ -17,7 +17,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from unittest import mock
 
-from standins import PATIENCE, ROOT, Sockets, message, tid
+from standins import PATIENCE, ROOT, Sockets, message, request_id
 
 from gullyoke.daemon import daemon as house_module
 from gullyoke.daemon.configuration import load_configuration
@@ -173,13 +173,13 @@
         """The engine says that its run is over."""
         self.engine.notices += 1
         self.engine.say(
-            f"DONE {self.engine.notices} {tid(name)} {end} 12 {len(text)}\r\n{text}\r\n"
+            f"DONE {self.engine.notices} {request_id(name)} {end} 12 {len(text)}\r\n{text}\r\n"
         )
 
     def need(self, name, text="question"):
         """The engine says that its run waits for a call."""
         self.engine.notices += 1
-        self.engine.say(f"NEED {self.engine.notices} {tid(name)} {len(text)}\r\n{text}\r\n")
+        self.engine.say(f"NEED {self.engine.notices} {request_id(name)} {len(text)}\r\n{text}\r\n")
 
     def served(self, client, name, **fields):
         """One request, from its first byte to its answer."""
--- a/tests/crossing/test_connections.py
+++ b/tests/crossing/test_connections.py
@@ -26,7 +26,7 @@
 from gullyoke.runtime.lifecycle import Lifecycle
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.worker_pool import WorkerPool
-from gullyoke.settings.site_settings import facts_of, flat
+from gullyoke.settings.site_settings import flat, parse_site_facts
 
 
 class Idle(unittest.TestCase):
@@ -237,7 +237,7 @@
 
         The client is told by the end of the connection at once.
         """
-        dispatcher = Dispatcher(facts_of(flat(site())), 1, Metrics())
+        dispatcher = Dispatcher(parse_site_facts(flat(site())), 1, Metrics())
         real = connections_module.shut
         for _ in range(REPEATS):
             lifecycle, metrics = Lifecycle(0), Metrics()
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -9,7 +9,7 @@
 import unittest
 from unittest import mock
 
-from standins import PATIENCE, tid
+from standins import PATIENCE, request_id
 
 from crossing.live import REPEATS, Live, apart, eventually
 from gullyoke.admission.interface import PAST, Idempotency, RequestClass, RequestEvent
@@ -81,7 +81,7 @@
                 for i in range(REPEATS):
                     client.send(f"x{i}")
                     live.run(f"x{i}")
-                    live.dispatcher.requests[tid(f"x{i}")].gate.expire()
+                    live.dispatcher.requests[request_id(f"x{i}")].answer_gate.expire()
                     self.assertEqual(
                         client.answer(), (200, "fine") if first == "run" else (500, "")
                     )
@@ -99,7 +99,7 @@
 
 
 def request_name(request):
-    return bytes.fromhex(request.tid).lstrip(b"\0").decode()
+    return bytes.fromhex(request.request_id).lstrip(b"\0").decode()
 
 
 class Keyed(unittest.TestCase):
@@ -150,7 +150,8 @@
                     live.run(f"f{i}")
                     two.send(f"r{i}", "book", of=f"k{i}", **{"Replay-Key": f"k{i}"})
                     eventually(
-                        lambda i=i: tid(f"r{i}") in live.dispatcher.requests, "the repeat in hand"
+                        lambda i=i: request_id(f"r{i}") in live.dispatcher.requests,
+                        "the repeat in hand",
                     )
                     live.done(f"f{i}", "fine" if end == "ok" else "", end)
                     self.assertEqual(one.answer(), wanted)
@@ -173,8 +174,8 @@
                     request_class=request_class,
                     key="k",
                     arrived=arrived,
-                    content=content,
-                    entry=None,
+                    body_digest=content,
+                    key_entry=None,
                 )
 
             repeats, first = Repeats(0), request(0)
@@ -203,15 +204,17 @@
                 name = request_name(asked.request)
                 eventually(lambda: name in live.db.carries, "the call at the database")
                 link = live.db.carries[name][-1]
-                live.db.say(f"{asked.request.tid} ROWS 5\r\nreply\r\n", link)
+                live.db.say(f"{asked.request.request_id} ROWS 5\r\nreply\r\n", link)
                 if first == "reply":
                     eventually(lambda: asked.over, "the reply read")
-                    eventually(lambda: asked.request.asked is not asked, "the reply taken")
+                    eventually(
+                        lambda: asked.request.dependency_call is not asked, "the reply taken"
+                    )
 
             def before_ended(database, asked):
                 reading = threading.current_thread().name == "database"
                 if first == "limit" and reading and asked in turn:
-                    eventually(lambda: asked.request.asked is not asked, "given up")
+                    eventually(lambda: asked.request.dependency_call is not asked, "given up")
 
             def called(relay, request, word, reply):
                 heard.append(word)
@@ -305,7 +308,7 @@
                     live.need("same", f"q{i}x{n}")
                     got = live.db.heard.get(timeout=PATIENCE)
                     self.assertEqual(got[:3], ["Q", "same", f"q{i}x{n}"])
-                    reply = f"{tid('same')} ROWS 4\r\nr{n:03}\r\n"
+                    reply = f"{request_id('same')} ROWS 4\r\nr{n:03}\r\n"
                     live.db.say(reply + (reply if n == 0 else ""), got[3])
                     got = live.engine.heard.get(timeout=PATIENCE)
                     self.assertEqual(got[:3], ["FEED", "same", f"r{n:03}"])
@@ -333,12 +336,14 @@
                 self.assertEqual(got, str(live.engine.notices))
                 live.engine.notices += 1
                 for _ in range(2):
-                    live.engine.say(f"NEED {live.engine.notices} {tid(f'b{i}')} 3\r\nask\r\n")
+                    live.engine.say(
+                        f"NEED {live.engine.notices} {request_id(f'b{i}')} 3\r\nask\r\n"
+                    )
                 self.assertEqual(live.db.heard.get(timeout=PATIENCE)[:3], ["Q", f"b{i}", "ask"])
                 live.engine.notices += 1
                 for _ in range(2):
                     live.engine.say(
-                        f"DONE {live.engine.notices} {tid(f'b{i}')} ok 12 4\r\nfine\r\n"
+                        f"DONE {live.engine.notices} {request_id(f'b{i}')} ok 12 4\r\nfine\r\n"
                     )
                 self.assertEqual(client.answer(), (200, "fine"))
                 eventually(lambda: not live.dispatcher.requests, "out of hand")
--- a/tests/executors/test_writing.py
+++ b/tests/executors/test_writing.py
@@ -15,14 +15,14 @@
 from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
 from gullyoke.runtime.messages import Message
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.settings.site_settings import facts_of, flat
+from gullyoke.settings.site_settings import flat, parse_site_facts
 
 
 def request(number):
     return types.SimpleNamespace(
-        tid=f"{number:016x}",
+        request_id=f"{number:016x}",
         request_class=types.SimpleNamespace(name="view"),
-        noticed=0,
+        notices_read=0,
         message=Message(("", "", ""), {}, bytes([65 + number % 26]) * 2000),
     )
 
@@ -79,7 +79,7 @@
             engine.heard = types.SimpleNamespace(dispatcher=types.SimpleNamespace(requests={}))
             threading.Thread(target=swallow, args=(theirs,), daemon=True).start()
             kept = request(0)
-            engine.heard.dispatcher.requests[kept.tid] = kept
+            engine.heard.dispatcher.requests[kept.request_id] = kept
             engine.run(kept)
             for i in range(2000):
                 engine.run(request(i))
@@ -98,7 +98,7 @@
             engine.rest = b"half a command\r\n"
             engine.attached = False
             one = request(1)
-            engine.heard.dispatcher.requests[one.tid] = one
+            engine.heard.dispatcher.requests[one.request_id] = one
             engine.run(one)
             engine.reattached()
             theirs.settimeout(10)
@@ -109,14 +109,16 @@
 
         Woken before, it would wait for the one that woke it.
         """
-        facts = facts_of(flat(site()))
+        facts = parse_site_facts(flat(site()))
         dispatcher = Dispatcher(facts, 1, Metrics())
-        dispatcher.executor = types.SimpleNamespace(over=lambda _: None, do=None)
+        dispatcher.executor = types.SimpleNamespace(finished=lambda _: None, execute=None)
         dispatcher.server = types.SimpleNamespace(dispatch=lambda _: None)
         one = PendingRequest(facts.request_classes[0], 0, 10**9, 1.0)
-        one.carry("1" * 16, None, Message(("", "", ""), {}, b""), "gateway")
+        one.attach_message("1" * 16, None, Message(("", "", ""), {}, b""), "gateway")
         locked = []
-        one.gate = types.SimpleNamespace(release=lambda: locked.append(dispatcher.lock.locked()))
+        one.answer_gate = types.SimpleNamespace(
+            release=lambda: locked.append(dispatcher.lock.locked())
+        )
         dispatcher.handle(lambda: dispatcher.answer(one, FAIL), one)
         self.assertEqual(locked, [False])
 
--- a/tests/frontends/test_fronts.py
+++ b/tests/frontends/test_fronts.py
@@ -7,7 +7,7 @@
 import unittest
 from unittest import mock
 
-from standins import message, site, tid
+from standins import message, request_id, site
 from test_scenarios import Pieces
 
 from gullyoke.admission.interface import Enqueue, Fail, Reject, RememberKey, RequestEvent, Run
@@ -17,7 +17,7 @@
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.settings.site_settings import facts_of, flat
+from gullyoke.settings.site_settings import flat, parse_site_facts
 
 START = 1_764_576_000_000_000
 
@@ -29,12 +29,12 @@
         self.dispatcher, self.said, self.due = dispatcher, [], None
 
     def execute(self, request, command):
-        self.said.append((self.dispatcher.now, command, request.tid))
+        self.said.append((self.dispatcher.now, command, request.request_id))
         if isinstance(command, Reject | Fail):
             self.dispatcher.answer(request, command)
 
     def finished(self, request):
-        self.said.append((self.dispatcher.now, "over", request.tid))
+        self.said.append((self.dispatcher.now, "over", request.request_id))
         self.dispatcher.over(request)
 
     def schedule_tick(self, after):
@@ -63,7 +63,7 @@
     def __init__(self, script, through, cut=None):
         self.now, self.arrived = START, 0
         self.through, self.cut = through, cut
-        facts = facts_of(flat(site(target=600, timeout=2500, cores=2, grace=300)))
+        facts = parse_site_facts(flat(site(target=600, timeout=2500, cores=2, grace=300)))
         with (
             mock.patch.object(clock, "now", lambda: self.now),
             mock.patch.object(clock, "since", lambda stamp: max(0, self.now - stamp * 1000)),
@@ -101,7 +101,7 @@
         )
 
     def tell(self, name, word):
-        request = self.dispatcher.requests.get(tid(name))
+        request = self.dispatcher.requests.get(request_id(name))
         if request is not None:
             self.dispatcher.tell(request, word)
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -99,7 +99,7 @@
     }
 
 
-def tid(name):
+def request_id(name):
     return name.encode().hex().rjust(16, "0")
 
 
@@ -119,7 +119,7 @@
     if scgi:
         fields |= {"Content-Length": "no"}
     given = {
-        "Trace-Id": tid(name),
+        "Trace-Id": request_id(name),
         "Accepted-At-Ms": str(int(time.time() * 1000)),
         "Client-No": "1",
         "Reserve-Kb": "10.0",
@@ -506,9 +506,9 @@
             text = " ".join(rest[1 if verb == "need" else 2 :])
             tail = f"{len(text)}\r\n{text}\r\n"
             if verb == "need":
-                engine.say(f"NEED {engine.notices} {tid(rest[0])} {tail}")
+                engine.say(f"NEED {engine.notices} {request_id(rest[0])} {tail}")
             else:
-                engine.say(f"DONE {engine.notices} {tid(rest[0])} {rest[1]} 12 {tail}")
+                engine.say(f"DONE {engine.notices} {request_id(rest[0])} {rest[1]} 12 {tail}")
         else:
             self.peer(engine, verb, rest)
 
@@ -516,9 +516,14 @@
         if verb in ("ROWS", "FULL", "FAIL", "TIMEOUT", "NONE"):
             text = " ".join(rest[1:])
             tail = f" {len(text)}\r\n{text}" if verb == "ROWS" else ""
-            self.db.say(f"{tid(rest[0])} {verb}{tail}\r\n", self.db.carries[rest[0]][-1])
+            self.db.say(f"{request_id(rest[0])} {verb}{tail}\r\n", self.db.carries[rest[0]][-1])
         elif verb in ("on", "before"):
-            text = " ".join(rest[1:]).replace("ID", tid(rest[0])).encode().decode("unicode_escape")
+            text = (
+                " ".join(rest[1:])
+                .replace("ID", request_id(rest[0]))
+                .encode()
+                .decode("unicode_escape")
+            )
             self.db.say(text, self.db.carries[rest[0]][-1 if verb == "on" else -2])
         else:
             self.peer(self.db, verb, rest)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -9,7 +9,6 @@
 import logging
 import pathlib
 import queue
-import random
 import tempfile
 import unittest
 from concurrent.futures import ThreadPoolExecutor
@@ -23,9 +22,9 @@
     RUN,
     Await,
     AwaitDuplicate,
-    Below,
     CallDependency,
     Cancel,
+    DependencyFacts,
     Enqueue,
     Fail,
     Fleet,
@@ -41,6 +40,7 @@
     RequestClass,
     RequestEvent,
     Run,
+    SiteFacts,
     SkipDependencyCall,
     StopMode,
     Tenant,
@@ -53,7 +53,7 @@
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, PeerKind, outcome
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.metrics import Bounded, Metrics
-from gullyoke.settings.site_settings import ConfigurationError, facts_of, flat
+from gullyoke.settings.site_settings import ConfigurationError, flat, parse_site_facts
 from gullyoke.simulator_adapter import batches
 from gullyoke.simulator_adapter.batches import MalformedMessageError
 
@@ -203,15 +203,12 @@
             False,
             30_000_000,
         )
-        self.server = AdmissionController(
-            self.now,
-            self,
-            random.Random(1),
+        facts = SiteFacts(
             list(self.request_classes.values()),
             list(self.tenants.values()),
             machine,
             limits,
-            Below(True, share, span, int(g["linger"] * 1000)),
+            DependencyFacts(True, share, span, int(g["linger"] * 1000)),
             permissions,
             Fleet(
                 int(g["fleet"]),
@@ -221,6 +218,7 @@
                 int(g["callers"]),
             ),
         )
+        self.server = AdmissionController(self.now, self, facts)
 
     def until(self, time):
         """Let the wake-ups up to then come."""
@@ -464,7 +462,7 @@
             (right.listen, right.seed, right.stop), (("127.0.0.1", 7001), 0x8C1F, 3_200_000)
         )
         self.assertEqual(right.facts.request_classes[1].idempotency, Idempotency.KEYED)
-        self.assertEqual(right.facts.below.share, 50.0)
+        self.assertEqual(right.facts.dependency.call_quota, 50.0)
         for path, value, said in (
             ("name", None, "'name'"),
             ("name", "a b", "'name'"),
@@ -593,8 +591,8 @@
     def test_fault(self):
         """An error in the decisions costs its own req an errored answer; the desk goes on."""
         dispatcher, request = (
-            Dispatcher(facts_of(flat(site())), 1, Metrics()),
-            mock.Mock(outcome=None, entry=None, tid="a"),
+            Dispatcher(parse_site_facts(flat(site())), 1, Metrics()),
+            mock.Mock(outcome=None, key_entry=None, request_id="a"),
         )
         dispatcher.server, dispatcher.requests["a"] = mock.Mock(), request
         dispatcher.executor = mock.Mock(finished=dispatcher.over)
@@ -602,7 +600,7 @@
         with self.assertLogs("gullyoke", "ERROR"):
             dispatcher.tell(request, RequestEvent.DEPENDENCY_CALL_NEEDED)
         self.assertIs(request.outcome, FAIL)
-        self.assertTrue(request.gate.release.called and dispatcher.server.dispatch.called)
+        self.assertTrue(request.answer_gate.release.called and dispatcher.server.dispatch.called)
         self.assertFalse(dispatcher.lock.locked() or dispatcher.requests)
 
     def test_beat(self):
@@ -620,7 +618,7 @@
         Between them the lock is free and the last policy stands.
         """
         dispatcher, learner = (
-            Dispatcher(facts_of(flat(site())), 1, Metrics()),
+            Dispatcher(parse_site_facts(flat(site())), 1, Metrics()),
             Learner(0, 40, 2, 1e5, 1e-6),
         )
         learner.steepness, last = [1.0] * 41, learner.policy
