--- a/gullyoke/daemon/command_router.py
+++ b/gullyoke/daemon/command_router.py
@@ -64,23 +64,22 @@
         elif isinstance(command, CallDependency):
             self.database.ask(request, command.timeout)
         elif isinstance(command, RememberKey):
-            dispatcher.repeats.keep(request, dispatcher.now + command.duration)
+            dispatcher.duplicates.remember(request, dispatcher.now + command.duration)
         elif command is FORGET_KEY:
-            dispatcher.later.extend(
-                (waiter, RequestEvent.FAILED) for waiter in dispatcher.repeats.forget(request)
-            )
+            for waiter in dispatcher.duplicates.forget(request):
+                dispatcher.post_event(waiter, RequestEvent.FAILED)
         elif command is AWAIT_DUPLICATE:
             self.reuse(request)
 
     def reuse(self, request: PendingRequest) -> None:
-        entry, _ = self.dispatcher.repeats.find(request, self.dispatcher.now)
+        entry, _ = self.dispatcher.duplicates.find(request, self.dispatcher.now)
         if entry is not None and entry.holder is not None:
             entry.waiting.append(request)
         elif entry is not None and entry.result is not None:
             self.dispatcher.answer(request, RequestEvent.COMPLETED, entry.result)
-            self.dispatcher.later.append((request, RequestEvent.COMPLETED))
+            self.dispatcher.post_event(request, RequestEvent.COMPLETED)
         else:
-            self.dispatcher.later.append((request, RequestEvent.FAILED))
+            self.dispatcher.post_event(request, RequestEvent.FAILED)
 
     def finished(self, request: PendingRequest) -> None:
         if request.dependency_call is not None:
@@ -125,5 +124,5 @@
             if tag != self.awaited:
                 return
             self.awaited += 1
-            self.dispatcher.repeats.expire(self.dispatcher.now)
+            self.dispatcher.duplicates.expire(self.dispatcher.now)
         self.dispatcher.gauges(got)
--- a/gullyoke/daemon/daemon.py
+++ b/gullyoke/daemon/daemon.py
@@ -26,7 +26,8 @@
 from gullyoke.runtime import clock, signals
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.lifecycle import Lifecycle
-from gullyoke.runtime.metrics import Metrics, log, pairs, start_log
+from gullyoke.runtime.logs import log, log_fields, start_logging
+from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.timer import Timer
 from gullyoke.settings.site_settings import ConfigurationError
 
@@ -94,7 +95,7 @@
         sys.setswitchinterval(0.001)  # a thread that solves holds up others this long at most
         self.configuration, self.metrics, self.extra = configuration, Metrics(), extra
         self.features: list[Feature] = extra.features if extra else []
-        self.logging = start_log(configuration.level, form)
+        self.logging = start_logging(configuration.level, form)
         self.timer = Timer(self.metrics)
         self.dispatcher = Dispatcher(configuration.facts, configuration.seed, self.metrics)
         self.calls = configuration.sockets // CALLS
@@ -153,7 +154,7 @@
             self.naming.start()
         log.info(
             "started",
-            extra=pairs(
+            extra=log_fields(
                 name=self.configuration.name, listen=":".join(map(str, self.configuration.listen))
             ),
         )
@@ -193,11 +194,11 @@
         try:
             new = load_configuration(os.environ, self.configuration.engine is None)
         except ConfigurationError as fault:
-            log.error("configuration kept", extra=pairs(why=fault))
+            log.error("configuration kept", extra=log_fields(why=fault))
             return
         if (strange := self.configuration.strange(new)) is not None:
             log.error(
-                "configuration kept", extra=pairs(why=f"'{strange}' is that of another server")
+                "configuration kept", extra=log_fields(why=f"'{strange}' is that of another server")
             )
             return
         if self.extra and not self.extra.reload():
@@ -216,7 +217,7 @@
         )
         log.warning(
             "configuration read",
-            extra=pairs(
+            extra=log_fields(
                 taken=",".join(x for x in changed if x in TAKEN) or "-",
                 ignored=",".join(x for x in changed if x not in TAKEN) or "-",
             ),
@@ -229,7 +230,7 @@
         """
         log.info(
             "leaving",
-            extra=pairs(
+            extra=log_fields(
                 stop_ms=self.configuration.stop // 1000, in_hand=len(self.dispatcher.requests)
             ),
         )
@@ -245,7 +246,7 @@
             time.sleep(0.005)
         log.info(
             "left",
-            extra=pairs(
+            extra=log_fields(
                 in_hand=len(self.dispatcher.requests), connections=len(self.connections.open)
             ),
         )
--- a/gullyoke/daemon/event_relay.py
+++ b/gullyoke/daemon/event_relay.py
@@ -9,8 +9,9 @@
 from gullyoke.daemon.command_router import Route
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
+from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.messages import Answer
-from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.metrics import Metrics
 
 RUN_ENDS = {
     "ok": RequestEvent.COMPLETED,
@@ -31,7 +32,7 @@
         if self.dispatcher.server is None:
             self.dispatcher.facts.machine.starts_cold |= state == "cold"
             self.dispatcher.open(self.route, clock.now() - ms * 1000)
-            log.info("serving", extra=pairs(engine=state, up_ms=ms))
+            log.info("serving", extra=log_fields(engine=state, up_ms=ms))
 
     def done(self, request_id: str, end: str, result: bytes) -> None:
         self.metrics.increment(f"runs.{end}")
@@ -62,13 +63,13 @@
             RequestEvent.NOT_STARTED,
             RequestEvent.NO_CAPACITY,
         ):
-            for waiter in dispatcher.repeats.ended(
+            for waiter in dispatcher.duplicates.run_ended(
                 request, result if word is RequestEvent.COMPLETED else None, dispatcher.now
             ):
                 if word is RequestEvent.COMPLETED:
                     dispatcher.answer(waiter, word, result)
-                dispatcher.later.append(
-                    (waiter, word if word is RequestEvent.COMPLETED else RequestEvent.FAILED)
+                dispatcher.post_event(
+                    waiter, word if word is RequestEvent.COMPLETED else RequestEvent.FAILED
                 )
         dispatcher.server.on_event(dispatcher.now, request, word)
 
@@ -89,7 +90,7 @@
         self.metrics.increment("engine.no")
         log.warning(
             "the engine did not carry out a command",
-            extra=pairs(command=command, request=request_id),
+            extra=log_fields(command=command, request=request_id),
         )
         if command == "RUN":
             self._with(
--- a/gullyoke/daemon/service_discovery.py
+++ b/gullyoke/daemon/service_discovery.py
@@ -15,8 +15,9 @@
 from gullyoke.codec.buffer import Buffer
 from gullyoke.runtime import clock
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, served
+from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.messages import BadRequestError
-from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.sockets import Until, connected
 
 EVERY, LIMIT = 0.8, 0.5  # seconds between reports, and for each; an entry lapses after 3
@@ -55,7 +56,7 @@
                 log.log(
                     DEBUG if end is last else WARNING,
                     "report to the name service failed",
-                    extra=pairs(end=end.value, why=why),
+                    extra=log_fields(end=end.value, why=why),
                 )
             last = end
             wait = EVERY if end is CloseReason.DECLARED else pause
--- a/gullyoke/dependencies/database.py
+++ b/gullyoke/dependencies/database.py
@@ -23,7 +23,8 @@
     outcome,
     served,
 )
-from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.logs import log, log_fields
+from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.sockets import Receiver, connected, shut
 from gullyoke.runtime.timer import Timer
 
@@ -282,7 +283,7 @@
             log.log(
                 DEBUG if end is self.last else WARNING,
                 "connection to the database ended",
-                extra=pairs(end=end.value, why=why, used=wire is not None and bool(wire.last)),
+                extra=log_fields(end=end.value, why=why, used=wire is not None and bool(wire.last)),
             )
             self.last = end
         if asked is not None and self._ended(asked):
--- a/gullyoke/durability/condition.py
+++ b/gullyoke/durability/condition.py
@@ -162,10 +162,10 @@
     def _worse(self, now: int, state: State, why: str) -> None:
         self.good, self.cause = 0, why
         if self.bad is None:
-            soon = now - self.returned < max(RELAPSE, 2 * self.dwell)
+            post_event = now - self.returned < max(RELAPSE, 2 * self.dwell)
             self.dwell = (
                 min(DWELL_LONGEST, 2 * self.dwell)
-                if soon and self.returned >= self.since
+                if post_event and self.returned >= self.since
                 else DWELL
             )
             self.since, self.pause, self.next = now, TRIAL, now + TRIAL
--- a/gullyoke/executors/engine_link.py
+++ b/gullyoke/executors/engine_link.py
@@ -14,7 +14,8 @@
 from gullyoke.codec.buffer import Buffer
 from gullyoke.codec.lines import command
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, served
-from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.logs import log, log_fields
+from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.sockets import Receiver, connected, shut
 
 CONNECT = 1.0  # seconds for a connection to come about
@@ -178,7 +179,7 @@
             log.log(
                 DEBUG if end is last else WARNING,
                 "link to the engine ended",
-                extra=pairs(end=end.value, why=why),
+                extra=log_fields(end=end.value, why=why),
             )
             last = end
             pause = PAUSES[0] if self.last > before else min(2 * pause, PAUSES[1])
--- a/gullyoke/executors/scgi_backends.py
+++ b/gullyoke/executors/scgi_backends.py
@@ -30,9 +30,10 @@
 )
 from gullyoke.runtime import clock
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, end_of
-from gullyoke.runtime.dispatcher import PendingRequest, of
+from gullyoke.runtime.dispatcher import PendingRequest, log_identity
+from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.messages import Answer
-from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.sockets import ConnectionBrokenError, Until, connected, shut
 from gullyoke.runtime.worker_pool import WorkerPool
 
@@ -109,7 +110,7 @@
         if came or go:
             log.info(
                 "back ends stated",
-                extra=pairs(came=",".join(came) or "-", leaving=",".join(go) or "-"),
+                extra=log_fields(came=",".join(came) or "-", leaving=",".join(go) or "-"),
             )
         self.follow(moves)
 
@@ -129,7 +130,7 @@
         with self.lock:
             self.runs[request] = run
             moves = self.dispatch.begin(clock.now(), run)
-        self.follow(moves, self.heard.dispatcher.soon)
+        self.follow(moves, self.heard.dispatcher.post_event)
 
     def feed(self, request: PendingRequest, reply: bytes) -> None:
         """No call of a back end's run comes by us."""
@@ -151,7 +152,7 @@
             sock = carriage.sock if carriage else None
             if sock is not None and self.closes:
                 shut(sock)
-        self.follow(moves, self.heard.dispatcher.soon)
+        self.follow(moves, self.heard.dispatcher.post_event)
 
     def flush(self) -> None:
         """Each run has a thread of its own, which sends it."""
@@ -273,7 +274,8 @@
         self.metrics.increment(f"backends.{fate.value}")
         if fate not in (Fate.DONE, Fate.STOPPED):
             log.warning(
-                "try at a back end failed", extra=pairs(fate=fate.value, why=why, **of(request))
+                "try at a back end failed",
+                extra=log_fields(fate=fate.value, why=why, **log_identity(request)),
             )
         with self.lock:
             self.carried.pop(run, None)
@@ -297,7 +299,7 @@
         log.log(
             WARNING if aside else INFO,
             "back end stands otherwise",
-            extra=pairs(back_end=member.stated.name, standing=standing.value, **trial),
+            extra=log_fields(back_end=member.stated.name, standing=standing.value, **trial),
         )
 
     def print(self) -> None:
@@ -318,5 +320,5 @@
                 )
             line, again = len(self.dispatch.line.runs), self.dispatch.again
         for row in rows:
-            log.info("back end", extra=pairs(**row))
-        log.info("back ends", extra=pairs(in_line=line, again=again))
+            log.info("back end", extra=log_fields(**row))
+        log.info("back ends", extra=log_fields(in_line=line, again=again))
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -28,7 +28,7 @@
 from gullyoke.operator_config.wanted import OwnDuty
 from gullyoke.peer_transport.duties import Duties
 from gullyoke.runtime import clock
-from gullyoke.runtime.metrics import log, pairs
+from gullyoke.runtime.logs import log, log_fields
 from gullyoke.storage.lines import Lines
 
 YOUNG = 6_000_000  # a notice counts for so long
@@ -124,7 +124,7 @@
             self.fleet.daemon.metrics.increment(
                 "duty.dependency_dead" if self.was else "duty.dependency_well"
             )
-            log.warning("dependency", extra=pairs(dead=self.was, epoch=epoch))
+            log.warning("dependency", extra=log_fields(dead=self.was, epoch=epoch))
 
     def notice(self) -> bytes:
         return b"dead" if self.asking.dead else b"well"
@@ -165,7 +165,7 @@
 
     def lend(self, gone: tuple[str, ...]) -> None:
         if gone != self.gone:
-            log.warning("book of shares", extra=pairs(lends_for=",".join(gone) or "-"))
+            log.warning("book of shares", extra=log_fields(lends_for=",".join(gone) or "-"))
         self.gone = gone
         shared = self.shares.shared
         with shared.lock:
@@ -226,7 +226,7 @@
     def take(self, plan: rolls.Plan, why: str) -> None:
         if plan.state != self.plan.state:
             log.warning(
-                "roll", extra=pairs(number=plan.number, state=plan.state, why=plan.why or why)
+                "roll", extra=log_fields(number=plan.number, state=plan.state, why=plan.why or why)
             )
         self.plan = plan
         register = self.duties.register(self.name)
@@ -258,7 +258,7 @@
     def drain(self, now: int, epoch: int) -> None:
         """This server's own turn: it leaves by the way that a notice to leave takes."""
         self.fleet.daemon.metrics.increment("duty.drained")
-        log.warning("roll: this server's turn", extra=pairs(epoch=epoch))
+        log.warning("roll: this server's turn", extra=log_fields(epoch=epoch))
         os.kill(os.getpid(), signal.SIGTERM)
 
     def obey(self, now: int, order: Order) -> None:
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -26,7 +26,7 @@
 from gullyoke.operator_config.wanted import Dutied, Wanted
 from gullyoke.peer_transport.duties import TOPIC, Duties, rows_in
 from gullyoke.runtime import clock
-from gullyoke.runtime.metrics import log, pairs
+from gullyoke.runtime.logs import log, log_fields
 from gullyoke.settings.site_settings import ConfigurationError
 
 ACT = 100_000  # microseconds between looks at what is held
@@ -127,7 +127,7 @@
         threading.Thread(target=self.run, name="duties", daemon=True).start()
         log.info(
             "duties",
-            extra=pairs(
+            extra=log_fields(
                 names=",".join(names) or "-",
                 voters=len(wanted.voters),
                 set=wanted.set,
@@ -165,13 +165,16 @@
                 rows, kept = rows_in(found.items())
             elif whose:
                 log.warning(
-                    "promises of another not used", extra=pairs(whose=whose, set=then, here=number)
+                    "promises of another not used",
+                    extra=log_fields(whose=whose, set=then, here=number),
                 )
             self.committer = Committer(store)
             self.committer.put(OURS, f"{name} {number}".encode())
         except (OSError, ValueError) as fault:
             self.fleet.daemon.metrics.increment("duty.unkept")
-            log.error("promises can't be kept", extra=pairs(folder=self.wanted.folder, why=fault))
+            log.error(
+                "promises can't be kept", extra=log_fields(folder=self.wanted.folder, why=fault)
+            )
         others = [other for other in self.wanted.voters if other != name]
         voter = Voter(clock.now(), name, row.life, others, spans, rows, number)
         return voter, Shelf(kept)
@@ -211,7 +214,7 @@
                 one.set_voters(now, wanted.voters, wanted.set)
         log.warning(
             "voters",
-            extra=pairs(set=wanted.set, voters=",".join(sorted(wanted.voters)), votes=votes),
+            extra=log_fields(set=wanted.set, voters=",".join(sorted(wanted.voters)), votes=votes),
         )
         return {"set": wanted.set}
 
@@ -274,7 +277,9 @@
         """Called under the duties' lock."""
         self.turns = [*self.turns[-HISTORY + 1 :], turn]
         self.fleet.daemon.metrics.increment(f"duty.{turn.what}")
-        log.warning("duty", extra=pairs(duty=name, what=turn.what, epoch=turn.epoch, why=turn.why))
+        log.warning(
+            "duty", extra=log_fields(duty=name, what=turn.what, epoch=turn.epoch, why=turn.why)
+        )
 
     # What is held.
 
@@ -439,7 +444,7 @@
         for name in self.charges:
             log.info(
                 "duty stands",
-                extra=pairs(
+                extra=log_fields(
                     duty=name,
                     **{
                         key: value
--- a/gullyoke/extensions/file.py
+++ b/gullyoke/extensions/file.py
@@ -10,7 +10,7 @@
 from gullyoke.extensions.pools import ClassPools
 from gullyoke.operator_config.read import read
 from gullyoke.operator_config.wanted import OperatorFileError, Wanted
-from gullyoke.runtime.metrics import log, pairs
+from gullyoke.runtime.logs import log, log_fields
 from gullyoke.settings.site_settings import ConfigurationError
 
 
@@ -52,7 +52,7 @@
             for one in self.features:
                 one.fits(new)
         except (OperatorFileError, ConfigurationError) as fault:
-            log.error("configuration kept", extra=pairs(why=fault))
+            log.error("configuration kept", extra=log_fields(why=fault))
             return False
         ignored = ["json_log"] if new.json_log != self.wanted.json_log else []
         taken: dict[str, object] = {"back_ends": 0}
@@ -65,7 +65,9 @@
             for name, field in PARTS.items()
             if getattr(new, field) and not getattr(self.wanted, field)
         ]
-        log.warning("operator's file read", extra=pairs(**taken, ignored=",".join(ignored) or "-"))
+        log.warning(
+            "operator's file read", extra=log_fields(**taken, ignored=",".join(ignored) or "-")
+        )
         return True
 
 
--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -24,7 +24,7 @@
 from gullyoke.peer_transport.link import Link
 from gullyoke.peer_transport.seal import Seal, UnusableKeyError, keys_in
 from gullyoke.runtime import clock
-from gullyoke.runtime.metrics import log, pairs
+from gullyoke.runtime.logs import log, log_fields
 from gullyoke.settings.site_settings import ConfigurationError
 
 LOOK = 1_000_000  # microseconds between looks at the size
@@ -111,7 +111,7 @@
         daemon.timer.at(clock.now() + LOOK, self.look)
         log.info(
             "fleet",
-            extra=pairs(
+            extra=log_fields(
                 name=wanted.name,
                 listen=":".join(map(str, wanted.listen)),
                 zone=wanted.zone,
@@ -126,7 +126,7 @@
         self.daemon.metrics.increment(f"fleet.{change.what}")
         log.info(
             "member",
-            extra=pairs(
+            extra=log_fields(
                 what=change.what,
                 name=row.name,
                 status=row.status.name.lower(),
@@ -156,7 +156,7 @@
             )
         log.info(
             "fleet size",
-            extra=pairs(
+            extra=log_fields(
                 size=in_force,
                 told=self.told,
                 seen=size.seen,
@@ -171,7 +171,7 @@
             stage, view, digest = one.entry.stage.value, one.view.number, one.view.digest
         log.info(
             "fleet",
-            extra=pairs(
+            extra=log_fields(
                 stage=stage,
                 members=size.members,
                 seen=size.seen,
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -31,9 +31,9 @@
 from gullyoke.operator_config.wanted import Kept, Wanted
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import PendingRequest
-from gullyoke.runtime.duplicate_table import Entry, Repeats
+from gullyoke.runtime.duplicate_table import DuplicateTable, KeyEntry
+from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.messages import Answer
-from gullyoke.runtime.metrics import log, pairs
 from gullyoke.storage import Committer, Store, StoreVersionError
 
 FOLDER, MARK = "keys", "mark"
@@ -47,7 +47,7 @@
 decode_mark = msgspec.msgpack.Decoder(tuple[int, str, int, int]).decode
 
 
-class Remembered(Repeats):
+class Remembered(DuplicateTable):
     """Repeats of this life, and behind them what earlier ones noted.
 
     `doubts` says whether further tries of what is not known are doubted now.
@@ -69,12 +69,12 @@
             return entry, prior
         note = self.past(now, digest(request.request_class.name, request.key))
         if note is not None:
-            entry = Entry(None, note.until)
+            entry = KeyEntry(None, note.until)
             if note.phase is Phase.ENDED and note.status:
                 entry.result = Answer(note.status, note.body, note.fields)
             return entry, PAST
         if request.is_retry and self.doubts(now):
-            return Entry(None, now), PAST
+            return KeyEntry(None, now), PAST
         return None, None
 
 
@@ -105,7 +105,7 @@
         self.promised = Promised(
             work, daemon.dispatcher, self.ledger, self.fit, self.put, daemon.metrics
         )
-        daemon.dispatcher.repeats = Remembered(
+        daemon.dispatcher.duplicates = Remembered(
             daemon.configuration.facts.fleet.read_cache_ttl, self.past, self.doubts
         )
         return self.promised
@@ -114,7 +114,7 @@
         """The folder is read on a thread of its own: a disk that hangs holds up no start."""
         threading.Thread(target=self.open, name="keys", daemon=True).start()
         if not self.ready.wait(OPEN):
-            log.error("keys not read yet", extra=pairs(folder=self.kept.folder))
+            log.error("keys not read yet", extra=log_fields(folder=self.kept.folder))
 
     def start(self) -> None:
         self.room.size |= {
@@ -145,7 +145,7 @@
                     found.append((key, note))
         except (OSError, ValueError, msgspec.MsgspecError) as fault:
             self.daemon.metrics.increment("keys.unread")
-            log.error("keys not read", extra=pairs(folder=self.kept.folder, why=fault))
+            log.error("keys not read", extra=log_fields(folder=self.kept.folder, why=fault))
             if self.trust is None:
                 self.trust, self.doubted = Trust(False, False, True, str(fault)), now + self.window
             self.lost = not isinstance(fault, StoreVersionError)  # read once it can be
@@ -171,7 +171,7 @@
         self.ready.set()
         log.info(
             "keys",
-            extra=pairs(
+            extra=log_fields(
                 folder=self.kept.folder,
                 notes=len(self.ledger.rows),
                 past=len(past),
@@ -199,7 +199,7 @@
                 for key in self.ledger.forget_others():
                     self.put(key, None)
             self.daemon.metrics.increment("keys.older_copy")
-            log.error("keys not believed", extra=pairs(why=self.trust.why))
+            log.error("keys not believed", extra=log_fields(why=self.trust.why))
         if own > self.mark.number:
             self.mark = self.mark._replace(number=own, at=now)
             self.put(MARK, encode(tuple(self.mark)))
@@ -299,7 +299,7 @@
         groups = committer.groups if committer else 0
         log.info(
             "keys",
-            extra=pairs(
+            extra=log_fields(
                 **row,
                 state=self.room.watch.state().value,
                 group=f"{committer.put_in / groups:.1f}" if groups else "-",
@@ -310,4 +310,4 @@
         """Never held up for long by a disk that hangs."""
         self.room.watch.end()
         if self.committer is not None and not self.committer.close(CLOSE):
-            log.error("keys not all written", extra=pairs(held=self.committer.held))
+            log.error("keys not all written", extra=log_fields(held=self.committer.held))
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -18,7 +18,8 @@
 from gullyoke.operator_config.wanted import Kept
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher
-from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.logs import log, log_fields
+from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.timer import Timer
 from gullyoke.storage import Committer, Store
 from gullyoke.storage import cold as colds
@@ -73,7 +74,7 @@
             self.committer.put(STARTS, rules.packed(rules.began(self.starts)))
             log.info(
                 "memory",
-                extra=pairs(
+                extra=log_fields(
                     folder=folder,
                     weight=f"{verdict.weight:.3f}",
                     why=verdict.why,
@@ -83,7 +84,7 @@
             )
         except OSError as fault:
             metrics.increment("memory.faults")
-            log.error("memory not used", extra=pairs(folder=folder, why=fault))
+            log.error("memory not used", extra=log_fields(folder=folder, why=fault))
 
     def watch(self, dispatcher: Dispatcher, timer: Timer) -> None:
         """From now on: recall once there is a learner, keep a snapshot now and then."""
--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -62,9 +62,9 @@
     """
 
     def __init__(
-        self, dispatcher: Dispatcher, soon: Callable[[PendingRequest, RequestEvent], None]
+        self, dispatcher: Dispatcher, post_event: Callable[[PendingRequest, RequestEvent], None]
     ) -> None:
-        self.requests, self.soon = dispatcher.requests, soon
+        self.requests, self.post_event = dispatcher.requests, post_event
 
 
 class Promised:
@@ -95,7 +95,7 @@
         self.going: dict[str, PendingRequest] = {}
         self.keys: dict[str, str] = {}
         self.ends: dict[str, Callable[[bool], None]] = {}
-        self.dispatcher = Ear(dispatcher, self.soon)
+        self.dispatcher = Ear(dispatcher, self.post_event)
         self.feed, self.skip, self.halt, self.flush = (
             inner.feed,
             inner.skip,
@@ -141,15 +141,15 @@
             said is not None and said.do is Do.KNOWN
         ):  # a non-replayable one that may have run before
             self.metrics.increment("keys.known")
-            self.real.soon(request, RequestEvent.FAILED)
+            self.real.post_event(request, RequestEvent.FAILED)
         elif said is not None:
             self.carry(said, True)
 
-    def soon(self, request: PendingRequest, word: RequestEvent) -> None:
+    def post_event(self, request: PendingRequest, word: RequestEvent) -> None:
         """A word of the work's on a run that it was just given."""
         if word in (RequestEvent.NO_CAPACITY, RequestEvent.NOT_STARTED):
             self.left(request.request_id)
-        self.real.soon(request, word)
+        self.real.post_event(request, word)
 
     # From the work.
 
@@ -254,7 +254,7 @@
         elif act.do is Do.UNRUN and request is not None:
             self.metrics.increment("keys.unrun")
             self.left(request.request_id)
-            (self.real.soon if inside else self.real.tell)(request, RequestEvent.NO_CAPACITY)
+            (self.real.post_event if inside else self.real.tell)(request, RequestEvent.NO_CAPACITY)
         elif act.do is Do.RUN and request is not None:
             if inside:
                 self.inner.run(request)
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -14,7 +14,7 @@
 from gullyoke.operator_config.wanted import Slotted
 from gullyoke.peer_transport.sharing import QUOTAS, TOPIC, Quotas, SharedQuota, SharedSlots, stated
 from gullyoke.runtime import clock
-from gullyoke.runtime.metrics import log, pairs
+from gullyoke.runtime.logs import log, log_fields
 from gullyoke.settings.site_settings import ConfigurationError
 
 
@@ -78,7 +78,7 @@
         made.borrower.weight = wanted.weight
         log.info(
             "shares",
-            extra=pairs(
+            extra=log_fields(
                 tokens=limit,
                 floor=floor,
                 homes=len(wanted.homes),
@@ -131,10 +131,10 @@
         told = self.shared.told(now)
         if told["in_force"] != self.in_force:
             self.in_force = told["in_force"]
-            log.debug("slots", extra=pairs(**told))
+            log.debug("slots", extra=log_fields(**told))
 
     def print(self) -> None:
         if self.shared is not None:
-            log.info("slots", extra=pairs(**self.shared.told(clock.now())))
+            log.info("slots", extra=log_fields(**self.shared.told(clock.now())))
         for name, limit in self.quotas.items():
-            log.info("quota", extra=pairs(tenant=name, **limit.told(clock.now())))
+            log.info("quota", extra=log_fields(tenant=name, **limit.told(clock.now())))
--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -12,7 +12,7 @@
 from gullyoke.extensions.part import Part
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher
-from gullyoke.runtime.metrics import log, pairs
+from gullyoke.runtime.logs import log, log_fields
 
 
 class Signals(Part):
@@ -58,7 +58,7 @@
         daemon.metrics.increment("fleet.slow_alone" if judged.back else "fleet.well_again")
         log.warning(
             "slow alone" if judged.back else "no longer slow alone",
-            extra=pairs(
+            extra=log_fields(
                 pace=f"{reading.pace:.2f}",
                 peers=f"{judged.seen.pace:.2f}" if judged.seen else "-",
                 acted=self.heed,
--- a/gullyoke/extensions/subsets.py
+++ b/gullyoke/extensions/subsets.py
@@ -13,7 +13,7 @@
 from gullyoke.extensions.part import Part
 from gullyoke.membership.row import LIVE, Status
 from gullyoke.runtime import clock
-from gullyoke.runtime.metrics import log, pairs
+from gullyoke.runtime.logs import log, log_fields
 
 SLOT, ROUND = 250_000, 20  # microseconds of a turn to try a back end, and turns in a round
 
@@ -60,7 +60,7 @@
         if only != self.pool.only:
             log.info(
                 "subset",
-                extra=pairs(back_ends=",".join(sorted(only)), helping=len(self.subset.help)),
+                extra=log_fields(back_ends=",".join(sorted(only)), helping=len(self.subset.help)),
             )
             self.pool.use(only)
 
@@ -79,7 +79,7 @@
     def print(self) -> None:
         log.info(
             "subset",
-            extra=pairs(
+            extra=log_fields(
                 back_ends=",".join(sorted(self.pool.only or ())) or "all",
                 helping=len(self.subset.help) if self.subset else 0,
             ),
--- a/gullyoke/frontends/connections.py
+++ b/gullyoke/frontends/connections.py
@@ -19,8 +19,9 @@
 from gullyoke.runtime.close_reasons import CloseReason, PeerKind, outcome, served
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.lifecycle import Lifecycle
+from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.messages import Answer, BadRequestError
-from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.sockets import Receiver, shut
 from gullyoke.runtime.worker_pool import WorkerPool
 
@@ -107,7 +108,7 @@
                 if not self.lifecycle.closing:  # what waits stays in the backlog
                     # Guards against running out of descriptors or memory.
                     self.metrics.increment("accept.failed")
-                    log.warning("accept failed", extra=pairs(why=fault))
+                    log.warning("accept failed", extra=log_fields(why=fault))
                 time.sleep(ACCEPT_RETRY_S)
                 continue
             self.take(sock, listener)
@@ -143,7 +144,7 @@
                     ).start()
                     self.metrics.increment("threads.gateway")
             except (OSError, RuntimeError) as fault:  # no thread to be had, or gone already
-                log.warning("connection not served", extra=pairs(why=fault))
+                log.warning("connection not served", extra=log_fields(why=fault))
                 self.ended(connection, CloseReason.FAULT, str(fault))
 
     def make_room(self, listener: Listener) -> bool:
@@ -217,7 +218,8 @@
         self.metrics.increment(f"ends.{front}.{end.value}")
         if end in (CloseReason.GARBLED, CloseReason.STALLED, CloseReason.CUT):
             log.warning(
-                "connection of a gateway ended", extra=pairs(end=end.value, why=why, front=front)
+                "connection of a gateway ended",
+                extra=log_fields(end=end.value, why=why, front=front),
             )
         word = outcome(PeerKind.GATEWAY, end)
         if connection.request is not None and word is not None:
@@ -237,7 +239,7 @@
         self.metrics.increment(f"unfit.{fault.status}")
         log.warning(
             "message refused",
-            extra=pairs(status=fault.status, why=fault, front=connection.listener.front.name),
+            extra=log_fields(status=fault.status, why=fault, front=connection.listener.front.name),
         )
         return Answer(fault.status)
 
--- a/gullyoke/frontends/message_handler.py
+++ b/gullyoke/frontends/message_handler.py
@@ -8,7 +8,7 @@
 from gullyoke.frontends import request_parsing
 from gullyoke.frontends.connection import Connection
 from gullyoke.runtime import clock
-from gullyoke.runtime.dispatcher import Dispatcher, told_of
+from gullyoke.runtime.dispatcher import Dispatcher, outcome_name
 from gullyoke.runtime.lifecycle import Lifecycle
 from gullyoke.runtime.messages import Answer, Message
 from gullyoke.runtime.metrics import Metrics
@@ -38,7 +38,7 @@
             timeout=max(0.0, (request.deadline - clock.now()) / 1e6)
         ):
             self.dispatcher.overdue(request)
-        self.metrics.increment(f"answers.{told_of(request.outcome)}")
+        self.metrics.increment(f"answers.{outcome_name(request.outcome)}")
         if isinstance(request.outcome, Reject):
             return Answer(503, b"", self.feedback() + advice(request.outcome))
         made = request.answer or Answer(500)  # what the run made goes out unchanged
--- a/gullyoke/frontends/request_parsing.py
+++ b/gullyoke/frontends/request_parsing.py
@@ -85,7 +85,7 @@
         unfit = mistakable(dispatcher, request)
         if unfit is None:
             dispatcher.requests[request.request_id] = request
-            _, request.duplicate_of = dispatcher.repeats.find(request, dispatcher.now)
+            _, request.duplicate_of = dispatcher.duplicates.find(request, dispatcher.now)
             dispatcher.server.on_request(dispatcher.now, request)
 
     unfit: BadRequestError | None = None
@@ -98,6 +98,6 @@
     """What forbids to take it beside what is in hand or was answered."""
     if request.request_id in dispatcher.requests:
         return BadRequestError(409, "a request of this id is in hand already")
-    if dispatcher.repeats.conflicts(request):
+    if dispatcher.duplicates.conflicts(request):
         return BadRequestError(422, "another request came under this key")
     return None
--- a/gullyoke/peer_transport/kept.py
+++ b/gullyoke/peer_transport/kept.py
@@ -7,7 +7,8 @@
 import os
 from collections.abc import Callable
 
-from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.logs import log, log_fields
+from gullyoke.runtime.metrics import Metrics
 
 KEY, FOLDER, QUOTA = "number", "fleet", 2**20
 CLOSE = 0.5  # seconds that the end waits for a disk that hangs
@@ -33,7 +34,7 @@
             self.committer = Committer(store)
         except OSError as fault:
             metrics.increment("fleet.unkept")
-            log.error("fleet number not kept", extra=pairs(folder=folder, why=fault))
+            log.error("fleet number not kept", extra=log_fields(folder=folder, why=fault))
 
     def known(self) -> int:
         """What the last start kept, 0 where there is none."""
--- a/gullyoke/runtime/dispatcher.py
+++ b/gullyoke/runtime/dispatcher.py
@@ -12,9 +12,10 @@
 from gullyoke.admission.controller import AdmissionController
 from gullyoke.admission.interface import FAIL, Gauges, Reject, Request, RequestEvent
 from gullyoke.runtime import clock
-from gullyoke.runtime.duplicate_table import Repeats
+from gullyoke.runtime.duplicate_table import DuplicateTable
+from gullyoke.runtime.logs import log
 from gullyoke.runtime.messages import Answer, Message
-from gullyoke.runtime.metrics import Metrics, log
+from gullyoke.runtime.metrics import Metrics
 from gullyoke.settings.site_settings import SiteFacts
 
 PAUSE = 0.002  # seconds between two pieces: others come first where CPU is short
@@ -82,7 +83,7 @@
         # What was given under the lock goes out after it.
         self.flush: Callable[[], None] = lambda: None
         self.requests: dict[str, PendingRequest] = {}
-        self.repeats = Repeats(facts.fleet.read_cache_ttl)
+        self.duplicates = DuplicateTable(facts.fleet.read_cache_ttl)
         self.later: deque[tuple[PendingRequest, RequestEvent]] = deque()
         self.gates: list[threading.Lock] = []
         self.handling = False
@@ -113,8 +114,8 @@
         if self.pools is None:
             return None
         minimum, classes = self.pools
-        of = {h: classes.get(h.name, h) for h in self.facts.request_classes}
-        return Pools(began, self.facts.machine.cores, of, minimum)
+        class_of = {h: classes.get(h.name, h) for h in self.facts.request_classes}
+        return Pools(began, self.facts.machine.cores, class_of, minimum)
 
     def handle(
         self, act: Callable[[], None], request: PendingRequest | None = None, patience: float = -1
@@ -146,7 +147,7 @@
         while self.notes:
             log.info(self.notes.popleft())
 
-    def soon(self, request: PendingRequest, word: RequestEvent) -> None:
+    def post_event(self, request: PendingRequest, word: RequestEvent) -> None:
         """A word that came while the lock is held: told before it is let go."""
         self.later.append((request, word))
 
@@ -222,7 +223,7 @@
             del self.requests[request.request_id]
             self.answer(request, FAIL)
             if request.key_entry is not None:
-                for waiter in self.repeats.ended(request, None, self.now):
+                for waiter in self.duplicates.run_ended(request, None, self.now):
                     self.later.append((waiter, RequestEvent.FAILED))
 
     def overdue(self, request: PendingRequest) -> None:
@@ -239,7 +240,7 @@
         self.answer(request, FAIL)
 
 
-def told_of(outcome: object) -> str:
+def outcome_name(outcome: object) -> str:
     """What the counters call an outcome."""
     return (
         "done"
@@ -250,7 +251,7 @@
     )
 
 
-def of(request: PendingRequest) -> dict[str, str]:
+def log_identity(request: PendingRequest) -> dict[str, str]:
     """What each log line of a req carries."""
     return {
         "req": request.request_id,
--- a/gullyoke/runtime/duplicate_table.py
+++ b/gullyoke/runtime/duplicate_table.py
@@ -8,7 +8,7 @@
 RESULTS = 16 * 2**20  # bytes of results that are kept at most
 
 
-class Entry:
+class KeyEntry:
     """A kept request.
 
     `holder` is the request while it is in hand; `content` tells what it asked for from what others
@@ -23,7 +23,7 @@
         self.waiting: list = []  # repeats to be answered from it
 
 
-class Repeats:
+class DuplicateTable:
     """Table: one entry for each key that the decisions keep.
 
     Gone after its time or when forgotten.
@@ -31,9 +31,9 @@
 
     def __init__(self, fresh_for: int) -> None:
         self.fresh_for, self.bytes = fresh_for, 0
-        self.entries: dict[tuple[RequestClass, str], Entry] = {}
+        self.entries: dict[tuple[RequestClass, str], KeyEntry] = {}
 
-    def alive(self, request) -> Entry | None:
+    def alive(self, request) -> KeyEntry | None:
         """The entry under its key, if it came within that one's time or while that one is in
         hand.
         """
@@ -70,14 +70,14 @@
             return None, None
         return entry, PAST
 
-    def keep(self, request, until: int) -> None:
+    def remember(self, request, until: int) -> None:
         """Also refreshes: a newer try takes the place of its entry's holder."""
         if request.key:
             self.forget(request)
             old = self.entries.pop((request.request_class, request.key), None)
             if old is not None:
                 self._drop(old)
-            request.key_entry = self.entries[request.request_class, request.key] = Entry(
+            request.key_entry = self.entries[request.request_class, request.key] = KeyEntry(
                 request, until, request.body_digest
             )
 
@@ -91,7 +91,7 @@
         self._drop(entry)
         return entry.waiting
 
-    def ended(self, request, result: Answer | None, now: int) -> list:
+    def run_ended(self, request, result: Answer | None, now: int) -> list:
         """Its run is over: note how; who waits for it is handed back."""
         entry = request.key_entry
         if entry is None or entry.holder is None:
@@ -113,7 +113,7 @@
                 del self.entries[key]
                 self._drop(entry)
 
-    def _drop(self, entry: Entry) -> None:
+    def _drop(self, entry: KeyEntry) -> None:
         if entry.result is not None:
             self.bytes -= entry.result.size()
             entry.result = None
--- a/gullyoke/storage/watch.py
+++ b/gullyoke/storage/watch.py
@@ -15,7 +15,8 @@
 
 from gullyoke.durability.condition import BAD, Condition, State, Turn
 from gullyoke.runtime import clock
-from gullyoke.runtime.metrics import Metrics, log, pairs
+from gullyoke.runtime.logs import log, log_fields
+from gullyoke.runtime.metrics import Metrics
 from gullyoke.storage import disk
 
 LOOK = 0.25  # seconds between looks
@@ -96,7 +97,9 @@
         log.log(
             40 if turn.now in BAD else 30,
             "disk",
-            extra=pairs(folder=self.folder, state=turn.now.value, was=turn.was.value, why=turn.why),
+            extra=log_fields(
+                folder=self.folder, state=turn.now.value, was=turn.was.value, why=turn.why
+            ),
         )
         for heed in self.heed:
             heed(turn)
--- a/tests/crossing/live.py
+++ b/tests/crossing/live.py
@@ -22,7 +22,7 @@
 from gullyoke.daemon import daemon as house_module
 from gullyoke.daemon.configuration import load_configuration
 from gullyoke.daemon.daemon import Daemon
-from gullyoke.runtime.metrics import log
+from gullyoke.runtime.logs import log
 
 REPEATS = int(os.environ.get("GULLYOKE_REPEATS", "100"))
 CHILD = "GULLYOKE_CHILD"
@@ -130,7 +130,7 @@
         self.peers.configure_file()
         self.callback(os.unlink, self.peers.config)
         self.callback(self.peers.folder.cleanup)
-        self.enter_context(mock.patch.object(house_module, "start_log", lambda *given: mock.Mock()))
+        self.enter_context(mock.patch.object(house_module, "start_logging", lambda *given: mock.Mock()))
         log.addHandler(logging.NullHandler())
         self.daemon = Daemon(load_configuration({"NODE_CONFIG": self.peers.config}))
         self.daemon.start()
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -19,7 +19,7 @@
 from gullyoke.frontends import message_handler as intake_module
 from gullyoke.runtime import dispatcher as desk_module
 from gullyoke.runtime.dispatcher import Dispatcher
-from gullyoke.runtime.duplicate_table import Repeats
+from gullyoke.runtime.duplicate_table import DuplicateTable
 
 
 def answers(live):
@@ -75,7 +75,7 @@
             with (
                 live.hook(Dispatcher, "overdue", before_overdue),
                 live.hook(Relay, "done", before_done),
-                live.hook(intake_module, "told_of", before_counted),
+                live.hook(intake_module, "outcome_name", before_counted),
                 mock.patch.object(desk_module, "threading", types.SimpleNamespace(Lock=Gate)),
             ):
                 for i in range(REPEATS):
@@ -178,16 +178,16 @@
                     key_entry=None,
                 )
 
-            repeats, first = Repeats(0), request(0)
-            repeats.keep(first, kept + 1000)
-            self.assertIs(repeats.find(request(kept + 1001), kept)[1], first)
-            repeats.ended(first, None, kept)
-            self.assertIs(repeats.find(request(kept + 1000), kept)[1], PAST)
-            self.assertIsNone(repeats.find(request(kept + 1001), kept)[1])
-            self.assertTrue(repeats.conflicts(request(kept + 1000, content=2)))
-            self.assertFalse(repeats.conflicts(request(kept + 1001, content=2)))
-            repeats.expire(kept + 1001 + request_class.timeout)
-            self.assertEqual(repeats.entries, {})
+            duplicates, first = DuplicateTable(0), request(0)
+            duplicates.remember(first, kept + 1000)
+            self.assertIs(duplicates.find(request(kept + 1001), kept)[1], first)
+            duplicates.run_ended(first, None, kept)
+            self.assertIs(duplicates.find(request(kept + 1000), kept)[1], PAST)
+            self.assertIsNone(duplicates.find(request(kept + 1001), kept)[1])
+            self.assertTrue(duplicates.conflicts(request(kept + 1000, content=2)))
+            self.assertFalse(duplicates.conflicts(request(kept + 1001, content=2)))
+            duplicates.expire(kept + 1001 + request_class.timeout)
+            self.assertEqual(duplicates.entries, {})
 
 
 class Calls(unittest.TestCase):
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -52,7 +52,8 @@
 from gullyoke.runtime import clock
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, PeerKind, outcome
 from gullyoke.runtime.dispatcher import Dispatcher
-from gullyoke.runtime.metrics import Bounded, Metrics
+from gullyoke.runtime.logs import RateLimitedQueueHandler
+from gullyoke.runtime.metrics import Metrics
 from gullyoke.settings.site_settings import ConfigurationError, flat, parse_site_facts
 from gullyoke.simulator_adapter import batches
 from gullyoke.simulator_adapter.batches import MalformedMessageError
@@ -639,7 +640,7 @@
 
         Errors all are.
         """
-        lines = Bounded(queue.Queue(), most=2, span=10.0)
+        lines = RateLimitedQueueHandler(queue.Queue(), most=2, span=10.0)
         made = [
             logging.makeLogRecord({"msg": "x", "created": t, "levelno": level})
             for t, level in ((0, 30), (1, 30), (2, 30), (3, 30), (4, 40), (11, 30))
