--- a/benchmarks/disk.py
+++ b/benchmarks/disk.py
@@ -25,8 +25,8 @@
 from gullyoke.emulator.fleet import Running, deciding
 from gullyoke.fault_testing.play import Play
 from gullyoke.fault_testing.script import read
-from gullyoke.model_checking import notes
-from gullyoke.storage import cold
+from gullyoke.model_checking import key_ledger as notes
+from gullyoke.storage import warmup_history as cold
 
 LOAD = 24.0  # reqs a second: what the play's servers do with ease
 QUEUE, RESULTS = 4, 16  # MB that may wait for the disk, and that notes and results may take
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -17,7 +17,8 @@
 from benchmarks.pools import W
 from gullyoke.emulator.day import SECOND, Machines, drawn
 from gullyoke.emulator.fleet import Running, deciding
-from gullyoke.storage import Committer, Disk, Store, remember
+from gullyoke.storage import Committer, Disk, Store
+from gullyoke.storage import run_time_history as remember
 
 
 def durable(waiting: int, seconds: float) -> dict:
--- a/gullyoke/durability/__init__.py
+++ b/gullyoke/durability/__init__.py
@@ -7,12 +7,12 @@
 says what was weighed, docs/store.md what an operator sees.
 """
 
-from gullyoke.durability.condition import Condition, State, Turn
-from gullyoke.durability.ledger import Act, Do, Ledger, Put, Without
-from gullyoke.durability.note import Note, Phase, Verdict, judged
-from gullyoke.durability.rooms import Kind, Rooms
-from gullyoke.durability.trust import Mark, Trust, trusted
-from gullyoke.durability.waits import Waits
+from gullyoke.durability.disk_health import Condition, State, Turn
+from gullyoke.durability.disk_quota import Kind, Rooms
+from gullyoke.durability.folder_trust import Mark, Trust, trusted
+from gullyoke.durability.key_ledger import Act, Do, Ledger, Put, Without
+from gullyoke.durability.key_record import Note, Phase, Verdict, judged
+from gullyoke.durability.pending_writes import Waits
 
 __all__ = [
     "Act",
--- a/gullyoke/durability/rooms.py
+++ b/gullyoke/durability/disk_quota.py
@@ -4,7 +4,7 @@
 away. When that does not do, what is worth least goes first: what a server remembers of usual times,
 then the fleet's record, then the results of ended reqs (a repeat is then answered errored, as
 unknown, never run again), and notes whose window is over. Notes that are in force and promises are
-never given up for room; promises have theirs from the start (gullyoke/storage/cells.py).
+never given up for room; promises have theirs from the start (gullyoke/storage/slot_file.py).
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from gullyoke.durability.condition import State
+from gullyoke.durability.disk_health import State
 
 
 class Kind(IntEnum):
--- a/gullyoke/durability/ledger.py
+++ b/gullyoke/durability/key_ledger.py
@@ -8,7 +8,7 @@
                       +--failed, or not in time--> LEFT: it does not run, and what may lie there is to go
 
 A word of the disk that comes after a req was given up starts nothing. Which words can cross which
-is walked through in gullyoke/model_checking/notes.py.
+is walked through in gullyoke/model_checking/key_ledger.py.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from enum import Enum
 from typing import NamedTuple
 
-from gullyoke.durability.note import BARE, Note, Phase, Verdict, judged, recovered
-from gullyoke.durability.waits import Waits
+from gullyoke.durability.key_record import BARE, Note, Phase, Verdict, judged, recovered
+from gullyoke.durability.pending_writes import Waits
 
 
 class Without(Enum):
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -17,7 +17,7 @@
 
 from gullyoke.admission.interface import Slots
 from gullyoke.coordination.fair import split
-from gullyoke.durability.rooms import Kind
+from gullyoke.durability.disk_quota import Kind
 from gullyoke.extensions.disks import Room
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.leases import roll as rolls
@@ -29,7 +29,7 @@
 from gullyoke.peer_transport.duties import Duties
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
-from gullyoke.storage.lines import Lines
+from gullyoke.storage.append_file import Lines
 
 YOUNG = 6_000_000  # a notice counts for so long
 LONGEST = 2**20  # bytes of the record's file
--- a/gullyoke/extensions/disks.py
+++ b/gullyoke/extensions/disks.py
@@ -5,11 +5,11 @@
 import random
 from collections.abc import Callable
 
-from gullyoke.durability.condition import State
-from gullyoke.durability.rooms import Kind, Rooms
+from gullyoke.durability.disk_health import State
+from gullyoke.durability.disk_quota import Kind, Rooms
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.storage.watch import Watch
+from gullyoke.storage.disk_monitor import Watch
 
 EACH = 1_000_000  # microseconds between looks at who has how much
 
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -20,9 +20,9 @@
 from gullyoke.admission.interface import PAST, Idempotency
 from gullyoke.daemon.daemon import Daemon
 from gullyoke.durability import Ledger, Mark, Note, Phase, State, Trust, Without, trusted
-from gullyoke.durability.condition import BAD, Turn
-from gullyoke.durability.rooms import Kind as What
-from gullyoke.durability.trust import marked, older
+from gullyoke.durability.disk_health import BAD, Turn
+from gullyoke.durability.disk_quota import Kind as What
+from gullyoke.durability.folder_trust import marked, older
 from gullyoke.executors import Work
 from gullyoke.extensions.disks import Disks
 from gullyoke.extensions.promised import NOTE, Promised, digest, encode, packed, unpacked
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -2,7 +2,7 @@
 
 Read at the start, given to the learner, kept as it goes on.
 
-The rules are in gullyoke/storage/remember.py; here they meet the store, the clock and the desk's
+The rules are in gullyoke/storage/run_time_history.py; here they meet the store, the clock and the desk's
 lock. Nothing of it stops a server: a folder that can't be used is said and counted, and the server
 starts with nothing.
 """
@@ -12,7 +12,7 @@
 import time
 
 from gullyoke.daemon.daemon import Daemon
-from gullyoke.durability.rooms import Kind
+from gullyoke.durability.disk_quota import Kind
 from gullyoke.extensions.disks import Disks, Room
 from gullyoke.extensions.unit import Plain
 from gullyoke.operator_config.wanted import Kept
@@ -22,8 +22,8 @@
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.timer import Timer
 from gullyoke.storage import Committer, Store
-from gullyoke.storage import cold as colds
-from gullyoke.storage import remember as rules
+from gullyoke.storage import run_time_history as rules
+from gullyoke.storage import warmup_history as colds
 
 LOOK, KEEP = 500_000, 5_000_000  # microseconds between looks, and between snapshots
 COLD_LOOK = 50_000  # and between looks while cold
--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -1,7 +1,7 @@
 """Work whose runs wait for their notes on the disk, and whose ends wait for theirs.
 
 Stands before the work for the decisions, and before the relay for the work. What the rules say
-(gullyoke/durability/ledger.py) and what is queued for the disk happen under one small lock, `pen`, so
+(gullyoke/durability/key_ledger.py) and what is queued for the disk happen under one small lock, `pen`, so
 that the disk gets the writes of a key in the order of the rules; nothing waits under it.
 """
 
--- a/gullyoke/fault_testing/faulty.py
+++ b/gullyoke/fault_testing/faulty.py
@@ -17,7 +17,7 @@
 import sys
 import time
 
-from gullyoke.storage import disk
+from gullyoke.storage import folder as disk
 
 POLL = 0.02  # seconds between looks at the file while a call hangs
 NEW, CHANGE, SYNC = ("create", "append", "make"), ("write_at", "remove"), ("sync", "sync_folder")
--- a/gullyoke/model_checking/notes.py
+++ b/gullyoke/model_checking/key_ledger.py
@@ -14,10 +14,10 @@
 from collections.abc import Callable
 from unittest import mock
 
-from gullyoke.durability import ledger as ledgers
-from gullyoke.durability.ledger import Act, Do, Ledger, Put, Stage, Without
-from gullyoke.durability.note import Note, Phase, Verdict, judged
-from gullyoke.durability.waits import LONGEST
+from gullyoke.durability import key_ledger as ledgers
+from gullyoke.durability.key_ledger import Act, Do, Ledger, Put, Stage, Without
+from gullyoke.durability.key_record import Note, Phase, Verdict, judged
+from gullyoke.durability.pending_writes import LONGEST
 from gullyoke.model_checking.explore import Move, walked
 
 KEY, WINDOW, DUE, RUN = "k", 100 * LONGEST, 10 * LONGEST, 1000
--- a/gullyoke/storage/__init__.py
+++ b/gullyoke/storage/__init__.py
@@ -7,10 +7,10 @@
 The daemon imports it only where an operator's file names a folder.
 """
 
-from gullyoke.storage.cells import Cells
-from gullyoke.storage.commit import Committer
-from gullyoke.storage.disk import Disk, Files
-from gullyoke.storage.log import Store, StoreFaultedError, StoreFullError, StoreVersionError
+from gullyoke.storage.folder import Disk, Files
+from gullyoke.storage.group_commit import Committer
+from gullyoke.storage.slot_file import Cells
+from gullyoke.storage.store import Store, StoreFaultedError, StoreFullError, StoreVersionError
 
 __all__ = [
     "Cells",
--- a/gullyoke/storage/lines.py
+++ b/gullyoke/storage/append_file.py
@@ -7,7 +7,7 @@
 import threading
 from collections.abc import Callable
 
-from gullyoke.storage.watch import Watch
+from gullyoke.storage.disk_monitor import Watch
 
 WAITING = 64  # lines that may wait
 
--- a/gullyoke/storage/watch.py
+++ b/gullyoke/storage/disk_monitor.py
@@ -1,7 +1,7 @@
 """One folder's disk under watch.
 
 Every call on it is timed and its faults are told, room is looked at, and one that is not well is
-tried now and then. What that means is decided in gullyoke/durability/condition.py.
+tried now and then. What that means is decided in gullyoke/durability/disk_health.py.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from contextlib import contextmanager
 from typing import Any
 
-from gullyoke.durability.condition import BAD, Condition, State, Turn
+from gullyoke.durability.disk_health import BAD, Condition, State, Turn
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.storage import disk
+from gullyoke.storage import folder as disk
 
 LOOK = 0.25  # seconds between looks
 TRIAL, TRIED = "trial", 16 * 1024  # a file, and the bytes that it is tried with
--- a/gullyoke/storage/commit.py
+++ b/gullyoke/storage/group_commit.py
@@ -9,7 +9,7 @@
 import threading
 from collections.abc import Callable
 
-from gullyoke.storage.log import Store, StoreFaultedError, StoreFullError
+from gullyoke.storage.store import Store, StoreFaultedError, StoreFullError
 
 Told = Callable[[bool], None]
 
--- a/gullyoke/storage/cells.py
+++ b/gullyoke/storage/slot_file.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple, Protocol
 
-from gullyoke.storage.log import StoreFaultedError, StoreFullError
 from gullyoke.storage.record import GONE, PUT, Record, pack, unpack
+from gullyoke.storage.store import StoreFaultedError, StoreFullError
 
 SIZE = 1024  # bytes of a copy
 NAME = "cells"
--- a/gullyoke/storage/log.py
+++ b/gullyoke/storage/store.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterable, Iterator
 
 from gullyoke.errors import GullyokeError
-from gullyoke.storage.disk import Files
-from gullyoke.storage.plan import Plan
+from gullyoke.storage.compaction_plan import Plan
+from gullyoke.storage.folder import Files
 from gullyoke.storage.record import (
     FORMAT,
     GONE,
--- a/gullyoke/storage/cold.py
+++ b/gullyoke/storage/warmup_history.py
@@ -3,10 +3,11 @@
 How long runs took by the age of the server, so that the next cold start knows what it is like. No
 I/O.
 
-What a warm server learned does not help a cold one (gullyoke/storage/remember.py); what one learned
-while cold is of the same machine in the same state. Kept is the time that nine in ten runs did not
-exceed, by age in steps that double: a cold server does better to think itself slow than to begin
-what comes too late (docs/store.md has the figures, the mean's and other quantiles' beside them).
+What a warm server learned does not help a cold one (gullyoke/storage/run_time_history.py); what one
+learned while cold is of the same machine in the same state. Kept is the time that nine in ten runs
+did not exceed, by age in steps that double: a cold server does better to think itself slow than to
+begin what comes too late (docs/store.md has the figures, the mean's and other quantiles' beside
+them).
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 import msgspec
 
 from gullyoke.admission.controller import AdmissionController
-from gullyoke.storage.remember import STARTS, Starts
+from gullyoke.storage.run_time_history import STARTS, Starts
 
 EDGES = (500_000, 1_000_000, 2_000_000, 4_000_000, 8_000_000, 16_000_000)  # microseconds of age
 NINE_IN_TEN = 9  # of ten
--- a/tests/compatibility/test_memory_store.py
+++ b/tests/compatibility/test_memory_store.py
@@ -7,9 +7,9 @@
 from gullyoke.extensions.memory import COLD, LEARNED, STARTS, Remembered
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.storage import Disk, Store
-from gullyoke.storage.cold import EDGES, Cold
 from gullyoke.storage.record import Found, scan
-from gullyoke.storage.remember import Learned, Starts, digest, packed, trust, unpacked
+from gullyoke.storage.run_time_history import Learned, Starts, digest, packed, trust, unpacked
+from gullyoke.storage.warmup_history import EDGES, Cold
 
 QUOTA = 2**20
 SETTINGS = {"Profiles.count": "1", "Profiles.0.Name": "view", "FamilyInfo.Cores": "4"}
--- a/tests/compatibility/test_note_store.py
+++ b/tests/compatibility/test_note_store.py
@@ -4,9 +4,9 @@
 
 from compatibility.recorded import copy_of, files_in, temporary_folder
 from gullyoke.durability import Ledger, Mark, Note, Phase, Without, trusted
-from gullyoke.durability.note import Verdict, judged
-from gullyoke.durability.trust import FORMAT as FOLDER_FORMAT
-from gullyoke.durability.trust import marked
+from gullyoke.durability.folder_trust import FORMAT as FOLDER_FORMAT
+from gullyoke.durability.folder_trust import marked
+from gullyoke.durability.key_record import Verdict, judged
 from gullyoke.extensions.keys import FOLDER, MARK, decode_mark
 from gullyoke.extensions.promised import NOTE, digest, encode, packed, unpacked
 from gullyoke.peer_transport.kept import FOLDER as NUMBER_FOLDER
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -16,7 +16,7 @@
 from gullyoke.peer_transport.duties import Duties, pack, row_bytes, rows_in, unpack
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.storage import Cells, Disk
-from gullyoke.storage.cells import NAME, SIZE
+from gullyoke.storage.slot_file import NAME, SIZE
 
 NOW = 1_700_000_000_000_000
 VOTERS = {"server-1": "10.0.0.1:7900", "server-2": "10.0.0.2:7900", "server-3": "10.0.0.3:7900"}
--- a/tests/durability/test_rules.py
+++ b/tests/durability/test_rules.py
@@ -27,15 +27,15 @@
     judged,
     trusted,
 )
-from gullyoke.durability.condition import BAD, DWELL_LONGEST
-from gullyoke.durability.ledger import Act, Stage
-from gullyoke.durability.note import recovered
-from gullyoke.durability.rooms import Kind
-from gullyoke.durability.trust import marked
-from gullyoke.durability.waits import LONGEST
-from gullyoke.model_checking import notes
+from gullyoke.durability.disk_health import BAD, DWELL_LONGEST
+from gullyoke.durability.disk_quota import Kind
+from gullyoke.durability.folder_trust import marked
+from gullyoke.durability.key_ledger import Act, Stage
+from gullyoke.durability.key_record import recovered
+from gullyoke.durability.pending_writes import LONGEST
+from gullyoke.model_checking import key_ledger as notes
 from gullyoke.storage import Cells, StoreFaultedError, StoreFullError
-from gullyoke.storage.cells import NAME, SIZE
+from gullyoke.storage.slot_file import NAME, SIZE
 
 HERE = pathlib.Path(__file__).parent
 SECOND = 1_000_000
--- a/tests/storage/test_remember.py
+++ b/tests/storage/test_remember.py
@@ -6,8 +6,8 @@
 
 from gullyoke.emulator.day import SECOND, Machines, drawn
 from gullyoke.emulator.fleet import Running, deciding
-from gullyoke.storage import cold
-from gullyoke.storage import remember as r
+from gullyoke.storage import run_time_history as r
+from gullyoke.storage import warmup_history as cold
 
 
 class Remember(unittest.TestCase):
