--- a/benchmarks/disk.py
+++ b/benchmarks/disk.py
@@ -20,7 +20,7 @@
 from contextlib import contextmanager
 
 from benchmarks.pools import W
-from gullyoke.durability import Without
+from gullyoke.durability import UndurablePolicy
 from gullyoke.emulator.day import SECOND, Machines, drawn
 from gullyoke.emulator.fleet import Running, deciding
 from gullyoke.fault_testing.play import Play
@@ -182,24 +182,24 @@
             drawn(W, Machines(servers=1, fresh=True), load, 30 * SECOND, seed), deciding(False)
         )
 
-    curve, first = cold.Curve(), day(500 + seed)
+    curve, first = cold.WarmupRecorder(), day(500 + seed)
     server = first.nodes[0].server
     ran = server.hold.ran
 
     def noted(h, span: int) -> None:
         ran(h, span)
-        curve.ran(server.now, h.name, span)
+        curve.record_run(server.now, h.name, span)
 
     server.hold.ran = noted
     first.play()
-    found, again, at = curve.taken(1, 0.0, None), day(seed), [-1]
+    found, again, at = curve.take_snapshot(1, 0.0, None), day(seed), [-1]
     other = again.nodes[0].server
     read_ = other.read
 
     def recalled(now: int, request) -> None:
-        if (step := cold.step(now)) != at[0]:
+        if (step := cold.age_bucket(now)) != at[0]:
             at[0] = step
-            cold.recall(other, found, now)
+            cold.apply_snapshot(other, found, now)
         read_(now, request)
 
     other.read = recalled
@@ -262,7 +262,7 @@
         "asked": len(with_),
     }
     with ProcessPoolExecutor(os.cpu_count()) as pool:
-        states = [pool.submit(notes.found, None, 40, without_) for without_ in Without]
+        states = [pool.submit(notes.found, None, 40, without_) for without_ in UndurablePolicy]
         mutants = [pool.submit(notes.found, guard, 8) for guard in notes.MUTANTS]
         for load in (1.0, 1.5) if short else (0.6, 1.0, 1.5):
             gains = list(pool.map(coldly, [(seed, load) for seed in range(1, 31)]))
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -17,15 +17,14 @@
 from benchmarks.pools import W
 from gullyoke.emulator.day import SECOND, Machines, drawn
 from gullyoke.emulator.fleet import Running, deciding
-from gullyoke.storage import Committer, Disk, Store
-from gullyoke.storage import run_time_history as remember
+from gullyoke.storage import GroupCommitter, StorageFolder, Store, run_time_history
 
 
 def durable(waiting: int, seconds: float) -> dict:
     """Records a second and the wait for each, with so many waiting at once."""
     took, until = [], time.perf_counter() + seconds
     with tempfile.TemporaryDirectory() as folder:
-        committer = Committer(Store(Disk(folder)))
+        committer = GroupCommitter(Store(StorageFolder(folder)))
 
         def one(n: int) -> None:
             told, i = threading.Semaphore(0), 0
@@ -46,20 +45,20 @@
         "a_second": round(len(took) / seconds),
         "p50_ms": round(took[len(took) // 2] * 1e3, 3),
         "p99_ms": round(took[len(took) * 99 // 100] * 1e3, 3),
-        "group": round(committer.put_in / max(1, committer.groups), 1),
+        "group": round(committer.committed_entries / max(1, committer.committed_groups), 1),
     }
 
 
 def recovery(megabytes: int) -> float:
     """Seconds to open a store of that size."""
     with tempfile.TemporaryDirectory() as folder:
-        disk = Disk(folder)
-        store = Store(disk, roll=2**24, quota=2**30)
+        disk = StorageFolder(folder)
+        store = Store(disk, segment_bytes=2**24, quota_bytes=2**30)
         for i in range(megabytes):
             store.put([(f"k{i}-{j}", b"x" * 1000) for j in range(1000)])
         disk.close()
         began = time.perf_counter()
-        Store(Disk(folder), quota=2**30)
+        Store(StorageFolder(folder), quota_bytes=2**30)
         return round(time.perf_counter() - began, 2)
 
 
@@ -67,8 +66,8 @@
     """Bytes written over bytes asked for, under steady overwrites of a few keys."""
     written = asked = 0
     with tempfile.TemporaryDirectory() as folder:
-        disk = Disk(folder)
-        store, append = Store(disk, roll=2**16), disk.append
+        disk = StorageFolder(folder)
+        store, append = Store(disk, segment_bytes=2**16), disk.append
 
         def counted(name: str, data: bytes) -> None:
             nonlocal written
@@ -88,13 +87,13 @@
     Without a memory, with one of such a day, with one of a server that was ten times slower.
     """
 
-    def learned(speed: float) -> remember.Learned:
+    def learned(speed: float) -> run_time_history.RunTimeSnapshot:
         machines = Machines(servers=1, speeds=((1, speed),))
         running = Running(drawn(W, machines, 1.5, 30 * SECOND, 500 + seed), deciding(False))
         running.play()
-        return remember.taken(running.nodes[0].server, 1, 0.0)
+        return run_time_history.take_snapshot(running.nodes[0].server, 1, 0.0)
 
-    def play(found: remember.Learned | None) -> float:
+    def play(found: run_time_history.RunTimeSnapshot | None) -> float:
         day = drawn(W, Machines(servers=1, fresh=True), 1.5, 30 * SECOND, seed)
         running = Running(day, deciding(False))
         if found is not None:
@@ -103,7 +102,7 @@
             def first(now, request) -> None:
                 read(now, request)
                 server.on_request = read
-                remember.recall(server, found, remember.MOST)
+                run_time_history.apply_snapshot(server, found, run_time_history.MAX_WEIGHT)
 
             server.on_request = first
         return running.play().share()
--- a/gullyoke/cli/fleet.py
+++ b/gullyoke/cli/fleet.py
@@ -409,11 +409,11 @@
     from gullyoke.extensions.duties import FOLDER, OURS
     from gullyoke.leases.voter import Row
     from gullyoke.peer_transport.duties import row_bytes, rows_in
-    from gullyoke.storage import Cells, Disk
+    from gullyoke.storage import SlotFile, StorageFolder
 
-    files = Disk(os.path.join(folder, FOLDER))
+    files = StorageFolder(os.path.join(folder, FOLDER))
     try:
-        store = Cells(files)
+        store = SlotFile(files)
         promised, _ = rows_in((key, value) for key, value in store.items() if key != OURS)
         raised = {duty: Row(row.epoch + 1_000_000, 0, "") for duty, row in promised.items()}
         store.put(
--- a/gullyoke/cli/store.py
+++ b/gullyoke/cli/store.py
@@ -26,10 +26,10 @@
 
 def opened(folder: str):
     """The store there, with the lock of a writer."""
-    from gullyoke.storage import Disk, Store
+    from gullyoke.storage import StorageFolder, Store
 
     try:
-        disk = Disk(folder)
+        disk = StorageFolder(folder)
         click.get_current_context().call_on_close(disk.close)
         return Store(disk)
     except BlockingIOError:
@@ -57,13 +57,13 @@
         {
             "keys": count,
             "segments": len(found.plan.segments),
-            "bytes": found.plan.total(),
-            "live_bytes": found.plan.live(),
-            "dropped_bytes": found.dropped,
+            "bytes": found.plan.total_bytes(),
+            "live_bytes": found.plan.live_bytes(),
+            "dropped_bytes": found.dropped_bytes,
         },
         as_json,
     )
-    sys.exit(1 if found.dropped else 0)
+    sys.exit(1 if found.dropped_bytes else 0)
 
 
 @store.command("list")
@@ -91,17 +91,17 @@
     from rich.progress import Progress
 
     found = opened(folder)
-    found.plan.slack = 0.0
-    before = found.plan.total()
+    found.plan.max_dead_share = 0.0
+    before = found.plan.total_bytes()
     with Progress(disable=as_json or not sys.stderr.isatty()) as progress:
         task = progress.add_task("segments", total=len(found.plan.segments))
         while found.compact():
             progress.advance(task)
     told(
         {
-            "segments_removed": found.compacted,
+            "segments_removed": found.compacted_segments,
             "bytes_before": before,
-            "bytes": found.plan.total(),
+            "bytes": found.plan.total_bytes(),
             "faults": found.faults,
         },
         as_json,
--- a/gullyoke/durability/__init__.py
+++ b/gullyoke/durability/__init__.py
@@ -7,30 +7,36 @@
 says what was weighed, docs/store.md what an operator sees.
 """
 
-from gullyoke.durability.disk_health import Condition, State, Turn
-from gullyoke.durability.disk_quota import Kind, Rooms
-from gullyoke.durability.folder_trust import Mark, Trust, trusted
-from gullyoke.durability.key_ledger import Act, Do, Ledger, Put, Without
-from gullyoke.durability.key_record import Note, Phase, Verdict, judged
-from gullyoke.durability.pending_writes import Waits
+from gullyoke.durability.disk_health import DiskHealth, DiskState, DiskStateChange
+from gullyoke.durability.disk_quota import DataKind, DiskQuota
+from gullyoke.durability.folder_trust import FolderMark, FolderTrust, assess_folder
+from gullyoke.durability.key_ledger import (
+    ActionKind,
+    KeyLedger,
+    LedgerAction,
+    RecordWrite,
+    UndurablePolicy,
+)
+from gullyoke.durability.key_record import DuplicateVerdict, KeyRecord, RunPhase, judge_record
+from gullyoke.durability.pending_writes import PendingWrites
 
 __all__ = [
-    "Act",
-    "Condition",
-    "Do",
-    "Kind",
-    "Ledger",
-    "Mark",
-    "Note",
-    "Phase",
-    "Put",
-    "Rooms",
-    "State",
-    "Trust",
-    "Turn",
-    "Verdict",
-    "Waits",
-    "Without",
-    "judged",
-    "trusted",
+    "ActionKind",
+    "DataKind",
+    "DiskHealth",
+    "DiskQuota",
+    "DiskState",
+    "DiskStateChange",
+    "DuplicateVerdict",
+    "FolderMark",
+    "FolderTrust",
+    "KeyLedger",
+    "KeyRecord",
+    "LedgerAction",
+    "PendingWrites",
+    "RecordWrite",
+    "RunPhase",
+    "UndurablePolicy",
+    "assess_folder",
+    "judge_record",
 ]
--- a/gullyoke/durability/disk_health.py
+++ b/gullyoke/durability/disk_health.py
@@ -29,45 +29,56 @@
 TIGHT, LOOSE = 0.02, 0.04  # full under the first until over the other
 
 
-class State(Enum):
+class DiskState(Enum):
     """In the order of how bad they are: of two that hold the later one counts."""
 
-    WELL = "well"
+    HEALTHY = "well"
     NEAR_FULL = "near full"
     FULL = "full"
     FAILING = "failing"
     STALLED = "stalled"
     READ_ONLY = "read-only"
-    GONE = "gone"
+    MISSING = "gone"
 
+    @property
+    def counter_name(self) -> str:
+        """The end of the name of the counter of changes to this state."""
+        return self.value.replace(" ", "_").replace("-", "_")
 
-BAD = (State.FULL, State.FAILING, State.STALLED, State.READ_ONLY, State.GONE)
+
+BAD_STATES = (
+    DiskState.FULL,
+    DiskState.FAILING,
+    DiskState.STALLED,
+    DiskState.READ_ONLY,
+    DiskState.MISSING,
+)
 FAULTS = {
-    errno.ENOSPC: State.FULL,
-    errno.EDQUOT: State.FULL,
-    errno.EFBIG: State.FULL,
-    errno.EROFS: State.READ_ONLY,
-    errno.EACCES: State.READ_ONLY,
-    errno.EPERM: State.READ_ONLY,
-    errno.ENOENT: State.GONE,
-    errno.ENOTDIR: State.GONE,
-    errno.ESTALE: State.GONE,
-    errno.ENODEV: State.GONE,
-    errno.ENXIO: State.GONE,
+    errno.ENOSPC: DiskState.FULL,
+    errno.EDQUOT: DiskState.FULL,
+    errno.EFBIG: DiskState.FULL,
+    errno.EROFS: DiskState.READ_ONLY,
+    errno.EACCES: DiskState.READ_ONLY,
+    errno.EPERM: DiskState.READ_ONLY,
+    errno.ENOENT: DiskState.MISSING,
+    errno.ENOTDIR: DiskState.MISSING,
+    errno.ESTALE: DiskState.MISSING,
+    errno.ENODEV: DiskState.MISSING,
+    errno.ENXIO: DiskState.MISSING,
 }
-ORDER = list(State)
+ORDER = list(DiskState)
 
 
-class Turn(NamedTuple):
+class DiskStateChange(NamedTuple):
     """From one state to another, with the cause in words."""
 
     at: int
-    was: State
-    now: State
-    why: str
+    previous: DiskState
+    current: DiskState
+    reason: str
 
 
-class Condition:
+class DiskHealth:
     """One folder's disk.
 
     `heed` hears each turn. `draw` gives a number from 0 to 1. Table: `out`, calls that have not
@@ -76,22 +87,24 @@
 
     def __init__(self, now: int, draw: Callable[[], float]) -> None:
         self.draw, self.out, self.count = draw, {}, 0
-        self.bad: State | None = None  # by what calls returned; None while they go well
+        self.bad: DiskState | None = None  # by what calls returned; None while they go well
         self.since, self.good, self.next, self.pause = now, 0, now, TRIAL
         self.dwell, self.returned = DWELL, now - RAMP
         self.free = 1.0  # the share of the room that is left, as last told
-        self.told = State.WELL
-        self.heed: list[Callable[[Turn], None]] = []
+        self.told = DiskState.HEALTHY
+        self.listeners: list[Callable[[DiskStateChange], None]] = []
 
     # What is seen.
 
-    def began(self, now: int, what: str) -> int:
+    def call_started(self, now: int, what: str) -> int:
         """A call goes out; its number, for `ended`."""
         self.count += 1
         self.out[self.count] = now, what
         return self.count
 
-    def ended(self, now: int, number: int, fault: int | None = None, trial: bool = False) -> None:
+    def call_finished(
+        self, now: int, number: int, fault: int | None = None, trial: bool = False
+    ) -> None:
         """It returned: `fault` is the system's number for what was wrong, None where it went
         well.
         """
@@ -99,15 +112,15 @@
         if fault is not None:
             self._worse(
                 now,
-                FAULTS.get(fault, State.FAILING),
+                FAULTS.get(fault, DiskState.FAILING),
                 f"{what}: {errno.errorcode.get(fault, fault)}",
             )
         elif now - began > STALL:
-            self._worse(now, State.STALLED, f"{what} took {(now - began) // 1000} ms")
+            self._worse(now, DiskState.STALLED, f"{what} took {(now - began) // 1000} ms")
         elif trial:
             self._better(now)
 
-    def room(self, now: int, free: float) -> None:
+    def set_free_share(self, now: int, free: float) -> None:
         """The share of the room that is left.
 
         Of the disk, or of what we may have of it if that is less.
@@ -116,50 +129,56 @@
 
     # What is made of it.
 
-    def state(self, now: int) -> State:
+    def state(self, now: int) -> DiskState:
         """How it is now. Whoever hears a turn hears it from here."""
         stuck = next((what for began, what in self.out.values() if now - began > STALL), None)
-        if stuck is not None and (self.bad is None or self.bad in (State.FULL, State.FAILING)):
-            self._worse(now, State.STALLED, f"{stuck} has not come back")
-        found = max([self.bad or State.WELL, self._by_room()], key=ORDER.index)
+        if stuck is not None and (
+            self.bad is None or self.bad in (DiskState.FULL, DiskState.FAILING)
+        ):
+            self._worse(now, DiskState.STALLED, f"{stuck} has not come back")
+        found = max([self.bad or DiskState.HEALTHY, self._by_room()], key=ORDER.index)
         if found is not self.told:
-            if self.told in BAD and found not in BAD:
+            if self.told in BAD_STATES and found not in BAD_STATES:
                 self.returned = now
-            turn = Turn(now, self.told, found, self._why(found))
+            turn = DiskStateChange(now, self.told, found, self._why(found))
             self.told = found
-            for heed in self.heed:
+            for heed in self.listeners:
                 heed(turn)
         return found
 
-    def takes(self, now: int) -> bool:
+    def accepts_writes(self, now: int) -> bool:
         """Whether a promise may be asked of it now.
 
         Of one that has just come back a part that grows.
         """
-        if self.state(now) in BAD:
+        if self.state(now) in BAD_STATES:
             return False
         part = (now - self.returned) / RAMP
         return part >= 1 or self.draw() < max(0.1, part)
 
-    def trial(self, now: int) -> bool:
+    def claim_probe(self, now: int) -> bool:
         """Whether to try it now, once.
 
         True only while it is bad and nothing of the last trial is out.
         """
-        if self.state(now) not in BAD or now < self.next or self.out:
+        if self.state(now) not in BAD_STATES or now < self.next or self.out:
             return False
         self.next = now + self.pause
         self.pause = min(TRIAL_LONGEST, 2 * self.pause)
         return True
 
-    def _by_room(self) -> State:
-        low = LOOSE if self.told is State.FULL else TIGHT
-        near = CLEAR if self.told in (State.NEAR_FULL, State.FULL) else NEAR
+    def _by_room(self) -> DiskState:
+        low = LOOSE if self.told is DiskState.FULL else TIGHT
+        near = CLEAR if self.told in (DiskState.NEAR_FULL, DiskState.FULL) else NEAR
         return (
-            State.FULL if self.free < low else State.NEAR_FULL if self.free < near else State.WELL
+            DiskState.FULL
+            if self.free < low
+            else DiskState.NEAR_FULL
+            if self.free < near
+            else DiskState.HEALTHY
         )
 
-    def _worse(self, now: int, state: State, why: str) -> None:
+    def _worse(self, now: int, state: DiskState, why: str) -> None:
         self.good, self.cause = 0, why
         if self.bad is None:
             post_event = now - self.returned < max(RELAPSE, 2 * self.dwell)
@@ -183,7 +202,9 @@
 
     cause = ""
 
-    def _why(self, found: State) -> str:
+    def _why(self, found: DiskState) -> str:
         if self.bad is found:
             return self.cause
-        return "well again" if found is State.WELL else f"{self.free:.1%} of the room is left"
+        return (
+            "well again" if found is DiskState.HEALTHY else f"{self.free:.1%} of the room is left"
+        )
--- a/gullyoke/durability/folder_trust.py
+++ b/gullyoke/durability/folder_trust.py
@@ -15,7 +15,7 @@
 BACK = 5_000_000  # a clock that is behind the mark by more than this went back
 
 
-class Mark(NamedTuple):
+class FolderMark(NamedTuple):
     """`number`: the start's, which never goes back; `at`: Unix microseconds of its writing."""
 
     format: int
@@ -24,42 +24,48 @@
     at: int
 
 
-class Trust(NamedTuple):
+class FolderTrust(NamedTuple):
     """`notes`: whether what it says is believed; `writes`.
 
     Whether it may be written to; `doubts`: whether there were notes that are not known, so that
     further tries must be doubted; `why`, in words.
     """
 
-    notes: bool
-    writes: bool
-    doubts: bool
-    why: str
+    believed: bool
+    writable: bool
+    doubts_retries: bool
+    reason: str
 
 
-def trusted(mark: Mark | None, rows: int, name: str, known: int, now: int) -> Trust:
+def assess_folder(
+    mark: FolderMark | None, rows: int, name: str, known: int, now: int
+) -> FolderTrust:
     """`rows`: how many records lie there; `known`.
 
     The number of this name's last start as the others tell, 0 where there is nobody or they know of
     none.
     """
     if mark is not None and mark.format > FORMAT:
-        return Trust(False, False, True, f"format {mark.format}, newer than {FORMAT}")
+        return FolderTrust(False, False, True, f"format {mark.format}, newer than {FORMAT}")
     if mark is not None and mark.name != name:
-        return Trust(False, True, known > 0, f"the folder of {mark.name}")
+        return FolderTrust(False, True, known > 0, f"the folder of {mark.name}")
     if mark is None and rows:
-        return Trust(True, True, False, "format 1, without a mark")
+        return FolderTrust(True, True, False, "format 1, without a mark")
     if mark is None:
         why = "a fresh folder, though others know this name" if known else "a fresh folder"
-        return Trust(False, True, known > 0, why)
-    if older(mark.number, known):
-        return Trust(False, True, True, f"an older copy: start {mark.number}, others know {known}")
+        return FolderTrust(False, True, known > 0, why)
+    if is_older_copy(mark.number, known):
+        return FolderTrust(
+            False, True, True, f"an older copy: start {mark.number}, others know {known}"
+        )
     if now < mark.at - BACK:
-        return Trust(True, True, False, f"the clock went back by {(mark.at - now) // 1_000_000} s")
-    return Trust(True, True, False, "its own")
+        return FolderTrust(
+            True, True, False, f"the clock went back by {(mark.at - now) // 1_000_000} s"
+        )
+    return FolderTrust(True, True, False, "its own")
 
 
-def older(last: int, known: int) -> bool:
+def is_older_copy(last: int, known: int) -> bool:
     """Whether the others know of a start after the one that a folder bears.
 
     It is of an older copy.
@@ -67,7 +73,7 @@
     return 0 < last < known
 
 
-def marked(mark: Mark | None, name: str, number: int, now: int) -> Mark:
+def next_mark(mark: FolderMark | None, name: str, number: int, now: int) -> FolderMark:
     """What this start writes: its number is above the last one's, whatever the clock says."""
     last = mark.number if mark is not None and mark.name == name else 0
-    return Mark(FORMAT, name, max(number, last + 1), now)
+    return FolderMark(FORMAT, name, max(number, last + 1), now)
--- a/gullyoke/durability/key_ledger.py
+++ b/gullyoke/durability/key_ledger.py
@@ -19,49 +19,56 @@
 from enum import Enum
 from typing import NamedTuple
 
-from gullyoke.durability.key_record import BARE, Note, Phase, Verdict, judged, recovered
-from gullyoke.durability.pending_writes import Waits
-
-
-class Without(Enum):
+from gullyoke.durability.key_record import (
+    BARE,
+    DuplicateVerdict,
+    KeyRecord,
+    RunPhase,
+    judge_record,
+    recovered_record,
+)
+from gullyoke.durability.pending_writes import PendingWrites
+
+
+class UndurablePolicy(Enum):
     """What is done where the disk can't promise in time.
 
     `SHED`, the req is turned away unrun, or errored where it has run; `GO_ON`, it runs and is
     answered without the promise.
     """
 
-    SHED = "shed"
-    GO_ON = "go on"
+    REJECT = "shed"
+    RUN_ANYWAY = "go on"
 
 
-class Do(Enum):
+class ActionKind(Enum):
     RUN = "run"  # give the run
-    UNRUN = "unrun"  # it was not and will not be run
-    KNOWN = "known"  # it may have run before: errored
-    END = "end"  # tell how the run ended, as it did
-    UNKNOWN = "unknown"  # tell that it errored: its end is not on the disk
+    REJECT = "unrun"  # it was not and will not be run
+    REPORT_DUPLICATE = "known"  # it may have run before: errored
+    REPORT_END = "end"  # tell how the run ended, as it did
+    REPORT_UNKNOWN = "unknown"  # tell that it errored: its end is not on the disk
 
 
-class Act(NamedTuple):
-    do: Do
+class LedgerAction(NamedTuple):
+    kind: ActionKind
     key: str
 
 
-class Put(NamedTuple):
+class RecordWrite(NamedTuple):
     """Make this durable (None: take it out), then tell `written` with its number."""
 
     key: str
-    note: Note | None
+    note: KeyRecord | None
     number: int
 
 
-class Stage(Enum):
-    NOTING = "noting"
-    NOTED = "noted"
-    BARE = "bare"
-    ENDING = "ending"
+class KeyStage(Enum):
+    RECORDING_START = "noting"
+    RUNNING = "noted"
+    RUNNING_UNRECORDED = "bare"
+    RECORDING_END = "ending"
     ENDED = "ended"
-    LEFT = "left"
+    ABANDONED = "left"
 
 
 class Row:
@@ -73,12 +80,12 @@
 
     __slots__ = ("began", "due", "note", "number", "stage", "told")
 
-    def __init__(self, stage: Stage, note: Note, number: int, began: int, due: int) -> None:
+    def __init__(self, stage: KeyStage, note: KeyRecord, number: int, began: int, due: int) -> None:
         self.stage, self.note, self.number, self.began, self.due = stage, note, number, began, due
         self.told = False
 
 
-class Ledger:
+class KeyLedger:
     """Tables: `rows`, one a key, `most` bytes of notes and results together.
 
     No req that needs another is run with a promise. A row leaves when its window is over
@@ -89,111 +96,122 @@
     `lost` ends that are not on the disk.
     """
 
-    def __init__(self, life: int, without: Without, most: int) -> None:
-        self.life, self.without, self.most, self.waits = life, without, most, Waits()
+    def __init__(self, life: int, without: UndurablePolicy, most: int) -> None:
+        self.incarnation, self.policy, self.max_bytes, self.pending_writes = (
+            life,
+            without,
+            most,
+            PendingWrites(),
+        )
         self.rows: dict[str, Row] = {}
-        self.out: dict[int, str] = {}
+        self.writes_in_flight: dict[int, str] = {}
         self.ends: list[tuple[int, str]] = []
         self.results: deque[str] = deque()
-        self.bytes = self.count = 0
-        self.bare = self.lost = self.refused = 0
+        self.size_bytes = self.count = 0
+        self.unrecorded_runs = self.unrecorded_ends = self.rejected = 0
 
-    def recover(self, now: int, found: Iterable[tuple[str, Note]]) -> list[str]:
+    def recover(self, now: int, found: Iterable[tuple[str, KeyRecord]]) -> list[str]:
         """What the disk had at the start; the keys whose window is over, to be taken out."""
         past = []
         for key, note in found:
-            if judged(note, now) is Verdict.RUNS:
+            if judge_record(note, now) is DuplicateVerdict.MAY_RUN:
                 past.append(key)
                 continue
-            stage = Stage.ENDED if note.phase is Phase.ENDED else Stage.NOTED
-            if self.bytes + note.size() > self.most:  # the result goes, the note stays
+            stage = KeyStage.ENDED if note.phase is RunPhase.ENDED else KeyStage.RUNNING
+            if self.size_bytes + note.size() > self.max_bytes:  # the result goes, the note stays
                 note = note._replace(status=0, fields=(), body=b"")
-            self._put_row(key, Row(stage, recovered(note, now), 0, now, now))
+            self._put_row(key, Row(stage, recovered_record(note, now), 0, now, now))
             if note.status:
                 self.results.append(key)
         return past
 
     # A req's path.
 
-    def past(self, now: int, key: str) -> Note | None:
+    def find(self, now: int, key: str) -> KeyRecord | None:
         """What is known of an earlier req of this key that is no longer in hand.
 
         None where it may run.
         """
         row = self.rows.get(key)
-        if row is None or row.stage is Stage.LEFT or judged(row.note, now) is Verdict.RUNS:
+        if (
+            row is None
+            or row.stage is KeyStage.ABANDONED
+            or judge_record(row.note, now) is DuplicateVerdict.MAY_RUN
+        ):
             return None
         return row.note
 
-    def asked(
+    def request_run(
         self, now: int, key: str, arrived: int, until: int, due: int, run: float, takes: bool
-    ) -> Put | Act:
+    ) -> RecordWrite | LedgerAction:
         """A req is to run: `run` is how long that usually takes, `takes` whether the disk is fit
         for a promise.
         """
-        if self.past(now, key) is not None:
-            return Act(Do.KNOWN, key)
-        note = Note(Phase.NOTED, self.life, arrived, until)
+        if self.find(now, key) is not None:
+            return LedgerAction(ActionKind.REPORT_DUPLICATE, key)
+        note = KeyRecord(RunPhase.STARTED, self.incarnation, arrived, until)
         if (
             not takes
-            or self.bytes + note.size() > self.most
-            or not self.waits.in_time(now, due, run)
+            or self.size_bytes + note.size() > self.max_bytes
+            or not self.pending_writes.in_time(now, due, run)
         ):
             return self._without(now, key, note, due)
-        self._put_row(key, Row(Stage.NOTING, note, 0, now, due))
+        self._put_row(key, Row(KeyStage.RECORDING_START, note, 0, now, due))
         return self._write(now, key, note)
 
-    def unqueued(self, now: int, put: Put) -> Act | None:
+    def write_rejected(self, now: int, put: RecordWrite) -> LedgerAction | None:
         """A write could not even be queued."""
         row = self._back(now, put, False)
         if row is None:
             return None
-        if row.stage is Stage.NOTING:
+        if row.stage is KeyStage.RECORDING_START:
             note, due = row.note, row.due
             self._drop(put.key)
             return self._without(now, put.key, note, due)
-        if row.stage is Stage.ENDING:
-            row.stage = Stage.NOTED
+        if row.stage is KeyStage.RECORDING_END:
+            row.stage = KeyStage.RUNNING
             return self._unended(row, put.key)
-        if row.stage is Stage.LEFT:  # what lies there is taken for unknown after a restart
+        if row.stage is KeyStage.ABANDONED:  # what lies there is taken for unknown after a restart
             self._drop(put.key)
         return None
 
-    def written(self, now: int, put: Put, durable: bool) -> Act | Put | None:
+    def write_finished(
+        self, now: int, put: RecordWrite, durable: bool
+    ) -> LedgerAction | RecordWrite | None:
         """The disk's word on a write. One that is not the row's last counts for nothing."""
         row = self._back(now, put, durable)
         if row is None:
             return None
-        if row.stage is Stage.NOTING:
+        if row.stage is KeyStage.RECORDING_START:
             if durable:
-                row.stage = Stage.NOTED
-                return Act(Do.RUN, put.key)
-            row.stage = Stage.LEFT
-            return Act(Do.UNRUN, put.key)  # `left` takes out what may lie there
-        if row.stage is Stage.ENDING:
+                row.stage = KeyStage.RUNNING
+                return LedgerAction(ActionKind.RUN, put.key)
+            row.stage = KeyStage.ABANDONED
+            return LedgerAction(ActionKind.REJECT, put.key)  # `left` takes out what may lie there
+        if row.stage is KeyStage.RECORDING_END:
             if not durable:
-                row.stage = Stage.NOTED
+                row.stage = KeyStage.RUNNING
                 return self._unended(row, put.key)
-            row.stage = Stage.ENDED
+            row.stage = KeyStage.ENDED
             self.results.append(put.key)
             told, row.told = row.told, True
-            return None if told else Act(Do.END, put.key)
-        if row.stage is Stage.LEFT and put.note is None:
+            return None if told else LedgerAction(ActionKind.REPORT_END, put.key)
+        if row.stage is KeyStage.ABANDONED and put.note is None:
             self._drop(put.key)
         return None
 
-    def left(self, now: int, key: str) -> Put | None:
+    def abandon(self, now: int, key: str) -> RecordWrite | None:
         """Its req ended without a run: what may lie on the disk is to go."""
         row = self.rows.get(key)
-        if row is None or row.stage in (Stage.ENDED, Stage.ENDING):
+        if row is None or row.stage in (KeyStage.ENDED, KeyStage.RECORDING_END):
             return None
-        if row.stage is Stage.BARE:
+        if row.stage is KeyStage.RUNNING_UNRECORDED:
             self._drop(key)
             return None
-        row.stage = Stage.LEFT  # behind its note, should that be on its way: in order
+        row.stage = KeyStage.ABANDONED  # behind its note, should that be on its way: in order
         return self._write(now, key, None)
 
-    def ended(
+    def end_run(
         self,
         now: int,
         key: str,
@@ -201,43 +219,43 @@
         fields: tuple[tuple[str, str], ...],
         body: bytes,
         takes: bool,
-    ) -> Put | Act:
+    ) -> RecordWrite | LedgerAction:
         """Its run is over; `status` 0 where that is not known or it failed."""
         row = self.rows.get(key)
         if row is None:
-            return Act(Do.END, key)
-        note = row.note._replace(phase=Phase.ENDED, status=status, fields=fields, body=body)
-        if self.bytes + note.size() - row.note.size() > self.most:
+            return LedgerAction(ActionKind.REPORT_END, key)
+        note = row.note._replace(phase=RunPhase.ENDED, status=status, fields=fields, body=body)
+        if self.size_bytes + note.size() - row.note.size() > self.max_bytes:
             note = note._replace(status=0, fields=(), body=b"")
-        if row.stage is Stage.BARE:  # known while this life lasts
-            self.bytes += note.size() - row.note.size()
-            row.stage, row.note, row.told = Stage.ENDED, note, True
-            return Act(Do.END, key)
+        if row.stage is KeyStage.RUNNING_UNRECORDED:  # known while this life lasts
+            self.size_bytes += note.size() - row.note.size()
+            row.stage, row.note, row.told = KeyStage.ENDED, note, True
+            return LedgerAction(ActionKind.REPORT_END, key)
         if not takes:
-            row.stage = Stage.NOTED
+            row.stage = KeyStage.RUNNING
             return self._unended(row, key)
-        self.bytes += note.size() - row.note.size()
-        row.stage, row.note, row.began = Stage.ENDING, note, now
+        self.size_bytes += note.size() - row.note.size()
+        row.stage, row.note, row.began = KeyStage.RECORDING_END, note, now
         return self._write(now, key, note)
 
-    def overdue(self, now: int) -> list[Act]:
+    def time_out_writes(self, now: int) -> list[LedgerAction]:
         """Those whose write has taken too long: it is not waited for any more.
 
         What it comes to is still heard.
         """
         acts = []
-        for number, key in self.out.items():
+        for number, key in self.writes_in_flight.items():
             row = self.rows.get(key)
             if (
                 row is None
                 or row.number != number
-                or not self.waits.overdue(now, row.began, row.due)
+                or not self.pending_writes.is_overdue(now, row.began, row.due)
             ):
                 continue
-            if row.stage is Stage.NOTING:
-                row.stage = Stage.LEFT
-                acts.append(Act(Do.UNRUN, key))
-            elif row.stage is Stage.ENDING and not row.told:
+            if row.stage is KeyStage.RECORDING_START:
+                row.stage = KeyStage.ABANDONED
+                acts.append(LedgerAction(ActionKind.REJECT, key))
+            elif row.stage is KeyStage.RECORDING_END and not row.told:
                 acts.append(self._unended(row, key))
         return acts
 
@@ -262,12 +280,16 @@
         return past
 
     def _over(self, row: Row) -> bool:
-        other = row.note.life != self.life  # of an earlier start: it does not run here
-        return row.stage is Stage.ENDED or (row.stage is Stage.NOTED and (row.told or other))
-
-    def forget_others(self) -> list[str]:
+        other = (
+            row.note.incarnation != self.incarnation
+        )  # of an earlier start: it does not run here
+        return row.stage is KeyStage.ENDED or (
+            row.stage is KeyStage.RUNNING and (row.told or other)
+        )
+
+    def forget_other_starts(self) -> list[str]:
         """What earlier starts noted is believed no more; the keys, to be taken out."""
-        past = [key for key, row in self.rows.items() if row.note.life != self.life]
+        past = [key for key, row in self.rows.items() if row.note.incarnation != self.incarnation]
         for key in past:
             self._drop(key)
         return past
@@ -275,62 +297,69 @@
     def sizes(self) -> tuple[int, int]:
         """Bytes of notes and of results."""
         notes = len(self.rows) * BARE
-        return notes, max(0, self.bytes - notes)
+        return notes, max(0, self.size_bytes - notes)
 
-    def shrink(self, now: int, need: int) -> list[Put]:
+    def drop_results(self, now: int, need: int) -> list[RecordWrite]:
         """Results given up for so many bytes of room, the oldest first; their notes stay."""
         puts = []
         while need > 0 and self.results:
             key = self.results.popleft()
             row = self.rows.get(key)
-            if row is None or row.stage is not Stage.ENDED or not row.note.status:
+            if row is None or row.stage is not KeyStage.ENDED or not row.note.status:
                 continue
             bare = row.note._replace(status=0, fields=(), body=b"")
             freed = row.note.size() - bare.size()
-            need, self.bytes = need - max(1, freed), self.bytes - freed
+            need, self.size_bytes = need - max(1, freed), self.size_bytes - freed
             row.note = bare
             puts.append(self._write(now, key, bare))
         return puts
 
     # Inside.
 
-    def _without(self, now: int, key: str, note: Note, due: int) -> Act:
-        if self.without is Without.SHED:
-            self.refused += 1
-            return Act(Do.UNRUN, key)
-        self.bare += 1
-        if self.bytes + note.size() <= self.most:  # else it runs and is not known afterwards
-            self._put_row(key, Row(Stage.BARE, note, 0, now, due))
-        return Act(Do.RUN, key)
+    def _without(self, now: int, key: str, note: KeyRecord, due: int) -> LedgerAction:
+        if self.policy is UndurablePolicy.REJECT:
+            self.rejected += 1
+            return LedgerAction(ActionKind.REJECT, key)
+        self.unrecorded_runs += 1
+        if (
+            self.size_bytes + note.size() <= self.max_bytes
+        ):  # else it runs and is not known afterwards
+            self._put_row(key, Row(KeyStage.RUNNING_UNRECORDED, note, 0, now, due))
+        return LedgerAction(ActionKind.RUN, key)
 
-    def _unended(self, row: Row, key: str) -> Act | None:
+    def _unended(self, row: Row, key: str) -> LedgerAction | None:
         """Its end is not on the disk, or not yet: told once."""
         told, row.told = row.told, True
         if told:
             return None
-        self.lost += 1
-        return Act(Do.END if self.without is Without.GO_ON else Do.UNKNOWN, key)
-
-    def _write(self, now: int, key: str, note: Note | None) -> Put:
+        self.unrecorded_ends += 1
+        return LedgerAction(
+            ActionKind.REPORT_END
+            if self.policy is UndurablePolicy.RUN_ANYWAY
+            else ActionKind.REPORT_UNKNOWN,
+            key,
+        )
+
+    def _write(self, now: int, key: str, note: KeyRecord | None) -> RecordWrite:
         self.count += 1
-        self.rows[key].number, self.out[self.count] = self.count, key
-        self.waits.began(now, self.count)
-        return Put(key, note, self.count)
+        self.rows[key].number, self.writes_in_flight[self.count] = self.count, key
+        self.pending_writes.began(now, self.count)
+        return RecordWrite(key, note, self.count)
 
-    def _back(self, now: int, put: Put, durable: bool) -> Row | None:
+    def _back(self, now: int, put: RecordWrite, durable: bool) -> Row | None:
         """The row that a write is the last one of."""
-        self.out.pop(put.number, None)
-        self.waits.ended(now, put.number, durable)
+        self.writes_in_flight.pop(put.number, None)
+        self.pending_writes.ended(now, put.number, durable)
         row = self.rows.get(put.key)
         return row if row is not None and row.number == put.number else None
 
     def _put_row(self, key: str, row: Row) -> None:
         self._drop(key)
         self.rows[key] = row
-        self.bytes += row.note.size()
+        self.size_bytes += row.note.size()
         heapq.heappush(self.ends, (row.note.until, key))
 
     def _drop(self, key: str) -> None:
         row = self.rows.pop(key, None)
         if row is not None:
-            self.bytes -= row.note.size()
+            self.size_bytes -= row.note.size()
--- a/gullyoke/durability/key_record.py
+++ b/gullyoke/durability/key_record.py
@@ -13,20 +13,20 @@
 BARE = 700  # bytes of a note without a result in memory, with its tables
 
 
-class Phase(IntEnum):
-    NOTED = 1  # it may run, or may have
+class RunPhase(IntEnum):
+    STARTED = 1  # it may run, or may have
     ENDED = 2  # its run is over
 
 
-class Note(NamedTuple):
+class KeyRecord(NamedTuple):
     """`life` is the start that wrote it.
 
     `arrived`, when the try came that was run, and `until`, the end of its window, in microseconds
     of the Unix clock; `status` 0 where nothing is known of the answer.
     """
 
-    phase: Phase
-    life: int
+    phase: RunPhase
+    incarnation: int
     arrived: int
     until: int
     status: int = 0
@@ -40,21 +40,25 @@
         )
 
 
-class Verdict(Enum):
+class DuplicateVerdict(Enum):
     """What a repeat hears."""
 
-    RUNS = "runs"  # nothing is known of it, or its window is over: it may run
+    MAY_RUN = "runs"  # nothing is known of it, or its window is over: it may run
     UNKNOWN = "unknown"  # errored: whether it ran is not known, or its result is gone
     RESULT = "result"  # the answer that was kept
 
 
-def judged(note: Note | None, now: int) -> Verdict:
+def judge_record(note: KeyRecord | None, now: int) -> DuplicateVerdict:
     if note is None or now > note.until:
-        return Verdict.RUNS
-    return Verdict.RESULT if note.phase is Phase.ENDED and note.status else Verdict.UNKNOWN
+        return DuplicateVerdict.MAY_RUN
+    return (
+        DuplicateVerdict.RESULT
+        if note.phase is RunPhase.ENDED and note.status
+        else DuplicateVerdict.UNKNOWN
+    )
 
 
-def recovered(note: Note, now: int) -> Note:
+def recovered_record(note: KeyRecord, now: int) -> KeyRecord:
     """As it counts from this start on.
 
     Guards against a clock that went back: a note is in force for its window from now at the most,
--- a/gullyoke/durability/pending_writes.py
+++ b/gullyoke/durability/pending_writes.py
@@ -7,10 +7,10 @@
 from __future__ import annotations
 
 FIRST = 5_000  # microseconds that a promise is taken to need before one was made
-LONGEST = 1_000_000  # a promise that is not there by then is given up
+WRITE_TIMEOUT_US = 1_000_000  # a promise that is not there by then is given up
 
 
-class Waits:
+class PendingWrites:
     """Table: `out`, when each promise that is out was asked for, in the order of asking.
 
     As many as there are reqs in hand at the most.
@@ -48,6 +48,6 @@
         """
         return now + 2 * self.usual(now) + run <= due
 
-    def overdue(self, now: int, began: int, due: int) -> bool:
+    def is_overdue(self, now: int, began: int, due: int) -> bool:
         """Whether one that was asked for then is given up now."""
-        return now - began >= LONGEST or now >= due
+        return now - began >= WRITE_TIMEOUT_US or now >= due
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -17,7 +17,7 @@
 
 from gullyoke.admission.interface import Slots
 from gullyoke.coordination.fair import split
-from gullyoke.durability.disk_quota import Kind
+from gullyoke.durability.disk_quota import DataKind
 from gullyoke.extensions.disks import Room
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.leases import roll as rolls
@@ -29,7 +29,7 @@
 from gullyoke.peer_transport.duties import Duties
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
-from gullyoke.storage.append_file import Lines
+from gullyoke.storage.append_file import AppendFile
 
 YOUNG = 6_000_000  # a notice counts for so long
 LONGEST = 2**20  # bytes of the record's file
@@ -358,14 +358,14 @@
 
     def __init__(self, fleet: Fleet, duties: Duties, room: Room) -> None:
         super().__init__(fleet, duties)
-        self.lines = Lines(
+        self.lines = AppendFile(
             os.path.join(room.folder, "record.jsonl"),
             LONGEST,
             room.watch,
-            lambda: room.writes(Kind.RECORD),
+            lambda: room.writes(DataKind.FLEET_RECORD),
         )
-        room.size[Kind.RECORD] = self.lines.size
-        room.give[Kind.RECORD] = lambda size: self.lines.give()
+        room.size[DataKind.FLEET_RECORD] = self.lines.size_bytes
+        room.give[DataKind.FLEET_RECORD] = lambda size: self.lines.drop_older()
         self.last, self.epoch, self.count = None, 0, 0
 
     def act(self, now: int, epoch: int) -> None:
@@ -382,7 +382,7 @@
         if self.lines.faults:  # its disk fails: another may do better
             self.fleet.daemon.metrics.increment("duty.record_faults")
             self.lines.faults = 0
-            self.duties.leave(self.name, f"its disk: {self.lines.why}", ill=True)
+            self.duties.leave(self.name, f"its disk: {self.lines.reason}", ill=True)
             return
         if state != self.last:
             self.last = state
--- a/gullyoke/extensions/disks.py
+++ b/gullyoke/extensions/disks.py
@@ -5,11 +5,11 @@
 import random
 from collections.abc import Callable
 
-from gullyoke.durability.disk_health import State
-from gullyoke.durability.disk_quota import Kind, Rooms
+from gullyoke.durability.disk_health import DiskState
+from gullyoke.durability.disk_quota import DataKind, DiskQuota
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.storage.disk_monitor import Watch
+from gullyoke.storage.disk_monitor import DiskMonitor
 
 EACH = 1_000_000  # microseconds between looks at who has how much
 
@@ -22,12 +22,12 @@
     """
 
     def __init__(self, folder: str, quota: int, metrics: Metrics) -> None:
-        self.folder, self.rooms, self.metrics = folder, Rooms(quota), metrics
-        self.watch = Watch(folder, metrics, random.Random(folder).random, quota)
-        self.watch.left = self.rooms.left
-        self.watch.looked = self.look
-        self.size: dict[Kind, Callable[[], int]] = {}
-        self.give: dict[Kind, Callable[[int], None]] = {}
+        self.folder, self.rooms, self.metrics = folder, DiskQuota(quota), metrics
+        self.watch = DiskMonitor(folder, metrics, random.Random(folder).random, quota)
+        self.watch.quota_left = self.rooms.free_share
+        self.watch.on_check = self.look
+        self.size: dict[DataKind, Callable[[], int]] = {}
+        self.give: dict[DataKind, Callable[[int], None]] = {}
         self.tidy: list[Callable[[], None]] = []
         self.started, self.next = False, 0
 
@@ -36,11 +36,11 @@
             self.started = True
             self.watch.start()
 
-    def writes(self, kind: Kind) -> bool:
+    def writes(self, kind: DataKind) -> bool:
         """Whether this kind is written now."""
-        return self.rooms.writes(kind, self.watch.state())
+        return self.rooms.is_written(kind, self.watch.state())
 
-    def look(self, state: State) -> None:
+    def look(self, state: DiskState) -> None:
         """What is dead goes first, then what is worth least."""
         now = clock.now()
         if now < self.next:
@@ -48,13 +48,13 @@
         self.next = now + EACH
         for kind, size in self.size.items():
             self.rooms.used[kind] = size()
-        if state is State.NEAR_FULL:
+        if state is DiskState.NEAR_FULL:
             for tidy in self.tidy:
                 tidy()
-        for one in self.rooms.goes(state):
+        for one in self.rooms.to_reclaim(state):
             if one.kind in self.give:
-                self.metrics.increment(f"disk.gave_{one.kind.name.lower()}")
-                self.give[one.kind](one.bytes)
+                self.metrics.increment(f"disk.gave_{one.kind.counter_name}")
+                self.give[one.kind](one.size_bytes)
 
 
 class Disks:
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -153,12 +153,12 @@
 
         A folder that is new, another's or can't be used makes it begin anew.
         """
-        from gullyoke.storage import Cells, Committer
+        from gullyoke.storage import GroupCommitter, SlotFile
 
         rows, kept, number = None, {}, self.wanted.set
         try:
-            self.files = self.room.watch.files(os.path.join(self.wanted.folder, FOLDER))
-            store = Cells(self.files)  # their room is taken now: a promise fits a full disk
+            self.files = self.room.watch.open_folder(os.path.join(self.wanted.folder, FOLDER))
+            store = SlotFile(self.files)  # their room is taken now: a promise fits a full disk
             found = dict(store.items())
             whose, then = ours(found.pop(OURS, b""))
             if whose == name and then <= number <= then + 1:
@@ -168,7 +168,7 @@
                     "promises of another not used",
                     extra=log_fields(whose=whose, set=then, here=number),
                 )
-            self.committer = Committer(store)
+            self.committer = GroupCommitter(store)
             self.committer.put(OURS, f"{name} {number}".encode())
         except (OSError, ValueError) as fault:
             self.fleet.daemon.metrics.increment("duty.unkept")
--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -86,7 +86,9 @@
         self.told = self.size = daemon.configuration.facts.fleet.size
         files = None
         if self.kept:
-            files = self.disks.at(self.kept.folder, self.kept.quota, daemon.metrics).watch.files
+            files = self.disks.at(
+                self.kept.folder, self.kept.quota, daemon.metrics
+            ).watch.open_folder
         self.number = Number(self.kept.folder if self.kept else None, daemon.metrics, files)
         chance = random.Random(daemon.configuration.seed ^ 0x5EED)
         row = Row(
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -19,10 +19,19 @@
 
 from gullyoke.admission.interface import PAST, Idempotency
 from gullyoke.daemon.daemon import Daemon
-from gullyoke.durability import Ledger, Mark, Note, Phase, State, Trust, Without, trusted
-from gullyoke.durability.disk_health import BAD, Turn
-from gullyoke.durability.disk_quota import Kind as What
-from gullyoke.durability.folder_trust import marked, older
+from gullyoke.durability import (
+    DiskState,
+    FolderMark,
+    FolderTrust,
+    KeyLedger,
+    KeyRecord,
+    RunPhase,
+    UndurablePolicy,
+    assess_folder,
+)
+from gullyoke.durability.disk_health import BAD_STATES, DiskStateChange
+from gullyoke.durability.disk_quota import DataKind
+from gullyoke.durability.folder_trust import is_older_copy, next_mark
 from gullyoke.executors import Work
 from gullyoke.extensions.disks import Disks
 from gullyoke.extensions.promised import NOTE, Promised, digest, encode, packed, unpacked
@@ -34,7 +43,7 @@
 from gullyoke.runtime.duplicate_table import DuplicateTable, KeyEntry
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.messages import Answer
-from gullyoke.storage import Committer, Store, StoreVersionError
+from gullyoke.storage import GroupCommitter, Store, StoreVersionError
 
 FOLDER, MARK = "keys", "mark"
 SWEEP, LOOK = (
@@ -54,7 +63,10 @@
     """
 
     def __init__(
-        self, fresh_for: int, past: Callable[[int, str], Note | None], doubts: Callable[[int], bool]
+        self,
+        fresh_for: int,
+        past: Callable[[int, str], KeyRecord | None],
+        doubts: Callable[[int], bool],
     ) -> None:
         super().__init__(fresh_for)
         self.past, self.doubts = past, doubts
@@ -70,7 +82,7 @@
         note = self.past(now, digest(request.request_class.name, request.key))
         if note is not None:
             entry = KeyEntry(None, note.until)
-            if note.phase is Phase.ENDED and note.status:
+            if note.phase is RunPhase.ENDED and note.status:
                 entry.result = Answer(note.status, note.body, note.fields)
             return entry, PAST
         if request.is_retry and self.doubts(now):
@@ -84,10 +96,10 @@
     def __init__(self, kept: Kept, disks: Disks) -> None:
         super().__init__(kept)
         self.kept, self.disks = kept, disks
-        self.committer: Committer | None = None
+        self.committer: GroupCommitter | None = None
         self.ready = threading.Event()
-        self.trust: Trust | None = None
-        self.mark: Mark | None = None
+        self.trust: FolderTrust | None = None
+        self.mark: FolderMark | None = None
         self.last = self.doubted = self.next = 0  # `last`: the number of the start before this one
         self.shut = self.lost = False  # `lost`: what the folder held is gone
 
@@ -95,8 +107,8 @@
 
     def around(self, daemon: Daemon, work: Work) -> Work:
         self.daemon = daemon
-        self.ledger = Ledger(
-            int(time.time()), Without(self.kept.without), min(RESULTS, self.kept.quota // 2)
+        self.ledger = KeyLedger(
+            int(time.time()), UndurablePolicy(self.kept.without), min(RESULTS, self.kept.quota // 2)
         )
         self.room = self.disks.at(self.kept.folder, self.kept.quota, daemon.metrics)
         self.window = max(
@@ -118,18 +130,20 @@
 
     def start(self) -> None:
         self.room.size |= {
-            What.NOTES: lambda: self.ledger.sizes()[0],
-            What.RESULTS: lambda: self.ledger.sizes()[1],
+            DataKind.KEY_RECORDS: lambda: self.ledger.sizes()[0],
+            DataKind.RESULTS: lambda: self.ledger.sizes()[1],
         }
-        self.room.give[What.RESULTS] = self.give
+        self.room.give[DataKind.RESULTS] = self.give
         self.room.tidy.append(self.tidy)
         self.room.start()
-        self.room.watch.heed.append(self.turned)
+        self.room.watch.listeners.append(self.turned)
         self.daemon.timer.at(clock.now() + SWEEP, self.sweep)
 
     def opened(self) -> Store:
-        self.files = self.room.watch.files(os.path.join(self.kept.folder, FOLDER))
-        return Store(self.files, roll=max(4096, self.kept.quota // 8), quota=self.kept.quota)
+        self.files = self.room.watch.open_folder(os.path.join(self.kept.folder, FOLDER))
+        return Store(
+            self.files, segment_bytes=max(4096, self.kept.quota // 8), quota_bytes=self.kept.quota
+        )
 
     def open(self) -> None:
         """Read what is there, say how far it is believed, and write down what is in force here and
@@ -140,32 +154,35 @@
             store = self.opened()
             for key, value in store.items():
                 if key == MARK:
-                    mark = Mark(*decode_mark(value))
+                    mark = FolderMark(*decode_mark(value))
                 elif key.startswith(NOTE) and (note := unpacked(value)) is not None:
                     found.append((key, note))
         except (OSError, ValueError, msgspec.MsgspecError) as fault:
             self.daemon.metrics.increment("keys.unread")
             log.error("keys not read", extra=log_fields(folder=self.kept.folder, why=fault))
             if self.trust is None:
-                self.trust, self.doubted = Trust(False, False, True, str(fault)), now + self.window
+                self.trust, self.doubted = (
+                    FolderTrust(False, False, True, str(fault)),
+                    now + self.window,
+                )
             self.lost = not isinstance(fault, StoreVersionError)  # read once it can be
             self.ready.set()
             return
-        trust = trusted(mark, len(found), self.daemon.configuration.name, 0, now)
+        trust = assess_folder(mark, len(found), self.daemon.configuration.name, 0, now)
         with self.promised.pen:
             rows = [(key, packed(row.note)) for key, row in self.ledger.rows.items()]
             known = {key for key, _ in rows}
             found = [(key, note) for key, note in found if key not in known]
-            past = self.ledger.recover(now, found if trust.notes else [])
+            past = self.ledger.recover(now, found if trust.believed else [])
             if self.mark is None:
                 self.last = mark.number if mark is not None else 0
-                self.mark = marked(mark, self.daemon.configuration.name, int(time.time()), now)
+                self.mark = next_mark(mark, self.daemon.configuration.name, int(time.time()), now)
             if self.trust is None:
-                self.trust, self.doubted = trust, now + self.window if trust.doubts else 0
-            gone = past if trust.notes else [key for key, _ in found]
+                self.trust, self.doubted = trust, now + self.window if trust.doubts_retries else 0
+            gone = past if trust.believed else [key for key, _ in found]
             first = [(MARK, encode(tuple(self.mark))), *rows, *((key, None) for key in gone)]
             self.committer, self.lost = (
-                Committer(store, first=first) if trust.writes else None,
+                GroupCommitter(store, initial_batch=first) if trust.writable else None,
                 False,
             )
         self.ready.set()
@@ -176,8 +193,8 @@
                 notes=len(self.ledger.rows),
                 past=len(past),
                 start=self.mark.number,
-                why=trust.why,
-                dropped=store.dropped,
+                why=trust.reason,
+                dropped=store.dropped_bytes,
             ),
         )
 
@@ -190,32 +207,32 @@
         if member is None or self.mark is None or self.committer is None:
             return
         known, own = member.entry.known // TURNS, member.row.number // TURNS
-        if self.trust.notes and older(self.last, known):
-            self.trust = Trust(
+        if self.trust.believed and is_older_copy(self.last, known):
+            self.trust = FolderTrust(
                 False, True, True, f"an older copy: start {self.last}, others know {known}"
             )
             self.doubted = now + self.window
             with self.promised.pen:
-                for key in self.ledger.forget_others():
+                for key in self.ledger.forget_other_starts():
                     self.put(key, None)
             self.daemon.metrics.increment("keys.older_copy")
-            log.error("keys not believed", extra=log_fields(why=self.trust.why))
+            log.error("keys not believed", extra=log_fields(why=self.trust.reason))
         if own > self.mark.number:
             self.mark = self.mark._replace(number=own, at=now)
             self.put(MARK, encode(tuple(self.mark)))
 
     # For the decisions' side.
 
-    def past(self, now: int, key: str) -> Note | None:
+    def past(self, now: int, key: str) -> KeyRecord | None:
         with self.promised.pen:
-            return self.ledger.past(now, key)
+            return self.ledger.find(now, key)
 
     def doubts(self, now: int) -> bool:
         return not self.ready.is_set() or now < self.doubted
 
     def fit(self) -> bool:
         """Whether the disk may be asked for a promise now."""
-        return self.committer is not None and self.room.watch.takes()
+        return self.committer is not None and self.room.watch.accepts_writes()
 
     def put(
         self, key: str, value: bytes | None, told: Callable[[bool], None] = lambda durable: None
@@ -228,7 +245,7 @@
         now = clock.now()
         self.daemon.timer.at(now + SWEEP, self.sweep)
         self.promised.overdue(now)
-        bad = self.room.watch.state() in BAD
+        bad = self.room.watch.state() in BAD_STATES
         self.state(not bad and self.committer is not None)
         if now >= self.next:
             self.next = now + LOOK
@@ -240,7 +257,7 @@
 
     def state(self, fit: bool) -> None:
         """What the decisions go by."""
-        shut = not fit and self.ledger.without is Without.SHED
+        shut = not fit and self.ledger.policy is UndurablePolicy.REJECT
         if shut != self.shut:
             self.shut = shut
             for request_class in self.daemon.configuration.facts.request_classes:
@@ -251,7 +268,7 @@
     def give(self, size: int) -> None:
         """Results go, the oldest first."""
         with self.promised.pen:
-            puts = self.ledger.shrink(clock.now(), size)
+            puts = self.ledger.drop_results(clock.now(), size)
             for put in puts:
                 self.put(
                     put.key,
@@ -262,15 +279,15 @@
 
     def tidy(self) -> None:
         if self.committer is not None:
-            self.committer.tidy()
+            self.committer.request_compaction()
 
-    def turned(self, turn: Turn) -> None:
+    def turned(self, change: DiskStateChange) -> None:
         """A folder that was gone and is back has nothing of what lay in it, or is another's.
 
         Called under the watch's lock.
         """
-        self.lost |= turn.now is State.GONE
-        if self.lost and turn.now not in BAD:
+        self.lost |= change.current is DiskState.MISSING
+        if self.lost and change.current not in BAD_STATES:
             threading.Thread(target=self.again, name="keys", daemon=True).start()
 
     def again(self) -> None:
@@ -286,28 +303,28 @@
 
     def print(self) -> None:
         with self.promised.pen:
-            one, waits, committer = self.ledger, self.ledger.waits, self.committer
+            one, waits, committer = self.ledger, self.ledger.pending_writes, self.committer
             row = {
                 "notes": len(one.rows),
-                "bytes": one.bytes,
-                "bare": one.bare,
-                "lost": one.lost,
-                "refused": one.refused,
-                "out": len(one.out),
+                "bytes": one.size_bytes,
+                "bare": one.unrecorded_runs,
+                "lost": one.unrecorded_ends,
+                "refused": one.rejected,
+                "out": len(one.writes_in_flight),
                 "usual_ms": f"{waits.mean / 1000:.2f}",
             }
-        groups = committer.groups if committer else 0
+        groups = committer.committed_groups if committer else 0
         log.info(
             "keys",
             extra=log_fields(
                 **row,
                 state=self.room.watch.state().value,
-                group=f"{committer.put_in / groups:.1f}" if groups else "-",
+                group=f"{committer.committed_entries / groups:.1f}" if groups else "-",
             ),
         )
 
     def end(self) -> None:
         """Never held up for long by a disk that hangs."""
-        self.room.watch.end()
+        self.room.watch.stop()
         if self.committer is not None and not self.committer.close(CLOSE):
-            log.error("keys not all written", extra=log_fields(held=self.committer.held))
+            log.error("keys not all written", extra=log_fields(held=self.committer.pending_bytes))
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -12,7 +12,7 @@
 import time
 
 from gullyoke.daemon.daemon import Daemon
-from gullyoke.durability.disk_quota import Kind
+from gullyoke.durability.disk_quota import DataKind
 from gullyoke.extensions.disks import Disks, Room
 from gullyoke.extensions.unit import Plain
 from gullyoke.operator_config.wanted import Kept
@@ -21,7 +21,7 @@
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.timer import Timer
-from gullyoke.storage import Committer, Store
+from gullyoke.storage import GroupCommitter, Store
 from gullyoke.storage import run_time_history as rules
 from gullyoke.storage import warmup_history as colds
 
@@ -47,8 +47,8 @@
         )
 
     def start(self) -> None:
-        self.room.size[Kind.MEMORY] = self.memory.size
-        self.room.give[Kind.MEMORY] = lambda size: self.memory.give()
+        self.room.size[DataKind.RUN_TIMES] = self.memory.size
+        self.room.give[DataKind.RUN_TIMES] = lambda size: self.memory.give()
         self.room.start()
         self.memory.watch(self.daemon.dispatcher, self.daemon.timer)
 
@@ -57,28 +57,34 @@
     """Table: none but its curve's; the store holds three rows."""
 
     def __init__(self, room: Room, quota: int, stated: object, metrics: Metrics) -> None:
-        self.stated, self.metrics, self.committer = rules.digest(stated), metrics, None
+        self.stated, self.metrics, self.committer = rules.settings_digest(stated), metrics, None
         self.room, folder = room, room.folder
-        self.found, self.weight, self.starts = None, 0.0, rules.Starts()
-        self.cold, self.curve, self.step = None, colds.Curve(), -1
+        self.found, self.weight, self.starts = None, 0.0, rules.StartHistory()
+        self.cold, self.curve, self.step = None, colds.WarmupRecorder(), -1
         self.usual: dict[str, float] = {}
         self.recalled, self.calm, self.kept, self.began = False, False, clock.now(), clock.now()
         try:
-            store = Store(room.watch.files(folder), roll=max(4096, quota // 8), quota=quota)
-            self.starts = rules.unpacked(store.get(STARTS), rules.Starts) or rules.Starts()
-            self.found = rules.unpacked(store.get(LEARNED), rules.Learned)
-            self.cold = rules.unpacked(store.get(COLD), colds.Cold)
-            verdict = rules.trust(self.found, self.stated, time.time(), self.starts)
+            store = Store(
+                room.watch.open_folder(folder),
+                segment_bytes=max(4096, quota // 8),
+                quota_bytes=quota,
+            )
+            self.starts = (
+                rules.unpack_row(store.get(STARTS), rules.StartHistory) or rules.StartHistory()
+            )
+            self.found = rules.unpack_row(store.get(LEARNED), rules.RunTimeSnapshot)
+            self.cold = rules.unpack_row(store.get(COLD), colds.WarmupSnapshot)
+            verdict = rules.judge_snapshot(self.found, self.stated, time.time(), self.starts)
             self.weight = verdict.weight
-            self.committer = Committer(store)
-            self.committer.put(STARTS, rules.packed(rules.began(self.starts)))
+            self.committer = GroupCommitter(store)
+            self.committer.put(STARTS, rules.pack_row(rules.start_begun(self.starts)))
             log.info(
                 "memory",
                 extra=log_fields(
                     folder=folder,
                     weight=f"{verdict.weight:.3f}",
-                    why=verdict.why,
-                    dropped=store.dropped,
+                    why=verdict.reason,
+                    dropped=store.dropped_bytes,
                     unwell=self.starts.unwell,
                 ),
             )
@@ -103,22 +109,22 @@
             if server is not None and not server.machine.starts_cold:
                 return  # it began warm
             age = clock.now() - server.guards.started if server is not None else 0
-            step = colds.step(age)
+            step = colds.age_bucket(age)
             if server is not None and step != self.step:
                 if self.step < 0:
                     self.follow(server)
                 self.step = step
-                if step is not None and colds.fit(self.cold, self.stated, self.starts):
-                    colds.recall(server, self.cold, age)
+                if step is not None and colds.is_usable(self.cold, self.stated, self.starts):
+                    colds.apply_snapshot(server, self.cold, age)
                     self.metrics.increment("memory.cold_recalled")
         if step is not None:
             timer.at(clock.now() + COLD_LOOK, lambda: self.look_cold(dispatcher, timer))
             return
         with dispatcher.lock:
             del server.hold.ran  # the class's own again
-            row = self.curve.taken(self.stated, time.time(), self.cold)
+            row = self.curve.take_snapshot(self.stated, time.time(), self.cold)
         if row.costs:
-            self.put(COLD, rules.packed(row))
+            self.put(COLD, rules.pack_row(row))
 
     def follow(self, server) -> None:
         """Each run's time is noted from now on, beside what the decisions make of it."""
@@ -126,7 +132,7 @@
 
         def noted(request_class, took: int) -> None:
             ran(request_class, took)
-            curve.ran(server.now - server.guards.started, request_class.name, took)
+            curve.record_run(server.now - server.guards.started, request_class.name, took)
 
         server.hold.ran = noted
 
@@ -139,9 +145,9 @@
             if not self.recalled:
                 self.recalled = True
                 if self.weight > 0:
-                    rules.recall(server, self.found, self.weight)
+                    rules.apply_snapshot(server, self.found, self.weight)
                 self.metrics.increment("memory.recalled" if self.weight > 0 else "memory.fresh")
-            row = rules.taken(server, self.stated, time.time())
+            row = rules.take_snapshot(server, self.stated, time.time())
             warm = server.guards.speed(dispatcher.now) >= 1.0
             leaving, crowd = (
                 dispatcher.stop_at is not None,
@@ -149,23 +155,23 @@
             )
         self.keep(row, warm, leaving, crowd)
 
-    def keep(self, row: rules.Learned, warm: bool, leaving: bool, crowd: bool) -> None:
+    def keep(self, row: rules.RunTimeSnapshot, warm: bool, leaving: bool, crowd: bool) -> None:
         """A snapshot, if it is time for one and the moment is fit."""
         now = clock.now()
         if now - self.kept < KEEP and not leaving:
             return
-        fit = rules.fit(row.costs, self.usual, warm, leaving)
-        self.usual = rules.settle(row.costs, self.usual)
+        fit = rules.is_worth_keeping(row.costs, self.usual, warm, leaving)
+        self.usual = rules.usual_run_times(row.costs, self.usual)
         self.kept = now
         if fit:
-            self.put(LEARNED, rules.packed(row))
+            self.put(LEARNED, rules.pack_row(row))
         faults = sum(n for name, n in self.metrics.rows.items() if name.startswith("faults."))
-        if not self.calm and rules.calm((now - self.began) / 1e6, faults, crowd):
+        if not self.calm and rules.is_healthy_start((now - self.began) / 1e6, faults, crowd):
             self.calm = True
-            self.put(STARTS, rules.packed(rules.Starts()))
+            self.put(STARTS, rules.pack_row(rules.StartHistory()))
 
     def size(self) -> int:
-        return self.committer.store.plan.live() if self.committer is not None else 0
+        return self.committer.store.plan.live_bytes() if self.committer is not None else 0
 
     def give(self) -> None:
         """All of it: what a server remembers of usual times it can learn again."""
@@ -174,7 +180,7 @@
 
     def put(self, key: str, data: bytes) -> None:
         if not self.room.writes(
-            Kind.MEMORY
+            DataKind.RUN_TIMES
         ):  # what is worth least is not written where room is short
             self.metrics.increment("memory.skipped")
             return
--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -14,7 +14,14 @@
 import msgspec
 
 from gullyoke.admission.interface import Idempotency, RequestEvent
-from gullyoke.durability import Act, Do, Ledger, Note, Phase, Put
+from gullyoke.durability import (
+    ActionKind,
+    KeyLedger,
+    KeyRecord,
+    LedgerAction,
+    RecordWrite,
+    RunPhase,
+)
 from gullyoke.executors import Work
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
@@ -37,15 +44,15 @@
     return NOTE + blake2b(f"{request_class}\0{key}".encode(), digest_size=16).hexdigest()
 
 
-def packed(note: Note | None) -> bytes | None:
+def packed(note: KeyRecord | None) -> bytes | None:
     return None if note is None else encode(tuple(note))
 
 
-def unpacked(data: bytes) -> Note | None:
+def unpacked(data: bytes) -> KeyRecord | None:
     """A note as the disk has it; None for what is none."""
     try:
         phase, *rest = decode(data)
-        return Note(Phase(phase), *rest)
+        return KeyRecord(RunPhase(phase), *rest)
     except (msgspec.MsgspecError, ValueError):
         return None
 
@@ -79,7 +86,7 @@
         self,
         inner: Work,
         dispatcher: Dispatcher,
-        ledger: Ledger,
+        ledger: KeyLedger,
         fit: Callable[[], bool],
         disk: Disk,
         metrics: Metrics,
@@ -123,10 +130,10 @@
         )
         until = max(now, request.arrived) + (h.key_ttl or 2 * h.timeout)
 
-        def asked() -> Put | Act:
-            if self.ledger.past(now, key) is None:
+        def asked() -> RecordWrite | LedgerAction:
+            if self.ledger.find(now, key) is None:
                 self.going[key], self.keys[request.request_id] = request, key
-            return self.ledger.asked(
+            return self.ledger.request_run(
                 now,
                 key,
                 request.arrived,
@@ -138,7 +145,7 @@
 
         said = self.ruled(asked)
         if (
-            said is not None and said.do is Do.KNOWN
+            said is not None and said.kind is ActionKind.REPORT_DUPLICATE
         ):  # a non-replayable one that may have run before
             self.metrics.increment("keys.known")
             self.real.post_event(request, RequestEvent.FAILED)
@@ -190,11 +197,11 @@
         """
         fit = self.fit()
 
-        def ended() -> Put | Act:
+        def ended() -> RecordWrite | LedgerAction:
             self.going.pop(key, None)
             self.ends[key] = tell
             well = answer.status == 200
-            return self.ledger.ended(
+            return self.ledger.end_run(
                 clock.now(),
                 key,
                 answer.status if well else 0,
@@ -219,43 +226,47 @@
             if key is None:
                 return
             self.going.pop(key, None)
-            self.ruled(lambda: self.ledger.left(clock.now(), key))
+            self.ruled(lambda: self.ledger.abandon(clock.now(), key))
 
     # Through the disk.
 
-    def ruled(self, rule: Callable[[], Put | Act | None]) -> Act | None:
+    def ruled(self, rule: Callable[[], RecordWrite | LedgerAction | None]) -> LedgerAction | None:
         """What a rule says; what it wants written is queued before another rule is asked."""
         with self.pen:
             said = rule()
-            while isinstance(said, Put):
+            while isinstance(said, RecordWrite):
                 put = said
                 queued = self.disk(
                     put.key, packed(put.note), lambda durable, put=put: self.told(put, durable)
                 )
-                said = None if queued else self.ledger.unqueued(clock.now(), put)
+                said = None if queued else self.ledger.write_rejected(clock.now(), put)
             return said
 
-    def told(self, put: Put, durable: bool) -> None:
+    def told(self, put: RecordWrite, durable: bool) -> None:
         """The disk's word on a write, on the committer's thread."""
         self.metrics.increment("keys.kept" if durable else "keys.unkept")
-        said = self.ruled(lambda: self.ledger.written(clock.now(), put, durable))
+        said = self.ruled(lambda: self.ledger.write_finished(clock.now(), put, durable))
         if said is not None:
             self.carry(said, False)
 
-    def carry(self, act: Act, inside: bool) -> None:
+    def carry(self, act: LedgerAction, inside: bool) -> None:
         """`inside` the desk's lock, or on a thread that does not hold it."""
         with self.pen:
-            tell = self.ends.pop(act.key, None) if act.do in (Do.END, Do.UNKNOWN) else None
+            tell = (
+                self.ends.pop(act.key, None)
+                if act.kind in (ActionKind.REPORT_END, ActionKind.REPORT_UNKNOWN)
+                else None
+            )
             request = self.going.get(act.key)
         if tell is not None:
-            if act.do is Do.UNKNOWN:
+            if act.kind is ActionKind.REPORT_UNKNOWN:
                 self.metrics.increment("keys.unknown")
-            tell(act.do is Do.END)
-        elif act.do is Do.UNRUN and request is not None:
+            tell(act.kind is ActionKind.REPORT_END)
+        elif act.kind is ActionKind.REJECT and request is not None:
             self.metrics.increment("keys.unrun")
             self.left(request.request_id)
             (self.real.post_event if inside else self.real.tell)(request, RequestEvent.NO_CAPACITY)
-        elif act.do is Do.RUN and request is not None:
+        elif act.kind is ActionKind.RUN and request is not None:
             if inside:
                 self.inner.run(request)
             else:
@@ -276,7 +287,7 @@
     def overdue(self, now: int) -> None:
         """Those that have waited for too long, for their run or for their end, go on without."""
         with self.pen:
-            acts = self.ledger.overdue(now)
+            acts = self.ledger.time_out_writes(now)
         for act in acts:
             self.metrics.increment("keys.overdue")
             self.carry(act, False)
--- a/gullyoke/fault_testing/faulty.py
+++ b/gullyoke/fault_testing/faulty.py
@@ -17,7 +17,7 @@
 import sys
 import time
 
-from gullyoke.storage import folder as disk
+from gullyoke.storage import folder as storage_folder
 
 POLL = 0.02  # seconds between looks at the file while a call hangs
 NEW, CHANGE, SYNC = ("create", "append", "make"), ("write_at", "remove"), ("sync", "sync_folder")
@@ -48,10 +48,10 @@
         time.sleep(POLL)
 
 
-def layer(path: pathlib.Path) -> type[disk.Disk]:
+def layer(path: pathlib.Path) -> type[storage_folder.StorageFolder]:
     """A folder whose calls ask the file first."""
 
-    class Faulty(disk.Disk):
+    class Faulty(storage_folder.StorageFolder):
         def free(self) -> tuple[int, int]:
             fail(path, "free")
             left, size = super().free()
@@ -59,7 +59,7 @@
             return (0 if what == "full" else int(more[0]) if what == "low" else left), size
 
     def asked(name: str):
-        own = getattr(disk.Disk, name)
+        own = getattr(storage_folder.StorageFolder, name)
 
         def call(self, *given):
             fail(path, name)
@@ -85,7 +85,7 @@
 
 def main() -> None:
     path = pathlib.Path(sys.argv[1])
-    disk.Disk = layer(path)  # before anything else takes it by its name
+    storage_folder.StorageFolder = layer(path)  # before anything else takes it by its name
     sys.argv[1:2] = []
     from gullyoke.cli.main import main as command
 
--- a/gullyoke/model_checking/key_ledger.py
+++ b/gullyoke/model_checking/key_ledger.py
@@ -15,12 +15,19 @@
 from unittest import mock
 
 from gullyoke.durability import key_ledger as ledgers
-from gullyoke.durability.key_ledger import Act, Do, Ledger, Put, Stage, Without
-from gullyoke.durability.key_record import Note, Phase, Verdict, judged
-from gullyoke.durability.pending_writes import LONGEST
+from gullyoke.durability.key_ledger import (
+    ActionKind,
+    KeyLedger,
+    KeyStage,
+    LedgerAction,
+    RecordWrite,
+    UndurablePolicy,
+)
+from gullyoke.durability.key_record import DuplicateVerdict, KeyRecord, RunPhase, judge_record
+from gullyoke.durability.pending_writes import WRITE_TIMEOUT_US
 from gullyoke.model_checking.explore import Move, walked
 
-KEY, WINDOW, DUE, RUN = "k", 100 * LONGEST, 10 * LONGEST, 1000
+KEY, WINDOW, DUE, RUN = "k", 100 * WRITE_TIMEOUT_US, 10 * WRITE_TIMEOUT_US, 1000
 QUEUE = 3  # writes on their way at the most
 
 
@@ -32,12 +39,16 @@
     """
 
     def __init__(
-        self, tries: int = 3, crashes: int = 2, faults: int = 1, without: Without = Without.SHED
+        self,
+        tries: int = 3,
+        crashes: int = 2,
+        faults: int = 1,
+        without: UndurablePolicy = UndurablePolicy.REJECT,
     ) -> None:
         self.now, self.life, self.without = 0, 1, without
-        self.disk: Note | None = None
-        self.queue: list[Put] = []
-        self.ledger = Ledger(1, without, 10**6)
+        self.disk: KeyRecord | None = None
+        self.queue: list[RecordWrite] = []
+        self.ledger = KeyLedger(1, without, 10**6)
         self.tries, self.crashes, self.faults, self.shrinks = tries, crashes, faults, 1
         self.going, self.running = False, False
         self.runs = self.ended_well = 0
@@ -87,14 +98,14 @@
             self.ended_well += move[1] != "ill"
             self.faults -= move[1] == "unfit"
             status = 0 if move[1] == "ill" else 200
-            self.take(self.ledger.ended(self.now, KEY, status, (), b"made", move[1] != "unfit"))
+            self.take(self.ledger.end_run(self.now, KEY, status, (), b"made", move[1] != "unfit"))
         elif what == "overdue":
-            self.now += LONGEST
-            for act in self.ledger.overdue(self.now):
+            self.now += WRITE_TIMEOUT_US
+            for act in self.ledger.time_out_writes(self.now):
                 self.carry(act)
         elif what == "shrink":
             self.shrinks -= 1
-            self.queue += self.ledger.shrink(self.now, 1)
+            self.queue += self.ledger.drop_results(self.now, 1)
         elif what == "crash":
             self.crash(int(move[1]))
         elif what == "window":
@@ -109,67 +120,76 @@
         """
         if self.going:
             return  # answered with that one; what it hears is the same
-        note = self.ledger.past(self.now, KEY)
+        note = self.ledger.find(self.now, KEY)
         if note is None:
             self.going = True
             self.take(
-                self.ledger.asked(
+                self.ledger.request_run(
                     self.now, KEY, self.now, self.now + WINDOW, self.now + DUE, RUN, fit
                 )
             )
         else:
-            self.tell("made" if judged(note, self.now) is Verdict.RESULT else "errored")
+            self.tell(
+                "made" if judge_record(note, self.now) is DuplicateVerdict.RESULT else "errored"
+            )
 
     def word(self, durable: bool) -> None:
         put = self.queue.pop(0)
         if durable:
             self.disk = put.note
-        self.take(self.ledger.written(self.now, put, durable))
+        self.take(self.ledger.write_finished(self.now, put, durable))
 
-    def take(self, said: Put | Act | None) -> None:
-        if isinstance(said, Put):
+    def take(self, said: RecordWrite | LedgerAction | None) -> None:
+        if isinstance(said, RecordWrite):
             self.queue.append(said)
         elif said is not None:
             self.carry(said)
 
-    def carry(self, act: Act) -> None:
-        if act.do is Do.RUN:
+    def carry(self, act: LedgerAction) -> None:
+        if act.kind is ActionKind.RUN:
             self.runs += 1
             self.running = True
             if self.runs > 1:
                 self.fault = "run a second time"
-        elif act.do is Do.UNRUN:
+        elif act.kind is ActionKind.REJECT:
             self.going = False
             if self.runs:
                 self.fault = "turned away after a run"
-            self.take(self.ledger.left(self.now, KEY))
-        elif act.do in (Do.END, Do.UNKNOWN):
+            self.take(self.ledger.abandon(self.now, KEY))
+        elif act.kind in (ActionKind.REPORT_END, ActionKind.REPORT_UNKNOWN):
             self.going = False
-            self.tell("made" if act.do is Do.END and self.ended_well else "errored")
+            self.tell(
+                "made" if act.kind is ActionKind.REPORT_END and self.ended_well else "errored"
+            )
 
     def tell(self, what: str) -> None:
         if what == "made" and not self.ended_well:
             self.fault = "an end was told that never was"
-        if what == "errored" and "made" in self.told and self.without is Without.SHED:
+        if what == "errored" and "made" in self.told and self.without is UndurablePolicy.REJECT:
             self.fault = "an end that was told is not known any more"
         self.told.append(what)
 
     def crash(self, came: int) -> None:
         """Of what was on its way some came there, in order; all else is forgotten."""
         self.crashes -= 1
-        if self.ledger.bare:  # runs without a promise: what goes on costs
+        if self.ledger.unrecorded_runs:  # runs without a promise: what goes on costs
             self.runs, self.told = 0, []
         for i, put in enumerate(self.queue):
             if came >> i & 1:
                 self.disk = put.note
         self.queue, self.going, self.running = [], False, False
         self.life += 1
-        self.ledger = Ledger(self.life, self.without, 10**6)
+        self.ledger = KeyLedger(self.life, self.without, 10**6)
         self.ledger.recover(self.now, [(KEY, self.disk)] if self.disk is not None else [])
 
     def key(self) -> tuple:
-        def seen(note: Note | None) -> tuple | None:
-            return note and (note.phase, note.status, note.life == self.life, self.now > note.until)
+        def seen(note: KeyRecord | None) -> tuple | None:
+            return note and (
+                note.phase,
+                note.status,
+                note.incarnation == self.life,
+                self.now > note.until,
+            )
 
         rows = [
             (
@@ -177,7 +197,7 @@
                 row.told,
                 seen(row.note),
                 row.number - self.ledger.count,
-                self.now - row.began >= LONGEST,
+                self.now - row.began >= WRITE_TIMEOUT_US,
             )
             for row in self.ledger.rows.values()
         ]
@@ -186,9 +206,9 @@
             seen(self.disk),
             queue,
             rows,
-            len(self.ledger.out),
+            len(self.ledger.writes_in_flight),
             len(self.ledger.results),
-            bool(self.ledger.bare),
+            bool(self.ledger.unrecorded_runs),
             self.tries,
             self.crashes,
             self.faults,
@@ -212,8 +232,12 @@
 
     def at_once(self, said):
         take(self, said)
-        if isinstance(said, Put) and said.note is not None and said.note.phase is Phase.NOTED:
-            self.carry(self.ledger.written(self.now, said, True))
+        if (
+            isinstance(said, RecordWrite)
+            and said.note is not None
+            and said.note.phase is RunPhase.STARTED
+        ):
+            self.carry(self.ledger.write_finished(self.now, said, True))
 
     return mock.patch.object(Notes, "take", at_once)
 
@@ -223,31 +247,35 @@
 
     def at_once(self, said):
         take(self, said)
-        if isinstance(said, Put) and said.note is not None and said.note.phase is Phase.ENDED:
-            self.carry(Act(Do.END, KEY))
+        if (
+            isinstance(said, RecordWrite)
+            and said.note is not None
+            and said.note.phase is RunPhase.ENDED
+        ):
+            self.carry(LedgerAction(ActionKind.REPORT_END, KEY))
 
     return mock.patch.object(Notes, "take", at_once)
 
 
 def _unknown_runs() -> contextlib.AbstractContextManager:
     def runs(note, now):
-        found = judged(note, now)
-        return Verdict.RUNS if found is Verdict.UNKNOWN else found
+        found = judge_record(note, now)
+        return DuplicateVerdict.MAY_RUN if found is DuplicateVerdict.UNKNOWN else found
 
-    return mock.patch.object(ledgers, "judged", runs)
+    return mock.patch.object(ledgers, "judge_record", runs)
 
 
 def _late_word_runs() -> contextlib.AbstractContextManager:
-    back = Ledger._back
+    back = KeyLedger._back
 
     def late(self, now, put, durable):
         row = back(self, now, put, durable)
         row = row or self.rows.get(put.key)
-        if row is not None and row.stage is Stage.LEFT and put.note is not None:
-            row.stage = Stage.NOTING
+        if row is not None and row.stage is KeyStage.ABANDONED and put.note is not None:
+            row.stage = KeyStage.RECORDING_START
         return row
 
-    return mock.patch.object(Ledger, "_back", late)
+    return mock.patch.object(KeyLedger, "_back", late)
 
 
 def _out_of_order() -> contextlib.AbstractContextManager:
@@ -255,13 +283,13 @@
         put = self.queue.pop()
         if durable:
             self.disk = put.note
-        self.take(self.ledger.written(self.now, put, durable))
+        self.take(self.ledger.write_finished(self.now, put, durable))
 
     return mock.patch.object(Notes, "word", last_first)
 
 
 def _note_goes_with_result() -> contextlib.AbstractContextManager:
-    shrink = Ledger.shrink
+    shrink = KeyLedger.drop_results
 
     def whole(self, now, need):
         puts = shrink(self, now, need)
@@ -269,7 +297,7 @@
             self._drop(put.key)
         return [put._replace(note=None) for put in puts]
 
-    return mock.patch.object(Ledger, "shrink", whole)
+    return mock.patch.object(KeyLedger, "drop_results", whole)
 
 
 MUTANTS: dict[str, Callable[[], contextlib.AbstractContextManager]] = {
@@ -283,7 +311,10 @@
 
 
 def found(
-    mutant: str | None, depth: int, without: Without = Without.SHED, most: int = 10**6
+    mutant: str | None,
+    depth: int,
+    without: UndurablePolicy = UndurablePolicy.REJECT,
+    most: int = 10**6,
 ) -> tuple[int, str | None]:
     """States walked, with one guard taken out or none, and what was found with its way."""
     with MUTANTS[mutant]() if mutant else contextlib.nullcontext():
--- a/gullyoke/peer_transport/kept.py
+++ b/gullyoke/peer_transport/kept.py
@@ -25,13 +25,13 @@
         self.metrics, self.latest, self.committer, self._known = metrics, 0, None, 0
         if folder is None:
             return
-        from gullyoke.storage import Committer, Disk, Store
+        from gullyoke.storage import GroupCommitter, StorageFolder, Store
 
         try:
-            self.disk = (files or Disk)(os.path.join(folder, FOLDER))
-            store = Store(self.disk, roll=4096, quota=QUOTA)
+            self.disk = (files or StorageFolder)(os.path.join(folder, FOLDER))
+            store = Store(self.disk, segment_bytes=4096, quota_bytes=QUOTA)
             self._known = int.from_bytes(store.get(KEY) or b"", "big")
-            self.committer = Committer(store)
+            self.committer = GroupCommitter(store)
         except OSError as fault:
             metrics.increment("fleet.unkept")
             log.error("fleet number not kept", extra=log_fields(folder=folder, why=fault))
--- a/gullyoke/storage/__init__.py
+++ b/gullyoke/storage/__init__.py
@@ -7,16 +7,16 @@
 The daemon imports it only where an operator's file names a folder.
 """
 
-from gullyoke.storage.folder import Disk, Files
-from gullyoke.storage.group_commit import Committer
-from gullyoke.storage.slot_file import Cells
+from gullyoke.storage.folder import FileOperations, StorageFolder
+from gullyoke.storage.group_commit import GroupCommitter
+from gullyoke.storage.slot_file import SlotFile
 from gullyoke.storage.store import Store, StoreFaultedError, StoreFullError, StoreVersionError
 
 __all__ = [
-    "Cells",
-    "Committer",
-    "Disk",
-    "Files",
+    "FileOperations",
+    "GroupCommitter",
+    "SlotFile",
+    "StorageFolder",
     "Store",
     "StoreFaultedError",
     "StoreFullError",
--- a/gullyoke/storage/append_file.py
+++ b/gullyoke/storage/append_file.py
@@ -7,21 +7,23 @@
 import threading
 from collections.abc import Callable
 
-from gullyoke.storage.disk_monitor import Watch
+from gullyoke.storage.disk_monitor import DiskMonitor
 
 WAITING = 64  # lines that may wait
 
 
-class Lines:
+class AppendFile:
     """Begun anew at `longest` bytes; one file more is kept.
 
     `faults` counts lines that did not come to the file in a row, `why` says what was wrong with the
     last of them. `fit`: whether to write at all now.
     """
 
-    def __init__(self, path: str, longest: int, watch: Watch, fit: Callable[[], bool]) -> None:
+    def __init__(
+        self, path: str, longest: int, watch: DiskMonitor, fit: Callable[[], bool]
+    ) -> None:
         self.path, self.longest, self.watch, self.fit = path, longest, watch, fit
-        self.faults, self.why = 0, ""
+        self.faults, self.reason = 0, ""
         self.queue: queue.Queue = queue.Queue(WAITING)
         threading.Thread(target=self.run, name="lines", daemon=True).start()
 
@@ -29,15 +31,15 @@
         try:
             self.queue.put_nowait(line)
         except queue.StoreFullError:
-            self.faults, self.why = self.faults + 1, "the disk does not come back"
+            self.faults, self.reason = self.faults + 1, "the disk does not come back"
 
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         """Bytes of both files."""
         return sum(
             os.path.getsize(path) for path in (self.path, self.path + ".1") if os.path.exists(path)
         )
 
-    def give(self) -> None:
+    def drop_older(self) -> None:
         """The older file goes."""
         with self.watch.timed("a line"):
             if os.path.exists(self.path + ".1"):
@@ -49,7 +51,7 @@
 
     def write(self, line: str) -> None:
         if not self.fit():
-            self.faults, self.why = self.faults + 1, f"the disk is {self.watch.state().value}"
+            self.faults, self.reason = self.faults + 1, f"the disk is {self.watch.state().value}"
             return
         try:
             with self.watch.timed("a line"):
@@ -59,4 +61,4 @@
                     file.write(line + "\n")
             self.faults = 0
         except OSError as fault:
-            self.faults, self.why = self.faults + 1, str(fault)
+            self.faults, self.reason = self.faults + 1, str(fault)
--- a/gullyoke/storage/compaction_plan.py
+++ b/gullyoke/storage/compaction_plan.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-from gullyoke.storage.record import GONE, Record
+from gullyoke.storage.record import DELETED, Record
 
 LITTLE = 256  # dead bytes of a segment that are not worth a copy
 
@@ -28,13 +28,13 @@
 class Segment:
     """How many bytes one holds, and how many of them are live."""
 
-    __slots__ = ("live", "number", "size")
+    __slots__ = ("live_bytes", "number", "size")
 
     def __init__(self, number: int) -> None:
-        self.number, self.size, self.live = number, 0, 0
+        self.number, self.size, self.live_bytes = number, 0, 0
 
 
-class Plan:
+class CompactionPlan:
     """Tables: `index`, a row for each key that is there or whose end must still be known.
 
     `segments`.
@@ -43,8 +43,12 @@
     that may be dead before it is compacted. Bytes.
     """
 
-    def __init__(self, roll: int, quota: int, slack: float = 0.5) -> None:
-        self.roll, self.quota, self.slack = roll, quota, slack
+    def __init__(self, segment_bytes: int, quota_bytes: int, max_dead_share: float = 0.5) -> None:
+        self.segment_bytes, self.quota_bytes, self.max_dead_share = (
+            segment_bytes,
+            quota_bytes,
+            max_dead_share,
+        )
         self.index: dict[str, Place] = {}
         self.segments: dict[int, Segment] = {}
         self.seq = 0
@@ -69,26 +73,31 @@
         if old is not None and (old.seq, old.segment, old.at) > (record.seq, segment, at):
             return
         if old is not None and old.segment in self.segments:
-            self.segments[old.segment].live -= old.size
-        self.index[record.key] = Place(segment, at, size, record.seq, record.kind == GONE)
-        row.live += size
+            self.segments[old.segment].live_bytes -= old.size
+        self.index[record.key] = Place(segment, at, size, record.seq, record.kind == DELETED)
+        row.live_bytes += size
 
-    def dropped(self, segment: int, size: int) -> None:
+    def add_dead_bytes(self, segment: int, size: int) -> None:
         """So many bytes of it are no record."""
         self.segments[segment].size += size
 
-    def total(self) -> int:
+    def total_bytes(self) -> int:
         return sum(s.size for s in list(self.segments.values()))
 
-    def live(self) -> int:
-        return sum(s.live for s in list(self.segments.values()))  # also asked by another thread
+    def live_bytes(self) -> int:
+        return sum(
+            s.live_bytes for s in list(self.segments.values())
+        )  # also asked by another thread
 
     def fits(self, size: int) -> bool:
         """Whether so much more stays within the quota, once all that is dead is compacted away."""
-        return self.live() + size <= self.quota
+        return self.live_bytes() + size <= self.quota_bytes
 
     def rolls(self, segment: int, size: int) -> bool:
-        return self.segments[segment].size + size > self.roll and self.segments[segment].size > 0
+        return (
+            self.segments[segment].size + size > self.segment_bytes
+            and self.segments[segment].size > 0
+        )
 
     def to_compact(self, active: int, eager: bool = False) -> int | None:
         """The segment whose live records are copied forward next.
@@ -99,10 +108,15 @@
         closed = [n for n in self.segments if n != active]
         if not closed:
             return None
-        if eager and any(self.segments[n].size - self.segments[n].live > LITTLE for n in closed):
+        if eager and any(
+            self.segments[n].size - self.segments[n].live_bytes > LITTLE for n in closed
+        ):
             return min(closed)
-        total, live = self.total(), self.live()
-        if total - live <= self.slack * max(total, self.roll) and total <= self.quota:
+        total, live = self.total_bytes(), self.live_bytes()
+        if (
+            total - live <= self.max_dead_share * max(total, self.segment_bytes)
+            and total <= self.quota_bytes
+        ):
             return None
         return min(closed)
 
--- a/gullyoke/storage/disk_monitor.py
+++ b/gullyoke/storage/disk_monitor.py
@@ -13,11 +13,11 @@
 from contextlib import contextmanager
 from typing import Any
 
-from gullyoke.durability.disk_health import BAD, Condition, State, Turn
+from gullyoke.durability.disk_health import BAD_STATES, DiskHealth, DiskState, DiskStateChange
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.storage import folder as disk
+from gullyoke.storage import folder as storage_folder
 
 LOOK = 0.25  # seconds between looks
 TRIAL, TRIED = "trial", 16 * 1024  # a file, and the bytes that it is tried with
@@ -37,7 +37,7 @@
 )
 
 
-class Watch:
+class DiskMonitor:
     """`files` gives what a store calls.
 
     `heed` hears each turn, on whatever thread came to see it, and must not block. One thread; it
@@ -48,31 +48,31 @@
         self, folder: str, metrics: Metrics, draw: Callable[[], float], quota: int | None = None
     ) -> None:
         self.folder, self.metrics, self.quota = folder, metrics, quota
-        self.lock, self.condition = threading.RLock(), Condition(clock.now(), draw)
-        self.condition.heed.append(self.turned)
-        self.heed: list[Callable[[Turn], None]] = []
+        self.lock, self.condition = threading.RLock(), DiskHealth(clock.now(), draw)
+        self.condition.listeners.append(self.turned)
+        self.listeners: list[Callable[[DiskStateChange], None]] = []
         self.ended = False
-        self.left: Callable[[], float] = lambda: 1.0  # the share of the quota that is left
-        self.looked: Callable[[State], None] = lambda state: None  # after each look
+        self.quota_left: Callable[[], float] = lambda: 1.0  # the share of the quota that is left
+        self.on_check: Callable[[DiskState], None] = lambda state: None  # after each look
 
     def start(self) -> None:
         threading.Thread(target=self.run, name="disk", daemon=True).start()
 
-    def files(self, at: str, locked: bool = True, made: bool = True) -> Files:
+    def open_folder(self, at: str, locked: bool = True, made: bool = True) -> MonitoredFolder:
         """A folder below, or the folder itself."""
         with self.timed("open"):
-            return Files(disk.Disk(at, locked, made), self)
+            return MonitoredFolder(storage_folder.StorageFolder(at, locked, made), self)
 
     # What is asked.
 
-    def state(self) -> State:
+    def state(self) -> DiskState:
         with self.lock:
             return self.condition.state(clock.now())
 
-    def takes(self) -> bool:
+    def accepts_writes(self) -> bool:
         """Whether a promise may be asked of it now."""
         with self.lock:
-            return self.condition.takes(clock.now())
+            return self.condition.accepts_writes(clock.now())
 
     # What is seen.
 
@@ -80,7 +80,7 @@
     def timed(self, what: str, trial: bool = False):
         """A call on the disk, from its beginning to its end."""
         with self.lock:
-            number = self.condition.began(clock.now(), what)
+            number = self.condition.call_started(clock.now(), what)
         fault = None
         try:
             yield
@@ -89,20 +89,23 @@
             raise
         finally:
             with self.lock:
-                self.condition.ended(clock.now(), number, fault, trial)
+                self.condition.call_finished(clock.now(), number, fault, trial)
 
-    def turned(self, turn: Turn) -> None:
+    def turned(self, change: DiskStateChange) -> None:
         """Called under the lock."""
-        self.metrics.increment(f"disk.{turn.now.name.lower()}")
+        self.metrics.increment(f"disk.{change.current.counter_name}")
         log.log(
-            40 if turn.now in BAD else 30,
+            40 if change.current in BAD_STATES else 30,
             "disk",
             extra=log_fields(
-                folder=self.folder, state=turn.now.value, was=turn.was.value, why=turn.why
+                folder=self.folder,
+                state=change.current.value,
+                was=change.previous.value,
+                why=change.reason,
             ),
         )
-        for heed in self.heed:
-            heed(turn)
+        for heed in self.listeners:
+            heed(change)
 
     def run(self) -> None:
         while not self.ended:
@@ -116,23 +119,25 @@
 
     def look(self) -> None:
         with self.lock:
-            due = self.condition.trial(clock.now())
-            stuck = bool(self.condition.out) and self.condition.state(clock.now()) is State.STALLED
+            due = self.condition.claim_probe(clock.now())
+            stuck = (
+                bool(self.condition.out) and self.condition.state(clock.now()) is DiskState.STALLED
+            )
         if stuck:
             return  # it would hang as well
-        where = Files(disk.Disk(self.folder, False, False), self)
+        where = MonitoredFolder(storage_folder.StorageFolder(self.folder, False, False), self)
         left, size = where.free()
         share = left / max(1, size)
         if self.quota:
-            share = min(1.0, left / self.quota, self.left())
+            share = min(1.0, left / self.quota, self.quota_left())
         with self.lock:
-            self.condition.room(clock.now(), share)
+            self.condition.set_free_share(clock.now(), share)
             state = self.condition.state(clock.now())
         if due:
             self.try_it(where)
-        self.looked(state)
+        self.on_check(state)
 
-    def try_it(self, where: Files) -> None:
+    def try_it(self, where: MonitoredFolder) -> None:
         """Write a little, durably, and take it away again."""
         with self.timed("a trial", trial=True):
             own = where.disk
@@ -147,14 +152,14 @@
                 if TRIAL in own.names():
                     own.remove(TRIAL)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.ended = True
 
 
-class Files:
+class MonitoredFolder:
     """A `Disk` whose calls are timed."""
 
-    def __init__(self, own: Any, watch: Watch) -> None:
+    def __init__(self, own: Any, watch: DiskMonitor) -> None:
         self.disk, self.watch = own, watch
         for name in CALLS:
             setattr(self, name, self.told(name, getattr(own, name)))
--- a/gullyoke/storage/folder.py
+++ b/gullyoke/storage/folder.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 
-class Files(Protocol):
+class FileOperations(Protocol):
     """Each raises `OSError`.
 
     What was appended is durable once `sync` has returned; that a file came or went, once
@@ -28,7 +28,7 @@
     def free(self) -> tuple[int, int]: ...
 
 
-class Disk:
+class StorageFolder:
     """A folder, made if it is not there unless `made` is False, with a lock against a second
     process. Raises `BlockingIOError` where another has it. Table: `open`, the files that are
     written to; the store closes all but one.
--- a/gullyoke/storage/group_commit.py
+++ b/gullyoke/storage/group_commit.py
@@ -14,7 +14,7 @@
 Told = Callable[[bool], None]
 
 
-class Committer:
+class GroupCommitter:
     """`put` only queues, `most` entries and `bytes` at once.
 
     `told` hears on the committer's thread whether it is durable. `weak` after a fault of the disk,
@@ -25,15 +25,21 @@
     def __init__(
         self,
         store: Store,
-        most: int = 4096,
+        max_entries: int = 4096,
         group: int = 256,
         bytes: int = 2**22,
-        first: list[tuple[str, bytes | None]] | None = None,
+        initial_batch: list[tuple[str, bytes | None]] | None = None,
     ) -> None:
-        self.store, self.group, self.bytes, self.held, self.first = store, group, bytes, 0, first
-        self.queue: queue.Queue = queue.Queue(most)
+        self.store, self.group, self.bytes, self.pending_bytes, self.initial_batch = (
+            store,
+            group,
+            bytes,
+            0,
+            initial_batch,
+        )
+        self.queue: queue.Queue = queue.Queue(max_entries)
         self.pen, self.untidy = threading.Lock(), False
-        self.weak, self.refused, self.groups, self.put_in = False, 0, 0, 0
+        self.degraded, self.rejected, self.committed_groups, self.committed_entries = False, 0, 0, 0
         self.thread = threading.Thread(target=self.run, name="store", daemon=True)
         self.thread.start()
 
@@ -41,27 +47,29 @@
         """Queue it; False where the queue is full, and then nobody is told."""
         size = len(key) + len(value or b"")
         with self.pen:
-            fits = self.held + size <= self.bytes
-            self.held += size * fits
+            fits = self.pending_bytes + size <= self.bytes
+            self.pending_bytes += size * fits
         try:
             if fits:
                 self.queue.put_nowait((key, value, told))
                 return True
         except queue.StoreFullError:
             with self.pen:
-                self.held -= size
-        self.refused += 1
+                self.pending_bytes -= size
+        self.rejected += 1
         return False
 
-    def tidy(self) -> None:
+    def request_compaction(self) -> None:
         """Compact away what is dead before the next batch, little as it may be."""
         self.untidy = True
         self.put("", None)
 
     def run(self) -> None:
-        if self.first:
-            self.commit([(key, value, lambda durable: None) for key, value in self.first], False)
-            self.first = None
+        if self.initial_batch:
+            self.commit(
+                [(key, value, lambda durable: None) for key, value in self.initial_batch], False
+            )
+            self.initial_batch = None
         while (first := self.queue.get()) is not None:
             if self.untidy:
                 self.untidy = False
@@ -84,12 +92,17 @@
     def commit(self, batch: list[tuple[str, bytes | None, Told]], counted: bool = True) -> None:
         try:
             self.store.put([(key, value) for key, value, _ in batch if key])
-            self.weak, durable = False, True
+            self.degraded, durable = False, True
         except (StoreFullError, StoreFaultedError):
-            self.weak, durable = True, False
-        self.groups, self.put_in = self.groups + 1, self.put_in + len(batch)
+            self.degraded, durable = True, False
+        self.committed_groups, self.committed_entries = (
+            self.committed_groups + 1,
+            self.committed_entries + len(batch),
+        )
         with self.pen:
-            self.held -= counted * sum(len(key) + len(value or b"") for key, value, _ in batch)
+            self.pending_bytes -= counted * sum(
+                len(key) + len(value or b"") for key, value, _ in batch
+            )
         for _, _, told in batch:
             told(durable)
 
--- a/gullyoke/storage/record.py
+++ b/gullyoke/storage/record.py
@@ -19,7 +19,7 @@
 MARK = b"\xf5gly"
 HEAD = struct.Struct("<4sIBI")  # mark, size, kind, checksum
 SUMMED = struct.Struct("<IB")
-PUT, GONE, HEADER = 1, 2, 3  # kinds
+PUT, DELETED, HEADER = 1, 2, 3  # kinds
 FORMAT = 2  # of a segment that begins with a header; 1 had none
 LARGEST = 2**24  # bytes of a payload; more is taken for a spoilt size
 
@@ -38,7 +38,7 @@
     kind: int = PUT
 
 
-class Found(NamedTuple):
+class LocatedRecord(NamedTuple):
     """A whole record and where it lies: its first byte and its length."""
 
     record: Record
@@ -46,7 +46,7 @@
     size: int
 
 
-def pack(record: Record) -> bytes:
+def pack_record(record: Record) -> bytes:
     payload = _encode((record.seq, record.key, record.value))
     if len(payload) > LARGEST:
         raise ValueError(f"a record of {len(payload)} bytes; {LARGEST} at most")
@@ -56,13 +56,13 @@
     return HEAD.pack(MARK, len(payload), record.kind, summed) + payload
 
 
-def unpack(data: bytes, at: int) -> Found | None:
+def unpack_record(data: bytes, at: int) -> LocatedRecord | None:
     """The record that begins there, or None where none is whole."""
     if at + HEAD.size > len(data):
         return None
     mark, size, kind, summed = HEAD.unpack_from(data, at)
     end = at + HEAD.size + size
-    if mark != MARK or kind not in (PUT, GONE, HEADER) or size > LARGEST or end > len(data):
+    if mark != MARK or kind not in (PUT, DELETED, HEADER) or size > LARGEST or end > len(data):
         return None
     payload = data[at + HEAD.size : end]
     if google_crc32c.extend(google_crc32c.value(SUMMED.pack(size, kind)), payload) != summed:
@@ -71,28 +71,28 @@
         seq, key, value = _decode(payload)
     except msgspec.MsgspecError:
         return None
-    return Found(Record(seq, key, value, kind), at, end - at)
+    return LocatedRecord(Record(seq, key, value, kind), at, end - at)
 
 
-def header() -> bytes:
+def segment_header() -> bytes:
     """What a segment begins with.
 
     A record of a kind of its own that bears the format in its sequence.
     """
-    return pack(Record(FORMAT, "", b"", HEADER))
+    return pack_record(Record(FORMAT, "", b"", HEADER))
 
 
-def scan(data: bytes) -> Iterator[Found | int]:
+def scan_records(data: bytes) -> Iterator[LocatedRecord | int]:
     """All that is whole, in its order; a number stands for so many bytes that are not."""
     at = 0
     while at < len(data):
-        found = unpack(data, at)
+        found = unpack_record(data, at)
         if found is not None:
             yield found
             at += found.size
             continue
         next_mark = data.find(MARK, at + 1)
-        while next_mark >= 0 and unpack(data, next_mark) is None:
+        while next_mark >= 0 and unpack_record(data, next_mark) is None:
             next_mark = data.find(MARK, next_mark + 1)
         end = next_mark if next_mark >= 0 else len(data)
         yield end - at
--- a/gullyoke/storage/slot_file.py
+++ b/gullyoke/storage/slot_file.py
@@ -13,11 +13,11 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple, Protocol
 
-from gullyoke.storage.record import GONE, PUT, Record, pack, unpack
+from gullyoke.storage.record import DELETED, PUT, Record, pack_record, unpack_record
 from gullyoke.storage.store import StoreFaultedError, StoreFullError
 
-SIZE = 1024  # bytes of a copy
-NAME = "cells"
+SLOT_COPY_BYTES = 1024  # bytes of a copy
+SLOT_FILE_NAME = "cells"
 
 
 class Fixed(Protocol):
@@ -38,7 +38,7 @@
     record: Record
 
 
-class Cells:
+class SlotFile:
     """Table: `index`, a row a key, `count` at the most.
 
     One that is gone leaves its cell to another. `dropped` counts copies that were no whole record
@@ -49,12 +49,14 @@
         self.files, self.count = files, count
         self.index: dict[str, Place] = {}
         self.dropped = self.faults = self.seq = 0
-        if NAME not in files.names():
-            files.make(NAME, 2 * count * SIZE)
-        data = files.read(NAME)
-        if len(data) < 2 * count * SIZE:  # cut, or the file of fewer: what is there is read
-            data = data.ljust(2 * count * SIZE, b"\0")
-            files.make(NAME, 2 * count * SIZE)
+        if SLOT_FILE_NAME not in files.names():
+            files.make(SLOT_FILE_NAME, 2 * count * SLOT_COPY_BYTES)
+        data = files.read(SLOT_FILE_NAME)
+        if (
+            len(data) < 2 * count * SLOT_COPY_BYTES
+        ):  # cut, or the file of fewer: what is there is read
+            data = data.ljust(2 * count * SLOT_COPY_BYTES, b"\0")
+            files.make(SLOT_FILE_NAME, 2 * count * SLOT_COPY_BYTES)
         self.free = []
         for cell in range(count):
             self._recover(cell, data)
@@ -62,17 +64,17 @@
     def _recover(self, cell: int, data: bytes) -> None:
         best: Place | None = None
         for copy in (0, 1):
-            at = (2 * cell + copy) * SIZE
-            found = unpack(data[at : at + SIZE], 0)
+            at = (2 * cell + copy) * SLOT_COPY_BYTES
+            found = unpack_record(data[at : at + SLOT_COPY_BYTES], 0)
             if found is None:
-                self.dropped += any(data[at : at + SIZE])
+                self.dropped += any(data[at : at + SLOT_COPY_BYTES])
             elif best is None or found.record.seq > best.record.seq:
                 best = Place(cell, copy, found.record)
         self.seq = max(self.seq, best.record.seq if best else 0)
         known = self.index.get(best.record.key) if best else None
         if (
             best is None
-            or best.record.kind == GONE
+            or best.record.kind == DELETED
             or (known and known.record.seq > best.record.seq)
         ):
             self.free.append((cell, best.copy if best else 1))
@@ -99,25 +101,27 @@
         free, places = list(self.free), []
         for key, value in wanted:
             self.seq += 1
-            record = Record(self.seq, key, value or b"", GONE if value is None else PUT)
-            data = pack(record)
-            if len(data) > SIZE:
-                raise StoreFullError(f"{len(data)} bytes; a cell holds {SIZE}")
+            record = Record(self.seq, key, value or b"", DELETED if value is None else PUT)
+            data = pack_record(record)
+            if len(data) > SLOT_COPY_BYTES:
+                raise StoreFullError(f"{len(data)} bytes; a cell holds {SLOT_COPY_BYTES}")
             cell, copy = self.index[key][:2] if key in self.index else free.pop()
             places.append((Place(cell, 1 - copy, record), data))
         try:
             for place, data in places:
                 self.files.write_at(
-                    NAME, (2 * place.cell + place.copy) * SIZE, data.ljust(SIZE, b"\0")
+                    SLOT_FILE_NAME,
+                    (2 * place.cell + place.copy) * SLOT_COPY_BYTES,
+                    data.ljust(SLOT_COPY_BYTES, b"\0"),
                 )
             if places:
-                self.files.sync(NAME)
+                self.files.sync(SLOT_FILE_NAME)
         except OSError as fault:
             self.faults += 1
             raise StoreFaultedError(*fault.args) from fault
         self.free = free
         for place, _ in places:
-            if place.record.kind == GONE:
+            if place.record.kind == DELETED:
                 del self.index[place.record.key]
                 self.free.append((place.cell, place.copy))
             else:
--- a/gullyoke/storage/store.py
+++ b/gullyoke/storage/store.py
@@ -8,19 +8,19 @@
 from collections.abc import Iterable, Iterator
 
 from gullyoke.errors import GullyokeError
-from gullyoke.storage.compaction_plan import Plan
-from gullyoke.storage.folder import Files
+from gullyoke.storage.compaction_plan import CompactionPlan
+from gullyoke.storage.folder import FileOperations
 from gullyoke.storage.record import (
+    DELETED,
     FORMAT,
-    GONE,
     HEADER,
     PUT,
-    Found,
+    LocatedRecord,
     Record,
-    header,
-    pack,
-    scan,
-    unpack,
+    pack_record,
+    scan_records,
+    segment_header,
+    unpack_record,
 )
 
 NAME = re.compile(r"([0-9]{10})\.seg")
@@ -52,9 +52,11 @@
     `Newer`.
     """
 
-    def __init__(self, files: Files, roll: int = 2**22, quota: int = 2**28) -> None:
-        self.files, self.plan = files, Plan(roll, quota)
-        self.dropped = self.faults = self.compacted = 0
+    def __init__(
+        self, files: FileOperations, segment_bytes: int = 2**22, quota_bytes: int = 2**28
+    ) -> None:
+        self.files, self.plan = files, CompactionPlan(segment_bytes, quota_bytes)
+        self.dropped_bytes = self.faults = self.compacted_segments = 0
         self.active, self.format = None, FORMAT
         for name in files.names():
             if match := NAME.fullmatch(name):
@@ -64,19 +66,19 @@
     def _recover(self, number: int, data: bytes) -> None:
         self.plan.begin(number)
         format_ = 1
-        for found in scan(data):
-            if isinstance(found, Found) and found.record.kind == HEADER:
+        for found in scan_records(data):
+            if isinstance(found, LocatedRecord) and found.record.kind == HEADER:
                 format_ = found.record.seq
                 if format_ > FORMAT:
                     raise StoreVersionError(
                         f"{name_of(number)} is of format {format_}; {FORMAT} is the newest known"
                     )
-                self.plan.dropped(number, found.size)
-            elif isinstance(found, Found):
+                self.plan.add_dead_bytes(number, found.size)
+            elif isinstance(found, LocatedRecord):
                 self.plan.note(found.record, number, found.at, found.size)
             else:
-                self.dropped += found
-                self.plan.dropped(number, found)
+                self.dropped_bytes += found
+                self.plan.add_dead_bytes(number, found)
         self.format = min(self.format, format_)
 
     # Reading.
@@ -89,9 +91,9 @@
         place = self.plan.index.get(key)
         if place is None or place.gone:
             return None
-        found = unpack(self.files.read_at(name_of(place.segment), place.at, place.size), 0)
+        found = unpack_record(self.files.read_at(name_of(place.segment), place.at, place.size), 0)
         if found is None or found.record.key != key or found.record.seq != place.seq:
-            self.dropped += place.size
+            self.dropped_bytes += place.size
             del self.plan.index[key]
             return None
         return found.record.value
@@ -114,17 +116,17 @@
         `Full` with nothing of it in force, or `Faulted`.
         """
         records = [
-            Record(self.plan.next_seq(), key, value or b"", GONE if value is None else PUT)
+            Record(self.plan.next_seq(), key, value or b"", DELETED if value is None else PUT)
             for key, value in batch
         ]
         self._write(records)
         self.compact()
 
     def _write(self, records: list[Record]) -> None:
-        packed = [pack(record) for record in records]
+        packed = [pack_record(record) for record in records]
         size = sum(map(len, packed))
         if not self.plan.fits(size):
-            raise StoreFullError(f"{size} bytes more than the quota of {self.plan.quota}")
+            raise StoreFullError(f"{size} bytes more than the quota of {self.plan.quota_bytes}")
         try:
             if self.active is None or self.plan.rolls(self.active, size):
                 self._begin()
@@ -150,13 +152,13 @@
         self.files.create(name_of(number))
         self.plan.begin(number)
         self.active = number
-        self.files.append(name_of(number), header())  # made durable with the first batch
-        self.plan.dropped(number, len(header()))
+        self.files.append(name_of(number), segment_header())  # made durable with the first batch
+        self.plan.add_dead_bytes(number, len(segment_header()))
         self.files.sync_folder()
 
     def _close(self, unknown: int) -> None:
         """It gets no more; `unknown` bytes at its end may be there."""
-        self.plan.dropped(self.active, unknown)
+        self.plan.add_dead_bytes(self.active, unknown)
         self.files.shut(name_of(self.active))
         self.active = None
 
@@ -175,9 +177,11 @@
                 records = []
                 for key in self.plan.kept(oldest):
                     place = self.plan.index[key]
-                    found = unpack(self.files.read_at(name_of(oldest), place.at, place.size), 0)
+                    found = unpack_record(
+                        self.files.read_at(name_of(oldest), place.at, place.size), 0
+                    )
                     if found is None:
-                        self.dropped += place.size
+                        self.dropped_bytes += place.size
                     else:
                         records.append(found.record)
                 if records:
@@ -188,7 +192,7 @@
                 self.faults += 1
                 return done
             self.plan.end(oldest)
-            self.compacted += 1
+            self.compacted_segments += 1
             done += 1
         return done
 
@@ -197,7 +201,7 @@
 
         After a crash between copy and removal both say the same.
         """
-        packed = [pack(record) for record in records]
+        packed = [pack_record(record) for record in records]
         if self.active is None or self.plan.rolls(self.active, sum(map(len, packed))):
             self._begin()
         name, at = name_of(self.active), self.plan.segments[self.active].size
--- a/gullyoke/storage/warmup_history.py
+++ b/gullyoke/storage/warmup_history.py
@@ -17,16 +17,23 @@
 import msgspec
 
 from gullyoke.admission.controller import AdmissionController
-from gullyoke.storage.run_time_history import STARTS, Starts
-
-EDGES = (500_000, 1_000_000, 2_000_000, 4_000_000, 8_000_000, 16_000_000)  # microseconds of age
-NINE_IN_TEN = 9  # of ten
-SAMPLES = 64  # that are kept of a step
-NEW = 0.5  # what the newest start counts for against those before
+from gullyoke.storage.run_time_history import MAX_UNHEALTHY_STARTS, StartHistory
+
+AGE_BUCKETS_US = (
+    500_000,
+    1_000_000,
+    2_000_000,
+    4_000_000,
+    8_000_000,
+    16_000_000,
+)  # microseconds of age
+DECILE = 9  # of ten
+MAX_SAMPLES = 64  # that are kept of a step
+NEWEST_WEIGHT = 0.5  # what the newest start counts for against those before
 VERSION = 1
 
 
-class Cold(msgspec.Struct, frozen=True):
+class WarmupSnapshot(msgspec.Struct, frozen=True):
     """`costs`: by handler, a time of runs for each step of EDGES, 0 where none was seen.
 
     Microseconds.
@@ -38,12 +45,12 @@
     version: int = VERSION
 
 
-def step(age: int) -> int | None:
+def age_bucket(age: int) -> int | None:
     """Which step an age is in; None once it is past all of them."""
-    return next((i for i, edge in enumerate(EDGES) if age < edge), None)
+    return next((i for i, edge in enumerate(AGE_BUCKETS_US) if age < edge), None)
 
 
-class Curve:
+class WarmupRecorder:
     """What one start is like.
 
     Table: `rows`, the last SAMPLES times that were seen in each step, by handler.
@@ -52,33 +59,35 @@
     def __init__(self) -> None:
         self.rows: dict[str, list[list[float]]] = {}
 
-    def ran(self, age: int, request_class: str, took: float) -> None:
-        if (at := step(age)) is not None:
-            row = self.rows.setdefault(request_class, [[] for _ in EDGES])[at]
+    def record_run(self, age: int, request_class: str, took: float) -> None:
+        if (at := age_bucket(age)) is not None:
+            row = self.rows.setdefault(request_class, [[] for _ in AGE_BUCKETS_US])[at]
             row.append(took)
-            del row[:-SAMPLES]
+            del row[:-MAX_SAMPLES]
 
-    def taken(self, stated: int, at: float, before: Cold | None) -> Cold:
+    def take_snapshot(
+        self, stated: int, at: float, before: WarmupSnapshot | None
+    ) -> WarmupSnapshot:
         """A snapshot, with those of earlier starts in it."""
         old = before.costs if before is not None and before.stated == stated else {}
-        nothing = [0.0] * len(EDGES)
+        nothing = [0.0] * len(AGE_BUCKETS_US)
         costs = {}
         for name in self.rows.keys() | old.keys():
-            now = [nine_in_ten(row) for row in self.rows.get(name, [[] for _ in EDGES])]
+            now = [ninth_decile(row) for row in self.rows.get(name, [[] for _ in AGE_BUCKETS_US])]
             costs[name] = [
-                x + (was - x) * NEW if x and was else x or was
+                x + (was - x) * NEWEST_WEIGHT if x and was else x or was
                 for x, was in zip(now, old.get(name, nothing), strict=True)
             ]
-        return Cold(stated, at, costs)
+        return WarmupSnapshot(stated, at, costs)
 
 
-def nine_in_ten(row: list[float]) -> float:
+def ninth_decile(row: list[float]) -> float:
     if len(row) < 2:
         return sum(row)
-    return statistics.quantiles(row, n=10, method="inclusive")[NINE_IN_TEN - 1]
+    return statistics.quantiles(row, n=10, method="inclusive")[DECILE - 1]
 
 
-def fit(found: Cold | None, stated: int, starts: Starts) -> bool:
+def is_usable(found: WarmupSnapshot | None, stated: int, starts: StartHistory) -> bool:
     """Whether a start may go by it.
 
     Another machine's or other handlers' is none, nor is one under which starts go ill again and
@@ -88,15 +97,15 @@
         found is not None
         and found.version == VERSION
         and found.stated == stated
-        and starts.unwell < STARTS
+        and starts.unwell < MAX_UNHEALTHY_STARTS
     )
 
 
-def recall(server: AdmissionController, found: Cold, age: int) -> None:
+def apply_snapshot(server: AdmissionController, found: WarmupSnapshot, age: int) -> None:
     """Let the usual times be what they were at this age, for handlers that were seen then."""
-    if (at := step(age)) is None:
+    if (at := age_bucket(age)) is None:
         return
     for h in server.hold.cost:
-        cost = found.costs.get(h.name, [0.0] * len(EDGES))[at]
+        cost = found.costs.get(h.name, [0.0] * len(AGE_BUCKETS_US))[at]
         if cost:
             server.hold.cost[h] = cost
--- a/tests/compatibility/test_memory_store.py
+++ b/tests/compatibility/test_memory_store.py
@@ -6,20 +6,27 @@
 from gullyoke.extensions.disks import Room
 from gullyoke.extensions.memory import COLD, LEARNED, STARTS, Remembered
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.storage import Disk, Store
-from gullyoke.storage.record import Found, scan
-from gullyoke.storage.run_time_history import Learned, Starts, digest, packed, trust, unpacked
-from gullyoke.storage.warmup_history import EDGES, Cold
+from gullyoke.storage import StorageFolder, Store
+from gullyoke.storage.record import LocatedRecord, scan_records
+from gullyoke.storage.run_time_history import (
+    RunTimeSnapshot,
+    StartHistory,
+    judge_snapshot,
+    pack_row,
+    settings_digest,
+    unpack_row,
+)
+from gullyoke.storage.warmup_history import AGE_BUCKETS_US, WarmupSnapshot
 
 QUOTA = 2**20
 SETTINGS = {"Profiles.count": "1", "Profiles.0.Name": "view", "FamilyInfo.Cores": "4"}
 SETTINGS_DIGEST = 1_687_762_731
 
-STARTS_VALUE = Starts(2)
-LEARNED_VALUE = Learned(
+STARTS_VALUE = StartHistory(2)
+LEARNED_VALUE = RunTimeSnapshot(
     SETTINGS_DIGEST, 1_700_000_000.5, {"view": 12_500.25, "book": 80_000.0}, 3_000.5
 )
-COLD_VALUE = Cold(
+COLD_VALUE = WarmupSnapshot(
     SETTINGS_DIGEST,
     1_700_000_001.0,
     {"view": [50_000.0, 40_000.0, 0.0, 20_000.0, 15_000.0, 12_500.5]},
@@ -38,22 +45,24 @@
 
 
 def write_memory(folder):
-    disk = Disk(folder)
-    store = Store(disk, roll=QUOTA // 8, quota=QUOTA)
-    store.put([(STARTS, packed(STARTS_VALUE))])
-    store.put([(COLD, packed(COLD_VALUE))])
-    store.put([(LEARNED, packed(LEARNED_VALUE))])
+    disk = StorageFolder(folder)
+    store = Store(disk, segment_bytes=QUOTA // 8, quota_bytes=QUOTA)
+    store.put([(STARTS, pack_row(STARTS_VALUE))])
+    store.put([(COLD, pack_row(COLD_VALUE))])
+    store.put([(LEARNED, pack_row(LEARNED_VALUE))])
     disk.close()
 
 
 class MemoryStore(unittest.TestCase):
     def test_constants(self):
         self.assertEqual((LEARNED, STARTS, COLD), ("learned", "starts", "cold"))
-        self.assertEqual(EDGES, (500_000, 1_000_000, 2_000_000, 4_000_000, 8_000_000, 16_000_000))
+        self.assertEqual(
+            AGE_BUCKETS_US, (500_000, 1_000_000, 2_000_000, 4_000_000, 8_000_000, 16_000_000)
+        )
 
     def test_settings_digest(self):
         """The digest by which a memory is bound to a server's settings."""
-        self.assertEqual(digest(SETTINGS), SETTINGS_DIGEST)
+        self.assertEqual(settings_digest(SETTINGS), SETTINGS_DIGEST)
 
     def test_rows(self):
         """Each row is a MessagePack map; its names are part of the format."""
@@ -62,8 +71,8 @@
             (LEARNED_VALUE, LEARNED_BYTES),
             (COLD_VALUE, COLD_BYTES),
         ):
-            self.assertEqual(packed(row).hex(), text)
-            self.assertEqual(unpacked(bytes.fromhex(text), type(row)), row)
+            self.assertEqual(pack_row(row).hex(), text)
+            self.assertEqual(unpack_row(bytes.fromhex(text), type(row)), row)
 
     def test_recorded_memory_is_recalled(self):
         """A server opened on the recorded folder has the same memory, and counts its start."""
@@ -74,22 +83,25 @@
         self.assertEqual(memory.cold, COLD_VALUE)
         self.assertEqual(memory.starts, STARTS_VALUE)
         self.assertTrue(memory.committer.close(10))
-        room.watch.end()
+        room.watch.stop()
         written = [
-            one.record for one in scan(files_in(folder)["0000000002.seg"]) if isinstance(one, Found)
+            one.record
+            for one in scan_records(files_in(folder)["0000000002.seg"])
+            if isinstance(one, LocatedRecord)
         ][1:]
         self.assertEqual(
-            [(one.seq, one.key, one.value) for one in written], [(4, "starts", packed(Starts(3)))]
+            [(one.seq, one.key, one.value) for one in written],
+            [(4, "starts", pack_row(StartHistory(3)))],
         )
 
     def test_recorded_memory_is_trusted(self):
-        disk = Disk(copy_of(self, "memory"))
+        disk = StorageFolder(copy_of(self, "memory"))
         self.addCleanup(disk.close)
-        found = unpacked(Store(disk).get(LEARNED), Learned)
+        found = unpack_row(Store(disk).get(LEARNED), RunTimeSnapshot)
         at = 1_700_000_000.5
-        self.assertEqual(trust(found, SETTINGS_DIGEST, at, STARTS_VALUE)[0], 0.5)
-        self.assertEqual(trust(found, SETTINGS_DIGEST, at + 3600, STARTS_VALUE)[0], 0.25)
-        self.assertEqual(trust(found, SETTINGS_DIGEST + 1, at, STARTS_VALUE)[0], 0.0)
+        self.assertEqual(judge_snapshot(found, SETTINGS_DIGEST, at, STARTS_VALUE)[0], 0.5)
+        self.assertEqual(judge_snapshot(found, SETTINGS_DIGEST, at + 3600, STARTS_VALUE)[0], 0.25)
+        self.assertEqual(judge_snapshot(found, SETTINGS_DIGEST + 1, at, STARTS_VALUE)[0], 0.0)
 
     def test_folder_is_written_with_the_same_bytes(self):
         folder = temporary_folder(self)
@@ -98,7 +110,9 @@
 
     def test_other_form_is_not_read(self):
         """A row whose names are others is no row: the server starts with nothing."""
-        self.assertIsNone(unpacked(bytes.fromhex("82a3666f6f01a776657273696f6e01"), Learned))
+        self.assertIsNone(
+            unpack_row(bytes.fromhex("82a3666f6f01a776657273696f6e01"), RunTimeSnapshot)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/compatibility/test_note_store.py
+++ b/tests/compatibility/test_note_store.py
@@ -3,28 +3,35 @@
 import unittest
 
 from compatibility.recorded import copy_of, files_in, temporary_folder
-from gullyoke.durability import Ledger, Mark, Note, Phase, Without, trusted
+from gullyoke.durability import (
+    FolderMark,
+    KeyLedger,
+    KeyRecord,
+    RunPhase,
+    UndurablePolicy,
+    assess_folder,
+)
 from gullyoke.durability.folder_trust import FORMAT as FOLDER_FORMAT
-from gullyoke.durability.folder_trust import marked
-from gullyoke.durability.key_record import Verdict, judged
+from gullyoke.durability.folder_trust import next_mark
+from gullyoke.durability.key_record import DuplicateVerdict, judge_record
 from gullyoke.extensions.keys import FOLDER, MARK, decode_mark
 from gullyoke.extensions.promised import NOTE, digest, encode, packed, unpacked
 from gullyoke.peer_transport.kept import FOLDER as NUMBER_FOLDER
 from gullyoke.peer_transport.kept import KEY as NUMBER_KEY
 from gullyoke.peer_transport.kept import Number
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.storage import Committer, Disk, Store, StoreVersionError
+from gullyoke.storage import GroupCommitter, StorageFolder, Store, StoreVersionError
 from gullyoke.storage.record import (
+    DELETED,
     FORMAT,
-    GONE,
     HEADER,
     PUT,
-    Found,
+    LocatedRecord,
     Record,
-    header,
-    pack,
-    scan,
-    unpack,
+    pack_record,
+    scan_records,
+    segment_header,
+    unpack_record,
 )
 
 NOW = 1_700_000_000_000_000
@@ -37,10 +44,10 @@
 REMOVED = "n4567"
 OTHER_START = "n89ab"
 
-MARK_VALUE = Mark(2, "server-1", 41, NOW)
-RUNNING_NOTE = Note(Phase.NOTED, START, NOW - 5_000, WINDOW_END)
-ENDED_NOTE = Note(
-    Phase.ENDED,
+MARK_VALUE = FolderMark(2, "server-1", 41, NOW)
+RUNNING_NOTE = KeyRecord(RunPhase.STARTED, START, NOW - 5_000, WINDOW_END)
+ENDED_NOTE = KeyRecord(
+    RunPhase.ENDED,
     START,
     NOW - 9_000,
     WINDOW_END,
@@ -48,17 +55,17 @@
     (("content-type", "text/plain"), ("x-größe", "7")),
     b"order 77\x00\xff",
 )
-REMOVED_NOTE = Note(Phase.ENDED, START, NOW, WINDOW_END, 500, (), b"r" * 400)
-OTHER_NOTE = Note(Phase.ENDED, START - 100, NOW - 700_000_000, NOW - 100_000_000)
+REMOVED_NOTE = KeyRecord(RunPhase.ENDED, START, NOW, WINDOW_END, 500, (), b"r" * 400)
+OTHER_NOTE = KeyRecord(RunPhase.ENDED, START - 100, NOW - 700_000_000, NOW - 100_000_000)
 
 
 def write_first_start(folder):
     """Two batches: the mark and three notes, then an end, a removal and one more note."""
-    disk = Disk(folder)
-    store = Store(disk, roll=4096, quota=2**20)
+    disk = StorageFolder(folder)
+    store = Store(disk, segment_bytes=4096, quota_bytes=2**20)
     store.put(
         [
-            (MARK, encode(tuple(Mark(2, "server-1", 40, NOW - 1_000_000)))),
+            (MARK, encode(tuple(FolderMark(2, "server-1", 40, NOW - 1_000_000)))),
             (RUNNING, packed(RUNNING_NOTE)),
             (REMOVED, packed(REMOVED_NOTE)),
             (ENDED, packed(RUNNING_NOTE)),
@@ -72,24 +79,24 @@
 
 def write_second_start(folder):
     """Each start begins a segment of its own."""
-    disk = Disk(folder)
-    Store(disk, roll=4096, quota=2**20).put([(MARK, encode(tuple(MARK_VALUE)))])
+    disk = StorageFolder(folder)
+    Store(disk, segment_bytes=4096, quota_bytes=2**20).put([(MARK, encode(tuple(MARK_VALUE)))])
     disk.close()
 
 
 class NoteStore(unittest.TestCase):
     def opened(self, name="notes"):
-        disk = Disk(copy_of(self, name))
+        disk = StorageFolder(copy_of(self, name))
         self.addCleanup(disk.close)
-        return Store(disk, roll=4096, quota=2**20)
+        return Store(disk, segment_bytes=4096, quota_bytes=2**20)
 
     def test_constants(self):
         """Figures and texts that stand in the files."""
-        self.assertEqual((PUT, GONE, HEADER, FORMAT, FOLDER_FORMAT), (1, 2, 3, 2, 2))
-        self.assertEqual([int(phase) for phase in Phase], [1, 2])
+        self.assertEqual((PUT, DELETED, HEADER, FORMAT, FOLDER_FORMAT), (1, 2, 3, 2, 2))
+        self.assertEqual([int(phase) for phase in RunPhase], [1, 2])
         self.assertEqual((FOLDER, MARK, NOTE), ("keys", "mark", "n"))
         self.assertEqual((NUMBER_FOLDER, NUMBER_KEY), ("fleet", "number"))
-        self.assertEqual([one.value for one in Without], ["shed", "go on"])
+        self.assertEqual([one.value for one in UndurablePolicy], ["shed", "go on"])
 
     def test_key_digest(self):
         self.assertEqual(digest("book", "order-77"), RUNNING)
@@ -99,19 +106,19 @@
         """A record's bytes: mark, size, kind, checksum, MessagePack payload."""
         for record, data in (
             (Record(7, "key", b"value"), "f5676c790d00000001954d568f9307a36b6579c40576616c7565"),
-            (Record(8, "key", b"", GONE), "f5676c79080000000251066da09308a36b6579c400"),
+            (Record(8, "key", b"", DELETED), "f5676c79080000000251066da09308a36b6579c400"),
         ):
-            self.assertEqual(pack(record).hex(), data)
-            found = unpack(bytes.fromhex(data), 0)
-            self.assertEqual(found, Found(record, 0, len(data) // 2))
-        self.assertEqual(header().hex(), "f5676c7905000000031fc3b3099302a0c400")
+            self.assertEqual(pack_record(record).hex(), data)
+            found = unpack_record(bytes.fromhex(data), 0)
+            self.assertEqual(found, LocatedRecord(record, 0, len(data) // 2))
+        self.assertEqual(segment_header().hex(), "f5676c7905000000031fc3b3099302a0c400")
 
     def test_recorded_folder_is_read(self):
         """The recorded folder gives the same keys and values."""
         store = self.opened()
-        self.assertEqual((store.dropped, store.format, store.next), (0, 2, 3))
+        self.assertEqual((store.dropped_bytes, store.format, store.next), (0, 2, 3))
         self.assertEqual(sorted(store.keys()), sorted([MARK, RUNNING, ENDED, OTHER_START]))
-        self.assertEqual(Mark(*decode_mark(store.get(MARK))), MARK_VALUE)
+        self.assertEqual(FolderMark(*decode_mark(store.get(MARK))), MARK_VALUE)
         self.assertEqual(unpacked(store.get(RUNNING)), RUNNING_NOTE)
         self.assertEqual(unpacked(store.get(ENDED)), ENDED_NOTE)
         self.assertEqual(unpacked(store.get(OTHER_START)), OTHER_NOTE)
@@ -121,18 +128,20 @@
         """After a restart the recorded notes are judged as before."""
         store = self.opened()
         notes = [(key, unpacked(value)) for key, value in store.items() if key != MARK]
-        ledger = Ledger(START + 10, Without.SHED, 2**20)
+        ledger = KeyLedger(START + 10, UndurablePolicy.REJECT, 2**20)
         self.assertEqual(ledger.recover(NOW, notes), [OTHER_START])
-        self.assertEqual(ledger.past(NOW, RUNNING), RUNNING_NOTE)
-        self.assertIs(judged(ledger.past(NOW, RUNNING), NOW), Verdict.UNKNOWN)
-        self.assertEqual(ledger.past(NOW, ENDED), ENDED_NOTE)
-        self.assertIs(judged(ledger.past(NOW, ENDED), NOW), Verdict.RESULT)
-        self.assertIsNone(ledger.past(WINDOW_END + 1, ENDED))
-        mark = Mark(*decode_mark(store.get(MARK)))
+        self.assertEqual(ledger.find(NOW, RUNNING), RUNNING_NOTE)
+        self.assertIs(judge_record(ledger.find(NOW, RUNNING), NOW), DuplicateVerdict.UNKNOWN)
+        self.assertEqual(ledger.find(NOW, ENDED), ENDED_NOTE)
+        self.assertIs(judge_record(ledger.find(NOW, ENDED), NOW), DuplicateVerdict.RESULT)
+        self.assertIsNone(ledger.find(WINDOW_END + 1, ENDED))
+        mark = FolderMark(*decode_mark(store.get(MARK)))
+        self.assertEqual(
+            tuple(assess_folder(mark, len(notes), "server-1", 41, NOW))[:3], (True, True, False)
+        )
         self.assertEqual(
-            tuple(trusted(mark, len(notes), "server-1", 41, NOW))[:3], (True, True, False)
+            next_mark(mark, "server-1", 7, NOW + 5), FolderMark(2, "server-1", 42, NOW + 5)
         )
-        self.assertEqual(marked(mark, "server-1", 7, NOW + 5), Mark(2, "server-1", 42, NOW + 5))
 
     def test_folder_is_written_with_the_same_bytes(self):
         folder = temporary_folder(self)
@@ -143,8 +152,8 @@
     def test_compaction_writes_the_same_bytes(self):
         """Live records are copied forward as they are."""
         folder = copy_of(self, "notes")
-        disk = Disk(folder)
-        store = Store(disk, roll=4096, quota=2**20)
+        disk = StorageFolder(folder)
+        store = Store(disk, segment_bytes=4096, quota_bytes=2**20)
         store.compact(16, eager=True)
         disk.close()
         self.assertEqual(files_in(folder), files_in(copy_of(self, "compacted")))
@@ -152,16 +161,16 @@
     def test_folder_without_header_is_read(self):
         """Format 1: a segment of records alone."""
         folder = temporary_folder(self)
-        (folder / "0000000001.seg").write_bytes(pack(Record(1, "key", b"value")))
-        disk = Disk(folder)
+        (folder / "0000000001.seg").write_bytes(pack_record(Record(1, "key", b"value")))
+        disk = StorageFolder(folder)
         self.addCleanup(disk.close)
         store = Store(disk)
         self.assertEqual((store.format, store.get("key")), (1, b"value"))
 
     def test_newer_folder_is_refused(self):
         folder = temporary_folder(self)
-        (folder / "0000000001.seg").write_bytes(pack(Record(3, "", b"", HEADER)))
-        disk = Disk(folder)
+        (folder / "0000000001.seg").write_bytes(pack_record(Record(3, "", b"", HEADER)))
+        disk = StorageFolder(folder)
         self.addCleanup(disk.close)
         with self.assertRaises(StoreVersionError):
             Store(disk)
@@ -169,20 +178,20 @@
     def test_committed_batch_has_the_same_records(self):
         """The committer's thread writes what the store writes."""
         folder = temporary_folder(self)
-        disk = Disk(folder)
-        committer = Committer(Store(disk), first=[(MARK, encode(tuple(MARK_VALUE)))])
+        disk = StorageFolder(folder)
+        committer = GroupCommitter(Store(disk), initial_batch=[(MARK, encode(tuple(MARK_VALUE)))])
         committer.put(RUNNING, packed(RUNNING_NOTE))
         committer.put(RUNNING, None)
         self.assertTrue(committer.close(10))
         disk.close()
-        found = [one.record for one in scan(files_in(folder)["0000000001.seg"])]
+        found = [one.record for one in scan_records(files_in(folder)["0000000001.seg"])]
         self.assertEqual(
             found,
             [
                 Record(2, "", b"", HEADER),
                 Record(1, MARK, encode(tuple(MARK_VALUE))),
                 Record(2, RUNNING, packed(RUNNING_NOTE)),
-                Record(3, RUNNING, b"", GONE),
+                Record(3, RUNNING, b"", DELETED),
             ],
         )
 
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -10,7 +10,7 @@
 from gullyoke.coordination.signals import Heard, Reading
 from gullyoke.coordination.signals import Stage as Standing
 from gullyoke.coordination.slots import Own
-from gullyoke.durability.disk_health import State as DiskState
+from gullyoke.durability.disk_health import DiskState
 from gullyoke.extensions.charges import Roll
 from gullyoke.extensions.duties import Duty
 from gullyoke.leases.candidate import Candidate, Turn
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -15,8 +15,8 @@
 from gullyoke.membership import Status
 from gullyoke.peer_transport.duties import Duties, pack, row_bytes, rows_in, unpack
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.storage import Cells, Disk
-from gullyoke.storage.slot_file import NAME, SIZE
+from gullyoke.storage import SlotFile, StorageFolder
+from gullyoke.storage.slot_file import SLOT_COPY_BYTES, SLOT_FILE_NAME
 
 NOW = 1_700_000_000_000_000
 VOTERS = {"server-1": "10.0.0.1:7900", "server-2": "10.0.0.2:7900", "server-3": "10.0.0.3:7900"}
@@ -54,8 +54,8 @@
 
 def write_cells(folder):
     """First promises, one of them renewed under a later epoch, and one duty that is taken out."""
-    disk = Disk(folder)
-    cells = Cells(disk)
+    disk = StorageFolder(folder)
+    cells = SlotFile(disk)
     first = Row(1_700_000_001, 1, "server-3")
     cells.put([(OURS, b"server-2 2"), ("promise ask", row_bytes(first))])
     cells.put([("promise gone", row_bytes(Row(5, 6, "server-1")))])
@@ -73,16 +73,18 @@
         return folder
 
     def opened(self):
-        disk = Disk(self.folder())
+        disk = StorageFolder(self.folder())
         self.addCleanup(disk.close)
-        return Cells(disk)
+        return SlotFile(disk)
 
     def voter(self):
         promised, _ = rows_in(self.opened().items())
         return Voter(NOW, "server-2", 0x22, ["server-1", "server-3"], Spans(), promised, 3)
 
     def test_constants(self):
-        self.assertEqual((FOLDER, OURS, NAME, SIZE), ("duties", "voter", "cells", 1024))
+        self.assertEqual(
+            (FOLDER, OURS, SLOT_FILE_NAME, SLOT_COPY_BYTES), ("duties", "voter", "cells", 1024)
+        )
 
     def test_recorded_cells_are_read(self):
         cells = self.opened()
--- a/tests/durability/test_rules.py
+++ b/tests/durability/test_rules.py
@@ -12,30 +12,30 @@
 from hypothesis import strategies as st
 
 from gullyoke.durability import (
-    Condition,
-    Do,
-    Ledger,
-    Mark,
-    Note,
-    Phase,
-    Put,
-    Rooms,
-    State,
-    Verdict,
-    Waits,
-    Without,
-    judged,
-    trusted,
+    ActionKind,
+    DiskHealth,
+    DiskQuota,
+    DiskState,
+    DuplicateVerdict,
+    FolderMark,
+    KeyLedger,
+    KeyRecord,
+    PendingWrites,
+    RecordWrite,
+    RunPhase,
+    UndurablePolicy,
+    assess_folder,
+    judge_record,
 )
-from gullyoke.durability.disk_health import BAD, DWELL_LONGEST
-from gullyoke.durability.disk_quota import Kind
-from gullyoke.durability.folder_trust import marked
-from gullyoke.durability.key_ledger import Act, Stage
-from gullyoke.durability.key_record import recovered
-from gullyoke.durability.pending_writes import LONGEST
+from gullyoke.durability.disk_health import BAD_STATES, DWELL_LONGEST
+from gullyoke.durability.disk_quota import DataKind
+from gullyoke.durability.folder_trust import next_mark
+from gullyoke.durability.key_ledger import KeyStage, LedgerAction
+from gullyoke.durability.key_record import recovered_record
+from gullyoke.durability.pending_writes import WRITE_TIMEOUT_US
 from gullyoke.model_checking import key_ledger as notes
-from gullyoke.storage import Cells, StoreFaultedError, StoreFullError
-from gullyoke.storage.slot_file import NAME, SIZE
+from gullyoke.storage import SlotFile, StoreFaultedError, StoreFullError
+from gullyoke.storage.slot_file import SLOT_COPY_BYTES, SLOT_FILE_NAME
 
 HERE = pathlib.Path(__file__).parent
 SECOND = 1_000_000
@@ -46,7 +46,7 @@
         """disks/*.txt, tests/README.md has the notation."""
         for path in sorted((HERE / "disks").glob("*.txt")):
             draws, out = [0.0], {}
-            one = Condition(0, lambda draws=draws: draws[0])
+            one = DiskHealth(0, lambda draws=draws: draws[0])
             for number, line in enumerate(path.read_text().splitlines(), 1):
                 words = line.partition("#")[0].split()
                 if not words:
@@ -57,23 +57,23 @@
     def line(self, one, draws, out, now, what, words):
         if what in ("call", "tried"):
             fault = getattr(errno, words[0]) if words else None
-            one.ended(now, one.began(now, what), fault, what == "tried")
+            one.call_finished(now, one.call_started(now, what), fault, what == "tried")
         elif what == "begin":
-            out[words[0]] = one.began(now, words[0])
+            out[words[0]] = one.call_started(now, words[0])
         elif what == "end":
-            one.ended(now, out.pop(words[0]))
+            one.call_finished(now, out.pop(words[0]))
         elif what == "free":
-            one.room(now, float(words[0]))
+            one.set_free_share(now, float(words[0]))
         elif what == "is":
             self.assertEqual(one.state(now).value, " ".join(words))
         elif what == "trial":
-            self.assertEqual(one.trial(now), words == ["yes"])
+            self.assertEqual(one.claim_probe(now), words == ["yes"])
         else:  # takes a share: just under it yes, over it no
             share = float(words[0])
             draws[0] = share - 0.01
-            self.assertTrue(one.takes(now))
+            self.assertTrue(one.accepts_writes(now))
             draws[0] = share + 0.01
-            self.assertEqual(one.takes(now), share == 1)
+            self.assertEqual(one.accepts_writes(now), share == 1)
 
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6))
@@ -82,17 +82,19 @@
         minute and a half after it is well for good it is so said.
         """
         chance, now, turns = random.Random(seed), 0, []
-        one = Condition(0, chance.random)
-        one.heed.append(turns.append)
+        one = DiskHealth(0, chance.random)
+        one.listeners.append(turns.append)
         faulty = True
         while now < 600 * SECOND:
             now += chance.randrange(100_000, 400_000)
             faulty = now < 300 * SECOND and chance.random() < 0.3
-            trial = one.trial(now)
-            if trial or one.state(now) not in BAD:
-                one.ended(now, one.began(now, "sync"), errno.EIO if faulty else None, trial)
+            trial = one.claim_probe(now)
+            if trial or one.state(now) not in BAD_STATES:
+                one.call_finished(
+                    now, one.call_started(now, "sync"), errno.EIO if faulty else None, trial
+                )
             if now > 300 * SECOND + DWELL_LONGEST + 30 * SECOND:
-                self.assertIs(one.state(now), State.WELL)
+                self.assertIs(one.state(now), DiskState.HEALTHY)
         self.assertLessEqual(len(turns), 40)  # 300 s of faults at every third call
 
 
@@ -103,7 +105,7 @@
         One that does not come back makes the next one longer, and no promise is asked for that
         would come too late.
         """
-        waits = Waits()
+        waits = PendingWrites()
         for i in range(100):
             waits.began(i * 10_000, i)
             waits.ended(i * 10_000 + 2_000, i, True)
@@ -112,9 +114,9 @@
         waits.began(10**6, "stuck")
         self.assertGreater(waits.usual(10**6 + 300_000), 299_000)
         self.assertFalse(waits.in_time(10**6 + 300_000, 10**6 + 800_000, 50_000))
-        self.assertFalse(waits.overdue(10**6 + LONGEST - 1, 10**6, 10**9))
-        self.assertTrue(waits.overdue(10**6 + LONGEST, 10**6, 10**9))
-        waits.ended(10**6 + LONGEST, "stuck", False)
+        self.assertFalse(waits.is_overdue(10**6 + WRITE_TIMEOUT_US - 1, 10**6, 10**9))
+        self.assertTrue(waits.is_overdue(10**6 + WRITE_TIMEOUT_US, 10**6, 10**9))
+        waits.ended(10**6 + WRITE_TIMEOUT_US, "stuck", False)
         self.assertLess(waits.usual(10**7), 3_000)
 
 
@@ -124,26 +126,40 @@
 
         In trouble only promises are written.
         """
-        rooms = Rooms(10_000)
-        rooms.used |= {Kind.MEMORY: 50, Kind.RECORD: 100, Kind.RESULTS: 4_000, Kind.NOTES: 2_000}
-        self.assertAlmostEqual(rooms.left(), 0.385)
+        rooms = DiskQuota(10_000)
+        rooms.used |= {
+            DataKind.RUN_TIMES: 50,
+            DataKind.FLEET_RECORD: 100,
+            DataKind.RESULTS: 4_000,
+            DataKind.KEY_RECORDS: 2_000,
+        }
+        self.assertAlmostEqual(rooms.free_share(), 0.385)
+        self.assertEqual(
+            [(g.kind, g.size_bytes) for g in rooms.to_reclaim(DiskState.NEAR_FULL)],
+            [(DataKind.RUN_TIMES, 50), (DataKind.FLEET_RECORD, 100), (DataKind.RESULTS, 50)],
+        )
+        self.assertEqual(rooms.to_reclaim(DiskState.HEALTHY), [])
+        rooms.used |= {DataKind.FLEET_RECORD: 1_600, DataKind.KEY_RECORDS: 9_000}
         self.assertEqual(
-            [(g.kind, g.bytes) for g in rooms.goes(State.NEAR_FULL)],
-            [(Kind.MEMORY, 50), (Kind.RECORD, 100), (Kind.RESULTS, 50)],
+            [(g.kind, g.size_bytes) for g in rooms.to_reclaim(DiskState.HEALTHY)],
+            [(DataKind.FLEET_RECORD, 100)],
         )
-        self.assertEqual(rooms.goes(State.WELL), [])
-        rooms.used |= {Kind.RECORD: 1_600, Kind.NOTES: 9_000}
-        self.assertEqual([(g.kind, g.bytes) for g in rooms.goes(State.WELL)], [(Kind.RECORD, 100)])
-        self.assertEqual(rooms.goes(State.FULL), [])
-        rooms.used |= dict.fromkeys((Kind.MEMORY, Kind.RECORD, Kind.RESULTS), 0)
-        self.assertEqual(rooms.goes(State.NEAR_FULL), [])
-        self.assertAlmostEqual(rooms.left(), 0.1)
-        for state in State:
-            written = [kind for kind in Kind if rooms.writes(kind, state)]
+        self.assertEqual(rooms.to_reclaim(DiskState.FULL), [])
+        rooms.used |= dict.fromkeys(
+            (DataKind.RUN_TIMES, DataKind.FLEET_RECORD, DataKind.RESULTS), 0
+        )
+        self.assertEqual(rooms.to_reclaim(DiskState.NEAR_FULL), [])
+        self.assertAlmostEqual(rooms.free_share(), 0.1)
+        for state in DiskState:
+            written = [kind for kind in DataKind if rooms.is_written(kind, state)]
             self.assertEqual(written, sorted(written))
-            self.assertIn(Kind.PROMISES, written)
-        self.assertNotIn(Kind.RECORD, [k for k in Kind if rooms.writes(k, State.NEAR_FULL)])
-        self.assertIn(Kind.NOTES, [k for k in Kind if rooms.writes(k, State.NEAR_FULL)])
+            self.assertIn(DataKind.LEASE_GRANTS, written)
+        self.assertNotIn(
+            DataKind.FLEET_RECORD, [k for k in DataKind if rooms.is_written(k, DiskState.NEAR_FULL)]
+        )
+        self.assertIn(
+            DataKind.KEY_RECORDS, [k for k in DataKind if rooms.is_written(k, DiskState.NEAR_FULL)]
+        )
 
 
 class Trusting(unittest.TestCase):
@@ -153,7 +169,7 @@
         Whether it is believed, written to, doubted.
         """
         now = 10**15
-        own = Mark(2, "n1", 100, now)
+        own = FolderMark(2, "n1", 100, now)
         for mark, rows, known, at, wanted in (
             (None, 0, 0, now, (False, True, False)),  # the first start
             (None, 0, 90, now, (False, True, True)),  # a lost folder: others know this name
@@ -166,16 +182,16 @@
             (own, 5, 0, now - 3600 * SECOND, (True, True, False)),
         ):  # the clock went back
             with self.subTest(mark=mark, rows=rows, known=known):
-                self.assertEqual(trusted(mark, rows, "n1", known, at)[:3], wanted)
-        self.assertEqual(marked(own, "n1", 40, 7), Mark(2, "n1", 101, 7))
-        self.assertEqual(marked(own, "n2", 40, 7).number, 40)
+                self.assertEqual(assess_folder(mark, rows, "n1", known, at)[:3], wanted)
+        self.assertEqual(next_mark(own, "n1", 40, 7), FolderMark(2, "n1", 101, 7))
+        self.assertEqual(next_mark(own, "n2", 40, 7).number, 40)
 
     def test_clock(self):
         """After a clock went back a note is in force for its window from now, not for a year."""
-        note = Note(Phase.NOTED, 1, 10**15, 10**15 + 60 * SECOND)
-        self.assertEqual(recovered(note, 10**14).until, 10**14 + 60 * SECOND)
-        self.assertIs(judged(note, note.until + 1), Verdict.RUNS)
-        self.assertIs(judged(note, note.until), Verdict.UNKNOWN)
+        note = KeyRecord(RunPhase.STARTED, 1, 10**15, 10**15 + 60 * SECOND)
+        self.assertEqual(recovered_record(note, 10**14).until, 10**14 + 60 * SECOND)
+        self.assertIs(judge_record(note, note.until + 1), DuplicateVerdict.MAY_RUN)
+        self.assertIs(judge_record(note, note.until), DuplicateVerdict.UNKNOWN)
 
 
 class Ledgers(unittest.TestCase):
@@ -184,7 +200,7 @@
         last state: never a second run, never turned away after one, never an end told that is lost.
         Without one of the guards the walk finds one.
         """
-        for without in Without:
+        for without in UndurablePolicy:
             states, wrong = notes.found(None, 30, without)
             self.assertIsNone(wrong)
             self.assertGreater(states, 1_000)
@@ -193,68 +209,71 @@
                 self.assertIsNotNone(notes.found(guard, 8)[1])
 
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
-    @given(st.integers(0, 10**6), st.sampled_from(list(Without)))
+    @given(st.integers(0, 10**6), st.sampled_from(list(UndurablePolicy)))
     def test_bounds(self, seed, without):
         """Whatever the disk says and in whatever moment.
 
         Each run that was asked for is told one thing; bytes stay within the bound and are those of
         the rows; when all windows are over nothing is left.
         """
-        chance, one, now, queue = random.Random(seed), Ledger(1, without, 20_000), 0, []
+        chance, one, now, queue = random.Random(seed), KeyLedger(1, without, 20_000), 0, []
         asked, told, running = 0, 0, []
 
         def take(said):
             nonlocal told
-            if isinstance(said, Put):
+            if isinstance(said, RecordWrite):
                 queue.append(said)
-            elif isinstance(said, Act):
-                told += said.do in (Do.RUN, Do.UNRUN)
-                if said.do is Do.RUN:
+            elif isinstance(said, LedgerAction):
+                told += said.kind in (ActionKind.RUN, ActionKind.REJECT)
+                if said.kind is ActionKind.RUN:
                     running.append(said.key)
-                if said.do is Do.UNRUN:
-                    take(one.left(now, said.key))
+                if said.kind is ActionKind.REJECT:
+                    take(one.abandon(now, said.key))
 
         for _ in range(200):
             now += chance.randrange(300_000)
             what = chance.randrange(6)
             if what == 0:
                 key = f"k{chance.randrange(40)}"
-                known = one.past(now, key) is not None
-                said = one.asked(
+                known = one.find(now, key) is not None
+                said = one.request_run(
                     now, key, now, now + 20 * SECOND, now + 5 * SECOND, 1000, chance.random() < 0.8
                 )
-                self.assertEqual(known, isinstance(said, Act) and said.do is Do.KNOWN)
+                self.assertEqual(
+                    known,
+                    isinstance(said, LedgerAction) and said.kind is ActionKind.REPORT_DUPLICATE,
+                )
                 asked += not known
                 take(said)
             elif what in (1, 2) and queue:
                 put = queue.pop(0)
                 take(
-                    one.written(now, put, True)
+                    one.write_finished(now, put, True)
                     if chance.random() < 0.8
-                    else one.unqueued(now, put)
+                    else one.write_rejected(now, put)
                     if chance.random() < 0.5
-                    else one.written(now, put, False)
+                    else one.write_finished(now, put, False)
                 )
             elif what == 3 and running:
                 body = b"x" * chance.randrange(300)
-                take(one.ended(now, running.pop(), 200, (), body, chance.random() < 0.8))
+                take(one.end_run(now, running.pop(), 200, (), body, chance.random() < 0.8))
             elif what == 4:
-                for act in one.overdue(now):
+                for act in one.time_out_writes(now):
                     take(act)
             elif what == 5:
                 one.expire(now)
-                queue += one.shrink(now, chance.randrange(200))
-            self.assertLessEqual(one.bytes, 20_000)
-            self.assertEqual(one.bytes, sum(row.note.size() for row in one.rows.values()))
+                queue += one.drop_results(now, chance.randrange(200))
+            self.assertLessEqual(one.size_bytes, 20_000)
+            self.assertEqual(one.size_bytes, sum(row.note.size() for row in one.rows.values()))
         for put in queue:
-            take(one.written(now, put, True))
+            take(one.write_finished(now, put, True))
         while running:
-            take(one.ended(now, running.pop(), 200, (), b"", False))
+            take(one.end_run(now, running.pop(), 200, (), b"", False))
         self.assertEqual(asked, told)
         one.expire(now + 60 * SECOND)
         self.assertEqual((one.ends, len(one.results)), ([], 0))
         self.assertEqual(
-            [row.stage for row in one.rows.values() if row.stage is not Stage.LEFT], []
+            [row.stage for row in one.rows.values() if row.stage is not KeyStage.ABANDONED], []
         )
 
 
@@ -266,7 +285,7 @@
         self.cut = None  # so many bytes of the next write come there
 
     def names(self):
-        return [] if self.data is None else [NAME]
+        return [] if self.data is None else [SLOT_FILE_NAME]
 
     def read(self, name):
         return bytes(self.data)
@@ -290,9 +309,9 @@
 
         The value before or the new one, whole; all others as they were; it opens and goes on.
         """
-        for cut in range(0, SIZE, 7):
+        for cut in range(0, SLOT_COPY_BYTES, 7):
             files = Fixed()
-            cells = Cells(files, 3)
+            cells = SlotFile(files, 3)
             cells.put([("a", b"1"), ("b", b"2")])
             cells.put([("a", b"3")])
             cells.put([("c", b"gone"), ("b", b"4")])
@@ -301,12 +320,14 @@
             with self.assertRaises(StoreFaultedError):
                 cells.put([("a", b"5" * 100)])
             files.cut = None
-            again = Cells(Fixed(bytearray(files.data)), 3)
+            again = SlotFile(Fixed(bytearray(files.data)), 3)
             got = dict(again.items())
             self.assertIn(got.pop("a"), (b"3", b"5" * 100))
             self.assertEqual(got, {"b": b"4"})
             again.put([("a", b"6"), ("d", b"7")])
-            self.assertEqual(dict(Cells(again.files, 3).items()), {"a": b"6", "b": b"4", "d": b"7"})
+            self.assertEqual(
+                dict(SlotFile(again.files, 3).items()), {"a": b"6", "b": b"4", "d": b"7"}
+            )
 
     @settings(max_examples=100, deadline=None, derandomize=True, database=None)
     @given(
@@ -320,7 +341,7 @@
         What was put is there; a sixth key finds no cell.
         """
         files, wanted = Fixed(), {}
-        cells = Cells(files, 4)
+        cells = SlotFile(files, 4)
         for key, value, anew in steps:
             try:
                 cells.put([(key, value)])
@@ -328,14 +349,14 @@
             except StoreFullError:
                 self.assertGreaterEqual(sum(v is not None for v in wanted.values()), 4)
             if anew:
-                cells = Cells(files, 4)
+                cells = SlotFile(files, 4)
             self.assertEqual(
                 dict(cells.items()), {k: v for k, v in wanted.items() if v is not None}
             )
 
     def test_too_long(self):
         with self.assertRaises(StoreFullError):
-            Cells(Fixed(), 2).put([("a", bytes(SIZE))])
+            SlotFile(Fixed(), 2).put([("a", bytes(SLOT_COPY_BYTES))])
 
 
 if __name__ == "__main__":
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -588,9 +588,9 @@
         elif words[0] == "limit":  # bytes that a file may have, by the system
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (int(words[1]), -1))
         elif words[0] == "mark":  # by another name, or of a later format
-            from gullyoke.storage import Disk, Store
+            from gullyoke.storage import StorageFolder, Store
 
-            files = Disk(store / "keys")
+            files = StorageFolder(store / "keys")
             Store(files).put([("mark", msgspec.msgpack.encode([int(words[1]), words[2], 1, 0]))])
             files.close()
         else:
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -19,14 +19,21 @@
 
 from gullyoke.cli.main import main
 from gullyoke.storage import (
-    Committer,
-    Disk,
+    GroupCommitter,
+    StorageFolder,
     Store,
     StoreFaultedError,
     StoreFullError,
     StoreVersionError,
 )
-from gullyoke.storage.record import HEADER, Found, Record, header, pack, scan
+from gullyoke.storage.record import (
+    HEADER,
+    LocatedRecord,
+    Record,
+    pack_record,
+    scan_records,
+    segment_header,
+)
 
 ROOT = pathlib.Path(__file__).parents[2]
 
@@ -128,17 +135,25 @@
 
         One of a later version is refused, and nothing in it changes.
         """
-        old = Memory({"0000000001.seg": pack(Record(1, "a", b"1")) + pack(Record(2, "b", b"2"))})
+        old = Memory(
+            {
+                "0000000001.seg": pack_record(Record(1, "a", b"1"))
+                + pack_record(Record(2, "b", b"2"))
+            }
+        )
         store = Store(old)
         self.assertEqual(
-            (store.format, dict(store.items()), store.dropped), (1, {"a": b"1", "b": b"2"}, 0)
+            (store.format, dict(store.items()), store.dropped_bytes), (1, {"a": b"1", "b": b"2"}, 0)
         )
         store.put([("a", b"3")])
         again = Store(Memory(old.files))
         self.assertEqual((again.format, dict(again.items())), (1, {"a": b"3", "b": b"2"}))
-        self.assertEqual(Store(Memory({"0000000001.seg": header()})).format, 2)
+        self.assertEqual(Store(Memory({"0000000001.seg": segment_header()})).format, 2)
         later = Memory(
-            {"0000000001.seg": pack(Record(3, "", b"", HEADER)) + pack(Record(1, "a", b"1"))}
+            {
+                "0000000001.seg": pack_record(Record(3, "", b"", HEADER))
+                + pack_record(Record(1, "a", b"1"))
+            }
         )
         before = dict(later.files)
         with self.assertRaises(StoreVersionError):
@@ -152,13 +167,13 @@
         opens again.
         """
         files, states, acked, going = Memory(), 0, {}, {}
-        store, compactions = Store(files, roll=120), 0
+        store, compactions = Store(files, segment_bytes=120), 0
 
         def look():
             nonlocal states
             for state in files.crashes():
                 states += 1
-                again = Store(Memory(state), roll=120)
+                again = Store(Memory(state), segment_bytes=120)
                 got = dict(again.items())
                 for key in "abcdef":
                     allowed = {acked.get(key)} | ({going[key]} if key in going else set())
@@ -176,7 +191,7 @@
             store.put(batch)
             acked, going = acked | going, {}
             look()
-            compactions = store.compacted
+            compactions = store.compacted_segments
         self.assertGreater(compactions, 1)
         self.assertGreater(states, 500)
         self.assertEqual(dict(store.items()), {k: v for k, v in acked.items() if v is not None})
@@ -187,7 +202,7 @@
         Each record whole or dropped and counted.
         """
         files = Memory()
-        store = Store(files, roll=150)
+        store = Store(files, segment_bytes=150)
         for batch in SCRIPT:
             store.put(batch)
         ever = {}
@@ -208,10 +223,10 @@
                     lost = sum(len(d) for d in again.files.files.values()) - sum(
                         f.size
                         for d in again.files.files.values()
-                        for f in scan(d)
-                        if isinstance(f, Found)
+                        for f in scan_records(d)
+                        if isinstance(f, LocatedRecord)
                     )
-                    self.assertEqual(again.dropped, lost)
+                    self.assertEqual(again.dropped_bytes, lost)
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(
@@ -236,7 +251,7 @@
     def test_random(self, script):
         """Against a dict, with faults of the disk, compaction and restarts in between."""
         files, wanted = Memory(), {}
-        store, perhaps = Store(files, roll=200), {}
+        store, perhaps = Store(files, segment_bytes=200), {}
         for verb, what in script:
             if verb == "put":
                 try:
@@ -254,7 +269,7 @@
                 store.compact(9)
             else:
                 files.fail = {}
-                store = Store(Memory(files.files), roll=200)
+                store = Store(Memory(files.files), segment_bytes=200)
                 files = store.files
                 for key, values in perhaps.items():
                     self.assertIn(store.get(key), values)
@@ -269,7 +284,7 @@
         Said, counted, and the store goes on when it can.
         """
         files = Memory()
-        store = Store(files, roll=500, quota=400)
+        store = Store(files, segment_bytes=500, quota_bytes=400)
         store.put([("a", b"1" * 100)])
         for what in ("append", "appended", "sync", "create"):
             files.fail = {what: (0, 28)}
@@ -288,7 +303,7 @@
     def test_bounded(self):
         """Steady overwrites take at most three times what is kept, and old files go."""
         files, written = Memory(), 0
-        store, append = Store(files, roll=4000, quota=60_000), files.append
+        store, append = Store(files, segment_bytes=4000, quota_bytes=60_000), files.append
 
         def counted(name, data):
             nonlocal written
@@ -298,7 +313,7 @@
         files.append = counted
         for i in range(4000):
             store.put([(f"k{i % 50}", b"x" * 40)])
-        self.assertLess(store.plan.total(), 4 * 50 * 70 + 8000)
+        self.assertLess(store.plan.total_bytes(), 4 * 50 * 70 + 8000)
         self.assertLess(written, 3 * 4000 * 70)
         self.assertEqual(len(store.keys()), 50)
 
@@ -307,11 +322,11 @@
         there.
         """
         with tempfile.TemporaryDirectory() as folder:
-            disk = Disk(folder)
-            store = Store(disk, roll=300)
+            disk = StorageFolder(folder)
+            store = Store(disk, segment_bytes=300)
             for i in range(30):
                 store.put([(f"k{i % 7}", b"%d" % i)])
-            self.assertRaises(BlockingIOError, Disk, folder)
+            self.assertRaises(BlockingIOError, StorageFolder, folder)
             run = CliRunner().invoke
             self.assertEqual(run(main, ["store", "check", folder]).exit_code, 2)
             disk.close()
@@ -334,7 +349,7 @@
         A weak disk tells so and recovers.
         """
         files = Memory()
-        committer = Committer(Store(files), most=100)
+        committer = GroupCommitter(Store(files), max_entries=100)
         told, all_told = [], threading.Semaphore(0)
 
         def hear(durable):
@@ -345,15 +360,17 @@
             self.assertTrue(committer.put(f"k{i}", b"v", hear))
         for _ in range(60):
             self.assertTrue(all_told.acquire(timeout=10))
-        self.assertEqual((told, committer.weak), ([True] * 60, False))
+        self.assertEqual((told, committer.degraded), ([True] * 60, False))
         files.fail = {"sync": (0, 5)}
         committer.put("x", b"1", hear)
         self.assertTrue(all_told.acquire(timeout=10))
-        self.assertEqual((told[-1], committer.weak), (False, True))
+        self.assertEqual((told[-1], committer.degraded), (False, True))
         files.fail = {}
         committer.put("x", b"2", hear)
         committer.close()
-        self.assertEqual((told[-1], committer.weak, committer.store.get("x")), (True, False, b"2"))
+        self.assertEqual(
+            (told[-1], committer.degraded, committer.store.get("x")), (True, False, b"2")
+        )
 
     def test_killed(self):
         """A writer killed with SIGKILL at a random moment.
@@ -362,7 +379,7 @@
         """
         code = (
             "import sys; from gullyoke.storage import *\n"
-            "s = Store(Disk(sys.argv[1]), roll=3000)\n"
+            "s = Store(StorageFolder(sys.argv[1]), segment_bytes=3000)\n"
             "for i in range(10**6):\n"
             "    s.put([(f'k{i % 40}', b'%08d' % i * 5)]); print(i, flush=True)\n"
         )
@@ -379,7 +396,7 @@
                         last = int(child.stdout.readline())
                     child.send_signal(signal.SIGKILL)
                     last = max([last, *(int(x) for x in child.stdout.read().split())])
-                store = Store(Disk(folder))
+                store = Store(StorageFolder(folder))
                 for key in range(min(40, last + 1)):
                     newest = int(store.get(f"k{key}")[:8])
                     self.assertGreaterEqual(newest, last - (last - key) % 40)
@@ -387,10 +404,12 @@
     def test_record(self):
         """A record reads back; a mark inside of a value does not begin another."""
         record = Record(7, "k", b"\xf5gly" * 5)
-        data = pack(record) + b"junk" + pack(record._replace(seq=8))
-        found = list(scan(data))
-        self.assertEqual([f.record.seq if isinstance(f, Found) else f for f in found], [7, 4, 8])
-        self.assertRaises(ValueError, pack, Record(1, "k", bytes(2**24)))
+        data = pack_record(record) + b"junk" + pack_record(record._replace(seq=8))
+        found = list(scan_records(data))
+        self.assertEqual(
+            [f.record.seq if isinstance(f, LocatedRecord) else f for f in found], [7, 4, 8]
+        )
+        self.assertRaises(ValueError, pack_record, Record(1, "k", bytes(2**24)))
 
 
 if __name__ == "__main__":
