--- a/gullyoke/storage/append_file.py
+++ b/gullyoke/storage/append_file.py
@@ -30,7 +30,7 @@
     def add(self, line: str) -> None:
         try:
             self.queue.put_nowait(line)
-        except queue.StoreFullError:
+        except queue.Full:
             self.faults, self.reason = self.faults + 1, "the disk does not come back"
 
     def size_bytes(self) -> int:
--- a/gullyoke/storage/group_commit.py
+++ b/gullyoke/storage/group_commit.py
@@ -53,7 +53,7 @@
             if fits:
                 self.queue.put_nowait((key, value, told))
                 return True
-        except queue.StoreFullError:
+        except queue.Full:
             with self.pen:
                 self.pending_bytes -= size
         self.rejected += 1
@@ -113,7 +113,7 @@
         """
         try:
             self.queue.put(None, timeout=patience)
-        except queue.StoreFullError:
+        except queue.Full:
             return False
         self.thread.join(patience)
         return not self.thread.is_alive()
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -11,6 +11,7 @@
 import sys
 import tempfile
 import threading
+import time
 import unittest
 
 from click.testing import CliRunner
@@ -18,6 +19,7 @@
 from hypothesis import strategies as st
 
 from gullyoke.cli.main import main
+from gullyoke.runtime.metrics import Metrics
 from gullyoke.storage import (
     GroupCommitter,
     StorageFolder,
@@ -26,6 +28,9 @@
     StoreFullError,
     StoreVersionError,
 )
+from gullyoke.storage.append_file import WAITING as QUEUED_LINES
+from gullyoke.storage.append_file import AppendFile
+from gullyoke.storage.disk_monitor import DiskMonitor
 from gullyoke.storage.record import (
     HEADER,
     LocatedRecord,
@@ -372,6 +377,46 @@
             (told[-1], committer.degraded, committer.store.get("x")), (True, False, b"2")
         )
 
+    def test_full_queue_rejects(self):
+        """While the disk hangs only so much is queued; more is rejected, and no close waits longer."""
+        files, released = Memory(), threading.Event()
+        files.watch = lambda: released.wait(10)
+        committer = GroupCommitter(Store(files), max_entries=1)
+        self.addCleanup(released.set)
+        self.assertTrue(committer.put("a", b"1"))
+        while not committer.queue.empty():  # the thread takes it, and hangs with it
+            time.sleep(0.001)
+        self.assertTrue(committer.put("b", b"2"))
+        self.assertFalse(committer.put("c", b"3"))
+        self.assertEqual((committer.rejected, committer.pending_bytes), (1, 4))
+        self.assertFalse(committer.close(0.01))
+        released.set()
+        self.assertTrue(committer.close(10))
+        self.assertEqual(dict(committer.store.items()), {"a": b"1", "b": b"2"})
+
+    def test_full_append_file(self):
+        """Lines that find the queue full are counted as faults; the others are written."""
+        released = threading.Event()
+        self.addCleanup(released.set)
+        with tempfile.TemporaryDirectory() as folder:
+            path = pathlib.Path(folder, "lines")
+            monitor = DiskMonitor(folder, Metrics(), random.random)
+            lines = AppendFile(str(path), 10**6, monitor, lambda: released.wait(10))
+            lines.add("first")
+            while not lines.queue.empty():
+                time.sleep(0.001)
+            for i in range(QUEUED_LINES + 2):
+                lines.add(str(i))
+            self.assertEqual((lines.faults, lines.reason), (2, "the disk does not come back"))
+            released.set()
+            deadline = time.monotonic() + 10
+            while not lines.queue.empty() or lines.faults:
+                self.assertLess(time.monotonic(), deadline)
+                time.sleep(0.001)
+            expected = ["first", *map(str, range(QUEUED_LINES))]
+            while (written := path.read_text().split()) != expected:
+                self.assertLess(time.monotonic(), deadline, written)
+
     def test_killed(self):
         """A writer killed with SIGKILL at a random moment.
 
