--- a/gullyoke/daemon/daemon.py
+++ b/gullyoke/daemon/daemon.py
@@ -25,6 +25,7 @@
 from gullyoke.frontends.message_handler import Intake
 from gullyoke.runtime import clock, signals
 from gullyoke.runtime.dispatcher import Dispatcher
+from gullyoke.runtime.duplicate_table import DuplicateTable
 from gullyoke.runtime.lifecycle import Lifecycle
 from gullyoke.runtime.logs import log, log_fields, start_logging
 from gullyoke.runtime.metrics import Metrics
@@ -56,6 +57,9 @@
     def work(self, configuration: DaemonConfiguration, metrics: Metrics) -> Work | None:
         """What carries out the work in the engine's place, if this does."""
 
+    def create_duplicate_table(self, configuration: DaemonConfiguration) -> DuplicateTable | None:
+        """The table of idempotency keys, if this replaces the one in memory."""
+
     def around(self, daemon: Daemon, work: Work) -> Work:
         """What stands before the work from now on; `work` itself where this adds nothing to it."""
 
@@ -97,7 +101,6 @@
         self.features: list[Feature] = extra.features if extra else []
         self.logging = start_logging(configuration.level, form)
         self.timer = Timer(self.metrics)
-        self.dispatcher = Dispatcher(configuration.facts, configuration.seed, self.metrics)
         self.calls = configuration.sockets // CALLS
         works = [
             work
@@ -109,9 +112,20 @@
             if works
             else Engine(configuration.engine, configuration.facts.machine.gauges, self.metrics)
         )
+        tables = [
+            table
+            for one in self.features
+            if (table := one.create_duplicate_table(configuration)) is not None
+        ]
+        self.dispatcher = Dispatcher(
+            configuration.facts,
+            configuration.seed,
+            self.metrics,
+            self.work.flush,
+            tables[0] if tables else None,
+        )
         for one in self.features:
             self.work = one.around(self, self.work)
-        self.dispatcher.flush = self.work.flush
         self.database = Database(configuration.database, self.calls, self.timer, self.metrics)
         self.lifecycle = Lifecycle(configuration.facts.permissions.max_idle)
         self.route = Route(self.dispatcher, self.work, self.database, self.timer, self.lifecycle)
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -18,6 +18,7 @@
 import msgspec
 
 from gullyoke.admission.interface import PAST, Idempotency
+from gullyoke.daemon.configuration import DaemonConfiguration
 from gullyoke.daemon.daemon import Daemon
 from gullyoke.durability import (
     DiskState,
@@ -105,6 +106,10 @@
 
     # Put together.
 
+    def create_duplicate_table(self, configuration: DaemonConfiguration) -> Remembered:
+        """A table that also finds what earlier starts of this server noted."""
+        return Remembered(configuration.facts.fleet.read_cache_ttl, self.past, self.doubts)
+
     def around(self, daemon: Daemon, work: Work) -> Work:
         self.daemon = daemon
         self.ledger = KeyLedger(
@@ -117,9 +122,6 @@
         self.promised = Promised(
             work, daemon.dispatcher, self.ledger, self.fit, self.put, daemon.metrics
         )
-        daemon.dispatcher.duplicates = Remembered(
-            daemon.configuration.facts.fleet.read_cache_ttl, self.past, self.doubts
-        )
         return self.promised
 
     def join(self, daemon: Daemon) -> None:
--- a/gullyoke/extensions/unit.py
+++ b/gullyoke/extensions/unit.py
@@ -6,6 +6,7 @@
 from gullyoke.daemon.daemon import Daemon
 from gullyoke.executors import Work
 from gullyoke.operator_config.wanted import Wanted
+from gullyoke.runtime.duplicate_table import DuplicateTable
 from gullyoke.runtime.metrics import Metrics
 
 
@@ -28,6 +29,9 @@
     def work(self, told: DaemonConfiguration, metrics: Metrics) -> Work | None:
         return None
 
+    def create_duplicate_table(self, configuration: DaemonConfiguration) -> DuplicateTable | None:
+        return None
+
     def around(self, daemon: Daemon, work: Work) -> Work:
         return work
 
--- a/gullyoke/runtime/dispatcher.py
+++ b/gullyoke/runtime/dispatcher.py
@@ -73,17 +73,26 @@
     lines; `thoughts`, work in pieces, one new episode at most for each that began.
     """
 
-    def __init__(self, facts: SiteFacts, seed: int, metrics: Metrics) -> None:
+    def __init__(
+        self,
+        facts: SiteFacts,
+        seed: int,
+        metrics: Metrics,
+        flush: Callable[[], None] = lambda: None,
+        duplicates: DuplicateTable | None = None,
+    ) -> None:
         self.facts, self.seed, self.metrics = facts, seed, metrics
         self.request_classes = {h.name: h for h in facts.request_classes}
         self.tenants = {c.name: c for c in facts.tenants}
         self.lock, self.answering = threading.Lock(), threading.Lock()
         self.server: AdmissionController | None = None
         self.executor = None
-        # What was given under the lock goes out after it.
-        self.flush: Callable[[], None] = lambda: None
+        # Sends what the executor queued under the lock; called after each release of it.
+        self.flush = flush
         self.requests: dict[str, PendingRequest] = {}
-        self.duplicates = DuplicateTable(facts.fleet.read_cache_ttl)
+        if duplicates is None:
+            duplicates = DuplicateTable(facts.fleet.read_cache_ttl)
+        self.duplicates = duplicates
         self.later: deque[tuple[PendingRequest, RequestEvent]] = deque()
         self.gates: list[threading.Lock] = []
         self.handling = False
--- a/tests/crossing/live.py
+++ b/tests/crossing/live.py
@@ -130,7 +130,9 @@
         self.peers.configure_file()
         self.callback(os.unlink, self.peers.config)
         self.callback(self.peers.folder.cleanup)
-        self.enter_context(mock.patch.object(house_module, "start_logging", lambda *given: mock.Mock()))
+        self.enter_context(
+            mock.patch.object(house_module, "start_logging", lambda *given: mock.Mock())
+        )
         log.addHandler(logging.NullHandler())
         self.daemon = Daemon(load_configuration({"NODE_CONFIG": self.peers.config}))
         self.daemon.start()
