--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -16,7 +16,7 @@
 
 from standins import Sockets, site
 
-from gullyoke.admission.controller import TICK, AdmissionController, Learner
+from gullyoke.admission.controller import AdmissionController
 from gullyoke.admission.interface import (
     FAIL,
     RUN,
@@ -45,6 +45,8 @@
     StopMode,
     Tenant,
 )
+from gullyoke.admission.learner import Learner
+from gullyoke.admission.timing import TICK
 from gullyoke.codec import http, lines
 from gullyoke.codec.buffer import Buffer
 from gullyoke.daemon.command_router import Route
