--- a/gullyoke/daemon/command_router.py
+++ b/gullyoke/daemon/command_router.py
@@ -21,7 +21,7 @@
     RequestEvent,
 )
 from gullyoke.dependencies.database import Database
-from gullyoke.executors import Work
+from gullyoke.executors import Executor
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
 from gullyoke.runtime.lifecycle import Lifecycle
@@ -30,13 +30,13 @@
 STATS_WAIT = 30_000  # how long a wake-up waits for the engine's gauges, in microseconds
 
 
-class Route:
+class CommandRouter:
     """The door of one server of decisions. All of it is called under the desk's lock."""
 
     def __init__(
         self,
         dispatcher: Dispatcher,
-        engine: Work,
+        engine: Executor,
         database: Database,
         timer: Timer,
         lifecycle: Lifecycle,
@@ -54,15 +54,15 @@
     def execute(self, request: PendingRequest, command: Command) -> None:
         dispatcher, engine = self.dispatcher, self.engine
         if command is RUN:
-            engine.run(request)
+            engine.start_run(request)
         elif command is SKIP_DEPENDENCY_CALL:
-            engine.skip(request)
+            engine.skip_call(request)
         elif command is CANCEL:
-            engine.halt(request)
+            engine.cancel_run(request)
         elif command is FAIL or isinstance(command, Reject):
             dispatcher.answer(request, command)
         elif isinstance(command, CallDependency):
-            self.database.ask(request, command.timeout)
+            self.database.call(request, command.timeout)
         elif isinstance(command, RememberKey):
             dispatcher.duplicates.remember(request, dispatcher.now + command.duration)
         elif command is FORGET_KEY:
@@ -83,7 +83,7 @@
 
     def finished(self, request: PendingRequest) -> None:
         if request.dependency_call is not None:
-            self.database.drop(request)
+            self.database.abandon(request)
         self.dispatcher.over(request)
 
     def schedule_tick(self, after: int) -> None:
@@ -117,7 +117,7 @@
         # From this moment, not from the last event's: where little happens that is older than the
         # whole wait.
         self.timer.at(clock.now() + STATS_WAIT, lambda: self.woken(tag, {}))
-        self.engine.stat(tag)
+        self.engine.poll_gauges(tag)
 
     def woken(self, tag: int, got: dict[str, float]) -> None:
         with self.dispatcher.lock:
--- a/gullyoke/daemon/daemon.py
+++ b/gullyoke/daemon/daemon.py
@@ -12,13 +12,13 @@
 import time
 from typing import Protocol
 
-from gullyoke.daemon.command_router import Route
+from gullyoke.daemon.command_router import CommandRouter
 from gullyoke.daemon.configuration import DaemonConfiguration, load_configuration
-from gullyoke.daemon.event_relay import Relay
+from gullyoke.daemon.event_relay import EventRelay
 from gullyoke.daemon.service_discovery import Naming
 from gullyoke.dependencies.database import Database
-from gullyoke.executors import Work
-from gullyoke.executors.engine_link import Engine
+from gullyoke.executors import Executor
+from gullyoke.executors.engine_link import EngineLink
 from gullyoke.frontends.connection_limits import Room
 from gullyoke.frontends.connections import ConnectionTable
 from gullyoke.frontends.http1 import Http1
@@ -54,13 +54,13 @@
     `end` at the end of the drain.
     """
 
-    def work(self, configuration: DaemonConfiguration, metrics: Metrics) -> Work | None:
+    def work(self, configuration: DaemonConfiguration, metrics: Metrics) -> Executor | None:
         """What carries out the work in the engine's place, if this does."""
 
     def create_duplicate_table(self, configuration: DaemonConfiguration) -> DuplicateTable | None:
         """The table of idempotency keys, if this replaces the one in memory."""
 
-    def around(self, daemon: Daemon, work: Work) -> Work:
+    def around(self, daemon: Daemon, work: Executor) -> Executor:
         """What stands before the work from now on; `work` itself where this adds nothing to it."""
 
     def held(self) -> int:
@@ -107,10 +107,10 @@
             for one in self.features
             if (work := one.work(configuration, self.metrics)) is not None
         ]
-        self.work: Work = (
+        self.work: Executor = (
             works[0]
             if works
-            else Engine(configuration.engine, configuration.facts.machine.gauges, self.metrics)
+            else EngineLink(configuration.engine, configuration.facts.machine.gauges, self.metrics)
         )
         tables = [
             table
@@ -128,8 +128,10 @@
             self.work = one.around(self, self.work)
         self.database = Database(configuration.database, self.calls, self.timer, self.metrics)
         self.lifecycle = Lifecycle(configuration.facts.permissions.max_idle)
-        self.route = Route(self.dispatcher, self.work, self.database, self.timer, self.lifecycle)
-        self.relay = Relay(self.dispatcher, self.route, self.metrics)
+        self.route = CommandRouter(
+            self.dispatcher, self.work, self.database, self.timer, self.lifecycle
+        )
+        self.relay = EventRelay(self.dispatcher, self.route, self.metrics)
         self.intake = Intake(self.dispatcher, self.lifecycle, self.metrics)
         self.room = Room(self.places())
         self.connections = ConnectionTable(self.room, self.dispatcher, self.lifecycle, self.metrics)
@@ -225,7 +227,7 @@
             (self.naming, "naming"),
         ):
             if name in changed and part and getattr(new, name):
-                part.move(getattr(new, name))
+                part.update_address(getattr(new, name))
         self.configuration = self.configuration._replace(
             **{name: getattr(new, name) for name in changed if name in TAKEN}
         )
@@ -273,4 +275,4 @@
     def sweep(self) -> None:
         self.timer.at(clock.now() + SWEEP, self.sweep)
         self.connections.sweep()
-        self.database.sweep()
+        self.database.close_idle()
--- a/gullyoke/daemon/event_relay.py
+++ b/gullyoke/daemon/event_relay.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from gullyoke.admission.interface import FAIL, RequestEvent
-from gullyoke.daemon.command_router import Route
+from gullyoke.daemon.command_router import CommandRouter
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
 from gullyoke.runtime.logs import log, log_fields
@@ -21,36 +21,41 @@
 }
 
 
-class Relay:
+class EventRelay:
     """Heard by engine and database on their reading threads."""
 
-    def __init__(self, dispatcher: Dispatcher, route: Route, metrics: Metrics) -> None:
-        self.dispatcher, self.route, self.metrics = dispatcher, route, metrics
+    def __init__(self, dispatcher: Dispatcher, router: CommandRouter, metrics: Metrics) -> None:
+        self.dispatcher, self.router, self.metrics = dispatcher, router, metrics
 
-    def hello(self, state: str, ms: int) -> None:
+    def on_engine_hello(self, state: str, ms: int) -> None:
         """The engine is up; the decisions begin with it, cold if it is."""
         if self.dispatcher.server is None:
             self.dispatcher.facts.machine.starts_cold |= state == "cold"
-            self.dispatcher.open(self.route, clock.now() - ms * 1000)
+            self.dispatcher.open(self.router, clock.now() - ms * 1000)
             log.info("serving", extra=log_fields(engine=state, up_ms=ms))
 
-    def done(self, request_id: str, end: str, result: bytes) -> None:
+    def on_run_ended(self, request_id: str, end: str, result: bytes) -> None:
         self.metrics.increment(f"runs.{end}")
         self._with(
-            request_id, lambda request: self._done(request, RUN_ENDS[end], Answer(200, result))
+            request_id,
+            lambda request: self._finish_run(request, RUN_ENDS[end], Answer(200, result)),
         )
 
-    def ran(self, request: PendingRequest, word: RequestEvent, answer: Answer | None) -> None:
+    def on_backend_run_ended(
+        self, request: PendingRequest, word: RequestEvent, answer: Answer | None
+    ) -> None:
         """A run at a back end is over, or there is nowhere to run it."""
         self.metrics.increment(f"runs.{word.name.lower()}")
 
         def act() -> None:
             if self.dispatcher.requests.get(request.request_id) is request:
-                self._done(request, word, answer)
+                self._finish_run(request, word, answer)
 
         self.dispatcher.handle(act, request)
 
-    def _done(self, request: PendingRequest, word: RequestEvent, result: Answer | None) -> None:
+    def _finish_run(
+        self, request: PendingRequest, word: RequestEvent, result: Answer | None
+    ) -> None:
         dispatcher = self.dispatcher
         request.notices_read += 1
         if word is RequestEvent.COMPLETED:
@@ -73,7 +78,7 @@
                 )
         dispatcher.server.on_event(dispatcher.now, request, word)
 
-    def need(self, request_id: str, notice: int, body: bytes) -> None:
+    def on_call_needed(self, request_id: str, notice: int, body: bytes) -> None:
         self.metrics.increment("runs.needs")
 
         def act(request: PendingRequest) -> None:
@@ -85,7 +90,7 @@
 
         self._with(request_id, act)
 
-    def not_done(self, command: str, request_id: str) -> None:
+    def on_command_refused(self, command: str, request_id: str) -> None:
         """The engine did not carry a command out. A run that never began is over."""
         self.metrics.increment("engine.no")
         log.warning(
@@ -100,18 +105,18 @@
                 ),
             )
 
-    def stats(self, tag: str, got: dict[str, float]) -> None:
+    def on_gauges(self, tag: str, got: dict[str, float]) -> None:
         if tag.isdigit():
-            self.route.woken(int(tag), got)
+            self.router.woken(int(tag), got)
 
-    def called(self, request: PendingRequest, word: RequestEvent, reply: bytes) -> None:
+    def on_call_ended(self, request: PendingRequest, word: RequestEvent, reply: bytes) -> None:
         """A call has ended, as the database or the end of its connection told."""
         self.metrics.increment(f"calls.{word.name.lower().removeprefix('call_')}")
 
         def act() -> None:
             if self.dispatcher.requests.get(request.request_id) is request:
                 if word is RequestEvent.CALL_SUCCEEDED:
-                    self.route.engine.feed(request, reply)
+                    self.router.engine.send_call_reply(request, reply)
                 self.dispatcher.server.on_event(self.dispatcher.now, request, word)
 
         self.dispatcher.handle(act, request)
--- a/gullyoke/daemon/service_discovery.py
+++ b/gullyoke/daemon/service_discovery.py
@@ -42,7 +42,7 @@
         )
         self.chance, self.sock, self.at = chance.uniform, None, address
 
-    def move(self, address: tuple[str, int]) -> None:
+    def update_address(self, address: tuple[str, int]) -> None:
         """Its address is another from the next report on."""
         self.address = address
 
--- a/gullyoke/dependencies/database.py
+++ b/gullyoke/dependencies/database.py
@@ -15,6 +15,7 @@
 from gullyoke.codec import lines
 from gullyoke.codec.buffer import Buffer
 from gullyoke.codec.lines import command
+from gullyoke.dependencies import DependencyListener
 from gullyoke.runtime import clock
 from gullyoke.runtime.close_reasons import (
     CloseReason,
@@ -119,7 +120,7 @@
     """
 
     def __init__(self, address: tuple[str, int], most: int, timer: Timer, metrics: Metrics) -> None:
-        self.address, self.most, self.timer, self.metrics, self.heard = (
+        self.address, self.most, self.timer, self.metrics, self.listener = (
             address,
             most,
             timer,
@@ -131,8 +132,8 @@
         self.waiting: deque[Asked] = deque()
         self.opening: queue.SimpleQueue[Asked] = queue.SimpleQueue()
 
-    def start(self, heard) -> None:
-        self.heard = heard
+    def start(self, listener: DependencyListener) -> None:
+        self.listener = listener
         threading.Thread(
             target=self.metrics.run_forever,
             args=("database", self.open),
@@ -140,7 +141,7 @@
             daemon=True,
         ).start()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def update_address(self, address: tuple[str, int]) -> None:
         """Its address is another from now on.
 
         New calls go there, those that are out end where they are.
@@ -150,7 +151,7 @@
         for wire in old:
             shut(wire.sock)
 
-    def sweep(self) -> None:
+    def close_idle(self) -> None:
         """Idle connections go well before the peer closes them: a call could cross that."""
         with self.lock:
             before = clock.now() - IDLE
@@ -161,10 +162,10 @@
 
     # Given under the desk's lock.
 
-    def ask(self, request, try_for: int) -> None:
+    def call(self, request, try_for: int) -> None:
         data = command("Q", request.request_id, max(1, try_for // 1000), body=request.call_body)
         request.dependency_call = asked = Asked(request, data)
-        self.timer.at(self.heard.dispatcher.now + try_for, lambda: self.limit(asked))
+        self.timer.at(self.listener.dispatcher.now + try_for, lambda: self.limit(asked))
         with self.lock:
             wire = self._free(request.request_id)
             if wire is None:
@@ -173,7 +174,7 @@
             wire.asked, asked.wire = asked, wire
         wire.send(asked)
 
-    def drop(self, request) -> None:
+    def abandon(self, request) -> None:
         """Its req is over."""
         asked, request.dependency_call = request.dependency_call, None
         self._withdraw(asked)
@@ -224,7 +225,7 @@
         """Its time is up."""
         if self._ended(asked):
             self.metrics.increment("calls.given_up")
-            self.heard.called(
+            self.listener.on_call_ended(
                 asked.request,
                 RequestEvent.CALL_OUTCOME_UNKNOWN
                 if self._withdraw(asked)
@@ -234,7 +235,7 @@
 
     def _ended(self, asked: Asked) -> bool:
         """Whether this is the first to end the call."""
-        with self.heard.dispatcher.lock:
+        with self.listener.dispatcher.lock:
             first = asked.request.dependency_call is asked
             if first:
                 asked.request.dependency_call = None
@@ -287,7 +288,7 @@
             )
             self.last = end
         if asked is not None and self._ended(asked):
-            self.heard.called(asked.request, outcome(PeerKind.DATABASE, end), b"")
+            self.listener.on_call_ended(asked.request, outcome(PeerKind.DATABASE, end), b"")
 
     def replies(self, wire: Wire) -> CloseReason:
         # Guards, by the piece, against lines without end and lengths that promise more than comes.
@@ -309,7 +310,7 @@
             if more is not None:
                 wire.send(more)
             if self._ended(asked):
-                self.heard.called(asked.request, word, body)
+                self.listener.on_call_ended(asked.request, word, body)
             if strange:
                 return CloseReason.DECLARED
         return CloseReason.CLOSED
--- a/gullyoke/executors/__init__.py
+++ b/gullyoke/executors/__init__.py
@@ -1,23 +1,70 @@
-"""Who carries out RUN, STOP and SKIP, and tells in the port's words how it went."""
+"""How runs are carried out: the protocol of an executor and that of its listener.
+
+An executor is the link to an engine, a pool of back ends, or what stands before one of them.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from typing import Protocol
 
+from gullyoke.admission.interface import RequestEvent
+from gullyoke.runtime.dispatcher import PendingRequest
+from gullyoke.runtime.messages import Answer
+
+
+class ExecutorListener(Protocol):
+    """What an executor reports to, on threads of its own and without a lock of its own."""
+
+    def on_engine_hello(self, state: str, uptime_ms: int) -> None:
+        """The engine is up, in `state` "cold" or "warm", for so many milliseconds."""
+
+    def on_run_ended(self, request_id: str, end: str, result: bytes) -> None:
+        """A run at the engine has ended: "ok", "failed", "halted" or "void" (it never began)."""
+
+    def on_backend_run_ended(
+        self, request: PendingRequest, event: RequestEvent, answer: Answer | None
+    ) -> None:
+        """A run at a back end is over, or no back end takes it."""
+
+    def on_call_needed(self, request_id: str, notice: int, body: bytes) -> None:
+        """A run waits for a call to the dependency with this body; `notice` numbers the notice."""
+
+    def on_command_refused(self, command: str, request_id: str) -> None:
+        """The engine did not carry out a command."""
+
+    def on_gauges(self, tag: str, gauges: Mapping[str, float]) -> None:
+        """The gauges that were polled under this tag."""
 
-class Work(Protocol):
-    """What the house needs of whoever runs reqs.
 
-    `run`, `feed`, `skip` and `halt` are called under the desk's lock and must not block; `flush`
-    after it, to send what these gave, and must not block either; `stat` is called without it, and
-    is answered by the gauges, then or later.
+class Executor(Protocol):
+    """Carries out the runs of requests.
+
+    `start_run`, `send_call_reply`, `skip_call` and `cancel_run` are called under the dispatcher's
+    lock and must not block. `flush` and `poll_gauges` are called without it and must not block
+    either.
     """
 
-    def start(self, heard) -> None: ...
-    def move(self, address: tuple[str, int]) -> None: ...
-    def run(self, request) -> None: ...
-    def feed(self, request, reply: bytes) -> None: ...
-    def skip(self, request) -> None: ...
-    def halt(self, request) -> None: ...
-    def flush(self) -> None: ...
-    def stat(self, tag: int) -> None: ...
+    def start(self, listener: ExecutorListener) -> None:
+        """Start the threads, and report to `listener` from now on."""
+
+    def update_address(self, address: tuple[str, int]) -> None:
+        """Reach the engine at another address from now on."""
+
+    def start_run(self, request: PendingRequest) -> None:
+        """Begin the run of a request."""
+
+    def send_call_reply(self, request: PendingRequest, reply: bytes) -> None:
+        """Hand the run the reply of the dependency that it waits for."""
+
+    def skip_call(self, request: PendingRequest) -> None:
+        """Let the run go on without the call that it waits for."""
+
+    def cancel_run(self, request: PendingRequest) -> None:
+        """End the run early; its end is reported all the same."""
+
+    def flush(self) -> None:
+        """Send what the commands before have left to be sent."""
+
+    def poll_gauges(self, tag: int) -> None:
+        """Ask for the gauges, which `on_gauges` reports under this tag, now or later."""
--- a/gullyoke/executors/engine_link.py
+++ b/gullyoke/executors/engine_link.py
@@ -13,6 +13,7 @@
 from gullyoke.codec import lines
 from gullyoke.codec.buffer import Buffer
 from gullyoke.codec.lines import command
+from gullyoke.executors import ExecutorListener
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, served
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.metrics import Metrics
@@ -32,7 +33,7 @@
     tag: int = -1
 
 
-class Engine:
+class EngineLink:
     """Tables: `outbox`, commands not yet written.
 
     `sent`, written since the last gauges that were answered, which prove that the engine read what
@@ -42,7 +43,7 @@
     """
 
     def __init__(self, address: tuple[str, int], gauges: tuple[str, ...], metrics: Metrics) -> None:
-        self.address, self.gauges, self.metrics, self.heard = address, gauges, metrics, None
+        self.address, self.gauges, self.metrics, self.listener = address, gauges, metrics, None
         self.bell = threading.Condition(threading.Lock())
         self.outbox: deque[Sent] = deque()
         self.sent: deque[Sent] = deque()
@@ -52,8 +53,8 @@
         self.moved = threading.Event()
         self.look_at = SENT
 
-    def start(self, heard) -> None:
-        self.heard = heard
+    def start(self, listener: ExecutorListener) -> None:
+        self.listener = listener
         threading.Thread(target=self.keep, name="engine-read", daemon=True).start()
         threading.Thread(
             target=self.metrics.run_forever,
@@ -62,7 +63,7 @@
             daemon=True,
         ).start()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def update_address(self, address: tuple[str, int]) -> None:
         """Its address is another from now on.
 
         Runs go on; the new link tells what the old one did not.
@@ -75,7 +76,7 @@
 
     # Commands, given under the desk's lock.
 
-    def run(self, request) -> None:
+    def start_run(self, request) -> None:
         self._give(
             request,
             command(
@@ -83,16 +84,16 @@
             ),
         )
 
-    def feed(self, request, reply: bytes) -> None:
+    def send_call_reply(self, request, reply: bytes) -> None:
         self._give(request, command("FEED", request.request_id, body=reply))
 
-    def skip(self, request) -> None:
+    def skip_call(self, request) -> None:
         self._give(request, command("SKIP", request.request_id, request.call_notice))
 
-    def halt(self, request) -> None:
+    def cancel_run(self, request) -> None:
         self._give(request, command("HALT", request.request_id))
 
-    def stat(self, tag: int) -> None:
+    def poll_gauges(self, tag: int) -> None:
         if self.attached:  # without a link they would pile up
             self._put(Sent(command("STAT", tag), tag=tag))
             self.flush()
@@ -143,7 +144,8 @@
 
     def _in_hand(self, sent: Sent) -> bool:
         return (
-            sent.request is not None and sent.request.request_id in self.heard.dispatcher.requests
+            sent.request is not None
+            and sent.request.request_id in self.listener.dispatcher.requests
         )
 
     def write(self) -> None:
@@ -214,28 +216,30 @@
         return CloseReason.CLOSED
 
     def notice(self, words: list[str], buffer: Buffer) -> None:
-        kind, heard = words[0], self.heard
+        kind, listener = words[0], self.listener
         if kind == "HELLO" and len(words) == 3 and words[1] in ("cold", "warm"):
-            heard.hello(words[1], lines.whole(words[2]))
+            listener.on_engine_hello(words[1], lines.whole(words[2]))
             self.marks += 1  # once it is answered, all notices missed have been read
             self.mark = f"mark{self.marks}"
             self.sock.sendall(command("STAT", self.mark))
         elif kind == "DONE" and len(words) == 6 and words[3] in ("ok", "failed", "halted", "void"):
             result = lines.content(buffer, words[5])
             if self.new(words[1]):
-                heard.done(words[2], words[3], result)
+                listener.on_run_ended(words[2], words[3], result)
         elif kind == "NEED" and len(words) == 4:
             body = lines.content(buffer, words[3])
             if self.new(words[1]):
-                heard.need(words[2], self.last, body)
+                listener.on_call_needed(words[2], self.last, body)
         elif kind == "STATS" and len(words) == 2 + len(self.gauges):
             if words[1] == self.mark:
                 self.reattached()
             else:
                 self.confirmed(words[1])
-                heard.stats(words[1], dict(zip(self.gauges, map(figure, words[2:]), strict=True)))
+                listener.on_gauges(
+                    words[1], dict(zip(self.gauges, map(figure, words[2:]), strict=True))
+                )
         elif kind == "NO" and len(words) == 3:
-            heard.not_done(words[1], words[2])
+            listener.on_command_refused(words[1], words[2])
         elif kind == "NOTE" and len(words) >= 2:
             self.new(words[1])
         else:
--- a/gullyoke/executors/scgi_backends.py
+++ b/gullyoke/executors/scgi_backends.py
@@ -16,6 +16,7 @@
 from gullyoke.admission.interface import RequestEvent
 from gullyoke.codec import scgi
 from gullyoke.codec.buffer import Buffer
+from gullyoke.executors import ExecutorListener
 from gullyoke.routing import (
     SET_ASIDE,
     Dispatch,
@@ -78,7 +79,7 @@
         cold: bool = False,
     ) -> None:
         self.dispatch, self.cores, self.linger, self.closes = dispatch, cores, linger, closes
-        self.most, self.metrics, self.heard, self.cold = most, metrics, None, cold
+        self.most, self.metrics, self.listener, self.cold = most, metrics, None, cold
         self.lock = threading.Lock()  # over `dispatch` and `runs`; taken after the desk's
         self.where: dict[str, tuple[str, int] | str] = {}
         self.runs: dict[PendingRequest, Run] = {}
@@ -86,17 +87,17 @@
         self.opening: queue.SimpleQueue[Send] = queue.SimpleQueue()
         self.crew = WorkerPool(self.carry)
 
-    def start(self, heard) -> None:
-        self.heard = heard
+    def start(self, listener: ExecutorListener) -> None:
+        self.listener = listener
         threading.Thread(
             target=self.metrics.run_forever,
             args=("backends", self.open),
             name="backends-open",
             daemon=True,
         ).start()
-        heard.hello("cold" if self.cold else "warm", 0)
+        listener.on_engine_hello("cold" if self.cold else "warm", 0)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def update_address(self, address: tuple[str, int]) -> None:
         """The engine's address means nothing here."""
 
     def state(self, addresses: list[Address], stated: list[Stated]) -> None:
@@ -125,20 +126,20 @@
 
     # Commands, given under the desk's lock.
 
-    def run(self, request: PendingRequest) -> None:
+    def start_run(self, request: PendingRequest) -> None:
         run = Run(request)
         with self.lock:
             self.runs[request] = run
             moves = self.dispatch.begin(clock.now(), run)
-        self.follow(moves, self.heard.dispatcher.post_event)
+        self.follow(moves, self.listener.dispatcher.post_event)
 
-    def feed(self, request: PendingRequest, reply: bytes) -> None:
+    def send_call_reply(self, request: PendingRequest, reply: bytes) -> None:
         """No call of a back end's run comes by us."""
 
-    def skip(self, request: PendingRequest) -> None:
+    def skip_call(self, request: PendingRequest) -> None:
         """As above."""
 
-    def halt(self, request: PendingRequest) -> None:
+    def cancel_run(self, request: PendingRequest) -> None:
         """The decisions ask for its end, which they do only where closing stops it.
 
         The thread that reads finds the end and tells it.
@@ -152,19 +153,19 @@
             sock = carriage.sock if carriage else None
             if sock is not None and self.closes:
                 shut(sock)
-        self.follow(moves, self.heard.dispatcher.post_event)
+        self.follow(moves, self.listener.dispatcher.post_event)
 
     def flush(self) -> None:
         """Each run has a thread of its own, which sends it."""
 
-    def stat(self, tag: int) -> None:
+    def poll_gauges(self, tag: int) -> None:
         """The decisions' wake-up: the line moves on, and they hear how the pool stands."""
         with self.lock:
             now = clock.now()
             moves = self.dispatch.turn(now)
             busy, wanting, room = self.dispatch.gauges(now, self.cores)
         self.follow(moves)
-        self.heard.stats(str(tag), {"core_use": busy, "on_cores": wanting, "room": room})
+        self.listener.on_gauges(str(tag), {"core_use": busy, "on_cores": wanting, "room": room})
 
     # Moves.
 
@@ -197,7 +198,7 @@
 
     def told(self, move: Tell, answer: Answer | None) -> None:
         self.over(move)
-        self.heard.ran(move.run.request, move.word, answer)
+        self.listener.on_backend_run_ended(move.run.request, move.word, answer)
 
     # The tries, a thread each.
 
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -33,7 +33,7 @@
 from gullyoke.durability.disk_health import BAD_STATES, DiskStateChange
 from gullyoke.durability.disk_quota import DataKind
 from gullyoke.durability.folder_trust import is_older_copy, next_mark
-from gullyoke.executors import Work
+from gullyoke.executors import Executor
 from gullyoke.extensions.disks import Disks
 from gullyoke.extensions.promised import NOTE, Promised, digest, encode, packed, unpacked
 from gullyoke.extensions.unit import Plain
@@ -110,7 +110,7 @@
         """A table that also finds what earlier starts of this server noted."""
         return Remembered(configuration.facts.fleet.read_cache_ttl, self.past, self.doubts)
 
-    def around(self, daemon: Daemon, work: Work) -> Work:
+    def around(self, daemon: Daemon, work: Executor) -> Executor:
         self.daemon = daemon
         self.ledger = KeyLedger(
             int(time.time()), UndurablePolicy(self.kept.without), min(RESULTS, self.kept.quota // 2)
--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -22,7 +22,7 @@
     RecordWrite,
     RunPhase,
 )
-from gullyoke.executors import Work
+from gullyoke.executors import Executor, ExecutorListener
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
 from gullyoke.runtime.messages import Answer
@@ -84,7 +84,7 @@
 
     def __init__(
         self,
-        inner: Work,
+        inner: Executor,
         dispatcher: Dispatcher,
         ledger: KeyLedger,
         fit: Callable[[], bool],
@@ -103,24 +103,28 @@
         self.keys: dict[str, str] = {}
         self.ends: dict[str, Callable[[bool], None]] = {}
         self.dispatcher = Ear(dispatcher, self.post_event)
-        self.feed, self.skip, self.halt, self.flush = (
-            inner.feed,
-            inner.skip,
-            inner.halt,
+        self.send_call_reply, self.skip_call, self.cancel_run, self.flush = (
+            inner.send_call_reply,
+            inner.skip_call,
+            inner.cancel_run,
             inner.flush,
         )
-        self.stat, self.move = inner.stat, inner.move
-
-    def start(self, heard) -> None:
-        self.heard = heard
-        self.need, self.hello, self.stats = heard.need, heard.hello, heard.stats
+        self.poll_gauges, self.update_address = inner.poll_gauges, inner.update_address
+
+    def start(self, listener: ExecutorListener) -> None:
+        self.listener = listener
+        self.on_call_needed, self.on_engine_hello, self.on_gauges = (
+            listener.on_call_needed,
+            listener.on_engine_hello,
+            listener.on_gauges,
+        )
         self.inner.start(self)
 
     # From the decisions, under the desk's lock.
 
-    def run(self, request: PendingRequest) -> None:
+    def start_run(self, request: PendingRequest) -> None:
         if not noted(request):
-            self.inner.run(request)
+            self.inner.start_run(request)
             return
         key, now, h, fit = (
             digest(request.request_class.name, request.key),
@@ -160,36 +164,38 @@
 
     # From the work.
 
-    def done(self, request_id: str, end: str, result: bytes) -> None:
+    def on_run_ended(self, request_id: str, end: str, result: bytes) -> None:
         if end == "void":
             self.left(request_id)
-            self.heard.done(request_id, end, result)
+            self.listener.on_run_ended(request_id, end, result)
             return
         self.over(
             request_id,
             Answer(200 if end == "ok" else 0, result),
-            lambda well: self.heard.done(
+            lambda well: self.listener.on_run_ended(
                 request_id, end if well else "failed", result if well else b""
             ),
         )
 
-    def ran(self, request: PendingRequest, word: RequestEvent, answer: Answer | None) -> None:
+    def on_backend_run_ended(
+        self, request: PendingRequest, word: RequestEvent, answer: Answer | None
+    ) -> None:
         if word not in ENDS:
             self.left(request.request_id)
-            self.heard.ran(request, word, answer)
+            self.listener.on_backend_run_ended(request, word, answer)
             return
         self.over(
             request.request_id,
             answer if answer is not None and word is RequestEvent.COMPLETED else Answer(0),
-            lambda well: self.heard.ran(
+            lambda well: self.listener.on_backend_run_ended(
                 request, word if well else RequestEvent.FAILED, answer if well else None
             ),
         )
 
-    def not_done(self, command: str, request_id: str) -> None:
+    def on_command_refused(self, command: str, request_id: str) -> None:
         if command == "RUN":
             self.left(request_id)
-        self.heard.not_done(command, request_id)
+        self.listener.on_command_refused(command, request_id)
 
     def over(self, request_id: str, answer: Answer, tell: Callable[[bool], None]) -> None:
         """A run is over: `tell` goes on once its end is on the disk, or with False where it can't
@@ -268,7 +274,7 @@
             (self.real.post_event if inside else self.real.tell)(request, RequestEvent.NO_CAPACITY)
         elif act.kind is ActionKind.RUN and request is not None:
             if inside:
-                self.inner.run(request)
+                self.inner.start_run(request)
             else:
                 self.real.handle(lambda: self.go(request), request)
 
@@ -279,7 +285,7 @@
             and not request.answered
             and not request.client_gone
         ):
-            self.inner.run(request)
+            self.inner.start_run(request)
         else:
             self.left(request.request_id)
             self.real.server.on_event(self.real.now, request, RequestEvent.NO_CAPACITY)
--- a/gullyoke/extensions/unit.py
+++ b/gullyoke/extensions/unit.py
@@ -4,7 +4,7 @@
 
 from gullyoke.daemon.configuration import DaemonConfiguration
 from gullyoke.daemon.daemon import Daemon
-from gullyoke.executors import Work
+from gullyoke.executors import Executor
 from gullyoke.operator_config.wanted import Wanted
 from gullyoke.runtime.duplicate_table import DuplicateTable
 from gullyoke.runtime.metrics import Metrics
@@ -26,13 +26,13 @@
     def held(self) -> int:
         return 0
 
-    def work(self, told: DaemonConfiguration, metrics: Metrics) -> Work | None:
+    def work(self, told: DaemonConfiguration, metrics: Metrics) -> Executor | None:
         return None
 
     def create_duplicate_table(self, configuration: DaemonConfiguration) -> DuplicateTable | None:
         return None
 
-    def around(self, daemon: Daemon, work: Work) -> Work:
+    def around(self, daemon: Daemon, work: Executor) -> Executor:
         return work
 
     def join(self, daemon: Daemon) -> None: ...
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -13,9 +13,9 @@
 
 from crossing.live import REPEATS, Live, apart, eventually
 from gullyoke.admission.interface import PAST, Idempotency, RequestClass, RequestEvent
-from gullyoke.daemon.event_relay import Relay
+from gullyoke.daemon.event_relay import EventRelay
 from gullyoke.dependencies import database as database_module
-from gullyoke.executors.engine_link import Engine
+from gullyoke.executors.engine_link import EngineLink
 from gullyoke.frontends import message_handler as intake_module
 from gullyoke.runtime import dispatcher as desk_module
 from gullyoke.runtime.dispatcher import Dispatcher
@@ -74,7 +74,7 @@
 
             with (
                 live.hook(Dispatcher, "overdue", before_overdue),
-                live.hook(Relay, "done", before_done),
+                live.hook(EventRelay, "on_run_ended", before_done),
                 live.hook(intake_module, "outcome_name", before_counted),
                 mock.patch.object(desk_module, "threading", types.SimpleNamespace(Lock=Gate)),
             ):
@@ -122,7 +122,7 @@
 
                 one.send(f"f{i}", "book", of=f"k{i}", **{"Replay-Key": f"k{i}"})
                 live.run(f"f{i}")
-                with live.hook(Relay, "_done", before_done):
+                with live.hook(EventRelay, "_finish_run", before_done):
                     live.done(f"f{i}")
                     self.assertEqual(one.answer(), (200, "fine"))
                 self.assertEqual(two.answer(), (200, "fine"))
@@ -223,7 +223,7 @@
             with (
                 live.hook(database_module.Database, "limit", before_limit),
                 live.hook(database_module.Database, "_ended", before_ended),
-                live.hook(Relay, "called", called),
+                live.hook(EventRelay, "on_call_ended", called),
                 mock.patch.object(
                     live.dispatcher.server.below, "try_for", lambda request, now: 50_000
                 ),
@@ -316,7 +316,7 @@
                 self.assertEqual(client.answer(), (200, "fine"))
 
 
-class EngineLink(unittest.TestCase):
+class Links(unittest.TestCase):
     @apart
     def test_link_breaks_after_the_run_is_written(self):
         """The link breaks with a run's notices on their way.
@@ -357,7 +357,7 @@
         The link goes to the new one.
         """
         with Live() as live:
-            client, real = live.client(), Engine.attach_and_read.__globals__["connected"]
+            client, real = live.client(), EngineLink.attach_and_read.__globals__["connected"]
             for i in range(max(3, REPEATS // 10)):
                 eventually(lambda: live.daemon.work.attached, "attached")
                 old = live.engine
@@ -368,10 +368,10 @@
                         other = type(old)()
                         other.state, other.notices = "warm", old.notices
                         live.engine = other
-                        live.daemon.work.move(other.address)
+                        live.daemon.work.update_address(other.address)
                     return sock
 
-                with mock.patch.dict(Engine.attach_and_read.__globals__, {"connected": moved}):
+                with mock.patch.dict(EngineLink.attach_and_read.__globals__, {"connected": moved}):
                     old.drop()
                     eventually(lambda old=old: live.engine is not old, "moved")
                     self.assertEqual(live.engine.joined.get(timeout=PATIENCE), str(old.notices))
--- a/tests/executors/test_writing.py
+++ b/tests/executors/test_writing.py
@@ -11,7 +11,7 @@
 from standins import site
 
 from gullyoke.admission.interface import FAIL
-from gullyoke.executors.engine_link import SENT, Engine
+from gullyoke.executors.engine_link import SENT, EngineLink
 from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
 from gullyoke.runtime.messages import Message
 from gullyoke.runtime.metrics import Metrics
@@ -36,7 +36,7 @@
 class Writing(unittest.TestCase):
     def linked(self, stack):
         """An engine's link whose other end nobody reads yet, with little room between."""
-        engine = Engine(("127.0.0.1", 1), (), Metrics())
+        engine = EngineLink(("127.0.0.1", 1), (), Metrics())
         ours, theirs = socket.socketpair()
         stack.enter_context(ours)
         stack.enter_context(theirs)
@@ -58,7 +58,7 @@
             engine, theirs = self.linked(stack)
             wanted = b""
             for i in range(200):
-                engine.run(request(i))
+                engine.start_run(request(i))
                 engine.flush()
                 wanted += (
                     f"RUN {i:016x} view 2000\r\n".encode() + bytes([65 + i % 26]) * 2000 + b"\r\n"
@@ -76,14 +76,14 @@
         """
         with contextlib.ExitStack() as stack:
             engine, theirs = self.linked(stack)
-            engine.heard = types.SimpleNamespace(dispatcher=types.SimpleNamespace(requests={}))
+            engine.listener = types.SimpleNamespace(dispatcher=types.SimpleNamespace(requests={}))
             threading.Thread(target=swallow, args=(theirs,), daemon=True).start()
             kept = request(0)
-            engine.heard.dispatcher.requests[kept.request_id] = kept
-            engine.run(kept)
+            engine.listener.dispatcher.requests[kept.request_id] = kept
+            engine.start_run(kept)
             for i in range(2000):
-                engine.run(request(i))
-                engine.stat(i)
+                engine.start_run(request(i))
+                engine.poll_gauges(i)
             self.assertLessEqual(len(engine.sent), 2 * SENT)
             self.assertEqual(sum(s.request is kept for s in engine.sent), 1)
 
@@ -94,12 +94,12 @@
         """
         with contextlib.ExitStack() as stack:
             engine, theirs = self.linked(stack)
-            engine.heard = types.SimpleNamespace(dispatcher=types.SimpleNamespace(requests={}))
+            engine.listener = types.SimpleNamespace(dispatcher=types.SimpleNamespace(requests={}))
             engine.rest = b"half a command\r\n"
             engine.attached = False
             one = request(1)
-            engine.heard.dispatcher.requests[one.request_id] = one
-            engine.run(one)
+            engine.listener.dispatcher.requests[one.request_id] = one
+            engine.start_run(one)
             engine.reattached()
             theirs.settimeout(10)
             self.assertEqual(theirs.recv(5), b"RUN 0")
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -49,7 +49,7 @@
 from gullyoke.admission.timing import TICK
 from gullyoke.codec import http, lines
 from gullyoke.codec.buffer import Buffer
-from gullyoke.daemon.command_router import Route
+from gullyoke.daemon.command_router import CommandRouter
 from gullyoke.daemon.configuration import load_configuration
 from gullyoke.runtime import clock
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, PeerKind, outcome
@@ -577,7 +577,7 @@
         was.
         """
         times, dispatcher = [], mock.Mock(now=0)
-        route = Route(
+        route = CommandRouter(
             dispatcher,
             mock.Mock(),
             mock.Mock(),
