--- a/benchmarks/duty.py
+++ b/benchmarks/duty.py
@@ -19,8 +19,8 @@
 from gullyoke.fault_testing.play import Play as Real
 from gullyoke.fault_testing.processes import DUTY
 from gullyoke.fault_testing.script import read
-from gullyoke.leases.asking import FAILED, Asking
-from gullyoke.leases.spans import Spans
+from gullyoke.leases.dependency_probe import FAILED, Asking
+from gullyoke.leases.durations import Spans
 from gullyoke.model_checking import duty as walk
 
 PLAIN = "members 5 zones 5 seed 4 load 8\nat 0 heal\nby 3 equal\nend 8"
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -19,9 +19,9 @@
 from collections import Counter
 from concurrent.futures import ProcessPoolExecutor
 
-from gullyoke.coordination.sharing import Sharing
+from gullyoke.coordination.limit_parts import Mean
+from gullyoke.coordination.quota_participant import Sharing
 from gullyoke.coordination.signals import Judgement, Reading, Stage
-from gullyoke.coordination.slots import Mean
 from gullyoke.coordination.subsets import apertures, moved
 from gullyoke.emulator import shares as model
 from gullyoke.emulator.beside import Beside, playing
@@ -32,7 +32,7 @@
 from gullyoke.fault_testing.play import Play
 from gullyoke.fault_testing.script import read
 from gullyoke.model_checking import shares as walk
-from gullyoke.peer_transport.sharing import pack
+from gullyoke.peer_transport.quota_service import pack
 
 SECOND = model.SECOND
 ARMS = {"today": None, "signals": (True, False), "shares": (False, True), "together": (True, True)}
--- a/gullyoke/cli/fleet.py
+++ b/gullyoke/cli/fleet.py
@@ -408,7 +408,7 @@
 
     from gullyoke.extensions.duties import FOLDER, OURS
     from gullyoke.leases.voter import Row
-    from gullyoke.peer_transport.duties import row_bytes, rows_in
+    from gullyoke.peer_transport.lease_service import row_bytes, rows_in
     from gullyoke.storage import SlotFile, StorageFolder
 
     files = StorageFolder(os.path.join(folder, FOLDER))
--- a/gullyoke/coordination/slots.py
+++ b/gullyoke/coordination/limit_parts.py
@@ -17,8 +17,8 @@
 import math
 from collections import deque
 
-from gullyoke.coordination.shares import RENEW, Held
-from gullyoke.coordination.sharing import Letter, Message, Sharing
+from gullyoke.coordination.quota_leases import RENEW, Held
+from gullyoke.coordination.quota_participant import Letter, Message, Sharing
 
 LEAST = 100_000  # microseconds: for less than that no call goes out
 AHEAD = 8  # one slot more is wanted for so many in use, so that growth finds some
--- a/gullyoke/coordination/shares.py
+++ b/gullyoke/coordination/quota_leases.py
@@ -19,8 +19,8 @@
 from collections.abc import Hashable, Iterable
 from typing import NamedTuple
 
-from gullyoke.coordination.fair import Wish, level
-from gullyoke.coordination.spans import surely
+from gullyoke.coordination.clock_drift import surely
+from gullyoke.coordination.max_min_fairness import Wish, level
 from gullyoke.membership.row import whole
 
 LEASE, LOAN = 3_000_000, 4_000_000  # microseconds for which a name and a loan are held
--- a/gullyoke/coordination/sharing.py
+++ b/gullyoke/coordination/quota_participant.py
@@ -1,7 +1,7 @@
 """One process's part in a shared limit.
 
 It borrows, and where it is at a home it lends and votes. What it says and hears are the messages of
-gullyoke/coordination/shares.py; who carries them is not its affair.
+gullyoke/coordination/quota_leases.py; who carries them is not its affair.
 
 `need` and `used` are told to it: what it would use, and what it has in use at this moment.
 """
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from gullyoke.coordination.shares import (
+from gullyoke.coordination.quota_leases import (
     Borrower,
     Claim,
     Grant,
--- a/gullyoke/coordination/quotas.py
+++ b/gullyoke/coordination/tenant_quotas.py
@@ -1,15 +1,15 @@
 """A customer's quota of all servers, lent as rates: who has its reqs now has its quota now.
 
 A quota is cut into tokens, each a small part of the rate; a server's part is what it has in force,
-by right and on loan (gullyoke/coordination/shares.py), so the parts of all servers never come to more
+by right and on loan (gullyoke/coordination/quota_leases.py), so the parts of all servers never come to more
 than the quota. What a rate allows may be saved up for a while by whoever has it
 (`Server.note_share` keeps two seconds): a home takes a part that came back for in use for so long.
 """
 
 from __future__ import annotations
 
-from gullyoke.coordination.sharing import Sharing
-from gullyoke.coordination.slots import Part
+from gullyoke.coordination.limit_parts import Part
+from gullyoke.coordination.quota_participant import Sharing
 
 UNIT = 16  # tokens a server of the largest fleet: a floor of a quarter is four
 SAVED = 2_000_000  # microseconds for which what a rate allows may be saved up
--- a/gullyoke/emulator/beside.py
+++ b/gullyoke/emulator/beside.py
@@ -11,10 +11,10 @@
 
 from gullyoke.admission.controller import AdmissionController
 from gullyoke.admission.interface import DependencyFacts, Fleet
-from gullyoke.coordination.fair import split
-from gullyoke.coordination.sharing import ASKER, Letter, Sharing
+from gullyoke.coordination.limit_parts import UNIT, Mean
+from gullyoke.coordination.max_min_fairness import split
+from gullyoke.coordination.quota_participant import ASKER, Letter, Sharing
 from gullyoke.coordination.signals import Heard, Judgement, Reading, Stage, Telling
-from gullyoke.coordination.slots import UNIT, Mean
 from gullyoke.emulator.fleet import Node, Running, deciding
 
 SECOND, TURN = 1_000_000, 100_000
--- a/gullyoke/emulator/duty.py
+++ b/gullyoke/emulator/duty.py
@@ -13,11 +13,11 @@
 
 from gullyoke.fault_testing.standins import Act
 from gullyoke.leases.candidate import Candidate, Post
+from gullyoke.leases.candidate_rank import Placed, after
+from gullyoke.leases.durations import Spans
 from gullyoke.leases.fence import Fence
-from gullyoke.leases.rank import Placed, after
-from gullyoke.leases.spans import Spans
+from gullyoke.leases.messages import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
 from gullyoke.leases.voter import Row, Voter, Write
-from gullyoke.leases.words import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
 
 SECOND, TURN, ACT, SYNC = 1_000_000, 50_000, 100_000, 5_000
 DUTY = "d"
--- a/gullyoke/emulator/quotas.py
+++ b/gullyoke/emulator/quotas.py
@@ -8,8 +8,8 @@
 
 from typing import NamedTuple
 
-from gullyoke.coordination.fair import split
-from gullyoke.coordination.quotas import Quota, tokens
+from gullyoke.coordination.max_min_fairness import split
+from gullyoke.coordination.tenant_quotas import Quota, tokens
 from gullyoke.emulator.shares import SECOND, Play, Process
 
 FLOOR = 0.25
--- a/gullyoke/emulator/shares.py
+++ b/gullyoke/emulator/shares.py
@@ -11,9 +11,9 @@
 import itertools
 import random
 
-from gullyoke.coordination.sharing import ASKER, LENDER, VOTER, Letter, Sharing
-from gullyoke.coordination.slots import Own, Part
-from gullyoke.coordination.spans import RATE
+from gullyoke.coordination.clock_drift import RATE
+from gullyoke.coordination.limit_parts import Own, Part
+from gullyoke.coordination.quota_participant import ASKER, LENDER, VOTER, Letter, Sharing
 
 SECOND = 1_000_000
 TURN = 100_000
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -16,17 +16,17 @@
 from collections.abc import Callable
 
 from gullyoke.admission.interface import Slots
-from gullyoke.coordination.fair import split
+from gullyoke.coordination.max_min_fairness import split
 from gullyoke.durability.disk_quota import DataKind
 from gullyoke.extensions.disks import Room
 from gullyoke.extensions.fleet import Fleet
-from gullyoke.leases import roll as rolls
-from gullyoke.leases.asking import Asking
-from gullyoke.leases.notices import Notice, Order
+from gullyoke.leases import rolling_restart as rolls
+from gullyoke.leases.announcements import Notice, Order
+from gullyoke.leases.dependency_probe import Asking
 from gullyoke.membership import Status
 from gullyoke.membership.row import TURNS
 from gullyoke.operator_config.wanted import OwnDuty
-from gullyoke.peer_transport.duties import Duties
+from gullyoke.peer_transport.lease_service import Duties
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.storage.append_file import AppendFile
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -14,17 +14,17 @@
 from gullyoke.extensions.charges import YOUNG, Ask, Book, Charge, Record, Roll, Told
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.part import Part
+from gullyoke.leases.announcements import Notice, Order, Plea
 from gullyoke.leases.candidate import Candidate, Turn
-from gullyoke.leases.kept import Shelf
-from gullyoke.leases.notices import Notice, Order, Plea
-from gullyoke.leases.rank import Placed, after, order
-from gullyoke.leases.spans import Spans
+from gullyoke.leases.candidate_rank import Placed, after, order
+from gullyoke.leases.durations import Spans
+from gullyoke.leases.replicated_record import Shelf
 from gullyoke.leases.voter import Voter
 from gullyoke.membership import Row, Status
 from gullyoke.membership.entry import Stage
 from gullyoke.membership.row import TURNS
 from gullyoke.operator_config.wanted import Dutied, Wanted
-from gullyoke.peer_transport.duties import TOPIC, Duties, rows_in
+from gullyoke.peer_transport.lease_service import TOPIC, Duties, rows_in
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.settings.site_settings import ConfigurationError
--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -19,10 +19,10 @@
 from gullyoke.membership import Change, Member, Row, Status, began
 from gullyoke.membership.row import identity
 from gullyoke.operator_config.wanted import Dutied, Kept, Pooled, Together, Wanted
-from gullyoke.peer_transport.ask import Answers
-from gullyoke.peer_transport.kept import Number
 from gullyoke.peer_transport.link import Link
 from gullyoke.peer_transport.seal import Seal, UnusableKeyError, keys_in
+from gullyoke.peer_transport.start_number import Number
+from gullyoke.peer_transport.status_server import Answers
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.settings.site_settings import ConfigurationError
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -5,14 +5,21 @@
 
 from __future__ import annotations
 
-from gullyoke.coordination import quotas
-from gullyoke.coordination.fair import split
-from gullyoke.coordination.sharing import Sharing
-from gullyoke.coordination.slots import UNIT, Mean, Own
+from gullyoke.coordination import tenant_quotas as quotas
+from gullyoke.coordination.limit_parts import UNIT, Mean, Own
+from gullyoke.coordination.max_min_fairness import split
+from gullyoke.coordination.quota_participant import Sharing
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.part import Part
 from gullyoke.operator_config.wanted import Slotted
-from gullyoke.peer_transport.sharing import QUOTAS, TOPIC, Quotas, SharedQuota, SharedSlots, stated
+from gullyoke.peer_transport.quota_service import (
+    QUOTAS,
+    TOPIC,
+    Quotas,
+    SharedQuota,
+    SharedSlots,
+    stated,
+)
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.settings.site_settings import ConfigurationError
--- a/gullyoke/leases/__init__.py
+++ b/gullyoke/leases/__init__.py
@@ -8,8 +8,8 @@
 
 from gullyoke.leases.candidate import Candidate
 from gullyoke.leases.fence import Fence
+from gullyoke.leases.messages import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
 from gullyoke.leases.voter import Voter, Write
-from gullyoke.leases.words import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
 
 __all__ = [
     "Ask",
--- a/gullyoke/leases/candidate.py
+++ b/gullyoke/leases/candidate.py
@@ -12,8 +12,8 @@
 from enum import Enum
 from typing import NamedTuple
 
-from gullyoke.leases.spans import Spans
-from gullyoke.leases.words import Ask, Done, Message, Pass, Ready, Said, Sound
+from gullyoke.leases.durations import Spans
+from gullyoke.leases.messages import Ask, Done, Message, Pass, Ready, Said, Sound
 
 PATIENCE = 300_000  # microseconds for a round's answers
 AGAIN, LONGEST = (
--- a/gullyoke/leases/voter.py
+++ b/gullyoke/leases/voter.py
@@ -17,8 +17,8 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from gullyoke.leases.spans import Spans
-from gullyoke.leases.words import NOBODY, Ask, Done, Learn, Learned, Said, Sound
+from gullyoke.leases.durations import Spans
+from gullyoke.leases.messages import NOBODY, Ask, Done, Learn, Learned, Said, Sound
 
 DUTIES = 64  # rows that are kept; there are a few
 LEARN_AGAIN = 500_000  # between two askings of the others
--- a/gullyoke/model_checking/duty.py
+++ b/gullyoke/model_checking/duty.py
@@ -18,10 +18,10 @@
 from gullyoke.leases import candidate as candidates
 from gullyoke.leases import voter as voters
 from gullyoke.leases.candidate import Candidate, State
+from gullyoke.leases.durations import Spans
 from gullyoke.leases.fence import Fence
-from gullyoke.leases.spans import Spans
+from gullyoke.leases.messages import Ask, Done, Said
 from gullyoke.leases.voter import Row, Voter, Write
-from gullyoke.leases.words import Ask, Done, Said
 from gullyoke.model_checking.explore import Move, from_all
 
 DUTY, NET = "d", 2
--- a/gullyoke/model_checking/shares.py
+++ b/gullyoke/model_checking/shares.py
@@ -6,7 +6,7 @@
 Two walks, since the whole at once grows too fast: `loans`, in which the home's name is safe and
 whatever can happen between it and its borrowers does; `names`, in which borrowers ask without
 faults and whatever can happen to the name does. What is looked for in both: more of the home's
-tokens in force than there are. The modules are those that run (gullyoke/coordination/shares.py), with
+tokens in force than there are. The modules are those that run (gullyoke/coordination/quota_leases.py), with
 their times put to ticks.
 """
 
@@ -16,8 +16,8 @@
 from collections.abc import Callable, Iterator
 from unittest import mock
 
-from gullyoke.coordination import shares
-from gullyoke.coordination.shares import (
+from gullyoke.coordination import quota_leases as shares
+from gullyoke.coordination.quota_leases import (
     Borrower,
     Claim,
     Grant,
--- a/gullyoke/peer_transport/duties.py
+++ b/gullyoke/peer_transport/lease_service.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
+from gullyoke.leases.announcements import Board, Notice, Order, Plea
 from gullyoke.leases.candidate import Candidate
 from gullyoke.leases.candidate import Post as Said_to
 from gullyoke.leases.fence import Fence
-from gullyoke.leases.kept import Fetch, Fetched, Keep, Kept, Register, Shelf
-from gullyoke.leases.notices import Board, Notice, Order, Plea
+from gullyoke.leases.messages import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
+from gullyoke.leases.replicated_record import Fetch, Fetched, Keep, Kept, Register, Shelf
 from gullyoke.leases.voter import Row, Voter, Write
-from gullyoke.leases.words import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
 from gullyoke.membership.row import Row as Member
 from gullyoke.peer_transport.codec import MalformedDatagramError
 from gullyoke.peer_transport.link import Post
--- a/gullyoke/peer_transport/sharing.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from gullyoke.coordination.shares import Claim, Grant, Promise, Return, Want
-from gullyoke.coordination.sharing import ASKER, LENDER, Letter, Message
-from gullyoke.coordination.slots import Part
+from gullyoke.coordination.limit_parts import Part
+from gullyoke.coordination.quota_leases import Claim, Grant, Promise, Return, Want
+from gullyoke.coordination.quota_participant import ASKER, LENDER, Letter, Message
 from gullyoke.membership.row import Row, whole
 from gullyoke.peer_transport.codec import MalformedDatagramError
 from gullyoke.peer_transport.link import Post
--- a/tests/compatibility/test_duty_messages.py
+++ b/tests/compatibility/test_duty_messages.py
@@ -11,8 +11,8 @@
 from compatibility.recorded import temporary_folder
 from gullyoke.extensions.charges import Ask, Book, Record, Roll, Told
 from gullyoke.extensions.disks import Room
-from gullyoke.leases.notices import Notice, Order
-from gullyoke.leases.roll import Plan
+from gullyoke.leases.announcements import Notice, Order
+from gullyoke.leases.rolling_restart import Plan
 from gullyoke.membership import Row, Status
 from gullyoke.operator_config.wanted import OwnDuty
 from gullyoke.runtime.metrics import Metrics as Counters
--- a/tests/compatibility/test_letters.py
+++ b/tests/compatibility/test_letters.py
@@ -5,11 +5,11 @@
 import msgspec
 
 from compatibility.recorded import recorded_hex
-from gullyoke.coordination.shares import Claim, Grant, Promise, Return, Want
-from gullyoke.leases.kept import Fetch, Fetched, Keep, Kept
-from gullyoke.leases.notices import Notice, Order, Plea
-from gullyoke.leases.words import NOBODY, Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
-from gullyoke.peer_transport import duties, sharing
+from gullyoke.coordination.quota_leases import Claim, Grant, Promise, Return, Want
+from gullyoke.leases.announcements import Notice, Order, Plea
+from gullyoke.leases.messages import NOBODY, Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
+from gullyoke.leases.replicated_record import Fetch, Fetched, Keep, Kept
+from gullyoke.peer_transport import lease_service, quota_service
 from gullyoke.peer_transport.codec import MalformedDatagramError
 
 U64_MOST = 2**64 - 1
@@ -53,27 +53,29 @@
     recorded = recorded_hex("shares-letters.json")
 
     def test_topics(self):
-        self.assertEqual((sharing.TOPIC, duties.TOPIC, sharing.QUOTAS), (1, 2, 3))
+        self.assertEqual(
+            (quota_service.TOPIC, lease_service.TOPIC, quota_service.QUOTAS), (1, 2, 3)
+        )
 
     def test_digest_of_what_is_stated(self):
         """Servers that are stated alike have the same digest, in any order of the homes."""
-        self.assertEqual(sharing.stated(HOMES, 120, 8), SLOTS_DIGEST)
-        self.assertEqual(sharing.stated(HOMES, 160, 4, "acme", f"{12.5:g}"), QUOTA_DIGEST)
+        self.assertEqual(quota_service.stated(HOMES, 120, 8), SLOTS_DIGEST)
+        self.assertEqual(quota_service.stated(HOMES, 160, 4, "acme", f"{12.5:g}"), QUOTA_DIGEST)
 
     def test_letters_are_read(self):
         self.assertEqual(list(self.recorded), list(SHARES_LETTERS))
         for name, message in SHARES_LETTERS.items():
             with self.subTest(name):
-                found = sharing.unpack(SLOTS_DIGEST, self.recorded[name])
+                found = quota_service.unpack(SLOTS_DIGEST, self.recorded[name])
                 self.assertIs(type(found), type(message))
                 self.assertEqual(found, message)
-                self.assertIsNone(sharing.unpack(QUOTA_DIGEST, self.recorded[name]))
+                self.assertIsNone(quota_service.unpack(QUOTA_DIGEST, self.recorded[name]))
 
     def test_letters_are_written_with_the_same_bytes(self):
         for name, message in SHARES_LETTERS.items():
             with self.subTest(name):
                 self.assertEqual(
-                    sharing.pack(SLOTS_DIGEST, message).hex(), self.recorded[name].hex()
+                    quota_service.pack(SLOTS_DIGEST, message).hex(), self.recorded[name].hex()
                 )
 
     def test_what_a_later_release_appends_is_passed_over(self):
@@ -81,11 +83,11 @@
             with self.subTest(name):
                 digest, kind, fields = msgspec.msgpack.decode(self.recorded[name])
                 longer = msgspec.msgpack.encode([digest, kind, [*fields, "later"]])
-                self.assertEqual(sharing.unpack(SLOTS_DIGEST, longer), message)
+                self.assertEqual(quota_service.unpack(SLOTS_DIGEST, longer), message)
 
     def test_unknown_kind_is_malformed(self):
         with self.assertRaises(MalformedDatagramError):
-            sharing.unpack(SLOTS_DIGEST, msgspec.msgpack.encode([SLOTS_DIGEST, 5, []]))
+            quota_service.unpack(SLOTS_DIGEST, msgspec.msgpack.encode([SLOTS_DIGEST, 5, []]))
 
 
 class DutyLetters(unittest.TestCase):
@@ -95,25 +97,25 @@
         self.assertEqual(list(self.recorded), list(DUTY_LETTERS))
         for name, message in DUTY_LETTERS.items():
             with self.subTest(name):
-                found = duties.unpack(self.recorded[name])
+                found = lease_service.unpack(self.recorded[name])
                 self.assertIs(type(found), type(message))
                 self.assertEqual(found, message)
 
     def test_letters_are_written_with_the_same_bytes(self):
         for name, message in DUTY_LETTERS.items():
             with self.subTest(name):
-                self.assertEqual(duties.pack(message).hex(), self.recorded[name].hex())
+                self.assertEqual(lease_service.pack(message).hex(), self.recorded[name].hex())
 
     def test_what_a_later_release_appends_is_passed_over(self):
         for name, message in DUTY_LETTERS.items():
             with self.subTest(name):
                 kind, fields = msgspec.msgpack.decode(self.recorded[name])
                 longer = msgspec.msgpack.encode([kind, [*fields, "later"]])
-                self.assertEqual(duties.unpack(longer), message)
+                self.assertEqual(lease_service.unpack(longer), message)
 
     def test_unknown_kind_is_malformed(self):
         with self.assertRaises(MalformedDatagramError):
-            duties.unpack(msgspec.msgpack.encode([15, []]))
+            lease_service.unpack(msgspec.msgpack.encode([15, []]))
 
 
 if __name__ == "__main__":
--- a/tests/compatibility/test_note_store.py
+++ b/tests/compatibility/test_note_store.py
@@ -16,9 +16,9 @@
 from gullyoke.durability.key_record import DuplicateVerdict, judge_record
 from gullyoke.extensions.keys import FOLDER, MARK, decode_mark
 from gullyoke.extensions.promised import NOTE, digest, encode, packed, unpacked
-from gullyoke.peer_transport.kept import FOLDER as NUMBER_FOLDER
-from gullyoke.peer_transport.kept import KEY as NUMBER_KEY
-from gullyoke.peer_transport.kept import Number
+from gullyoke.peer_transport.start_number import FOLDER as NUMBER_FOLDER
+from gullyoke.peer_transport.start_number import KEY as NUMBER_KEY
+from gullyoke.peer_transport.start_number import Number
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.storage import GroupCommitter, StorageFolder, Store, StoreVersionError
 from gullyoke.storage.record import (
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -6,28 +6,28 @@
 import unittest
 from unittest import mock
 
-from gullyoke.coordination.sharing import Sharing
+from gullyoke.coordination.limit_parts import Own
+from gullyoke.coordination.quota_participant import Sharing
 from gullyoke.coordination.signals import Heard, Reading
 from gullyoke.coordination.signals import Stage as Standing
-from gullyoke.coordination.slots import Own
 from gullyoke.durability.disk_health import DiskState
 from gullyoke.extensions.charges import Roll
 from gullyoke.extensions.duties import Duty
 from gullyoke.leases.candidate import Candidate, Turn
 from gullyoke.leases.candidate import State as DutyState
-from gullyoke.leases.kept import Shelf
-from gullyoke.leases.roll import Plan
-from gullyoke.leases.spans import Spans
+from gullyoke.leases.durations import Spans
+from gullyoke.leases.replicated_record import Shelf
+from gullyoke.leases.rolling_restart import Plan
 from gullyoke.leases.voter import Row as Promise
 from gullyoke.leases.voter import Voter
 from gullyoke.membership import Member, Row, Status
 from gullyoke.membership.entry import Stage
 from gullyoke.operator_config.wanted import Dutied
-from gullyoke.peer_transport.ask import Answers
-from gullyoke.peer_transport.duties import Duties
+from gullyoke.peer_transport.lease_service import Duties
 from gullyoke.peer_transport.link import Link
+from gullyoke.peer_transport.quota_service import SharedSlots, stated
 from gullyoke.peer_transport.seal import Seal
-from gullyoke.peer_transport.sharing import SharedSlots, stated
+from gullyoke.peer_transport.status_server import Answers
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -5,15 +5,15 @@
 
 from compatibility.recorded import DATA, files_in, temporary_folder
 from gullyoke.extensions.duties import FOLDER, OURS, ours
-from gullyoke.leases.kept import Fetch, Fetched, Keep, Kept, Shelf
-from gullyoke.leases.roll import Plan
-from gullyoke.leases.roll import unpacked as unpacked_plan
-from gullyoke.leases.spans import Spans
+from gullyoke.leases.durations import Spans
+from gullyoke.leases.messages import Ask, Learn, Learned
+from gullyoke.leases.replicated_record import Fetch, Fetched, Keep, Kept, Shelf
+from gullyoke.leases.rolling_restart import Plan
+from gullyoke.leases.rolling_restart import unpacked as unpacked_plan
 from gullyoke.leases.voter import Row, Voter
-from gullyoke.leases.words import Ask, Learn, Learned
 from gullyoke.membership import Row as Member
 from gullyoke.membership import Status
-from gullyoke.peer_transport.duties import Duties, pack, row_bytes, rows_in, unpack
+from gullyoke.peer_transport.lease_service import Duties, pack, row_bytes, rows_in, unpack
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.storage import SlotFile, StorageFolder
 from gullyoke.storage.slot_file import SLOT_COPY_BYTES, SLOT_FILE_NAME
--- a/tests/coordination/test_quotas.py
+++ b/tests/coordination/test_quotas.py
@@ -8,14 +8,14 @@
 import unittest
 
 from gullyoke.admission.interface import Tenant
-from gullyoke.coordination.quotas import BIN, Quota, Rate, tokens
-from gullyoke.coordination.sharing import Sharing
+from gullyoke.coordination.quota_participant import Sharing
+from gullyoke.coordination.tenant_quotas import BIN, Quota, Rate, tokens
 from gullyoke.emulator.quotas import asked
 from gullyoke.membership import Member, Row, Status, began
 from gullyoke.peer_transport.codec import MalformedDatagramError
 from gullyoke.peer_transport.link import Link
+from gullyoke.peer_transport.quota_service import QUOTAS, Quotas, SharedQuota, encode, stated
 from gullyoke.peer_transport.seal import Seal
-from gullyoke.peer_transport.sharing import QUOTAS, Quotas, SharedQuota, encode, stated
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
--- a/tests/coordination/test_shares.py
+++ b/tests/coordination/test_shares.py
@@ -10,10 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullyoke.coordination import shares
-from gullyoke.coordination.fair import Wish, level, split
-from gullyoke.coordination.sharing import Sharing
-from gullyoke.coordination.slots import Own
+from gullyoke.coordination import quota_leases as shares
+from gullyoke.coordination.limit_parts import Own
+from gullyoke.coordination.max_min_fairness import Wish, level, split
+from gullyoke.coordination.quota_participant import Sharing
 from gullyoke.emulator.shares import SECOND, Play
 
 TOKENS = 24
--- a/tests/coordination/test_wire.py
+++ b/tests/coordination/test_wire.py
@@ -11,14 +11,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullyoke.coordination.shares import Claim, Grant, Promise, Return, Want
-from gullyoke.coordination.sharing import Sharing
-from gullyoke.coordination.slots import Own
+from gullyoke.coordination.limit_parts import Own
+from gullyoke.coordination.quota_leases import Claim, Grant, Promise, Return, Want
+from gullyoke.coordination.quota_participant import Sharing
 from gullyoke.membership import Member, Row, Status, began
 from gullyoke.peer_transport.codec import MalformedDatagramError
 from gullyoke.peer_transport.link import Link
+from gullyoke.peer_transport.quota_service import TOPIC, SharedSlots, encode, pack, stated, unpack
 from gullyoke.peer_transport.seal import Seal
-from gullyoke.peer_transport.sharing import TOPIC, SharedSlots, encode, pack, stated, unpack
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
--- a/tests/leases/test_duty.py
+++ b/tests/leases/test_duty.py
@@ -16,13 +16,13 @@
 from gullyoke.extensions.duties import Duty
 from gullyoke.fault_testing import history
 from gullyoke.fault_testing.standins import Act
-from gullyoke.leases import roll
-from gullyoke.leases.asking import ALONE, OPENING, SILENT, TRIAL, YOUNG, Asking
+from gullyoke.leases import rolling_restart as roll
 from gullyoke.leases.candidate import Candidate
+from gullyoke.leases.candidate_rank import Placed, after, order
+from gullyoke.leases.dependency_probe import ALONE, OPENING, SILENT, TRIAL, YOUNG, Asking
+from gullyoke.leases.durations import Spans
 from gullyoke.leases.fence import Fence
-from gullyoke.leases.kept import Fetch, Register, Shelf
-from gullyoke.leases.rank import Placed, after, order
-from gullyoke.leases.spans import Spans
+from gullyoke.leases.replicated_record import Fetch, Register, Shelf
 from gullyoke.leases.voter import Voter
 from gullyoke.operator_config.wanted import Dutied
 
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -23,10 +23,10 @@
 from gullyoke.membership.words import Letter, Send
 from gullyoke.operator_config.read import read
 from gullyoke.operator_config.wanted import OperatorFileError, Together
-from gullyoke.peer_transport.ask import Answers, status
-from gullyoke.peer_transport.kept import Number
 from gullyoke.peer_transport.link import Link
 from gullyoke.peer_transport.seal import Seal
+from gullyoke.peer_transport.start_number import Number
+from gullyoke.peer_transport.status_server import Answers, status
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.settings.site_settings import ConfigurationError
