--- a/benchmarks/duty.py
+++ b/benchmarks/duty.py
@@ -19,8 +19,8 @@
 from gullyoke.fault_testing.play import Play as Real
 from gullyoke.fault_testing.processes import DUTY
 from gullyoke.fault_testing.script import read
-from gullyoke.leases.dependency_probe import FAILED, Asking
-from gullyoke.leases.durations import Spans
+from gullyoke.leases.dependency_probe import FAILED, DependencyProbe
+from gullyoke.leases.durations import LeaseDurations
 from gullyoke.model_checking import duty as walk
 
 PLAIN = "members 5 zones 5 seed 4 load 8\nat 0 heal\nby 3 equal\nend 8"
@@ -107,7 +107,7 @@
 def asks(servers: int, duty: bool) -> float:
     """Tries a minute at a dead dependency, of all servers that would call all the time."""
     chance = random.Random(servers)
-    all_ = [Asking(chance.random) for _ in range(servers)]
+    all_ = [DependencyProbe(chance.random) for _ in range(servers)]
     for one in all_:
         for _ in range(FAILED + 1):
             one.note(SECOND, False)
@@ -141,7 +141,7 @@
     plain, _ = real(PLAIN)
     verdict, play = real(ROLL)
     print("\n".join(verdict.lines()))
-    out: dict = {"short": short, "lease_s": Spans().lease / 1e6}
+    out: dict = {"short": short, "lease_s": LeaseDurations().lease / 1e6}
     with ProcessPoolExecutor(os.cpu_count()) as pool:
         right = pool.submit(walk.found, None, 3 if short else 5)
         mutants = {guard: pool.submit(walk.found, guard, 3) for guard in walk.MUTANTS}
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -19,10 +19,10 @@
 from collections import Counter
 from concurrent.futures import ProcessPoolExecutor
 
-from gullyoke.coordination.limit_parts import Mean
-from gullyoke.coordination.quota_participant import Sharing
+from gullyoke.coordination.limit_parts import MeanConcurrencyPart
+from gullyoke.coordination.quota_participant import QuotaParticipant
 from gullyoke.coordination.signals import Judgement, Reading, Stage
-from gullyoke.coordination.subsets import apertures, moved
+from gullyoke.coordination.subsets import apertures, moved_share
 from gullyoke.emulator import shares as model
 from gullyoke.emulator.beside import Beside, playing
 from gullyoke.emulator.bound import bound
@@ -101,7 +101,7 @@
         whole = apertures(servers, back_ends, k)
         taken = Counter(b for subset in whole.values() for b in subset)
         gone = [
-            moved(whole, apertures(servers[:i] + servers[i + 1 :], back_ends, k))
+            moved_share(whole, apertures(servers[:i] + servers[i + 1 :], back_ends, k))
             for i in range(0, n, max(1, n // 10))
         ]
         out[str(n)] = {
@@ -117,8 +117,12 @@
 
     Asked for slots at a call, for advice at a shed.
     """
-    sharing = Sharing(0, 1, ("h0",), 100, 20)
-    mean, judged, n = Mean(sharing, 0, 5 * SECOND), Judgement(random.Random(1).random), 20_000
+    sharing = QuotaParticipant(0, 1, ("h0",), 100, 20)
+    mean, judged, n = (
+        MeanConcurrencyPart(sharing, 0, 5 * SECOND),
+        Judgement(random.Random(1).random),
+        20_000,
+    )
     judged.weigh(0, Reading(0.1, 0.2, 1.0, Stage.WARM), [Reading(0.5, 0.1, 1.0, Stage.WARM)] * 16)
     began = time.perf_counter()
     for now in range(n):
--- a/gullyoke/cli/fleet.py
+++ b/gullyoke/cli/fleet.py
@@ -407,19 +407,19 @@
     import os
 
     from gullyoke.extensions.duties import FOLDER, OURS
-    from gullyoke.leases.voter import Row
-    from gullyoke.peer_transport.lease_service import row_bytes, rows_in
+    from gullyoke.leases.voter import Promise
+    from gullyoke.peer_transport.lease_service import decode_rows, encode_promise
     from gullyoke.storage import SlotFile, StorageFolder
 
     files = StorageFolder(os.path.join(folder, FOLDER))
     try:
         store = SlotFile(files)
-        promised, _ = rows_in((key, value) for key, value in store.items() if key != OURS)
-        raised = {duty: Row(row.epoch + 1_000_000, 0, "") for duty, row in promised.items()}
+        promised, _ = decode_rows((key, value) for key, value in store.items() if key != OURS)
+        raised = {duty: Promise(row.epoch + 1_000_000, 0, "") for duty, row in promised.items()}
         store.put(
             [
                 (OURS, f"{name} {number}".encode()),
-                *((f"promise {duty}", row_bytes(row)) for duty, row in raised.items()),
+                *((f"promise {duty}", encode_promise(row)) for duty, row in raised.items()),
             ]
         )
     except OSError as fault:
--- a/gullyoke/coordination/clock_drift.py
+++ b/gullyoke/coordination/clock_drift.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
-RATE = 1000
+DRIFT_DIVISOR = 1000
 
 
-def surely(span: int) -> int:
+def longest_elsewhere(span: int) -> int:
     """So long on one clock that `span` has passed on any other."""
-    return span + 2 * span // RATE + 1
+    return span + 2 * span // DRIFT_DIVISOR + 1
--- a/gullyoke/coordination/limit_parts.py
+++ b/gullyoke/coordination/limit_parts.py
@@ -17,8 +17,8 @@
 import math
 from collections import deque
 
-from gullyoke.coordination.quota_leases import RENEW, Held
-from gullyoke.coordination.quota_participant import Letter, Message, Sharing
+from gullyoke.coordination.quota_leases import RENEW, BorrowedQuota
+from gullyoke.coordination.quota_participant import AddressedQuotaMessage, Message, QuotaParticipant
 
 LEAST = 100_000  # microseconds: for less than that no call goes out
 AHEAD = 8  # one slot more is wanted for so many in use, so that growth finds some
@@ -28,7 +28,7 @@
 USED = 0.95  # of a mean share, so much is used: the decisions' own margin
 
 
-class Peak:
+class RecentPeak:
     """The most of a figure within the last SPAN or two."""
 
     def __init__(self) -> None:
@@ -48,31 +48,31 @@
             self.lately, self.since = 0, now
 
 
-class Part:
+class LimitPart:
     """What both kinds have in common: this process's part, what it wants, and its letters."""
 
-    def __init__(self, sharing: Sharing, linger: int) -> None:
-        self.sharing, self.linger, self.peak = sharing, linger, Peak()
+    def __init__(self, sharing: QuotaParticipant, linger: int) -> None:
+        self.sharing, self.linger, self.peak = sharing, linger, RecentPeak()
         self.refused = 0  # how often none was free
 
     def used(self, now: int) -> int:
         """Tokens in use."""
         raise NotImplementedError
 
-    def turn(self, now: int) -> list[Letter]:
+    def turn(self, now: int) -> list[AddressedQuotaMessage]:
         most = self.peak.most(now)
         self.sharing.need, self.sharing.used = most + -(-most // AHEAD), self.used(now)
         return self.sharing.turn(now)
 
-    def hear(self, now: int, message: Message) -> Letter | None:
+    def hear(self, now: int, message: Message) -> AddressedQuotaMessage | None:
         self.sharing.used = self.used(now)
         return self.sharing.hear(now, message)
 
 
-class Own(Part):
+class ConcurrencyPart(LimitPart):
     """Slots. Table: `lingers`, when each lost call is over at the latest; it leaves then."""
 
-    def __init__(self, sharing: Sharing, linger: int) -> None:
+    def __init__(self, sharing: QuotaParticipant, linger: int) -> None:
         super().__init__(sharing, linger)
         self.out = 0
         self.lingers: deque[int] = deque()
@@ -107,10 +107,10 @@
             self.lingers.append(now + self.linger)
 
 
-class Mean(Part):
+class MeanConcurrencyPart(LimitPart):
     """A part of the mean over `span`."""
 
-    def __init__(self, sharing: Sharing, linger: int, span: int) -> None:
+    def __init__(self, sharing: QuotaParticipant, linger: int, span: int) -> None:
         super().__init__(sharing, linger)
         self.span, self.spent = span, 0.0
 
@@ -124,7 +124,7 @@
         tokens = self.sharing.borrower.right(now) + sum(held.tokens for held in self._sure(now))
         return max(0.01, tokens / UNIT)
 
-    def _sure(self, now: int) -> list[Held]:
+    def _sure(self, now: int) -> list[BorrowedQuota]:
         """The loans that last for a call, and so are counted."""
         return [
             held
--- a/gullyoke/coordination/max_min_fairness.py
+++ b/gullyoke/coordination/max_min_fairness.py
@@ -13,7 +13,7 @@
 EXACT = 1e-6  # of the level
 
 
-class Wish(NamedTuple):
+class Demand(NamedTuple):
     """So many are wanted of this, beside what is held `elsewhere`; by weight."""
 
     want: int
@@ -27,7 +27,7 @@
         return min(float(self.want), max(0.0, level * self.weight - self.elsewhere))
 
 
-def level(total: int, wishes: Iterable[Wish]) -> float:
+def fill_level(total: int, wishes: Iterable[Demand]) -> float:
     """To where all are filled, so that `total` is given out.
 
     Infinite where there is enough for all.
@@ -45,7 +45,7 @@
     return low
 
 
-def split(
+def split_limit(
     limit: int, largest: int, homes: Iterable[str], floor_share: float
 ) -> tuple[int, dict[str, int]]:
     """A limit for the whole fleet as a floor that each of `largest` processes has by right, and
--- a/gullyoke/coordination/quota_leases.py
+++ b/gullyoke/coordination/quota_leases.py
@@ -19,8 +19,8 @@
 from collections.abc import Hashable, Iterable
 from typing import NamedTuple
 
-from gullyoke.coordination.clock_drift import surely
-from gullyoke.coordination.max_min_fairness import Wish, level
+from gullyoke.coordination.clock_drift import longest_elsewhere
+from gullyoke.coordination.max_min_fairness import Demand, fill_level
 from gullyoke.membership.row import whole
 
 LEASE, LOAN = 3_000_000, 4_000_000  # microseconds for which a name and a loan are held
@@ -32,7 +32,7 @@
 TURNED = 4 * RENEW  # and who gets what rounding leaves changes so often
 
 
-class Claim(NamedTuple):
+class LenderClaim(NamedTuple):
     """Promise me this name: from a process, asked in a round of its own."""
 
     home: str
@@ -40,7 +40,7 @@
     round: int
 
 
-class Promise(NamedTuple):
+class LenderVote(NamedTuple):
     home: str
     life: int
     round: int
@@ -48,7 +48,7 @@
     kept: bool
 
 
-class Want(NamedTuple):
+class QuotaRequest(NamedTuple):
     """A loan is asked for, or asked for again.
 
     `want` tokens, under the borrower's own number for it. A lower `seq` than the last is old.
@@ -63,7 +63,7 @@
     elsewhere: int = 0
 
 
-class Grant(NamedTuple):
+class QuotaGrant(NamedTuple):
     """The loan from now on: `tokens`, none where the home has no right or nothing left."""
 
     home: str
@@ -72,7 +72,7 @@
     tokens: int
 
 
-class Return(NamedTuple):
+class QuotaReturn(NamedTuple):
     """The borrower uses no more than `tokens` of its loan from now on."""
 
     home: str
@@ -81,7 +81,7 @@
     tokens: int
 
 
-class Voter:
+class LenderVoter:
     """One home's word on who holds which name.
 
     Table: one row a home, as many as are stated; a row's promise ends with its time. Nothing is
@@ -89,20 +89,20 @@
     """
 
     def __init__(self, now: int, name: str, homes: Iterable[str]) -> None:
-        self.name, self.homes, self.mute = name, frozenset(homes), now + surely(LEASE)
+        self.name, self.homes, self.mute = name, frozenset(homes), now + longest_elsewhere(LEASE)
         self.promised: dict[str, tuple[int, int]] = {}
 
-    def claim(self, now: int, claim: Claim) -> Promise | None:
+    def claim(self, now: int, claim: LenderClaim) -> LenderVote | None:
         if claim.home not in self.homes:
             return None
         life, until = self.promised.get(claim.home, (claim.life, 0))
         kept = now >= self.mute and (life == claim.life or now >= until)
         if kept:
-            self.promised[claim.home] = claim.life, now + surely(LEASE)
-        return Promise(claim.home, claim.life, claim.round, self.name, kept)
+            self.promised[claim.home] = claim.life, now + longest_elsewhere(LEASE)
+        return LenderVote(claim.home, claim.life, claim.round, self.name, kept)
 
 
-class Holding:
+class LenderTenure:
     """One process's right to a name, by a majority of the homes."""
 
     def __init__(self, home: str, life: int, homes: Iterable[str]) -> None:
@@ -111,14 +111,14 @@
         self.said: set[str] = set()
         self.until, self.since = 0, None  # the right's end, and when it began without a break
 
-    def claim(self, now: int) -> Claim | None:
+    def claim(self, now: int) -> LenderClaim | None:
         """What to ask all homes now, if it is time for a round."""
         if now < self.next:
             return None
         self.round, self.asked, self.next, self.said = self.round + 1, now, now + RENEW, set()
-        return Claim(self.home, self.life, self.round)
+        return LenderClaim(self.home, self.life, self.round)
 
-    def hear(self, now: int, promise: Promise) -> None:
+    def hear(self, now: int, promise: LenderVote) -> None:
         asked = self.home, self.life, self.round
         if (promise.home, promise.life, promise.round) != asked or not promise.kept:
             return
@@ -134,11 +134,13 @@
     def lends(self, now: int, after: int = 0) -> bool:
         """Whether it may lend: who lent under this name before has nothing out any more."""
         return (
-            self.holds(now) and self.since is not None and now - self.since >= surely(LOAN + after)
+            self.holds(now)
+            and self.since is not None
+            and now - self.since >= longest_elsewhere(LOAN + after)
         )
 
 
-class Loan:
+class QuotaLease:
     """One borrower's loan at its home.
 
     `tokens` may be in force until `until`; `told`, what it was last given and uses at the most once
@@ -151,7 +153,7 @@
         self.seq, self.tokens, self.told, self.until = 0, 0, 0, 0
 
 
-class Home:
+class Lender:
     """The lender of one name's tokens.
 
     Tables: `loans`, one a borrower's process, gone when its time is out; `wants`, what each last
@@ -159,10 +161,10 @@
     counts on, where the limit is on a mean.
     """
 
-    def __init__(self, holding: Holding, tokens: int, after: int = 0) -> None:
+    def __init__(self, holding: LenderTenure, tokens: int, after: int = 0) -> None:
         self.holding, self.total, self.after = holding, tokens, after
-        self.loans: dict[Hashable, Loan] = {}
-        self.wants: dict[Hashable, tuple[Wish, int]] = {}
+        self.loans: dict[Hashable, QuotaLease] = {}
+        self.wants: dict[Hashable, tuple[Demand, int]] = {}
         self.level, self.weighed = math.inf, None
 
     def out(self, now: int) -> int:
@@ -171,32 +173,32 @@
             del self.loans[who]
         return sum(loan.tokens for loan in self.loans.values())
 
-    def want(self, now: int, want: Want) -> Grant | None:
+    def want(self, now: int, want: QuotaRequest) -> QuotaGrant | None:
         """What the borrower gets; None for what is older than the last it said."""
         loan = self.loans.get(want.borrower)
         if loan is not None and want.seq <= loan.seq:
             return None
         free = self.total - self.out(now)
         loan = self.loans.get(want.borrower)
-        wish = Wish(max(0, want.want), max(0, want.elsewhere), max(1e-6, want.weight))
+        wish = Demand(max(0, want.want), max(0, want.elsewhere), max(1e-6, want.weight))
         self.wants[want.borrower] = wish, now
         if not self.holding.lends(now, self.after):
-            return Grant(want.home, want.borrower, want.seq, 0)
+            return QuotaGrant(want.home, want.borrower, want.seq, 0)
         fair, has = self.fair(now, want.borrower, wish), loan.tokens if loan else 0
         grown = (loan.told if loan else 0) + max(1, self.total // GROWTH)
         tokens = min(fair, grown, has + free)
         if loan is None:
             if tokens <= 0:
-                return Grant(want.home, want.borrower, want.seq, 0)
-            loan = self.loans[want.borrower] = Loan()
+                return QuotaGrant(want.home, want.borrower, want.seq, 0)
+            loan = self.loans[want.borrower] = QuotaLease()
         # Shrinking frees nothing yet: what it has it may use until it says otherwise or its time is
         # out.
         loan.seq, loan.told, loan.tokens = want.seq, tokens, max(has, tokens)
         if tokens > 0:
-            loan.until = now + surely(LOAN + self.after)
-        return Grant(want.home, want.borrower, want.seq, tokens)
+            loan.until = now + longest_elsewhere(LOAN + self.after)
+        return QuotaGrant(want.home, want.borrower, want.seq, tokens)
 
-    def fair(self, now: int, borrower: Hashable, wish: Wish) -> int:
+    def fair(self, now: int, borrower: Hashable, wish: Demand) -> int:
         """Its part in whole tokens.
 
         What rounding leaves goes to one and then to another, told by a hash, so that nobody is left
@@ -206,12 +208,12 @@
             self.weighed = now
             for who in [who for who, (_, at) in self.wants.items() if now - at > ASKED]:
                 del self.wants[who]
-            self.level = level(self.total, (wish for wish, _ in self.wants.values()))
+            self.level = fill_level(self.total, (wish for wish, _ in self.wants.values()))
         part = wish.part(self.level)
         draw = whole(f"{self.holding.home} {borrower} {now // TURNED}") / 2**64
         return min(wish.want, int(part + draw))
 
-    def returned(self, now: int, back: Return) -> None:
+    def returned(self, now: int, back: QuotaReturn) -> None:
         """It uses no more than that now, whatever it was granted up to `seq`.
 
         Later ones are on their way.
@@ -221,7 +223,7 @@
             loan.tokens = min(loan.tokens, max(back.tokens, loan.told))
 
 
-class Held(NamedTuple):
+class BorrowedQuota(NamedTuple):
     """A loan as its borrower counts it."""
 
     tokens: int
@@ -240,7 +242,7 @@
     ) -> None:
         self.life, self.floor, self.begins = life, floor, begins
         self.homes = sorted(homes, key=lambda home: (home != mine, home))
-        self.held: dict[str, Held] = {}
+        self.held: dict[str, BorrowedQuota] = {}
         self.asked: dict[
             str, tuple[int, int]
         ] = {}  # by home: the asking's number, and when it went out
@@ -269,7 +271,7 @@
                 return max(now, held.until)
         return now
 
-    def ask(self, now: int, need: int) -> list[Want]:
+    def ask(self, now: int, need: int) -> list[QuotaRequest]:
         """What to ask for now, so that all together comes to `need`.
 
         What is held is asked for again, what is missing at one home more, the next one in turn;
@@ -294,28 +296,30 @@
                 self.seq += 1
                 self.asked[home] = self.seq, now
                 wants.append(
-                    Want(home, self.life, self.seq, want, self.weight, self.in_force(now) - has)
+                    QuotaRequest(
+                        home, self.life, self.seq, want, self.weight, self.in_force(now) - has
+                    )
                 )
         return wants
 
-    def hear(self, now: int, grant: Grant, used: int = 0) -> Return | None:
+    def hear(self, now: int, grant: QuotaGrant, used: int = 0) -> QuotaReturn | None:
         """Shrinking acts at once, and is told to the home, less what is still in use of it."""
         seq, asked = self.asked.get(grant.home, (0, 0))
         if grant.borrower != self.life or grant.seq != seq:
             return None
         del self.asked[grant.home]
-        self.held[grant.home] = Held(
+        self.held[grant.home] = BorrowedQuota(
             grant.tokens, asked + LOAN, seq
         )  # counted from before it asked
         return self._back(now, grant.home, used)
 
-    def give_back(self, now: int, used: int) -> list[Return]:
+    def give_back(self, now: int, used: int) -> list[QuotaReturn]:
         """What was in use when it shrank and is no longer, told to its home."""
         return [self._back(now, home, used) for home in list(self.owed)]
 
-    def _back(self, now: int, home: str, used: int) -> Return:
+    def _back(self, now: int, home: str, used: int) -> QuotaReturn:
         held, over = self.held[home], max(0, used - self.in_force(now))
         self.owed.pop(home, None)
         if over:
             self.owed[home] = held.seq
-        return Return(home, self.life, held.seq, held.tokens + over)
+        return QuotaReturn(home, self.life, held.seq, held.tokens + over)
--- a/gullyoke/coordination/quota_participant.py
+++ b/gullyoke/coordination/quota_participant.py
@@ -13,20 +13,20 @@
 
 from gullyoke.coordination.quota_leases import (
     Borrower,
-    Claim,
-    Grant,
-    Holding,
-    Home,
-    Promise,
-    Return,
-    Voter,
-    Want,
+    Lender,
+    LenderClaim,
+    LenderTenure,
+    LenderVote,
+    LenderVoter,
+    QuotaGrant,
+    QuotaRequest,
+    QuotaReturn,
 )
 
-Message = Claim | Promise | Want | Grant | Return
+Message = LenderClaim | LenderVote | QuotaRequest | QuotaGrant | QuotaReturn
 
 
-class Letter(NamedTuple):
+class AddressedQuotaMessage(NamedTuple):
     """To whom: a voter, at the stated address of that home.
 
     A lender, whoever is taken for that home; or back to the process that asked.
@@ -40,7 +40,7 @@
 VOTER, LENDER, ASKER = "voter", "lender", "asker"
 
 
-class Sharing:
+class QuotaParticipant:
     """`home` is the name it lends under, None where it is at none.
 
     `votes`, whether it is at that home's stated address. `tokens` is what this home has to lend,
@@ -65,55 +65,57 @@
             raise ValueError(f"{home!r} is none of the homes {', '.join(self.homes)}")
         self.home, self.need, self.used = home, 0, 0
         self.borrower = Borrower(life, floor, self.homes, home, now + linger + after)
-        self.voter = Voter(now, home, self.homes) if home and votes else None
-        self.holding = Holding(home, life, self.homes) if home else None
-        self.lender = Home(self.holding, tokens, after) if self.holding else None
+        self.voter = LenderVoter(now, home, self.homes) if home and votes else None
+        self.holding = LenderTenure(home, life, self.homes) if home else None
+        self.lender = Lender(self.holding, tokens, after) if self.holding else None
         self.life, self.after = life, after
-        self.estates: dict[str, Home] = {}  # of homes that ended, lent here for as long as asked
+        self.estates: dict[str, Lender] = {}  # of homes that ended, lent here for as long as asked
 
     def in_force(self, now: int) -> int:
         """What this process may use at this moment: asked again after every wait."""
         return self.borrower.in_force(now)
 
-    def turn(self, now: int) -> list[Letter]:
+    def turn(self, now: int) -> list[AddressedQuotaMessage]:
         """What is to be said now; called a few times a second."""
-        said: list[Letter] = []
+        said: list[AddressedQuotaMessage] = []
         for lender in self.lenders():
             if (claim := lender.holding.claim(now)) is not None:
-                said += [Letter(VOTER, home, claim) for home in self.homes]
+                said += [AddressedQuotaMessage(VOTER, home, claim) for home in self.homes]
         said += [
-            Letter(LENDER, back.home, back) for back in self.borrower.give_back(now, self.used)
+            AddressedQuotaMessage(LENDER, back.home, back)
+            for back in self.borrower.give_back(now, self.used)
         ]
         return said + [
-            Letter(LENDER, want.home, want) for want in self.borrower.ask(now, self.need)
+            AddressedQuotaMessage(LENDER, want.home, want)
+            for want in self.borrower.ask(now, self.need)
         ]
 
-    def hear(self, now: int, message: Message) -> Letter | None:
+    def hear(self, now: int, message: Message) -> AddressedQuotaMessage | None:
         """What it answers, if anything."""
-        if isinstance(message, Claim):
+        if isinstance(message, LenderClaim):
             promise = self.voter.claim(now, message) if self.voter else None
-            return promise and Letter(ASKER, message.home, promise)
-        if isinstance(message, Promise):
+            return promise and AddressedQuotaMessage(ASKER, message.home, promise)
+        if isinstance(message, LenderVote):
             for lender in self.lenders():
                 lender.holding.hear(now, message)
-        elif isinstance(message, Want):
+        elif isinstance(message, QuotaRequest):
             lender = self.lends_for(message.home)
             grant = lender.want(now, message) if lender else None
-            return grant and Letter(ASKER, message.home, grant)
-        elif isinstance(message, Grant):
+            return grant and AddressedQuotaMessage(ASKER, message.home, grant)
+        elif isinstance(message, QuotaGrant):
             back = self.borrower.hear(now, message, self.used)
-            return back and Letter(LENDER, message.home, back)
-        elif isinstance(message, Return) and (lender := self.lends_for(message.home)):
+            return back and AddressedQuotaMessage(LENDER, message.home, back)
+        elif isinstance(message, QuotaReturn) and (lender := self.lends_for(message.home)):
             lender.returned(now, message)
         return None
 
     # What homes that ended had to lend, given out here: the name's own majority keeps it safe,
     # whoever asks.
 
-    def lenders(self) -> list[Home]:
+    def lenders(self) -> list[Lender]:
         return ([self.lender] if self.lender else []) + list(self.estates.values())
 
-    def lends_for(self, home: str) -> Home | None:
+    def lends_for(self, home: str) -> Lender | None:
         return self.lender if home == self.home else self.estates.get(home)
 
     def take_over(self, tokens: Mapping[str, int]) -> None:
@@ -123,9 +125,9 @@
         comes back gets it when this stops claiming.
         """
 
-        def made(home: str, count: int) -> Home:
-            return self.estates.get(home) or Home(
-                Holding(home, self.life, self.homes), count, self.after
+        def made(home: str, count: int) -> Lender:
+            return self.estates.get(home) or Lender(
+                LenderTenure(home, self.life, self.homes), count, self.after
             )
 
         self.estates = {
--- a/gullyoke/coordination/subsets.py
+++ b/gullyoke/coordination/subsets.py
@@ -32,7 +32,7 @@
     }
 
 
-def chosen(servers: Mapping[str, str], back_ends: Mapping[str, str], k: int) -> Chosen:
+def choose_subsets(servers: Mapping[str, str], back_ends: Mapping[str, str], k: int) -> Chosen:
     """The subsets of all servers, names by zone on both sides.
 
     A zone's servers take the zone's own back ends first; where these are fewer than `k`, the rest
@@ -48,7 +48,7 @@
     return out
 
 
-def alone(server: str, back_ends: Sequence[str]) -> tuple[str, ...]:
+def order_alone(server: str, back_ends: Sequence[str]) -> tuple[str, ...]:
     """The order in which one that knows of no other takes the back ends.
 
     From a place of its own, so that many who know of nobody do not all take the same.
@@ -58,7 +58,7 @@
     return tuple(ring[start:] + ring[:start])
 
 
-def moved(before: Chosen, after: Chosen) -> float:
+def moved_share(before: Chosen, after: Chosen) -> float:
     """The share of connections that are opened anew, at servers that are there both times."""
     kept = [server for server in before if server in after]
     links = sum(len(after[server]) for server in kept)
--- a/gullyoke/coordination/tenant_quotas.py
+++ b/gullyoke/coordination/tenant_quotas.py
@@ -8,8 +8,8 @@
 
 from __future__ import annotations
 
-from gullyoke.coordination.limit_parts import Part
-from gullyoke.coordination.quota_participant import Sharing
+from gullyoke.coordination.limit_parts import LimitPart
+from gullyoke.coordination.quota_participant import QuotaParticipant
 
 UNIT = 16  # tokens a server of the largest fleet: a floor of a quarter is four
 SAVED = 2_000_000  # microseconds for which what a rate allows may be saved up
@@ -23,7 +23,7 @@
     return UNIT * largest
 
 
-class Rate:
+class ArrivalRate:
     """How many reqs a second come, over the last whole bin and the one before.
 
     The larger counts, since what comes in bursts has to be let in as it comes.
@@ -48,15 +48,15 @@
             self.at = at
 
 
-class Quota(Part):
+class TenantQuotaPart(LimitPart):
     """`rate`: reqs a second of all servers, `whole` tokens.
 
     `lent` is asked for each req of the customer.
     """
 
-    def __init__(self, sharing: Sharing, rate: float, whole: int) -> None:
+    def __init__(self, sharing: QuotaParticipant, rate: float, whole: int) -> None:
         super().__init__(sharing, 0)
-        self.rate, self.whole, self.comes = rate, whole, Rate()
+        self.rate, self.whole, self.comes = rate, whole, ArrivalRate()
 
     def used(self, now: int) -> int:
         """Tokens that are used by what comes, no more than there are."""
--- a/gullyoke/coordination/turns.py
+++ b/gullyoke/coordination/turns.py
@@ -16,7 +16,7 @@
 from gullyoke.membership.row import whole
 
 
-def shared(what: str, count: int, slot: int, slots: int) -> Turns:
+def turns_within(what: str, count: int, slot: int, slots: int) -> Turns:
     """Turns of so many members that come round within `slots` slots, an eighth of each a gap at
     both ends.
     """
--- a/gullyoke/emulator/beside.py
+++ b/gullyoke/emulator/beside.py
@@ -11,9 +11,9 @@
 
 from gullyoke.admission.controller import AdmissionController
 from gullyoke.admission.interface import DependencyFacts, Fleet
-from gullyoke.coordination.limit_parts import UNIT, Mean
-from gullyoke.coordination.max_min_fairness import split
-from gullyoke.coordination.quota_participant import ASKER, Letter, Sharing
+from gullyoke.coordination.limit_parts import UNIT, MeanConcurrencyPart
+from gullyoke.coordination.max_min_fairness import split_limit
+from gullyoke.coordination.quota_participant import ASKER, AddressedQuotaMessage, QuotaParticipant
 from gullyoke.coordination.signals import Heard, Judgement, Reading, Stage, Telling
 from gullyoke.emulator.fleet import Node, Running, deciding
 
@@ -35,16 +35,16 @@
         chance = beside.chance
         self.telling, self.heard = Telling(), Heard()
         self.judgement = Judgement(random.Random(chance.getrandbits(40)).random)
-        self.own: Mean | None = None
+        self.own: MeanConcurrencyPart | None = None
         if beside.signals:
             fleet.feedback = self.judgement
         day, now = node.fleet.day, node.fleet.now()
         if beside.shares and day.shared and day.shared.survives:
             homes = [str(i) for i in range(min(HOMES, day.machines.servers))]
             largest = beside.largest or day.machines.servers + sum(n for _, n in day.machines.join)
-            floor, tokens = split(day.shared.survives * UNIT, largest, homes, FLOOR)
+            floor, tokens = split_limit(day.shared.survives * UNIT, largest, homes, FLOOR)
             home = str(node.number) if str(node.number) in homes else None
-            part = Sharing(
+            part = QuotaParticipant(
                 now,
                 chance.getrandbits(40),
                 homes,
@@ -55,7 +55,7 @@
                 below.linger,
                 below.quota_window,
             )
-            self.own = below.slots = Mean(part, below.linger, below.quota_window)
+            self.own = below.slots = MeanConcurrencyPart(part, below.linger, below.quota_window)
         # Those who were there at the start know each other, as after a while of running.
         node.fleet.at(chance.randrange(TURN), self.turn)
         node.fleet.at(chance.randrange(SECOND), self.look)
@@ -102,7 +102,7 @@
         for letter in self.own.turn(now):
             self.post(letter, -1)
 
-    def post(self, letter: Letter, asker: int) -> None:
+    def post(self, letter: AddressedQuotaMessage, asker: int) -> None:
         to, me = asker if letter.to == ASKER else int(letter.home), self.node.number
         self.beside.send(me, to, lambda peer: peer.hear_letter(me, letter.message))
 
--- a/gullyoke/emulator/duty.py
+++ b/gullyoke/emulator/duty.py
@@ -12,12 +12,21 @@
 from collections.abc import Callable
 
 from gullyoke.fault_testing.standins import Act
-from gullyoke.leases.candidate import Candidate, Post
-from gullyoke.leases.candidate_rank import Placed, after
-from gullyoke.leases.durations import Spans
+from gullyoke.leases.candidate import AddressedMessage, Candidate
+from gullyoke.leases.candidate_rank import CandidatePlacement, candidate_delay_us
+from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.fence import Fence
-from gullyoke.leases.messages import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
-from gullyoke.leases.voter import Row, Voter, Write
+from gullyoke.leases.messages import (
+    EpochQuery,
+    EpochReply,
+    HandoverAccept,
+    HandoverOffer,
+    LeaseRelease,
+    LeaseRequest,
+    PreVote,
+    VoteReply,
+)
+from gullyoke.leases.voter import Promise, PromiseWrite, Voter
 
 SECOND, TURN, ACT, SYNC = 1_000_000, 50_000, 100_000, 5_000
 DUTY = "d"
@@ -31,15 +40,17 @@
     at the most.
     """
 
-    def __init__(self, seed: int, voters: int, members: int, spans: Spans | None = None) -> None:
-        self.chance, self.spans = random.Random(seed), spans or Spans()
+    def __init__(
+        self, seed: int, voters: int, members: int, spans: LeaseDurations | None = None
+    ) -> None:
+        self.chance, self.spans = random.Random(seed), spans or LeaseDurations()
         self.now, self.queue, self.count = 0, [], itertools.count()
         self.members = [f"m{i}" for i in range(members)]
         self.set, self.number = self.members[:voters], 1
         drift = self.spans.drift / 1e6
         self.rates = {name: 1 + self.chance.uniform(-drift / 2, drift / 2) for name in self.members}
         self.offsets = {name: self.chance.randrange(10**9) for name in self.members}
-        self.disks: dict[str, dict[str, Row] | None] = dict.fromkeys(self.members)
+        self.disks: dict[str, dict[str, Promise] | None] = dict.fromkeys(self.members)
         self.voters: dict[str, Voter] = {}
         self.candidates: dict[str, Candidate] = {}
         self.up: set[str] = set()
@@ -126,12 +137,12 @@
             self.after(self.paused[name] - self.now, self.turn, name, starts)
             return
         now, one = self.time(name), self.candidates[name]
-        there = [Placed(n) for n in self.members if n in self.up]
-        one.after = after(DUTY, name, there) or 0
+        there = [CandidatePlacement(n) for n in self.members if n in self.up]
+        one.after = candidate_delay_us(DUTY, name, there) or 0
         voter = self.voters.get(name)
         learn = voter.learns(now) if voter is not None else None
         if learn is not None:
-            self.post(name, [Post(other, learn) for other in sorted(voter.others)])
+            self.post(name, [AddressedMessage(other, learn) for other in sorted(voter.others)])
         self.post(name, one.tick(now))
         epoch = one.holds(now)
         if epoch is not None and self.chance.random() < TURN / ACT:
@@ -146,7 +157,7 @@
         taken = self.fence.admits(DUTY, epoch, life)
         self.acts.append(Act(came / 1e6, self.now / 1e6, DUTY, epoch, str(life), taken))
 
-    def post(self, from_: str, posts: list[Post]) -> None:
+    def post(self, from_: str, posts: list[AddressedMessage]) -> None:
         for to, message in posts:
             if (
                 self.chance.random() < self.loss
@@ -164,32 +175,34 @@
             self.after(self.paused[to] - self.now, self.come, from_, to, message)
             return
         now, one, voter = self.time(to), self.candidates[to], self.voters.get(to)
-        answer: list[Post] = []
-        if isinstance(message, Said):
+        answer: list[AddressedMessage] = []
+        if isinstance(message, VoteReply):
             answer = one.hear(now, message) if from_ in self.set else []
-        elif isinstance(message, Pass):
+        elif isinstance(message, HandoverOffer):
             answer = one.passed(now, from_, message)
-        elif isinstance(message, Ready):
+        elif isinstance(message, HandoverAccept):
             answer = one.ready(now, from_, message)
         elif voter is not None:
             answer = self.voted(now, from_, to, voter, message)
         self.post(to, answer)
 
-    def voted(self, now: int, from_: str, to: str, voter: Voter, message: object) -> list[Post]:
-        if isinstance(message, Sound):
-            return [Post(from_, voter.sound(now, message))]
-        if isinstance(message, Ask):
+    def voted(
+        self, now: int, from_: str, to: str, voter: Voter, message: object
+    ) -> list[AddressedMessage]:
+        if isinstance(message, PreVote):
+            return [AddressedMessage(from_, voter.sound(now, message))]
+        if isinstance(message, LeaseRequest):
             answer = voter.ask(now, message)
-            if isinstance(answer, Write):
+            if isinstance(answer, PromiseWrite):
                 self.after(self.chance.randrange(1, SYNC), self.synced, from_, to, voter, answer)
                 return []
-            return [Post(from_, answer)] if answer is not None else []
-        if isinstance(message, Done):
+            return [AddressedMessage(from_, answer)] if answer is not None else []
+        if isinstance(message, LeaseRelease):
             voter.done(now, message)
-        elif isinstance(message, Learn):
+        elif isinstance(message, EpochQuery):
             said = voter.teach(now, message)
-            return [Post(from_, said)] if said is not None else []
-        elif isinstance(message, Learned):
+            return [AddressedMessage(from_, said)] if said is not None else []
+        elif isinstance(message, EpochReply):
             writes = voter.learned(now, message)
             for i, write in enumerate(writes):
                 self.disks[to] = {**(self.disks[to] or {}), write.duty: write.row}
@@ -198,7 +211,7 @@
                 self.disks[to] = {}
         return []
 
-    def synced(self, from_: str, to: str, voter: Voter, write: Write) -> None:
+    def synced(self, from_: str, to: str, voter: Voter, write: PromiseWrite) -> None:
         """The disk has spoken; a process that ended meanwhile hears nothing of it, and its disk may
         have it.
         """
@@ -207,7 +220,7 @@
             self.disks[to] = {**(self.disks[to] or {}), write.duty: write.row}
         if self.voters.get(to) is voter and to in self.up:
             said = voter.written(self.time(to), write, durable)
-            self.post(to, [Post(from_, said)] if said is not None else [])
+            self.post(to, [AddressedMessage(from_, said)] if said is not None else [])
 
     # Faults, and what is asked.
 
--- a/gullyoke/emulator/quotas.py
+++ b/gullyoke/emulator/quotas.py
@@ -8,8 +8,8 @@
 
 from typing import NamedTuple
 
-from gullyoke.coordination.max_min_fairness import split
-from gullyoke.coordination.tenant_quotas import Quota, tokens
+from gullyoke.coordination.max_min_fairness import split_limit
+from gullyoke.coordination.tenant_quotas import TenantQuotaPart, tokens
 from gullyoke.emulator.shares import SECOND, Play, Process
 
 FLOOR = 0.25
@@ -57,12 +57,12 @@
     """
     homes = min(5, servers)
     whole = tokens(servers)
-    floor, lends = split(whole, servers, [f"h{i}" for i in range(homes)], FLOOR)
+    floor, lends = split_limit(whole, servers, [f"h{i}" for i in range(homes)], FLOOR)
     play = Play(seed, homes, servers - homes, min(lends.values()), floor, loss)
     processes = list(play.processes.values())
     buckets = {process.key: Bucket() for process in processes}
     for process in processes:
-        process.quota = Quota(process.part, quota, whole)
+        process.quota = TenantQuotaPart(process.part, quota, whole)
     counts, over = [0, 0], 0.0
     begin = 15 * SECOND
 
--- a/gullyoke/emulator/shares.py
+++ b/gullyoke/emulator/shares.py
@@ -11,9 +11,15 @@
 import itertools
 import random
 
-from gullyoke.coordination.clock_drift import RATE
-from gullyoke.coordination.limit_parts import Own, Part
-from gullyoke.coordination.quota_participant import ASKER, LENDER, VOTER, Letter, Sharing
+from gullyoke.coordination.clock_drift import DRIFT_DIVISOR
+from gullyoke.coordination.limit_parts import ConcurrencyPart, LimitPart
+from gullyoke.coordination.quota_participant import (
+    ASKER,
+    LENDER,
+    VOTER,
+    AddressedQuotaMessage,
+    QuotaParticipant,
+)
 
 SECOND = 1_000_000
 TURN = 100_000
@@ -26,10 +32,10 @@
     def __init__(self, play: Play, key: str, home: str | None, votes: bool) -> None:
         chance = play.chance
         self.key, self.home, self.play = key, home, play
-        self.rate = 1 + chance.uniform(-0.5, 0.5) / RATE
+        self.rate = 1 + chance.uniform(-0.5, 0.5) / DRIFT_DIVISOR
         self.ahead = chance.randrange(10**9)
         self.up, self.paused = True, 0
-        self.part = Sharing(
+        self.part = QuotaParticipant(
             self.now(),
             chance.getrandbits(40),
             play.homes,
@@ -40,9 +46,9 @@
             LINGER,
         )
         self.borrower = self.part.borrower
-        self.own = Own(self.part, LINGER)
+        self.own = ConcurrencyPart(self.part, LINGER)
         self.calls = 0  # how many it would make at once
-        self.quota: Part | None = None  # what stands on the part instead, if not calls
+        self.quota: LimitPart | None = None  # what stands on the part instead, if not calls
         self.out: set[Call] = set()
 
     @property
@@ -88,7 +94,7 @@
         if letter is not None:
             self.post(letter, from_)
 
-    def post(self, letter: Letter, asker: str) -> None:
+    def post(self, letter: AddressedQuotaMessage, asker: str) -> None:
         """Votes are asked for at a home's stated address, loans where this process takes that home
         to be.
         """
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -16,17 +16,17 @@
 from collections.abc import Callable
 
 from gullyoke.admission.interface import Slots
-from gullyoke.coordination.max_min_fairness import split
+from gullyoke.coordination.max_min_fairness import split_limit
 from gullyoke.durability.disk_quota import DataKind
 from gullyoke.extensions.disks import Room
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.leases import rolling_restart as rolls
-from gullyoke.leases.announcements import Notice, Order
-from gullyoke.leases.dependency_probe import Asking
+from gullyoke.leases.announcements import Announcement, Instruction
+from gullyoke.leases.dependency_probe import DependencyProbe
 from gullyoke.membership import Status
 from gullyoke.membership.row import TURNS
 from gullyoke.operator_config.wanted import OwnDuty
-from gullyoke.peer_transport.lease_service import Duties
+from gullyoke.peer_transport.lease_service import LeaseService
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.storage.append_file import AppendFile
@@ -44,7 +44,7 @@
 
     name = ""
 
-    def __init__(self, fleet: Fleet, duties: Duties) -> None:
+    def __init__(self, fleet: Fleet, duties: LeaseService) -> None:
         self.fleet, self.duties = fleet, duties
 
     def act(self, now: int, epoch: int) -> None: ...
@@ -55,7 +55,7 @@
         """What all members should know of it."""
         return b""
 
-    def heard(self, now: int, notice: Notice) -> None: ...
+    def heard(self, now: int, notice: Announcement) -> None: ...
 
     def asked(self, now: int, words: list[str]) -> dict:
         """An operator's command; asked at the holder."""
@@ -71,7 +71,9 @@
     No call goes out to what is taken for dead but by whose turn it is.
     """
 
-    def __init__(self, slots: Slots, asking: Asking, holding: Callable[[int], bool]) -> None:
+    def __init__(
+        self, slots: Slots, asking: DependencyProbe, holding: Callable[[int], bool]
+    ) -> None:
         self.slots, self.asking, self.holding = slots, asking, holding
         self.lock = threading.Lock()
 
@@ -108,10 +110,10 @@
 
     name = "ask"
 
-    def __init__(self, fleet: Fleet, duties: Duties) -> None:
+    def __init__(self, fleet: Fleet, duties: LeaseService) -> None:
         super().__init__(fleet, duties)
         told = fleet.daemon.configuration
-        self.asking = Asking(random.Random(told.seed ^ 0xA5C).random)
+        self.asking = DependencyProbe(random.Random(told.seed ^ 0xA5C).random)
         below = told.facts.dependency
         self.gate = below.slots = Gated(
             below.slots, self.asking, lambda now: duties.holds(now, self.name) is not None
@@ -129,7 +131,7 @@
     def notice(self) -> bytes:
         return b"dead" if self.asking.dead else b"well"
 
-    def heard(self, now: int, notice: Notice) -> None:
+    def heard(self, now: int, notice: Announcement) -> None:
         with self.gate.lock:
             self.asking.told(now, notice.epoch, notice.body == b"dead")
 
@@ -146,12 +148,12 @@
 
     name = "book"
 
-    def __init__(self, fleet: Fleet, duties: Duties) -> None:
+    def __init__(self, fleet: Fleet, duties: LeaseService) -> None:
         super().__init__(fleet, duties)
         wanted = fleet.wanted.shares
         self.shares = next(part for part in fleet.parts if type(part).__name__ == "Shares")
         self.homes = wanted.homes
-        _, self.tokens = split(
+        _, self.tokens = split_limit(
             wanted.slots * self.shares.unit(), wanted.largest, wanted.homes, wanted.floor_share
         )
         self.gone: tuple[str, ...] = ()
@@ -179,7 +181,7 @@
         at = self.fleet.wanted.advertise
         return json.dumps(dict.fromkeys(self.gone, at)).encode()
 
-    def heard(self, now: int, notice: Notice) -> None:
+    def heard(self, now: int, notice: Announcement) -> None:
         """Who asks these homes asks whoever lends for them, for as long as the notice is young."""
         try:
             at = {str(home): str(where) for home, where in json.loads(notice.body or b"{}").items()}
@@ -196,9 +198,9 @@
 
     name = "roll"
 
-    def __init__(self, fleet: Fleet, duties: Duties) -> None:
+    def __init__(self, fleet: Fleet, duties: LeaseService) -> None:
         super().__init__(fleet, duties)
-        self.plan, self.next, self.epoch = rolls.Plan(), 0, 0
+        self.plan, self.next, self.epoch = rolls.RestartPlan(), 0, 0
         self.since: dict[str, int] = {}  # when each member was last seen to come in or turn well
         self.ordered: dict[str, int] = {}  # whom, and when the word last went out
 
@@ -208,9 +210,9 @@
             return
         if self.epoch != epoch:  # taken over: what the last holder left
             try:
-                self.plan = rolls.unpacked(register.body)
+                self.plan = rolls.unpack_plan(register.body)
             except (ValueError, TypeError, KeyError):
-                self.plan = rolls.Plan()
+                self.plan = rolls.RestartPlan()
                 self.fleet.daemon.metrics.increment("duty.roll_unreadable")
             self.epoch = epoch
             self.ordered.clear()
@@ -223,7 +225,7 @@
             return  # what follows waits until that is kept
         self.send(now, epoch)
 
-    def take(self, plan: rolls.Plan, why: str) -> None:
+    def take(self, plan: rolls.RestartPlan, why: str) -> None:
         if plan.state != self.plan.state:
             log.warning(
                 "roll", extra=log_fields(number=plan.number, state=plan.state, why=plan.why or why)
@@ -261,7 +263,7 @@
         log.warning("roll: this server's turn", extra=log_fields(epoch=epoch))
         os.kill(os.getpid(), signal.SIGTERM)
 
-    def obey(self, now: int, order: Order) -> None:
+    def obey(self, now: int, order: Instruction) -> None:
         """The conductor's word.
 
         It names the start that is meant, so that a word that comes late drains nobody a second
@@ -272,7 +274,7 @@
         if meant and self.fleet.daemon.dispatcher.stop_at is None:
             self.drain(now, order.epoch)
 
-    def seen(self, now: int) -> rolls.Fleet:
+    def seen(self, now: int) -> rolls.FleetState:
         fleet = self.fleet
         with fleet.link.lock:
             one, told = (
@@ -293,7 +295,7 @@
             if reading is not None:
                 sheds.append(reading.shed)
             members.append(
-                rolls.Seen(
+                rolls.MemberState(
                     row.name,
                     row.zone,
                     row.number // TURNS,
@@ -306,7 +308,7 @@
         for name in [n for n in self.since if n not in names]:
             del self.since[name]
         sheds.sort()
-        return rolls.Fleet(tuple(members), sheds[len(sheds) // 2] if sheds else 0.0)
+        return rolls.FleetState(tuple(members), sheds[len(sheds) // 2] if sheds else 0.0)
 
     def asked(self, now: int, words: list[str]) -> dict:
         register = self.duties.register(self.name)
@@ -332,9 +334,9 @@
     def notice(self) -> bytes:
         return self.plan.pack()
 
-    def heard(self, now: int, notice: Notice) -> None:
+    def heard(self, now: int, notice: Announcement) -> None:
         try:
-            self.plan = rolls.unpacked(notice.body)
+            self.plan = rolls.unpack_plan(notice.body)
         except (ValueError, TypeError, KeyError):
             self.fleet.daemon.metrics.increment("duty.roll_unreadable")
 
@@ -342,7 +344,7 @@
         found = self.plan._asdict()
         fleet = self.seen(now)
         return found | {
-            "left": [one.name for one in rolls.left(self.plan, fleet)]
+            "left": [one.name for one in rolls.members_to_restart(self.plan, fleet)]
             if self.plan.state in ("going", "paused", "stopped")
             else [],
             "members": len(fleet.members),
@@ -356,7 +358,7 @@
 
     name = "record"
 
-    def __init__(self, fleet: Fleet, duties: Duties, room: Room) -> None:
+    def __init__(self, fleet: Fleet, duties: LeaseService, room: Room) -> None:
         super().__init__(fleet, duties)
         self.lines = AppendFile(
             os.path.join(room.folder, "record.jsonl"),
@@ -416,7 +418,7 @@
     the newest it has seen.
     """
 
-    def __init__(self, fleet: Fleet, duties: Duties, wanted: OwnDuty) -> None:
+    def __init__(self, fleet: Fleet, duties: LeaseService, wanted: OwnDuty) -> None:
         super().__init__(fleet, duties)
         self.name, self.wanted, self.next, self.faults, self.stale = wanted.name, wanted, 0, 0, 0
         self.going = threading.Lock()
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -14,17 +14,17 @@
 from gullyoke.extensions.charges import YOUNG, Ask, Book, Charge, Record, Roll, Told
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.part import Part
-from gullyoke.leases.announcements import Notice, Order, Plea
-from gullyoke.leases.candidate import Candidate, Turn
-from gullyoke.leases.candidate_rank import Placed, after, order
-from gullyoke.leases.durations import Spans
-from gullyoke.leases.replicated_record import Shelf
+from gullyoke.leases.announcements import Announcement, ForwardedCommand, Instruction
+from gullyoke.leases.candidate import Candidate, LeaseChange
+from gullyoke.leases.candidate_rank import CandidatePlacement, candidate_delay_us, rank_candidates
+from gullyoke.leases.durations import LeaseDurations
+from gullyoke.leases.replicated_record import RecordStore
 from gullyoke.leases.voter import Voter
 from gullyoke.membership import Row, Status
 from gullyoke.membership.entry import Stage
 from gullyoke.membership.row import TURNS
 from gullyoke.operator_config.wanted import Dutied, Wanted
-from gullyoke.peer_transport.lease_service import TOPIC, Duties, rows_in
+from gullyoke.peer_transport.lease_service import TOPIC, LeaseService, decode_rows
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.settings.site_settings import ConfigurationError
@@ -50,7 +50,7 @@
     def __init__(self, wanted: Dutied) -> None:
         self.wanted, self.fleet, self.duties = wanted, None, None
         self.charges: dict[str, Charge] = {}
-        self.turns: list[Turn] = []
+        self.turns: list[LeaseChange] = []
         self.noticed: dict[str, int] = {}
         self.committer = self.files = None
         self.ended, self.placed = False, []
@@ -68,8 +68,10 @@
     def begin(self, fleet: Fleet) -> None:
         wanted, told = self.wanted, fleet.daemon.configuration
         self.fleet, row = fleet, fleet.member.row
-        self.spans = spans = Spans(wanted.lease, wanted.drift, min(200_000, wanted.lease // 10))
-        voter, shelf = None, Shelf()
+        self.spans = spans = LeaseDurations(
+            wanted.lease, wanted.drift, min(200_000, wanted.lease // 10)
+        )
+        voter, shelf = None, RecordStore()
         if wanted.folder:
             self.room = fleet.disks.at(wanted.folder, QUOTA, fleet.daemon.metrics)
             self.room.start()
@@ -99,7 +101,7 @@
             )
             for name in names
         }
-        self.duties = Duties(
+        self.duties = LeaseService(
             told.name,
             row.life,
             voter,
@@ -148,7 +150,7 @@
 
     # The voter and its disk.
 
-    def voter(self, name: str, row: Row, spans: Spans) -> tuple[Voter, Shelf]:
+    def voter(self, name: str, row: Row, spans: LeaseDurations) -> tuple[Voter, RecordStore]:
         """With what its folder has.
 
         A folder that is new, another's or can't be used makes it begin anew.
@@ -162,7 +164,7 @@
             found = dict(store.items())
             whose, then = ours(found.pop(OURS, b""))
             if whose == name and then <= number <= then + 1:
-                rows, kept = rows_in(found.items())
+                rows, kept = decode_rows(found.items())
             elif whose:
                 log.warning(
                     "promises of another not used",
@@ -177,7 +179,7 @@
             )
         others = [other for other in self.wanted.voters if other != name]
         voter = Voter(clock.now(), name, row.life, others, spans, rows, number)
-        return voter, Shelf(kept)
+        return voter, RecordStore(kept)
 
     def disk(self, key: str, data: bytes, told) -> bool:
         return self.committer is not None and self.committer.put(key, data, told)
@@ -255,7 +257,7 @@
             told = fleet.link.signals.rows if fleet.link.signals is not None else {}
             rooms = {who: reading.room for who, (_, _, reading) in told.items()}
         placed = [
-            Placed(
+            CandidatePlacement(
                 row.name,
                 True,
                 state in ("alive", "joining"),
@@ -268,12 +270,12 @@
         self.placed = placed
         with self.duties.lock:
             for name, candidate in self.duties.candidates.items():
-                wait = after(name, me, placed)
+                wait = candidate_delay_us(name, me, placed)
                 ready = inside and not leaving and not unsure and candidate.ill <= now
                 candidate.wants = ready and wait is not None
                 candidate.after = wait or 0
 
-    def turned(self, name: str, turn: Turn) -> None:
+    def turned(self, name: str, turn: LeaseChange) -> None:
         """Called under the duties' lock."""
         self.turns = [*self.turns[-HISTORY + 1 :], turn]
         self.fleet.daemon.metrics.increment(f"duty.{turn.what}")
@@ -312,17 +314,17 @@
                     others = [row.address for row in one.view.rows.values() if row.id != one.id]
                 self.duties.notice(name, epoch, charge.notice(), others)
 
-    def heard(self, now: int, notice: Notice) -> None:
+    def heard(self, now: int, notice: Announcement) -> None:
         charge = self.charges.get(notice.duty)
         if charge is not None and self.duties.holds(now, notice.duty) is None:
             charge.heard(now, notice)
 
-    def obey(self, now: int, order: Order) -> None:
+    def obey(self, now: int, order: Instruction) -> None:
         charge = self.charges.get(order.duty)
         if isinstance(charge, Roll):
             charge.obey(now, order)
 
-    def pleaded(self, now: int, plea: Plea) -> None:
+    def pleaded(self, now: int, plea: ForwardedCommand) -> None:
         """What an operator asked of another server, for the holder.
 
         Not on the link's thread: it takes locks.
@@ -343,7 +345,7 @@
     def next(self, duty: str) -> str:
         """Who is best placed but this one."""
         me = self.fleet.daemon.configuration.name
-        ranked = order(duty, [one for one in self.placed if one.name != me])
+        ranked = rank_candidates(duty, [one for one in self.placed if one.name != me])
         return ranked[0] if ranked else ""
 
     def hand_over(self, duty: str, to: str = "") -> dict:
--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -19,10 +19,10 @@
 from gullyoke.membership import Change, Member, Row, Status, began
 from gullyoke.membership.row import identity
 from gullyoke.operator_config.wanted import Dutied, Kept, Pooled, Together, Wanted
-from gullyoke.peer_transport.link import Link
-from gullyoke.peer_transport.seal import Seal, UnusableKeyError, keys_in
-from gullyoke.peer_transport.start_number import Number
-from gullyoke.peer_transport.status_server import Answers
+from gullyoke.peer_transport.link import PeerLink
+from gullyoke.peer_transport.seal import Seal, UnusableKeyError, parse_keys
+from gullyoke.peer_transport.start_number import StoredStartNumber
+from gullyoke.peer_transport.status_server import StatusServer
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.settings.site_settings import ConfigurationError
@@ -48,9 +48,9 @@
         self.disks = disks or Disks()
         self.path, self.wanted, self.kept = path, wanted, kept
         self.daemon: Daemon | None = None
-        self.link: Link | None = None
+        self.link: PeerLink | None = None
         self.member: Member | None = None
-        self.number: Number | None = None
+        self.number: StoredStartNumber | None = None
         self.told = self.size = 0
         self.read: tuple[bytes, ...] = ()  # the keys of a file that is about to be taken over
         self.parts: list[Part] = made(wanted, pool, duties)
@@ -63,11 +63,13 @@
         listen.
         """
         self.daemon = daemon
-        self.link = Link(
+        self.link = PeerLink(
             self.wanted.listen, Seal(self.wanted.name, self.keys(self.wanted)), daemon.metrics
         )
         self.answers = (
-            Answers(self.wanted.status, self.link, daemon.metrics) if self.wanted.status else None
+            StatusServer(self.wanted.status, self.link, daemon.metrics)
+            if self.wanted.status
+            else None
         )
         for part in self.parts:
             part.join(self)
@@ -75,7 +77,7 @@
     def keys(self, wanted: Together) -> tuple[bytes, ...]:
         try:
             with open(wanted.key_file, encoding="utf-8") as file:
-                return keys_in(file.read(4096))
+                return parse_keys(file.read(4096))
         except (OSError, UnicodeDecodeError, UnusableKeyError) as fault:
             raise ConfigurationError(
                 f"{self.path}: fleet.key_file: {wanted.key_file}: {fault}"
@@ -89,7 +91,9 @@
             files = self.disks.at(
                 self.kept.folder, self.kept.quota, daemon.metrics
             ).watch.open_folder
-        self.number = Number(self.kept.folder if self.kept else None, daemon.metrics, files)
+        self.number = StoredStartNumber(
+            self.kept.folder if self.kept else None, daemon.metrics, files
+        )
         chance = random.Random(daemon.configuration.seed ^ 0x5EED)
         row = Row(
             daemon.configuration.name,
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -6,19 +6,19 @@
 from __future__ import annotations
 
 from gullyoke.coordination import tenant_quotas as quotas
-from gullyoke.coordination.limit_parts import UNIT, Mean, Own
-from gullyoke.coordination.max_min_fairness import split
-from gullyoke.coordination.quota_participant import Sharing
+from gullyoke.coordination.limit_parts import UNIT, ConcurrencyPart, MeanConcurrencyPart
+from gullyoke.coordination.max_min_fairness import split_limit
+from gullyoke.coordination.quota_participant import QuotaParticipant
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.part import Part
 from gullyoke.operator_config.wanted import Slotted
 from gullyoke.peer_transport.quota_service import (
     QUOTAS,
     TOPIC,
-    Quotas,
     SharedQuota,
     SharedSlots,
-    stated,
+    TenantQuotaService,
+    configuration_digest,
 )
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
@@ -65,13 +65,15 @@
         if self.wanted.quotas:
             self.begin_quotas(fleet)
 
-    def sharing(self, fleet: Fleet, limit: int, linger: int, after: int) -> tuple[Sharing, int]:
+    def sharing(
+        self, fleet: Fleet, limit: int, linger: int, after: int
+    ) -> tuple[QuotaParticipant, int]:
         """This process's part in a limit of so many tokens, and the floor."""
         wanted, name = self.wanted, fleet.daemon.configuration.name
-        floor, tokens = split(limit, wanted.largest, wanted.homes, wanted.floor_share)
+        floor, tokens = split_limit(limit, wanted.largest, wanted.homes, wanted.floor_share)
         home = name if name in wanted.homes else None
         votes = home is not None and wanted.homes[home] == fleet.wanted.advertise
-        made = Sharing(
+        made = QuotaParticipant(
             clock.now(),
             fleet.member.row.life,
             wanted.homes,
@@ -104,13 +106,18 @@
         )[: quotas.MOST]
         for tenant in tenants:
             made, floor = self.sharing(fleet, whole, 0, quotas.SAVED)
-            digest = stated(self.wanted.homes, whole, floor, tenant.name, f"{tenant.quota:g}")
+            digest = configuration_digest(
+                self.wanted.homes, whole, floor, tenant.name, f"{tenant.quota:g}"
+            )
             limit = SharedQuota(
-                quotas.Quota(made, tenant.quota, whole), self.wanted.homes, digest, fleet.taken
+                quotas.TenantQuotaPart(made, tenant.quota, whole),
+                self.wanted.homes,
+                digest,
+                fleet.taken,
             )
             self.quotas[tenant.name] = limit
             tenant.leased_quota = limit.leased_quota
-        fleet.link.topics[QUOTAS] = Quotas(self.quotas.values())
+        fleet.link.topics[QUOTAS] = TenantQuotaService(self.quotas.values())
         fleet.link.told["quotas"] = lambda now: {
             name: limit.told(now) | {"reqs_a_second": round(limit.own.part(now), 2)}
             for name, limit in self.quotas.items()
@@ -121,12 +128,15 @@
         unit, after = self.unit(), below.quota_window if wanted.mean else 0
         sharing, floor = self.sharing(fleet, wanted.slots * unit, below.linger, after)
         own = (
-            Mean(sharing, below.linger, below.quota_window)
+            MeanConcurrencyPart(sharing, below.linger, below.quota_window)
             if wanted.mean
-            else Own(sharing, below.linger)
+            else ConcurrencyPart(sharing, below.linger)
         )
         self.shared = SharedSlots(
-            own, wanted.homes, stated(wanted.homes, wanted.slots * unit, floor), fleet.taken
+            own,
+            wanted.homes,
+            configuration_digest(wanted.homes, wanted.slots * unit, floor),
+            fleet.taken,
         )
         below.slots = self.shared
         fleet.link.topics[TOPIC] = self.shared
--- a/gullyoke/extensions/subsets.py
+++ b/gullyoke/extensions/subsets.py
@@ -6,8 +6,8 @@
 
 import time
 
-from gullyoke.coordination.subsets import Subset, alone, chosen
-from gullyoke.coordination.turns import shared
+from gullyoke.coordination.subsets import Subset, choose_subsets, order_alone
+from gullyoke.coordination.turns import turns_within
 from gullyoke.extensions.back_ends import BackEnds
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.part import Part
@@ -33,7 +33,7 @@
         if self.k:
             zones = self.zones()
             self.subset = Subset(
-                clock.now(), alone(fleet.daemon.configuration.name, list(zones))[: self.k]
+                clock.now(), order_alone(fleet.daemon.configuration.name, list(zones))[: self.k]
             )
             self.pool.use(frozenset(self.subset.held))
             fleet.link.told["subset"] = lambda now: sorted(self.pool.only or ())
@@ -53,7 +53,11 @@
         if self.subset is None:
             return
         me, servers = fleet.daemon.configuration.name, {row.name: row.zone for row in rows}
-        order = chosen(servers, zones, len(zones))[me] if me in servers else alone(me, list(zones))
+        order = (
+            choose_subsets(servers, zones, len(zones))[me]
+            if me in servers
+            else order_alone(me, list(zones))
+        )
         if me in servers:  # not in: what was chosen last stands
             self.subset.follow(now, order[: self.k])
         only = frozenset(self.subset.helped(now, order, self.pool.backends.ill()))
@@ -72,7 +76,7 @@
         me, names = self.fleet.daemon.configuration.name, self.names
         if me not in names:
             return True
-        return shared(f"trial {name}", len(names), SLOT, ROUND).mine(
+        return turns_within(f"trial {name}", len(names), SLOT, ROUND).mine(
             int(time.time() * 1e6), me, names
         )
 
--- a/gullyoke/leases/__init__.py
+++ b/gullyoke/leases/__init__.py
@@ -8,20 +8,29 @@
 
 from gullyoke.leases.candidate import Candidate
 from gullyoke.leases.fence import Fence
-from gullyoke.leases.messages import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
-from gullyoke.leases.voter import Voter, Write
+from gullyoke.leases.messages import (
+    EpochQuery,
+    EpochReply,
+    HandoverAccept,
+    HandoverOffer,
+    LeaseRelease,
+    LeaseRequest,
+    PreVote,
+    VoteReply,
+)
+from gullyoke.leases.voter import PromiseWrite, Voter
 
 __all__ = [
-    "Ask",
     "Candidate",
-    "Done",
+    "EpochQuery",
+    "EpochReply",
     "Fence",
-    "Learn",
-    "Learned",
-    "Pass",
-    "Ready",
-    "Said",
-    "Sound",
+    "HandoverAccept",
+    "HandoverOffer",
+    "LeaseRelease",
+    "LeaseRequest",
+    "PreVote",
+    "PromiseWrite",
+    "VoteReply",
     "Voter",
-    "Write",
 ]
--- a/gullyoke/leases/announcements.py
+++ b/gullyoke/leases/announcements.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 
-class Notice(NamedTuple):
+class Announcement(NamedTuple):
     """I hold this duty; `body` is what all should know of it."""
 
     duty: str
@@ -19,7 +19,7 @@
     body: bytes
 
 
-class Order(NamedTuple):
+class Instruction(NamedTuple):
     """From a holder to one member: do this."""
 
     duty: str
@@ -29,36 +29,36 @@
     body: bytes
 
 
-class Plea(NamedTuple):
+class ForwardedCommand(NamedTuple):
     """From anybody to the holder: an operator asks this."""
 
     duty: str
     what: str
 
 
-class Known(NamedTuple):
+class KnownHolder(NamedTuple):
     """The last notice of a duty, and when it came."""
 
-    notice: Notice
+    notice: Announcement
     at: int
 
 
-class Board:
+class KnownHolders:
     """What is known of holders here. Table: one row a duty, at most MOST."""
 
     MOST = 64
 
     def __init__(self) -> None:
-        self.rows: dict[str, Known] = {}
+        self.rows: dict[str, KnownHolder] = {}
 
-    def take(self, now: int, notice: Notice) -> bool:
+    def take(self, now: int, notice: Announcement) -> bool:
         """Whether it is news: not of an older epoch."""
         known = self.rows.get(notice.duty)
         if (known is not None and notice.epoch < known.notice.epoch) or (
             known is None and len(self.rows) >= self.MOST
         ):
             return False
-        self.rows[notice.duty] = Known(notice, now)
+        self.rows[notice.duty] = KnownHolder(notice, now)
         return True
 
     def holder(self, now: int, duty: str, young: int) -> str:
--- a/gullyoke/leases/candidate_rank.py
+++ b/gullyoke/leases/candidate_rank.py
@@ -15,7 +15,7 @@
 SETTLED = 10_000_000  # one that has been in the view for less is not settled
 
 
-class Placed(NamedTuple):
+class CandidatePlacement(NamedTuple):
     """How a member is placed.
 
     `settled`: in the view for long enough, its row not changed lately; `reached`: nobody accuses
@@ -31,14 +31,14 @@
     ill: bool = False
 
 
-def order(duty: str, members: Iterable[Placed]) -> list[str]:
+def rank_candidates(duty: str, members: Iterable[CandidatePlacement]) -> list[str]:
     """Best first, the same for all who see the same.
 
     Among those alike the hash of duty and name decides, so that many duties are spread; room counts
     in three steps, so that it does not flicker.
     """
 
-    def key(one: Placed) -> tuple:
+    def key(one: CandidatePlacement) -> tuple:
         return (
             one.leaving,
             one.ill,
@@ -51,9 +51,9 @@
     return [one.name for one in sorted(members, key=key)]
 
 
-def after(duty: str, name: str, members: Iterable[Placed]) -> int | None:
+def candidate_delay_us(duty: str, name: str, members: Iterable[CandidatePlacement]) -> int | None:
     """How long this one waits while nobody holds the duty; None for one that is not there."""
-    ranked = order(duty, members)
+    ranked = rank_candidates(duty, members)
     if name not in ranked:
         return None
     at = ranked.index(name)
--- a/gullyoke/leases/dependency_probe.py
+++ b/gullyoke/leases/dependency_probe.py
@@ -20,7 +20,7 @@
 OPENING = 3_000_000  # after the news that it is well: so long until all may call as ever
 
 
-class Asking:
+class DependencyProbe:
     """One server's view of what it calls.
 
     `draw` gives a number from 0 to 1. Nothing here grows.
--- a/gullyoke/leases/durations.py
+++ b/gullyoke/leases/durations.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Spans(NamedTuple):
+class LeaseDurations(NamedTuple):
     """`lease`: how long a grant lasts, by its holder's clock from before it asked.
 
     `drift`: by how many parts in a million two clocks may run apart at the most; each side counts
--- a/gullyoke/leases/messages.py
+++ b/gullyoke/leases/messages.py
@@ -12,7 +12,7 @@
 NOBODY = 0  # the life of nobody
 
 
-class Sound(NamedTuple):
+class PreVote(NamedTuple):
     """Would you grant me this duty now? Nothing is promised for it."""
 
     duty: str
@@ -22,7 +22,7 @@
     voters: int
 
 
-class Ask(NamedTuple):
+class LeaseRequest(NamedTuple):
     """Grant me this duty under this epoch; a renewal where it is granted already."""
 
     duty: str
@@ -33,7 +33,7 @@
     voters: int
 
 
-class Said(NamedTuple):
+class VoteReply(NamedTuple):
     """A voter's word on a Sound or an Ask.
 
     `yes`: it would, or it does, durably. `epoch` is the highest that it has promised, `life` and
@@ -53,7 +53,7 @@
     voters: int
 
 
-class Done(NamedTuple):
+class LeaseRelease(NamedTuple):
     """I no longer hold this duty, and do nothing more under this epoch.
 
     `next`: who should have it now; empty for anybody. `ill`: because it failed here, so not this
@@ -67,7 +67,7 @@
     ill: bool
 
 
-class Pass(NamedTuple):
+class HandoverOffer(NamedTuple):
     """From a holder to whom it would hand its duty: take it as soon as I let go."""
 
     duty: str
@@ -75,7 +75,7 @@
     epoch: int
 
 
-class Ready(NamedTuple):
+class HandoverAccept(NamedTuple):
     """The answer: I will."""
 
     duty: str
@@ -83,7 +83,7 @@
     epoch: int
 
 
-class Learn(NamedTuple):
+class EpochQuery(NamedTuple):
     """From a voter that has lost its promises: what are the epochs that you have promised?"""
 
     by: str
@@ -91,7 +91,7 @@
     round: int
 
 
-class Learned(NamedTuple):
+class EpochReply(NamedTuple):
     """By duty: epoch, life and name of what was promised.
 
     `fresh`: this one has nothing of its own either.
@@ -103,4 +103,13 @@
     fresh: bool = False
 
 
-Message = Sound | Ask | Said | Done | Pass | Ready | Learn | Learned
+Message = (
+    PreVote
+    | LeaseRequest
+    | VoteReply
+    | LeaseRelease
+    | HandoverOffer
+    | HandoverAccept
+    | EpochQuery
+    | EpochReply
+)
--- a/gullyoke/leases/replicated_record.py
+++ b/gullyoke/leases/replicated_record.py
@@ -16,7 +16,7 @@
 LONGEST = 700  # bytes that are kept of a duty
 
 
-class Keep(NamedTuple):
+class WriteRecord(NamedTuple):
     duty: str
     life: int
     epoch: int
@@ -24,7 +24,7 @@
     body: bytes
 
 
-class Kept(NamedTuple):
+class RecordWritten(NamedTuple):
     """A voter's word: it has this, or, where `yes` is False, something newer."""
 
     duty: str
@@ -35,13 +35,13 @@
     yes: bool
 
 
-class Fetch(NamedTuple):
+class ReadRecord(NamedTuple):
     duty: str
     life: int
     epoch: int
 
 
-class Fetched(NamedTuple):
+class RecordRead(NamedTuple):
     """What a voter has kept, and under which epoch and count; empty where it has nothing."""
 
     duty: str
@@ -53,31 +53,31 @@
     body: bytes
 
 
-class Shelf:
+class RecordStore:
     """A voter's side. Table: one row a duty, a few; kept for good."""
 
     def __init__(self, rows: dict[str, tuple[int, int, bytes]] | None = None) -> None:
         self.rows = dict(rows or {})
 
-    def fits(self, keep: Keep, promised: int) -> bool:
+    def fits(self, keep: WriteRecord, promised: int) -> bool:
         """Whether it is to be written: of an epoch that is not behind what is kept or promised."""
         newer = (keep.epoch, keep.count) > self.rows.get(keep.duty, (0, 0, b""))[:2]
         return newer and len(keep.body) <= LONGEST and keep.epoch >= promised
 
-    def said(self, keep: Keep, by: str) -> Kept:
+    def said(self, keep: WriteRecord, by: str) -> RecordWritten:
         """The word after it is durable, or at once where it does not fit."""
         there = self.rows.get(keep.duty, (0, 0, b""))[:2]
-        return Kept(
+        return RecordWritten(
             keep.duty, keep.life, by, keep.epoch, keep.count, there == (keep.epoch, keep.count)
         )
 
-    def fetched(self, fetch: Fetch, by: str) -> Fetched:
-        return Fetched(
+    def fetched(self, fetch: ReadRecord, by: str) -> RecordRead:
+        return RecordRead(
             fetch.duty, fetch.life, by, fetch.epoch, *self.rows.get(fetch.duty, (0, 0, b""))
         )
 
 
-class Register:
+class ReplicatedRecord:
     """A holder's side, made anew for each epoch.
 
     `body` is what holds, None until it has been read.
@@ -89,16 +89,16 @@
         self.found: dict[str, tuple[int, int, bytes]] = {}
         self.yes: set[str] = set()
 
-    def asks(self) -> Fetch | Keep:
+    def asks(self) -> ReadRecord | WriteRecord:
         """What to say to all voters, again until it is answered.
 
         What is read first is written again.
         """
         if self.body is None:
-            return Fetch(self.duty, self.life, self.epoch)
-        return Keep(self.duty, self.life, self.epoch, self.count, self.body)
+            return ReadRecord(self.duty, self.life, self.epoch)
+        return WriteRecord(self.duty, self.life, self.epoch, self.count, self.body)
 
-    def fetched(self, said: Fetched) -> None:
+    def fetched(self, said: RecordRead) -> None:
         ours = (said.duty, said.to, said.asked) == (self.duty, self.life, self.epoch)
         if ours and said.by in self.voters and self.body is None:
             self.found[said.by] = said.epoch, said.count, said.body
@@ -109,7 +109,7 @@
         """This holds from now on, once a majority has it: `safe` says when."""
         self.count, self.body, self.safe, self.yes = self.count + 1, body, False, set()
 
-    def kept(self, said: Kept) -> None:
+    def kept(self, said: RecordWritten) -> None:
         if (
             (said.duty, said.to, said.epoch, said.count)
             == (self.duty, self.life, self.epoch, self.count)
--- a/gullyoke/leases/rolling_restart.py
+++ b/gullyoke/leases/rolling_restart.py
@@ -20,7 +20,7 @@
 STRAYS = 8  # servers whose clocks are behind that a roll bears
 
 
-class Plan(NamedTuple):
+class RestartPlan(NamedTuple):
     """`number`: the roll's own; `before`.
 
     Members whose start is under this are to be restarted; `at_once`: the share of the fleet that
@@ -43,23 +43,23 @@
         return json.dumps(self._asdict(), separators=(",", ":")).encode()
 
 
-def unpacked(body: bytes) -> Plan:
+def unpack_plan(body: bytes) -> RestartPlan:
     """The plan that was kept; an idle one where nothing was.
 
     Raises `ValueError` for what is none.
     """
     if not body:
-        return Plan()
+        return RestartPlan()
     found = json.loads(body)
     found["doing"] = tuple((str(name), int(at), int(start)) for name, at, start in found["doing"])
     found["strays"] = tuple(map(str, found["strays"]))
-    plan = Plan(**found)
+    plan = RestartPlan(**found)
     if plan.state not in STATES:
         raise ValueError(plan.state)
     return plan
 
 
-class Seen(NamedTuple):
+class MemberState(NamedTuple):
     """A member as the conductor sees it.
 
     Its zone, its start's second, whether it is in and answers, since when that is so, and whether
@@ -74,28 +74,28 @@
     calm: bool
 
 
-class Fleet(NamedTuple):
+class FleetState(NamedTuple):
     """What the conductor goes by: all members, and the share shed by the median of them."""
 
-    members: tuple[Seen, ...]
+    members: tuple[MemberState, ...]
     shed: float
 
 
-def start(plan: Plan, fleet: Fleet, at_once: float, a_zone: float) -> Plan:
+def start(plan: RestartPlan, fleet: FleetState, at_once: float, a_zone: float) -> RestartPlan:
     """A new roll of all who are there. Raises `ValueError` while one is going."""
     if plan.state in ("going", "paused", "stopped"):
         raise ValueError(f"roll {plan.number} is {plan.state}; cancel it first")
     before = max((one.start for one in fleet.members), default=0) + 1
-    return Plan(plan.number + 1, "going", before, at_once, a_zone, shed=fleet.shed)
+    return RestartPlan(plan.number + 1, "going", before, at_once, a_zone, shed=fleet.shed)
 
 
-def pause(plan: Plan, why: str) -> Plan:
+def pause(plan: RestartPlan, why: str) -> RestartPlan:
     if plan.state != "going":
         raise ValueError(f"the roll is {plan.state}; only one that is going can be paused")
     return plan._replace(state="paused", why=why[:REASON])
 
 
-def resume(plan: Plan, now: int, fleet: Fleet) -> Plan:
+def resume(plan: RestartPlan, now: int, fleet: FleetState) -> RestartPlan:
     """Go on; who is away counts its time anew, and what the fleet sheds now is the measure."""
     if plan.state not in ("paused", "stopped"):
         raise ValueError(f"the roll is {plan.state}; only one that is paused or stopped goes on")
@@ -103,19 +103,19 @@
     return plan._replace(state="going", why="", shed=fleet.shed, doing=doing)
 
 
-def cancel(plan: Plan, why: str) -> Plan:
+def cancel(plan: RestartPlan, why: str) -> RestartPlan:
     """No more are told to go; those that were come back by themselves."""
     if plan.state not in ("going", "paused", "stopped"):
         raise ValueError(f"the roll is {plan.state}; there is nothing to cancel")
     return plan._replace(state="cancelled", why=why[:REASON], doing=())
 
 
-def left(plan: Plan, fleet: Fleet) -> list[Seen]:
+def members_to_restart(plan: RestartPlan, fleet: FleetState) -> list[MemberState]:
     """Who is still to be restarted."""
     return [one for one in fleet.members if one.start < plan.before and one.name not in plan.strays]
 
 
-def step(plan: Plan, now: int, fleet: Fleet, me: str) -> Plan:
+def step(plan: RestartPlan, now: int, fleet: FleetState, me: str) -> RestartPlan:
     """The plan a moment later.
 
     Who is new in `doing` is told to go once the plan is kept; `me`, the conductor, goes last, and
@@ -124,7 +124,7 @@
     if plan.state != "going":
         return plan
     there = {one.name: one for one in fleet.members}
-    back = {name for name, _, start in plan.doing if _back(there.get(name), start, now)}
+    back = {name for name, _, start in plan.doing if _is_back(there.get(name), start, now)}
     strays = plan.strays + tuple(name for name in back if there[name].start < plan.before)
     plan = plan._replace(
         strays=strays, doing=tuple(row for row in plan.doing if row[0] not in back)
@@ -139,14 +139,14 @@
             state="stopped", why=f"the fleet sheds {fleet.shed:.2f}, {plan.shed:.2f} before"
         )
     doing = {name for name, _, _ in plan.doing}
-    todo = [one for one in left(plan, fleet) if one.name not in doing]
+    todo = [one for one in members_to_restart(plan, fleet) if one.name not in doing]
     if not todo and not doing:
         return plan._replace(state="done", why="")
-    go = chosen(plan, doing, todo, fleet, me)
+    go = choose_members(plan, doing, todo, fleet, me)
     return plan._replace(doing=plan.doing + tuple((name, now, there[name].start) for name in go))
 
 
-def _back(seen: Seen | None, start: int, now: int) -> bool:
+def _is_back(seen: MemberState | None, start: int, now: int) -> bool:
     """Whether it has started anew, and has been in and calm for a while."""
     return (
         seen is not None
@@ -157,7 +157,9 @@
     )
 
 
-def chosen(plan: Plan, doing: Iterable[str], todo: list[Seen], fleet: Fleet, me: str) -> list[str]:
+def choose_members(
+    plan: RestartPlan, doing: Iterable[str], todo: list[MemberState], fleet: FleetState, me: str
+) -> list[str]:
     """Who goes next: within the share of the fleet and of each zone, counting all who are not
     there; only who is there itself is told to go.
     """
--- a/gullyoke/leases/voter.py
+++ b/gullyoke/leases/voter.py
@@ -17,8 +17,16 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from gullyoke.leases.durations import Spans
-from gullyoke.leases.messages import NOBODY, Ask, Done, Learn, Learned, Said, Sound
+from gullyoke.leases.durations import LeaseDurations
+from gullyoke.leases.messages import (
+    NOBODY,
+    EpochQuery,
+    EpochReply,
+    LeaseRelease,
+    LeaseRequest,
+    PreVote,
+    VoteReply,
+)
 
 DUTIES = 64  # rows that are kept; there are a few
 LEARN_AGAIN = 500_000  # between two askings of the others
@@ -26,7 +34,7 @@
 FAVOUR = 1_000_000
 
 
-class Row(NamedTuple):
+class Promise(NamedTuple):
     """What is promised of a duty, as it lies on the disk."""
 
     epoch: int
@@ -34,18 +42,18 @@
     name: str
 
 
-NONE = Row(0, NOBODY, "")
+NO_PROMISE = Promise(0, NOBODY, "")
 
 
-class Write(NamedTuple):
+class PromiseWrite(NamedTuple):
     """Make this row durable, then tell `written`."""
 
     duty: str
-    row: Row
-    then: Said | None
+    row: Promise
+    then: VoteReply | None
 
 
-class Favoured(NamedTuple):
+class PreferredSuccessor(NamedTuple):
     name: str
     until: int
 
@@ -64,18 +72,18 @@
         name: str,
         life: int,
         others: Iterable[str],
-        spans: Spans,
-        rows: Mapping[str, Row] | None,
+        spans: LeaseDurations,
+        rows: Mapping[str, Promise] | None,
         voters: int = 1,
     ) -> None:
         self.name, self.life, self.others, self.spans = name, life, frozenset(others), spans
-        self.rows: dict[str, Row] = dict(rows or {})
+        self.rows: dict[str, Promise] = dict(rows or {})
         self.fresh = rows is None
         # what it may have granted before this start is over then
         self.mute = now + spans.surely(spans.lease)
         self.until: dict[str, int] = {}
-        self.favour: dict[str, Favoured] = {}
-        self.pending: dict[str, Write] = {}
+        self.favour: dict[str, PreferredSuccessor] = {}
+        self.pending: dict[str, PromiseWrite] = {}
         self.heard: dict[str, tuple[tuple[str, int, int, str], ...]] = {}
         self.new: set[str] = set()  # others that are fresh as well
         self.round, self.next, self.well, self.voters = 0, 0, True, voters
@@ -103,23 +111,23 @@
         majority = whole // 2 + 1
         return len(self.others) - (majority - 1) + 1
 
-    def learns(self, now: int) -> Learn | None:
+    def learns(self, now: int) -> EpochQuery | None:
         """What a fresh voter asks all others, once the wait is over."""
         if not self.fresh or now < max(self.mute, self.next):
             return None
         self.round, self.next = self.round + 1, now + LEARN_AGAIN
         self.heard.clear()
         self.new.clear()
-        return Learn(self.name, self.life, self.round)
+        return EpochQuery(self.name, self.life, self.round)
 
-    def teach(self, now: int, learn: Learn) -> Learned | None:
+    def teach(self, now: int, learn: EpochQuery) -> EpochReply | None:
         """What this one has promised; one that is fresh as well says just that."""
         if learn.by not in self.others:
             return None
         rows = () if self.fresh else tuple((duty, *row) for duty, row in sorted(self.rows.items()))
-        return Learned(self.name, learn.round, rows, self.fresh)
+        return EpochReply(self.name, learn.round, rows, self.fresh)
 
-    def learned(self, now: int, said: Learned) -> list[Write]:
+    def learned(self, now: int, said: EpochReply) -> list[PromiseWrite]:
         """What is to be written down, once enough of the others have said what they know.
 
         It is fresh until all of that is durable. Where all of the others have spoken and some are
@@ -134,10 +142,10 @@
             self.heard[said.by] = said.epochs
         if len(self.heard) < self.enough() and self.heard.keys() | self.new != self.others:
             return []
-        known: dict[str, Row] = {}
+        known: dict[str, Promise] = {}
         for epochs in self.heard.values():
             for duty, *promised in epochs[:DUTIES]:
-                row, was = Row(*promised), known.get(duty, NONE)
+                row, was = Promise(*promised), known.get(duty, NO_PROMISE)
                 # Where all who know the newest epoch say the same, nobody else can have had it;
                 # else nothing is
 
@@ -145,14 +153,14 @@
                 if row.epoch > was.epoch or duty not in known:
                     known[duty] = row
                 elif row.epoch == was.epoch and row.life != was.life:
-                    known[duty] = Row(row.epoch, NOBODY, "")
+                    known[duty] = Promise(row.epoch, NOBODY, "")
         self.heard.clear()
         self.round += 1  # one word more starts it anew, should a write fail
         if not known:
             self.fresh = False
-        return [Write(duty, row, None) for duty, row in known.items()]
+        return [PromiseWrite(duty, row, None) for duty, row in known.items()]
 
-    def taken(self, write: Write, last: bool) -> None:
+    def taken(self, write: PromiseWrite, last: bool) -> None:
         """A row that was learned is durable; `last` of them: it votes from now on."""
         self.rows[write.duty] = write.row
         if last:
@@ -160,16 +168,16 @@
 
     # Asked for a grant.
 
-    def sound(self, now: int, sound: Sound) -> Said:
+    def sound(self, now: int, sound: PreVote) -> VoteReply:
         would = self._would(now, sound.duty, sound.life, sound.name)
         return self._said(now, sound.duty, sound.life, sound.round, would, False)
 
-    def ask(self, now: int, ask: Ask) -> Said | Write | None:
+    def ask(self, now: int, ask: LeaseRequest) -> VoteReply | PromiseWrite | None:
         """The answer, or what must be durable before it.
 
         None while a promise of that duty is on its way.
         """
-        row = self.rows.get(ask.duty, NONE)
+        row = self.rows.get(ask.duty, NO_PROMISE)
         if ask.duty in self.pending:
             return None
         same = (row.epoch, row.life) == (ask.epoch, ask.life) and ask.voters == self.voters
@@ -183,11 +191,11 @@
         )
         if not yes or (len(self.rows) >= DUTIES and ask.duty not in self.rows):
             return self._said(now, ask.duty, ask.life, ask.round, False, True)
-        promised = Row(ask.epoch, ask.life, ask.name)
-        self.pending[ask.duty] = Write(
+        promised = Promise(ask.epoch, ask.life, ask.name)
+        self.pending[ask.duty] = PromiseWrite(
             ask.duty,
             promised,
-            Said(
+            VoteReply(
                 ask.duty,
                 ask.life,
                 ask.round,
@@ -203,7 +211,7 @@
         )
         return self.pending[ask.duty]
 
-    def written(self, now: int, write: Write, durable: bool) -> Said | None:
+    def written(self, now: int, write: PromiseWrite, durable: bool) -> VoteReply | None:
         """What to tell once the disk has spoken.
 
         Where it failed, what it holds now is not known: the epoch is taken for promised, to nobody,
@@ -215,23 +223,23 @@
         self.well = durable
         if not durable:
             self.refused += 1
-            self.rows[write.duty] = Row(write.row.epoch, NOBODY, "")
+            self.rows[write.duty] = Promise(write.row.epoch, NOBODY, "")
             return write.then and write.then._replace(yes=False, life=NOBODY, name="", left=0)
         self.rows[write.duty] = write.row
         self._grant(now, write.duty)
         return write.then
 
-    def done(self, now: int, done: Done) -> None:
+    def done(self, now: int, done: LeaseRelease) -> None:
         """The holder has let go."""
         row = self.rows.get(done.duty)
         if row is None or (row.epoch, row.life) != (done.epoch, done.life):
             return
         self.until[done.duty] = now
         if done.next:
-            self.favour[done.duty] = Favoured(done.next, now + FAVOUR)
+            self.favour[done.duty] = PreferredSuccessor(done.next, now + FAVOUR)
 
     def _would(self, now: int, duty: str, life: int, name: str) -> bool:
-        row = self.rows.get(duty, NONE)
+        row = self.rows.get(duty, NO_PROMISE)
         if not self.speaks(now) or (not self.well and not self._again(now)):
             return False
         favoured = self.favour.get(duty)
@@ -249,10 +257,10 @@
     def _grant(self, now: int, duty: str) -> None:
         self.until[duty] = now + self.spans.surely(self.spans.lease)
 
-    def _said(self, now: int, duty: str, to: int, round_: int, yes: bool, asked: bool) -> Said:
-        row = self.rows.get(duty, NONE)
+    def _said(self, now: int, duty: str, to: int, round_: int, yes: bool, asked: bool) -> VoteReply:
+        row = self.rows.get(duty, NO_PROMISE)
         left = max(0, self.until.get(duty, 0) - now)
-        return Said(
+        return VoteReply(
             duty,
             to,
             round_,
--- a/gullyoke/model_checking/duty.py
+++ b/gullyoke/model_checking/duty.py
@@ -17,11 +17,11 @@
 
 from gullyoke.leases import candidate as candidates
 from gullyoke.leases import voter as voters
-from gullyoke.leases.candidate import Candidate, State
-from gullyoke.leases.durations import Spans
+from gullyoke.leases.candidate import Candidate, CandidateState
+from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.fence import Fence
-from gullyoke.leases.messages import Ask, Done, Said
-from gullyoke.leases.voter import Row, Voter, Write
+from gullyoke.leases.messages import LeaseRelease, LeaseRequest, VoteReply
+from gullyoke.leases.voter import Promise, PromiseWrite, Voter
 from gullyoke.model_checking.explore import Move, from_all
 
 DUTY, NET = "d", 2
@@ -29,7 +29,7 @@
 REACHED = ("v0+v1", "v1+v2", "v0+v2", "v0+v1+v2")
 
 
-class Ticks(Spans):
+class Ticks(LeaseDurations):
     """Times in ticks; `surely` is one tick more."""
 
     def renew(self) -> int:
@@ -60,7 +60,7 @@
 
     def __init__(self, restarts: int = 1, faults: int = 1, fenced: bool = True) -> None:
         self.clocks = dict.fromkeys((*NAMES, "a", "b"), 0)
-        self.disks: dict[str, dict[str, Row] | None] = {name: {} for name in NAMES}
+        self.disks: dict[str, dict[str, Promise] | None] = {name: {} for name in NAMES}
         self.voters = {name: self.start(name, {}) for name in NAMES}
         for one in self.voters.values():
             one.mute = 0  # the first start of all: nothing was ever granted
@@ -76,7 +76,7 @@
         self.drift, self.restarts, self.faults = 1, restarts, faults
         self.high = dict.fromkeys(NAMES, 0)
 
-    def start(self, name: str, rows: dict[str, Row] | None) -> Voter:
+    def start(self, name: str, rows: dict[str, Promise] | None) -> Voter:
         return Voter(self.clocks[name], name, 1, [n for n in NAMES if n != name], SPANS, rows)
 
     def begin(self, name: str) -> None:
@@ -90,7 +90,7 @@
         out: list[Move] = [("time",)] + [("come", i) for i in range(len(self.net))]
         for name, one in self.candidates.items():
             now = self.clocks[name]
-            if one.state is State.HOLDING and now < one.until:
+            if one.state is CandidateState.HOLDING and now < one.until:
                 if now >= one.next:
                     out += [("renew", name, reached) for reached in REACHED[:2]]
                     if len(self.net) < NET:
@@ -99,7 +99,7 @@
                 out.append(("leave", name))
             elif self.acts[name] is not None:
                 out.append(("act", name))
-            if one.state is not State.HOLDING or now >= one.until:
+            if one.state is not CandidateState.HOLDING or now >= one.until:
                 out += [("try", name, reached) for reached in REACHED[:2]]
                 if len(self.net) < NET:
                     out.append(("try-late", name, REACHED[1]))
@@ -158,7 +158,7 @@
         if what.startswith("renew"):
             posts = one._renew(now)
         else:
-            one.state, one.next = State.IDLE, now
+            one.state, one.next = CandidateState.IDLE, now
             self.acts[name] = self.acts[name]
             for post in one._sound(now):
                 if post.to in reached:
@@ -169,7 +169,7 @@
             else:
                 return
         for post in posts:
-            if post.to not in reached or not isinstance(post.message, Ask):
+            if post.to not in reached or not isinstance(post.message, LeaseRequest):
                 continue
             last = post.to == reached[-1]
             said = self.asked(post.to, post.message, what.endswith("ill") and last)
@@ -180,11 +180,11 @@
             else:
                 self.deliver(post.to, name, said)
 
-    def asked(self, voter: str, ask: Ask, ill: bool) -> Said | None:
+    def asked(self, voter: str, ask: LeaseRequest, ill: bool) -> VoteReply | None:
         """A voter's answer, its disk included."""
         one, now = self.voters[voter], self.clocks[voter]
         answer = one.ask(now, ask)
-        if isinstance(answer, Write):
+        if isinstance(answer, PromiseWrite):
             if not ill:
                 self.disks[voter] = {**(self.disks[voter] or {}), answer.duty: answer.row}
             else:
@@ -194,9 +194,9 @@
 
     def deliver(self, from_: str, to: str, message: object) -> None:
         one, now = self.candidates[to], self.clocks[to]
-        if isinstance(message, Said) and message.to == one.life:
+        if isinstance(message, VoteReply) and message.to == one.life:
             for post in one.hear(now, message):
-                if isinstance(post.message, Done):
+                if isinstance(post.message, LeaseRelease):
                     self.voters[post.to].done(self.clocks[post.to], post.message)
 
     def learn(self) -> None:
@@ -204,7 +204,7 @@
             asked = one.learns(self.clocks[name]) if one.fresh else None
             if asked is None:
                 continue
-            writes: list[Write] = []
+            writes: list[PromiseWrite] = []
             for other in one.others:
                 said = self.voters[other].teach(self.clocks[other], asked)
                 if said is not None:
@@ -332,7 +332,7 @@
 
 
 def _clocks_alike() -> contextlib.AbstractContextManager:
-    return mock.patch.object(Spans, "surely", lambda self, span: span)
+    return mock.patch.object(LeaseDurations, "surely", lambda self, span: span)
 
 
 def _from_the_answer() -> contextlib.AbstractContextManager:
--- a/gullyoke/model_checking/shares.py
+++ b/gullyoke/model_checking/shares.py
@@ -19,14 +19,14 @@
 from gullyoke.coordination import quota_leases as shares
 from gullyoke.coordination.quota_leases import (
     Borrower,
-    Claim,
-    Grant,
-    Holding,
-    Home,
-    Promise,
-    Return,
-    Voter,
-    Want,
+    Lender,
+    LenderClaim,
+    LenderTenure,
+    LenderVote,
+    LenderVoter,
+    QuotaGrant,
+    QuotaRequest,
+    QuotaReturn,
 )
 from gullyoke.model_checking.explore import Move, from_all
 
@@ -64,8 +64,8 @@
 
     def __init__(self, names: bool, restarts: int = 1) -> None:
         self.clocks = dict.fromkeys(("v0", "v1", "v2", "l0", "l1", "b0", "b1"), 0)
-        self.voters = {f"v{i}": Voter(0, home, HOMES) for i, home in enumerate(HOMES)}
-        self.lenders: dict[str, Home] = {}
+        self.voters = {f"v{i}": LenderVoter(0, home, HOMES) for i, home in enumerate(HOMES)}
+        self.lenders: dict[str, Lender] = {}
         self.borrowers = {f"b{i}": Borrower(20 + i, 0, ("h0",)) for i in range(2)}
         self.net: list[tuple[str, str, object]] = []
         self.names, self.drift, self.restarts, self.lives = names, 1, restarts, 10
@@ -74,10 +74,10 @@
 
     def begin(self, name: str) -> None:
         self.lives += 1
-        holding = Holding("h0", self.lives, HOMES)
+        holding = LenderTenure("h0", self.lives, HOMES)
         if not self.names:  # the name is its own from its start on
             holding.since, holding.until, holding.next = self.clocks[name], FOREVER, FOREVER
-        self.lenders[name] = Home(holding, TOKENS)
+        self.lenders[name] = Lender(holding, TOKENS)
 
     # What can happen. An exchange that nothing comes between is one move; whatever of it can be
     # lost or late is a move of its own.
@@ -134,7 +134,9 @@
             if move[1] == "l0":
                 self.begin("l0")
             else:
-                self.voters[move[1]] = Voter(self.clocks[move[1]], HOMES[int(move[1][1])], HOMES)
+                self.voters[move[1]] = LenderVoter(
+                    self.clocks[move[1]], HOMES[int(move[1][1])], HOMES
+                )
 
     def claim(self, name: str, reached: str, late: bool) -> None:
         """A round that comes to these voters; `late`: the last of their words stays on its way."""
@@ -150,7 +152,9 @@
         for want in self.borrowers[name].ask(self.clocks[name], TOKENS):
             message, from_, to = want, name, self.taken[name]
             while message is not None:
-                kind = {Want: "want", Grant: "grant", Return: "return"}[type(message)]
+                kind = {QuotaRequest: "want", QuotaGrant: "grant", QuotaReturn: "return"}[
+                    type(message)
+                ]
                 if how == f"{kind}-late":
                     self.net.append((from_, to, message))
                     return
@@ -165,15 +169,15 @@
 
     def answer(self, from_: str, to: str, message: object) -> object | None:
         now = self.clocks[to]
-        if isinstance(message, Claim):
+        if isinstance(message, LenderClaim):
             return self.voters[to].claim(now, message)
-        if isinstance(message, Promise):
+        if isinstance(message, LenderVote):
             self.lenders[to].holding.hear(now, message)
-        elif isinstance(message, Want):
+        elif isinstance(message, QuotaRequest):
             return self.lenders[to].want(now, message)
-        elif isinstance(message, Grant):
+        elif isinstance(message, QuotaGrant):
             return self.borrowers[to].hear(now, message)
-        elif isinstance(message, Return):
+        elif isinstance(message, QuotaReturn):
             self.lenders[to].returned(now, message)
         return None
 
@@ -230,7 +234,7 @@
 
     def told(self, from_: str, to: str, message: object) -> tuple:
         """A message, its numbers as seen from where they are counted."""
-        if isinstance(message, Promise):
+        if isinstance(message, LenderVote):
             return message.life, message.round - self.lenders[to].holding.round, message.kept
         return message.borrower, message.seq - self.seq(message.borrower), message[3]
 
@@ -304,7 +308,7 @@
 
 
 def _frees_at_once() -> contextlib.AbstractContextManager:
-    want = Home.want
+    want = Lender.want
 
     def frees(self, now, asked):
         found = want(self, now, asked)
@@ -312,7 +316,7 @@
             self.loans[asked.borrower].tokens = found.tokens
         return found
 
-    return mock.patch.object(Home, "want", frees)
+    return mock.patch.object(Lender, "want", frees)
 
 
 def _clocks_alike() -> contextlib.AbstractContextManager:
@@ -320,21 +324,21 @@
 
 
 def _lends_at_once() -> contextlib.AbstractContextManager:
-    return mock.patch.object(Holding, "lends", lambda self, now, after=0: self.holds(now))
+    return mock.patch.object(LenderTenure, "lends", lambda self, now, after=0: self.holds(now))
 
 
 def _voter_forgets() -> contextlib.AbstractContextManager:
-    begin = Voter.__init__
+    begin = LenderVoter.__init__
 
     def forgets(self, now, name, homes):
         begin(self, now, name, homes)
         self.mute = now
 
-    return mock.patch.object(Voter, "__init__", forgets)
+    return mock.patch.object(LenderVoter, "__init__", forgets)
 
 
 def _any_number() -> contextlib.AbstractContextManager:
-    hear = Holding.hear
+    hear = LenderTenure.hear
 
     def any_number(self, now, promise):
         hear(self, now, promise)
@@ -342,7 +346,7 @@
             self.since = self.since if self.holds(now) else now
             self.until = max(self.until, self.asked + shares.LEASE)
 
-    return mock.patch.object(Holding, "hear", any_number)
+    return mock.patch.object(LenderTenure, "hear", any_number)
 
 
 MUTANTS: dict[str, Callable[[], contextlib.AbstractContextManager]] = {
--- a/gullyoke/peer_transport/lease_service.py
+++ b/gullyoke/peer_transport/lease_service.py
@@ -11,38 +11,54 @@
 
 import msgspec
 
-from gullyoke.leases.announcements import Board, Notice, Order, Plea
+from gullyoke.leases.announcements import Announcement, ForwardedCommand, Instruction, KnownHolders
+from gullyoke.leases.candidate import AddressedMessage as Said_to
 from gullyoke.leases.candidate import Candidate
-from gullyoke.leases.candidate import Post as Said_to
 from gullyoke.leases.fence import Fence
-from gullyoke.leases.messages import Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
-from gullyoke.leases.replicated_record import Fetch, Fetched, Keep, Kept, Register, Shelf
-from gullyoke.leases.voter import Row, Voter, Write
+from gullyoke.leases.messages import (
+    EpochQuery,
+    EpochReply,
+    HandoverAccept,
+    HandoverOffer,
+    LeaseRelease,
+    LeaseRequest,
+    PreVote,
+    VoteReply,
+)
+from gullyoke.leases.replicated_record import (
+    ReadRecord,
+    RecordRead,
+    RecordStore,
+    RecordWritten,
+    ReplicatedRecord,
+    WriteRecord,
+)
+from gullyoke.leases.voter import Promise, PromiseWrite, Voter
 from gullyoke.membership.row import Row as Member
 from gullyoke.peer_transport.codec import MalformedDatagramError
-from gullyoke.peer_transport.link import Post
+from gullyoke.peer_transport.link import AddressedBody
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
 TOPIC = 2
 KINDS = (
-    Sound,
-    Ask,
-    Said,
-    Done,
-    Pass,
-    Ready,
-    Learn,
-    Learned,
-    Keep,
-    Kept,
-    Fetch,
-    Fetched,
-    Notice,
-    Order,
-    Plea,
+    PreVote,
+    LeaseRequest,
+    VoteReply,
+    LeaseRelease,
+    HandoverOffer,
+    HandoverAccept,
+    EpochQuery,
+    EpochReply,
+    WriteRecord,
+    RecordWritten,
+    ReadRecord,
+    RecordRead,
+    Announcement,
+    Instruction,
+    ForwardedCommand,
 )
-TO_VOTERS = (Sound, Ask, Done, Learn, Learned, Keep, Fetch)
+TO_VOTERS = (PreVote, LeaseRequest, LeaseRelease, EpochQuery, EpochReply, WriteRecord, ReadRecord)
 AGAIN = 250_000  # microseconds between askings of a register that was not answered
 FAN = 64  # notices in one turn
 encode = msgspec.msgpack.Encoder().encode
@@ -70,26 +86,26 @@
     return message
 
 
-def row_bytes(row: Row) -> bytes:
+def encode_promise(row: Promise) -> bytes:
     return encode(tuple(row))
 
 
-def rows_in(
+def decode_rows(
     items: Iterable[tuple[str, bytes]],
-) -> tuple[dict[str, Row], dict[str, tuple[int, int, bytes]]]:
+) -> tuple[dict[str, Promise], dict[str, tuple[int, int, bytes]]]:
     """The promises and what is kept, as a disk has them."""
-    promised: dict[str, Row] = {}
+    promised: dict[str, Promise] = {}
     kept: dict[str, tuple[int, int, bytes]] = {}
     for key, value in items:
         kind, _, duty = key.partition(" ")
         if kind == "promise":
-            promised[duty] = Row(*msgspec.msgpack.decode(value, type=tuple[int, int, str]))
+            promised[duty] = Promise(*msgspec.msgpack.decode(value, type=tuple[int, int, str]))
         elif kind == "kept":
             kept[duty] = msgspec.msgpack.decode(value, type=tuple[int, int, bytes])
     return promised, kept
 
 
-class Duties:
+class LeaseService:
     """A `Topic`.
 
     `voters`: stated addresses by name; `taken`: the address of whom the view takes for a name;
@@ -103,7 +119,7 @@
         name: str,
         life: int,
         voter: Voter | None,
-        shelf: Shelf,
+        shelf: RecordStore,
         candidates: Mapping[str, Candidate],
         voters: Mapping[str, str],
         taken: Callable[[str], str | None],
@@ -112,22 +128,22 @@
     ) -> None:
         self.name, self.life, self.voter, self.shelf = name, life, voter, shelf
         self.candidates, self.voters, self.taken = dict(candidates), dict(voters), taken
-        self.disk, self.metrics, self.fence, self.board = disk, metrics, Fence(), Board()
+        self.disk, self.metrics, self.fence, self.board = disk, metrics, Fence(), KnownHolders()
         self.lock = threading.RLock()
-        self.send: Callable[[list[Post]], None] = lambda posts: None
-        self.registers: dict[str, tuple[Register, int]] = {}
+        self.send: Callable[[list[AddressedBody]], None] = lambda posts: None
+        self.registers: dict[str, tuple[ReplicatedRecord, int]] = {}
         self.fan: list[tuple[str, bytes]] = []
-        self.noticed: Callable[[int, Notice], None] = lambda now, notice: None
-        self.ordered: Callable[[int, Order], None] = lambda now, order: None
-        self.pleaded: Callable[[int, Plea], None] = lambda now, plea: None
+        self.noticed: Callable[[int, Announcement], None] = lambda now, notice: None
+        self.ordered: Callable[[int, Instruction], None] = lambda now, order: None
+        self.pleaded: Callable[[int, ForwardedCommand], None] = lambda now, plea: None
         for duty, one in self.candidates.items():
             one.heed.append(lambda turn, duty=duty: self._turned(duty, turn.what))
 
     # For the link.
 
-    def turn(self, now: int) -> list[Post]:
+    def turn(self, now: int) -> list[AddressedBody]:
         with self.lock:
-            posts: list[Post] = []
+            posts: list[AddressedBody] = []
             if self.voter is not None and (learn := self.voter.learns(now)) is not None:
                 posts += self._posted(Said_to(name, learn) for name in sorted(self.voter.others))
             for one in self.candidates.values():
@@ -136,9 +152,9 @@
             out, self.fan = self.fan[:FAN], self.fan[FAN:]
             return posts + out
 
-    def hear(self, now: int, sender: Member, body: bytes) -> Iterable[Post]:
+    def hear(self, now: int, sender: Member, body: bytes) -> Iterable[AddressedBody]:
         message = unpack(body)
-        if isinstance(message, Notice | Order | Plea):
+        if isinstance(message, Announcement | Instruction | ForwardedCommand):
             return self._told(now, message)
         with self.lock:
             if isinstance(message, TO_VOTERS):
@@ -148,44 +164,46 @@
 
     def _vote(self, now: int, sender: Member, message: tuple) -> tuple | None:
         voter = self.voter
-        if isinstance(message, Sound):
+        if isinstance(message, PreVote):
             return voter.sound(now, message)
-        if isinstance(message, Ask):
+        if isinstance(message, LeaseRequest):
             answer = voter.ask(now, message)
-            if isinstance(answer, Write):
+            if isinstance(answer, PromiseWrite):
                 self._write(answer, sender.address)
                 return None
             return answer
-        if isinstance(message, Done):
+        if isinstance(message, LeaseRelease):
             voter.done(now, message)
-        elif isinstance(message, Learn):
+        elif isinstance(message, EpochQuery):
             return voter.teach(now, message)
-        elif isinstance(message, Learned):
+        elif isinstance(message, EpochReply):
             self._learn(now, message)
-        elif isinstance(message, Fetch):
+        elif isinstance(message, ReadRecord):
             return self.shelf.fetched(message, self.voter.name) if not voter.fresh else None
-        elif isinstance(message, Keep):
+        elif isinstance(message, WriteRecord):
             return self._keep(message, sender.address)
         return None
 
     def _answered(self, now: int, sender: Member, message: tuple) -> list[Said_to]:
-        if isinstance(message, Kept | Fetched):
+        if isinstance(message, RecordWritten | RecordRead):
             register = self.registers.get(message.duty)
             if register is not None:
-                (register[0].kept if isinstance(message, Kept) else register[0].fetched)(message)
+                (register[0].kept if isinstance(message, RecordWritten) else register[0].fetched)(
+                    message
+                )
             return []
         one = self.candidates.get(message.duty)
         if one is None:
             return []
-        if isinstance(message, Said):  # a vote counts from the voter's stated address alone
+        if isinstance(message, VoteReply):  # a vote counts from the voter's stated address alone
             return one.hear(now, message) if self.voters.get(message.by) == sender.address else []
-        if isinstance(message, Pass):
+        if isinstance(message, HandoverOffer):
             return one.passed(now, sender.name, message)
-        return one.ready(now, sender.name, message) if isinstance(message, Ready) else []
+        return one.ready(now, sender.name, message) if isinstance(message, HandoverAccept) else []
 
     # Through the disk.
 
-    def _write(self, write: Write, asker: str) -> None:
+    def _write(self, write: PromiseWrite, asker: str) -> None:
         def told(durable: bool) -> None:
             with self.lock:
                 said = self.voter.written(clock.now(), write, durable)
@@ -193,14 +211,14 @@
             if said is not None:
                 self.send([(asker, pack(said))])
 
-        if not self.disk(f"promise {write.duty}", row_bytes(write.row), told):
+        if not self.disk(f"promise {write.duty}", encode_promise(write.row), told):
             self.voter.written(clock.now(), write, False)
 
-    def _learn(self, now: int, message: Learned) -> None:
+    def _learn(self, now: int, message: EpochReply) -> None:
         writes = self.voter.learned(now, message)
         left = len(writes)
 
-        def told(durable: bool, write: Write) -> None:
+        def told(durable: bool, write: PromiseWrite) -> None:
             nonlocal left
             with self.lock:
                 left -= durable
@@ -210,11 +228,11 @@
         for write in writes:
             self.disk(
                 f"promise {write.duty}",
-                row_bytes(write.row),
+                encode_promise(write.row),
                 lambda durable, write=write: told(durable, write),
             )
 
-    def _keep(self, keep: Keep, asker: str) -> Kept | None:
+    def _keep(self, keep: WriteRecord, asker: str) -> RecordWritten | None:
         row = self.voter.rows.get(keep.duty)
         if self.voter.fresh or not self.shelf.fits(keep, row.epoch if row else 0):
             return self.shelf.said(keep, self.voter.name) if not self.voter.fresh else None
@@ -237,12 +255,12 @@
     def _turned(self, duty: str, what: str) -> None:
         one = self.candidates[duty]
         if what == "held":
-            self.registers[duty] = Register(duty, self.life, one.epoch, self.voters), 0
+            self.registers[duty] = ReplicatedRecord(duty, self.life, one.epoch, self.voters), 0
         else:
             self.registers.pop(duty, None)
 
-    def _registers(self, now: int) -> list[Post]:
-        posts: list[Post] = []
+    def _registers(self, now: int) -> list[AddressedBody]:
+        posts: list[AddressedBody] = []
         for duty, (register, next_) in self.registers.items():
             if not register.safe and now >= next_:
                 self.registers[duty] = register, now + AGAIN
@@ -251,7 +269,7 @@
                 )
         return posts
 
-    def register(self, duty: str) -> Register | None:
+    def register(self, duty: str) -> ReplicatedRecord | None:
         found = self.registers.get(duty)
         return found[0] if found else None
 
@@ -277,40 +295,40 @@
 
     def notice(self, duty: str, epoch: int, body: bytes, members: Iterable[str]) -> None:
         """To all, a few each turn."""
-        data = pack(Notice(duty, epoch, self.life, self.name, body))
+        data = pack(Announcement(duty, epoch, self.life, self.name, body))
         with self.lock:
             if len(self.fan) < 4096:
                 self.fan += [(address, data) for address in members]
-            self.board.take(clock.now(), Notice(duty, epoch, self.life, self.name, body))
+            self.board.take(clock.now(), Announcement(duty, epoch, self.life, self.name, body))
 
     def order(self, duty: str, epoch: int, to: str, what: str, body: bytes) -> None:
         address = self.taken(to)
         if address:
-            self.send([(address, pack(Order(duty, epoch, self.life, what, body)))])
+            self.send([(address, pack(Instruction(duty, epoch, self.life, what, body)))])
 
     def plead(self, duty: str, what: str, to: str) -> None:
         address = self.taken(to)
         if address:
-            self.send([(address, pack(Plea(duty, what)))])
+            self.send([(address, pack(ForwardedCommand(duty, what)))])
 
-    def _told(self, now: int, message: Notice | Order | Plea) -> tuple:
-        if isinstance(message, Plea):
+    def _told(self, now: int, message: Announcement | Instruction | ForwardedCommand) -> tuple:
+        if isinstance(message, ForwardedCommand):
             self.pleaded(now, message)
             return ()
         with self.lock:
             if not self.fence.admits(message.duty, message.epoch, message.life):
                 self.metrics.increment("duty.stale_refused")
                 return ()
-            news = not isinstance(message, Notice) or self.board.take(now, message)
-        if isinstance(message, Order):
+            news = not isinstance(message, Announcement) or self.board.take(now, message)
+        if isinstance(message, Instruction):
             self.ordered(now, message)
         elif news:
             self.noticed(now, message)
         return ()
 
-    def _posted(self, posts: Iterable[Said_to]) -> list[Post]:
+    def _posted(self, posts: Iterable[Said_to]) -> list[AddressedBody]:
         """A voter is at its stated address; whoever else, where the view has it."""
-        out: list[Post] = []
+        out: list[AddressedBody] = []
         for to, message in posts:
             address = self.voters.get(to) if isinstance(message, TO_VOTERS) else self.taken(to)
             if address:
--- a/gullyoke/peer_transport/link.py
+++ b/gullyoke/peer_transport/link.py
@@ -21,7 +21,7 @@
 from gullyoke.membership import TICK, Member, Row
 from gullyoke.membership.words import Letter, Send
 from gullyoke.peer_transport import codec
-from gullyoke.peer_transport.seal import Counts, Seal
+from gullyoke.peer_transport.seal import ReplayWindow, Seal
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
@@ -35,22 +35,22 @@
 KNOWN = 4096  # addresses that are kept in the system's form
 
 
-Post = tuple[str, bytes]  # an address, and what a topic says to whoever is there
+AddressedBody = tuple[str, bytes]  # an address, and what a topic says to whoever is there
 
 
-class Topic(Protocol):
+class MessageHandler(Protocol):
     """One that sends letters of its own beside membership.
 
     Called under the link's lock, by its thread.
     """
 
-    def turn(self, now: int) -> Iterable[Post]: ...
+    def turn(self, now: int) -> Iterable[AddressedBody]: ...
 
-    def hear(self, now: int, sender: Row, body: bytes) -> Iterable[Post]:
+    def hear(self, now: int, sender: Row, body: bytes) -> Iterable[AddressedBody]:
         """Raises `Malformed` for what is none of its letters."""
 
 
-class Link(threading.Thread):
+class PeerLink(threading.Thread):
     """Tables: `known`, addresses in the system's form, emptied when there are KNOWN.
 
     `topics`, by number, who else sends by this; `told`, what else `fleet status` says, and `asked`,
@@ -68,10 +68,10 @@
         except OSError:  # silence alone must do then
             metrics.increment("peers.no_refusals")
         self.address = self.sock.getsockname()
-        self.seal, self.metrics, self.counts = seal, metrics, Counts()
+        self.seal, self.metrics, self.counts = seal, metrics, ReplayWindow()
         self.member: Member | None = None
         self.signals = None  # what others told of how they stand, if wanted
-        self.topics: dict[int, Topic] = {}
+        self.topics: dict[int, MessageHandler] = {}
         self.told: dict[str, Callable[[int], object]] = {}
         self.asked: dict[str, Callable[[list[str]], dict]] = {}
         self.lock = threading.Lock()
@@ -152,7 +152,7 @@
             self.metrics.increment("peers.dropped.malformed")
             return []
 
-    def posted(self, topic: int, posts: Iterable[Post]) -> list[Send]:
+    def posted(self, topic: int, posts: Iterable[AddressedBody]) -> list[Send]:
         return [Send(address, Letter(self.member.row, topic, body)) for address, body in posts]
 
     def act(self, act: Callable[[], list[Send] | None]) -> None:
--- a/gullyoke/peer_transport/quota_service.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -15,21 +15,27 @@
 
 import msgspec
 
-from gullyoke.coordination.limit_parts import Part
-from gullyoke.coordination.quota_leases import Claim, Grant, Promise, Return, Want
-from gullyoke.coordination.quota_participant import ASKER, LENDER, Letter, Message
+from gullyoke.coordination.limit_parts import LimitPart
+from gullyoke.coordination.quota_leases import (
+    LenderClaim,
+    LenderVote,
+    QuotaGrant,
+    QuotaRequest,
+    QuotaReturn,
+)
+from gullyoke.coordination.quota_participant import ASKER, LENDER, AddressedQuotaMessage, Message
 from gullyoke.membership.row import Row, whole
 from gullyoke.peer_transport.codec import MalformedDatagramError
-from gullyoke.peer_transport.link import Post
+from gullyoke.peer_transport.link import AddressedBody
 from gullyoke.runtime import clock
 
 TOPIC, QUOTAS = 1, 3
-KINDS = (Claim, Promise, Want, Grant, Return)
+KINDS = (LenderClaim, LenderVote, QuotaRequest, QuotaGrant, QuotaReturn)
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(tuple[int, int, list]).decode
 
 
-def stated(homes: Mapping[str, str], limit: int, floor: int, *more: str) -> int:
+def configuration_digest(homes: Mapping[str, str], limit: int, floor: int, *more: str) -> int:
     """The digest of what has to be stated alike.
 
     `limit` in tokens; of a quota whose it is and its rate.
@@ -62,7 +68,7 @@
     return message
 
 
-class Shared:
+class SharedLimit:
     """One shared limit.
 
     `homes`: stated addresses by name. `taken` gives the address of whom the view takes for a name.
@@ -70,7 +76,11 @@
     """
 
     def __init__(
-        self, own: Part, homes: Mapping[str, str], digest: int, taken: Callable[[str], str | None]
+        self,
+        own: LimitPart,
+        homes: Mapping[str, str],
+        digest: int,
+        taken: Callable[[str], str | None],
     ) -> None:
         self.own, self.homes, self.digest, self.taken = own, dict(homes), digest, taken
         self.lock = threading.Lock()
@@ -80,24 +90,24 @@
             0,
         )  # who lends for homes that ended, and until when
 
-    def turn(self, now: int) -> list[Post]:
+    def turn(self, now: int) -> list[AddressedBody]:
         with self.lock:
             letters = self.own.turn(now)
         return [post for letter in letters for post in self.post(letter, "")]
 
-    def hear(self, now: int, sender: Row, body: bytes) -> Iterable[Post]:
+    def hear(self, now: int, sender: Row, body: bytes) -> Iterable[AddressedBody]:
         message = unpack(self.digest, body)
         if message is None:
             self.others += 1
             return ()
         # A vote counts from the process at the voter's stated address alone.
-        if isinstance(message, Promise) and self.homes.get(message.by) != sender.address:
+        if isinstance(message, LenderVote) and self.homes.get(message.by) != sender.address:
             return ()
         with self.lock:
             letter = self.own.hear(now, message)
         return self.post(letter, sender.address) if letter is not None else ()
 
-    def post(self, letter: Letter, asker: str) -> list[Post]:
+    def post(self, letter: AddressedQuotaMessage, asker: str) -> list[AddressedBody]:
         """A lender is whoever is taken for that home, or stands in for it.
 
         A voter, whoever is at its stated address.
@@ -130,7 +140,7 @@
             }
 
 
-class SharedSlots(Shared):
+class SharedSlots(SharedLimit):
     """It is a `Slots` for the decisions, under the desk's lock."""
 
     def share(self, now: int, told: float | None, spent: float) -> float | None:
@@ -158,7 +168,7 @@
             self.own.ended(now, lost, well)
 
 
-class SharedQuota(Shared):
+class SharedQuota(SharedLimit):
     """`lent` is a customer's for the decisions, under the desk's lock."""
 
     def leased_quota(self, now: int) -> float:
@@ -166,7 +176,7 @@
             return self.own.leased_quota(now)
 
 
-class Quotas:
+class TenantQuotaService:
     """A `Topic` for all customers' quotas.
 
     Table: `limits`, by the digest of what is stated, one a customer whose quota is lent.
@@ -176,10 +186,10 @@
         self.limits = {limit.digest: limit for limit in limits}
         self.others = 0
 
-    def turn(self, now: int) -> list[Post]:
+    def turn(self, now: int) -> list[AddressedBody]:
         return [post for limit in self.limits.values() for post in limit.turn(now)]
 
-    def hear(self, now: int, sender: Row, body: bytes) -> Iterable[Post]:
+    def hear(self, now: int, sender: Row, body: bytes) -> Iterable[AddressedBody]:
         try:
             limit = self.limits.get(decode(body)[0])
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
--- a/gullyoke/peer_transport/seal.py
+++ b/gullyoke/peer_transport/seal.py
@@ -25,7 +25,7 @@
     """A key file that can't be right; the text says why."""
 
 
-def keys_in(text: str) -> tuple[bytes, ...]:
+def parse_keys(text: str) -> tuple[bytes, ...]:
     """The keys of a file: one or two lines of hex digits, the first one sealing.
 
     `#` begins a comment.
@@ -72,7 +72,7 @@
         return blake2b(data, digest_size=DIGEST, key=key, person=self.person).digest()
 
 
-class Counts:
+class ReplayWindow:
     """Which datagrams came already.
 
     Table: one row a sender's start, at most SENDERS: the highest count, and a bit for each of the
--- a/gullyoke/peer_transport/start_number.py
+++ b/gullyoke/peer_transport/start_number.py
@@ -14,7 +14,7 @@
 CLOSE = 0.5  # seconds that the end waits for a disk that hangs
 
 
-class Number:
+class StoredStartNumber:
     """`folder` None: nothing is kept, and the others' memory and the clock must do.
 
     A disk that fails is said and counted, never waited for. `files` opens the folder; a plain
--- a/gullyoke/peer_transport/status_server.py
+++ b/gullyoke/peer_transport/status_server.py
@@ -11,20 +11,20 @@
 import msgspec
 
 from gullyoke.membership.row import TURNS
-from gullyoke.peer_transport.link import Link
+from gullyoke.peer_transport.link import PeerLink
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
 PATIENCE, LINE = 1.0, 256  # seconds for a whole question, and its bytes
 
 
-class Answers(threading.Thread):
+class StatusServer(threading.Thread):
     """One asker at a time, none for longer than PATIENCE.
 
     What is asked costs the members' lock for a copy.
     """
 
-    def __init__(self, address: tuple[str, int], link: Link, metrics: Metrics) -> None:
+    def __init__(self, address: tuple[str, int], link: PeerLink, metrics: Metrics) -> None:
         """Raises `OSError` where it can't listen."""
         super().__init__(name="fleet-status", daemon=True)
         self.sock = socket.create_server(address, backlog=8)
@@ -65,11 +65,11 @@
         self.sock.close()
 
 
-def unknown(link: Link) -> dict:
+def unknown(link: PeerLink) -> dict:
     return {"fault": "right would be status or events"}
 
 
-def status(link: Link) -> dict:
+def status(link: PeerLink) -> dict:
     """The view as it stands here; times in ms."""
     one, now = link.member, clock.now()
     size = one.size(now)
@@ -112,7 +112,7 @@
     }
 
 
-def events(link: Link) -> dict:
+def events(link: PeerLink) -> dict:
     """The last changes with their evidence; how long ago, in ms."""
     one, now = link.member, clock.now()
     return {
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -22,7 +22,7 @@
     Rows,
 )
 from gullyoke.peer_transport.codec import LONGEST, VERSION, MalformedDatagramError, pack, unpack
-from gullyoke.peer_transport.seal import Seal, keys_in
+from gullyoke.peer_transport.seal import Seal, parse_keys
 
 NUMBER = 1_700_000_000 << 20
 U64_MOST = 2**64 - 1
@@ -153,7 +153,7 @@
 
 class Seals(unittest.TestCase):
     def test_key_file(self):
-        self.assertEqual(keys_in(KEY_FILE), (FIRST_KEY, SECOND_KEY))
+        self.assertEqual(parse_keys(KEY_FILE), (FIRST_KEY, SECOND_KEY))
 
     def test_sealed_datagrams(self):
         """Message, count and keyed digest, for the first two datagrams of a start."""
--- a/tests/compatibility/test_duty_messages.py
+++ b/tests/compatibility/test_duty_messages.py
@@ -11,8 +11,8 @@
 from compatibility.recorded import temporary_folder
 from gullyoke.extensions.charges import Ask, Book, Record, Roll, Told
 from gullyoke.extensions.disks import Room
-from gullyoke.leases.announcements import Notice, Order
-from gullyoke.leases.rolling_restart import Plan
+from gullyoke.leases.announcements import Announcement, Instruction
+from gullyoke.leases.rolling_restart import RestartPlan
 from gullyoke.membership import Row, Status
 from gullyoke.operator_config.wanted import OwnDuty
 from gullyoke.runtime.metrics import Metrics as Counters
@@ -36,7 +36,7 @@
             holder.asking.note(1_000_000 + at * 100_000, False)
         self.assertEqual(holder.notice(), b"dead")
         for body, dead in ((b"dead", True), (b"well", False)):
-            other.heard(5, Notice("ask", EPOCH, 7, "server-1", body))
+            other.heard(5, Announcement("ask", EPOCH, 7, "server-1", body))
             self.assertEqual(other.asking.word[2], dead)
 
     def test_book_notice(self):
@@ -49,7 +49,7 @@
         )
         book.fleet.wanted.advertise = "10.0.0.1:7900"
         self.assertEqual(book.notice(), b'{"server-3": "10.0.0.1:7900"}')
-        book.heard(5, Notice("book", EPOCH, 7, "server-1", book.notice()))
+        book.heard(5, Announcement("book", EPOCH, 7, "server-1", book.notice()))
         self.assertEqual(book.shares.shared.stands_in[0], {"server-3": "10.0.0.1:7900"})
 
     def test_roll_order(self):
@@ -58,19 +58,19 @@
         fleet.member.view.rows = {1: Row("server-2", EPOCH << 20, Status.ALIVE, "a:1", "-", 2)}
         duties.holds.return_value = 9
         roll = Roll(fleet, duties)
-        roll.plan = Plan(1, "going", EPOCH + 1, 0.1, 0.5, (("server-2", 5, EPOCH),))
+        roll.plan = RestartPlan(1, "going", EPOCH + 1, 0.1, 0.5, (("server-2", 5, EPOCH),))
         roll.send(5_000_000, 9)
         duties.order.assert_called_once_with("roll", 9, "server-2", "drain", b"1700000000")
         told = roll.notice()
-        roll.heard(5, Notice("roll", EPOCH, 7, "server-1", told))
+        roll.heard(5, Announcement("roll", EPOCH, 7, "server-1", told))
         self.assertEqual(
-            roll.plan, Plan(1, "going", EPOCH + 1, 0.1, 0.5, (("server-2", 5, EPOCH),))
+            roll.plan, RestartPlan(1, "going", EPOCH + 1, 0.1, 0.5, (("server-2", 5, EPOCH),))
         )
         fleet.member.row.number, fleet.daemon.dispatcher.stop_at = EPOCH << 20, None
         with mock.patch.object(roll, "drain") as drain:
-            roll.obey(6, Order("roll", 9, 7, "drain", b"1699999999"))
+            roll.obey(6, Instruction("roll", 9, 7, "drain", b"1699999999"))
             drain.assert_not_called()
-            roll.obey(6, Order("roll", 9, 7, "drain", b"1700000000"))
+            roll.obey(6, Instruction("roll", 9, 7, "drain", b"1700000000"))
             drain.assert_called_once_with(6, 9)
 
     def test_record_line(self):
--- a/tests/compatibility/test_letters.py
+++ b/tests/compatibility/test_letters.py
@@ -5,10 +5,26 @@
 import msgspec
 
 from compatibility.recorded import recorded_hex
-from gullyoke.coordination.quota_leases import Claim, Grant, Promise, Return, Want
-from gullyoke.leases.announcements import Notice, Order, Plea
-from gullyoke.leases.messages import NOBODY, Ask, Done, Learn, Learned, Pass, Ready, Said, Sound
-from gullyoke.leases.replicated_record import Fetch, Fetched, Keep, Kept
+from gullyoke.coordination.quota_leases import (
+    LenderClaim,
+    LenderVote,
+    QuotaGrant,
+    QuotaRequest,
+    QuotaReturn,
+)
+from gullyoke.leases.announcements import Announcement, ForwardedCommand, Instruction
+from gullyoke.leases.messages import (
+    NOBODY,
+    EpochQuery,
+    EpochReply,
+    HandoverAccept,
+    HandoverOffer,
+    LeaseRelease,
+    LeaseRequest,
+    PreVote,
+    VoteReply,
+)
+from gullyoke.leases.replicated_record import ReadRecord, RecordRead, RecordWritten, WriteRecord
 from gullyoke.peer_transport import lease_service, quota_service
 from gullyoke.peer_transport.codec import MalformedDatagramError
 
@@ -19,33 +35,33 @@
 QUOTA_DIGEST = 0x9E3265CC29AFA4D2
 
 SHARES_LETTERS = {
-    "claim": Claim("server-1", LIFE, 3),
-    "promise": Promise("server-1", LIFE, 3, "server-2", True),
-    "want": Want("server-1", LIFE, 9, 12, 2.5, 4),
-    "want with defaults": Want("server-1", LIFE, 10, 1),
-    "grant": Grant("server-1", LIFE, 9, 11),
-    "return": Return("server-1", LIFE, 9, 7),
+    "claim": LenderClaim("server-1", LIFE, 3),
+    "promise": LenderVote("server-1", LIFE, 3, "server-2", True),
+    "want": QuotaRequest("server-1", LIFE, 9, 12, 2.5, 4),
+    "want with defaults": QuotaRequest("server-1", LIFE, 10, 1),
+    "grant": QuotaGrant("server-1", LIFE, 9, 11),
+    "return": QuotaReturn("server-1", LIFE, 9, 7),
 }
 DUTY_LETTERS = {
-    "sound": Sound("roll", LIFE, "server-1", 5, 2),
-    "ask": Ask("roll", LIFE, "server-1", 1_700_000_000, 6, 2),
-    "said": Said(
+    "sound": PreVote("roll", LIFE, "server-1", 5, 2),
+    "ask": LeaseRequest("roll", LIFE, "server-1", 1_700_000_000, 6, 2),
+    "said": VoteReply(
         "roll", LIFE, 6, "server-2", True, True, 1_700_000_000, LIFE, "server-1", 3_000_000, 2
     ),
-    "said of nobody": Said("roll", LIFE, 5, "server-2", False, False, 0, NOBODY, "", 0, 2),
-    "done": Done("roll", LIFE, 1_700_000_000, "server-3", True),
-    "pass": Pass("roll", LIFE, 1_700_000_000),
-    "ready": Ready("roll", U64_MOST, 1_700_000_000),
-    "learn": Learn("server-2", LIFE, 4),
-    "learned": Learned("server-3", 4, (("ask", 7, LIFE, "server-1"), ("roll", 8, 0, "")), False),
-    "learned of a fresh one": Learned("server-3", 4, (), True),
-    "keep": Keep("roll", LIFE, 1_700_000_000, 2, b'{"state":"idle"}\xff'),
-    "kept": Kept("roll", LIFE, "server-2", 1_700_000_000, 2, True),
-    "fetch": Fetch("roll", LIFE, 1_700_000_000),
-    "fetched": Fetched("roll", LIFE, "server-2", 1_700_000_000, 1_699_999_999, 9, b"body"),
-    "notice": Notice("ask", 1_700_000_000, LIFE, "server-1", b"dead"),
-    "order": Order("roll", 1_700_000_000, LIFE, "drain", b"1699999999"),
-    "plea": Plea("roll", "pause"),
+    "said of nobody": VoteReply("roll", LIFE, 5, "server-2", False, False, 0, NOBODY, "", 0, 2),
+    "done": LeaseRelease("roll", LIFE, 1_700_000_000, "server-3", True),
+    "pass": HandoverOffer("roll", LIFE, 1_700_000_000),
+    "ready": HandoverAccept("roll", U64_MOST, 1_700_000_000),
+    "learn": EpochQuery("server-2", LIFE, 4),
+    "learned": EpochReply("server-3", 4, (("ask", 7, LIFE, "server-1"), ("roll", 8, 0, "")), False),
+    "learned of a fresh one": EpochReply("server-3", 4, (), True),
+    "keep": WriteRecord("roll", LIFE, 1_700_000_000, 2, b'{"state":"idle"}\xff'),
+    "kept": RecordWritten("roll", LIFE, "server-2", 1_700_000_000, 2, True),
+    "fetch": ReadRecord("roll", LIFE, 1_700_000_000),
+    "fetched": RecordRead("roll", LIFE, "server-2", 1_700_000_000, 1_699_999_999, 9, b"body"),
+    "notice": Announcement("ask", 1_700_000_000, LIFE, "server-1", b"dead"),
+    "order": Instruction("roll", 1_700_000_000, LIFE, "drain", b"1699999999"),
+    "plea": ForwardedCommand("roll", "pause"),
 }
 
 
@@ -59,8 +75,10 @@
 
     def test_digest_of_what_is_stated(self):
         """Servers that are stated alike have the same digest, in any order of the homes."""
-        self.assertEqual(quota_service.stated(HOMES, 120, 8), SLOTS_DIGEST)
-        self.assertEqual(quota_service.stated(HOMES, 160, 4, "acme", f"{12.5:g}"), QUOTA_DIGEST)
+        self.assertEqual(quota_service.configuration_digest(HOMES, 120, 8), SLOTS_DIGEST)
+        self.assertEqual(
+            quota_service.configuration_digest(HOMES, 160, 4, "acme", f"{12.5:g}"), QUOTA_DIGEST
+        )
 
     def test_letters_are_read(self):
         self.assertEqual(list(self.recorded), list(SHARES_LETTERS))
--- a/tests/compatibility/test_note_store.py
+++ b/tests/compatibility/test_note_store.py
@@ -18,7 +18,7 @@
 from gullyoke.extensions.promised import NOTE, digest, encode, packed, unpacked
 from gullyoke.peer_transport.start_number import FOLDER as NUMBER_FOLDER
 from gullyoke.peer_transport.start_number import KEY as NUMBER_KEY
-from gullyoke.peer_transport.start_number import Number
+from gullyoke.peer_transport.start_number import StoredStartNumber
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.storage import GroupCommitter, StorageFolder, Store, StoreVersionError
 from gullyoke.storage.record import (
@@ -200,13 +200,13 @@
     """The number of a fleet member's start, in the folder `fleet`."""
 
     def test_recorded_number_is_read(self):
-        number = Number(str(copy_of(self, "member")), Metrics())
+        number = StoredStartNumber(str(copy_of(self, "member")), Metrics())
         self.addCleanup(number.close)
         self.assertEqual(number.known(), 1_700_000_000 << 20)
 
     def test_number_is_written_with_the_same_bytes(self):
         folder = temporary_folder(self)
-        number = Number(str(folder), Metrics())
+        number = StoredStartNumber(str(folder), Metrics())
         number.keep(1_700_000_000 << 20)
         number.close()
         self.assertEqual(files_in(folder / "fleet"), files_in(copy_of(self, "member") / "fleet"))
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -6,28 +6,28 @@
 import unittest
 from unittest import mock
 
-from gullyoke.coordination.limit_parts import Own
-from gullyoke.coordination.quota_participant import Sharing
+from gullyoke.coordination.limit_parts import ConcurrencyPart
+from gullyoke.coordination.quota_participant import QuotaParticipant
 from gullyoke.coordination.signals import Heard, Reading
 from gullyoke.coordination.signals import Stage as Standing
 from gullyoke.durability.disk_health import DiskState
 from gullyoke.extensions.charges import Roll
 from gullyoke.extensions.duties import Duty
-from gullyoke.leases.candidate import Candidate, Turn
-from gullyoke.leases.candidate import State as DutyState
-from gullyoke.leases.durations import Spans
-from gullyoke.leases.replicated_record import Shelf
-from gullyoke.leases.rolling_restart import Plan
-from gullyoke.leases.voter import Row as Promise
+from gullyoke.leases.candidate import Candidate, LeaseChange
+from gullyoke.leases.candidate import CandidateState as DutyState
+from gullyoke.leases.durations import LeaseDurations
+from gullyoke.leases.replicated_record import RecordStore
+from gullyoke.leases.rolling_restart import RestartPlan
+from gullyoke.leases.voter import Promise as Promise
 from gullyoke.leases.voter import Voter
 from gullyoke.membership import Member, Row, Status
 from gullyoke.membership.entry import Stage
 from gullyoke.operator_config.wanted import Dutied
-from gullyoke.peer_transport.lease_service import Duties
-from gullyoke.peer_transport.link import Link
-from gullyoke.peer_transport.quota_service import SharedSlots, stated
+from gullyoke.peer_transport.lease_service import LeaseService
+from gullyoke.peer_transport.link import PeerLink
+from gullyoke.peer_transport.quota_service import SharedSlots, configuration_digest
 from gullyoke.peer_transport.seal import Seal
-from gullyoke.peer_transport.status_server import Answers
+from gullyoke.peer_transport.status_server import StatusServer
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
@@ -41,12 +41,12 @@
 
     def setUp(self):
         self.metrics = Metrics()
-        self.link = Link(("127.0.0.1", 0), Seal("orders", (b"k" * 32,)), self.metrics)
+        self.link = PeerLink(("127.0.0.1", 0), Seal("orders", (b"k" * 32,)), self.metrics)
         self.addCleanup(self.link.end)
         self.row = Row("server-1", NUMBER, Status.JOINING, "10.0.0.1:7900", "makati", 7)
         self.member = Member(clock.now(), self.row, (), random.Random(1))
         self.link.member = self.member
-        self.answers = Answers(("127.0.0.1", 0), self.link, self.metrics)
+        self.answers = StatusServer(("127.0.0.1", 0), self.link, self.metrics)
         self.answers.start()
         self.addCleanup(self.answers.end)
 
@@ -83,8 +83,10 @@
         self.link.signals.hear(
             clock.now(), other.id, 1, Reading(0.6, 0.2, 1.4, Standing.WARM).pack()
         )
-        sharing = Sharing(clock.now(), 7, VOTERS, 30, 5, "server-1", True)
-        slots = SharedSlots(Own(sharing, 0), VOTERS, stated(VOTERS, 120, 5), VOTERS.get)
+        sharing = QuotaParticipant(clock.now(), 7, VOTERS, 30, 5, "server-1", True)
+        slots = SharedSlots(
+            ConcurrencyPart(sharing, 0), VOTERS, configuration_digest(VOTERS, 120, 5), VOTERS.get
+        )
         self.link.told["shares"] = slots.told
         self.link.told["disks"] = lambda now: {"/var/lib/gullyoke": "well"}
         found = self.ask(b"status")
@@ -178,16 +180,16 @@
             "server-1",
             7,
             ["server-2", "server-3"],
-            Spans(),
+            LeaseDurations(),
             {"roll": Promise(1_700_000_003, 8, "server-2")},
             4,
         )
-        candidate = Candidate("roll", "server-1", 7, VOTERS, Spans(), lambda: 0.5, 4)
-        self.duties = Duties(
+        candidate = Candidate("roll", "server-1", 7, VOTERS, LeaseDurations(), lambda: 0.5, 4)
+        self.duties = LeaseService(
             "server-1",
             7,
             voter,
-            Shelf(),
+            RecordStore(),
             {"roll": candidate},
             VOTERS,
             VOTERS.get,
@@ -206,7 +208,7 @@
         )
         self.part.fleet, self.part.duties = fleet, self.duties
         self.part.charges = {"roll": self.roll}
-        self.part.turns = [Turn(now, "held", 1_700_000_001, "granted by server-1, server-2")]
+        self.part.turns = [LeaseChange(now, "held", 1_700_000_001, "granted by server-1, server-2")]
         self.link.asked |= {
             "duties": self.part.asked_duties,
             "roll": self.part.asked_roll,
@@ -257,7 +259,7 @@
         )
 
     def test_roll_status(self):
-        self.roll.plan = Plan(
+        self.roll.plan = RestartPlan(
             4,
             "paused",
             1_700_000_001,
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -5,15 +5,27 @@
 
 from compatibility.recorded import DATA, files_in, temporary_folder
 from gullyoke.extensions.duties import FOLDER, OURS, ours
-from gullyoke.leases.durations import Spans
-from gullyoke.leases.messages import Ask, Learn, Learned
-from gullyoke.leases.replicated_record import Fetch, Fetched, Keep, Kept, Shelf
-from gullyoke.leases.rolling_restart import Plan
-from gullyoke.leases.rolling_restart import unpacked as unpacked_plan
-from gullyoke.leases.voter import Row, Voter
+from gullyoke.leases.durations import LeaseDurations
+from gullyoke.leases.messages import EpochQuery, EpochReply, LeaseRequest
+from gullyoke.leases.replicated_record import (
+    ReadRecord,
+    RecordRead,
+    RecordStore,
+    RecordWritten,
+    WriteRecord,
+)
+from gullyoke.leases.rolling_restart import RestartPlan
+from gullyoke.leases.rolling_restart import unpack_plan as unpacked_plan
+from gullyoke.leases.voter import Promise, Voter
 from gullyoke.membership import Row as Member
 from gullyoke.membership import Status
-from gullyoke.peer_transport.lease_service import Duties, pack, row_bytes, rows_in, unpack
+from gullyoke.peer_transport.lease_service import (
+    LeaseService,
+    decode_rows,
+    encode_promise,
+    pack,
+    unpack,
+)
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.storage import SlotFile, StorageFolder
 from gullyoke.storage.slot_file import SLOT_COPY_BYTES, SLOT_FILE_NAME
@@ -28,12 +40,12 @@
     "kept roll": bytes.fromhex("93ce6553f10402c402ff00"),
 }
 PROMISED = {
-    "ask": Row(1_700_000_003, 0x1122, "server-1"),
-    "roll": Row(1_700_000_004, 2**64 - 1, "server-3"),
+    "ask": Promise(1_700_000_003, 0x1122, "server-1"),
+    "roll": Promise(1_700_000_004, 2**64 - 1, "server-3"),
 }
 KEPT = {"roll": (1_700_000_004, 2, b"\xff\x00")}
 
-PLAN = Plan(
+PLAN = RestartPlan(
     4,
     "paused",
     1_700_000_000,
@@ -56,11 +68,11 @@
     """First promises, one of them renewed under a later epoch, and one duty that is taken out."""
     disk = StorageFolder(folder)
     cells = SlotFile(disk)
-    first = Row(1_700_000_001, 1, "server-3")
-    cells.put([(OURS, b"server-2 2"), ("promise ask", row_bytes(first))])
-    cells.put([("promise gone", row_bytes(Row(5, 6, "server-1")))])
-    cells.put([(OURS, RAW["voter"]), ("promise ask", row_bytes(PROMISED["ask"]))])
-    cells.put([("promise roll", row_bytes(PROMISED["roll"])), ("kept roll", RAW["kept roll"])])
+    first = Promise(1_700_000_001, 1, "server-3")
+    cells.put([(OURS, b"server-2 2"), ("promise ask", encode_promise(first))])
+    cells.put([("promise gone", encode_promise(Promise(5, 6, "server-1")))])
+    cells.put([(OURS, RAW["voter"]), ("promise ask", encode_promise(PROMISED["ask"]))])
+    cells.put([("promise roll", encode_promise(PROMISED["roll"])), ("kept roll", RAW["kept roll"])])
     cells.put([("promise gone", None)])
     disk.close()
 
@@ -78,8 +90,8 @@
         return SlotFile(disk)
 
     def voter(self):
-        promised, _ = rows_in(self.opened().items())
-        return Voter(NOW, "server-2", 0x22, ["server-1", "server-3"], Spans(), promised, 3)
+        promised, _ = decode_rows(self.opened().items())
+        return Voter(NOW, "server-2", 0x22, ["server-1", "server-3"], LeaseDurations(), promised, 3)
 
     def test_constants(self):
         self.assertEqual(
@@ -91,7 +103,7 @@
         found = dict(cells.items())
         self.assertEqual((cells.dropped, found), (0, RAW))
         self.assertEqual(ours(found.pop(OURS)), ("server-2", 3))
-        self.assertEqual(rows_in(found.items()), (PROMISED, KEPT))
+        self.assertEqual(decode_rows(found.items()), (PROMISED, KEPT))
 
     def test_cells_are_written_with_the_same_bytes(self):
         folder = temporary_folder(self)
@@ -102,8 +114,8 @@
         """Nothing is granted under an epoch that was promised; a later one is written as before."""
         voter, after = self.voter(), NOW + 10_000_000
         self.assertEqual(
-            voter.teach(after, Learn("server-1", 9, 1)),
-            Learned(
+            voter.teach(after, EpochQuery("server-1", 9, 1)),
+            EpochReply(
                 "server-2",
                 1,
                 (
@@ -112,20 +124,20 @@
                 ),
             ),
         )
-        refused = voter.ask(after, Ask("ask", 0x33, "server-3", 1_700_000_003, 1, 3))
+        refused = voter.ask(after, LeaseRequest("ask", 0x33, "server-3", 1_700_000_003, 1, 3))
         self.assertEqual((refused.yes, refused.epoch), (False, 1_700_000_003))
-        write = voter.ask(after, Ask("ask", 0x33, "server-3", 1_700_000_009, 2, 3))
-        self.assertEqual(row_bytes(write.row).hex(), "93ce6553f10933a87365727665722d33")
+        write = voter.ask(after, LeaseRequest("ask", 0x33, "server-3", 1_700_000_009, 2, 3))
+        self.assertEqual(encode_promise(write.row).hex(), "93ce6553f10933a87365727665722d33")
 
     def test_recorded_shelf_is_fetched(self):
-        _, kept = rows_in(self.opened().items())
-        shelf = Shelf(kept)
+        _, kept = decode_rows(self.opened().items())
+        shelf = RecordStore(kept)
         self.assertEqual(
-            shelf.fetched(Fetch("roll", 5, 1_700_000_010), "server-2"),
-            Fetched("roll", 5, "server-2", 1_700_000_010, 1_700_000_004, 2, b"\xff\x00"),
+            shelf.fetched(ReadRecord("roll", 5, 1_700_000_010), "server-2"),
+            RecordRead("roll", 5, "server-2", 1_700_000_010, 1_700_000_004, 2, b"\xff\x00"),
         )
-        self.assertFalse(shelf.fits(Keep("roll", 5, 1_700_000_004, 2, b""), 0))
-        self.assertTrue(shelf.fits(Keep("roll", 5, 1_700_000_004, 3, b""), 0))
+        self.assertFalse(shelf.fits(WriteRecord("roll", 5, 1_700_000_004, 2, b""), 0))
+        self.assertTrue(shelf.fits(WriteRecord("roll", 5, 1_700_000_004, 3, b""), 0))
 
     def test_letters_are_written_with_the_same_bytes(self):
         """What a letter makes durable: key and value as they go to the cells."""
@@ -136,14 +148,22 @@
             told(True)
             return True
 
-        duties = Duties(
-            "server-2", 0x22, self.voter(), Shelf(KEPT), {}, VOTERS, VOTERS.get, disk, Metrics()
+        duties = LeaseService(
+            "server-2",
+            0x22,
+            self.voter(),
+            RecordStore(KEPT),
+            {},
+            VOTERS,
+            VOTERS.get,
+            disk,
+            Metrics(),
         )
         duties.send = sent.extend
         after = NOW + 10_000_000
         sender = Member("server-3", 1, Status.ALIVE, "10.0.0.3:7900", "a", 0x33)
-        duties.hear(after, sender, pack(Ask("ask", 0x33, "server-3", 1_700_000_009, 2, 3)))
-        duties.hear(after, sender, pack(Keep("ask", 0x33, 1_700_000_009, 1, b"body")))
+        duties.hear(after, sender, pack(LeaseRequest("ask", 0x33, "server-3", 1_700_000_009, 2, 3)))
+        duties.hear(after, sender, pack(WriteRecord("ask", 0x33, 1_700_000_009, 1, b"body")))
         self.assertEqual(
             written,
             [
@@ -153,7 +173,9 @@
         )
         (_, granted), (_, kept) = sent
         self.assertTrue(unpack(granted).yes)
-        self.assertEqual(unpack(kept), Kept("ask", 0x33, "server-2", 1_700_000_009, 1, True))
+        self.assertEqual(
+            unpack(kept), RecordWritten("ask", 0x33, "server-2", 1_700_000_009, 1, True)
+        )
 
     def test_rolling_restart_plan(self):
         """The plan that the duty `roll` keeps."""
--- a/tests/coordination/test_quotas.py
+++ b/tests/coordination/test_quotas.py
@@ -8,13 +8,19 @@
 import unittest
 
 from gullyoke.admission.interface import Tenant
-from gullyoke.coordination.quota_participant import Sharing
-from gullyoke.coordination.tenant_quotas import BIN, Quota, Rate, tokens
+from gullyoke.coordination.quota_participant import QuotaParticipant
+from gullyoke.coordination.tenant_quotas import BIN, ArrivalRate, TenantQuotaPart, tokens
 from gullyoke.emulator.quotas import asked
 from gullyoke.membership import Member, Row, Status, began
 from gullyoke.peer_transport.codec import MalformedDatagramError
-from gullyoke.peer_transport.link import Link
-from gullyoke.peer_transport.quota_service import QUOTAS, Quotas, SharedQuota, encode, stated
+from gullyoke.peer_transport.link import PeerLink
+from gullyoke.peer_transport.quota_service import (
+    QUOTAS,
+    SharedQuota,
+    TenantQuotaService,
+    configuration_digest,
+    encode,
+)
 from gullyoke.peer_transport.seal import Seal
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
@@ -46,7 +52,7 @@
 
     def test_rate(self):
         """Reqs are counted by whole bins; after a pause nothing comes."""
-        rate = Rate()
+        rate = ArrivalRate()
         for i in range(100):
             rate.note(i * 10_000)
         self.assertEqual(rate.now(SECOND), 100.0)
@@ -61,7 +67,7 @@
         Each quota goes by letters of its own, one server comes to have most of one, and what is
         stated otherwise is counted and nothing else.
         """
-        links = [Link(("127.0.0.1", 0), Seal("f", (b"k" * 32,)), Metrics()) for _ in range(3)]
+        links = [PeerLink(("127.0.0.1", 0), Seal("f", (b"k" * 32,)), Metrics()) for _ in range(3)]
         at = ["{}:{}".format(*link.address) for link in links]
         homes, whole = {f"p{i}": at[i] for i in range(3)}, tokens(3)
         topics = []
@@ -69,16 +75,16 @@
             self.addCleanup(link.end)
             limits = []
             for name in ("big", "small"):
-                sharing = Sharing(clock.now(), 100 + i, homes, 12, 4, f"p{i}", True, 0, 0)
+                sharing = QuotaParticipant(clock.now(), 100 + i, homes, 12, 4, f"p{i}", True, 0, 0)
                 limits.append(
                     SharedQuota(
-                        Quota(sharing, 300.0, whole),
+                        TenantQuotaPart(sharing, 300.0, whole),
                         homes,
-                        stated(homes, whole, 4, name, "300"),
+                        configuration_digest(homes, whole, 4, name, "300"),
                         lambda name: None,
                     )
                 )
-            link.topics[QUOTAS] = Quotas(limits)
+            link.topics[QUOTAS] = TenantQuotaService(limits)
             topics.append(link.topics[QUOTAS])
             row = Row(f"p{i}", began(int(time.time())), Status.JOINING, at[i], "z", 100 + i)
             link.begin(Member(clock.now(), row, (at[0],), random.Random(i)))
--- a/tests/coordination/test_shares.py
+++ b/tests/coordination/test_shares.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from gullyoke.coordination import quota_leases as shares
-from gullyoke.coordination.limit_parts import Own
-from gullyoke.coordination.max_min_fairness import Wish, level, split
-from gullyoke.coordination.quota_participant import Sharing
+from gullyoke.coordination.limit_parts import ConcurrencyPart
+from gullyoke.coordination.max_min_fairness import Demand, fill_level, split_limit
+from gullyoke.coordination.quota_participant import QuotaParticipant
 from gullyoke.emulator.shares import SECOND, Play
 
 TOKENS = 24
@@ -129,7 +129,7 @@
         back = shares.Borrower._back
         for what, guard in (
             ("in use stays out", mock.patch.object(shares.Borrower, "_back", told_at_once)),
-            ("ends with its loan", mock.patch.object(Own, "until", any_time)),
+            ("ends with its loan", mock.patch.object(ConcurrencyPart, "until", any_time)),
         ):
             for cut in (False, True):
                 self.assertLessEqual(max(self.passed_on(seed, cut) for seed in range(4)), TOKENS)
@@ -214,14 +214,18 @@
                 self.since = self.since or now
                 self.until = max(self.until, self.asked + shares.LEASE)
 
-        begun, heard = shares.Voter.__init__, shares.Holding.hear
+        begun, heard = shares.LenderVoter.__init__, shares.LenderTenure.hear
         for what, play, guard in (
-            ("waits out a loan", self.again, mock.patch.object(shares.Holding, "lends", early)),
-            ("a majority", self.twice, mock.patch.object(shares.Holding, "hear", any_number)),
+            (
+                "waits out a loan",
+                self.again,
+                mock.patch.object(shares.LenderTenure, "lends", early),
+            ),
+            ("a majority", self.twice, mock.patch.object(shares.LenderTenure, "hear", any_number)),
             (
                 "a voter is mute",
                 lambda seed: self.twice(seed, ("h1", "h2")),
-                mock.patch.object(shares.Voter, "__init__", forgetful),
+                mock.patch.object(shares.LenderVoter, "__init__", forgetful),
             ),
         ):
             with self.subTest(what):
@@ -270,7 +274,7 @@
 
     def test_a_name_that_is_no_home(self):
         with self.assertRaises(ValueError):
-            Sharing(0, 1, ("h0", "h1"), 10, 1, "h2")
+            QuotaParticipant(0, 1, ("h0", "h1"), 10, 1, "h2")
 
     def test_alone(self):
         """One that reaches nobody falls back to its floor within a loan's time, by its own clock
@@ -289,7 +293,7 @@
     @given(
         st.integers(0, 200),
         st.lists(
-            st.builds(Wish, st.integers(0, 100), st.integers(0, 60), st.floats(0.1, 10)),
+            st.builds(Demand, st.integers(0, 100), st.integers(0, 60), st.floats(0.1, 10)),
             min_size=1,
             max_size=8,
         ),
@@ -300,7 +304,7 @@
         Who gets less than it wants has, for its weight and with what it holds elsewhere, as much as
         anybody who gets some.
         """
-        found = level(total, wishes)
+        found = fill_level(total, wishes)
         parts = [wish.part(found) for wish in wishes]
         self.assertTrue(
             all(0 <= part <= wish.want for part, wish in zip(parts, wishes, strict=True))
@@ -337,7 +341,7 @@
 
     def test_split(self):
         for limit, largest, homes in ((100, 12, "abc"), (7, 20, "abcde"), (1000, 200, "abcdefg")):
-            floor, lend = split(limit, largest, homes, 0.5)
+            floor, lend = split_limit(limit, largest, homes, 0.5)
             self.assertEqual(floor * largest + sum(lend.values()), limit)
             self.assertLessEqual(max(lend.values()) - min(lend.values()), 1)
 
--- a/tests/coordination/test_subsets.py
+++ b/tests/coordination/test_subsets.py
@@ -7,7 +7,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullyoke.coordination.subsets import PACE, SETTLE, Subset, apertures, chosen, moved
+from gullyoke.coordination.subsets import (
+    PACE,
+    SETTLE,
+    Subset,
+    apertures,
+    choose_subsets,
+    moved_share,
+)
 
 COUNT = st.integers(1, 60)
 
@@ -47,16 +54,16 @@
             whole = apertures(servers, back_ends, k)
             for i in range(0, n, max(1, n // 10)):
                 fewer = apertures(servers[:i] + servers[i + 1 :], back_ends, k)
-                self.assertLessEqual(moved(whole, fewer), most, (n, m, k))
+                self.assertLessEqual(moved_share(whole, fewer), most, (n, m, k))
             for i in range(0, m, max(1, m // 10)):
                 fewer = apertures(servers, back_ends[:i] + back_ends[i + 1 :], k)
-                self.assertLessEqual(moved(whole, fewer), most, (n, m, k))
+                self.assertLessEqual(moved_share(whole, fewer), most, (n, m, k))
 
     def test_zones(self):
         """A zone's own back ends first; where they are short the rest is even over the others."""
         servers = {f"s{i}": f"z{i % 3}" for i in range(30)}
         back_ends = {f"b{i}": "z0" if i < 2 else f"z{1 + i % 2}" for i in range(22)}
-        found = chosen(servers, back_ends, 6)
+        found = choose_subsets(servers, back_ends, 6)
         for server, subset in found.items():
             near = sum(back_ends[b] == servers[server] for b in subset)
             self.assertEqual((len(set(subset)), near), (6, 2 if servers[server] == "z0" else 6))
@@ -68,7 +75,7 @@
             if b not in ("b0", "b1")
         )
         self.assertLessEqual(max(spilled.values()) - min(spilled.values()), 1)
-        self.assertEqual(chosen(servers, {}, 3), dict.fromkeys(servers, ()))
+        self.assertEqual(choose_subsets(servers, {}, 3), dict.fromkeys(servers, ()))
 
     def test_two_views(self):
         """Half of the servers have not heard yet that one server and one back end are gone."""
--- a/tests/coordination/test_wire.py
+++ b/tests/coordination/test_wire.py
@@ -11,13 +11,26 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullyoke.coordination.limit_parts import Own
-from gullyoke.coordination.quota_leases import Claim, Grant, Promise, Return, Want
-from gullyoke.coordination.quota_participant import Sharing
+from gullyoke.coordination.limit_parts import ConcurrencyPart
+from gullyoke.coordination.quota_leases import (
+    LenderClaim,
+    LenderVote,
+    QuotaGrant,
+    QuotaRequest,
+    QuotaReturn,
+)
+from gullyoke.coordination.quota_participant import QuotaParticipant
 from gullyoke.membership import Member, Row, Status, began
 from gullyoke.peer_transport.codec import MalformedDatagramError
-from gullyoke.peer_transport.link import Link
-from gullyoke.peer_transport.quota_service import TOPIC, SharedSlots, encode, pack, stated, unpack
+from gullyoke.peer_transport.link import PeerLink
+from gullyoke.peer_transport.quota_service import (
+    TOPIC,
+    SharedSlots,
+    configuration_digest,
+    encode,
+    pack,
+    unpack,
+)
 from gullyoke.peer_transport.seal import Seal
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
@@ -25,11 +38,13 @@
 PATIENCE, TOKENS = 25, 8
 FIGURE = st.integers(0, 2**63)
 LETTER = st.one_of(
-    st.builds(Claim, st.text(max_size=9), FIGURE, FIGURE),
-    st.builds(Promise, st.text(max_size=9), FIGURE, FIGURE, st.text(max_size=9), st.booleans()),
-    st.builds(Want, st.text(max_size=9), FIGURE, FIGURE, FIGURE, st.floats(0.01, 100), FIGURE),
-    st.builds(Grant, st.text(max_size=9), FIGURE, FIGURE, FIGURE),
-    st.builds(Return, st.text(max_size=9), FIGURE, FIGURE, FIGURE),
+    st.builds(LenderClaim, st.text(max_size=9), FIGURE, FIGURE),
+    st.builds(LenderVote, st.text(max_size=9), FIGURE, FIGURE, st.text(max_size=9), st.booleans()),
+    st.builds(
+        QuotaRequest, st.text(max_size=9), FIGURE, FIGURE, FIGURE, st.floats(0.01, 100), FIGURE
+    ),
+    st.builds(QuotaGrant, st.text(max_size=9), FIGURE, FIGURE, FIGURE),
+    st.builds(QuotaReturn, st.text(max_size=9), FIGURE, FIGURE, FIGURE),
 )
 
 
@@ -43,7 +58,7 @@
         """
         self.assertEqual(unpack(5, pack(5, letter)), letter)
         self.assertIsNone(unpack(6, pack(5, letter)))
-        kind = (Claim, Promise, Want, Grant, Return).index(type(letter))
+        kind = (LenderClaim, LenderVote, QuotaRequest, QuotaGrant, QuotaReturn).index(type(letter))
         self.assertEqual(unpack(5, encode((5, kind, [*letter, "more"]))), letter)
         for body in (
             noise,
@@ -60,7 +75,7 @@
         A sender stated otherwise is counted and gets nothing; a vote from elsewhere than its home's
         address is none.
         """
-        links = [Link(("127.0.0.1", 0), Seal("f", (b"k" * 32,)), Metrics()) for _ in range(4)]
+        links = [PeerLink(("127.0.0.1", 0), Seal("f", (b"k" * 32,)), Metrics()) for _ in range(4)]
         at = ["{}:{}".format(*link.address) for link in links]
         homes = {f"p{i}": at[i] for i in range(3)}
         parts = []
@@ -68,8 +83,15 @@
             self.addCleanup(link.end)
             life = 100 + i
             limit = TOKENS if i < 3 else TOKENS + 1
-            sharing = Sharing(clock.now(), life, homes, limit, 1, f"p{i}" if i < 3 else None, i < 3)
-            part = SharedSlots(Own(sharing, 0), homes, stated(homes, limit, 1), lambda name: None)
+            sharing = QuotaParticipant(
+                clock.now(), life, homes, limit, 1, f"p{i}" if i < 3 else None, i < 3
+            )
+            part = SharedSlots(
+                ConcurrencyPart(sharing, 0),
+                homes,
+                configuration_digest(homes, limit, 1),
+                lambda name: None,
+            )
             link.topics[TOPIC] = part
             parts.append(part)
             row = Row(f"p{i}", began(int(time.time())), Status.JOINING, at[i], "z", life)
@@ -96,7 +118,7 @@
         eventually(lambda: max(part.others for part in parts[:3]) > 0, "letters of another limit")
         self.assertEqual(wants(parts[3], 100), 1)
         before = parts[2].own.sharing.holding.until
-        forged = Promise("p2", 102, parts[2].own.sharing.holding.round, "p0", True)
+        forged = LenderVote("p2", 102, parts[2].own.sharing.holding.round, "p0", True)
         elsewhere = Row("p3", 1, Status.ALIVE, at[3], "z", 103)
         parts[2].own.sharing.holding.until = 0
         self.assertEqual(parts[2].hear(clock.now(), elsewhere, pack(parts[2].digest, forged)), ())
--- a/tests/leases/test_duty.py
+++ b/tests/leases/test_duty.py
@@ -18,11 +18,11 @@
 from gullyoke.fault_testing.standins import Act
 from gullyoke.leases import rolling_restart as roll
 from gullyoke.leases.candidate import Candidate
-from gullyoke.leases.candidate_rank import Placed, after, order
-from gullyoke.leases.dependency_probe import ALONE, OPENING, SILENT, TRIAL, YOUNG, Asking
-from gullyoke.leases.durations import Spans
+from gullyoke.leases.candidate_rank import CandidatePlacement, candidate_delay_us, rank_candidates
+from gullyoke.leases.dependency_probe import ALONE, OPENING, SILENT, TRIAL, YOUNG, DependencyProbe
+from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.fence import Fence
-from gullyoke.leases.replicated_record import Fetch, Register, Shelf
+from gullyoke.leases.replicated_record import ReadRecord, RecordStore, ReplicatedRecord
 from gullyoke.leases.voter import Voter
 from gullyoke.operator_config.wanted import Dutied
 
@@ -129,9 +129,9 @@
 
     def test_another_set(self):
         """A word under another set of voters counts for nothing."""
-        voter = Voter(0, "v", 1, ("w", "x"), Spans(), {}, 2)
+        voter = Voter(0, "v", 1, ("w", "x"), LeaseDurations(), {}, 2)
         voter.mute = 0
-        one = Candidate("d", "m", 5, ("v", "w", "x"), Spans(), float, 1)
+        one = Candidate("d", "m", 5, ("v", "w", "x"), LeaseDurations(), float, 1)
         one.wants = True
         (post, *_) = one.tick(0)
         said = voter.sound(0, post.message)
@@ -167,7 +167,7 @@
     @given(
         st.lists(
             st.builds(
-                Placed,
+                CandidatePlacement,
                 st.sampled_from([f"m{i}" for i in range(9)]),
                 st.booleans(),
                 st.booleans(),
@@ -184,17 +184,17 @@
 
         Who is first waits for nobody.
         """
-        ranked = order("d", members)
-        self.assertEqual(ranked, order("d", reversed(members)))
+        ranked = rank_candidates("d", members)
+        self.assertEqual(ranked, rank_candidates("d", reversed(members)))
         leaving = [one.leaving for name in ranked for one in members if one.name == name]
         self.assertEqual(leaving, sorted(leaving))
-        self.assertEqual(after("d", ranked[0], members), 0)
-        self.assertIsNone(after("d", "nobody", members))
+        self.assertEqual(candidate_delay_us("d", ranked[0], members), 0)
+        self.assertIsNone(candidate_delay_us("d", "nobody", members))
 
     def test_spread(self):
         """Many duties are not all one member's."""
-        members = [Placed(f"m{i}") for i in range(10)]
-        first = Counter(order(f"d{i}", members)[0] for i in range(60))
+        members = [CandidatePlacement(f"m{i}") for i in range(10)]
+        first = Counter(rank_candidates(f"d{i}", members)[0] for i in range(60))
         self.assertGreaterEqual(len(first), 8)
         self.assertLessEqual(max(first.values()), 18)
 
@@ -243,12 +243,12 @@
         What a new one reads is the last that any before it was told is safe, or a later one.
         """
         chance = random.Random(seed)
-        voters = {f"v{i}": Shelf() for i in range(3)}
+        voters = {f"v{i}": RecordStore() for i in range(3)}
         late, safe, epoch = [], b"", 0
 
         def deliver(register, name, message):
             shelf = voters[name]
-            if isinstance(message, Fetch):
+            if isinstance(message, ReadRecord):
                 register.fetched(shelf.fetched(message, name))
                 return
             if shelf.fits(message, promised.get(name, 0)):
@@ -260,7 +260,7 @@
             epoch += 1
             majority = chance.sample(sorted(voters), 2)
             promised.update(dict.fromkeys(majority, epoch))  # a lease was granted by these
-            register = Register("d", holder, epoch, voters)
+            register = ReplicatedRecord("d", holder, epoch, voters)
             for step in range(chance.randrange(2, 8)):
                 message = register.asks()
                 for name in voters:
@@ -284,7 +284,7 @@
         others not while its word is young, and seldom by one that hears of none; when it is back
         all come back little by little.
         """
-        one, chance = Asking(random.Random(1).random), random.Random(2)
+        one, chance = DependencyProbe(random.Random(1).random), random.Random(2)
         now = SILENT
         for _ in range(5):
             self.assertTrue(one.may(now))
@@ -311,7 +311,7 @@
         self.assertTrue(all(one.may(begin + OPENING + 1) for _ in range(50)))
 
     def test_an_old_word(self):
-        one = Asking(random.Random(1).random)
+        one = DependencyProbe(random.Random(1).random)
         one.told(0, 5, True)
         one.dead = True
         one.told(1, 4, False)
@@ -322,9 +322,9 @@
 
 class Rolls(unittest.TestCase):
     def fleet(self, rows, shed=0.0):
-        return roll.Fleet(
+        return roll.FleetState(
             tuple(
-                roll.Seen(name, zone, start, there, since, True)
+                roll.MemberState(name, zone, start, there, since, True)
                 for name, (zone, start, there, since) in sorted(rows.items())
             ),
             shed,
@@ -343,7 +343,7 @@
         at_once, a_zone = chance.choice((0.1, 0.3)), chance.choice((0.3, 0.5))
         rows = {f"m{i}": (f"z{i % zones}", 100 + i % 3, True, 0) for i in range(n)}
         behind = chance.choice(sorted(rows))  # its clock is behind: its new start is hardly later
-        plan = roll.start(roll.Plan(), self.fleet(rows), at_once, a_zone)
+        plan = roll.start(roll.RestartPlan(), self.fleet(rows), at_once, a_zone)
         now, gone, told, conductor = 0, {}, Counter(), "m0"
         for _ in range(4000):
             now += 300_000
@@ -359,7 +359,7 @@
                     del gone[name]
             if chance.random() < 0.1 or not rows[conductor][2]:
                 conductor = chance.choice([name for name, row in rows.items() if row[2]])
-                plan = roll.unpacked(plan.pack())  # what the last one left
+                plan = roll.unpack_plan(plan.pack())  # what the last one left
             after = roll.step(plan, now, self.fleet(rows), conductor)
             for name, _, start in after.doing:
                 if rows[name][1] == start and rows[name][2] and name not in gone:
@@ -383,7 +383,7 @@
     def test_stops_by_itself(self):
         """When the fleet sheds more, or one does not come back; paused and taken back as asked."""
         rows = {f"m{i}": ("z", 100, True, 0) for i in range(5)}
-        plan = roll.start(roll.Plan(), self.fleet(rows, 0.1), 0.4, 1.0)
+        plan = roll.start(roll.RestartPlan(), self.fleet(rows, 0.1), 0.4, 1.0)
         self.assertEqual(roll.step(plan, 1, self.fleet(rows, 0.3), "m0").state, "stopped")
         going = roll.step(plan, 1, self.fleet(rows, 0.1), "m0")
         self.assertEqual([name for name, *_ in going.doing], ["m1", "m2"])
@@ -398,7 +398,7 @@
         self.assertEqual(roll.cancel(paused, "x").state, "cancelled")
         self.assertEqual(roll.start(roll.cancel(paused, "x"), self.fleet(rows), 0.1, 0.5).number, 2)
         with self.assertRaises(ValueError):
-            roll.unpacked(b'{"state": "flying", "doing": [], "strays": []}')
+            roll.unpack_plan(b'{"state": "flying", "doing": [], "strays": []}')
         self.assertLessEqual(len(going.pack()), 700)
 
 
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -23,10 +23,10 @@
 from gullyoke.membership.words import Letter, Send
 from gullyoke.operator_config.read import read
 from gullyoke.operator_config.wanted import OperatorFileError, Together
-from gullyoke.peer_transport.link import Link
+from gullyoke.peer_transport.link import PeerLink
 from gullyoke.peer_transport.seal import Seal
-from gullyoke.peer_transport.start_number import Number
-from gullyoke.peer_transport.status_server import Answers, status
+from gullyoke.peer_transport.start_number import StoredStartNumber
+from gullyoke.peer_transport.status_server import StatusServer, status
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.settings.site_settings import ConfigurationError
@@ -41,7 +41,7 @@
 
 class Peers(unittest.TestCase):
     def links(self, count, key=KEY):
-        links = [Link(("127.0.0.1", 0), Seal("f", (key,)), Metrics()) for _ in range(count)]
+        links = [PeerLink(("127.0.0.1", 0), Seal("f", (key,)), Metrics()) for _ in range(count)]
         for link in links:
             self.addCleanup(link.end)
         return links
@@ -151,7 +151,7 @@
         links = self.links(2)
         self.begin(links, (text(links[0].address),))
         self.eventually(lambda: all(len(k.member.view.rings) == 2 for k in links), "two in")
-        answers = Answers(("127.0.0.1", 0), links[0], links[0].metrics)
+        answers = StatusServer(("127.0.0.1", 0), links[0], links[0].metrics)
         answers.start()
         self.addCleanup(answers.end)
         at = text(answers.sock.getsockname())
@@ -190,16 +190,16 @@
         """
         with tempfile.TemporaryDirectory() as folder:
             metrics, first = Metrics(), began(1_000_000)
-            number = Number(folder, metrics)
+            number = StoredStartNumber(folder, metrics)
             number.keep(first)
             number.close()
             self.assertEqual(metrics.rows["fleet.kept"], 1)
-            again = Number(folder, Metrics())
+            again = StoredStartNumber(folder, Metrics())
             self.assertGreater(began(5, again.known()), first)
             again.close()
             file = pathlib.Path(folder, "file")
             file.touch()
-            broken = Number(str(file), metrics)
+            broken = StoredStartNumber(str(file), metrics)
             broken.keep(7)
             self.assertEqual((broken.known(), metrics.rows["fleet.unkept"]), (0, 1))
 
--- a/tests/membership/test_properties.py
+++ b/tests/membership/test_properties.py
@@ -18,7 +18,7 @@
 from gullyoke.membership.view import View
 from gullyoke.membership.words import Ack, Ask, Compare, Gossip, Hello, Ping, Rows
 from gullyoke.peer_transport import codec
-from gullyoke.peer_transport.seal import Counts, Seal, UnusableKeyError, keys_in
+from gullyoke.peer_transport.seal import ReplayWindow, Seal, UnusableKeyError, parse_keys
 
 TEXT = st.text("abcdefghij0123456789.:-", min_size=1, max_size=20)
 FIGURE, LOST = st.integers(0, 2**63), st.integers(0, 255)
@@ -265,14 +265,14 @@
         self.assertIsNone(Seal("f", (old,)).open(b""))
         for text in ("", "zz", "ab", f"{'ab' * 16}\n" * 3):
             with self.assertRaises(UnusableKeyError):
-                keys_in(text)
+                parse_keys(text)
 
     def test_counts(self):
         """A datagram that came already, or is far behind, is not new.
 
         Order does not matter within the window.
         """
-        counts = Counts()
+        counts = ReplayWindow()
         self.assertEqual(
             [counts.fresh(1, n) for n in (1, 3, 2, 2, 3, 2000, 976, 977, 1999, 1999)],
             [True, True, True, False, False, True, False, True, True, False],
