--- a/gullyoke/__main__.py
+++ b/gullyoke/__main__.py
@@ -1,6 +1,6 @@
-"""The real server: `python -m gullyoke`.
+"""The daemon: `python -m gullyoke`.
 
-What it must know is in the environment and the file named there.
+Its configuration is in the environment and in the file that NODE_CONFIG names.
 """
 
 import sys
@@ -8,7 +8,7 @@
 from gullyoke.runtime import signals
 
 if __name__ == "__main__":
-    signals.hold()
+    signals.hold()  # before the imports, which take a while: no signal may end it meanwhile
     from gullyoke.daemon.serve import serve
 
     sys.exit(serve())
--- a/gullyoke/cli/main.py
+++ b/gullyoke/cli/main.py
@@ -57,19 +57,19 @@
         os.environ["NODE_CONFIG"] = config
     if operator is None:
         sys.exit(run())
-    from gullyoke.extensions.file import OperatorFile
+    from gullyoke.extensions.operator_file import OperatorFile
     from gullyoke.operator_config.wanted import OperatorFileError
 
     try:
-        extra = OperatorFile(operator)
+        operator_file = OperatorFile(operator)
     except OperatorFileError as faulty:
         refuse(faulty.faults)
-    form = None
-    if extra.wanted.json_log:
-        from gullyoke.extensions.log_form import Flat
+    log_formatter = None
+    if operator_file.wanted.json_log:
+        from gullyoke.extensions.json_log import JsonLogFormatter
 
-        form = Flat()
-    sys.exit(run(extra, extra.apart(), form))
+        log_formatter = JsonLogFormatter()
+    sys.exit(run(operator_file, operator_file.replaces_engine(), log_formatter))
 
 
 @main.command()
--- a/gullyoke/daemon/__init__.py
+++ b/gullyoke/daemon/__init__.py
@@ -1,6 +1,4 @@
-"""The real server: fronts, desk, work and calls put together.
+"""The daemon: front ends, dispatcher, executor and dependency put together.
 
-It decides nothing about reqs.
-
-A req passes the stages take in (front.intake), admit, route, send, relay and book, a module each.
+It takes no decisions about requests; gullyoke/admission does.
 """
--- a/gullyoke/daemon/configuration.py
+++ b/gullyoke/daemon/configuration.py
@@ -1,158 +1,210 @@
-"""The one place where the server's own configuration is read, checked and given defaults."""
+"""The daemon's configuration: read from the environment and the JSON file that it names."""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Mapping
-from typing import NamedTuple
+from dataclasses import dataclass, fields
+from typing import Any, Final
 
-from gullyoke.settings.site_settings import ConfigurationError, SiteFacts, flat, parse_site_facts
+from gullyoke.admission.interface import SiteFacts
+from gullyoke.errors import ConfigurationError
+from gullyoke.settings.reader import flatten_settings
+from gullyoke.settings.site_settings import parse_site_facts
 
 Address = tuple[str, int]
-
-
-class DaemonConfiguration(NamedTuple):
-    """What this server is told at its start."""
+Json = dict[str, Any]
+
+US_PER_MS: Final = 1000
+MIN_DESCRIPTORS: Final = 20
+DEFAULT_DESCRIPTORS: Final = 1024
+LOG_LEVELS: Final = ("DEBUG", "INFO", "WARNING", "ERROR")
+#: Environment variables that replace a key of the file.
+ENVIRONMENT_KEYS: Final = {"name": "NODE_NAME", "listen": "NODE_LISTEN"}
+#: Characters that a server's name can't have, since it is a segment of a URL's path.
+FORBIDDEN_IN_NAME: Final = frozenset(" /?#%")
+#: Left out where two configurations are compared: the platform draws a new seed for each file, and
+#: the facts follow from the settings.
+NOT_COMPARED: Final = ("facts", "seed")
+
+
+@dataclass(frozen=True)
+class DaemonConfiguration:
+    """The configuration of one daemon.
+
+    Attributes:
+        name: the server's name, unique among the servers of the site.
+        listen: where its HTTP/1.1 front end listens.
+        engine: the engine's address; None where back ends of the operator's file run the requests.
+        name_service: the address of the name service; None for none.
+        database: the dependency's address; None for none.
+        seed: the seed of all random draws.
+        stop_after_us: microseconds from the stop signal to the end of the drain.
+        max_descriptors: the most file descriptors that the daemon may use.
+        facts: what the settings state of the site.
+        log_level: the least level that is logged, one of `LOG_LEVELS`.
+        settings: the settings of the site, each text by its dotted path.
+    """
 
     name: str
     listen: Address
     engine: Address | None
-    naming: Address | None
+    name_service: Address | None
     database: Address | None
     seed: int
-    stop: int  # microseconds from the notice to leave to the stop
-    sockets: int
+    stop_after_us: int
+    max_descriptors: int
     facts: SiteFacts
-    level: str
+    log_level: str
     settings: dict[str, str]
 
-    def strange(self, new: DaemonConfiguration) -> str | None:
-        """What shows that another configuration is not this server's.
+    def mismatch_with(self, new: DaemonConfiguration) -> str | None:
+        """Return what shows that another configuration is for another server.
 
-        Its name, or the names of its classes or tenants; None where it may be. Figures may differ:
-        they are those of another start.
+        Figures may differ: they are those of another start. The engine of another server would know
+        none of the requests that are in flight here.
+
+        Returns:
+            The key of the server's name, of its request classes or of its tenants; None where
+            these agree.
         """
         if new.name != self.name:
             return "name"
-        if [h.name for h in new.facts.request_classes] != [
-            h.name for h in self.facts.request_classes
+        if [each.name for each in new.facts.request_classes] != [
+            each.name for each in self.facts.request_classes
         ]:
             return "settings.Profiles"
-        if [c.name for c in new.facts.tenants] != [c.name for c in self.facts.tenants]:
+        if [each.name for each in new.facts.tenants] != [each.name for each in self.facts.tenants]:
             return "settings.Orgs"
         return None
 
     def changed(self, old: DaemonConfiguration) -> list[str]:
-        """The names of what differs from another configuration.
-
-        The seed is new with each file.
-        """
+        """Return the fields that differ from another configuration, in their order."""
         return [
-            name
-            for name in self._fields
-            if name not in ("facts", "seed") and getattr(self, name) != getattr(old, name)
+            field.name
+            for field in fields(self)
+            if field.name not in NOT_COMPARED
+            and getattr(self, field.name) != getattr(old, field.name)
         ]
 
 
-def load_configuration(env: Mapping[str, str], apart: bool = False) -> DaemonConfiguration:
-    """From the environment and the file that it names.
+def load_configuration(
+    environment: Mapping[str, str], engine_optional: bool = False
+) -> DaemonConfiguration:
+    """Read and check the configuration.
 
-    NODE_NAME and NODE_LISTEN stand over the file's. Where the operator's file names the back ends
-    (`apart`), engine, database and name service may be absent; the database also where the settings
-    name nothing below.
+    Args:
+        environment: names the file (NODE_CONFIG), replaces some of its keys (NODE_NAME,
+            NODE_LISTEN) and sets the log level (GULLYOKE_LOG).
+        engine_optional: whether back ends of an operator's file run the requests; engine, name
+            service and database may then be absent. The database may also be absent where the
+            settings name no dependency.
+
+    Raises:
+        ConfigurationError: something is missing or invalid.
     """
-    path = env.get("NODE_CONFIG")
+    file = _read_file(environment)
+    limits = _object(file, "limits", {})
+    log_level = _log_level(environment)
+    settings = flatten_settings(_object(file, "settings"))
+    facts = parse_site_facts(settings)
+    no_dependency = not facts.dependency.exists
+    # Checked in this order, so that a file with several faults always reports the same one.
+    engine = _optional_address(file, "engine", engine_optional)
+    name_service = _optional_address(file, "naming", engine_optional)
+    database = _optional_address(file, "db", engine_optional or no_dependency)
+    return DaemonConfiguration(
+        name=_name(file, "name"),
+        listen=_address(file, "listen"),
+        engine=engine,
+        name_service=name_service,
+        database=database,
+        seed=_seed(file, "seed"),
+        stop_after_us=_whole_number(file, "stop_ms", 1) * US_PER_MS,
+        max_descriptors=_whole_number(
+            limits, "limits.sockets", MIN_DESCRIPTORS, DEFAULT_DESCRIPTORS
+        ),
+        facts=facts,
+        log_level=log_level,
+        settings=settings,
+    )
+
+
+def _read_file(environment: Mapping[str, str]) -> Json:
+    path = environment.get("NODE_CONFIG")
     if not path:
         raise ConfigurationError("missing environment variable 'NODE_CONFIG'")
     try:
-        with open(path, encoding="utf-8") as file:
-            found = json.load(file)
-    except (OSError, ValueError) as fault:
-        raise ConfigurationError(f"NODE_CONFIG: {path} can't be read: {fault}") from None
+        with open(path, encoding="utf-8") as opened:
+            found = json.load(opened)
+    except (OSError, ValueError) as error:
+        raise ConfigurationError(f"NODE_CONFIG: {path} can't be read: {error}") from None
     if not isinstance(found, dict):
         raise ConfigurationError(f"NODE_CONFIG: {path} holds no object")
-    found = found | {
-        key: env[name]
-        for key, name in (("name", "NODE_NAME"), ("listen", "NODE_LISTEN"))
-        if env.get(name)
+    replaced = {
+        key: environment[variable]
+        for key, variable in ENVIRONMENT_KEYS.items()
+        if environment.get(variable)
     }
-    limits = part(found, "limits", {})
-    level = env.get("GULLYOKE_LOG", "INFO").upper()
-    if level not in ("DEBUG", "INFO", "WARNING", "ERROR"):
+    return found | replaced
+
+
+def _log_level(environment: Mapping[str, str]) -> str:
+    level = environment.get("GULLYOKE_LOG", "INFO").upper()
+    if level not in LOG_LEVELS:
         raise ConfigurationError(
             f"environment variable 'GULLYOKE_LOG' is {level!r}, not a level of logging"
         )
-    settings = flat(part(found, "settings"))
-    facts = parse_site_facts(settings)
-    missing = {"engine": apart, "naming": apart, "db": apart or not facts.dependency.exists}
-    engine, naming, database = (
-        None if may_miss and key not in found else address(found, key)
-        for key, may_miss in missing.items()
-    )
-    return DaemonConfiguration(
-        word(found, "name"),
-        address(found, "listen"),
-        engine,
-        naming,
-        database,
-        seed(found),
-        whole(found, "stop_ms", 1) * 1000,
-        whole(limits, "limits.sockets", 20, 1024),
-        facts,
-        level,
-        settings,
-    )
+    return level
 
 
-def get(found: dict, key: str, default: object = None) -> object:
+def _value(found: Json, key: str, default: object = None) -> Any:
+    """Return the value of a key; of a dotted one, the last part is looked up."""
     value = found.get(key.rsplit(".", 1)[-1], default)
     if value is None:
         raise ConfigurationError(f"missing key '{key}'")
     return value
 
 
-def part(found: dict, key: str, default: dict | None = None) -> dict:
-    value = get(found, key, default)
+def _object(found: Json, key: str, default: Json | None = None) -> Json:
+    value = _value(found, key, default)
     if not isinstance(value, dict):
         raise ConfigurationError(f"key '{key}' is {value!r}, not an object")
     return value
 
 
-def word(found: dict, key: str) -> str:
-    value = get(found, key)
-    if (
-        not isinstance(value, str)
-        or not value
-        or not value.isprintable()
-        or set(value) & set(" /?#%")
-    ):
+def _name(found: Json, key: str) -> str:
+    value = _value(found, key)
+    valid = isinstance(value, str) and value and value.isprintable()
+    if not valid or FORBIDDEN_IN_NAME & set(value):
         raise ConfigurationError(f"key '{key}' is {value!r}, not a name")
-    return value
+    return str(value)
 
 
-def whole(found: dict, key: str, least: int, default: int | None = None) -> int:
-    value = get(found, key, default)
-    if (
-        isinstance(value, bool)
-        or not isinstance(value, int | float)
-        or value != int(value)
-        or value < least
-    ):
-        raise ConfigurationError(f"key '{key}' is {value!r}, not a whole number from {least} on")
+def _whole_number(found: Json, key: str, minimum: int, default: int | None = None) -> int:
+    value = _value(found, key, default)
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or value != int(value) or value < minimum:
+        raise ConfigurationError(f"key '{key}' is {value!r}, not a whole number from {minimum} on")
     return int(value)
 
 
-def seed(found: dict) -> int:
-    value = get(found, "seed")
+def _seed(found: Json, key: str) -> int:
+    """Return the seed; where it is a text, its digits are hexadecimal."""
+    value = _value(found, key)
     try:
         return value if isinstance(value, int) else int(str(value), 16)
     except ValueError:
-        raise ConfigurationError(f"key 'seed' is {value!r}, not hex digits") from None
+        raise ConfigurationError(f"key '{key}' is {value!r}, not hex digits") from None
 
 
-def address(found: dict, key: str) -> Address:
-    value = get(found, key)
+def _address(found: Json, key: str) -> Address:
+    value = _value(found, key)
     host, _, port = str(value).rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
         raise ConfigurationError(f"key '{key}' is {value!r}, not an address such as 127.0.0.1:7001")
     return host, int(port)
+
+
+def _optional_address(found: Json, key: str, optional: bool) -> Address | None:
+    return None if optional and key not in found else _address(found, key)
--- a/gullyoke/daemon/serve.py
+++ b/gullyoke/daemon/serve.py
@@ -1,28 +1,41 @@
-"""One server from its start to its exit code, for the lean start and for the command line."""
+"""One daemon from its start to its exit code, for `python -m gullyoke` and for the command line."""
 
 from __future__ import annotations
 
 import logging
 import os
 import sys
+from typing import Final
 
 from gullyoke.daemon.configuration import load_configuration
-from gullyoke.daemon.daemon import Daemon, Extra
+from gullyoke.daemon.daemon import build_daemon
+from gullyoke.daemon.extension import OperatorConfiguration
+from gullyoke.errors import ConfigurationError
 from gullyoke.runtime import signals
-from gullyoke.settings.site_settings import ConfigurationError
+
+EXIT_INVALID_CONFIGURATION: Final = 2
 
 
 def serve(
-    extra: Extra | None = None, apart: bool = False, form: logging.Formatter | None = None
+    operator_file: OperatorConfiguration | None = None,
+    engine_optional: bool = False,
+    log_formatter: logging.Formatter | None = None,
 ) -> int:
-    """Serve until the notice to leave; 2 where what it is told can't be.
+    """Serve until the stop signal and to the end of the drain.
+
+    Args:
+        operator_file: what the operator adds; None for nothing.
+        engine_optional: whether back ends of the operator's file run the requests.
+        log_formatter: the form of the log's lines; None for key=value lines.
 
-    `apart`: no engine is needed; `form` is the log's, where it is not key=value lines.
+    Returns:
+        The exit code: 0, or 2 where the configuration is missing or invalid.
     """
-    signals.hold()  # where the command line has not
+    signals.hold()  # the command line may not have done so
     try:
-        daemon = Daemon(load_configuration(os.environ, apart), extra, form)
-    except (ConfigurationError, OSError) as fault:
-        print(f"gullyoke: {fault}", file=sys.stderr)
-        return 2
+        configuration = load_configuration(os.environ, engine_optional)
+        daemon = build_daemon(configuration, operator_file, log_formatter)
+    except (ConfigurationError, OSError) as error:
+        print(f"gullyoke: {error}", file=sys.stderr)
+        return EXIT_INVALID_CONFIGURATION
     return daemon.run()
--- a/gullyoke/extensions/__init__.py
+++ b/gullyoke/extensions/__init__.py
@@ -1,5 +1,5 @@
-"""What an operator's file adds to the house.
+"""What an operator's file adds to the daemon.
 
-One unit a feature, each behind the small interface `Feature` of gullyoke/daemon/daemon.py. Imported
-only where such a file is named; the house holds a list of them.
+Each module implements the interface `Extension` of gullyoke/daemon/extension.py. They are imported
+only where an operator's file is named.
 """
--- a/gullyoke/extensions/back_ends.py
+++ b/gullyoke/extensions/back_ends.py
@@ -6,19 +6,20 @@
 
 from gullyoke.admission.interface import StopMode
 from gullyoke.daemon.configuration import DaemonConfiguration
+from gullyoke.errors import ConfigurationError
 from gullyoke.executors.scgi_backends import Address as At
 from gullyoke.executors.scgi_backends import Backends
-from gullyoke.extensions.unit import Plain
+from gullyoke.extensions.base import BaseExtension
 from gullyoke.operator_config.wanted import Pooled, Wanted
 from gullyoke.routing import Budget, Dispatch, Health, Pool, Stated
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.settings.site_settings import ConfigurationError
 
 
-class BackEnds(Plain):
+class BackEnds(BaseExtension):
     """`wanted` is what the file says of them, those in force included."""
 
-    name, part = "backends", "pool"
+    name = "backends"
+    section = "pool"
 
     def __init__(self, path: str, wanted: Pooled) -> None:
         super().__init__(wanted)
@@ -26,23 +27,23 @@
         self.backends: Backends | None = None
         self.only: frozenset[str] | None = None  # of those stated, the subset in use; None: all
 
-    def held(self) -> int:
+    def reserved_descriptors(self) -> int:
         return self.wanted.most()
 
-    def work(self, told: DaemonConfiguration, metrics: Metrics) -> Backends:
+    def create_executor(self, configuration: DaemonConfiguration, metrics: Metrics) -> Backends:
         """The back ends. Raises `Misstated` where they leave no room for connections."""
-        wanted, self.sockets = self.wanted, told.sockets
+        wanted, self.sockets = self.wanted, configuration.max_descriptors
         self.roomy(wanted)
-        machine = told.facts.machine
+        machine = configuration.facts.machine
         # Whether running work can be stopped is the back ends' affair, not the engine's of the
         # settings.
         machine.stop_mode = StopMode.DISCARD if wanted.stops_on_close else StopMode.NEVER
-        told.facts.dependency.exists, told.facts.dependency.call_quota = (
+        configuration.facts.dependency.exists, configuration.facts.dependency.call_quota = (
             False,
             None,
         )  # their calls do not come by us
         pool = Pool(
-            random.Random(told.seed ^ 0x5C91),
+            random.Random(configuration.seed ^ 0x5C91),
             wanted.ejecting.pool_share,
             wanted.first_limit,
             wanted.linger,
@@ -82,16 +83,16 @@
             self.only = only
             self.state(self.wanted)
 
-    def print(self) -> None:
+    def log_status(self) -> None:
         self.backends.print()
 
     # While the server runs, other back ends are taken over.
 
-    def fits(self, new: Wanted) -> None:
+    def check_reload(self, new: Wanted) -> None:
         if new.pool is not None:
             self.roomy(new.pool)
 
-    def take(self, new: Wanted) -> dict[str, object]:
+    def apply_reload(self, new: Wanted) -> dict[str, object]:
         if new.pool is not None:
             self.wanted = self.wanted._replace(back_ends=new.pool.back_ends)
             if self.only is not None and not self.only & {b.name for b in self.wanted.back_ends}:
@@ -99,7 +100,7 @@
             self.state(self.wanted)
         return {"back_ends": len(self.wanted.back_ends)}
 
-    def ignored(self, new: Wanted) -> list[str]:
+    def ignored_changes(self, new: Wanted) -> list[str]:
         if new.pool is None:
             return [self.name]
         return [
--- a/gullyoke/extensions/pools.py
+++ b/gullyoke/extensions/class_pools.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-from gullyoke.daemon.daemon import Daemon
-from gullyoke.extensions.unit import Plain
+from gullyoke.daemon.extension import DaemonParts
+from gullyoke.errors import ConfigurationError
+from gullyoke.extensions.base import BaseExtension
 from gullyoke.operator_config.wanted import Classed
-from gullyoke.settings.site_settings import ConfigurationError
 
 
-class ClassPools(Plain):
-    name = part = "classed"
+class ClassPools(BaseExtension):
+    name = section = "classed"
 
     def __init__(self, path: str, classed: Classed) -> None:
         super().__init__(classed)
         self.path, self.classed = path, classed
 
-    def join(self, daemon: Daemon) -> None:
+    def attach(self, daemon: DaemonParts) -> None:
         """Raises `Misstated` for a handler that the site does not have."""
         dispatcher = daemon.dispatcher
         for name in self.classed.classes:
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -11,9 +11,10 @@
 import threading
 import time
 
+from gullyoke.errors import ConfigurationError
 from gullyoke.extensions.charges import YOUNG, Ask, Book, Charge, Record, Roll, Told
 from gullyoke.extensions.fleet import Fleet
-from gullyoke.extensions.part import Part
+from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.leases.announcements import Announcement, ForwardedCommand, Instruction
 from gullyoke.leases.candidate import Candidate, LeaseChange
 from gullyoke.leases.candidate_rank import CandidatePlacement, candidate_delay_us, rank_candidates
@@ -27,7 +28,6 @@
 from gullyoke.peer_transport.lease_service import TOPIC, LeaseService, decode_rows
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
-from gullyoke.settings.site_settings import ConfigurationError
 
 ACT = 100_000  # microseconds between looks at what is held
 NOTICE = 2_000_000  # and between notices of each duty
@@ -44,7 +44,7 @@
     return words[0], int(words[1])
 
 
-class Duty(Part):
+class Duty(FleetExtension):
     """Table: `turns`, the last HISTORY changes of what is held here."""
 
     def __init__(self, wanted: Dutied) -> None:
@@ -55,7 +55,7 @@
         self.committer = self.files = None
         self.ended, self.placed = False, []
 
-    def join(self, fleet: Fleet) -> None:
+    def attach(self, fleet: Fleet) -> None:
         """Raises `Misstated` where this server is a voter and has no folder that it can use."""
         name = fleet.daemon.configuration.name
         at = self.wanted.voters.get(name)
@@ -65,7 +65,7 @@
                 "folder on a disk that lasts"
             )
 
-    def begin(self, fleet: Fleet) -> None:
+    def start(self, fleet: Fleet) -> None:
         wanted, told = self.wanted, fleet.daemon.configuration
         self.fleet, row = fleet, fleet.member.row
         self.spans = spans = LeaseDurations(
@@ -186,7 +186,7 @@
 
     # Another set of voters, while the server runs.
 
-    def take(self, new: Wanted) -> dict[str, object]:
+    def apply_reload(self, new: Wanted) -> dict[str, object]:
         """One voter more or fewer, under the next number.
 
         What was granted under the old set runs to its end. A process that comes to vote begins as a
@@ -235,7 +235,7 @@
             and folder
         )
 
-    def ignored(self, new: Wanted) -> list[str]:
+    def ignored_changes(self, new: Wanted) -> list[str]:
         if new.duties is None:
             return ["duties"]
         return [
@@ -247,7 +247,7 @@
 
     # Who tries.
 
-    def look(self, now: int) -> None:
+    def update(self, now: int) -> None:
         fleet, me = self.fleet, self.fleet.daemon.configuration.name
         with fleet.link.lock:
             one = fleet.member
@@ -354,13 +354,13 @@
             return {"fault": f"{duty} is not held here, or there is nobody else"}
         return {"duty": duty, "to": to}
 
-    def leave(self) -> None:
+    def begin_drain(self) -> None:
         """Before a drain each duty goes to whom it is best placed at."""
         for name in self.charges:
             if self.duties.holds(clock.now(), name) is not None:
                 self.hand_over(name)
 
-    def end(self) -> None:
+    def close(self) -> None:
         self.ended = True
         for name in self.charges:
             self.duties.leave(name, "the server ends")
@@ -441,7 +441,7 @@
         self.duties.plead(duty, " ".join(words), holder)
         return {"sent_to": holder}
 
-    def print(self) -> None:
+    def log_status(self) -> None:
         now = clock.now()
         for name in self.charges:
             log.info(
--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -3,7 +3,7 @@
 Who is there, on sockets, beside the reqs.
 
 Nothing of it is in a req's way: what the decisions get of it is the fleet's size, one figure a
-second, and what its parts state (gullyoke/extensions/part.py). Whatever fails here, the four rules
+second, and what its parts state (gullyoke/extensions/fleet_extension.py). Whatever fails here, the four rules
 hold.
 """
 
@@ -11,54 +11,54 @@
 
 import random
 import time
+from collections.abc import Sequence
 
-from gullyoke.daemon.daemon import Daemon
+from gullyoke.daemon.extension import DaemonParts
+from gullyoke.errors import ConfigurationError
+from gullyoke.extensions.base import BaseExtension
 from gullyoke.extensions.disks import Disks
-from gullyoke.extensions.part import Part
-from gullyoke.extensions.unit import Plain
+from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.membership import Change, Member, Row, Status, began
 from gullyoke.membership.row import identity
-from gullyoke.operator_config.wanted import Dutied, Kept, Pooled, Together, Wanted
+from gullyoke.operator_config.wanted import Kept, Together, Wanted
 from gullyoke.peer_transport.link import PeerLink
 from gullyoke.peer_transport.seal import Seal, UnusableKeyError, parse_keys
 from gullyoke.peer_transport.start_number import StoredStartNumber
 from gullyoke.peer_transport.status_server import StatusServer
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
-from gullyoke.settings.site_settings import ConfigurationError
 
 LOOK = 1_000_000  # microseconds between looks at the size
 LAST_WORDS, BETWEEN = 3, 0.02  # how often it is said that this one has left, and seconds between
 DESCRIPTORS = 4
 
 
-class Fleet(Plain):
-    name = part = "fleet"
+class Fleet(BaseExtension):
+    name = section = "fleet"
 
     def __init__(
         self,
         path: str,
         wanted: Together,
         kept: Kept | None,
-        pool: Pooled | None = None,
-        duties: Dutied | None = None,
+        parts: Sequence[FleetExtension] = (),
         disks: Disks | None = None,
     ) -> None:
         super().__init__(wanted)
         self.disks = disks or Disks()
         self.path, self.wanted, self.kept = path, wanted, kept
-        self.daemon: Daemon | None = None
+        self.daemon: DaemonParts | None = None
         self.link: PeerLink | None = None
         self.member: Member | None = None
         self.number: StoredStartNumber | None = None
         self.told = self.size = 0
         self.read: tuple[bytes, ...] = ()  # the keys of a file that is about to be taken over
-        self.parts: list[Part] = made(wanted, pool, duties)
+        self.parts = tuple(parts)
 
-    def held(self) -> int:
+    def reserved_descriptors(self) -> int:
         return DESCRIPTORS
 
-    def join(self, daemon: Daemon) -> None:
+    def attach(self, daemon: DaemonParts) -> None:
         """Raises `Misstated` for a key file that can't be right, `OSError` where it can't
         listen.
         """
@@ -72,7 +72,7 @@
             else None
         )
         for part in self.parts:
-            part.join(self)
+            part.attach(self)
 
     def keys(self, wanted: Together) -> tuple[bytes, ...]:
         try:
@@ -110,7 +110,7 @@
             folder: room.watch.state().value for folder, room in self.disks.rooms.items()
         }
         for part in self.parts:
-            part.begin(self)
+            part.start(self)
         self.link.begin(self.member)
         if self.answers:
             self.answers.start()
@@ -149,7 +149,7 @@
         daemon = self.daemon
         daemon.timer.at(clock.now() + LOOK, self.look)
         for part in self.parts:
-            part.look(clock.now())
+            part.update(clock.now())
         with self.link.lock:
             size = self.member.size(clock.now())
         in_force = size.in_force(self.told)
@@ -171,7 +171,7 @@
             ),
         )
 
-    def print(self) -> None:
+    def log_status(self) -> None:
         with self.link.lock:
             one, size = self.member, self.member.size(clock.now())
             stage, view, digest = one.entry.stage.value, one.view.number, one.view.digest
@@ -187,21 +187,21 @@
             ),
         )
         for part in self.parts:
-            part.print()
+            part.log_status()
 
     def taken(self, name: str) -> str | None:
         """The address of whom the view takes for a name; under the link's lock."""
         row = self.member.view.rows.get(identity(name))
         return row.address if row is not None else None
 
-    def leave(self) -> None:
+    def begin_drain(self) -> None:
         for part in self.parts:
-            part.leave()
+            part.begin_drain()
         self.link.act(lambda: self.member.leave(clock.now()))
 
-    def end(self) -> None:
+    def close(self) -> None:
         for part in self.parts:
-            part.end()
+            part.close()
         for _ in range(LAST_WORDS):
             self.link.act(lambda: self.member.left(clock.now()))
             time.sleep(BETWEEN)
@@ -212,7 +212,7 @@
 
     # While the server runs, other seeds and keys are taken over.
 
-    def fits(self, new: Wanted) -> None:
+    def check_reload(self, new: Wanted) -> None:
         """The keys are read here and taken later.
 
         A file that changes in between can't fail half a reload.
@@ -220,7 +220,7 @@
         if new.fleet is not None:
             self.read = self.keys(new.fleet)
 
-    def take(self, new: Wanted) -> dict[str, object]:
+    def apply_reload(self, new: Wanted) -> dict[str, object]:
         if new.fleet is None:
             return {}
         self.link.seal.keys = self.read
@@ -229,10 +229,10 @@
         self.wanted = self.wanted._replace(seeds=new.fleet.seeds, key_file=new.fleet.key_file)
         taken: dict[str, object] = {"seeds": len(new.fleet.seeds), "keys": len(self.link.seal.keys)}
         for part in self.parts:
-            taken |= part.take(new)
+            taken |= part.apply_reload(new)
         return taken
 
-    def ignored(self, new: Wanted) -> list[str]:
+    def ignored_changes(self, new: Wanted) -> list[str]:
         if new.fleet is None:
             return [self.name]
         return [
@@ -240,26 +240,4 @@
             for name in Together._fields
             if name not in ("seeds", "key_file")
             and getattr(self.wanted, name) != getattr(new.fleet, name)
-        ] + [name for part in self.parts for name in part.ignored(new)]
-
-
-def made(wanted: Together, pool: Pooled | None, duties: Dutied | None) -> list[Part]:
-    """The parts that the file asks for."""
-    parts: list[Part] = []
-    if wanted.signals:
-        from gullyoke.extensions.signals import Signals
-
-        parts.append(Signals(wanted.heed))
-    if wanted.shares is not None:
-        from gullyoke.extensions.shares import Shares
-
-        parts.append(Shares(wanted.shares))
-    if pool is not None:
-        from gullyoke.extensions.subsets import Subsets
-
-        parts.append(Subsets(pool.subset))
-    if duties is not None:
-        from gullyoke.extensions.duties import Duty
-
-        parts.append(Duty(duties))
-    return parts
+        ] + [name for part in self.parts for name in part.ignored_changes(new)]
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -14,12 +14,13 @@
 import threading
 import time
 from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import msgspec
 
 from gullyoke.admission.interface import PAST, Idempotency
 from gullyoke.daemon.configuration import DaemonConfiguration
-from gullyoke.daemon.daemon import Daemon
+from gullyoke.daemon.extension import DaemonParts
 from gullyoke.durability import (
     DiskState,
     FolderMark,
@@ -34,9 +35,9 @@
 from gullyoke.durability.disk_quota import DataKind
 from gullyoke.durability.folder_trust import is_older_copy, next_mark
 from gullyoke.executors import Executor
+from gullyoke.extensions.base import BaseExtension
 from gullyoke.extensions.disks import Disks
 from gullyoke.extensions.promised import NOTE, Promised, digest, encode, packed, unpacked
-from gullyoke.extensions.unit import Plain
 from gullyoke.membership.row import TURNS
 from gullyoke.operator_config.wanted import Kept, Wanted
 from gullyoke.runtime import clock
@@ -46,6 +47,9 @@
 from gullyoke.runtime.messages import Answer
 from gullyoke.storage import GroupCommitter, Store, StoreVersionError
 
+if TYPE_CHECKING:
+    from gullyoke.extensions.fleet import Fleet
+
 FOLDER, MARK = "keys", "mark"
 SWEEP, LOOK = (
     50_000,
@@ -91,12 +95,12 @@
         return None, None
 
 
-class Keys(Plain):
-    name = part = "kept"
+class Keys(BaseExtension):
+    name = section = "kept"
 
-    def __init__(self, kept: Kept, disks: Disks) -> None:
+    def __init__(self, kept: Kept, disks: Disks, fleet: Fleet | None = None) -> None:
         super().__init__(kept)
-        self.kept, self.disks = kept, disks
+        self.kept, self.disks, self.fleet = kept, disks, fleet
         self.committer: GroupCommitter | None = None
         self.ready = threading.Event()
         self.trust: FolderTrust | None = None
@@ -110,7 +114,7 @@
         """A table that also finds what earlier starts of this server noted."""
         return Remembered(configuration.facts.fleet.read_cache_ttl, self.past, self.doubts)
 
-    def around(self, daemon: Daemon, work: Executor) -> Executor:
+    def wrap_executor(self, daemon: DaemonParts, executor: Executor) -> Executor:
         self.daemon = daemon
         self.ledger = KeyLedger(
             int(time.time()), UndurablePolicy(self.kept.without), min(RESULTS, self.kept.quota // 2)
@@ -120,11 +124,11 @@
             [h.key_ttl for h in daemon.configuration.facts.request_classes], default=0
         )
         self.promised = Promised(
-            work, daemon.dispatcher, self.ledger, self.fit, self.put, daemon.metrics
+            executor, daemon.dispatcher, self.ledger, self.fit, self.put, daemon.metrics
         )
         return self.promised
 
-    def join(self, daemon: Daemon) -> None:
+    def attach(self, daemon: DaemonParts) -> None:
         """The folder is read on a thread of its own: a disk that hangs holds up no start."""
         threading.Thread(target=self.open, name="keys", daemon=True).start()
         if not self.ready.wait(OPEN):
@@ -204,8 +208,7 @@
         """Once in a fleet: a copy that is older than what the others know is believed no more, and
         the mark grows with this server's own start there.
         """
-        fleet = next((one for one in self.daemon.features if one.name == "fleet"), None)
-        member = getattr(fleet, "member", None)
+        member = self.fleet.member if self.fleet is not None else None
         if member is None or self.mark is None or self.committer is None:
             return
         known, own = member.entry.known // TURNS, member.row.number // TURNS
@@ -300,10 +303,10 @@
         self.daemon.metrics.increment("keys.begun_anew")
         self.open()
 
-    def ignored(self, new: Wanted) -> list[str]:
+    def ignored_changes(self, new: Wanted) -> list[str]:
         return []  # what the file says of it is the memory's part too
 
-    def print(self) -> None:
+    def log_status(self) -> None:
         with self.promised.pen:
             one, waits, committer = self.ledger, self.ledger.pending_writes, self.committer
             row = {
@@ -325,7 +328,7 @@
             ),
         )
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Never held up for long by a disk that hangs."""
         self.room.watch.stop()
         if self.committer is not None and not self.committer.close(CLOSE):
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -11,10 +11,10 @@
 
 import time
 
-from gullyoke.daemon.daemon import Daemon
+from gullyoke.daemon.extension import DaemonParts
 from gullyoke.durability.disk_quota import DataKind
+from gullyoke.extensions.base import BaseExtension
 from gullyoke.extensions.disks import Disks, Room
-from gullyoke.extensions.unit import Plain
 from gullyoke.operator_config.wanted import Kept
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher
@@ -30,16 +30,16 @@
 LEARNED, STARTS, COLD = "learned", "starts", "cold"  # the keys
 
 
-class Memory(Plain):
+class Memory(BaseExtension):
     """The feature: what is remembered lies in the folder that the file names."""
 
-    name = part = "kept"
+    name = section = "kept"
 
     def __init__(self, kept: Kept, disks: Disks) -> None:
         super().__init__(kept)
         self.kept, self.disks, self.memory, self.daemon = kept, disks, None, None
 
-    def join(self, daemon: Daemon) -> None:
+    def attach(self, daemon: DaemonParts) -> None:
         self.daemon = daemon
         self.room = self.disks.at(self.kept.folder, self.kept.quota, daemon.metrics)
         self.memory = Remembered(
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -9,8 +9,9 @@
 from gullyoke.coordination.limit_parts import UNIT, ConcurrencyPart, MeanConcurrencyPart
 from gullyoke.coordination.max_min_fairness import split_limit
 from gullyoke.coordination.quota_participant import QuotaParticipant
+from gullyoke.errors import ConfigurationError
 from gullyoke.extensions.fleet import Fleet
-from gullyoke.extensions.part import Part
+from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.operator_config.wanted import Slotted
 from gullyoke.peer_transport.quota_service import (
     QUOTAS,
@@ -22,10 +23,9 @@
 )
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
-from gullyoke.settings.site_settings import ConfigurationError
 
 
-class Shares(Part):
+class Shares(FleetExtension):
     """`wanted`: what the file states, alike on all servers."""
 
     def __init__(self, wanted: Slotted) -> None:
@@ -36,7 +36,7 @@
         """Tokens of a slot: a limit on the mean is lent in parts of a call."""
         return UNIT if self.wanted.mean else 1
 
-    def join(self, fleet: Fleet) -> None:
+    def attach(self, fleet: Fleet) -> None:
         """Raises `Misstated` where there is nothing below that could be shared."""
         below, tenants = (
             fleet.daemon.configuration.facts.dependency,
@@ -59,7 +59,7 @@
                 "right would be slots at every moment"
             )
 
-    def begin(self, fleet: Fleet) -> None:
+    def start(self, fleet: Fleet) -> None:
         if self.wanted.slots:
             self.begin_slots(fleet)
         if self.wanted.quotas:
@@ -142,7 +142,7 @@
         fleet.link.topics[TOPIC] = self.shared
         fleet.link.told["shares"] = self.shared.told
 
-    def look(self, now: int) -> None:
+    def update(self, now: int) -> None:
         if self.shared is None:
             return
         told = self.shared.told(now)
@@ -150,7 +150,7 @@
             self.in_force = told["in_force"]
             log.debug("slots", extra=log_fields(**told))
 
-    def print(self) -> None:
+    def log_status(self) -> None:
         if self.shared is not None:
             log.info("slots", extra=log_fields(**self.shared.told(clock.now())))
         for name, limit in self.quotas.items():
--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -9,13 +9,13 @@
 
 from gullyoke.coordination.signals import Heard, Judgement, Reading, Stage, Telling
 from gullyoke.extensions.fleet import Fleet
-from gullyoke.extensions.part import Part
+from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.logs import log, log_fields
 
 
-class Signals(Part):
+class Signals(FleetExtension):
     """`heed`: whether what the others tell is acted on, or only shown."""
 
     def __init__(self, heed: bool) -> None:
@@ -23,7 +23,7 @@
         self.fleet: Fleet | None = None
         self.judgement: Judgement | None = None
 
-    def begin(self, fleet: Fleet) -> None:
+    def start(self, fleet: Fleet) -> None:
         self.fleet, told = fleet, fleet.daemon.configuration
         fleet.link.signals = Heard()
         fleet.member.signalled = fleet.link.signals.hear
@@ -31,7 +31,7 @@
         if self.heed:
             told.facts.fleet.feedback = self.judgement
 
-    def look(self, now: int) -> None:
+    def update(self, now: int) -> None:
         fleet, dispatcher, judged = self.fleet, self.fleet.daemon.dispatcher, self.judgement
         with dispatcher.lock:  # a few figures
             reading = None if dispatcher.server is None else standing(dispatcher)
--- a/gullyoke/extensions/subsets.py
+++ b/gullyoke/extensions/subsets.py
@@ -10,7 +10,7 @@
 from gullyoke.coordination.turns import turns_within
 from gullyoke.extensions.back_ends import BackEnds
 from gullyoke.extensions.fleet import Fleet
-from gullyoke.extensions.part import Part
+from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.membership.row import LIVE, Status
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
@@ -18,17 +18,16 @@
 SLOT, ROUND = 250_000, 20  # microseconds of a turn to try a back end, and turns in a round
 
 
-class Subsets(Part):
+class Subsets(FleetExtension):
     """`k`: back ends in a subset; 0: all are used, and only turns are taken."""
 
-    def __init__(self, k: int) -> None:
-        self.k, self.fleet, self.pool = k, None, None
+    def __init__(self, k: int, back_ends: BackEnds) -> None:
+        self.k, self.fleet, self.pool = k, None, back_ends
         self.subset: Subset | None = None
         self.names: tuple[str, ...] = ()  # the members whose turns go round
 
-    def begin(self, fleet: Fleet) -> None:
+    def start(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.pool = next(one for one in fleet.daemon.features if isinstance(one, BackEnds))
         self.pool.backends.dispatch.pool.may = self.may
         if self.k:
             zones = self.zones()
@@ -41,7 +40,7 @@
     def zones(self) -> dict[str, str]:
         return {b.name: b.zone for b in self.pool.wanted.back_ends}
 
-    def look(self, now: int) -> None:
+    def update(self, now: int) -> None:
         fleet, zones = self.fleet, self.zones()
         with fleet.link.lock:
             rows = [
@@ -80,7 +79,7 @@
             int(time.time() * 1e6), me, names
         )
 
-    def print(self) -> None:
+    def log_status(self) -> None:
         log.info(
             "subset",
             extra=log_fields(
--- a/gullyoke/settings/__init__.py
+++ b/gullyoke/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The settings of a site, read from their names on the wire into typed facts."""
+"""The settings of a site: typed reading of their texts, and the facts that they state."""
--- /dev/null
+++ b/gullyoke/settings/reader.py
@@ -0,0 +1,175 @@
+"""Typed reading of settings, which are pairs of a dotted path and a text.
+
+The simulator's wire carries that form; `flatten_settings` gives it to the JSON of the daemon's
+file.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable, Mapping
+from typing import Final, TypeVar
+
+from gullyoke.errors import ConfigurationError
+
+BOOLEANS: Final = {"true": True, "false": False, "1": True, "0": False}
+
+Value = TypeVar("Value")
+Number = TypeVar("Number", int, float)
+
+
+class SettingsReader:
+    """Reads settings below one path; each error names the whole path of the setting.
+
+    A setting without a default is required. The defaults of `choice`, `boolean` and `text` are
+    texts, as the setting itself would be.
+    """
+
+    def __init__(self, pairs: Mapping[str, str], prefix: str = "") -> None:
+        """Create a reader.
+
+        Args:
+            pairs: all settings, each text by its dotted path.
+            prefix: what stands before each key, with its dot.
+        """
+        self.pairs = pairs
+        self.prefix = prefix
+
+    def section(self, path: str) -> SettingsReader:
+        """Return a reader of the settings below a path."""
+        return SettingsReader(self.pairs, f"{self.prefix}{path}.")
+
+    def text(self, key: str, default: str | None = None) -> str:
+        """Return the text of a setting.
+
+        Raises:
+            ConfigurationError: it is missing and there is no default.
+        """
+        value = self.pairs.get(self.prefix + key, default)
+        if value is None:
+            raise ConfigurationError(f"missing setting '{self.prefix}{key}'")
+        return value
+
+    def number(self, key: str, default: float | None = None, minimum: float = 0.0) -> float:
+        """Return a finite number of `minimum` or more.
+
+        Raises:
+            ConfigurationError: it is no such number, or missing without a default.
+        """
+        if default is not None and not self._has(key):
+            return default
+        return self._convert(
+            key,
+            self.text(key),
+            lambda text: _at_least(float(text), minimum),
+            f"a number, {minimum:g} or more",
+        )
+
+    def optional_number(self, key: str) -> float | None:
+        """Return a number of 0 or more; None where the setting is absent.
+
+        Raises:
+            ConfigurationError: it is no such number.
+        """
+        return self.number(key) if self._has(key) else None
+
+    def whole_number(self, key: str, default: int | None = None, minimum: int = 0) -> int:
+        """Return a whole number of `minimum` or more.
+
+        Raises:
+            ConfigurationError: it is no such number, or missing without a default.
+        """
+        if default is not None and not self._has(key):
+            return default
+        return self._convert(
+            key,
+            self.text(key),
+            lambda text: _at_least(_whole(text), minimum),
+            f"a whole number, {minimum} or more",
+        )
+
+    def boolean(self, key: str, default: str | None = None) -> bool:
+        """Return whether a setting is on.
+
+        Raises:
+            ConfigurationError: it is none of `BOOLEANS`, or missing without a default.
+        """
+        return self.choice(key, BOOLEANS, default)
+
+    def choice(self, key: str, values: Mapping[str, Value], default: str | None = None) -> Value:
+        """Return what the text of a setting stands for.
+
+        Raises:
+            ConfigurationError: it is none of the texts, or missing without a default.
+        """
+        expected = "one of " + ", ".join(values)
+        return self._convert(key, self.text(key, default), values.__getitem__, expected)
+
+    def list_of(self, key: str, convert: Callable[[str], Value]) -> list[Value]:
+        """Return the values of a list, separated by commas; none where the setting is absent.
+
+        Raises:
+            ConfigurationError: a value can't be converted.
+        """
+        return self._convert(
+            key,
+            self.text(key, ""),
+            lambda text: [convert(value) for value in text.split(",")] if text else [],
+            "a list of such values",
+        )
+
+    def _has(self, key: str) -> bool:
+        return self.prefix + key in self.pairs
+
+    def _convert(
+        self, key: str, text: str, convert: Callable[[str], Value], expected: str
+    ) -> Value:
+        try:
+            return convert(text)
+        except (ValueError, KeyError, OverflowError):
+            raise ConfigurationError(
+                f"setting '{self.prefix}{key}' is {text!r}, not {expected}"
+            ) from None
+
+
+def flatten_settings(value: object, path: str = "") -> dict[str, str]:
+    """Turn nested JSON into pairs of a dotted path and a text.
+
+    The values of a plain list are joined by commas. The members of a list of objects have their
+    index as a key, and `count` says how many they are. What is null is left out.
+    """
+    if value is None:
+        return {}
+    if isinstance(value, dict):
+        pairs: dict[str, str] = {}
+        for key, inner in value.items():
+            pairs.update(flatten_settings(inner, f"{path}.{key}" if path else key))
+        return pairs
+    if not isinstance(value, list):
+        return {path: _plain_text(value)}
+    if not any(isinstance(inner, dict | list) for inner in value):
+        return {path: ",".join(_plain_text(inner) for inner in value)}
+    pairs = {f"{path}.count": str(len(value))}
+    for index, inner in enumerate(value):
+        pairs.update(flatten_settings(inner, f"{path}.{index}"))
+    return pairs
+
+
+def _plain_text(value: object) -> str:
+    return str(value).lower() if isinstance(value, bool) else str(value)
+
+
+def _at_least(value: Number, minimum: Number) -> Number:
+    if not math.isfinite(value) or value < minimum:
+        raise ValueError(value)
+    return value
+
+
+def _whole(text: str) -> int:
+    """Return a whole number, which may be written as 3.0 or 1e6."""
+    try:
+        return int(text)
+    except ValueError:
+        if not float(text).is_integer():
+            raise
+        return int(float(text))
--- a/gullyoke/settings/site_settings.py
+++ b/gullyoke/settings/site_settings.py
@@ -1,16 +1,13 @@
-"""The settings of a site turned into the port's facts, for every front.
+"""The facts of a site, read from its settings.
 
-Pairs of a dotted path and a text.
-
-The bench's wire has that form already; `flat` gives it to JSON. Read what is known, pass over the
-rest; a key that is absent is what its absence means in the protocol. What can't be right is told by
-the key's name.
+Settings that are not known are ignored. One that is absent has the meaning that the protocol of the
+platform gives to its absence; one that is invalid raises an error with its path.
 """
 
 from __future__ import annotations
 
-import math
 from collections.abc import Mapping
+from typing import Final
 
 from gullyoke.admission.interface import (
     DependencyFacts,
@@ -24,187 +21,151 @@
     StopMode,
     Tenant,
 )
-from gullyoke.errors import GullyokeError
+from gullyoke.settings.reader import BOOLEANS, SettingsReader
 
-KINDS = {
+IDEMPOTENCY: Final = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.KEYED,
     "once": Idempotency.NON_IDEMPOTENT,
 }
-STOPS = {"off": StopMode.NEVER, "discard": StopMode.DISCARD, "freeze": StopMode.FREEZE}
-BELOW = {"off": False, "one_for_all": True, "tier": True}
-STAMPS = {"off": None, "floor": "floor", "allowance": "allowance", "weight": "weight"}
-COUNTED = {"request": False, "work": True}
-TRUTHS = {"true": True, "false": False, "1": True, "0": False}
-MUST = object()
-
-
-class ConfigurationError(GullyokeError, ValueError):
-    """A setting that is missing or can't be right; the text names its key."""
-
-
-class Stated:
-    """Typed readings of text pairs; every fault names the whole path of its key."""
+STOP_MODES: Final = {
+    "off": StopMode.NEVER,
+    "discard": StopMode.DISCARD,
+    "freeze": StopMode.FREEZE,
+}
+#: Whether there is a dependency, by `DependsOn`.
+DEPENDENCY: Final = {"off": False, "one_for_all": True, "tier": True}
+#: All servers share one dependency and its quota of calls.
+SHARED_DEPENDENCY: Final = "one_for_all"
+LOAD_SIGNALS: Final = {
+    "off": None,
+    "floor": "floor",
+    "allowance": "allowance",
+    "weight": "weight",
+}
+#: Whether value is counted for each unit of work, by `WorthBy`.
+WEIGHS_BY_WORK: Final = {"request": False, "work": True}
 
-    def __init__(self, pairs: Mapping[str, str], path: str = "") -> None:
-        self.pairs, self.path = pairs, path
 
-    def at(self, path: str) -> Stated:
-        return Stated(self.pairs, f"{self.path}{path}.")
+def parse_site_facts(pairs: Mapping[str, str]) -> SiteFacts:
+    """Read the facts of a site.
 
-    def text(self, key: str, default: object = MUST) -> str:
-        value = self.pairs.get(self.path + key, default)
-        if value is MUST:
-            raise ConfigurationError(f"missing setting '{self.path}{key}'")
-        return value
+    Args:
+        pairs: the settings, each text by its dotted path.
 
-    def _read(self, key: str, default: object, make, wanted: str):
-        text = self.text(key, default)
-        try:
-            return make(text) if isinstance(text, str) else text
-        except (ValueError, KeyError, OverflowError):
-            raise ConfigurationError(
-                f"setting '{self.path}{key}' is {text!r}, not {wanted}"
-            ) from None
+    Raises:
+        ConfigurationError: a setting is missing or invalid.
+    """
+    site = SettingsReader(pairs)
+    family = site.section("FamilyInfo")
+    return SiteFacts(
+        request_classes=_request_classes(site, family),
+        tenants=_tenants(site),
+        machine=_machine(family),
+        limits=_limits(site.section("Rules")),
+        dependency=_dependency(family),
+        permissions=_permissions(site.section("Permissions"), family),
+        fleet=_fleet(site, family),
+    )
 
-    def number(self, key: str, default: object = MUST, least: float = 0.0) -> float:
-        return self._read(
-            key, default, lambda text: bounded(float(text), least), f"a number, {least:g} or more"
-        )
 
-    def whole(self, key: str, default: object = MUST, least: int = 0) -> int:
-        return self._read(
-            key,
-            default,
-            lambda text: bounded(exact(text), least),
-            f"a whole number, {least} or more",
+def _request_classes(site: SettingsReader, family: SettingsReader) -> list[RequestClass]:
+    """Two settings list a value for each class; a list that is too short means the default."""
+    calls_dependency = family.list_of("CallsByClass", BOOLEANS.__getitem__)
+    degraded_value_share = family.list_of("ClassSkipWorth", float)
+    classes = []
+    for index in range(site.whole_number("Profiles.count", minimum=1)):
+        classes.append(
+            _request_class(
+                site.section(f"Profiles.{index}"),
+                index < len(calls_dependency) and calls_dependency[index],
+                degraded_value_share[index] if index < len(degraded_value_share) else 0.0,
+            )
         )
+    return classes
+
+
+def _request_class(
+    profile: SettingsReader, calls_dependency: bool, degraded_value_share: float
+) -> RequestClass:
+    idempotency = profile.choice("Semantics", IDEMPOTENCY)
+    keyed = idempotency is Idempotency.KEYED
+    return RequestClass(
+        name=profile.text("Name"),
+        latency_objective=profile.whole_number("ObjectiveUs", minimum=1),
+        timeout=profile.whole_number("DeadlineUs", minimum=1),
+        priority_weight=profile.number("Importance"),
+        idempotency=idempotency,
+        late_value_share=profile.number("LateWorth", 0.0),
+        # Without the time for which a key is remembered, no duplicate would be recognised.
+        key_ttl=profile.whole_number("KeyTtlUs", minimum=1)
+        if keyed
+        else profile.whole_number("KeyTtlUs", 0),
+        calls_dependency=calls_dependency,
+        degraded_value_share=degraded_value_share,
+        objective_stretch=profile.number("AimStretch", 0.0),
+    )
 
-    def truth(self, key: str, default: object = MUST) -> bool:
-        return self.choice(key, TRUTHS, default)
-
-    def choice(self, key: str, table: dict, default: object = MUST):
-        return self._read(key, default, table.__getitem__, "one of " + ", ".join(table))
-
-    def listed(self, key: str, make=str) -> list:
-        return self._read(
-            key,
-            "",
-            lambda text: [make(x) for x in text.split(",")] if text else [],
-            "a list of such values",
-        )
 
+def _tenants(site: SettingsReader) -> list[Tenant]:
+    sections = [
+        site.section(f"Orgs.{index}") for index in range(site.whole_number("Orgs.count", 0))
+    ]
+    return [Tenant(section.text("Name"), section.number("QuotaPerS")) for section in sections]
+
+
+def _machine(family: SettingsReader) -> Machine:
+    return Machine(
+        cores=family.whole_number("Cores", minimum=1),
+        memory_kb=family.number("MemoryKb", minimum=1),
+        running_memory_factor=family.number("Blowup", minimum=1),
+        key_kb=family.number("KeyKb", 0.0),
+        starts_cold=family.boolean("FreshStart", "false"),
+        stop_mode=family.choice("StopMode", STOP_MODES, "off"),
+        gauges=tuple(family.list_of("OwnStats", str)),
+    )
 
-def bounded(value, least):
-    if not math.isfinite(value) or value < least:
-        raise ValueError(value)
-    return value
 
+def _limits(rules: SettingsReader) -> Limits:
+    return Limits(
+        answer_slack=rules.whole_number("AnswerSlackUs"),
+        drain_grace=rules.whole_number("DrainGraceUs"),
+        overload_multiple=rules.number("TipMultiple", minimum=1),
+        overload_window=rules.whole_number("TipAfterUs"),
+        cold_capacity=rules.number("StartCapacity"),
+        warmup_time=rules.whole_number("ColdUs"),
+    )
 
-def exact(text: str) -> int:
-    try:
-        return int(text)
-    except ValueError:
-        if not float(text).is_integer():
-            raise
-        return int(float(text))
 
+def _dependency(family: SettingsReader) -> DependencyFacts:
+    shared = family.text("DependsOn", "off") == SHARED_DEPENDENCY
+    return DependencyFacts(
+        exists=family.choice("DependsOn", DEPENDENCY, "off"),
+        call_quota=family.optional_number("CallsOut") if shared else None,
+        quota_window=family.whole_number("ShareSpanUs", 0),
+        linger=family.whole_number("LingerUs", 0),
+    )
 
-def flat(value: object, path: str = "") -> dict[str, str]:
-    """Nested JSON as the wire's pairs.
 
-    Dotted paths, plain lists joined, lists of objects counted.
-    """
-    if isinstance(value, dict):
-        return {
-            k: v
-            for key, inner in value.items()
-            for k, v in flat(inner, f"{path}.{key}" if path else key).items()
-        }
-    if isinstance(value, list) and any(isinstance(x, dict | list) for x in value):
-        out = {f"{path}.count": str(len(value))}
-        for i, inner in enumerate(value):
-            out.update(flat(inner, f"{path}.{i}"))
-        return out
-    if isinstance(value, list):
-        return {path: ",".join(plain(x) for x in value)}
-    return {} if value is None else {path: plain(value)}
-
-
-def plain(value: object) -> str:
-    return str(value).lower() if isinstance(value, bool) else str(value)
+def _permissions(allowed: SettingsReader, family: SettingsReader) -> Permissions:
+    return Permissions(
+        sends_retry_after=allowed.boolean("RetryAfter", "false"),
+        max_retry_after=allowed.whole_number("MaxRetryAfterUs", 0),
+        load_signal=family.choice("Say", LOAD_SIGNALS, "off"),
+        load_signal_ttl=family.whole_number("HeededUs", 0),
+        reports_client_gone=family.boolean("CancelSeen", "false"),
+        passes_deadline=family.boolean("PassesDeadline", "false"),
+        deep_checks=family.boolean("DeepChecks", "false"),
+        readiness=family.boolean("Readiness", "false"),
+        max_idle=family.whole_number("CallerIdleUs", 0),
+    )
 
 
-def parse_site_facts(pairs: Mapping[str, str]) -> SiteFacts:
-    get = Stated(pairs)
-    info = get.at("FamilyInfo")
-    calls = info.listed("CallsByClass", TRUTHS.__getitem__)
-    skips = info.listed("ClassSkipWorth", float)
-    request_classes = []
-    for i in range(get.whole("Profiles.count", least=1)):
-        own = get.at(f"Profiles.{i}")
-        kind = own.choice("Semantics", KINDS)
-        keyed = kind is Idempotency.KEYED  # without its window no repeat would be known
-        request_classes.append(
-            RequestClass(
-                own.text("Name"),
-                own.whole("ObjectiveUs", least=1),
-                own.whole("DeadlineUs", least=1),
-                own.number("Importance"),
-                kind,
-                own.number("LateWorth", 0.0),
-                own.whole("KeyTtlUs", least=1) if keyed else own.whole("KeyTtlUs", 0),
-                calls[i] if i < len(calls) else False,
-                skips[i] if i < len(skips) else 0.0,
-                own.number("AimStretch", 0.0),
-            )
-        )
-    tenants = [
-        Tenant(own.text("Name"), own.number("QuotaPerS"))
-        for own in (get.at(f"Orgs.{i}") for i in range(get.whole("Orgs.count", 0)))
-    ]
-    machine = Machine(
-        info.whole("Cores", least=1),
-        info.number("MemoryKb", least=1),
-        info.number("Blowup", least=1),
-        info.number("KeyKb", 0.0),
-        info.truth("FreshStart", False),
-        info.choice("StopMode", STOPS, StopMode.NEVER),
-        tuple(info.listed("OwnStats")),
-    )
-    rules = get.at("Rules")
-    limits = Limits(
-        rules.whole("AnswerSlackUs"),
-        rules.whole("DrainGraceUs"),
-        rules.number("TipMultiple", least=1),
-        rules.whole("TipAfterUs"),
-        rules.number("StartCapacity"),
-        rules.whole("ColdUs"),
-    )
-    shared = info.text("DependsOn", "off") == "one_for_all"
-    below = DependencyFacts(
-        info.choice("DependsOn", BELOW, False),
-        info.number("CallsOut", None) if shared else None,
-        info.whole("ShareSpanUs", 0),
-        info.whole("LingerUs", 0),
-    )
-    allowed = get.at("Permissions")
-    permissions = Permissions(
-        allowed.truth("RetryAfter", False),
-        allowed.whole("MaxRetryAfterUs", 0),
-        info.choice("Say", STAMPS, None),
-        info.whole("HeededUs", 0),
-        info.truth("CancelSeen", False),
-        info.truth("PassesDeadline", False),
-        info.truth("DeepChecks", False),
-        info.truth("Readiness", False),
-        info.whole("CallerIdleUs", 0),
-    )
-    fleet = Fleet(
-        get.whole("FleetSize"),
-        get.choice("WorthBy", COUNTED, False),
-        get.number("OverShareWorth", 1.0),
-        info.whole("FreshForUs", 0),
-        info.whole("Callers", 0),
+def _fleet(site: SettingsReader, family: SettingsReader) -> Fleet:
+    return Fleet(
+        size=site.whole_number("FleetSize"),
+        weighs_by_work=site.choice("WorthBy", WEIGHS_BY_WORK, "request"),
+        over_quota_value=site.number("OverShareWorth", 1.0),
+        read_cache_ttl=family.whole_number("FreshForUs", 0),
+        callers=family.whole_number("Callers", 0),
     )
-    return SiteFacts(request_classes, tenants, machine, limits, below, permissions, fleet)
--- a/tests/compatibility/test_configuration.py
+++ b/tests/compatibility/test_configuration.py
@@ -18,7 +18,9 @@
     Tenant,
 )
 from gullyoke.daemon.configuration import load_configuration
-from gullyoke.settings.site_settings import ConfigurationError, SiteFacts, flat, parse_site_facts
+from gullyoke.errors import ConfigurationError
+from gullyoke.settings.reader import flatten_settings
+from gullyoke.settings.site_settings import SiteFacts, parse_site_facts
 
 FILE = DATA / "daemon.json"
 FACTS = SiteFacts(
@@ -51,6 +53,11 @@
     return record
 
 
+def fields(record):
+    """A record's fields in their order, as they are."""
+    return tuple(getattr(record, field.name) for field in dataclasses.fields(record))
+
+
 class Configuration(unittest.TestCase):
     maxDiff = None
 
@@ -64,9 +71,9 @@
             return load_configuration({"NODE_CONFIG": file.name} | (environment or {}), apart)
 
     def test_file(self):
-        found = load_configuration({"NODE_CONFIG": str(FILE)})
+        found = fields(load_configuration({"NODE_CONFIG": str(FILE)}))
         self.assertEqual(
-            tuple(found[:8]),
+            found[:8],
             (
                 "server-1",
                 ("127.0.0.1", 7001),
@@ -80,21 +87,23 @@
         )
         self.assertEqual(values(found[8]), values(FACTS))
         self.assertEqual(found[9], "INFO")
-        self.assertEqual(found[10], flat(json.loads(FILE.read_text())["settings"]))
+        self.assertEqual(found[10], flatten_settings(json.loads(FILE.read_text())["settings"]))
         self.assertEqual(len(found), 11)
 
     def test_environment(self):
-        found = self.load(
-            environment={
-                "NODE_NAME": "server-9",
-                "NODE_LISTEN": "0.0.0.0:8001",
-                "GULLYOKE_LOG": "debug",
-            }
+        found = fields(
+            self.load(
+                environment={
+                    "NODE_NAME": "server-9",
+                    "NODE_LISTEN": "0.0.0.0:8001",
+                    "GULLYOKE_LOG": "debug",
+                }
+            )
         )
-        self.assertEqual(tuple(found[:2]), ("server-9", ("0.0.0.0", 8001)))
+        self.assertEqual(found[:2], ("server-9", ("0.0.0.0", 8001)))
         self.assertEqual(found[9], "DEBUG")
         for level in ("DEBUG", "INFO", "WARNING", "ERROR"):
-            self.assertEqual(self.load(environment={"GULLYOKE_LOG": level})[9], level)
+            self.assertEqual(self.load(environment={"GULLYOKE_LOG": level}).log_level, level)
         for environment in ({}, {"NODE_CONFIG": str(FILE), "GULLYOKE_LOG": "LOUD"}):
             with self.assertRaises(ConfigurationError):
                 load_configuration(environment)
@@ -109,15 +118,16 @@
             (self.load(settings=fewer["Profiles"]), "settings.Profiles"),
             (self.load(settings=fewer["Orgs"]), "settings.Orgs"),
         ):
-            self.assertEqual(found.strange(new), key)
+            self.assertEqual(found.mismatch_with(new), key)
         self.assertEqual(found.changed(found), [])
         self.assertEqual(found.changed(self.load(seed=1)), [])
 
     def test_optional_keys(self):
-        self.assertEqual(self.load(limits=None)[7], 1024)
-        self.assertEqual(self.load(seed=7)[5], 7)
+        self.assertEqual(self.load(limits=None).max_descriptors, 1024)
+        self.assertEqual(self.load(seed=7).seed, 7)
         self.assertEqual(
-            tuple(self.load(apart=True, engine=None, naming=None, db=None)[2:5]), (None, None, None)
+            fields(self.load(apart=True, engine=None, naming=None, db=None))[2:5],
+            (None, None, None),
         )
         for key in ("name", "listen", "engine", "naming", "db", "seed", "stop_ms", "settings"):
             with self.subTest(key), self.assertRaisesRegex(ConfigurationError, key):
@@ -125,7 +135,7 @@
 
     def test_settings_as_pairs(self):
         """Nested settings become dotted paths, as the simulator's wire has them."""
-        pairs = flat(json.loads(FILE.read_text())["settings"])
+        pairs = flatten_settings(json.loads(FILE.read_text())["settings"])
         self.assertEqual(pairs["Profiles.count"], "3")
         self.assertEqual(pairs["Profiles.1.Name"], "book")
         self.assertEqual(pairs["FamilyInfo.CallsByClass"], "true,false,true")
@@ -138,7 +148,7 @@
     maxDiff = None
 
     def pairs(self, **changes):
-        pairs = flat(json.loads(FILE.read_text())["settings"])
+        pairs = flatten_settings(json.loads(FILE.read_text())["settings"])
         return pairs | {key.replace("_", "."): text for key, text in changes.items()}
 
     def test_choices(self):
--- a/tests/crossing/live.py
+++ b/tests/crossing/live.py
@@ -19,9 +19,9 @@
 
 from standins import PATIENCE, ROOT, Sockets, message, request_id
 
-from gullyoke.daemon import daemon as house_module
+from gullyoke.daemon import daemon as daemon_module
 from gullyoke.daemon.configuration import load_configuration
-from gullyoke.daemon.daemon import Daemon
+from gullyoke.daemon.daemon import build_daemon
 from gullyoke.runtime.logs import log
 
 REPEATS = int(os.environ.get("GULLYOKE_REPEATS", "100"))
@@ -131,10 +131,10 @@
         self.callback(os.unlink, self.peers.config)
         self.callback(self.peers.folder.cleanup)
         self.enter_context(
-            mock.patch.object(house_module, "start_logging", lambda *given: mock.Mock())
+            mock.patch.object(daemon_module, "start_logging", lambda *given: mock.Mock())
         )
         log.addHandler(logging.NullHandler())
-        self.daemon = Daemon(load_configuration({"NODE_CONFIG": self.peers.config}))
+        self.daemon = build_daemon(load_configuration({"NODE_CONFIG": self.peers.config}))
         self.daemon.start()
         eventually(lambda: self.daemon.dispatcher.server is not None, "the engine is up")
         self.engine, self.db, self.naming = self.peers.engine, self.peers.db, self.peers.naming
--- a/tests/crossing/test_connections.py
+++ b/tests/crossing/test_connections.py
@@ -26,7 +26,8 @@
 from gullyoke.runtime.lifecycle import Lifecycle
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.worker_pool import WorkerPool
-from gullyoke.settings.site_settings import flat, parse_site_facts
+from gullyoke.settings.reader import flatten_settings
+from gullyoke.settings.site_settings import parse_site_facts
 
 
 class Idle(unittest.TestCase):
@@ -237,7 +238,7 @@
 
         The client is told by the end of the connection at once.
         """
-        dispatcher = Dispatcher(parse_site_facts(flat(site())), 1, Metrics())
+        dispatcher = Dispatcher(parse_site_facts(flatten_settings(site())), 1, Metrics())
         real = connections_module.shut
         for _ in range(REPEATS):
             lifecycle, metrics = Lifecycle(0), Metrics()
@@ -272,7 +273,7 @@
         aside.
         """
         with Live(sockets=64) as live:
-            table, most = live.connections, live.daemon.room.most
+            table, most = live.connections, live.daemon.connection_limits.most
             clients, peak = [], [0]
 
             def look(sock, listener):
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -328,7 +328,7 @@
             for i in range(REPEATS):
                 client.send(f"b{i}", "pay")
                 live.run(f"b{i}", again=[f"b{i - 1}"])
-                eventually(lambda: live.daemon.work.attached, "attached")
+                eventually(lambda: live.daemon.executor.attached, "attached")
                 while not live.engine.joined.empty():
                     live.engine.joined.get()
                 live.engine.drop()
@@ -359,7 +359,7 @@
         with Live() as live:
             client, real = live.client(), EngineLink.attach_and_read.__globals__["connected"]
             for i in range(max(3, REPEATS // 10)):
-                eventually(lambda: live.daemon.work.attached, "attached")
+                eventually(lambda: live.daemon.executor.attached, "attached")
                 old = live.engine
 
                 def moved(address, patience, old=old):
@@ -368,7 +368,7 @@
                         other = type(old)()
                         other.state, other.notices = "warm", old.notices
                         live.engine = other
-                        live.daemon.work.update_address(other.address)
+                        live.daemon.executor.update_address(other.address)
                     return sock
 
                 with mock.patch.dict(EngineLink.attach_and_read.__globals__, {"connected": moved}):
@@ -385,7 +385,7 @@
         Never before that thread is done with it.
         """
         with Live() as live:
-            work, client = live.daemon.work, live.client()
+            work, client = live.daemon.executor, live.client()
             for i in range(REPEATS):
                 eventually(lambda: work.attached, "attached")
                 sock, closed_under = work.sock, []
--- a/tests/crossing/test_signals.py
+++ b/tests/crossing/test_signals.py
@@ -35,11 +35,11 @@
     "before the wait": [("signal", None, "sigwait", [TERM])],
     "reload": [
         ("signal", None, "sigwait", [HUP]),
-        ("gullyoke.daemon.daemon", None, "load_configuration", [TERM]),
+        ("gullyoke.daemon.reload", None, "load_configuration", [TERM]),
     ],
     "two reloads": [
         ("signal", None, "sigwait", [HUP]),
-        ("gullyoke.daemon.daemon", None, "load_configuration", [HUP, TERM]),
+        ("gullyoke.daemon.reload", None, "load_configuration", [HUP, TERM]),
     ],
     "twice": [
         ("signal", None, "sigwait", [TERM]),
--- a/tests/daemon/test_naming.py
+++ b/tests/daemon/test_naming.py
@@ -7,7 +7,7 @@
 import time
 import unittest
 
-from gullyoke.daemon.service_discovery import LIMIT, Naming
+from gullyoke.daemon.service_discovery import REPORT_TIMEOUT_S, ServiceDiscoveryReporter
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
 from gullyoke.runtime.metrics import Metrics
 
@@ -33,7 +33,9 @@
                                 time.sleep(pause)
 
         threading.Thread(target=serve, daemon=True).start()
-        return Naming(listener.getsockname(), "n3", lambda: True, random.Random(1), Metrics())
+        return ServiceDiscoveryReporter(
+            listener.getsockname(), "n3", lambda: True, random.Random(1), Metrics()
+        )
 
     def test_byte_by_byte(self):
         """Each byte comes in time, the answer does not.
@@ -41,12 +43,14 @@
         It is given up when its own time is over.
         """
         with contextlib.ExitStack() as stack:
-            naming = self.served(stack, [ANSWER[i : i + 1] for i in range(len(ANSWER))], LIMIT / 10)
+            naming = self.served(
+                stack, [ANSWER[i : i + 1] for i in range(len(ANSWER))], REPORT_TIMEOUT_S / 10
+            )
             began = time.monotonic()
             with self.assertRaises(ConnectionClosedError) as ended:
                 naming.report()
             self.assertIs(ended.exception.end, CloseReason.STALLED)
-            self.assertLess(time.monotonic() - began, 3 * LIMIT)
+            self.assertLess(time.monotonic() - began, 3 * REPORT_TIMEOUT_S)
 
     def test_more_than_one_answer(self):
         """A connection that is out of step is not used again.
@@ -56,7 +60,7 @@
         with contextlib.ExitStack() as stack:
             naming = self.served(stack, [ANSWER + ANSWER], 0)
             self.assertIs(naming.report(), CloseReason.DECLARED)
-            self.assertIsNone(naming.sock)
+            self.assertIsNone(naming.connection)
             self.assertIs(naming.report(), CloseReason.DECLARED)
 
     def test_pieces_in_time(self):
--- a/tests/executors/test_writing.py
+++ b/tests/executors/test_writing.py
@@ -15,7 +15,8 @@
 from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
 from gullyoke.runtime.messages import Message
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.settings.site_settings import flat, parse_site_facts
+from gullyoke.settings.reader import flatten_settings
+from gullyoke.settings.site_settings import parse_site_facts
 
 
 def request(number):
@@ -109,7 +110,7 @@
 
         Woken before, it would wait for the one that woke it.
         """
-        facts = parse_site_facts(flat(site()))
+        facts = parse_site_facts(flatten_settings(site()))
         dispatcher = Dispatcher(facts, 1, Metrics())
         dispatcher.executor = types.SimpleNamespace(finished=lambda _: None, execute=None)
         dispatcher.server = types.SimpleNamespace(dispatch=lambda _: None)
--- a/tests/frontends/test_fronts.py
+++ b/tests/frontends/test_fronts.py
@@ -17,7 +17,8 @@
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.settings.site_settings import flat, parse_site_facts
+from gullyoke.settings.reader import flatten_settings
+from gullyoke.settings.site_settings import parse_site_facts
 
 START = 1_764_576_000_000_000
 
@@ -63,7 +64,9 @@
     def __init__(self, script, through, cut=None):
         self.now, self.arrived = START, 0
         self.through, self.cut = through, cut
-        facts = parse_site_facts(flat(site(target=600, timeout=2500, cores=2, grace=300)))
+        facts = parse_site_facts(
+            flatten_settings(site(target=600, timeout=2500, cores=2, grace=300))
+        )
         with (
             mock.patch.object(clock, "now", lambda: self.now),
             mock.patch.object(clock, "since", lambda stamp: max(0, self.now - stamp * 1000)),
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -17,6 +17,7 @@
 
 from gullyoke.cli.main import main
 from gullyoke.coordination.signals import Heard, Reading, Stage
+from gullyoke.errors import ConfigurationError
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.membership import Member, Row, Status, began
 from gullyoke.membership.size import Size
@@ -29,7 +30,6 @@
 from gullyoke.peer_transport.status_server import StatusServer, status
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.settings.site_settings import ConfigurationError
 
 KEY, PATIENCE = b"k" * 32, 20
 FILE = 'fleet { name: "f" listen: "127.0.0.1:7900" seed: "127.0.0.1:7900" key_file: "%s" }'
@@ -251,9 +251,9 @@
             self.assertEqual(unit.keys(wanted), (bytes.fromhex("ab" * 32),))
             key.write_text("short")
             with self.assertRaisesRegex(ConfigurationError, "key_file.*right would be"):
-                unit.fits(types.SimpleNamespace(fleet=wanted))
+                unit.check_reload(types.SimpleNamespace(fleet=wanted))
             self.assertEqual(
-                unit.ignored(types.SimpleNamespace(fleet=wanted._replace(zone="other"))),
+                unit.ignored_changes(types.SimpleNamespace(fleet=wanted._replace(zone="other"))),
                 ["fleet.zone"],
             )
             for more, said in (
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -51,12 +51,14 @@
 from gullyoke.codec.buffer import Buffer
 from gullyoke.daemon.command_router import CommandRouter
 from gullyoke.daemon.configuration import load_configuration
+from gullyoke.errors import ConfigurationError
 from gullyoke.runtime import clock
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, PeerKind, outcome
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.logs import RateLimitedQueueHandler
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.settings.site_settings import ConfigurationError, flat, parse_site_facts
+from gullyoke.settings.reader import flatten_settings
+from gullyoke.settings.site_settings import parse_site_facts
 from gullyoke.simulator_adapter import batches
 from gullyoke.simulator_adapter.batches import MalformedMessageError
 
@@ -462,7 +464,8 @@
         }
         right = self.load(whole)
         self.assertEqual(
-            (right.listen, right.seed, right.stop), (("127.0.0.1", 7001), 0x8C1F, 3_200_000)
+            (right.listen, right.seed, right.stop_after_us),
+            (("127.0.0.1", 7001), 0x8C1F, 3_200_000),
         )
         self.assertEqual(right.facts.request_classes[1].idempotency, Idempotency.KEYED)
         self.assertEqual(right.facts.dependency.call_quota, 50.0)
@@ -557,13 +560,18 @@
             "settings": site(),
         }
         ours = self.load(whole)
-        self.assertIsNone(ours.strange(self.load(whole | {"engine": "127.0.0.1:9", "stop_ms": 99})))
-        self.assertEqual(ours.strange(self.load(whole | {"name": "n4"})), "name")
+        self.assertIsNone(
+            ours.mismatch_with(self.load(whole | {"engine": "127.0.0.1:9", "stop_ms": 99}))
+        )
+        self.assertEqual(ours.mismatch_with(self.load(whole | {"name": "n4"})), "name")
         self.assertEqual(
-            ours.strange(self.load(whole | {"settings": site(classes="x-")})), "settings.Profiles"
+            ours.mismatch_with(self.load(whole | {"settings": site(classes="x-")})),
+            "settings.Profiles",
         )
         shared = site() | {"Orgs": [{"Name": "one", "QuotaPerS": 5.0}]}
-        self.assertEqual(ours.strange(self.load(whole | {"settings": shared})), "settings.Orgs")
+        self.assertEqual(
+            ours.mismatch_with(self.load(whole | {"settings": shared})), "settings.Orgs"
+        )
 
     @staticmethod
     def load(config):
@@ -594,7 +602,7 @@
     def test_fault(self):
         """An error in the decisions costs its own req an errored answer; the desk goes on."""
         dispatcher, request = (
-            Dispatcher(parse_site_facts(flat(site())), 1, Metrics()),
+            Dispatcher(parse_site_facts(flatten_settings(site())), 1, Metrics()),
             mock.Mock(outcome=None, key_entry=None, request_id="a"),
         )
         dispatcher.server, dispatcher.requests["a"] = mock.Mock(), request
@@ -621,7 +629,7 @@
         Between them the lock is free and the last policy stands.
         """
         dispatcher, learner = (
-            Dispatcher(parse_site_facts(flat(site())), 1, Metrics()),
+            Dispatcher(parse_site_facts(flatten_settings(site())), 1, Metrics()),
             Learner(0, 40, 2, 1e5, 1e-6),
         )
         learner.steepness, last = [1.0] * 41, learner.policy
