--- a/gullyoke/cli/store.py
+++ b/gullyoke/cli/store.py
@@ -72,7 +72,7 @@
 def list_(folder: str, as_json: bool) -> None:
     """The keys, with the size of each record."""
     found = opened(folder)
-    told({key: found.plan.index[key].size for key in sorted(found.keys())}, as_json)
+    told({key: found.plan.index[key].size_bytes for key in sorted(found.keys())}, as_json)
 
 
 @store.command()
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -85,7 +85,7 @@
                     weight=f"{verdict.weight:.3f}",
                     why=verdict.reason,
                     dropped=store.dropped_bytes,
-                    unwell=self.starts.unwell,
+                    unwell=self.starts.unhealthy_starts,
                 ),
             )
         except OSError as fault:
@@ -123,7 +123,7 @@
         with dispatcher.lock:
             del server.hold.ran  # the class's own again
             row = self.curve.take_snapshot(self.stated, time.time(), self.cold)
-        if row.costs:
+        if row.run_times_us:
             self.put(COLD, rules.pack_row(row))
 
     def follow(self, server) -> None:
@@ -160,8 +160,8 @@
         now = clock.now()
         if now - self.kept < KEEP and not leaving:
             return
-        fit = rules.is_worth_keeping(row.costs, self.usual, warm, leaving)
-        self.usual = rules.usual_run_times(row.costs, self.usual)
+        fit = rules.is_worth_keeping(row.run_times_us, self.usual, warm, leaving)
+        self.usual = rules.usual_run_times(row.run_times_us, self.usual)
         self.kept = now
         if fit:
             self.put(LEARNED, rules.pack_row(row))
--- a/gullyoke/fault_testing/faulty.py
+++ b/gullyoke/fault_testing/faulty.py
@@ -20,6 +20,19 @@
 from gullyoke.storage import folder as storage_folder
 
 POLL = 0.02  # seconds between looks at the file while a call hangs
+# The folder's methods that may fail, and what the file's words and the faults call them.
+FAILING_METHODS = {
+    "list_files": "names",
+    "read": "read",
+    "read_at": "read_at",
+    "create": "create",
+    "append": "append",
+    "sync": "sync",
+    "remove": "remove",
+    "sync_folder": "sync_folder",
+    "allocate": "make",
+    "write_at": "write_at",
+}
 NEW, CHANGE, SYNC = ("create", "append", "make"), ("write_at", "remove"), ("sync", "sync_folder")
 FAULTS = {
     "full": (errno.ENOSPC, NEW),
@@ -52,34 +65,27 @@
     """A folder whose calls ask the file first."""
 
     class Faulty(storage_folder.StorageFolder):
-        def free(self) -> tuple[int, int]:
+        def free_space(self) -> storage_folder.FreeSpace:
             fail(path, "free")
-            left, size = super().free()
+            free_bytes, total_bytes = super().free_space()
             what, *more = word(path)
-            return (0 if what == "full" else int(more[0]) if what == "low" else left), size
+            if what == "full":
+                free_bytes = 0
+            elif what == "low":
+                free_bytes = int(more[0])
+            return storage_folder.FreeSpace(free_bytes, total_bytes)
 
-    def asked(name: str):
-        own = getattr(storage_folder.StorageFolder, name)
+    def asked(method: str, call_name: str):
+        own = getattr(storage_folder.StorageFolder, method)
 
         def call(self, *given):
-            fail(path, name)
+            fail(path, call_name)
             return own(self, *given)
 
         return call
 
-    for name in (
-        "names",
-        "read",
-        "read_at",
-        "create",
-        "append",
-        "sync",
-        "remove",
-        "sync_folder",
-        "make",
-        "write_at",
-    ):
-        setattr(Faulty, name, asked(name))
+    for method, call_name in FAILING_METHODS.items():
+        setattr(Faulty, method, asked(method, call_name))
     return Faulty
 
 
--- a/gullyoke/storage/disk_monitor.py
+++ b/gullyoke/storage/disk_monitor.py
@@ -1,101 +1,116 @@
-"""One folder's disk under watch.
+"""Watches the disk of one folder.
 
-Every call on it is timed and its faults are told, room is looked at, and one that is not well is
-tried now and then. What that means is decided in gullyoke/durability/disk_health.py.
+Every operation on it is timed and its errors are recorded, its free space is looked at, and a disk
+that is not healthy is probed now and then. What that means is decided in
+gullyoke/durability/disk_health.py.
 """
 
 from __future__ import annotations
 
 import errno
+import logging
 import threading
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
-from typing import Any
+from typing import Final
 
 from gullyoke.durability.disk_health import BAD_STATES, DiskHealth, DiskState, DiskStateChange
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.storage import folder as storage_folder
+from gullyoke.storage.folder import FreeSpace, StorageFolder
 
-LOOK = 0.25  # seconds between looks
-TRIAL, TRIED = "trial", 16 * 1024  # a file, and the bytes that it is tried with
-CALLS = (
-    "names",
-    "read",
-    "read_at",
-    "create",
-    "append",
-    "sync",
-    "shut",
-    "remove",
-    "sync_folder",
-    "make",
-    "write_at",
-    "free",
-)
+CHECK_INTERVAL_S: Final = 0.25
+PROBE_FILE: Final = "trial"
+PROBE_BYTES: Final = 16 * 1024
 
 
 class DiskMonitor:
-    """`files` gives what a store calls.
-
-    `heed` hears each turn, on whatever thread came to see it, and must not block. One thread; it
-    ends with `end`, or with the process should the disk hang.
+    """The health of the disk of a folder, from what its operations return and how long they take.
+
+    Attributes:
+        listeners: Called with each change of state, on whatever thread saw it; must not block.
+        quota_left: Gives the share of the quota that is left.
+        on_check: Called with the state after each look at the disk, on the monitor's thread.
+
+    Args:
+        folder: The folder.
+        metrics: Counts the changes of state.
+        draw: Gives a random number from 0 to 1.
+        quota_bytes: What this program may use of the disk; None for all.
     """
 
     def __init__(
-        self, folder: str, metrics: Metrics, draw: Callable[[], float], quota: int | None = None
+        self,
+        folder: str,
+        metrics: Metrics,
+        draw: Callable[[], float],
+        quota_bytes: int | None = None,
     ) -> None:
-        self.folder, self.metrics, self.quota = folder, metrics, quota
-        self.lock, self.condition = threading.RLock(), DiskHealth(clock.now(), draw)
-        self.condition.listeners.append(self.turned)
+        self.folder = folder
+        self.metrics = metrics
+        self.quota_bytes = quota_bytes
+        self.lock = threading.RLock()
+        self.health = DiskHealth(clock.now(), draw)
+        self.health.listeners.append(self._state_changed)
         self.listeners: list[Callable[[DiskStateChange], None]] = []
-        self.ended = False
-        self.quota_left: Callable[[], float] = lambda: 1.0  # the share of the quota that is left
-        self.on_check: Callable[[DiskState], None] = lambda state: None  # after each look
+        self.stopped = False
+        self.quota_left: Callable[[], float] = lambda: 1.0
+        self.on_check: Callable[[DiskState], None] = lambda state: None
 
     def start(self) -> None:
-        threading.Thread(target=self.run, name="disk", daemon=True).start()
+        """Begin to look at the disk, on a thread that ends with `stop`.
 
-    def open_folder(self, at: str, locked: bool = True, made: bool = True) -> MonitoredFolder:
-        """A folder below, or the folder itself."""
-        with self.timed("open"):
-            return MonitoredFolder(storage_folder.StorageFolder(at, locked, made), self)
+        It ends with the process alone should the disk hang.
+        """
+        threading.Thread(target=self._run, name="disk", daemon=True).start()
+
+    def stop(self) -> None:
+        """Look at the disk no more."""
+        self.stopped = True
+
+    def open_folder(self, path: str, locked: bool = True, create: bool = True) -> MonitoredFolder:
+        """Open a folder on this disk; the caller closes it.
 
-    # What is asked.
+        Raises:
+            OSError: As of `StorageFolder`.
+        """
+        with self.timed("open"):
+            # By its module's name: fault tests put a folder with faults in its place.
+            return MonitoredFolder(storage_folder.StorageFolder(path, locked, create), self)
 
     def state(self) -> DiskState:
+        """Give the state of the disk now."""
         with self.lock:
-            return self.condition.state(clock.now())
+            return self.health.state(clock.now())
 
     def accepts_writes(self) -> bool:
-        """Whether a promise may be asked of it now."""
+        """Whether a write that a request waits for may be asked of the disk now."""
         with self.lock:
-            return self.condition.accepts_writes(clock.now())
-
-    # What is seen.
+            return self.health.accepts_writes(clock.now())
 
     @contextmanager
-    def timed(self, what: str, trial: bool = False):
-        """A call on the disk, from its beginning to its end."""
+    def timed(self, operation: str, probe: bool = False) -> Iterator[None]:
+        """Time an operation on the disk and record the error that it raises."""
         with self.lock:
-            number = self.condition.call_started(clock.now(), what)
-        fault = None
+            call_id = self.health.call_started(clock.now(), operation)
+        error_number: int | None = None
         try:
             yield
-        except OSError as found:
-            fault = found.errno or errno.EIO
+        except OSError as error:
+            error_number = error.errno or errno.EIO
             raise
         finally:
             with self.lock:
-                self.condition.call_finished(clock.now(), number, fault, trial)
+                self.health.call_finished(clock.now(), call_id, error_number, probe)
 
-    def turned(self, change: DiskStateChange) -> None:
+    def _state_changed(self, change: DiskStateChange) -> None:
         """Called under the lock."""
         self.metrics.increment(f"disk.{change.current.counter_name}")
         log.log(
-            40 if change.current in BAD_STATES else 30,
+            logging.ERROR if change.current in BAD_STATES else logging.WARNING,
             "disk",
             extra=log_fields(
                 folder=self.folder,
@@ -104,70 +119,132 @@
                 why=change.reason,
             ),
         )
-        for heed in self.listeners:
-            heed(change)
+        for listener in self.listeners:
+            listener(change)
 
-    def run(self) -> None:
-        while not self.ended:
-            time.sleep(LOOK)
+    def _run(self) -> None:
+        while not self.stopped:
+            time.sleep(CHECK_INTERVAL_S)
             try:
-                self.look()
+                self.check()
             except OSError:
-                pass  # it was told
+                pass  # it was recorded where it was raised
             except Exception:
                 self.metrics.record_internal_error("disk")
 
-    def look(self) -> None:
+    def check(self) -> None:
+        """Look at the free space, and probe a disk that is not healthy.
+
+        Raises:
+            OSError: The disk failed; that is recorded.
+        """
         with self.lock:
-            due = self.condition.claim_probe(clock.now())
-            stuck = (
-                bool(self.condition.out) and self.condition.state(clock.now()) is DiskState.STALLED
+            probe_is_due = self.health.claim_probe(clock.now())
+            calls_hang = (
+                bool(self.health.out) and self.health.state(clock.now()) is DiskState.STALLED
             )
-        if stuck:
-            return  # it would hang as well
-        where = MonitoredFolder(storage_folder.StorageFolder(self.folder, False, False), self)
-        left, size = where.free()
-        share = left / max(1, size)
-        if self.quota:
-            share = min(1.0, left / self.quota, self.quota_left())
+        if calls_hang:
+            return  # this one would hang as well
+        folder = storage_folder.StorageFolder(self.folder, False, False)
+        free_share = self._free_share(MonitoredFolder(folder, self).free_space())
         with self.lock:
-            self.condition.set_free_share(clock.now(), share)
-            state = self.condition.state(clock.now())
-        if due:
-            self.try_it(where)
+            self.health.set_free_share(clock.now(), free_share)
+            state = self.health.state(clock.now())
+        if probe_is_due:
+            self._probe(folder)
         self.on_check(state)
 
-    def try_it(self, where: MonitoredFolder) -> None:
-        """Write a little, durably, and take it away again."""
-        with self.timed("a trial", trial=True):
-            own = where.disk
-            if TRIAL in own.names():
-                own.remove(TRIAL)
+    def _free_share(self, space: FreeSpace) -> float:
+        """Give the share that is free of the disk, or of the quota if that is less."""
+        if self.quota_bytes:
+            return min(1.0, space.free_bytes / self.quota_bytes, self.quota_left())
+        return space.free_bytes / max(1, space.total_bytes)
+
+    def _probe(self, folder: StorageFolder) -> None:
+        """Write a little, durably, and remove it again."""
+        with self.timed("a trial", probe=True):
+            if PROBE_FILE in folder.list_files():
+                folder.remove(PROBE_FILE)
             try:
-                own.create(TRIAL)
-                own.append(TRIAL, bytes(TRIED))
-                own.sync(TRIAL)
+                folder.create(PROBE_FILE)
+                folder.append(PROBE_FILE, bytes(PROBE_BYTES))
+                folder.sync(PROBE_FILE)
             finally:
-                own.shut(TRIAL)
-                if TRIAL in own.names():
-                    own.remove(TRIAL)
-
-    def stop(self) -> None:
-        self.ended = True
+                folder.close_file(PROBE_FILE)
+                if PROBE_FILE in folder.list_files():
+                    folder.remove(PROBE_FILE)
 
 
 class MonitoredFolder:
-    """A `Disk` whose calls are timed."""
-
-    def __init__(self, own: Any, watch: DiskMonitor) -> None:
-        self.disk, self.watch = own, watch
-        for name in CALLS:
-            setattr(self, name, self.told(name, getattr(own, name)))
-        self.close = own.close
+    """A `StorageFolder` whose operations are timed.
 
-    def told(self, name: str, call: Callable) -> Callable:
-        def timed(*given):
-            with self.watch.timed(name):
-                return call(*given)
+    The names that are given to the monitor stand in the log.
+    """
 
-        return timed
+    def __init__(self, folder: StorageFolder, monitor: DiskMonitor) -> None:
+        self.folder = folder
+        self.monitor = monitor
+
+    def close(self) -> None:
+        """Close all files and give the lock back."""
+        self.folder.close()
+
+    def list_files(self) -> list[str]:
+        """Give the names of the files."""
+        with self.monitor.timed("names"):
+            return self.folder.list_files()
+
+    def read(self, name: str) -> bytes:
+        """Read a whole file."""
+        with self.monitor.timed("read"):
+            return self.folder.read(name)
+
+    def read_at(self, name: str, offset: int, size_bytes: int) -> bytes:
+        """Read a part of a file."""
+        with self.monitor.timed("read_at"):
+            return self.folder.read_at(name, offset, size_bytes)
+
+    def create(self, name: str) -> None:
+        """Make a file that is not there yet, and open it for appends."""
+        with self.monitor.timed("create"):
+            self.folder.create(name)
+
+    def append(self, name: str, data: bytes) -> None:
+        """Append to a file that this process created."""
+        with self.monitor.timed("append"):
+            self.folder.append(name, data)
+
+    def sync(self, name: str) -> None:
+        """Make durable what was written to a file."""
+        with self.monitor.timed("sync"):
+            self.folder.sync(name)
+
+    def close_file(self, name: str) -> None:
+        """Write no more to a file."""
+        with self.monitor.timed("shut"):
+            self.folder.close_file(name)
+
+    def remove(self, name: str) -> None:
+        """Remove a file."""
+        with self.monitor.timed("remove"):
+            self.folder.remove(name)
+
+    def sync_folder(self) -> None:
+        """Make durable which files there are."""
+        with self.monitor.timed("sync_folder"):
+            self.folder.sync_folder()
+
+    def allocate(self, name: str, size_bytes: int) -> None:
+        """Make a file of so many bytes, or extend it, with its space reserved."""
+        with self.monitor.timed("make"):
+            self.folder.allocate(name, size_bytes)
+
+    def write_at(self, name: str, offset: int, data: bytes) -> None:
+        """Write over a part of a file."""
+        with self.monitor.timed("write_at"):
+            self.folder.write_at(name, offset, data)
+
+    def free_space(self) -> FreeSpace:
+        """Ask how much space is left."""
+        with self.monitor.timed("free"):
+            return self.folder.free_space()
--- a/gullyoke/storage/group_commit.py
+++ b/gullyoke/storage/group_commit.py
@@ -1,119 +1,185 @@
-"""A thread that makes durable what others queue, many at once.
+"""Group commit: a thread that makes durable what others queue, many entries with one sync.
 
-Who holds a lock waits for no disk.
+Whoever holds a lock never waits for the disk.
 """
 
 from __future__ import annotations
 
 import queue
 import threading
-from collections.abc import Callable
+from collections.abc import Callable, Iterable, Sequence
+from typing import Final, Generic, NamedTuple, Protocol, TypeVar
 
 from gullyoke.storage.store import Store, StoreFaultedError, StoreFullError
 
-Told = Callable[[bool], None]
+MAX_QUEUED_ENTRIES: Final = 4096
+MAX_GROUP_ENTRIES: Final = 256
+MAX_PENDING_BYTES: Final = 2**22
+COMPACTED_SEGMENTS_AT_ONCE: Final = 16
+WAKE_KEY: Final = ""  # of an entry that only wakes the thread and is not written
 
+OnCommitted = Callable[[bool], None]
 
-class GroupCommitter:
-    """`put` only queues, `most` entries and `bytes` at once.
 
-    `told` hears on the committer's thread whether it is durable. `weak` after a fault of the disk,
-    until a batch goes well again; `refused` counts what found the queue full; `held`, the bytes
-    that wait or are being written. `first` is put before all else.
+def ignore_outcome(durable: bool) -> None:
+    """For entries whose writer need not know whether they are durable."""
+
+
+class Entry(NamedTuple):
+    """A key to be written, and who is called with whether it is durable.
+
+    Attributes:
+        key: The key.
+        value: Its value; None deletes the key.
+        on_committed: Called on the committer's thread.
+        size_bytes: What it counts for against the bound on pending bytes.
+    """
+
+    key: str
+    value: bytes | None
+    on_committed: OnCommitted
+    size_bytes: int
+
+
+class BatchStore(Protocol):
+    """A store that a batch can be put into: `Store` or `SlotFile`."""
+
+    def put(self, batch: Iterable[tuple[str, bytes | None]]) -> None:
+        """Make a batch durable. Raises StoreFullError or StoreFaultedError."""
+
+
+StoreT = TypeVar("StoreT", bound=BatchStore)
+
+
+class GroupCommitter(Generic[StoreT]):
+    """Queues entries and commits them in groups on a thread of its own.
+
+    The store belongs to that thread from here on. The owner calls `close`.
+
+    Attributes:
+        degraded: The last group could not be made durable.
+        rejected: Entries that found the queue full.
+        pending_bytes: Keys and values that are queued or being written.
+        committed_groups: Groups that were given to the store, durable or not.
+        committed_entries: The entries in them.
+
+    Args:
+        store: What entries are put into.
+        max_entries: How many entries may be queued.
+        group: How many entries a group may have.
+        max_bytes: How many bytes may be pending.
+        initial_batch: Put before all else.
     """
 
     def __init__(
         self,
-        store: Store,
-        max_entries: int = 4096,
-        group: int = 256,
-        bytes: int = 2**22,
-        initial_batch: list[tuple[str, bytes | None]] | None = None,
+        store: StoreT,
+        max_entries: int = MAX_QUEUED_ENTRIES,
+        group: int = MAX_GROUP_ENTRIES,
+        max_bytes: int = MAX_PENDING_BYTES,
+        initial_batch: Sequence[tuple[str, bytes | None]] = (),
     ) -> None:
-        self.store, self.group, self.bytes, self.pending_bytes, self.initial_batch = (
-            store,
-            group,
-            bytes,
-            0,
-            initial_batch,
-        )
-        self.queue: queue.Queue = queue.Queue(max_entries)
-        self.pen, self.untidy = threading.Lock(), False
-        self.degraded, self.rejected, self.committed_groups, self.committed_entries = False, 0, 0, 0
-        self.thread = threading.Thread(target=self.run, name="store", daemon=True)
+        self.store = store
+        self.group = group
+        self.max_bytes = max_bytes
+        self.initial_batch = initial_batch
+        self.queue: queue.Queue[Entry | None] = queue.Queue(max_entries)
+        self.bytes_lock = threading.Lock()
+        self.pending_bytes = 0
+        self.compaction_requested = False
+        self.degraded = False
+        self.rejected = 0
+        self.committed_groups = 0
+        self.committed_entries = 0
+        self.thread = threading.Thread(target=self._run, name="store", daemon=True)
         self.thread.start()
 
-    def put(self, key: str, value: bytes | None, told: Told = lambda durable: None) -> bool:
-        """Queue it; False where the queue is full, and then nobody is told."""
-        size = len(key) + len(value or b"")
-        with self.pen:
-            fits = self.pending_bytes + size <= self.bytes
-            self.pending_bytes += size * fits
-        try:
+    def put(
+        self, key: str, value: bytes | None, on_committed: OnCommitted = ignore_outcome
+    ) -> bool:
+        """Queue an entry; never waits.
+
+        Returns:
+            False where the queue is full; `on_committed` is not called then.
+        """
+        size_bytes = len(key) + len(value or b"")
+        with self.bytes_lock:
+            fits = self.pending_bytes + size_bytes <= self.max_bytes
             if fits:
-                self.queue.put_nowait((key, value, told))
+                self.pending_bytes += size_bytes
+        if fits:
+            try:
+                self.queue.put_nowait(Entry(key, value, on_committed, size_bytes))
                 return True
-        except queue.Full:
-            with self.pen:
-                self.pending_bytes -= size
+            except queue.Full:
+                with self.bytes_lock:
+                    self.pending_bytes -= size_bytes
         self.rejected += 1
         return False
 
     def request_compaction(self) -> None:
-        """Compact away what is dead before the next batch, little as it may be."""
-        self.untidy = True
-        self.put("", None)
+        """Compact away what is dead before the next group, little as it may be."""
+        self.compaction_requested = True
+        self.put(WAKE_KEY, None)
 
-    def run(self) -> None:
+    def _run(self) -> None:
         if self.initial_batch:
-            self.commit(
-                [(key, value, lambda durable: None) for key, value in self.initial_batch], False
+            self._commit(
+                [Entry(key, value, ignore_outcome, 0) for key, value in self.initial_batch]
             )
-            self.initial_batch = None
+            self.initial_batch = ()
         while (first := self.queue.get()) is not None:
-            if self.untidy:
-                self.untidy = False
-                self.store.compact(16, eager=True)
+            if self.compaction_requested:
+                self.compaction_requested = False
+                self._compact()
             batch = [first]
-            last = False
-            while len(batch) < self.group and not last:
-                try:
-                    more = self.queue.get_nowait()
-                except queue.Empty:
-                    break
-                if more is None:
-                    last = True
-                else:
-                    batch.append(more)
-            self.commit(batch)
-            if last:
+            closing = self._fill(batch)
+            self._commit(batch)
+            if closing:
                 return
 
-    def commit(self, batch: list[tuple[str, bytes | None, Told]], counted: bool = True) -> None:
+    def _compact(self) -> None:
+        if isinstance(self.store, Store):  # slots have nothing to compact
+            self.store.compact(COMPACTED_SEGMENTS_AT_ONCE, eager=True)
+
+    def _fill(self, batch: list[Entry]) -> bool:
+        """Add what is queued, up to a group; whether the committer is being closed."""
+        while len(batch) < self.group:
+            try:
+                entry = self.queue.get_nowait()
+            except queue.Empty:
+                return False
+            if entry is None:
+                return True
+            batch.append(entry)
+        return False
+
+    def _commit(self, batch: list[Entry]) -> None:
         try:
-            self.store.put([(key, value) for key, value, _ in batch if key])
-            self.degraded, durable = False, True
+            self.store.put([(entry.key, entry.value) for entry in batch if entry.key != WAKE_KEY])
+            durable = True
         except (StoreFullError, StoreFaultedError):
-            self.degraded, durable = True, False
-        self.committed_groups, self.committed_entries = (
-            self.committed_groups + 1,
-            self.committed_entries + len(batch),
-        )
-        with self.pen:
-            self.pending_bytes -= counted * sum(
-                len(key) + len(value or b"") for key, value, _ in batch
-            )
-        for _, _, told in batch:
-            told(durable)
+            durable = False
+        self.degraded = not durable
+        self.committed_groups += 1
+        self.committed_entries += len(batch)
+        with self.bytes_lock:
+            self.pending_bytes -= sum(entry.size_bytes for entry in batch)
+        for entry in batch:
+            entry.on_committed(durable)
+
+    def close(self, timeout_s: float | None = None) -> bool:
+        """Make durable what is queued, then end the thread.
 
-    def close(self, patience: float | None = None) -> bool:
-        """All that is queued is made durable first, for so many seconds at the most.
+        Args:
+            timeout_s: How long to wait for space in the queue, and again for the thread.
 
-        Whether it was.
+        Returns:
+            Whether all of it was written and the thread has ended.
         """
         try:
-            self.queue.put(None, timeout=patience)
+            self.queue.put(None, timeout=timeout_s)
         except queue.Full:
             return False
-        self.thread.join(patience)
+        self.thread.join(timeout_s)
         return not self.thread.is_alive()
--- a/gullyoke/storage/run_time_history.py
+++ b/gullyoke/storage/run_time_history.py
@@ -1,152 +1,194 @@
-"""What a server remembers over a restart, and when it trusts it.
+"""What a server keeps of its usual run times over a restart, and when the next start may use it.
 
-No I/O: records in, verdicts out.
+No I/O: rows in, verdicts out.
 
-What is remembered are the usual times of runs and of calls below. What is not: the learner's counts
-(tried: half of them given back cost 0.034 of the value in the first 30 s after a cold start,
-simulated over 30 seeds; a cold server is not the machine that they were taken from), limits (they
-follow from what is stated), keys (they need a word before each run), anything of reqs.
+Kept are the usual times of runs and of dependency calls. Not kept are:
+
+- the learner's counts: given back at half their weight they cost 0.034 of the value in the first
+  30 s after a cold start (simulated over 30 seeds), since a cold server is not the machine that
+  they were taken from;
+- limits, which follow from the settings;
+- idempotency keys, which need a record before each run (gullyoke/durability);
+- anything of single requests.
+
+The names of a row's fields on the disk are those given to `rename`.
 """
 
 from __future__ import annotations
 
 import json
-from typing import NamedTuple
+from typing import Final, NamedTuple, TypeVar
 
 import google_crc32c
 import msgspec
 
 from gullyoke.admission.controller import AdmissionController
 
-VERSION = 1
-HALF_LIFE_S = 3600.0  # seconds in which what was learned loses half of its weight
-MAX_AGE_S = 24 * 3600.0  # seconds after which it is not used at all
-MAX_WEIGHT = 0.5  # of what was learned at the most: the rest is found anew
-HEALTHY_AFTER_S = 60.0  # seconds of service without trouble after which a start has gone well
-MAX_UNHEALTHY_STARTS = 3  # starts in a row that never came to calm: the memory may be the cause
-SLOW_FACTOR = 2.0  # times what is usual at which a spell is not fit to be remembered
-
-
-class RunTimeSnapshot(msgspec.Struct, frozen=True):
-    """One snapshot.
-
-    `stated` is the digest of what the server was told; `at` Unix seconds; times of runs and calls
-    in microseconds.
+ROW_VERSION: Final = 1
+HALF_LIFE_S: Final = 3600.0  # in which a snapshot loses half of its weight
+MAX_AGE_S: Final = 24 * 3600.0  # an older snapshot is not used at all
+MAX_WEIGHT: Final = 0.5  # of a snapshot: the rest is learned anew
+HEALTHY_AFTER_S: Final = 60.0  # of service without trouble after which a start was healthy
+MAX_UNHEALTHY_STARTS: Final = 3  # in a row; after more the snapshot may be the cause
+SLOW_FACTOR: Final = 2.0  # times the usual at which run times are not worth keeping
+MAX_GROWTH: Final = 1.1  # of the usual times from one snapshot to the next
+
+
+class RunTimeSnapshot(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "settings_digest": "stated",
+        "taken_at_s": "at",
+        "run_times_us": "costs",
+        "dependency_call_us": "call",
+    },
+):
+    """What a server had learned at one moment.
+
+    Attributes:
+        settings_digest: The digest of the settings under which it was learned.
+        taken_at_s: When, in seconds of the Unix clock.
+        run_times_us: The usual time of a run by request class, in microseconds.
+        dependency_call_us: The usual time of a dependency call, in microseconds.
+        version: Of the row.
     """
 
-    stated: int
-    at: float
-    costs: dict[str, float]
-    call: float
-    version: int = VERSION
+    settings_digest: int
+    taken_at_s: float
+    run_times_us: dict[str, float]
+    dependency_call_us: float
+    version: int = ROW_VERSION
+
 
+class StartHistory(msgspec.Struct, frozen=True, rename={"unhealthy_starts": "unwell"}):
+    """How the last starts went.
 
-class StartHistory(msgspec.Struct, frozen=True):
-    """How the last starts went: how many in a row did not come to calm."""
+    Attributes:
+        unhealthy_starts: How many in a row did not become healthy.
+        version: Of the row.
+    """
 
-    unwell: int = 0
-    version: int = VERSION
+    unhealthy_starts: int = 0
+    version: int = ROW_VERSION
 
 
 class SnapshotVerdict(NamedTuple):
-    """How much of a snapshot counts, 0 for none of it, and why."""
+    """How much of a snapshot counts, from 0 for none of it, and why."""
 
     weight: float
     reason: str
 
 
-def settings_digest(stated: object) -> int:
-    """Of all that the server was told.
-
-    A memory of another machine, other handlers or limits is none.
-    """
-    return google_crc32c.value(json.dumps(stated, sort_keys=True, default=str).encode())
+def settings_digest(settings: object) -> int:
+    """Digest all settings of a server; a snapshot of other settings is not used."""
+    text = json.dumps(settings, sort_keys=True, default=str)
+    digest: int = google_crc32c.value(text.encode())
+    return digest
 
 
 def is_worth_keeping(
-    costs: dict[str, float], usual: dict[str, float], warm: bool, leaving: bool
+    run_times_us: dict[str, float], usual_us: dict[str, float], warm: bool, draining: bool
 ) -> bool:
-    """Whether this moment may be remembered.
+    """Whether the run times of now may be kept for the next start.
 
-    Warm, not leaving, runs no slower than twice the usual. Times learned in a slow or cold spell
-    would shed, after the restart, what a well server can do.
+    Only of a warm server that does not drain and runs no slower than twice the usual: times of a
+    slow or cold spell would, after the restart, reject what a healthy server can do.
     """
-    slow = any(cost > SLOW_FACTOR * usual.get(name, cost) for name, cost in costs.items())
-    return warm and not leaving and not slow
+    slow = any(
+        run_time_us > SLOW_FACTOR * usual_us.get(name, run_time_us)
+        for name, run_time_us in run_times_us.items()
+    )
+    return warm and not draining and not slow
 
 
-def usual_run_times(costs: dict[str, float], usual: dict[str, float]) -> dict[str, float]:
-    """The usual times, moved a little towards those of now.
+def usual_run_times(run_times_us: dict[str, float], usual_us: dict[str, float]) -> dict[str, float]:
+    """Move the usual times towards those of now.
 
-    The lowest of late, rising by a tenth a snapshot at most, so that a lasting change is believed
+    They fall at once and rise by a tenth a snapshot at most, so that a lasting change is believed
     in the end.
     """
-    return {name: min(cost, 1.1 * usual.get(name, cost)) for name, cost in costs.items()}
+    return {
+        name: min(run_time_us, MAX_GROWTH * usual_us.get(name, run_time_us))
+        for name, run_time_us in run_times_us.items()
+    }
 
 
 def judge_snapshot(
-    found: RunTimeSnapshot | None, stated: int, now: float, starts: StartHistory
+    snapshot: RunTimeSnapshot | None, settings_digest: int, now_s: float, starts: StartHistory
 ) -> SnapshotVerdict:
-    """How much of a snapshot a start may use.
+    """Say how much of a snapshot a start may use.
 
-    A clock that went back makes it neither younger nor older.
+    Its weight falls with its age; a clock that went back makes it neither younger nor older.
+
+    Args:
+        snapshot: What the last start kept, if anything.
+        settings_digest: Of this start's settings.
+        now_s: Seconds of the Unix clock.
+        starts: How the last starts went.
     """
-    if found is None:
+    if snapshot is None:
         return SnapshotVerdict(0.0, "nothing remembered")
-    if found.version != VERSION:
-        return SnapshotVerdict(0.0, f"version {found.version}")
-    if found.stated != stated:
+    if snapshot.version != ROW_VERSION:
+        return SnapshotVerdict(0.0, f"version {snapshot.version}")
+    if snapshot.settings_digest != settings_digest:
         return SnapshotVerdict(0.0, "other things were stated")
-    if starts.unwell >= MAX_UNHEALTHY_STARTS:
-        return SnapshotVerdict(0.0, f"{starts.unwell} starts that did not come to calm")
-    age = max(0.0, now - found.at)
-    if age > MAX_AGE_S:
+    if starts.unhealthy_starts >= MAX_UNHEALTHY_STARTS:
+        return SnapshotVerdict(0.0, f"{starts.unhealthy_starts} starts that did not come to calm")
+    age_s = max(0.0, now_s - snapshot.taken_at_s)
+    if age_s > MAX_AGE_S:
         return SnapshotVerdict(0.0, "too old")
-    return SnapshotVerdict(MAX_WEIGHT * 0.5 ** (age / HALF_LIFE_S), "remembered")
+    return SnapshotVerdict(MAX_WEIGHT * 0.5 ** (age_s / HALF_LIFE_S), "remembered")
 
 
 def start_begun(starts: StartHistory) -> StartHistory:
-    """A start counts as unwell until it has come to calm."""
-    return StartHistory(starts.unwell + 1)
-
+    """Count a start that begins; it counts as unhealthy until it has become healthy."""
+    return StartHistory(starts.unhealthy_starts + 1)
 
-def is_healthy_start(served: float, faults: int, crowded: bool) -> bool:
-    """Whether this start has gone well.
 
-    So many seconds of service, without faults of our own or a crowd.
-    """
-    return served >= HEALTHY_AFTER_S and not faults and not crowded
+def is_healthy_start(served_s: float, internal_errors: int, overloaded: bool) -> bool:
+    """Whether this start has served for long enough, without internal errors or an overload now."""
+    return served_s >= HEALTHY_AFTER_S and not internal_errors and not overloaded
 
 
-# To and from the decisions. Called under the desk's lock: copies of small tables and nothing else.
+# To and from the decisions. Called under the dispatcher's lock: copies of small tables alone.
 
 
-def take_snapshot(server: AdmissionController, stated: int, at: float) -> RunTimeSnapshot | None:
-    """A snapshot of what the decisions have learned; None before their first req."""
+def take_snapshot(
+    server: AdmissionController, settings_digest: int, now_s: float
+) -> RunTimeSnapshot | None:
+    """Copy what the decisions have learned; None before their first request."""
     if server.learner is None:
         return None
-    return RunTimeSnapshot(
-        stated, at, {h.name: cost for h, cost in server.hold.cost.items()}, server.below.usual
-    )
+    run_times_us = {request_class.name: cost for request_class, cost in server.hold.cost.items()}
+    return RunTimeSnapshot(settings_digest, now_s, run_times_us, server.below.usual)
+
+
+def apply_snapshot(server: AdmissionController, snapshot: RunTimeSnapshot, weight: float) -> None:
+    """Move the first guesses of the decisions towards a snapshot, by its weight from 0 to 1."""
+    costs = server.hold.cost
+    for request_class in costs:
+        if request_class.name in snapshot.run_times_us:
+            kept = snapshot.run_times_us[request_class.name]
+            costs[request_class] += weight * (kept - costs[request_class])
+    usual_us = snapshot.dependency_call_us * (weight > 0)
+    server.below.usual = usual_us
+    server.below.lately = usual_us
 
 
-def apply_snapshot(server: AdmissionController, found: RunTimeSnapshot, weight: float) -> None:
-    """Let the decisions begin with a part of what was learned, beside their first guesses."""
-    for h in server.hold.cost:
-        if h.name in found.costs:
-            server.hold.cost[h] += weight * (found.costs[h.name] - server.hold.cost[h])
-    server.below.usual = server.below.lately = found.call * (weight > 0)
+RowT = TypeVar("RowT", bound=msgspec.Struct)
 
 
 def pack_row(row: msgspec.Struct) -> bytes:
+    """Give the bytes of a row."""
     return msgspec.msgpack.encode(row)
 
 
-def unpack_row(data: bytes | None, kind: type) -> msgspec.Struct | None:
-    """A row as it was kept; None where there is none, or it is of a form that is not known."""
+def unpack_row(data: bytes | None, row_type: type[RowT]) -> RowT | None:
+    """Read a row; None where there is none, or it is of a form that is not known."""
     if data is None:
         return None
     try:
-        return msgspec.msgpack.decode(data, type=kind)
+        return msgspec.msgpack.decode(data, type=row_type)
     except msgspec.MsgspecError:
         return None
--- a/gullyoke/storage/store.py
+++ b/gullyoke/storage/store.py
@@ -1,29 +1,32 @@
-"""The store: segments of records in a folder, the newest record of each key found by an index in
-memory.
+"""A key-value store of append-only segments in a folder, with its index in memory.
+
+The design is that of Bitcask (Sheehy and Smith 2010); docs/store.md has the format.
 """
 
 from __future__ import annotations
 
 import re
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable, Iterator, Sequence
+from typing import Final
 
 from gullyoke.errors import GullyokeError
-from gullyoke.storage.compaction_plan import CompactionPlan
+from gullyoke.storage.compaction_plan import CompactionPlan, RecordLocation
 from gullyoke.storage.folder import FileOperations
 from gullyoke.storage.record import (
-    DELETED,
-    FORMAT,
-    HEADER,
-    PUT,
+    SEGMENT_FORMAT,
+    DamagedBytes,
     LocatedRecord,
     Record,
+    RecordKind,
     pack_record,
     scan_records,
     segment_header,
     unpack_record,
 )
 
-NAME = re.compile(r"([0-9]{10})\.seg")
+SEGMENT_NAME: Final = re.compile(r"([0-9]{10})\.seg")
+DEFAULT_SEGMENT_BYTES: Final = 2**22
+DEFAULT_QUOTA_BYTES: Final = 2**28
 
 
 class StoreFullError(GullyokeError, OSError):
@@ -31,190 +34,246 @@
 
 
 class StoreFaultedError(GullyokeError, OSError):
-    """It was not made durable: the segment is closed and the next batch begins another.
+    """A batch was not made durable: its segment is closed and the next batch begins another.
 
     What it held may or may not be there after a crash; the caller's batch is not in force.
     """
 
 
 class StoreVersionError(GullyokeError, OSError):
-    """A later release wrote it. Nothing of it is read, and nothing is written to it."""
+    """A later release wrote the folder. Nothing of it is read, and nothing is written to it."""
 
 
 class Store:
-    """Opened on a folder, whatever state that is in.
-
-    Counts what it met: `dropped` bytes that were no whole record, `faults` of the disk; `format`,
-    the oldest of its segments.
-
-    Never appends behind what an earlier life wrote: each start begins a segment, so that a torn end
-    stays an end. Raises `OSError` only where the folder can't be read or written at all, or is
-    `Newer`.
+    """A store opened on a folder, whatever state that is in. Not for several threads at once.
+
+    It never appends behind what an earlier process wrote: each start begins a segment, so that a
+    torn end stays an end.
+
+    Attributes:
+        plan: The index, the use of the segments, and what is compacted next.
+        dropped_bytes: Bytes met that were no whole record.
+        faults: Errors of the disk met while writing.
+        compacted_segments: Segments removed after their live records were copied.
+        oldest_format: The oldest format among the segments.
+        next_segment: The number of the next segment.
+        active: The number of the segment that is written to; None until the first write.
+
+    Raises:
+        OSError: The folder can't be read or written at all.
+        StoreVersionError: A later release wrote it.
     """
 
     def __init__(
-        self, files: FileOperations, segment_bytes: int = 2**22, quota_bytes: int = 2**28
+        self,
+        files: FileOperations,
+        segment_bytes: int = DEFAULT_SEGMENT_BYTES,
+        quota_bytes: int = DEFAULT_QUOTA_BYTES,
     ) -> None:
-        self.files, self.plan = files, CompactionPlan(segment_bytes, quota_bytes)
-        self.dropped_bytes = self.faults = self.compacted_segments = 0
-        self.active, self.format = None, FORMAT
-        for name in files.names():
-            if match := NAME.fullmatch(name):
+        self.files = files
+        self.plan = CompactionPlan(segment_bytes, quota_bytes)
+        self.dropped_bytes = 0
+        self.faults = 0
+        self.compacted_segments = 0
+        self.active: int | None = None
+        self.oldest_format = SEGMENT_FORMAT
+        for name in files.list_files():
+            if match := SEGMENT_NAME.fullmatch(name):
                 self._recover(int(match[1]), files.read(name))
-        self.next = max(self.plan.segments, default=0) + 1
+        self.next_segment = max(self.plan.segments, default=0) + 1
 
     def _recover(self, number: int, data: bytes) -> None:
-        self.plan.begin(number)
-        format_ = 1
+        self.plan.add_segment(number)
+        segment_format = 1
         for found in scan_records(data):
-            if isinstance(found, LocatedRecord) and found.record.kind == HEADER:
-                format_ = found.record.seq
-                if format_ > FORMAT:
+            if isinstance(found, DamagedBytes):
+                self.dropped_bytes += found.size_bytes
+                self.plan.add_dead_bytes(number, found.size_bytes)
+            elif found.record.kind == RecordKind.HEADER:
+                segment_format = found.record.sequence
+                if segment_format > SEGMENT_FORMAT:
                     raise StoreVersionError(
-                        f"{name_of(number)} is of format {format_}; {FORMAT} is the newest known"
+                        f"{segment_name(number)} is of format {segment_format}; "
+                        f"{SEGMENT_FORMAT} is the newest known"
                     )
-                self.plan.add_dead_bytes(number, found.size)
-            elif isinstance(found, LocatedRecord):
-                self.plan.note(found.record, number, found.at, found.size)
+                self.plan.add_dead_bytes(number, found.size_bytes)
             else:
-                self.dropped_bytes += found
-                self.plan.add_dead_bytes(number, found)
-        self.format = min(self.format, format_)
-
-    # Reading.
+                self.plan.add_record(found.record, number, found.offset, found.size_bytes)
+        self.oldest_format = min(self.oldest_format, segment_format)
 
     def get(self, key: str) -> bytes | None:
-        """The newest value of a key; None where there is none.
+        """Read the newest value of a key; None where there is none.
 
         A record that can't be read any more counts as dropped and is not served.
+
+        Raises:
+            OSError: The file can't be read.
         """
-        place = self.plan.index.get(key)
-        if place is None or place.gone:
+        location = self.plan.index.get(key)
+        if location is None or location.deleted:
             return None
-        found = unpack_record(self.files.read_at(name_of(place.segment), place.at, place.size), 0)
-        if found is None or found.record.key != key or found.record.seq != place.seq:
-            self.dropped_bytes += place.size
+        located = self._read(location)
+        if (
+            located is None
+            or located.record.key != key
+            or located.record.sequence != location.sequence
+        ):
+            self.dropped_bytes += location.size_bytes
             del self.plan.index[key]
             return None
-        return found.record.value
+        return located.record.value
+
+    def _read(self, location: RecordLocation) -> LocatedRecord | None:
+        name = segment_name(location.segment)
+        return unpack_record(self.files.read_at(name, location.offset, location.size_bytes), 0)
 
     def keys(self) -> list[str]:
-        return [key for key, place in self.plan.index.items() if not place.gone]
+        """Give the keys that have a value."""
+        return [key for key, location in self.plan.index.items() if not location.deleted]
 
     def items(self) -> Iterator[tuple[str, bytes]]:
+        """Read all keys and their values.
+
+        Raises:
+            OSError: A file can't be read.
+        """
         for key in self.keys():
             value = self.get(key)
             if value is not None:
                 yield key, value
 
-    # Writing.
-
     def put(self, batch: Iterable[tuple[str, bytes | None]]) -> None:
-        """Make a batch durable; None takes a key out.
+        """Make a batch durable; a value of None deletes its key.
+
+        It is in force once this returns, and each record by itself is whole or absent after a
+        crash.
 
-        In force once this returns, and each record by itself whole or absent after a crash. Raises
-        `Full` with nothing of it in force, or `Faulted`.
+        Raises:
+            StoreFullError: It does not fit the quota; nothing of it is in force.
+            StoreFaultedError: The disk failed; it is not in force, but may be after a crash.
+            RecordTooLargeError: A value is too long; nothing of it is in force.
         """
-        records = [
-            Record(self.plan.next_seq(), key, value or b"", DELETED if value is None else PUT)
-            for key, value in batch
-        ]
+        records = []
+        for key, value in batch:
+            kind = RecordKind.DELETED if value is None else RecordKind.PUT
+            records.append(Record(self.plan.next_sequence(), key, value or b"", kind))
         self._write(records)
         self.compact()
 
-    def _write(self, records: list[Record]) -> None:
+    def _write(self, records: Sequence[Record]) -> None:
         packed = [pack_record(record) for record in records]
-        size = sum(map(len, packed))
-        if not self.plan.fits(size):
-            raise StoreFullError(f"{size} bytes more than the quota of {self.plan.quota_bytes}")
+        size_bytes = sum(map(len, packed))
+        if not self.plan.fits(size_bytes):
+            raise StoreFullError(
+                f"{size_bytes} bytes more than the quota of {self.plan.quota_bytes}"
+            )
         try:
-            if self.active is None or self.plan.rolls(self.active, size):
-                self._begin()
-            name = name_of(self.active)
-            self.files.append(name, b"".join(packed))
-            self.files.sync(name)
-        except OSError as fault:
-            # A sync that failed may have thrown away what it was to write: another one proves
-            # nothing.
+            segment = self._segment_for(size_bytes)
+            self._append_and_sync(segment, packed)
+        except OSError as error:
+            # After a failed sync the kernel may have dropped the pages, so that a second sync would
+            # prove nothing (Rebello et al. 2020): the segment is closed.
             self.faults += 1
             if self.active is not None:
-                self._close(size)
-            raise StoreFaultedError(*fault.args) from fault
-        at = self.plan.segments[self.active].size
-        for record, data in zip(records, packed, strict=True):
-            self.plan.note(record, self.active, at, len(data))
-            at += len(data)
+                self._close_active(size_bytes)
+            raise StoreFaultedError(*error.args) from error
+        self._index(records, packed, segment)
 
-    def _begin(self) -> None:
+    def _segment_for(self, size_bytes: int) -> int:
+        """Give the segment for so many bytes; a new one where the active one would be too large."""
+        if self.active is None or self.plan.needs_new_segment(self.active, size_bytes):
+            return self._begin_segment()
+        return self.active
+
+    def _begin_segment(self) -> int:
         if self.active is not None:
-            self._close(0)
-        number, self.next = self.next, self.next + 1
-        self.files.create(name_of(number))
-        self.plan.begin(number)
+            self._close_active(0)
+        number = self.next_segment
+        self.next_segment += 1
+        self.files.create(segment_name(number))
+        self.plan.add_segment(number)
         self.active = number
-        self.files.append(name_of(number), segment_header())  # made durable with the first batch
-        self.plan.add_dead_bytes(number, len(segment_header()))
+        header = segment_header()
+        self.files.append(segment_name(number), header)  # made durable with the first batch
+        self.plan.add_dead_bytes(number, len(header))
         self.files.sync_folder()
-
-    def _close(self, unknown: int) -> None:
-        """It gets no more; `unknown` bytes at its end may be there."""
-        self.plan.add_dead_bytes(self.active, unknown)
-        self.files.shut(name_of(self.active))
+        return number
+
+    def _close_active(self, uncertain_bytes: int) -> None:
+        """Write no more to the active segment, at whose end so many bytes may be there or not."""
+        if self.active is None:
+            return
+        self.plan.add_dead_bytes(self.active, uncertain_bytes)
+        self.files.close_file(segment_name(self.active))
         self.active = None
 
-    # Compaction.
+    def _append_and_sync(self, segment: int, packed: Sequence[bytes]) -> None:
+        name = segment_name(segment)
+        self.files.append(name, b"".join(packed))
+        self.files.sync(name)
+
+    def _index(self, records: Sequence[Record], packed: Sequence[bytes], segment: int) -> None:
+        """Account for records that were appended to a segment."""
+        offset = self.plan.segments[segment].size_bytes
+        for record, data in zip(records, packed, strict=True):
+            self.plan.add_record(record, segment, offset, len(data))
+            offset += len(data)
+
+    def compact(self, max_segments: int = 1, eager: bool = False) -> int:
+        """Copy the live records of the oldest segments forward and remove these.
+
+        An error of the disk leaves all as it is, and is counted.
 
-    def compact(self, most: int = 1, eager: bool = False) -> int:
-        """Copy the live records of the oldest segments forward and remove these, `most` of them
-        where that is due, or where anything is dead if `eager`; how many it were. A fault of the
-        disk leaves all as it is.
+        Args:
+            max_segments: How many segments at the most.
+            eager: Also where little is dead.
+
+        Returns:
+            How many segments were removed.
         """
-        done = 0
-        while (
-            done < most and (oldest := self.plan.to_compact(self.active or -1, eager)) is not None
-        ):
+        removed = 0
+        while removed < max_segments:
+            oldest = self.plan.segment_to_compact(self.active, eager)
+            if oldest is None:
+                break
             try:
-                records = []
-                for key in self.plan.kept(oldest):
-                    place = self.plan.index[key]
-                    found = unpack_record(
-                        self.files.read_at(name_of(oldest), place.at, place.size), 0
-                    )
-                    if found is None:
-                        self.dropped_bytes += place.size
-                    else:
-                        records.append(found.record)
-                if records:
-                    self._copy(records)
-                self.files.remove(name_of(oldest))
+                self._copy_live_records(oldest)
+                self.files.remove(segment_name(oldest))
                 self.files.sync_folder()
             except OSError:
                 self.faults += 1
-                return done
-            self.plan.end(oldest)
+                break
+            self.plan.remove_segment(oldest)
             self.compacted_segments += 1
-            done += 1
-        return done
+            removed += 1
+        return removed
 
-    def _copy(self, records: list[Record]) -> None:
-        """As they are, sequence and all.
+    def _copy_live_records(self, oldest: int) -> None:
+        """Copy them as they are, with their sequences.
 
         After a crash between copy and removal both say the same.
         """
+        records = []
+        for key in self.plan.live_keys(oldest):
+            location = self.plan.index[key]
+            located = self._read(location)
+            if located is None:
+                self.dropped_bytes += location.size_bytes
+            else:
+                records.append(located.record)
+        if not records:
+            return
         packed = [pack_record(record) for record in records]
-        if self.active is None or self.plan.rolls(self.active, sum(map(len, packed))):
-            self._begin()
-        name, at = name_of(self.active), self.plan.segments[self.active].size
+        size_bytes = sum(map(len, packed))
+        segment = self._segment_for(size_bytes)
         try:
-            self.files.append(name, b"".join(packed))
-            self.files.sync(name)
+            self._append_and_sync(segment, packed)
         except OSError:
-            self._close(sum(map(len, packed)))
+            self._close_active(size_bytes)
             raise
-        for record, data in zip(records, packed, strict=True):
-            self.plan.note(record, self.active, at, len(data))
-            at += len(data)
+        self._index(records, packed, segment)
 
 
-def name_of(number: int) -> str:
+def segment_name(number: int) -> str:
+    """Give the file name of a segment."""
     return f"{number:010d}.seg"
--- a/tests/compatibility/test_memory_store.py
+++ b/tests/compatibility/test_memory_store.py
@@ -90,7 +90,7 @@
             if isinstance(one, LocatedRecord)
         ][1:]
         self.assertEqual(
-            [(one.seq, one.key, one.value) for one in written],
+            [(one.sequence, one.key, one.value) for one in written],
             [(4, "starts", pack_row(StartHistory(3)))],
         )
 
--- a/tests/compatibility/test_note_store.py
+++ b/tests/compatibility/test_note_store.py
@@ -22,12 +22,10 @@
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.storage import GroupCommitter, StorageFolder, Store, StoreVersionError
 from gullyoke.storage.record import (
-    DELETED,
-    FORMAT,
-    HEADER,
-    PUT,
+    SEGMENT_FORMAT,
     LocatedRecord,
     Record,
+    RecordKind,
     pack_record,
     scan_records,
     segment_header,
@@ -92,7 +90,7 @@
 
     def test_constants(self):
         """Figures and texts that stand in the files."""
-        self.assertEqual((PUT, DELETED, HEADER, FORMAT, FOLDER_FORMAT), (1, 2, 3, 2, 2))
+        self.assertEqual((*RecordKind, SEGMENT_FORMAT, FOLDER_FORMAT), (1, 2, 3, 2, 2))
         self.assertEqual([int(phase) for phase in RunPhase], [1, 2])
         self.assertEqual((FOLDER, MARK, NOTE), ("keys", "mark", "n"))
         self.assertEqual((NUMBER_FOLDER, NUMBER_KEY), ("fleet", "number"))
@@ -106,7 +104,10 @@
         """A record's bytes: mark, size, kind, checksum, MessagePack payload."""
         for record, data in (
             (Record(7, "key", b"value"), "f5676c790d00000001954d568f9307a36b6579c40576616c7565"),
-            (Record(8, "key", b"", DELETED), "f5676c79080000000251066da09308a36b6579c400"),
+            (
+                Record(8, "key", b"", RecordKind.DELETED),
+                "f5676c79080000000251066da09308a36b6579c400",
+            ),
         ):
             self.assertEqual(pack_record(record).hex(), data)
             found = unpack_record(bytes.fromhex(data), 0)
@@ -116,7 +117,7 @@
     def test_recorded_folder_is_read(self):
         """The recorded folder gives the same keys and values."""
         store = self.opened()
-        self.assertEqual((store.dropped_bytes, store.format, store.next), (0, 2, 3))
+        self.assertEqual((store.dropped_bytes, store.oldest_format, store.next_segment), (0, 2, 3))
         self.assertEqual(sorted(store.keys()), sorted([MARK, RUNNING, ENDED, OTHER_START]))
         self.assertEqual(FolderMark(*decode_mark(store.get(MARK))), MARK_VALUE)
         self.assertEqual(unpacked(store.get(RUNNING)), RUNNING_NOTE)
@@ -165,11 +166,11 @@
         disk = StorageFolder(folder)
         self.addCleanup(disk.close)
         store = Store(disk)
-        self.assertEqual((store.format, store.get("key")), (1, b"value"))
+        self.assertEqual((store.oldest_format, store.get("key")), (1, b"value"))
 
     def test_newer_folder_is_refused(self):
         folder = temporary_folder(self)
-        (folder / "0000000001.seg").write_bytes(pack_record(Record(3, "", b"", HEADER)))
+        (folder / "0000000001.seg").write_bytes(pack_record(Record(3, "", b"", RecordKind.HEADER)))
         disk = StorageFolder(folder)
         self.addCleanup(disk.close)
         with self.assertRaises(StoreVersionError):
@@ -188,10 +189,10 @@
         self.assertEqual(
             found,
             [
-                Record(2, "", b"", HEADER),
+                Record(2, "", b"", RecordKind.HEADER),
                 Record(1, MARK, encode(tuple(MARK_VALUE))),
                 Record(2, RUNNING, packed(RUNNING_NOTE)),
-                Record(3, RUNNING, b"", DELETED),
+                Record(3, RUNNING, b"", RecordKind.DELETED),
             ],
         )
 
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -101,7 +101,7 @@
     def test_recorded_cells_are_read(self):
         cells = self.opened()
         found = dict(cells.items())
-        self.assertEqual((cells.dropped, found), (0, RAW))
+        self.assertEqual((cells.dropped_copies, found), (0, RAW))
         self.assertEqual(ours(found.pop(OURS)), ("server-2", 3))
         self.assertEqual(decode_rows(found.items()), (PROMISED, KEPT))
 
--- a/tests/durability/test_rules.py
+++ b/tests/durability/test_rules.py
@@ -284,13 +284,13 @@
         self.data = data
         self.cut = None  # so many bytes of the next write come there
 
-    def names(self):
+    def list_files(self):
         return [] if self.data is None else [SLOT_FILE_NAME]
 
     def read(self, name):
         return bytes(self.data)
 
-    def make(self, name, size):
+    def allocate(self, name, size):
         self.data = (self.data or bytearray()).ljust(size, b"\0")
 
     def write_at(self, name, at, data):
--- a/tests/storage/test_remember.py
+++ b/tests/storage/test_remember.py
@@ -30,7 +30,7 @@
         before = {h.name: cost for h, cost in fresh.hold.cost.items()}
         r.apply_snapshot(fresh, found, 0.25)
         for h, cost in fresh.hold.cost.items():
-            self.assertAlmostEqual(cost, 0.75 * before[h.name] + 0.25 * found.costs[h.name])
+            self.assertAlmostEqual(cost, 0.75 * before[h.name] + 0.25 * found.run_times_us[h.name])
         r.apply_snapshot(
             fresh, r.RunTimeSnapshot(7, 0.0, {"gone": 5.0}, 0.0), 0.25
         )  # a handler that is no more
@@ -95,16 +95,16 @@
         for took in range(1, 101):
             curve.record_run(600_000, "box-view", took * 1000.0)
             curve.record_run(20_000_000, "box-view", 1.0)
-        self.assertEqual(len(curve.rows["box-view"][1]), cold.MAX_SAMPLES)
+        self.assertEqual(len(curve.samples_us["box-view"][1]), cold.MAX_SAMPLES)
         found = curve.take_snapshot(7, 1.0, None)
-        self.assertAlmostEqual(found.costs["box-view"][1], 93_700.0)
-        self.assertEqual(found.costs["box-view"][0], 0.0)
+        self.assertAlmostEqual(found.run_times_us["box-view"][1], 93_700.0)
+        self.assertEqual(found.run_times_us["box-view"][0], 0.0)
         again = cold.WarmupRecorder()
         again.record_run(600_000, "box-view", 33_700.0)
         again.record_run(100_000, "box-view", 5.0)
         both = again.take_snapshot(7, 2.0, r.unpack_row(r.pack_row(found), cold.WarmupSnapshot))
-        self.assertEqual([round(x) for x in both.costs["box-view"][:2]], [5, 63_700])
-        self.assertEqual(again.take_snapshot(8, 2.0, found).costs["box-view"][1], 33_700.0)
+        self.assertEqual([round(x) for x in both.run_times_us["box-view"][:2]], [5, 63_700])
+        self.assertEqual(again.take_snapshot(8, 2.0, found).run_times_us["box-view"][1], 33_700.0)
         server = (
             Running(drawn(W, Machines(servers=1), 1.5, SECOND, 2), deciding(False)).nodes[0].server
         )
@@ -113,7 +113,7 @@
         self.assertEqual(before, {h.name: cost for h, cost in server.hold.cost.items()})
         cold.apply_snapshot(server, both, 700_000)
         after = {h.name: cost for h, cost in server.hold.cost.items()}
-        self.assertEqual(after, before | {"box-view": both.costs["box-view"][1]})
+        self.assertEqual(after, before | {"box-view": both.run_times_us["box-view"][1]})
         self.assertTrue(cold.is_usable(both, 7, r.StartHistory(0)))
         self.assertFalse(
             cold.is_usable(both, 8, r.StartHistory(0))
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -28,13 +28,12 @@
     StoreFullError,
     StoreVersionError,
 )
-from gullyoke.storage.append_file import WAITING as QUEUED_LINES
-from gullyoke.storage.append_file import AppendFile
+from gullyoke.storage.append_file import MAX_QUEUED_LINES, AppendFile
 from gullyoke.storage.disk_monitor import DiskMonitor
 from gullyoke.storage.record import (
-    HEADER,
     LocatedRecord,
     Record,
+    RecordKind,
     pack_record,
     scan_records,
     segment_header,
@@ -65,7 +64,7 @@
         if what in self.fail:
             self.fail[what] = (self.fail[what][0] - 1, self.fail[what][1])
 
-    def names(self):
+    def list_files(self):
         return sorted(self.files)
 
     def read(self, name):
@@ -87,7 +86,7 @@
         self._call("sync")
         self.synced[name] = len(self.files[name])
 
-    def shut(self, name): ...
+    def close_file(self, name): ...
 
     def remove(self, name):
         self._call("remove")
@@ -148,15 +147,16 @@
         )
         store = Store(old)
         self.assertEqual(
-            (store.format, dict(store.items()), store.dropped_bytes), (1, {"a": b"1", "b": b"2"}, 0)
+            (store.oldest_format, dict(store.items()), store.dropped_bytes),
+            (1, {"a": b"1", "b": b"2"}, 0),
         )
         store.put([("a", b"3")])
         again = Store(Memory(old.files))
-        self.assertEqual((again.format, dict(again.items())), (1, {"a": b"3", "b": b"2"}))
-        self.assertEqual(Store(Memory({"0000000001.seg": segment_header()})).format, 2)
+        self.assertEqual((again.oldest_format, dict(again.items())), (1, {"a": b"3", "b": b"2"}))
+        self.assertEqual(Store(Memory({"0000000001.seg": segment_header()})).oldest_format, 2)
         later = Memory(
             {
-                "0000000001.seg": pack_record(Record(3, "", b"", HEADER))
+                "0000000001.seg": pack_record(Record(3, "", b"", RecordKind.HEADER))
                 + pack_record(Record(1, "a", b"1"))
             }
         )
@@ -226,7 +226,7 @@
                     for key, value in again.items():
                         self.assertIn(value, ever[key])
                     lost = sum(len(d) for d in again.files.files.values()) - sum(
-                        f.size
+                        f.size_bytes
                         for d in again.files.files.values()
                         for f in scan_records(d)
                         if isinstance(f, LocatedRecord)
@@ -405,7 +405,7 @@
             lines.add("first")
             while not lines.queue.empty():
                 time.sleep(0.001)
-            for i in range(QUEUED_LINES + 2):
+            for i in range(MAX_QUEUED_LINES + 2):
                 lines.add(str(i))
             self.assertEqual((lines.faults, lines.reason), (2, "the disk does not come back"))
             released.set()
@@ -413,7 +413,7 @@
             while not lines.queue.empty() or lines.faults:
                 self.assertLess(time.monotonic(), deadline)
                 time.sleep(0.001)
-            expected = ["first", *map(str, range(QUEUED_LINES))]
+            expected = ["first", *map(str, range(MAX_QUEUED_LINES))]
             while (written := path.read_text().split()) != expected:
                 self.assertLess(time.monotonic(), deadline, written)
 
@@ -449,10 +449,11 @@
     def test_record(self):
         """A record reads back; a mark inside of a value does not begin another."""
         record = Record(7, "k", b"\xf5gly" * 5)
-        data = pack_record(record) + b"junk" + pack_record(record._replace(seq=8))
+        data = pack_record(record) + b"junk" + pack_record(record._replace(sequence=8))
         found = list(scan_records(data))
         self.assertEqual(
-            [f.record.seq if isinstance(f, LocatedRecord) else f for f in found], [7, 4, 8]
+            [f.record.sequence if isinstance(f, LocatedRecord) else f.size_bytes for f in found],
+            [7, 4, 8],
         )
         self.assertRaises(ValueError, pack_record, Record(1, "k", bytes(2**24)))
 
