--- a/benchmarks/duty.py
+++ b/benchmarks/duty.py
@@ -110,17 +110,17 @@
     all_ = [DependencyProbe(chance.random) for _ in range(servers)]
     for one in all_:
         for _ in range(FAILED + 1):
-            one.note(SECOND, False)
+            one.record_call(SECOND, False)
     all_[0].hold(duty)
     tries = 0
     for now in range(2 * SECOND, 62 * SECOND, 50_000):
         if duty and now % (2 * SECOND) == 0:
             for one in all_[1:]:
-                one.told(now, 1, True)
+                one.record_announcement(now, 1, True)
         for one in all_:
-            if one.may(now):
+            if one.allows_call(now):
                 tries += 1
-                one.note(now, False)
+                one.record_call(now, False)
     return tries
 
 
@@ -141,7 +141,7 @@
     plain, _ = real(PLAIN)
     verdict, play = real(ROLL)
     print("\n".join(verdict.lines()))
-    out: dict = {"short": short, "lease_s": LeaseDurations().lease / 1e6}
+    out: dict = {"short": short, "lease_s": LeaseDurations().lease_us / 1e6}
     with ProcessPoolExecutor(os.cpu_count()) as pool:
         right = pool.submit(walk.found, None, 3 if short else 5)
         mutants = {guard: pool.submit(walk.found, guard, 3) for guard in walk.MUTANTS}
--- a/gullyoke/coordination/limit_parts.py
+++ b/gullyoke/coordination/limit_parts.py
@@ -51,8 +51,8 @@
 class LimitPart:
     """What both kinds have in common: this process's part, what it wants, and its letters."""
 
-    def __init__(self, sharing: QuotaParticipant, linger: int) -> None:
-        self.sharing, self.linger, self.peak = sharing, linger, RecentPeak()
+    def __init__(self, participant: QuotaParticipant, linger: int) -> None:
+        self.participant, self.linger, self.peak = participant, linger, RecentPeak()
         self.refused = 0  # how often none was free
 
     def used(self, now: int) -> int:
@@ -61,19 +61,19 @@
 
     def turn(self, now: int) -> list[AddressedQuotaMessage]:
         most = self.peak.most(now)
-        self.sharing.need, self.sharing.used = most + -(-most // AHEAD), self.used(now)
-        return self.sharing.turn(now)
+        self.participant.need, self.participant.used = most + -(-most // AHEAD), self.used(now)
+        return self.participant.turn(now)
 
     def hear(self, now: int, message: Message) -> AddressedQuotaMessage | None:
-        self.sharing.used = self.used(now)
-        return self.sharing.hear(now, message)
+        self.participant.used = self.used(now)
+        return self.participant.hear(now, message)
 
 
 class ConcurrencyPart(LimitPart):
     """Slots. Table: `lingers`, when each lost call is over at the latest; it leaves then."""
 
-    def __init__(self, sharing: QuotaParticipant, linger: int) -> None:
-        super().__init__(sharing, linger)
+    def __init__(self, participant: QuotaParticipant, linger: int) -> None:
+        super().__init__(participant, linger)
         self.out = 0
         self.lingers: deque[int] = deque()
 
@@ -88,15 +88,15 @@
     def free(self, now: int, waiting: int) -> bool:
         used = self.used(now)
         self.peak.note(now, used + waiting + 1)
-        free = self.sharing.borrower.sure(now, used + 1) - self.linger > now + LEAST
+        free = self.participant.borrower.sure(now, used + 1) - self.linger > now + LEAST
         self.refused += not free
         return free
 
     def until(self, now: int) -> float:
-        return self.sharing.borrower.sure(now, self.used(now) + 1)
+        return self.participant.borrower.sure(now, self.used(now) + 1)
 
     def pace(self, now: int) -> float:
-        return max(0.25, float(self.sharing.in_force(now)))
+        return max(0.25, float(self.participant.in_force(now)))
 
     def began(self) -> None:
         self.out += 1
@@ -110,8 +110,8 @@
 class MeanConcurrencyPart(LimitPart):
     """A part of the mean over `span`."""
 
-    def __init__(self, sharing: QuotaParticipant, linger: int, span: int) -> None:
-        super().__init__(sharing, linger)
+    def __init__(self, participant: QuotaParticipant, linger: int, span: int) -> None:
+        super().__init__(participant, linger)
         self.span, self.spent = span, 0.0
 
     def used(self, now: int) -> int:
@@ -121,14 +121,14 @@
         """What is sure for a call's time; never nothing, so that a wait can be reckoned."""
         self.spent = spent
         self.peak.note(now, math.ceil(1.25 * self.used(now)) + 1)
-        tokens = self.sharing.borrower.right(now) + sum(held.tokens for held in self._sure(now))
+        tokens = self.participant.borrower.right(now) + sum(held.tokens for held in self._sure(now))
         return max(0.01, tokens / UNIT)
 
     def _sure(self, now: int) -> list[BorrowedQuota]:
         """The loans that last for a call, and so are counted."""
         return [
             held
-            for held in self.sharing.borrower.held.values()
+            for held in self.participant.borrower.held.values()
             if held.tokens and held.until > now + self.linger + CALL
         ]
 
@@ -139,14 +139,14 @@
         """
         if waiting:
             self.refused += 1
-            self.peak.note(now, 2 * self.sharing.in_force(now) + UNIT)
+            self.peak.note(now, 2 * self.participant.in_force(now) + UNIT)
         return True
 
     def until(self, now: int) -> float:
         return min((held.until for held in self._sure(now)), default=math.inf)
 
     def pace(self, now: int) -> float:
-        return max(0.25, self.sharing.in_force(now) / UNIT)
+        return max(0.25, self.participant.in_force(now) / UNIT)
 
     def began(self) -> None: ...
 
--- a/gullyoke/coordination/tenant_quotas.py
+++ b/gullyoke/coordination/tenant_quotas.py
@@ -54,13 +54,13 @@
     `lent` is asked for each req of the customer.
     """
 
-    def __init__(self, sharing: QuotaParticipant, rate: float, whole: int) -> None:
-        super().__init__(sharing, 0)
+    def __init__(self, participant: QuotaParticipant, rate: float, whole: int) -> None:
+        super().__init__(participant, 0)
         self.rate, self.whole, self.comes = rate, whole, ArrivalRate()
 
     def used(self, now: int) -> int:
         """Tokens that are used by what comes, no more than there are."""
-        return min(self.wanted(now, 1.0), self.sharing.in_force(now))
+        return min(self.wanted(now, 1.0), self.participant.in_force(now))
 
     def wanted(self, now: int, ahead: float = AHEAD) -> int:
         return -int(-ahead * self.comes.now(now) * self.whole // self.rate) if self.rate > 0 else 0
@@ -71,11 +71,11 @@
         return self.part(now)
 
     def part(self, now: int) -> float:
-        return self.sharing.in_force(now) * self.rate / self.whole
+        return self.participant.in_force(now) * self.rate / self.whole
 
     def turn(self, now: int):
         wanted = self.wanted(now)
-        self.refused += wanted > self.sharing.in_force(now)
+        self.refused += wanted > self.participant.in_force(now)
         self.peak.note(now, wanted)
-        self.sharing.need, self.sharing.used = self.peak.most(now), self.used(now)
-        return self.sharing.turn(now)
+        self.participant.need, self.participant.used = self.peak.most(now), self.used(now)
+        return self.participant.turn(now)
--- a/gullyoke/emulator/duty.py
+++ b/gullyoke/emulator/duty.py
@@ -47,7 +47,7 @@
         self.now, self.queue, self.count = 0, [], itertools.count()
         self.members = [f"m{i}" for i in range(members)]
         self.set, self.number = self.members[:voters], 1
-        drift = self.spans.drift / 1e6
+        drift = self.spans.drift_ppm / 1e6
         self.rates = {name: 1 + self.chance.uniform(-drift / 2, drift / 2) for name in self.members}
         self.offsets = {name: self.chance.randrange(10**9) for name in self.members}
         self.disks: dict[str, dict[str, Promise] | None] = dict.fromkeys(self.members)
@@ -74,7 +74,7 @@
         self.candidates[name] = one = Candidate(
             DUTY, name, life, self.set, self.spans, self.chance.random, self.number
         )
-        one.wants = True
+        one.wants_lease = True
         self.voters.pop(name, None)
         if name in self.set:
             self.vote(name, life, now)
@@ -112,7 +112,7 @@
         one.set_voters(self.time(name), self.set, self.number)
         if name in self.set and name not in old:
             self.disks[name] = None
-            self.vote(name, one.life, self.time(name))
+            self.vote(name, one.incarnation, self.time(name))
         elif name in self.voters and name in self.set:
             self.voters[name].set_others((n for n in self.set if n != name), self.number)
         else:
@@ -138,18 +138,22 @@
             return
         now, one = self.time(name), self.candidates[name]
         there = [CandidatePlacement(n) for n in self.members if n in self.up]
-        one.after = candidate_delay_us(DUTY, name, there) or 0
+        one.delay_us = candidate_delay_us(DUTY, name, there) or 0
         voter = self.voters.get(name)
-        learn = voter.learns(now) if voter is not None else None
+        learn = voter.epoch_query(now) if voter is not None else None
         if learn is not None:
             self.post(name, [AddressedMessage(other, learn) for other in sorted(voter.others)])
         self.post(name, one.tick(now))
-        epoch = one.holds(now)
+        epoch = one.held_epoch(now)
         if epoch is not None and self.chance.random() < TURN / ACT:
             # On its way it may be for as long as it likes: the process may stall between looking
             # and acting.
             self.after(
-                self.chance.randrange(1, max(2, self.slow)), self.act, epoch, one.life, self.now
+                self.chance.randrange(1, max(2, self.slow)),
+                self.act,
+                epoch,
+                one.incarnation,
+                self.now,
             )
         self.after(TURN, self.turn, name, starts)
 
@@ -177,11 +181,11 @@
         now, one, voter = self.time(to), self.candidates[to], self.voters.get(to)
         answer: list[AddressedMessage] = []
         if isinstance(message, VoteReply):
-            answer = one.hear(now, message) if from_ in self.set else []
+            answer = one.handle_reply(now, message) if from_ in self.set else []
         elif isinstance(message, HandoverOffer):
-            answer = one.passed(now, from_, message)
+            answer = one.accept_handover(now, from_, message)
         elif isinstance(message, HandoverAccept):
-            answer = one.ready(now, from_, message)
+            answer = one.handover_accepted(now, from_, message)
         elif voter is not None:
             answer = self.voted(now, from_, to, voter, message)
         self.post(to, answer)
@@ -190,23 +194,23 @@
         self, now: int, from_: str, to: str, voter: Voter, message: object
     ) -> list[AddressedMessage]:
         if isinstance(message, PreVote):
-            return [AddressedMessage(from_, voter.sound(now, message))]
+            return [AddressedMessage(from_, voter.answer_pre_vote(now, message))]
         if isinstance(message, LeaseRequest):
-            answer = voter.ask(now, message)
+            answer = voter.answer_request(now, message)
             if isinstance(answer, PromiseWrite):
                 self.after(self.chance.randrange(1, SYNC), self.synced, from_, to, voter, answer)
                 return []
             return [AddressedMessage(from_, answer)] if answer is not None else []
         if isinstance(message, LeaseRelease):
-            voter.done(now, message)
+            voter.release(now, message)
         elif isinstance(message, EpochQuery):
-            said = voter.teach(now, message)
+            said = voter.answer_epoch_query(now, message)
             return [AddressedMessage(from_, said)] if said is not None else []
         elif isinstance(message, EpochReply):
-            writes = voter.learned(now, message)
+            writes = voter.learn_epochs(now, message)
             for i, write in enumerate(writes):
-                self.disks[to] = {**(self.disks[to] or {}), write.duty: write.row}
-                voter.taken(write, i == len(writes) - 1)
+                self.disks[to] = {**(self.disks[to] or {}), write.duty: write.promise}
+                voter.promise_learned(write, i == len(writes) - 1)
             if not voter.fresh and self.disks[to] is None:
                 self.disks[to] = {}
         return []
@@ -217,9 +221,9 @@
         """
         durable = to not in self.ill
         if durable or self.chance.random() < 0.5:
-            self.disks[to] = {**(self.disks[to] or {}), write.duty: write.row}
+            self.disks[to] = {**(self.disks[to] or {}), write.duty: write.promise}
         if self.voters.get(to) is voter and to in self.up:
-            said = voter.written(self.time(to), write, durable)
+            said = voter.write_finished(self.time(to), write, durable)
             self.post(to, [AddressedMessage(from_, said)] if said is not None else [])
 
     # Faults, and what is asked.
@@ -259,7 +263,7 @@
                 self.start(name)
 
     def pass_to(self, name: str, to: str) -> None:
-        self.post(name, self.candidates[name].pass_to(self.time(name), to))
+        self.post(name, self.candidates[name].offer_handover(self.time(name), to))
 
     def holders(self) -> list[str]:
         """Who may act at this moment, by its own clock; one that stands still may not.
@@ -267,7 +271,9 @@
         It asks when it wakes.
         """
         return [
-            name for name in self.up if self.candidates[name].holds(self.time(name)) is not None
+            name
+            for name in self.up
+            if self.candidates[name].held_epoch(self.time(name)) is not None
         ]
 
     def epochs(self) -> int:
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -72,9 +72,9 @@
     """
 
     def __init__(
-        self, slots: Slots, asking: DependencyProbe, holding: Callable[[int], bool]
+        self, slots: Slots, probe: DependencyProbe, holding: Callable[[int], bool]
     ) -> None:
-        self.slots, self.asking, self.holding = slots, asking, holding
+        self.slots, self.probe, self.holding = slots, probe, holding
         self.lock = threading.Lock()
 
     def share(self, now: int, told: float | None, spent: float) -> float | None:
@@ -83,12 +83,12 @@
     def free(self, now: int, waiting: int) -> bool:
         if not self.slots.free(now, waiting):
             return False
-        if not self.asking.dead and self.asking.opened is None:
+        if not self.probe.dead and self.probe.opened is None:
             return True  # the ordinary case costs no lock
-        held = self.holding(now) if self.asking.dead else False
+        held = self.holding(now) if self.probe.dead else False
         with self.lock:
-            self.asking.hold(held)
-            return self.asking.may(now)
+            self.probe.set_lease_held(held)
+            return self.probe.allows_call(now)
 
     def until(self, now: int) -> float:
         return self.slots.until(now)
@@ -102,7 +102,7 @@
     def ended(self, now: int, lost: bool, well: bool) -> None:
         self.slots.ended(now, lost, well)
         with self.lock:
-            self.asking.note(now, well)
+            self.probe.record_call(now, well)
 
 
 class Ask(Charge):
@@ -113,30 +113,30 @@
     def __init__(self, fleet: Fleet, duties: LeaseService) -> None:
         super().__init__(fleet, duties)
         told = fleet.daemon.configuration
-        self.asking = DependencyProbe(random.Random(told.seed ^ 0xA5C).random)
+        self.probe = DependencyProbe(random.Random(told.seed ^ 0xA5C).random)
         below = told.facts.dependency
         self.gate = below.slots = Gated(
-            below.slots, self.asking, lambda now: duties.holds(now, self.name) is not None
+            below.slots, self.probe, lambda now: duties.held_epoch(now, self.name) is not None
         )
         self.was = False
 
     def act(self, now: int, epoch: int) -> None:
-        if self.asking.dead != self.was:
-            self.was = self.asking.dead
+        if self.probe.dead != self.was:
+            self.was = self.probe.dead
             self.fleet.daemon.metrics.increment(
                 "duty.dependency_dead" if self.was else "duty.dependency_well"
             )
             log.warning("dependency", extra=log_fields(dead=self.was, epoch=epoch))
 
     def notice(self) -> bytes:
-        return b"dead" if self.asking.dead else b"well"
+        return b"dead" if self.probe.dead else b"well"
 
     def heard(self, now: int, notice: Announcement) -> None:
         with self.gate.lock:
-            self.asking.told(now, notice.epoch, notice.body == b"dead")
+            self.probe.record_announcement(now, notice.epoch, notice.body == b"dead")
 
     def told(self, now: int) -> dict:
-        return {"dead": self.asking.dead, "tries": self.asking.asked}
+        return {"dead": self.probe.dead, "tries": self.probe.probes_sent}
 
 
 class Book(Charge):
@@ -171,7 +171,7 @@
         self.gone = gone
         shared = self.shares.shared
         with shared.lock:
-            shared.own.sharing.take_over({home: self.tokens[home] for home in gone})
+            shared.own.participant.take_over({home: self.tokens[home] for home in gone})
 
     def idle(self, now: int) -> None:
         if self.gone:
@@ -187,7 +187,7 @@
             at = {str(home): str(where) for home, where in json.loads(notice.body or b"{}").items()}
         except (ValueError, AttributeError):
             return
-        self.shares.shared.stands_in = at, now + YOUNG
+        self.shares.shared.substitutes = at, now + YOUNG
 
     def told(self, now: int) -> dict:
         return {"lends_for": list(self.gone)}
@@ -216,7 +216,7 @@
                 self.fleet.daemon.metrics.increment("duty.roll_unreadable")
             self.epoch = epoch
             self.ordered.clear()
-        if not register.safe or now < self.next:
+        if not register.committed or now < self.next:
             return
         self.next = now + 300_000
         plan = rolls.step(self.plan, now, self.seen(now), self.fleet.daemon.configuration.name)
@@ -248,12 +248,12 @@
             if starts.get(name) != start or now - self.ordered.get(name, 0) < 1_000_000:
                 continue
             self.ordered[name] = now
-            if self.duties.holds(clock.now(), self.name) != epoch:
+            if self.duties.held_epoch(clock.now(), self.name) != epoch:
                 return
             if name == me:
                 self.drain(now, epoch)
             else:
-                self.duties.order(self.name, epoch, name, "drain", str(start).encode())
+                self.duties.instruct(self.name, epoch, name, "drain", str(start).encode())
         for name in [n for n in self.ordered if n not in {row[0] for row in self.plan.doing}]:
             del self.ordered[name]
 
@@ -372,7 +372,7 @@
 
     def act(self, now: int, epoch: int) -> None:
         register = self.duties.register(self.name)
-        if register is None or register.body is None or not register.safe:
+        if register is None or register.body is None or not register.committed:
             return
         if self.epoch != epoch:
             self.epoch = epoch
@@ -384,7 +384,7 @@
         if self.lines.faults:  # its disk fails: another may do better
             self.fleet.daemon.metrics.increment("duty.record_faults")
             self.lines.faults = 0
-            self.duties.leave(self.name, f"its disk: {self.lines.reason}", ill=True)
+            self.duties.leave(self.name, f"its disk: {self.lines.reason}", failed=True)
             return
         if state != self.last:
             self.last = state
@@ -433,9 +433,9 @@
             with socket.create_connection(self.wanted.address, 1) as conn:
                 conn.settimeout(2)
                 now = clock.now()  # asked again after the wait for the connection
-                if self.duties.holds(now, self.name) != epoch:
+                if self.duties.held_epoch(now, self.name) != epoch:
                     return
-                left = self.duties.candidates[self.name].left(now) // 1000
+                left = self.duties.candidates[self.name].remaining_us(now) // 1000
                 conn.sendall(f"HOLD {self.name} {epoch} {self.duties.life} {left}\n".encode())
                 said = conn.recv(64).split(b"\n")[0].strip()
             self.faults = 0
@@ -448,7 +448,7 @@
             self.fleet.daemon.metrics.increment("duty.untold")
             if self.faults >= 3:  # it fails here again and again: it moves on
                 self.faults = 0
-                self.duties.leave(self.name, f"the application: {fault}", ill=True)
+                self.duties.leave(self.name, f"the application: {fault}", failed=True)
         except Exception:
             self.fleet.daemon.metrics.record_internal_error("duty")
         finally:
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -113,14 +113,20 @@
             fleet.daemon.metrics,
         )
         for name, one in candidates.items():
-            one.heed.append(lambda turn, name=name: self.turned(name, turn))
+            one.listeners.append(lambda turn, name=name: self.turned(name, turn))
         self.charges = {name: self.charge(name) for name in names}
         link, duties = fleet.link, self.duties
         duties.send = lambda posts: link.act(lambda: link.posted(TOPIC, posts))
-        duties.noticed, duties.ordered, duties.pleaded = self.heard, self.obey, self.pleaded
+        duties.on_announcement, duties.on_instruction, duties.on_forwarded_command = (
+            self.heard,
+            self.obey,
+            self.pleaded,
+        )
         link.topics[TOPIC] = duties
-        link.told["duties"] = lambda now: {name: self.known(now, name)[0] for name in self.charges}
-        link.asked |= {
+        link.status_sections["duties"] = lambda now: {
+            name: self.known(now, name)[0] for name in self.charges
+        }
+        link.commands |= {
             "duties": self.asked_duties,
             "hand-over": self.asked_hand_over,
             "roll": self.asked_roll,
@@ -206,7 +212,7 @@
         with duties.lock:
             duties.voters = dict(wanted.voters)
             if votes and duties.voter is None:
-                duties.voter, duties.shelf = voter, shelf
+                duties.voter, duties.records = voter, shelf
             elif votes:
                 duties.voter.set_others(wanted.voters.keys() - {name}, wanted.set)
                 self.disk(OURS, f"{name} {wanted.set}".encode(), lambda durable: None)
@@ -271,9 +277,9 @@
         with self.duties.lock:
             for name, candidate in self.duties.candidates.items():
                 wait = candidate_delay_us(name, me, placed)
-                ready = inside and not leaving and not unsure and candidate.ill <= now
-                candidate.wants = ready and wait is not None
-                candidate.after = wait or 0
+                ready = inside and not leaving and not unsure and candidate.not_before_us <= now
+                candidate.wants_lease = ready and wait is not None
+                candidate.delay_us = wait or 0
 
     def turned(self, name: str, turn: LeaseChange) -> None:
         """Called under the duties' lock."""
@@ -296,7 +302,7 @@
     def act(self) -> None:
         now = clock.now()
         for name, charge in self.charges.items():
-            epoch = self.duties.holds(clock.now(), name)
+            epoch = self.duties.held_epoch(clock.now(), name)
             if epoch is None:
                 charge.idle(now)
                 continue
@@ -305,18 +311,18 @@
             if (
                 now - self.noticed.get(name, 0) >= NOTICE
                 and register is not None
-                and register.safe
-                and self.duties.holds(clock.now(), name) == epoch
+                and register.committed
+                and self.duties.held_epoch(clock.now(), name) == epoch
             ):
                 self.noticed[name] = now
                 with self.fleet.link.lock:
                     one = self.fleet.member
                     others = [row.address for row in one.view.rows.values() if row.id != one.id]
-                self.duties.notice(name, epoch, charge.notice(), others)
+                self.duties.announce(name, epoch, charge.notice(), others)
 
     def heard(self, now: int, notice: Announcement) -> None:
         charge = self.charges.get(notice.duty)
-        if charge is not None and self.duties.holds(now, notice.duty) is None:
+        if charge is not None and self.duties.held_epoch(now, notice.duty) is None:
             charge.heard(now, notice)
 
     def obey(self, now: int, order: Instruction) -> None:
@@ -336,7 +342,7 @@
     def command(self, duty: str, words: list[str]) -> dict:
         if words[0] == "hand-over":
             return self.hand_over(duty, words[1] if len(words) > 1 else "")
-        if self.duties.holds(clock.now(), duty) is None:
+        if self.duties.held_epoch(clock.now(), duty) is None:
             return {"fault": "not held here"}
         return self.charges[duty].asked(clock.now(), words)
 
@@ -357,7 +363,7 @@
     def begin_drain(self) -> None:
         """Before a drain each duty goes to whom it is best placed at."""
         for name in self.charges:
-            if self.duties.holds(clock.now(), name) is not None:
+            if self.duties.held_epoch(clock.now(), name) is not None:
                 self.hand_over(name)
 
     def close(self) -> None:
@@ -373,11 +379,11 @@
     def known(self, now: int, name: str) -> tuple[str, int]:
         """Who holds a duty as far as is known here, and the newest epoch."""
         one, known = self.duties.candidates[name], self.duties.board.rows.get(name)
-        epoch = self.duties.holds(now, name)
+        epoch = self.duties.held_epoch(now, name)
         if epoch is not None:
             return self.fleet.daemon.configuration.name, epoch
         if known is None:
-            return "", one.top
+            return "", one.highest_epoch
         return known.notice.name if now - known.at < YOUNG else "", known.notice.epoch
 
     def holder(self, now: int, name: str) -> dict:
@@ -385,7 +391,7 @@
         return {
             "holder": holder,
             "epoch": epoch,
-            "left_ms": one.left(now) // 1000,
+            "left_ms": one.remaining_us(now) // 1000,
             "state": one.state.value,
             **self.charges[name].told(now),
         }
@@ -398,13 +404,14 @@
                 None
                 if voter is None
                 else {
-                    "speaks": voter.speaks(now),
+                    "speaks": voter.may_vote(now),
                     "fresh": voter.fresh,
-                    "disk_well": voter.well,
-                    "refused": voter.refused,
-                    "set": voter.voters,
+                    "disk_well": voter.disk_ok,
+                    "refused": voter.failed_writes,
+                    "set": voter.voter_set,
                     "promised": {
-                        duty: [row.epoch, row.name] for duty, row in sorted(voter.rows.items())
+                        duty: [row.epoch, row.holder]
+                        for duty, row in sorted(voter.promises.items())
                     },
                 }
             )
@@ -414,7 +421,7 @@
             "duties": found,
             "votes": vote,
             "turns": turns,
-            "stale_refused": self.duties.fence.refused,
+            "stale_refused": self.duties.fence.rejected,
             "started": self.fleet.member.row.number // TURNS,
         }
 
@@ -433,12 +440,12 @@
     def passed_on(self, duty: str, words: list[str]) -> dict:
         """Done here, or sent to whoever holds it."""
         now = clock.now()
-        if self.duties.holds(now, duty) is not None:
+        if self.duties.held_epoch(now, duty) is not None:
             return self.command(duty, words)
         holder = self.holder(now, duty)["holder"]
         if not holder:
             return {"fault": f"nobody is known to hold {duty}"}
-        self.duties.plead(duty, " ".join(words), holder)
+        self.duties.forward_command(duty, " ".join(words), holder)
         return {"sent_to": holder}
 
     def log_status(self) -> None:
--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -106,7 +106,7 @@
         self.number.keep(row.number)
         self.member = Member(clock.now(), row, wanted.seeds, chance)
         self.member.heed.append(self.changed)
-        self.link.told["disks"] = lambda now: {
+        self.link.status_sections["disks"] = lambda now: {
             folder: room.watch.state().value for folder, room in self.disks.rooms.items()
         }
         for part in self.parts:
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -118,8 +118,8 @@
             self.quotas[tenant.name] = limit
             tenant.leased_quota = limit.leased_quota
         fleet.link.topics[QUOTAS] = TenantQuotaService(self.quotas.values())
-        fleet.link.told["quotas"] = lambda now: {
-            name: limit.told(now) | {"reqs_a_second": round(limit.own.part(now), 2)}
+        fleet.link.status_sections["quotas"] = lambda now: {
+            name: limit.status(now) | {"reqs_a_second": round(limit.own.part(now), 2)}
             for name, limit in self.quotas.items()
         }
 
@@ -140,18 +140,18 @@
         )
         below.slots = self.shared
         fleet.link.topics[TOPIC] = self.shared
-        fleet.link.told["shares"] = self.shared.told
+        fleet.link.status_sections["shares"] = self.shared.status
 
     def update(self, now: int) -> None:
         if self.shared is None:
             return
-        told = self.shared.told(now)
+        told = self.shared.status(now)
         if told["in_force"] != self.in_force:
             self.in_force = told["in_force"]
             log.debug("slots", extra=log_fields(**told))
 
     def log_status(self) -> None:
         if self.shared is not None:
-            log.info("slots", extra=log_fields(**self.shared.told(clock.now())))
+            log.info("slots", extra=log_fields(**self.shared.status(clock.now())))
         for name, limit in self.quotas.items():
-            log.info("quota", extra=log_fields(tenant=name, **limit.told(clock.now())))
+            log.info("quota", extra=log_fields(tenant=name, **limit.status(clock.now())))
--- a/gullyoke/extensions/subsets.py
+++ b/gullyoke/extensions/subsets.py
@@ -35,7 +35,7 @@
                 clock.now(), order_alone(fleet.daemon.configuration.name, list(zones))[: self.k]
             )
             self.pool.use(frozenset(self.subset.held))
-            fleet.link.told["subset"] = lambda now: sorted(self.pool.only or ())
+            fleet.link.status_sections["subset"] = lambda now: sorted(self.pool.only or ())
 
     def zones(self) -> dict[str, str]:
         return {b.name: b.zone for b in self.pool.wanted.back_ends}
--- a/gullyoke/leases/candidate.py
+++ b/gullyoke/leases/candidate.py
@@ -1,9 +1,10 @@
-"""One process and one duty: whether it holds it, and how it comes by it and lets go.
+"""One process that competes for one lease: how it gets it, renews it and gives it up.
 
-It asks before it asks: a majority that would grant comes before a majority that does, so that one
-that is cut off makes no epochs. Its end is counted from before it asked, and it stops by itself
-when that comes. One that lost it asks for no renewal any more but begins anew: one that is heard
-but hears nothing would else keep the duty from all others.
+A candidate asks in two rounds. Only after a majority has answered a pre-vote that it would grant
+the lease does it request it under a new epoch, so a process that is cut off uses up no epochs. Its
+lease counts from before the request, and the holder stops by itself at the end. In the second half
+of its lease a holder no longer renews: a process that is heard but hears nothing would otherwise
+keep the lease from all others.
 """
 
 from __future__ import annotations
@@ -16,38 +17,48 @@
 from gullyoke.leases.messages import (
     HandoverAccept,
     HandoverOffer,
+    LeaseMessage,
     LeaseRelease,
     LeaseRequest,
-    Message,
     PreVote,
     VoteReply,
 )
 
-PATIENCE = 300_000  # microseconds for a round's answers
-AGAIN, LONGEST = (
-    150_000,
-    2_000_000,
-)  # between rounds that came to nothing: the first, and the longest
-EAGER, SOON = 1_500_000, 50_000  # one that is to take over tries so often, for so long
-ILL = 30_000_000  # one at which the duty failed does not try again for so long
+REPLY_TIMEOUT_US = 300_000  # how long a request waits for the replies of a majority
+FIRST_PAUSE_US = 150_000  # between rounds that failed; doubled after each one
+LONGEST_PAUSE_US = 2_000_000
+EAGER_US = 1_500_000  # a successor tries to take over for so long
+EAGER_INTERVAL_US = 50_000  # between its rounds meanwhile
+FAILED_PAUSE_US = 30_000_000  # a process at which the work failed does not compete for so long
 
 
 class AddressedMessage(NamedTuple):
-    """To a voter, or to a member, by name."""
+    """A message and the name of the voter or member that it goes to."""
 
     to: str
-    message: Message
+    message: LeaseMessage
 
 
 class CandidateState(Enum):
+    """What a candidate is doing; the values are shown by `gullyoke fleet`."""
+
     IDLE = "idle"
-    SOUNDING = "sounding"
-    ASKING = "asking"
+    PRE_VOTING = "sounding"
+    REQUESTING = "asking"
     HOLDING = "holding"
 
 
 class LeaseChange(NamedTuple):
-    """What became of a duty here: `what` is held, lost, left or passed, with the cause in words."""
+    """A change of the lease at this process.
+
+    The field names are keys of the answer to `gullyoke fleet duties`, so they stay.
+
+    Attributes:
+        at: Microseconds of the monotonic clock.
+        what: `held`, `lost`, `left` or `passed`.
+        epoch: The epoch that began or ended.
+        why: The cause as text.
+    """
 
     at: int
     what: str
@@ -56,227 +67,308 @@
 
 
 class Candidate:
-    """`wants`: whether it should try, and `after`.
-
-    How long it lets better placed ones go first once nobody holds the duty. `draw` gives a number
-    from 0 to 1; `above`, a number that only grows (the wall clock's second), so that epochs grow
-    even where all voters lost theirs. Tables: `yes` and `no`, voters of a round.
+    """A candidate for one lease, and its holder while `held_epoch` returns an epoch.
+
+    All times are microseconds of this process' monotonic clock.
+
+    Attributes:
+        wants_lease: Whether it competes for the lease; set by the owner.
+        delay_us: How long it leaves a free lease to candidates that rank higher; set by the owner.
+        not_before_us: Until when the owner should not let it compete, as the work failed here.
+        highest_epoch: The highest epoch that it has seen.
+        holder: Name of the holder as far as it is known; empty where it is not.
+        granted_by: Voters that granted in the current round.
+        rejected_by: Voters that rejected in the current round.
+        listeners: Called with each `LeaseChange`.
     """
 
     def __init__(
         self,
         duty: str,
         name: str,
-        life: int,
+        incarnation: int,
         voters: Iterable[str],
-        spans: LeaseDurations,
+        durations: LeaseDurations,
         draw: Callable[[], float],
-        number: int = 1,
-        above: Callable[[], int] = int,
+        voter_set: int = 1,
+        epoch_floor: Callable[[], int] = int,
     ) -> None:
-        self.duty, self.name, self.life, self.spans, self.draw = duty, name, life, spans, draw
-        self.voters, self.number, self.above = frozenset(voters), number, above
-        self.state, self.epoch, self.until, self.asked = CandidateState.IDLE, 0, 0, 0
-        self.round, self.next, self.pause = 0, 0, AGAIN
-        self.yes: set[str] = set()
-        self.no: set[str] = set()
-        self.top, self.holder, self.free_since, self.expected = 0, "", None, 0
-        self.wants, self.after, self.eager, self.ill, self.passing = False, 0, 0, 0, ""
-        self.heed: list[Callable[[LeaseChange], None]] = []
-
-    # What others ask of it.
-
-    def holds(self, now: int) -> int | None:
-        """The epoch under which it may act now; None where it may not.
-
-        Asked again after every wait.
+        """Start an idle candidate.
+
+        Args:
+            duty: Name of the lease.
+            name: Name of this process.
+            incarnation: The random number drawn at its start.
+            voters: Names of all voters.
+            durations: The durations that all voters and candidates go by.
+            draw: Returns a random number from 0 to 1.
+            voter_set: Number of the set of voters.
+            epoch_floor: Returns the least epoch to request. A number that only grows, such as the
+                wall clock's second, lets epochs grow even after all voters lost their promises.
+        """
+        self.duty = duty
+        self.name = name
+        self.incarnation = incarnation
+        self.voters = frozenset(voters)
+        self.durations = durations
+        self.draw = draw
+        self.voter_set = voter_set
+        self.epoch_floor = epoch_floor
+        self.state = CandidateState.IDLE
+        self.epoch = 0
+        self.lease_end_us = 0
+        self.requested_at_us = 0
+        self.round = 0
+        self.next_round_us = 0
+        self.pause_us = FIRST_PAUSE_US
+        self.granted_by: set[str] = set()
+        self.rejected_by: set[str] = set()
+        self.highest_epoch = 0
+        self.holder = ""
+        self.free_since_us: int | None = None
+        self.expected_end_us = 0
+        self.wants_lease = False
+        self.delay_us = 0
+        self.eager_until_us = 0
+        self.not_before_us = 0
+        self.successor = ""
+        self.listeners: list[Callable[[LeaseChange], None]] = []
+
+    def held_epoch(self, now: int) -> int | None:
+        """Return the epoch under which this process may act now; None where it may not.
+
+        To be called again after every wait.
         """
-        if self.state is CandidateState.HOLDING and now < self.until - self.spans.margin:
+        safe_until_us = self.lease_end_us - self.durations.margin_us
+        if self.state is CandidateState.HOLDING and now < safe_until_us:
             return self.epoch
         return None
 
-    def left(self, now: int) -> int:
-        return (
-            max(0, self.until - self.spans.margin - now)
-            if self.state is CandidateState.HOLDING
-            else 0
-        )
+    def remaining_us(self, now: int) -> int:
+        """Return for how long this process may still act without a renewal; 0 where it may not."""
+        if self.state is not CandidateState.HOLDING:
+            return 0
+        return max(0, self.lease_end_us - self.durations.margin_us - now)
 
-    def set_voters(self, now: int, voters: Iterable[str], number: int) -> None:
-        """Another set of voters from now on.
+    def set_voters(self, now: int, voters: Iterable[str], voter_set: int) -> None:
+        """Take over the next set of voters.
 
-        What was granted under the last one runs to its end and is not renewed under it.
+        A lease that was granted by the last set runs to its end and is renewed by the new one.
         """
-        self.voters, self.number = frozenset(voters), number
+        self.voters = frozenset(voters)
+        self.voter_set = voter_set
         self.round += 1
-        self.yes, self.no, self.next = set(), set(), now
+        self.granted_by = set()
+        self.rejected_by = set()
+        self.next_round_us = now
 
-    # Turns.
+    # Rounds.
 
     def tick(self, now: int) -> list[AddressedMessage]:
-        if self.state is CandidateState.HOLDING and now >= self.until:
-            self._turn(now, "lost", "its time ran out")
-            self.state, self.next = CandidateState.IDLE, now + int(AGAIN * (1 + self.draw()))
+        """Return what is to be sent now; to be called several times in `FIRST_PAUSE_US`."""
+        if self.state is CandidateState.HOLDING and now >= self.lease_end_us:
+            self._report(now, "lost", "its time ran out")
+            self.state = CandidateState.IDLE
+            self.next_round_us = now + int(FIRST_PAUSE_US * (1 + self.draw()))
         if self.state is CandidateState.HOLDING:
-            # In the lease's second half it asks no more: were it heard and heard nothing, it would
-            # keep the duty
-
-            # from all others for a whole lease after its own.
-            heard = self.until - now > self.spans.lease // 2
-            return self._renew(now) if now >= self.next and heard else []
-        if self.state is CandidateState.ASKING and now >= self.next:
-            return self._gave_up(now)
-        if now < self.next or (not self.wants and now >= self.eager):
+            first_half = self.lease_end_us - now > self.durations.lease_us // 2
+            return self._renew(now) if now >= self.next_round_us and first_half else []
+        if now < self.next_round_us:
             return []
-        return self._sound(now)
-
-    def _sound(self, now: int) -> list[AddressedMessage]:
-        self._round(CandidateState.SOUNDING)
-        quick = now < self.eager
-        self.next = now + (SOON if quick else int(self.pause * (1 + self.draw())))
-        self.pause = min(LONGEST, 2 * self.pause)
-        return self._all(PreVote(self.duty, self.life, self.name, self.round, self.number))
+        if self.state is CandidateState.REQUESTING:
+            return self._give_up(now)
+        if not self.wants_lease and now >= self.eager_until_us:
+            return []
+        return self._start_pre_vote(now)
+
+    def _start_pre_vote(self, now: int) -> list[AddressedMessage]:
+        self._start_round(CandidateState.PRE_VOTING)
+        if now < self.eager_until_us:
+            self.next_round_us = now + EAGER_INTERVAL_US
+        else:
+            self.next_round_us = now + int(self.pause_us * (1 + self.draw()))
+        self.pause_us = min(LONGEST_PAUSE_US, 2 * self.pause_us)
+        return self._to_all_voters(
+            PreVote(self.duty, self.incarnation, self.name, self.round, self.voter_set)
+        )
 
-    def _ask(self, now: int) -> list[AddressedMessage]:
-        self._round(CandidateState.ASKING)
-        self.epoch, self.asked, self.next = max(self.top + 1, self.above()), now, now + PATIENCE
-        self.top = self.epoch
-        return self._all(self._asking())
+    def _start_request(self, now: int) -> list[AddressedMessage]:
+        self._start_round(CandidateState.REQUESTING)
+        self.epoch = max(self.highest_epoch + 1, self.epoch_floor())
+        self.highest_epoch = self.epoch
+        self.requested_at_us = now
+        self.next_round_us = now + REPLY_TIMEOUT_US
+        return self._to_all_voters(self._request())
 
     def _renew(self, now: int) -> list[AddressedMessage]:
-        self._round(CandidateState.HOLDING)
-        self.asked, self.next = now, now + self.spans.renew()
-        return self._all(self._asking())
-
-    def _asking(self) -> LeaseRequest:
-        return LeaseRequest(self.duty, self.life, self.name, self.epoch, self.round, self.number)
+        self._start_round(CandidateState.HOLDING)
+        self.requested_at_us = now
+        self.next_round_us = now + self.durations.renew_interval_us()
+        return self._to_all_voters(self._request())
+
+    def _request(self) -> LeaseRequest:
+        return LeaseRequest(
+            self.duty, self.incarnation, self.name, self.epoch, self.round, self.voter_set
+        )
 
-    def _round(self, state: CandidateState) -> None:
-        self.state, self.round = state, self.round + 1
-        self.yes, self.no = set(), set()
+    def _start_round(self, state: CandidateState) -> None:
+        self.state = state
+        self.round += 1
+        self.granted_by = set()
+        self.rejected_by = set()
 
-    def _all(self, message: Message) -> list[AddressedMessage]:
+    def _to_all_voters(self, message: LeaseMessage) -> list[AddressedMessage]:
         return [AddressedMessage(voter, message) for voter in sorted(self.voters)]
 
-    def _gave_up(self, now: int) -> list[AddressedMessage]:
-        """No majority in time: what some granted is let go, so that it keeps nobody from the
-        duty.
-        """
-        done = self._all(LeaseRelease(self.duty, self.life, self.epoch, "", False))
-        self.state, self.next = CandidateState.IDLE, now + int(self.pause * (1 + self.draw()))
-        self.pause = min(LONGEST, 2 * self.pause)
-        return done
+    def _give_up(self, now: int) -> list[AddressedMessage]:
+        """End a request without a majority; release what some voters have granted."""
+        release = LeaseRelease(self.duty, self.incarnation, self.epoch, "", False)
+        self.state = CandidateState.IDLE
+        self.next_round_us = now + int(self.pause_us * (1 + self.draw()))
+        self.pause_us = min(LONGEST_PAUSE_US, 2 * self.pause_us)
+        return self._to_all_voters(release)
 
-    # Answers.
+    # Replies.
 
-    def hear(self, now: int, said: VoteReply) -> list[AddressedMessage]:
-        if (said.duty, said.to) != (self.duty, self.life) or said.by not in self.voters:
+    def handle_reply(self, now: int, reply: VoteReply) -> list[AddressedMessage]:
+        """Take a voter's reply; return what is to be sent because of it."""
+        if (reply.duty, reply.recipient) != (self.duty, self.incarnation):
+            return []
+        if reply.voter not in self.voters:
             return []
-        self.top = max(self.top, said.epoch)
-        if said.life != self.life:
-            self._seen(now, said)
-        if said.round != self.round or said.voters != self.number:
+        self.highest_epoch = max(self.highest_epoch, reply.epoch)
+        if reply.holder_incarnation != self.incarnation:
+            self._note_holder(now, reply)
+        if reply.round != self.round or reply.voter_set != self.voter_set:
+            return []
+        # Sets of names: a voter counts once, however often its reply comes.
+        counted = self.granted_by if reply.granted else self.rejected_by
+        counted.add(reply.voter)
+        if reply.to_request:
+            return self._count_request_reply(now, reply)
+        if self.state is CandidateState.PRE_VOTING:
+            return self._count_pre_votes(now)
+        return []
+
+    def _note_holder(self, now: int, reply: VoteReply) -> None:
+        """Note who has the lease as one voter sees it."""
+        if reply.remaining_us:
+            self.holder = reply.holder
+            self.free_since_us = None
+            self.expected_end_us = now + reply.remaining_us
+        elif self.free_since_us is None:
+            self.free_since_us = now
+
+    def _count_pre_votes(self, now: int) -> list[AddressedMessage]:
+        if 2 * len(self.granted_by) > len(self.voters):
+            self.pause_us = FIRST_PAUSE_US
+            earliest_us = self._earliest_request_us(now)
+            if now >= earliest_us:
+                return self._start_request(now)
+            self.next_round_us = min(self.next_round_us, earliest_us)
+        elif self.expected_end_us > now and now >= self.eager_until_us:
+            # Another has it: ask again about when its lease would end, and once a lease in any
+            # case.
+            self.pause_us = FIRST_PAUSE_US
+            end_us = min(now + self.durations.lease_us, self.expected_end_us)
+            self.next_round_us = end_us + int(FIRST_PAUSE_US * self.draw())
+        return []
+
+    def _earliest_request_us(self, now: int) -> int:
+        """Return when candidates that rank higher have had their time."""
+        if now < self.eager_until_us:
+            return now
+        if self.free_since_us is None:
+            self.free_since_us = now
+        return self.free_since_us + self.delay_us
+
+    def _count_request_reply(self, now: int, reply: VoteReply) -> list[AddressedMessage]:
+        if reply.granted and reply.epoch == self.epoch:
+            self._count_grants(now)
             return []
-        (self.yes if said.yes else self.no).add(said.by)  # each voter once, whatever comes twice
-        if self.state is CandidateState.SOUNDING and not said.asked:
-            if 2 * len(self.yes) > len(self.voters):
-                self.pause = AGAIN
-                if self._waited(now):
-                    return self._ask(now)
-                self.next = min(self.next, self.free_since + self.after)
-            elif self.expected > now and now >= self.eager:
-                # Held: asked again about when that would end, and once a lease in any case.
-                self.pause = AGAIN
-                self.next = min(now + self.spans.lease, self.expected) + int(AGAIN * self.draw())
-        elif said.asked and said.yes and said.epoch == self.epoch:
-            self._granted(now)
-        elif (
-            said.asked
-            and 2 * len(self.no) >= len(self.voters)
-            and self.state is CandidateState.ASKING
-        ):
-            return self._gave_up(now)
-        elif (
-            said.asked
-            and 2 * len(self.no) > len(self.voters)
-            and self.state is CandidateState.HOLDING
-        ):
-            # Most say no to a renewal: it would not be granted any more; what it has it may use to
-            # its end.
-            self.next = self.until
+        rejections = 2 * len(self.rejected_by)
+        if self.state is CandidateState.REQUESTING and rejections >= len(self.voters):
+            return self._give_up(now)
+        if self.state is CandidateState.HOLDING and rejections > len(self.voters):
+            # A majority rejects the renewal: no other would succeed. The lease runs to its end.
+            self.next_round_us = self.lease_end_us
         return []
 
-    def _seen(self, now: int, said: VoteReply) -> None:
-        """Who holds it, as one voter says."""
-        if said.left:
-            self.holder, self.free_since = said.name, None
-            self.expected = now + said.left
-        elif self.free_since is None:
-            self.free_since = now
-
-    def _waited(self, now: int) -> bool:
-        """Whether those better placed have had their time."""
-        if now < self.eager:
-            return True
-        if self.free_since is None:
-            self.free_since = now
-        return now - self.free_since >= self.after
-
-    def _granted(self, now: int) -> None:
-        if 2 * len(self.yes) <= len(self.voters) or self.state not in (
-            CandidateState.ASKING,
-            CandidateState.HOLDING,
-        ):
+    def _count_grants(self, now: int) -> None:
+        """Start or extend the lease once a majority has granted this round."""
+        if 2 * len(self.granted_by) <= len(self.voters):
             return
-        until = self.asked + self.spans.lease  # counted from before it was asked
-        if now >= until:
+        end_us = self.requested_at_us + self.durations.lease_us  # from before the request
+        if now >= end_us:
             return
-        first = self.state is CandidateState.ASKING
-        self.state, self.until = (
-            CandidateState.HOLDING,
-            max(self.until, until) if not first else until,
-        )
-        if first:
-            self.next, self.pause, self.eager, self.free_since = (
-                now + self.spans.renew(),
-                AGAIN,
-                0,
-                None,
-            )
-            self.holder = self.name
-            self._turn(now, "held", f"granted by {', '.join(sorted(self.yes))}")
-
-    # Letting go.
-
-    def leave(self, now: int, why: str, to: str = "", ill: bool = False) -> list[AddressedMessage]:
-        """Let go at once: nothing more is done under its epoch."""
+        if self.state is CandidateState.HOLDING:
+            self.lease_end_us = max(self.lease_end_us, end_us)
+        elif self.state is CandidateState.REQUESTING:
+            self._start_lease(now, end_us)
+
+    def _start_lease(self, now: int, end_us: int) -> None:
+        self.state = CandidateState.HOLDING
+        self.lease_end_us = end_us
+        self.next_round_us = now + self.durations.renew_interval_us()
+        self.pause_us = FIRST_PAUSE_US
+        self.eager_until_us = 0
+        self.free_since_us = None
+        self.holder = self.name
+        self._report(now, "held", f"granted by {', '.join(sorted(self.granted_by))}")
+
+    # Release and handover.
+
+    def leave(
+        self, now: int, why: str, to: str = "", failed: bool = False
+    ) -> list[AddressedMessage]:
+        """Release the lease at once; nothing more is done under its epoch.
+
+        Args:
+            now: The time.
+            why: The cause, for the log.
+            to: Name of the process that should have the lease next; empty for any.
+            failed: Whether the work failed here, so that this process should not compete soon.
+        """
         if self.state is not CandidateState.HOLDING:
             return []
-        done = LeaseRelease(self.duty, self.life, self.epoch, to, ill)
-        self.state, self.until, self.passing, self.holder = CandidateState.IDLE, now, "", to
-        self.next = now + (self.spans.lease if to or ill else AGAIN)
-        self.ill = now + ILL if ill else self.ill
-        self._turn(now, "passed" if to else "left", why)
-        return self._all(done)
-
-    def pass_to(self, now: int, name: str) -> list[AddressedMessage]:
-        """Hand it to another once that one is ready; it goes on here until then."""
-        if self.holds(now) is None:
+        release = LeaseRelease(self.duty, self.incarnation, self.epoch, to, failed)
+        self.state = CandidateState.IDLE
+        self.lease_end_us = now
+        self.successor = ""
+        self.holder = to
+        self.next_round_us = now + (self.durations.lease_us if to or failed else FIRST_PAUSE_US)
+        if failed:
+            self.not_before_us = now + FAILED_PAUSE_US
+        self._report(now, "passed" if to else "left", why)
+        return self._to_all_voters(release)
+
+    def offer_handover(self, now: int, name: str) -> list[AddressedMessage]:
+        """Offer the lease to another process; it stays here until that one accepts."""
+        if self.held_epoch(now) is None:
             return []
-        self.passing = name
-        return [AddressedMessage(name, HandoverOffer(self.duty, self.life, self.epoch))]
-
-    def passed(self, now: int, from_: str, pass_: HandoverOffer) -> list[AddressedMessage]:
-        """Another wants to hand it to this one: it takes it as soon as it can be had."""
-        self.eager, self.next = now + EAGER, now
-        self.top = max(self.top, pass_.epoch)
-        return [AddressedMessage(from_, HandoverAccept(self.duty, self.life, pass_.epoch))]
-
-    def ready(self, now: int, from_: str, ready: HandoverAccept) -> list[AddressedMessage]:
-        if ready.epoch != self.epoch or from_ != self.passing or self.holds(now) is None:
+        self.successor = name
+        return [AddressedMessage(name, HandoverOffer(self.duty, self.incarnation, self.epoch))]
+
+    def accept_handover(
+        self, now: int, sender: str, offer: HandoverOffer
+    ) -> list[AddressedMessage]:
+        """Accept the holder's offer and compete eagerly for the lease."""
+        self.eager_until_us = now + EAGER_US
+        self.next_round_us = now
+        self.highest_epoch = max(self.highest_epoch, offer.epoch)
+        accept = HandoverAccept(self.duty, self.incarnation, offer.epoch)
+        return [AddressedMessage(sender, accept)]
+
+    def handover_accepted(
+        self, now: int, sender: str, accept: HandoverAccept
+    ) -> list[AddressedMessage]:
+        """Release the lease to the process that accepted the offer."""
+        if accept.epoch != self.epoch or sender != self.successor:
+            return []
+        if self.held_epoch(now) is None:
             return []
-        return self.leave(now, f"handed over to {from_}", from_)
+        return self.leave(now, f"handed over to {sender}", sender)
 
-    def _turn(self, now: int, what: str, why: str) -> None:
-        for heed in self.heed:
-            heed(LeaseChange(now, what, self.epoch, why))
+    def _report(self, now: int, what: str, why: str) -> None:
+        for listener in self.listeners:
+            listener(LeaseChange(now, what, self.epoch, why))
--- a/gullyoke/leases/dependency_probe.py
+++ b/gullyoke/leases/dependency_probe.py
@@ -28,11 +28,13 @@
 
     def __init__(self, draw: Callable[[], float]) -> None:
         self.draw, self.failed, self.well_at, self.dead = draw, 0, 0, False
-        self.word: tuple[int, int, bool] | None = None  # epoch, when it came, whether it is dead
-        self.next, self.opened, self.held = 0, None, False
-        self.asked = 0  # tries made at one that is taken for dead
+        self.announced: tuple[int, int, bool] | None = (
+            None  # epoch, when it came, whether it is dead
+        )
+        self.next, self.opened, self.lease_held = 0, None, False
+        self.probes_sent = 0  # tries made at one that is taken for dead
 
-    def note(self, now: int, well: bool) -> None:
+    def record_call(self, now: int, well: bool) -> None:
         """A call of this server's ended."""
         if well:
             self.failed, self.well_at = 0, now
@@ -44,24 +46,29 @@
             self.dead, self.opened = True, None
             self.next = now + int(TRIAL * (0.5 + self.draw()))
 
-    def told(self, now: int, epoch: int, dead: bool) -> None:
+    def record_announcement(self, now: int, epoch: int, dead: bool) -> None:
         """A holder's word; one of an older epoch is none."""
-        if (self.word is not None and epoch < self.word[0]) or self.held:
+        if (self.announced is not None and epoch < self.announced[0]) or self.lease_held:
             return
-        was, self.word = self.word, (epoch, now, dead)
+        was, self.announced = self.announced, (epoch, now, dead)
         if not dead and self.dead and (was is None or was[2] or was[0] < epoch):
             self.dead, self.opened, self.failed = False, now, 0
 
-    def may(self, now: int) -> bool:
+    def allows_call(self, now: int) -> bool:
         """Whether a call may go out now. Counted as a try where it is taken for dead."""
         if not self.dead:
             return self._open(now)
-        if not self.held and self.word is not None and self.word[2] and now - self.word[1] < YOUNG:
+        if (
+            not self.lease_held
+            and self.announced is not None
+            and self.announced[2]
+            and now - self.announced[1] < YOUNG
+        ):
             return False
         if now < self.next:
             return False
-        self.next = now + (TRIAL if self.held else int(ALONE * (0.5 + self.draw())))
-        self.asked += 1
+        self.next = now + (TRIAL if self.lease_held else int(ALONE * (0.5 + self.draw())))
+        self.probes_sent += 1
         return True
 
     def _open(self, now: int) -> bool:
@@ -74,8 +81,8 @@
             return True
         return self.draw() < max(0.1, part)
 
-    def hold(self, held: bool) -> None:
+    def set_lease_held(self, held: bool) -> None:
         """This one holds the duty from now on, or no longer."""
-        self.held = held
+        self.lease_held = held
         if held:
-            self.word = None
+            self.announced = None
--- a/gullyoke/leases/durations.py
+++ b/gullyoke/leases/durations.py
@@ -1,4 +1,4 @@
-"""The times of a lease, and how far clocks may run apart. Microseconds."""
+"""How long a lease lasts, and how far two clocks may run apart."""
 
 from __future__ import annotations
 
@@ -6,21 +6,26 @@
 
 
 class LeaseDurations(NamedTuple):
-    """`lease`: how long a grant lasts, by its holder's clock from before it asked.
+    """The durations that candidates and voters of a lease go by.
 
-    `drift`: by how many parts in a million two clocks may run apart at the most; each side counts
-    on its own, steps of the wall clock are nothing to it. `margin`: so long before its end a holder
-    does nothing more.
+    Attributes:
+        lease_us: Microseconds that a grant lasts, by the holder's clock from before its request.
+        drift_ppm: By how many parts in a million the rates of two clocks differ at the most. Each
+            side counts on its monotonic clock, so steps of the wall clock do not matter.
+        margin_us: Microseconds before the end of its lease from which a holder no longer acts.
     """
 
-    lease: int = 3_000_000
-    drift: int = 1000
-    margin: int = 200_000
+    lease_us: int = 3_000_000
+    drift_ppm: int = 1000
+    margin_us: int = 200_000
 
-    def surely(self, span: int) -> int:
-        """So long on one clock that `span` has passed on any other."""
-        return span + 2 * span * self.drift // 1_000_000 + 1
+    def longest_elsewhere_us(self, duration_us: int) -> int:
+        """Return how long to wait here so that `duration_us` has passed on every other clock."""
+        return duration_us + 2 * duration_us * self.drift_ppm // 1_000_000 + 1
 
-    def renew(self) -> int:
-        """Between renewals: three of the four in the lease's first half may be lost."""
-        return max(1, self.lease // 8)
+    def renew_interval_us(self) -> int:
+        """Return the time between renewals.
+
+        A holder renews in the first half of its lease alone, so it can lose three of four.
+        """
+        return max(1, self.lease_us // 8)
--- a/gullyoke/leases/fence.py
+++ b/gullyoke/leases/fence.py
@@ -15,7 +15,7 @@
 
     def __init__(self) -> None:
         self.rows: dict[str, tuple[int, int]] = {}
-        self.refused = 0
+        self.rejected = 0
 
     def admits(self, duty: str, epoch: int, life: int) -> bool:
         """Whether an act of this epoch is taken.
@@ -26,7 +26,7 @@
         if (known is None and len(self.rows) >= MOST) or (
             known is not None and (epoch < known[0] or (epoch == known[0] and life != known[1]))
         ):
-            self.refused += 1
+            self.rejected += 1
             return False
         self.rows[duty] = epoch, life
         return True
--- a/gullyoke/leases/messages.py
+++ b/gullyoke/leases/messages.py
@@ -1,109 +1,130 @@
-"""What candidates and voters say to each other.
-
-A process is told apart by its `life`, drawn at its start; `round` is the asker's own number for its
-asking and comes back. `voters` is the number of the set of voters that the sender goes by: an
-answer under another one counts for nothing.
+"""Messages between the candidates and the voters of a lease.
+
+Each message travels as an array of its fields in the order in which they stand here, so fields may
+be renamed but neither reordered nor taken out; new ones go to the end. `duty` is the name of the
+lease in the operator's file. An `incarnation` is a random number drawn when a process starts and
+tells it apart from earlier processes of the same name. `round` is chosen by the sender of a request
+and comes back in the reply. `voter_set` is the number of the set of voters that the sender goes by;
+a reply under another number counts for nothing.
 """
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
-NOBODY = 0  # the life of nobody
+NOBODY: Final = 0  # the incarnation in a reply or a promise that names no holder
 
 
 class PreVote(NamedTuple):
-    """Would you grant me this duty now? Nothing is promised for it."""
+    """Asks a voter whether it would grant the lease now. The voter promises nothing."""
 
     duty: str
-    life: int
+    incarnation: int
     name: str
     round: int
-    voters: int
+    voter_set: int
 
 
 class LeaseRequest(NamedTuple):
-    """Grant me this duty under this epoch; a renewal where it is granted already."""
+    """Asks a voter to grant the lease under `epoch`, or to renew it where it is granted already."""
 
     duty: str
-    life: int
+    incarnation: int
     name: str
     epoch: int
     round: int
-    voters: int
+    voter_set: int
 
 
 class VoteReply(NamedTuple):
-    """A voter's word on a Sound or an Ask.
-
-    `yes`: it would, or it does, durably. `epoch` is the highest that it has promised, `life` and
-    `name` to whom, `left` for how long yet, in microseconds on its clock.
+    """A voter's answer to a `PreVote` or a `LeaseRequest`.
+
+    Attributes:
+        duty: Name of the lease.
+        recipient: Incarnation of the candidate that asked.
+        round: Round of the request.
+        voter: Name of the voter.
+        granted: Whether the lease is granted durably, or would be for a `PreVote`.
+        to_request: Whether a `LeaseRequest` is answered, not a `PreVote`.
+        epoch: The highest epoch that this voter has promised.
+        holder_incarnation: To whom it is promised; `NOBODY` where no lease runs.
+        holder: Name of that process; empty where no lease runs.
+        remaining_us: Microseconds that the lease still runs by the voter's clock.
+        voter_set: Number of the set of voters that the voter goes by.
     """
 
     duty: str
-    to: int
+    recipient: int
     round: int
-    by: str
-    yes: bool
-    asked: bool  # whether an Ask was answered
+    voter: str
+    granted: bool
+    to_request: bool
     epoch: int
-    life: int
-    name: str
-    left: int
-    voters: int
+    holder_incarnation: int
+    holder: str
+    remaining_us: int
+    voter_set: int
 
 
 class LeaseRelease(NamedTuple):
-    """I no longer hold this duty, and do nothing more under this epoch.
-
-    `next`: who should have it now; empty for anybody. `ill`: because it failed here, so not this
-    one soon.
+    """The holder's word that it no longer has the lease and does nothing more under this epoch.
+
+    Attributes:
+        duty: Name of the lease.
+        incarnation: The holder's incarnation.
+        epoch: The epoch that ends.
+        successor: Name of the process that should have the lease next; empty for any.
+        failed: Whether the work under the lease failed at the holder.
     """
 
     duty: str
-    life: int
+    incarnation: int
     epoch: int
-    next: str
-    ill: bool
+    successor: str
+    failed: bool
 
 
 class HandoverOffer(NamedTuple):
-    """From a holder to whom it would hand its duty: take it as soon as I let go."""
+    """From the holder to its chosen successor: request the lease as soon as it is released."""
 
     duty: str
-    life: int
+    incarnation: int
     epoch: int
 
 
 class HandoverAccept(NamedTuple):
-    """The answer: I will."""
+    """The successor's answer to a `HandoverOffer`: it is ready to request the lease."""
 
     duty: str
-    life: int
+    incarnation: int
     epoch: int
 
 
 class EpochQuery(NamedTuple):
-    """From a voter that has lost its promises: what are the epochs that you have promised?"""
+    """From a voter that lost its promises: asks another voter for all that it has promised."""
 
-    by: str
-    life: int
+    voter: str
+    incarnation: int
     round: int
 
 
 class EpochReply(NamedTuple):
-    """By duty: epoch, life and name of what was promised.
+    """Answer to an `EpochQuery`.
 
-    `fresh`: this one has nothing of its own either.
+    Attributes:
+        voter: Name of the voter that answers.
+        round: Round of the query.
+        promises: One entry a lease: its name, and epoch, incarnation and name of its holder.
+        fresh: Whether this voter has no promises of its own either.
     """
 
-    by: str
+    voter: str
     round: int
-    epochs: tuple[tuple[str, int, int, str], ...]
+    promises: tuple[tuple[str, int, int, str], ...]
     fresh: bool = False
 
 
-Message = (
+LeaseMessage = (
     PreVote
     | LeaseRequest
     | VoteReply
--- a/gullyoke/leases/voter.py
+++ b/gullyoke/leases/voter.py
@@ -1,21 +1,23 @@
-"""One voter: which life holds which duty under which epoch, by its word.
-
-A promise is durable before it is told: an answer that rests on a new one goes out with a `Write`,
-and only once that is on the disk. Renewing an epoch writes nothing. A voter that starts with its
-promises waits out what it may have granted; one that starts without (a fresh folder, one of an
-older copy) also learns, after that wait, the epochs of so many others that no majority can have
-been without one of them, and writes them down, before its word counts again. One whose disk does
-not take what it promises grants nothing new.
-
-The lease itself is Gray's and Cheriton's (1989); epochs granted once by a majority, Paxos' (Lamport
-1998); no word for another while a lease runs, and asking before one asks, Raft's stickiness and
-pre-vote (Ongaro 2014); epochs that acts carry, Chubby's sequencers (Burrows 2006).
+"""One voter: which process it has granted which lease, and under which epoch.
+
+A voter's promise is durable before it is sent: `Voter.answer_request` returns a `PromiseWrite`
+where a new promise has to be written first, and the reply follows from `Voter.write_finished`. A
+renewal under the same epoch writes nothing.
+
+A voter that starts with its promises waits out the leases that it may have granted. One that starts
+without them (a new folder, or one of an older copy) waits as well and then asks the other voters
+for their promises. It learns from so many that no majority can have been formed without one of
+them, and stores what it learned before it votes. A voter whose disk fails grants nothing new.
+
+Sources: leases are Gray's and Cheriton's (1989); epochs granted once by a majority are Paxos'
+(Lamport 1998); no grant to another candidate while a lease runs, and a pre-vote before the request,
+are Raft's (Ongaro 2014); epochs that acts carry are Chubby's sequencers (Burrows 2006).
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.messages import (
@@ -28,248 +30,304 @@
     VoteReply,
 )
 
-DUTIES = 64  # rows that are kept; there are a few
-LEARN_AGAIN = 500_000  # between two askings of the others
-# for so long a duty that was passed on is kept for whom it was passed to
-FAVOUR = 1_000_000
+MAX_LEASES: Final = 64  # leases of which a voter keeps promises; there are a few
+LEARN_INTERVAL_US = 500_000  # between two queries for the promises of the other voters
+SUCCESSOR_PREFERENCE_US = 1_000_000  # a handed-over lease goes to its successor alone for so long
 
 
 class Promise(NamedTuple):
-    """What is promised of a duty, as it lies on the disk."""
+    """What a voter has promised of one lease.
+
+    It is stored as an array of its fields in this order. `incarnation` and `holder` say to whom.
+    """
 
     epoch: int
-    life: int
-    name: str
+    incarnation: int
+    holder: str
 
 
-NO_PROMISE = Promise(0, NOBODY, "")
+NO_PROMISE: Final = Promise(0, NOBODY, "")
 
 
 class PromiseWrite(NamedTuple):
-    """Make this row durable, then tell `written`."""
+    """A promise to be made durable; `reply` goes out afterwards, if there is one."""
 
     duty: str
-    row: Promise
-    then: VoteReply | None
+    promise: Promise
+    reply: VoteReply | None
 
 
 class PreferredSuccessor(NamedTuple):
+    """The process that a released lease was handed over to, and until when it alone gets it."""
+
     name: str
-    until: int
+    until_us: int
 
 
 class Voter:
-    """`rows` is what the disk has; None where it has nothing of ours (a fresh folder).
-
-    `others` are the other voters' names. Tables: `rows`, `until` and `favour`, one row a duty,
-    DUTIES at the most, kept for good: they are what voting is; `pending`, writes that are on their
-    way, one a duty.
+    """A voter for all leases of a fleet.
+
+    All times are microseconds of this process' monotonic clock.
+
+    Attributes:
+        promises: What has been promised, by the name of the lease; at most `MAX_LEASES` entries,
+            never taken out.
+        pending_writes: Promises on their way to the disk, one a lease.
+        fresh: Whether this voter has no promises of its own and still has to learn them.
+        silent_until_us: End of the leases that it may have granted before this start.
+        disk_ok: Whether the last write of a promise succeeded.
+        failed_writes: How many writes of promises have failed.
     """
 
     def __init__(
         self,
         now: int,
         name: str,
-        life: int,
+        incarnation: int,
         others: Iterable[str],
-        spans: LeaseDurations,
-        rows: Mapping[str, Promise] | None,
-        voters: int = 1,
+        durations: LeaseDurations,
+        promises: Mapping[str, Promise] | None,
+        voter_set: int = 1,
     ) -> None:
-        self.name, self.life, self.others, self.spans = name, life, frozenset(others), spans
-        self.rows: dict[str, Promise] = dict(rows or {})
-        self.fresh = rows is None
-        # what it may have granted before this start is over then
-        self.mute = now + spans.surely(spans.lease)
-        self.until: dict[str, int] = {}
-        self.favour: dict[str, PreferredSuccessor] = {}
-        self.pending: dict[str, PromiseWrite] = {}
-        self.heard: dict[str, tuple[tuple[str, int, int, str], ...]] = {}
-        self.new: set[str] = set()  # others that are fresh as well
-        self.round, self.next, self.well, self.voters = 0, 0, True, voters
-        self.tried = now  # when a disk that failed was last tried
-        self.refused = 0  # how often the disk failed a promise
-
-    def set_others(self, others: Iterable[str], voters: int) -> None:
-        """Another set of voters, one more or fewer.
-
-        What it has promised stays; one that is still learning asks the new others.
+        """Start a voter.
+
+        Args:
+            now: The time of the start.
+            name: This voter's name.
+            incarnation: The random number drawn at this process' start.
+            others: Names of the other voters.
+            durations: The durations that all voters and candidates go by.
+            promises: What the disk has; None for a folder that is not this voter's.
+            voter_set: Number of the set of voters.
         """
-        self.others, self.voters = frozenset(others), voters
-        self.heard.clear()
-        self.new.clear()
+        self.name = name
+        self.incarnation = incarnation
+        self.others = frozenset(others)
+        self.durations = durations
+        self.voter_set = voter_set
+        self.promises: dict[str, Promise] = dict(promises or {})
+        self.fresh = promises is None
+        self.silent_until_us = now + durations.longest_elsewhere_us(durations.lease_us)
+        self.lease_ends_us: dict[str, int] = {}
+        self.pending_writes: dict[str, PromiseWrite] = {}
+        self.disk_ok = True
+        self.failed_writes = 0
+        self._disk_retried_us = now
+        self._preferred_successors: dict[str, PreferredSuccessor] = {}
+        self._round = 0
+        self._next_query_us = 0
+        self._learned: dict[str, tuple[tuple[str, int, int, str], ...]] = {}
+        self._other_fresh_voters: set[str] = set()
+
+    def set_others(self, others: Iterable[str], voter_set: int) -> None:
+        """Take over the next set of voters, which differs by one voter.
+
+        All promises stay. A voter that is still learning asks the new set from the start.
+        """
+        self.others = frozenset(others)
+        self.voter_set = voter_set
+        self._learned.clear()
+        self._other_fresh_voters.clear()
 
-    # Who may speak.
+    def may_vote(self, now: int) -> bool:
+        """Tell whether this voter's replies count yet."""
+        return now >= self.silent_until_us and not self.fresh
 
-    def speaks(self, now: int) -> bool:
-        """Whether its word counts."""
-        return now >= self.mute and not self.fresh
+    # Learning lost promises.
 
-    def enough(self) -> int:
-        """How many of the others cover every majority that this voter may have been in."""
-        whole = len(self.others) + 1
-        majority = whole // 2 + 1
+    def replies_needed(self) -> int:
+        """Return how many others have a member in every majority that included this voter."""
+        voters = len(self.others) + 1
+        majority = voters // 2 + 1
         return len(self.others) - (majority - 1) + 1
 
-    def learns(self, now: int) -> EpochQuery | None:
-        """What a fresh voter asks all others, once the wait is over."""
-        if not self.fresh or now < max(self.mute, self.next):
+    def epoch_query(self, now: int) -> EpochQuery | None:
+        """Return the query that a fresh voter sends to all others, if one is due."""
+        if not self.fresh or now < max(self.silent_until_us, self._next_query_us):
             return None
-        self.round, self.next = self.round + 1, now + LEARN_AGAIN
-        self.heard.clear()
-        self.new.clear()
-        return EpochQuery(self.name, self.life, self.round)
-
-    def teach(self, now: int, learn: EpochQuery) -> EpochReply | None:
-        """What this one has promised; one that is fresh as well says just that."""
-        if learn.by not in self.others:
+        self._round += 1
+        self._next_query_us = now + LEARN_INTERVAL_US
+        self._learned.clear()
+        self._other_fresh_voters.clear()
+        return EpochQuery(self.name, self.incarnation, self._round)
+
+    def answer_epoch_query(self, now: int, query: EpochQuery) -> EpochReply | None:
+        """Return what this voter has promised; a fresh one answers that it has nothing."""
+        if query.voter not in self.others:
             return None
-        rows = () if self.fresh else tuple((duty, *row) for duty, row in sorted(self.rows.items()))
-        return EpochReply(self.name, learn.round, rows, self.fresh)
+        known = {} if self.fresh else self.promises
+        entries = tuple((duty, *promise) for duty, promise in sorted(known.items()))
+        return EpochReply(self.name, query.round, entries, self.fresh)
 
-    def learned(self, now: int, said: EpochReply) -> list[PromiseWrite]:
-        """What is to be written down, once enough of the others have said what they know.
+    def learn_epochs(self, now: int, reply: EpochReply) -> list[PromiseWrite]:
+        """Take another voter's promises; return all that is to be stored once there are enough.
 
-        It is fresh until all of that is durable. Where all of the others have spoken and some are
-        fresh, the fleet is new, or more is lost than can be told: they begin, and candidates take
-        epochs above all that there can have been (Candidate.above).
+        This voter stays fresh until `promise_learned` has reported all of them as durable. Where
+        all others have answered and some are fresh as well, the fleet is new or more is lost than
+        can be known: they start, and candidates take epochs above all that there can have been
+        (`epoch_floor` in `gullyoke/leases/candidate.py`).
         """
-        if not self.fresh or said.round != self.round or said.by not in self.others:
+        if not self.fresh or reply.round != self._round or reply.voter not in self.others:
             return []
-        if said.fresh:
-            self.new.add(said.by)
+        if reply.fresh:
+            self._other_fresh_voters.add(reply.voter)
         else:
-            self.heard[said.by] = said.epochs
-        if len(self.heard) < self.enough() and self.heard.keys() | self.new != self.others:
+            self._learned[reply.voter] = reply.promises
+        all_answered = self._learned.keys() | self._other_fresh_voters == self.others
+        if len(self._learned) < self.replies_needed() and not all_answered:
             return []
-        known: dict[str, Promise] = {}
-        for epochs in self.heard.values():
-            for duty, *promised in epochs[:DUTIES]:
-                row, was = Promise(*promised), known.get(duty, NO_PROMISE)
-                # Where all who know the newest epoch say the same, nobody else can have had it;
-                # else nothing is
-
-                # granted under it here again.
-                if row.epoch > was.epoch or duty not in known:
-                    known[duty] = row
-                elif row.epoch == was.epoch and row.life != was.life:
-                    known[duty] = Promise(row.epoch, NOBODY, "")
-        self.heard.clear()
-        self.round += 1  # one word more starts it anew, should a write fail
-        if not known:
+        newest = self._newest_promises()
+        self._learned.clear()
+        self._round += 1  # a reply that comes later counts no more; a failed write starts anew
+        if not newest:
             self.fresh = False
-        return [PromiseWrite(duty, row, None) for duty, row in known.items()]
-
-    def taken(self, write: PromiseWrite, last: bool) -> None:
-        """A row that was learned is durable; `last` of them: it votes from now on."""
-        self.rows[write.duty] = write.row
+        return [PromiseWrite(duty, promise, None) for duty, promise in newest.items()]
+
+    def _newest_promises(self) -> dict[str, Promise]:
+        """Return the newest promise of each lease among all that was learned."""
+        newest: dict[str, Promise] = {}
+        for entries in self._learned.values():
+            for duty, epoch, incarnation, holder in entries[:MAX_LEASES]:
+                promise = Promise(epoch, incarnation, holder)
+                known = newest.get(duty, NO_PROMISE)
+                if promise.epoch > known.epoch or duty not in newest:
+                    newest[duty] = promise
+                elif promise.epoch == known.epoch and promise.incarnation != known.incarnation:
+                    # Voters that differ on the holder of the newest epoch: nobody gets it again.
+                    newest[duty] = Promise(promise.epoch, NOBODY, "")
+        return newest
+
+    def promise_learned(self, write: PromiseWrite, last: bool) -> None:
+        """Take over a learned promise that is durable; after the `last` one this voter votes."""
+        self.promises[write.duty] = write.promise
         if last:
             self.fresh = False
 
-    # Asked for a grant.
+    # Requests for a lease.
 
-    def sound(self, now: int, sound: PreVote) -> VoteReply:
-        would = self._would(now, sound.duty, sound.life, sound.name)
-        return self._said(now, sound.duty, sound.life, sound.round, would, False)
+    def answer_pre_vote(self, now: int, pre_vote: PreVote) -> VoteReply:
+        """Return whether this voter would grant the lease; nothing is promised."""
+        granted = self._would_grant(now, pre_vote.duty, pre_vote.incarnation, pre_vote.name)
+        return self._reply(now, pre_vote, granted, to_request=False)
 
-    def ask(self, now: int, ask: LeaseRequest) -> VoteReply | PromiseWrite | None:
-        """The answer, or what must be durable before it.
+    def answer_request(self, now: int, request: LeaseRequest) -> VoteReply | PromiseWrite | None:
+        """Return the reply, or the promise that has to be durable before it.
 
-        None while a promise of that duty is on its way.
+        None while another promise of that lease is on its way to the disk.
         """
-        row = self.rows.get(ask.duty, NO_PROMISE)
-        if ask.duty in self.pending:
+        duty = request.duty
+        if duty in self.pending_writes:
             return None
-        same = (row.epoch, row.life) == (ask.epoch, ask.life) and ask.voters == self.voters
-        if same and not self.fresh:  # renewed, or asked twice: it is durable already
-            self._grant(now, ask.duty)
-            return self._said(now, ask.duty, ask.life, ask.round, True, True)
-        yes = (
-            ask.epoch > row.epoch
-            and ask.voters == self.voters
-            and self._would(now, ask.duty, ask.life, ask.name)
+        promise = self.promises.get(duty, NO_PROMISE)
+        same_holder = (promise.epoch, promise.incarnation) == (request.epoch, request.incarnation)
+        same_set = request.voter_set == self.voter_set
+        if same_holder and same_set and not self.fresh:
+            # A renewal or a duplicate: the promise is durable already.
+            self._start_lease(now, duty)
+            return self._reply(now, request, granted=True, to_request=True)
+        granted = (
+            request.epoch > promise.epoch
+            and same_set
+            and self._would_grant(now, duty, request.incarnation, request.name)
         )
-        if not yes or (len(self.rows) >= DUTIES and ask.duty not in self.rows):
-            return self._said(now, ask.duty, ask.life, ask.round, False, True)
-        promised = Promise(ask.epoch, ask.life, ask.name)
-        self.pending[ask.duty] = PromiseWrite(
-            ask.duty,
-            promised,
-            VoteReply(
-                ask.duty,
-                ask.life,
-                ask.round,
-                self.name,
-                True,
-                True,
-                ask.epoch,
-                ask.life,
-                ask.name,
-                self.spans.lease,
-                self.voters,
-            ),
+        if not granted or (len(self.promises) >= MAX_LEASES and duty not in self.promises):
+            return self._reply(now, request, granted=False, to_request=True)
+        write = PromiseWrite(
+            duty,
+            Promise(request.epoch, request.incarnation, request.name),
+            self._grant_reply(request),
         )
-        return self.pending[ask.duty]
+        self.pending_writes[duty] = write
+        return write
 
-    def written(self, now: int, write: PromiseWrite, durable: bool) -> VoteReply | None:
-        """What to tell once the disk has spoken.
+    def write_finished(self, now: int, write: PromiseWrite, durable: bool) -> VoteReply | None:
+        """Return the reply to send once the disk has stored a promise or failed to.
 
-        Where it failed, what it holds now is not known: the epoch is taken for promised, to nobody,
-        and the next try must be above it.
+        After a failure it is unknown what the disk has: the epoch counts as promised to nobody, and
+        the next request has to be above it.
         """
-        if self.pending.get(write.duty) is not write:
+        if self.pending_writes.get(write.duty) is not write:
             return None
-        del self.pending[write.duty]
-        self.well = durable
-        if not durable:
-            self.refused += 1
-            self.rows[write.duty] = Promise(write.row.epoch, NOBODY, "")
-            return write.then and write.then._replace(yes=False, life=NOBODY, name="", left=0)
-        self.rows[write.duty] = write.row
-        self._grant(now, write.duty)
-        return write.then
-
-    def done(self, now: int, done: LeaseRelease) -> None:
-        """The holder has let go."""
-        row = self.rows.get(done.duty)
-        if row is None or (row.epoch, row.life) != (done.epoch, done.life):
-            return
-        self.until[done.duty] = now
-        if done.next:
-            self.favour[done.duty] = PreferredSuccessor(done.next, now + FAVOUR)
+        del self.pending_writes[write.duty]
+        self.disk_ok = durable
+        if durable:
+            self.promises[write.duty] = write.promise
+            self._start_lease(now, write.duty)
+            return write.reply
+        self.failed_writes += 1
+        self.promises[write.duty] = Promise(write.promise.epoch, NOBODY, "")
+        return write.reply and write.reply._replace(
+            granted=False, holder_incarnation=NOBODY, holder="", remaining_us=0
+        )
 
-    def _would(self, now: int, duty: str, life: int, name: str) -> bool:
-        row = self.rows.get(duty, NO_PROMISE)
-        if not self.speaks(now) or (not self.well and not self._again(now)):
+    def release(self, now: int, release: LeaseRelease) -> None:
+        """End a lease that its holder has released."""
+        promise = self.promises.get(release.duty)
+        if promise is None:
+            return
+        if (promise.epoch, promise.incarnation) != (release.epoch, release.incarnation):
+            return
+        self.lease_ends_us[release.duty] = now
+        if release.successor:
+            until_us = now + SUCCESSOR_PREFERENCE_US
+            successor = PreferredSuccessor(release.successor, until_us)
+            self._preferred_successors[release.duty] = successor
+
+    def _would_grant(self, now: int, duty: str, incarnation: int, name: str) -> bool:
+        if not self.may_vote(now):
             return False
-        favoured = self.favour.get(duty)
-        if name and favoured is not None and now < favoured.until and favoured.name != name:
+        if not self.disk_ok and not self._retries_disk(now):
             return False
-        return now >= self.until.get(duty, 0) or row.life == life
+        preferred = self._preferred_successors.get(duty)
+        if preferred is not None and now < preferred.until_us and name not in ("", preferred.name):
+            return False
+        if now >= self.lease_ends_us.get(duty, 0):
+            return True
+        return self.promises.get(duty, NO_PROMISE).incarnation == incarnation
 
-    def _again(self, now: int) -> bool:
-        """A disk that failed is tried again with the next promise, once a lease."""
-        if now - self.tried < self.spans.lease:
+    def _retries_disk(self, now: int) -> bool:
+        """Tell whether a failed disk is to be tried with the next promise: once a lease."""
+        if now - self._disk_retried_us < self.durations.lease_us:
             return False
-        self.tried = now
+        self._disk_retried_us = now
         return True
 
-    def _grant(self, now: int, duty: str) -> None:
-        self.until[duty] = now + self.spans.surely(self.spans.lease)
+    def _start_lease(self, now: int, duty: str) -> None:
+        lease_us = self.durations.longest_elsewhere_us(self.durations.lease_us)
+        self.lease_ends_us[duty] = now + lease_us
 
-    def _said(self, now: int, duty: str, to: int, round_: int, yes: bool, asked: bool) -> VoteReply:
-        row = self.rows.get(duty, NO_PROMISE)
-        left = max(0, self.until.get(duty, 0) - now)
+    def _reply(
+        self, now: int, message: PreVote | LeaseRequest, granted: bool, to_request: bool
+    ) -> VoteReply:
+        """Return a reply that states who has the lease now."""
+        promise = self.promises.get(message.duty, NO_PROMISE)
+        remaining_us = max(0, self.lease_ends_us.get(message.duty, 0) - now)
         return VoteReply(
-            duty,
-            to,
-            round_,
-            self.name,
-            yes,
-            asked,
-            row.epoch,
-            row.life if left else NOBODY,
-            row.name if left else "",
-            left,
-            self.voters,
+            duty=message.duty,
+            recipient=message.incarnation,
+            round=message.round,
+            voter=self.name,
+            granted=granted,
+            to_request=to_request,
+            epoch=promise.epoch,
+            holder_incarnation=promise.incarnation if remaining_us else NOBODY,
+            holder=promise.holder if remaining_us else "",
+            remaining_us=remaining_us,
+            voter_set=self.voter_set,
+        )
+
+    def _grant_reply(self, request: LeaseRequest) -> VoteReply:
+        """Return the reply that grants a request, to be sent once the promise is durable."""
+        return VoteReply(
+            duty=request.duty,
+            recipient=request.incarnation,
+            round=request.round,
+            voter=self.name,
+            granted=True,
+            to_request=True,
+            epoch=request.epoch,
+            holder_incarnation=request.incarnation,
+            holder=request.name,
+            remaining_us=self.durations.lease_us,
+            voter_set=self.voter_set,
         )
--- a/gullyoke/model_checking/duty.py
+++ b/gullyoke/model_checking/duty.py
@@ -32,19 +32,28 @@
 class Ticks(LeaseDurations):
     """Times in ticks; `surely` is one tick more."""
 
-    def renew(self) -> int:
+    def renew_interval_us(self) -> int:
         return 1
 
 
-SPANS = Ticks(lease=3, drift=0, margin=0)
+SPANS = Ticks(lease_us=3, drift_ppm=0, margin_us=0)
 
 
 def whole_ticks() -> contextlib.AbstractContextManager:
     """The modules' times in ticks."""
     stack = contextlib.ExitStack()
     for module, names in (
-        (candidates, {"PATIENCE": 1, "AGAIN": 1, "LONGEST": 1, "SOON": 1, "EAGER": 2}),
-        (voters, {"LEARN_AGAIN": 1, "FAVOUR": 1}),
+        (
+            candidates,
+            {
+                "REPLY_TIMEOUT_US": 1,
+                "FIRST_PAUSE_US": 1,
+                "LONGEST_PAUSE_US": 1,
+                "EAGER_INTERVAL_US": 1,
+                "EAGER_US": 2,
+            },
+        ),
+        (voters, {"LEARN_INTERVAL_US": 1, "SUCCESSOR_PREFERENCE_US": 1}),
     ):
         for name, value in names.items():
             stack.enter_context(mock.patch.object(module, name, value))
@@ -63,7 +72,7 @@
         self.disks: dict[str, dict[str, Promise] | None] = {name: {} for name in NAMES}
         self.voters = {name: self.start(name, {}) for name in NAMES}
         for one in self.voters.values():
-            one.mute = 0  # the first start of all: nothing was ever granted
+            one.silent_until_us = 0  # the first start of all: nothing was ever granted
         self.lives = 10
         self.candidates: dict[str, Candidate] = {}
         for name in ("a", "b"):
@@ -82,7 +91,7 @@
     def begin(self, name: str) -> None:
         self.lives += 1
         one = self.candidates[name] = Candidate(DUTY, name, self.lives, NAMES, SPANS, float)
-        one.wants = True
+        one.wants_lease = True
 
     # What can happen.
 
@@ -90,8 +99,8 @@
         out: list[Move] = [("time",)] + [("come", i) for i in range(len(self.net))]
         for name, one in self.candidates.items():
             now = self.clocks[name]
-            if one.state is CandidateState.HOLDING and now < one.until:
-                if now >= one.next:
+            if one.state is CandidateState.HOLDING and now < one.lease_end_us:
+                if now >= one.next_round_us:
                     out += [("renew", name, reached) for reached in REACHED[:2]]
                     if len(self.net) < NET:
                         out.append(("renew-late", name, REACHED[1]))
@@ -99,7 +108,7 @@
                 out.append(("leave", name))
             elif self.acts[name] is not None:
                 out.append(("act", name))
-            if one.state is not CandidateState.HOLDING or now >= one.until:
+            if one.state is not CandidateState.HOLDING or now >= one.lease_end_us:
                 out += [("try", name, reached) for reached in REACHED[:2]]
                 if len(self.net) < NET:
                     out.append(("try-late", name, REACHED[1]))
@@ -139,13 +148,13 @@
         elif what == "learn":
             self.learn()
         elif what == "act-begin":
-            self.acts[move[1]] = self.candidates[move[1]].holds(self.clocks[move[1]])
+            self.acts[move[1]] = self.candidates[move[1]].held_epoch(self.clocks[move[1]])
         elif what == "act":
             self.act(move[1])
         elif what == "leave":
             one = self.candidates[move[1]]
             for post in one.leave(self.clocks[move[1]], "asked"):
-                self.voters[post.to].done(self.clocks[post.to], post.message)
+                self.voters[post.to].release(self.clocks[post.to], post.message)
         else:
             self.round(move[1], move[2].split("+"), what)
 
@@ -158,12 +167,12 @@
         if what.startswith("renew"):
             posts = one._renew(now)
         else:
-            one.state, one.next = CandidateState.IDLE, now
+            one.state, one.next_round_us = CandidateState.IDLE, now
             self.acts[name] = self.acts[name]
-            for post in one._sound(now):
+            for post in one._start_pre_vote(now):
                 if post.to in reached:
-                    said = self.voters[post.to].sound(self.clocks[post.to], post.message)
-                    posts = one.hear(now, said)
+                    said = self.voters[post.to].answer_pre_vote(self.clocks[post.to], post.message)
+                    posts = one.handle_reply(now, said)
                     if posts:
                         break
             else:
@@ -183,44 +192,44 @@
     def asked(self, voter: str, ask: LeaseRequest, ill: bool) -> VoteReply | None:
         """A voter's answer, its disk included."""
         one, now = self.voters[voter], self.clocks[voter]
-        answer = one.ask(now, ask)
+        answer = one.answer_request(now, ask)
         if isinstance(answer, PromiseWrite):
             if not ill:
-                self.disks[voter] = {**(self.disks[voter] or {}), answer.duty: answer.row}
+                self.disks[voter] = {**(self.disks[voter] or {}), answer.duty: answer.promise}
             else:
                 self.faults -= 1
-            answer = one.written(now, answer, not ill)
+            answer = one.write_finished(now, answer, not ill)
         return answer
 
     def deliver(self, from_: str, to: str, message: object) -> None:
         one, now = self.candidates[to], self.clocks[to]
-        if isinstance(message, VoteReply) and message.to == one.life:
-            for post in one.hear(now, message):
+        if isinstance(message, VoteReply) and message.recipient == one.incarnation:
+            for post in one.handle_reply(now, message):
                 if isinstance(post.message, LeaseRelease):
-                    self.voters[post.to].done(self.clocks[post.to], post.message)
+                    self.voters[post.to].release(self.clocks[post.to], post.message)
 
     def learn(self) -> None:
         for name, one in self.voters.items():
-            asked = one.learns(self.clocks[name]) if one.fresh else None
+            asked = one.epoch_query(self.clocks[name]) if one.fresh else None
             if asked is None:
                 continue
             writes: list[PromiseWrite] = []
             for other in one.others:
-                said = self.voters[other].teach(self.clocks[other], asked)
+                said = self.voters[other].answer_epoch_query(self.clocks[other], asked)
                 if said is not None:
-                    writes = one.learned(self.clocks[name], said) or writes
+                    writes = one.learn_epochs(self.clocks[name], said) or writes
             if not one.fresh:
                 self.disks[name] = {}
             for i, write in enumerate(writes):
-                self.disks[name] = {**(self.disks[name] or {}), write.duty: write.row}
-                one.taken(write, i == len(writes) - 1)
+                self.disks[name] = {**(self.disks[name] or {}), write.duty: write.promise}
+                one.promise_learned(write, i == len(writes) - 1)
 
     def act(self, name: str) -> None:
         """What was begun comes to the resource now, however long it took."""
         epoch, self.acts[name] = self.acts[name], None
         if epoch is None:
             return
-        life = self.candidates[name].life
+        life = self.candidates[name].incarnation
         if self.fenced and not self.fence.admits(DUTY, epoch, life):
             return
         if epoch < self.newest:
@@ -238,11 +247,11 @@
         there = [
             (
                 name,
-                sorted(v.rows.items()),
-                [(d, rel(name, at)) for d, at in v.until.items()],
-                rel(name, v.mute),
+                sorted(v.promises.items()),
+                [(d, rel(name, at)) for d, at in v.lease_ends_us.items()],
+                rel(name, v.silent_until_us),
                 v.fresh,
-                v.well,
+                v.disk_ok,
                 sorted((self.disks[name] or {"": None}).items()),
             )
             for name, v in self.voters.items()
@@ -250,20 +259,21 @@
         here = [
             (
                 name,
-                c.life,
+                c.incarnation,
                 c.state.value,
                 c.epoch,
-                rel(name, c.until),
-                rel(name, c.next),
-                sorted(c.yes),
-                sorted(c.no),
-                c.top,
-                rel(name, c.asked + SPANS.lease),
+                rel(name, c.lease_end_us),
+                rel(name, c.next_round_us),
+                sorted(c.granted_by),
+                sorted(c.rejected_by),
+                c.highest_epoch,
+                rel(name, c.requested_at_us + SPANS.lease_us),
             )
             for name, c in self.candidates.items()
         ]
         net = [
-            (a, b, m.round - self.candidates[b].round, m.to, m.yes, m.epoch) for a, b, m in self.net
+            (a, b, m.round - self.candidates[b].round, m.recipient, m.granted, m.epoch)
+            for a, b, m in self.net
         ]
         skew = tuple(self.clocks[n] - self.clocks["b"] for n in self.clocks)
         return (
@@ -283,10 +293,12 @@
     def wrong(self) -> str | None:
         if self.fault:
             return self.fault
-        if all(one.holds(self.clocks[name]) is not None for name, one in self.candidates.items()):
+        if all(
+            one.held_epoch(self.clocks[name]) is not None for name, one in self.candidates.items()
+        ):
             return "two hold it at once"
         for name, one in self.voters.items():
-            epoch = one.rows[DUTY].epoch if DUTY in one.rows else 0
+            epoch = one.promises[DUTY].epoch if DUTY in one.promises else 0
             if epoch < self.high[name] and not one.fresh:
                 return f"{name}'s promise went back to {epoch}"
             self.high[name] = max(self.high[name], epoch)
@@ -332,18 +344,18 @@
 
 
 def _clocks_alike() -> contextlib.AbstractContextManager:
-    return mock.patch.object(LeaseDurations, "surely", lambda self, span: span)
+    return mock.patch.object(LeaseDurations, "longest_elsewhere_us", lambda self, span: span)
 
 
 def _from_the_answer() -> contextlib.AbstractContextManager:
-    granted = Candidate._granted
+    granted = Candidate._count_grants
 
     def late(self, now):
-        asked, self.asked = self.asked, now
+        requested, self.requested_at_us = self.requested_at_us, now
         granted(self, now)
-        self.asked = asked
+        self.requested_at_us = requested
 
-    return mock.patch.object(Candidate, "_granted", late)
+    return mock.patch.object(Candidate, "_count_grants", late)
 
 
 def _no_fence() -> contextlib.AbstractContextManager:
@@ -351,14 +363,14 @@
 
 
 def _counted_twice() -> contextlib.AbstractContextManager:
-    hear = Candidate.hear
+    hear = Candidate.handle_reply
 
     def twice(self, now, said):
-        if said.yes and said.round == self.round and said.to == self.life:
-            self.yes.add(f"{said.by} again")
+        if said.granted and said.round == self.round and said.recipient == self.incarnation:
+            self.granted_by.add(f"{said.voter} again")
         return hear(self, now, said)
 
-    return mock.patch.object(Candidate, "hear", twice)
+    return mock.patch.object(Candidate, "handle_reply", twice)
 
 
 def _votes_at_once() -> contextlib.AbstractContextManager:
@@ -366,7 +378,7 @@
 
     def at_once(self, now, name, life, others, spans, rows, voters=1):
         begin(self, now, name, life, others, spans, rows, voters)
-        self.fresh, self.mute = False, now
+        self.fresh, self.silent_until_us = False, now
 
     return mock.patch.object(Voter, "__init__", at_once)
 
--- a/gullyoke/model_checking/shares.py
+++ b/gullyoke/model_checking/shares.py
@@ -320,7 +320,7 @@
 
 
 def _clocks_alike() -> contextlib.AbstractContextManager:
-    return mock.patch.object(shares, "surely", lambda span: span)
+    return mock.patch.object(shares, "longest_elsewhere", lambda span: span)
 
 
 def _lends_at_once() -> contextlib.AbstractContextManager:
--- a/gullyoke/peer_transport/lease_service.py
+++ b/gullyoke/peer_transport/lease_service.py
@@ -31,6 +31,7 @@
     RecordStore,
     RecordWritten,
     ReplicatedRecord,
+    StoredRecord,
     WriteRecord,
 )
 from gullyoke.leases.voter import Promise, PromiseWrite, Voter
@@ -92,16 +93,16 @@
 
 def decode_rows(
     items: Iterable[tuple[str, bytes]],
-) -> tuple[dict[str, Promise], dict[str, tuple[int, int, bytes]]]:
+) -> tuple[dict[str, Promise], dict[str, StoredRecord]]:
     """The promises and what is kept, as a disk has them."""
     promised: dict[str, Promise] = {}
-    kept: dict[str, tuple[int, int, bytes]] = {}
+    kept: dict[str, StoredRecord] = {}
     for key, value in items:
         kind, _, duty = key.partition(" ")
         if kind == "promise":
             promised[duty] = Promise(*msgspec.msgpack.decode(value, type=tuple[int, int, str]))
         elif kind == "kept":
-            kept[duty] = msgspec.msgpack.decode(value, type=tuple[int, int, bytes])
+            kept[duty] = StoredRecord(*msgspec.msgpack.decode(value, type=tuple[int, int, bytes]))
     return promised, kept
 
 
@@ -119,32 +120,32 @@
         name: str,
         life: int,
         voter: Voter | None,
-        shelf: RecordStore,
+        records: RecordStore,
         candidates: Mapping[str, Candidate],
         voters: Mapping[str, str],
         taken: Callable[[str], str | None],
         disk: Disk,
         metrics: Metrics,
     ) -> None:
-        self.name, self.life, self.voter, self.shelf = name, life, voter, shelf
+        self.name, self.life, self.voter, self.records = name, life, voter, records
         self.candidates, self.voters, self.taken = dict(candidates), dict(voters), taken
         self.disk, self.metrics, self.fence, self.board = disk, metrics, Fence(), KnownHolders()
         self.lock = threading.RLock()
         self.send: Callable[[list[AddressedBody]], None] = lambda posts: None
         self.registers: dict[str, tuple[ReplicatedRecord, int]] = {}
         self.fan: list[tuple[str, bytes]] = []
-        self.noticed: Callable[[int, Announcement], None] = lambda now, notice: None
-        self.ordered: Callable[[int, Instruction], None] = lambda now, order: None
-        self.pleaded: Callable[[int, ForwardedCommand], None] = lambda now, plea: None
+        self.on_announcement: Callable[[int, Announcement], None] = lambda now, notice: None
+        self.on_instruction: Callable[[int, Instruction], None] = lambda now, order: None
+        self.on_forwarded_command: Callable[[int, ForwardedCommand], None] = lambda now, plea: None
         for duty, one in self.candidates.items():
-            one.heed.append(lambda turn, duty=duty: self._turned(duty, turn.what))
+            one.listeners.append(lambda turn, duty=duty: self._turned(duty, turn.what))
 
     # For the link.
 
     def turn(self, now: int) -> list[AddressedBody]:
         with self.lock:
             posts: list[AddressedBody] = []
-            if self.voter is not None and (learn := self.voter.learns(now)) is not None:
+            if self.voter is not None and (learn := self.voter.epoch_query(now)) is not None:
                 posts += self._posted(Said_to(name, learn) for name in sorted(self.voter.others))
             for one in self.candidates.values():
                 posts += self._posted(one.tick(now))
@@ -165,21 +166,21 @@
     def _vote(self, now: int, sender: Member, message: tuple) -> tuple | None:
         voter = self.voter
         if isinstance(message, PreVote):
-            return voter.sound(now, message)
+            return voter.answer_pre_vote(now, message)
         if isinstance(message, LeaseRequest):
-            answer = voter.ask(now, message)
+            answer = voter.answer_request(now, message)
             if isinstance(answer, PromiseWrite):
                 self._write(answer, sender.address)
                 return None
             return answer
         if isinstance(message, LeaseRelease):
-            voter.done(now, message)
+            voter.release(now, message)
         elif isinstance(message, EpochQuery):
-            return voter.teach(now, message)
+            return voter.answer_epoch_query(now, message)
         elif isinstance(message, EpochReply):
             self._learn(now, message)
         elif isinstance(message, ReadRecord):
-            return self.shelf.fetched(message, self.voter.name) if not voter.fresh else None
+            return self.records.read(message, self.voter.name) if not voter.fresh else None
         elif isinstance(message, WriteRecord):
             return self._keep(message, sender.address)
         return None
@@ -188,34 +189,44 @@
         if isinstance(message, RecordWritten | RecordRead):
             register = self.registers.get(message.duty)
             if register is not None:
-                (register[0].kept if isinstance(message, RecordWritten) else register[0].fetched)(
-                    message
-                )
+                (
+                    register[0].handle_written
+                    if isinstance(message, RecordWritten)
+                    else register[0].handle_read
+                )(message)
             return []
         one = self.candidates.get(message.duty)
         if one is None:
             return []
         if isinstance(message, VoteReply):  # a vote counts from the voter's stated address alone
-            return one.hear(now, message) if self.voters.get(message.by) == sender.address else []
+            return (
+                one.handle_reply(now, message)
+                if self.voters.get(message.voter) == sender.address
+                else []
+            )
         if isinstance(message, HandoverOffer):
-            return one.passed(now, sender.name, message)
-        return one.ready(now, sender.name, message) if isinstance(message, HandoverAccept) else []
+            return one.accept_handover(now, sender.name, message)
+        return (
+            one.handover_accepted(now, sender.name, message)
+            if isinstance(message, HandoverAccept)
+            else []
+        )
 
     # Through the disk.
 
     def _write(self, write: PromiseWrite, asker: str) -> None:
         def told(durable: bool) -> None:
             with self.lock:
-                said = self.voter.written(clock.now(), write, durable)
+                said = self.voter.write_finished(clock.now(), write, durable)
             self.metrics.increment("duty.promised" if durable else "duty.unpromised")
             if said is not None:
                 self.send([(asker, pack(said))])
 
-        if not self.disk(f"promise {write.duty}", encode_promise(write.row), told):
-            self.voter.written(clock.now(), write, False)
+        if not self.disk(f"promise {write.duty}", encode_promise(write.promise), told):
+            self.voter.write_finished(clock.now(), write, False)
 
     def _learn(self, now: int, message: EpochReply) -> None:
-        writes = self.voter.learned(now, message)
+        writes = self.voter.learn_epochs(now, message)
         left = len(writes)
 
         def told(durable: bool, write: PromiseWrite) -> None:
@@ -223,31 +234,29 @@
             with self.lock:
                 left -= durable
                 if durable:
-                    self.voter.taken(write, left == 0)
+                    self.voter.promise_learned(write, left == 0)
 
         for write in writes:
             self.disk(
                 f"promise {write.duty}",
-                encode_promise(write.row),
+                encode_promise(write.promise),
                 lambda durable, write=write: told(durable, write),
             )
 
     def _keep(self, keep: WriteRecord, asker: str) -> RecordWritten | None:
-        row = self.voter.rows.get(keep.duty)
-        if self.voter.fresh or not self.shelf.fits(keep, row.epoch if row else 0):
-            return self.shelf.said(keep, self.voter.name) if not self.voter.fresh else None
-        kept = keep.epoch, keep.count, keep.body
+        row = self.voter.promises.get(keep.duty)
+        if self.voter.fresh or not self.records.accepts(keep, row.epoch if row else 0):
+            return self.records.acknowledge(keep, self.voter.name) if not self.voter.fresh else None
+        kept = StoredRecord(keep.epoch, keep.write_number, keep.body)
 
         def told(durable: bool) -> None:
             with self.lock:
                 if durable:
-                    self.shelf.rows[keep.duty] = max(
-                        kept, self.shelf.rows.get(keep.duty, (0, 0, b""))
-                    )
-                said = self.shelf.said(keep, self.voter.name)
+                    self.records.store(keep.duty, kept)
+                said = self.records.acknowledge(keep, self.voter.name)
             self.send([(asker, pack(said))])
 
-        self.disk(f"kept {keep.duty}", encode(kept), told)
+        self.disk(f"kept {keep.duty}", encode(tuple(kept)), told)
         return None
 
     # What is held here.
@@ -262,10 +271,10 @@
     def _registers(self, now: int) -> list[AddressedBody]:
         posts: list[AddressedBody] = []
         for duty, (register, next_) in self.registers.items():
-            if not register.safe and now >= next_:
+            if not register.committed and now >= next_:
                 self.registers[duty] = register, now + AGAIN
                 posts += self._posted(
-                    Said_to(voter, register.asks()) for voter in sorted(self.voters)
+                    Said_to(voter, register.next_message()) for voter in sorted(self.voters)
                 )
         return posts
 
@@ -273,27 +282,27 @@
         found = self.registers.get(duty)
         return found[0] if found else None
 
-    def holds(self, now: int, duty: str) -> int | None:
+    def held_epoch(self, now: int, duty: str) -> int | None:
         """The epoch under which this process may act now. Asked after every wait."""
         with self.lock:
             one = self.candidates.get(duty)
-            return one.holds(now) if one else None
+            return one.held_epoch(now) if one else None
 
-    def leave(self, duty: str, why: str, to: str = "", ill: bool = False) -> None:
+    def leave(self, duty: str, why: str, to: str = "", failed: bool = False) -> None:
         with self.lock:
-            posts = self._posted(self.candidates[duty].leave(clock.now(), why, to, ill))
+            posts = self._posted(self.candidates[duty].leave(clock.now(), why, to, failed))
         self.send(posts)
 
     def hand_over(self, duty: str, to: str) -> bool:
         """Whether it is held here, and another is asked to take it."""
         with self.lock:
-            posts = self._posted(self.candidates[duty].pass_to(clock.now(), to))
+            posts = self._posted(self.candidates[duty].offer_handover(clock.now(), to))
         self.send(posts)
         return bool(posts)
 
     # Notices, orders, pleas.
 
-    def notice(self, duty: str, epoch: int, body: bytes, members: Iterable[str]) -> None:
+    def announce(self, duty: str, epoch: int, body: bytes, members: Iterable[str]) -> None:
         """To all, a few each turn."""
         data = pack(Announcement(duty, epoch, self.life, self.name, body))
         with self.lock:
@@ -301,29 +310,29 @@
                 self.fan += [(address, data) for address in members]
             self.board.take(clock.now(), Announcement(duty, epoch, self.life, self.name, body))
 
-    def order(self, duty: str, epoch: int, to: str, what: str, body: bytes) -> None:
+    def instruct(self, duty: str, epoch: int, to: str, what: str, body: bytes) -> None:
         address = self.taken(to)
         if address:
             self.send([(address, pack(Instruction(duty, epoch, self.life, what, body)))])
 
-    def plead(self, duty: str, what: str, to: str) -> None:
+    def forward_command(self, duty: str, what: str, to: str) -> None:
         address = self.taken(to)
         if address:
             self.send([(address, pack(ForwardedCommand(duty, what)))])
 
     def _told(self, now: int, message: Announcement | Instruction | ForwardedCommand) -> tuple:
         if isinstance(message, ForwardedCommand):
-            self.pleaded(now, message)
+            self.on_forwarded_command(now, message)
             return ()
         with self.lock:
-            if not self.fence.admits(message.duty, message.epoch, message.life):
+            if not self.fence.admits(message.duty, message.epoch, message.incarnation):
                 self.metrics.increment("duty.stale_refused")
                 return ()
             news = not isinstance(message, Announcement) or self.board.take(now, message)
         if isinstance(message, Instruction):
-            self.ordered(now, message)
+            self.on_instruction(now, message)
         elif news:
-            self.noticed(now, message)
+            self.on_announcement(now, message)
         return ()
 
     def _posted(self, posts: Iterable[Said_to]) -> list[AddressedBody]:
--- a/gullyoke/peer_transport/link.py
+++ b/gullyoke/peer_transport/link.py
@@ -72,8 +72,8 @@
         self.member: Member | None = None
         self.signals = None  # what others told of how they stand, if wanted
         self.topics: dict[int, MessageHandler] = {}
-        self.told: dict[str, Callable[[int], object]] = {}
-        self.asked: dict[str, Callable[[list[str]], dict]] = {}
+        self.status_sections: dict[str, Callable[[int], object]] = {}
+        self.commands: dict[str, Callable[[list[str]], dict]] = {}
         self.lock = threading.Lock()
         self.known: dict[str, tuple[str, int]] = {}
         self.due, self.ended = 0, threading.Event()
--- a/gullyoke/peer_transport/quota_service.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -85,7 +85,7 @@
         self.own, self.homes, self.digest, self.taken = own, dict(homes), digest, taken
         self.lock = threading.Lock()
         self.others = 0  # letters of a fleet stated otherwise
-        self.stands_in: tuple[dict[str, str], int] = (
+        self.substitutes: tuple[dict[str, str], int] = (
             {},
             0,
         )  # who lends for homes that ended, and until when
@@ -112,7 +112,7 @@
 
         A voter, whoever is at its stated address.
         """
-        stated_at, (instead, until) = self.homes.get(letter.home, ""), self.stands_in
+        stated_at, (instead, until) = self.homes.get(letter.home, ""), self.substitutes
         to = asker if letter.to == ASKER else stated_at
         if letter.to == LENDER:
             to = (
@@ -122,10 +122,10 @@
             )
         return [(to, pack(self.digest, letter.message))] if to else []
 
-    def told(self, now: int) -> dict[str, object]:
+    def status(self, now: int) -> dict[str, object]:
         """How it stands, for the status and the log."""
         with self.lock:
-            part, own = self.own.sharing, self.own
+            part, own = self.own.participant, self.own
             lent = part.lender.out(now) if part.lender else 0
             return {
                 "in_force": part.in_force(now),
--- a/gullyoke/peer_transport/status_server.py
+++ b/gullyoke/peer_transport/status_server.py
@@ -53,8 +53,8 @@
                 return
             line += more
         asked, *words = line.partition(b"\n")[0].decode("latin-1").split() or [""]
-        if asked in self.link.asked:  # another part's: it takes what locks it needs
-            found = self.link.asked[asked](words)
+        if asked in self.link.commands:  # another part's: it takes what locks it needs
+            found = self.link.commands[asked](words)
         else:
             with self.link.lock:
                 found = {"status": status, "events": events}.get(asked, unknown)(self.link)
@@ -108,7 +108,7 @@
         "failing": round(one.trust.failing, 2),
         "lost": round(one.trust.lost, 2),
         "rows": rows,
-        **{name: tell(now) for name, tell in link.told.items()},
+        **{name: tell(now) for name, tell in link.status_sections.items()},
     }
 
 
--- a/tests/compatibility/test_duty_messages.py
+++ b/tests/compatibility/test_duty_messages.py
@@ -33,11 +33,11 @@
         holder, other = (Ask(fleet_of(name), mock.MagicMock()) for name in ("server-1", "server-2"))
         self.assertEqual(holder.notice(), b"well")
         for at in range(20):
-            holder.asking.note(1_000_000 + at * 100_000, False)
+            holder.probe.record_call(1_000_000 + at * 100_000, False)
         self.assertEqual(holder.notice(), b"dead")
         for body, dead in ((b"dead", True), (b"well", False)):
             other.heard(5, Announcement("ask", EPOCH, 7, "server-1", body))
-            self.assertEqual(other.asking.word[2], dead)
+            self.assertEqual(other.probe.announced[2], dead)
 
     def test_book_notice(self):
         """`book`: by home that ended, the address of who lends for it."""
@@ -50,17 +50,17 @@
         book.fleet.wanted.advertise = "10.0.0.1:7900"
         self.assertEqual(book.notice(), b'{"server-3": "10.0.0.1:7900"}')
         book.heard(5, Announcement("book", EPOCH, 7, "server-1", book.notice()))
-        self.assertEqual(book.shares.shared.stands_in[0], {"server-3": "10.0.0.1:7900"})
+        self.assertEqual(book.shares.shared.substitutes[0], {"server-3": "10.0.0.1:7900"})
 
     def test_roll_order(self):
         """`roll`: the word to drain names the start that is meant, and a late one drains nobody."""
         fleet, duties = fleet_of("server-1"), mock.MagicMock()
         fleet.member.view.rows = {1: Row("server-2", EPOCH << 20, Status.ALIVE, "a:1", "-", 2)}
-        duties.holds.return_value = 9
+        duties.held_epoch.return_value = 9
         roll = Roll(fleet, duties)
         roll.plan = RestartPlan(1, "going", EPOCH + 1, 0.1, 0.5, (("server-2", 5, EPOCH),))
         roll.send(5_000_000, 9)
-        duties.order.assert_called_once_with("roll", 9, "server-2", "drain", b"1700000000")
+        duties.instruct.assert_called_once_with("roll", 9, "server-2", "drain", b"1700000000")
         told = roll.notice()
         roll.heard(5, Announcement("roll", EPOCH, 7, "server-1", told))
         self.assertEqual(
@@ -115,8 +115,8 @@
         server.start()
         duties = mock.MagicMock()
         duties.life = 0x1122
-        duties.holds.return_value = EPOCH
-        duties.candidates["report"].left.return_value = 1_500_999
+        duties.held_epoch.return_value = EPOCH
+        duties.candidates["report"].remaining_us.return_value = 1_500_999
         told = Told(
             fleet_of("server-1"), duties, OwnDuty("report", listener.getsockname(), 400_000)
         )
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -87,8 +87,8 @@
         slots = SharedSlots(
             ConcurrencyPart(sharing, 0), VOTERS, configuration_digest(VOTERS, 120, 5), VOTERS.get
         )
-        self.link.told["shares"] = slots.told
-        self.link.told["disks"] = lambda now: {"/var/lib/gullyoke": "well"}
+        self.link.status_sections["shares"] = slots.status
+        self.link.status_sections["disks"] = lambda now: {"/var/lib/gullyoke": "well"}
         found = self.ask(b"status")
         self.assertIsInstance(found.pop("age_ms"), int)
         self.assertEqual(
@@ -209,7 +209,7 @@
         self.part.fleet, self.part.duties = fleet, self.duties
         self.part.charges = {"roll": self.roll}
         self.part.turns = [LeaseChange(now, "held", 1_700_000_001, "granted by server-1, server-2")]
-        self.link.asked |= {
+        self.link.commands |= {
             "duties": self.part.asked_duties,
             "roll": self.part.asked_roll,
             "hand-over": self.part.asked_hand_over,
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -12,6 +12,7 @@
     RecordRead,
     RecordStore,
     RecordWritten,
+    StoredRecord,
     WriteRecord,
 )
 from gullyoke.leases.rolling_restart import RestartPlan
@@ -43,7 +44,7 @@
     "ask": Promise(1_700_000_003, 0x1122, "server-1"),
     "roll": Promise(1_700_000_004, 2**64 - 1, "server-3"),
 }
-KEPT = {"roll": (1_700_000_004, 2, b"\xff\x00")}
+KEPT = {"roll": StoredRecord(1_700_000_004, 2, b"\xff\x00")}
 
 PLAN = RestartPlan(
     4,
@@ -114,7 +115,7 @@
         """Nothing is granted under an epoch that was promised; a later one is written as before."""
         voter, after = self.voter(), NOW + 10_000_000
         self.assertEqual(
-            voter.teach(after, EpochQuery("server-1", 9, 1)),
+            voter.answer_epoch_query(after, EpochQuery("server-1", 9, 1)),
             EpochReply(
                 "server-2",
                 1,
@@ -124,20 +125,24 @@
                 ),
             ),
         )
-        refused = voter.ask(after, LeaseRequest("ask", 0x33, "server-3", 1_700_000_003, 1, 3))
-        self.assertEqual((refused.yes, refused.epoch), (False, 1_700_000_003))
-        write = voter.ask(after, LeaseRequest("ask", 0x33, "server-3", 1_700_000_009, 2, 3))
-        self.assertEqual(encode_promise(write.row).hex(), "93ce6553f10933a87365727665722d33")
+        refused = voter.answer_request(
+            after, LeaseRequest("ask", 0x33, "server-3", 1_700_000_003, 1, 3)
+        )
+        self.assertEqual((refused.granted, refused.epoch), (False, 1_700_000_003))
+        write = voter.answer_request(
+            after, LeaseRequest("ask", 0x33, "server-3", 1_700_000_009, 2, 3)
+        )
+        self.assertEqual(encode_promise(write.promise).hex(), "93ce6553f10933a87365727665722d33")
 
     def test_recorded_shelf_is_fetched(self):
         _, kept = decode_rows(self.opened().items())
         shelf = RecordStore(kept)
         self.assertEqual(
-            shelf.fetched(ReadRecord("roll", 5, 1_700_000_010), "server-2"),
+            shelf.read(ReadRecord("roll", 5, 1_700_000_010), "server-2"),
             RecordRead("roll", 5, "server-2", 1_700_000_010, 1_700_000_004, 2, b"\xff\x00"),
         )
-        self.assertFalse(shelf.fits(WriteRecord("roll", 5, 1_700_000_004, 2, b""), 0))
-        self.assertTrue(shelf.fits(WriteRecord("roll", 5, 1_700_000_004, 3, b""), 0))
+        self.assertFalse(shelf.accepts(WriteRecord("roll", 5, 1_700_000_004, 2, b""), 0))
+        self.assertTrue(shelf.accepts(WriteRecord("roll", 5, 1_700_000_004, 3, b""), 0))
 
     def test_letters_are_written_with_the_same_bytes(self):
         """What a letter makes durable: key and value as they go to the cells."""
@@ -172,7 +177,7 @@
             ],
         )
         (_, granted), (_, kept) = sent
-        self.assertTrue(unpack(granted).yes)
+        self.assertTrue(unpack(granted).granted)
         self.assertEqual(
             unpack(kept), RecordWritten("ask", 0x33, "server-2", 1_700_000_009, 1, True)
         )
--- a/tests/leases/test_duty.py
+++ b/tests/leases/test_duty.py
@@ -22,7 +22,12 @@
 from gullyoke.leases.dependency_probe import ALONE, OPENING, SILENT, TRIAL, YOUNG, DependencyProbe
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.fence import Fence
-from gullyoke.leases.replicated_record import ReadRecord, RecordStore, ReplicatedRecord
+from gullyoke.leases.replicated_record import (
+    ReadRecord,
+    RecordStore,
+    ReplicatedRecord,
+    StoredRecord,
+)
 from gullyoke.leases.voter import Voter
 from gullyoke.operator_config.wanted import Dutied
 
@@ -41,7 +46,7 @@
                 self.assertEqual(play.most, 1)
                 self.assertEqual(history.faults(play.acts), [])
                 play.heal()
-                play.run(play.now + play.spans.lease + 7 * SECOND)
+                play.run(play.now + play.spans.lease_us + 7 * SECOND)
                 self.assertEqual(len(play.holders()), 1)
 
     def test_one_sided(self):
@@ -56,9 +61,9 @@
                 (old,) = play.holders()
                 epochs, began = play.epochs(), play.now
                 play.deaf.add((old, way))
-                play.run(began + play.spans.lease)
+                play.run(began + play.spans.lease_us)
                 self.assertNotIn(old, play.holders())
-                play.run(began + play.spans.lease + 2 * SECOND)
+                play.run(began + play.spans.lease_us + 2 * SECOND)
                 self.assertEqual(len(play.holders()), 1)
                 play.run(began + 60 * SECOND)
                 self.assertLessEqual(play.epochs() - epochs, 2)
@@ -86,10 +91,10 @@
         play.run(6 * SECOND)
         for name in ("m0", "m1"):
             play.kill(name)
-        play.run(play.now + play.spans.lease + SECOND)
+        play.run(play.now + play.spans.lease_us + SECOND)
         self.assertEqual(play.holders(), [])
         play.start("m0")
-        play.run(play.now + 2 * play.spans.lease + 3 * SECOND)
+        play.run(play.now + 2 * play.spans.lease_us + 3 * SECOND)
         self.assertEqual(len(play.holders()), 1)
 
     def test_disks(self):
@@ -103,16 +108,16 @@
         play.ill.add("m1")
         (old,) = play.holders()
         play.kill(old)
-        play.run(play.now + play.spans.lease + 3 * SECOND)
+        play.run(play.now + play.spans.lease_us + 3 * SECOND)
         self.assertEqual(len(play.holders()), 0 if old in ("m0", "m2") else 1)
         play.ill.clear()
         play.start(old)
-        play.run(play.now + 2 * play.spans.lease + 4 * SECOND)
+        play.run(play.now + 2 * play.spans.lease_us + 4 * SECOND)
         self.assertEqual(len(play.holders()), 1)
         play.wipe("m0")
-        self.assertFalse(play.voters["m0"].speaks(play.time("m0")))
-        play.run(play.now + 2 * play.spans.lease + 2 * SECOND)
-        self.assertTrue(play.voters["m0"].speaks(play.time("m0")))
+        self.assertFalse(play.voters["m0"].may_vote(play.time("m0")))
+        play.run(play.now + 2 * play.spans.lease_us + 2 * SECOND)
+        self.assertTrue(play.voters["m0"].may_vote(play.time("m0")))
         self.assertEqual((play.most, history.faults(play.acts)), (1, []))
 
     def test_voters_one_by_one(self):
@@ -123,19 +128,21 @@
         play.run(6 * SECOND)
         for count in (4, 5, 4, 3):
             play.set_voters([f"m{i}" for i in range(count)])
-            play.run(play.now + 2 * play.spans.lease + 4 * SECOND)
+            play.run(play.now + 2 * play.spans.lease_us + 4 * SECOND)
             self.assertEqual(len(play.holders()), 1, count)
         self.assertEqual((play.most, history.faults(play.acts)), (1, []))
 
     def test_another_set(self):
         """A word under another set of voters counts for nothing."""
         voter = Voter(0, "v", 1, ("w", "x"), LeaseDurations(), {}, 2)
-        voter.mute = 0
+        voter.silent_until_us = 0
         one = Candidate("d", "m", 5, ("v", "w", "x"), LeaseDurations(), float, 1)
-        one.wants = True
+        one.wants_lease = True
         (post, *_) = one.tick(0)
-        said = voter.sound(0, post.message)
-        self.assertEqual((said.voters, one.hear(0, said), one.yes), (2, [], set()))
+        said = voter.answer_pre_vote(0, post.message)
+        self.assertEqual(
+            (said.voter_set, one.handle_reply(0, said), one.granted_by), (2, [], set())
+        )
 
     def test_next_set(self):
         """A running server takes over the next set of voters, one more or fewer, and nothing
@@ -249,11 +256,13 @@
         def deliver(register, name, message):
             shelf = voters[name]
             if isinstance(message, ReadRecord):
-                register.fetched(shelf.fetched(message, name))
+                register.handle_read(shelf.read(message, name))
                 return
-            if shelf.fits(message, promised.get(name, 0)):
-                shelf.rows[message.duty] = message.epoch, message.count, message.body
-            register.kept(shelf.said(message, name))
+            if shelf.accepts(message, promised.get(name, 0)):
+                shelf.store(
+                    message.duty, StoredRecord(message.epoch, message.write_number, message.body)
+                )
+            register.handle_written(shelf.acknowledge(message, name))
 
         promised: dict[str, int] = {}
         for holder in range(5):
@@ -262,7 +271,7 @@
             promised.update(dict.fromkeys(majority, epoch))  # a lease was granted by these
             register = ReplicatedRecord("d", holder, epoch, voters)
             for step in range(chance.randrange(2, 8)):
-                message = register.asks()
+                message = register.next_message()
                 for name in voters:
                     if chance.random() < 0.7:
                         deliver(register, name, message)
@@ -272,7 +281,7 @@
                     deliver(*late.pop(chance.randrange(len(late))))
                 if register.body is not None and step == 0 and holder:
                     self.assertGreaterEqual(register.body, safe)
-                if register.safe:
+                if register.committed:
                     safe = max(safe, register.body)
                     register.put(f"{holder:02}-{step:02}".encode())
         self.assertTrue(safe or epoch)
@@ -287,36 +296,38 @@
         one, chance = DependencyProbe(random.Random(1).random), random.Random(2)
         now = SILENT
         for _ in range(5):
-            self.assertTrue(one.may(now))
-            one.note(now, False)
+            self.assertTrue(one.allows_call(now))
+            one.record_call(now, False)
         self.assertTrue(one.dead)
-        one.told(now, 7, True)
-        tries = sum(one.may(now + t) for t in range(0, YOUNG, 50_000))
+        one.record_announcement(now, 7, True)
+        tries = sum(one.allows_call(now + t) for t in range(0, YOUNG, 50_000))
         self.assertEqual(tries, 0)
         begin = now + YOUNG
-        tries = sum(one.may(begin + t) for t in range(0, 20 * SECOND, 50_000))
+        tries = sum(one.allows_call(begin + t) for t in range(0, 20 * SECOND, 50_000))
         self.assertLessEqual(tries, 20 * SECOND // (ALONE // 2))
         self.assertGreaterEqual(tries, 20 * SECOND // (2 * ALONE))
         begin += 20 * SECOND
-        one.hold(True)
-        tries = sum(one.may(begin + t) for t in range(0, 10 * SECOND, 50_000))
+        one.set_lease_held(True)
+        tries = sum(one.allows_call(begin + t) for t in range(0, 10 * SECOND, 50_000))
         self.assertAlmostEqual(tries, 10 * SECOND / TRIAL, delta=2)
-        one.hold(False)
+        one.set_lease_held(False)
         begin += 10 * SECOND
-        one.told(begin, 6, False)  # of an older epoch, or none since: 7 was before holding
-        one.told(begin, 8, False)
+        one.record_announcement(
+            begin, 6, False
+        )  # of an older epoch, or none since: 7 was before holding
+        one.record_announcement(begin, 8, False)
         self.assertFalse(one.dead)
-        first = sum(one.may(begin + chance.randrange(OPENING // 10)) for _ in range(400))
+        first = sum(one.allows_call(begin + chance.randrange(OPENING // 10)) for _ in range(400))
         self.assertLess(first, 100)
-        self.assertTrue(all(one.may(begin + OPENING + 1) for _ in range(50)))
+        self.assertTrue(all(one.allows_call(begin + OPENING + 1) for _ in range(50)))
 
     def test_an_old_word(self):
         one = DependencyProbe(random.Random(1).random)
-        one.told(0, 5, True)
+        one.record_announcement(0, 5, True)
         one.dead = True
-        one.told(1, 4, False)
+        one.record_announcement(1, 4, False)
         self.assertTrue(one.dead)
-        one.told(2, 5, False)
+        one.record_announcement(2, 5, False)
         self.assertFalse(one.dead)
 
 
