--- a/gullyoke/daemon/extension.py
+++ b/gullyoke/daemon/extension.py
@@ -53,7 +53,9 @@
     each print of the counters; `begin_drain` at the stop signal; `close` at the end of the drain.
     """
 
-    def create_executor(self, configuration: DaemonConfiguration, metrics: Metrics) -> Executor | None:
+    def create_executor(
+        self, configuration: DaemonConfiguration, metrics: Metrics
+    ) -> Executor | None:
         """Create the executor that replaces the engine; None where this does not replace it."""
 
     def create_duplicate_table(self, configuration: DaemonConfiguration) -> DuplicateTable | None:
--- a/gullyoke/extensions/base.py
+++ b/gullyoke/extensions/base.py
@@ -30,7 +30,9 @@
         """Create the extension from its section of the operator's file."""
         self.initial = initial
 
-    def create_executor(self, configuration: DaemonConfiguration, metrics: Metrics) -> Executor | None:
+    def create_executor(
+        self, configuration: DaemonConfiguration, metrics: Metrics
+    ) -> Executor | None:
         """Return None: the engine runs the requests."""
         return None
 
