--- a/gullyoke/daemon/command_router.py
+++ b/gullyoke/daemon/command_router.py
@@ -1,128 +1,126 @@
-"""Route: each command of the decisions goes to whoever carries it out.
-
-Only queues are touched.
-"""
+"""Carries out the commands of the decisions. Nothing here blocks: only queues are touched."""
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 
 from gullyoke.admission.interface import (
-    AWAIT_DUPLICATE,
-    CANCEL,
-    FAIL,
-    FORGET_KEY,
-    RUN,
-    SKIP_DEPENDENCY_CALL,
+    AwaitDuplicate,
     CallDependency,
+    Cancel,
     Command,
+    Fail,
+    ForgetKey,
     Reject,
     RememberKey,
     RequestEvent,
+    Run,
+    SkipDependencyCall,
 )
-from gullyoke.dependencies.database import Database
+from gullyoke.daemon.gauge_poller import GaugePoller
+from gullyoke.dependencies.client import DependencyClient
 from gullyoke.executors import Executor
-from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
 from gullyoke.runtime.lifecycle import Lifecycle
 from gullyoke.runtime.timer import Timer
 
-STATS_WAIT = 30_000  # how long a wake-up waits for the engine's gauges, in microseconds
-
 
 class CommandRouter:
-    """The door of one server of decisions. All of it is called under the desk's lock."""
+    """The executor of commands of one server. All of it is called under the dispatcher's lock."""
 
     def __init__(
         self,
         dispatcher: Dispatcher,
-        engine: Executor,
-        database: Database,
+        executor: Executor,
+        dependency: DependencyClient,
         timer: Timer,
         lifecycle: Lifecycle,
     ) -> None:
-        self.dispatcher, self.engine, self.database, self.timer = (
-            dispatcher,
-            engine,
-            database,
-            timer,
-        )
-        self.lifecycle = lifecycle
-        self.awaited = 0  # the wake-up that is out; one at a time
-        self.due = 0  # when the last one was due
+        self._dispatcher = dispatcher
+        self._executor = executor
+        self._dependency = dependency
+        self._lifecycle = lifecycle
+        self.gauge_poller = GaugePoller(dispatcher, executor, timer)
+        self._handlers: dict[type[Command], Callable[[PendingRequest, Command], None]] = {
+            Run: self._start_run,
+            SkipDependencyCall: self._skip_call,
+            Cancel: self._cancel_run,
+            Fail: self._answer,
+            Reject: self._answer,
+            CallDependency: self._call_dependency,
+            RememberKey: self._remember_key,
+            ForgetKey: self._forget_key,
+            AwaitDuplicate: self._await_duplicate,
+        }
 
     def execute(self, request: PendingRequest, command: Command) -> None:
-        dispatcher, engine = self.dispatcher, self.engine
-        if command is RUN:
-            engine.start_run(request)
-        elif command is SKIP_DEPENDENCY_CALL:
-            engine.skip_call(request)
-        elif command is CANCEL:
-            engine.cancel_run(request)
-        elif command is FAIL or isinstance(command, Reject):
-            dispatcher.answer(request, command)
-        elif isinstance(command, CallDependency):
-            self.database.call(request, command.timeout)
-        elif isinstance(command, RememberKey):
-            dispatcher.duplicates.remember(request, dispatcher.now + command.duration)
-        elif command is FORGET_KEY:
-            for waiter in dispatcher.duplicates.forget(request):
-                dispatcher.post_event(waiter, RequestEvent.FAILED)
-        elif command is AWAIT_DUPLICATE:
-            self.reuse(request)
-
-    def reuse(self, request: PendingRequest) -> None:
-        entry, _ = self.dispatcher.duplicates.find(request, self.dispatcher.now)
+        """Carry out a command; those without a handler ask for nothing."""
+        handler = self._handlers.get(type(command))
+        if handler is not None:
+            handler(request, command)
+
+    def _start_run(self, request: PendingRequest, command: Command) -> None:
+        self._executor.start_run(request)
+
+    def _skip_call(self, request: PendingRequest, command: Command) -> None:
+        self._executor.skip_call(request)
+
+    def _cancel_run(self, request: PendingRequest, command: Command) -> None:
+        self._executor.cancel_run(request)
+
+    def _answer(self, request: PendingRequest, command: Command) -> None:
+        self._dispatcher.answer(request, command)
+
+    def _call_dependency(self, request: PendingRequest, command: Command) -> None:
+        assert isinstance(command, CallDependency)
+        self._dependency.call(request, self._dispatcher.now, command.timeout)
+
+    def _remember_key(self, request: PendingRequest, command: Command) -> None:
+        assert isinstance(command, RememberKey)
+        dispatcher = self._dispatcher
+        dispatcher.duplicates.remember(request, dispatcher.now + command.duration)
+
+    def _forget_key(self, request: PendingRequest, command: Command) -> None:
+        for waiter in self._dispatcher.duplicates.forget(request):
+            self._dispatcher.post_event(waiter, RequestEvent.FAILED)
+
+    def _await_duplicate(self, request: PendingRequest, command: Command) -> None:
+        """Answer from the request that this one repeats, now or once that has ended."""
+        entry, _ = self._dispatcher.duplicates.find(request, self._dispatcher.now)
         if entry is not None and entry.holder is not None:
             entry.waiting.append(request)
         elif entry is not None and entry.result is not None:
-            self.dispatcher.answer(request, RequestEvent.COMPLETED, entry.result)
-            self.dispatcher.post_event(request, RequestEvent.COMPLETED)
+            self._dispatcher.answer(request, RequestEvent.COMPLETED, entry.result)
+            self._dispatcher.post_event(request, RequestEvent.COMPLETED)
         else:
-            self.dispatcher.post_event(request, RequestEvent.FAILED)
+            self._dispatcher.post_event(request, RequestEvent.FAILED)
 
     def finished(self, request: PendingRequest) -> None:
+        """The request is over: withdraw its call, and take it out of the tables."""
         if request.dependency_call is not None:
-            self.database.abandon(request)
-        self.dispatcher.over(request)
-
-    def schedule_tick(self, after: int) -> None:
-        """Counted from when the last one was due.
+            self._dependency.abandon(request)
+        self._dispatcher.over(request)
 
-        Waiting for gauges must not push all later ones back.
-        """
-        self.due = max(self.dispatcher.now, self.due + after)
-        self.timer.at(self.due, self.ask)
+    def schedule_tick(self, delay: int) -> None:
+        """Let the decisions have their next tick after `delay` microseconds."""
+        self.gauge_poller.schedule(delay)
 
-    def set_health(self, good: bool, cheap: bool) -> None:
-        self.lifecycle.good = good
+    def set_health(self, ready: bool, cheap: bool) -> None:
+        """Answer health checks so from now on."""
+        self._lifecycle.good = ready
 
     def set_load_signal(self, level: float) -> None:
-        self.lifecycle.level = level
+        """Send this level with every answer from now on."""
+        self._lifecycle.level = level
 
-    def set_idle_timeout(self, span: int) -> None:
-        self.lifecycle.idle = span or self.lifecycle.longest_idle
+    def set_idle_timeout(self, timeout: int) -> None:
+        """Close client connections that are idle for so many microseconds; 0: the longest."""
+        self._lifecycle.idle = timeout or self._lifecycle.longest_idle
 
     def log(self, text: str) -> None:
-        self.dispatcher.notes.append(text)
-
-    def run_in_background(self, work: Iterator) -> None:
-        self.dispatcher.thoughts.put(work)
-
-    # The wake-up: the engine's gauges first, or none if they don't come soon.
-
-    def ask(self) -> None:
-        self.awaited += 1
-        tag = self.awaited
-        # From this moment, not from the last event's: where little happens that is older than the
-        # whole wait.
-        self.timer.at(clock.now() + STATS_WAIT, lambda: self.woken(tag, {}))
-        self.engine.poll_gauges(tag)
-
-    def woken(self, tag: int, got: dict[str, float]) -> None:
-        with self.dispatcher.lock:
-            if tag != self.awaited:
-                return
-            self.awaited += 1
-            self.dispatcher.duplicates.expire(self.dispatcher.now)
-        self.dispatcher.gauges(got)
+        """Queue a line for the log, written after the lock is released."""
+        self._dispatcher.notes.append(text)
+
+    def run_in_background(self, work: Iterator[None]) -> None:
+        """Queue work that the dispatcher's own thread carries on, step by step."""
+        self._dispatcher.thoughts.put(work)
--- a/gullyoke/daemon/daemon.py
+++ b/gullyoke/daemon/daemon.py
@@ -24,7 +24,7 @@
 from gullyoke.daemon.extension import DaemonParts, Extension, OperatorConfiguration
 from gullyoke.daemon.reload import AddressedClient, ConfigurationReloader
 from gullyoke.daemon.service_discovery import ServiceDiscoveryReporter
-from gullyoke.dependencies.database import Database
+from gullyoke.dependencies.client import DependencyClient
 from gullyoke.executors import Executor
 from gullyoke.executors.engine_link import EngineLink
 from gullyoke.frontends.connection_limits import Room
@@ -81,7 +81,7 @@
     timer: Timer
     dispatcher: Dispatcher
     executor: Executor
-    database: Database
+    database: DependencyClient
     event_relay: EventRelay
     connection_limits: Room
     connections: ConnectionTable
@@ -233,9 +233,11 @@
 
     for extension in extensions:
         executor = extension.wrap_executor(parts, executor)
-    database = Database(configuration.database, max_calls(configuration), timer, metrics)
+    database = DependencyClient(
+        configuration.database, max_calls(configuration), timer, metrics, dispatcher.lock
+    )
     command_router = CommandRouter(dispatcher, executor, database, timer, lifecycle)
-    event_relay = EventRelay(dispatcher, command_router, metrics)
+    event_relay = EventRelay(dispatcher, command_router, executor, metrics)
 
     connections.listen(configuration.listen, Http1(message_handler))
     service_discovery = _create_service_discovery(configuration, lifecycle, metrics)
--- a/gullyoke/daemon/event_relay.py
+++ b/gullyoke/daemon/event_relay.py
@@ -1,127 +1,148 @@
-"""Relay: what engine and database say becomes the port's words.
-
-Results and replies go on unchanged.
-"""
+"""Turns what executors and the dependency report into events of the decisions."""
 
 from __future__ import annotations
 
+from collections.abc import Callable, Mapping
+from typing import Final
+
 from gullyoke.admission.interface import FAIL, RequestEvent
 from gullyoke.daemon.command_router import CommandRouter
+from gullyoke.executors import EngineState, Executor, RunOutcome
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.messages import Answer
 from gullyoke.runtime.metrics import Metrics
 
-RUN_ENDS = {
-    "ok": RequestEvent.COMPLETED,
-    "failed": RequestEvent.FAILED,
-    "halted": RequestEvent.CANCELLED,
-    "void": RequestEvent.NOT_STARTED,
+US_PER_MS: Final = 1000
+STATUS_OK: Final = 200
+EVENT_OF_RUN_OUTCOME: Final = {
+    RunOutcome.COMPLETED: RequestEvent.COMPLETED,
+    RunOutcome.FAILED: RequestEvent.FAILED,
+    RunOutcome.CANCELLED: RequestEvent.CANCELLED,
+    RunOutcome.NOT_STARTED: RequestEvent.NOT_STARTED,
 }
+NOT_RUN_EVENTS: Final = (RequestEvent.NOT_STARTED, RequestEvent.NO_CAPACITY)
 
 
 class EventRelay:
-    """Heard by engine and database on their reading threads."""
-
-    def __init__(self, dispatcher: Dispatcher, router: CommandRouter, metrics: Metrics) -> None:
-        self.dispatcher, self.router, self.metrics = dispatcher, router, metrics
-
-    def on_engine_hello(self, state: str, ms: int) -> None:
-        """The engine is up; the decisions begin with it, cold if it is."""
-        if self.dispatcher.server is None:
-            self.dispatcher.facts.machine.starts_cold |= state == "cold"
-            self.dispatcher.open(self.router, clock.now() - ms * 1000)
-            log.info("serving", extra=log_fields(engine=state, up_ms=ms))
-
-    def on_run_ended(self, request_id: str, end: str, result: bytes) -> None:
-        self.metrics.increment(f"runs.{end}")
-        self._with(
-            request_id,
-            lambda request: self._finish_run(request, RUN_ENDS[end], Answer(200, result)),
-        )
+    """The listener of the executor and of the dependency, called on their reading threads."""
+
+    def __init__(
+        self, dispatcher: Dispatcher, router: CommandRouter, executor: Executor, metrics: Metrics
+    ) -> None:
+        self._dispatcher = dispatcher
+        self._router = router
+        self._executor = executor
+        self._metrics = metrics
+
+    def is_in_flight(self, request: PendingRequest) -> bool:
+        """Whether a request of this id is not over yet."""
+        return request.request_id in self._dispatcher.requests
+
+    def post_event(self, request: PendingRequest, event: RequestEvent) -> None:
+        """An event that comes while the dispatcher's lock is held."""
+        self._dispatcher.post_event(request, event)
+
+    def on_engine_hello(self, state: EngineState, uptime_ms: int) -> None:
+        """The engine is up; the decisions begin with the first one, cold if it is."""
+        if self._dispatcher.server is None:
+            self._dispatcher.facts.machine.starts_cold |= state is EngineState.COLD
+            self._dispatcher.open(self._router, clock.now() - uptime_ms * US_PER_MS)
+            log.info("serving", extra=log_fields(engine=state.value, up_ms=uptime_ms))
+
+    def on_run_ended(self, request_id: str, outcome: RunOutcome, result: bytes) -> None:
+        """A run at the engine has ended."""
+        self._metrics.increment(f"runs.{outcome.value}")
+        event = EVENT_OF_RUN_OUTCOME[outcome]
+        answer = Answer(STATUS_OK, result)
+        self._handle(request_id, lambda request: self.finish_run(request, event, answer))
 
     def on_backend_run_ended(
-        self, request: PendingRequest, word: RequestEvent, answer: Answer | None
+        self, request: PendingRequest, event: RequestEvent, answer: Answer | None
     ) -> None:
-        """A run at a back end is over, or there is nowhere to run it."""
-        self.metrics.increment(f"runs.{word.name.lower()}")
+        """A run at a back end is over, or no back end takes it."""
+        self._metrics.increment(f"runs.{event.name.lower()}")
 
         def act() -> None:
-            if self.dispatcher.requests.get(request.request_id) is request:
-                self._finish_run(request, word, answer)
+            if self._dispatcher.requests.get(request.request_id) is request:
+                self.finish_run(request, event, answer)
 
-        self.dispatcher.handle(act, request)
+        self._dispatcher.handle(act, request)
 
-    def _finish_run(
-        self, request: PendingRequest, word: RequestEvent, result: Answer | None
+    def finish_run(
+        self, request: PendingRequest, event: RequestEvent, answer: Answer | None
     ) -> None:
-        dispatcher = self.dispatcher
+        """Answer the request and its duplicates, and report the event, under the lock."""
+        dispatcher = self._dispatcher
         request.notices_read += 1
-        if word is RequestEvent.COMPLETED:
-            dispatcher.answer(request, word, result)
-        elif word is RequestEvent.FAILED:
-            dispatcher.answer(
-                request, FAIL, result if result is not None and result.status != 200 else None
-            )
-        if request.key_entry is not None and word not in (
-            RequestEvent.NOT_STARTED,
-            RequestEvent.NO_CAPACITY,
-        ):
-            for waiter in dispatcher.duplicates.run_ended(
-                request, result if word is RequestEvent.COMPLETED else None, dispatcher.now
-            ):
-                if word is RequestEvent.COMPLETED:
-                    dispatcher.answer(waiter, word, result)
-                dispatcher.post_event(
-                    waiter, word if word is RequestEvent.COMPLETED else RequestEvent.FAILED
-                )
-        dispatcher.server.on_event(dispatcher.now, request, word)
+        if event is RequestEvent.COMPLETED:
+            dispatcher.answer(request, event, answer)
+        elif event is RequestEvent.FAILED:
+            is_failure = answer is not None and answer.status != STATUS_OK
+            dispatcher.answer(request, FAIL, answer if is_failure else None)
+        if request.key_entry is not None and event not in NOT_RUN_EVENTS:
+            self._answer_duplicates(request, event, answer)
+        dispatcher.server.on_event(dispatcher.now, request, event)
+
+    def _answer_duplicates(
+        self, request: PendingRequest, event: RequestEvent, answer: Answer | None
+    ) -> None:
+        """Let the requests that wait for this one end as it did; all but a success fails them."""
+        dispatcher = self._dispatcher
+        completed = event is RequestEvent.COMPLETED
+        result = answer if completed else None
+        for waiter in dispatcher.duplicates.run_ended(request, result, dispatcher.now):
+            if completed:
+                dispatcher.answer(waiter, event, result)
+            dispatcher.post_event(waiter, event if completed else RequestEvent.FAILED)
 
     def on_call_needed(self, request_id: str, notice: int, body: bytes) -> None:
-        self.metrics.increment("runs.needs")
+        """A run waits for a call to the dependency."""
+        self._metrics.increment("runs.needs")
 
         def act(request: PendingRequest) -> None:
             request.notices_read += 1
-            request.call_notice, request.call_body = notice, body
-            self.dispatcher.server.on_event(
-                self.dispatcher.now, request, RequestEvent.DEPENDENCY_CALL_NEEDED
-            )
+            request.call_notice = notice
+            request.call_body = body
+            self._report(request, RequestEvent.DEPENDENCY_CALL_NEEDED)
 
-        self._with(request_id, act)
+        self._handle(request_id, act)
 
     def on_command_refused(self, command: str, request_id: str) -> None:
         """The engine did not carry a command out. A run that never began is over."""
-        self.metrics.increment("engine.no")
+        self._metrics.increment("engine.no")
         log.warning(
             "the engine did not carry out a command",
             extra=log_fields(command=command, request=request_id),
         )
         if command == "RUN":
-            self._with(
-                request_id,
-                lambda request: self.dispatcher.server.on_event(
-                    self.dispatcher.now, request, RequestEvent.NOT_STARTED
-                ),
+            self._handle(
+                request_id, lambda request: self._report(request, RequestEvent.NOT_STARTED)
             )
 
-    def on_gauges(self, tag: str, got: dict[str, float]) -> None:
+    def on_gauges(self, tag: str, gauges: Mapping[str, float]) -> None:
+        """The gauges of a poll; the tags of others are no numbers."""
         if tag.isdigit():
-            self.router.woken(int(tag), got)
+            self._router.gauge_poller.on_gauges(int(tag), gauges)
 
-    def on_call_ended(self, request: PendingRequest, word: RequestEvent, reply: bytes) -> None:
-        """A call has ended, as the database or the end of its connection told."""
-        self.metrics.increment(f"calls.{word.name.lower().removeprefix('call_')}")
+    def on_call_ended(self, request: PendingRequest, event: RequestEvent, reply: bytes) -> None:
+        """A call has ended, by its reply, its timeout or the end of its connection."""
+        self._metrics.increment(f"calls.{event.name.lower().removeprefix('call_')}")
 
         def act() -> None:
-            if self.dispatcher.requests.get(request.request_id) is request:
-                if word is RequestEvent.CALL_SUCCEEDED:
-                    self.router.engine.send_call_reply(request, reply)
-                self.dispatcher.server.on_event(self.dispatcher.now, request, word)
+            if self._dispatcher.requests.get(request.request_id) is request:
+                if event is RequestEvent.CALL_SUCCEEDED:
+                    self._executor.send_call_reply(request, reply)
+                self._report(request, event)
+
+        self._dispatcher.handle(act, request)
 
-        self.dispatcher.handle(act, request)
+    def _report(self, request: PendingRequest, event: RequestEvent) -> None:
+        self._dispatcher.server.on_event(self._dispatcher.now, request, event)
 
-    def _with(self, request_id: str, act) -> None:
-        request = self.dispatcher.requests.get(request_id)
+    def _handle(self, request_id: str, act: Callable[[PendingRequest], None]) -> None:
+        """Let `act` call the decisions, if a request of this id is in flight."""
+        request = self._dispatcher.requests.get(request_id)
         if request is not None:
-            self.dispatcher.handle(lambda: act(request), request)
+            self._dispatcher.handle(lambda: act(request), request)
--- /dev/null
+++ b/gullyoke/dependencies/call.py
@@ -0,0 +1,33 @@
+"""One call to the dependency."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from gullyoke.codec.lines import command
+from gullyoke.runtime.dispatcher import PendingRequest
+
+if TYPE_CHECKING:
+    from gullyoke.dependencies.connection import DependencyConnection
+
+US_PER_MS = 1000
+
+
+class DependencyCall:
+    """A call that is queued or made.
+
+    Attributes:
+        request: The request whose run waits for it.
+        data: The message that makes it.
+        connection: The connection that it was given to; None while it is queued.
+        is_over: Whether it has ended or was withdrawn.
+    """
+
+    __slots__ = ("connection", "data", "is_over", "request")
+
+    def __init__(self, request: PendingRequest, timeout_us: int) -> None:
+        timeout_ms = max(1, timeout_us // US_PER_MS)
+        self.request = request
+        self.data = command("Q", request.request_id, timeout_ms, body=request.call_body)
+        self.connection: DependencyConnection | None = None
+        self.is_over = False
--- /dev/null
+++ b/gullyoke/dependencies/client.py
@@ -0,0 +1,312 @@
+"""The client of the dependency: a pool of a few connections with one call at a time on each."""
+
+from __future__ import annotations
+
+import queue
+import threading
+from collections import deque
+from logging import DEBUG, WARNING
+from typing import Final
+
+from gullyoke.admission.interface import RequestEvent
+from gullyoke.codec import lines
+from gullyoke.codec.buffer import Buffer
+from gullyoke.dependencies import DependencyListener
+from gullyoke.dependencies.call import DependencyCall
+from gullyoke.dependencies.connection import DependencyConnection
+from gullyoke.dependencies.reply import DependencyReply, read_reply
+from gullyoke.runtime import clock
+from gullyoke.runtime.close_reasons import (
+    CloseReason,
+    ConnectionClosedError,
+    PeerKind,
+    outcome,
+    served,
+)
+from gullyoke.runtime.dispatcher import PendingRequest
+from gullyoke.runtime.logs import log, log_fields
+from gullyoke.runtime.metrics import Metrics
+from gullyoke.runtime.sockets import Receiver, connected
+from gullyoke.runtime.timer import Timer
+
+CONNECT_TIMEOUT_S: Final = 1.0
+REPLY_PIECE_TIMEOUT_S: Final = 0.1  # for the next piece of a reply that has begun
+IDLE_TIMEOUT_US: Final = 2_000_000  # after which a connection without a call is closed here
+
+
+class DependencyClient:
+    """Makes calls and reports their ends.
+
+    A connection goes back to the pool after exactly one whole reply with the id of its call. That
+    guards against replies that are garbled or never come and connections that break: each costs
+    the call concerned and no other. Replies bear the request's id alone, so a request never makes
+    its next call on the connection of its last: a reply that comes twice answers nothing.
+
+    The lock guards the pool and is taken without the dispatcher's or after it, never before it.
+
+    Attributes:
+        idle: Connections without a call, the newest last.
+        connection_count: Connections that are open or being opened.
+    """
+
+    def __init__(
+        self,
+        address: tuple[str, int],
+        max_connections: int,
+        timer: Timer,
+        metrics: Metrics,
+        request_lock: threading.Lock,
+    ) -> None:
+        """Make a client without connections.
+
+        Args:
+            address: Where the dependency listens.
+            max_connections: The most connections.
+            timer: Ends calls at their timeouts.
+            metrics: Counters.
+            request_lock: The dispatcher's lock, which guards `dependency_call` of requests.
+        """
+        self._address = address
+        self._max_connections = max_connections
+        self._timer = timer
+        self._metrics = metrics
+        self._request_lock = request_lock
+        self._listener: DependencyListener
+        self.lock = threading.Lock()
+        self.connection_count = 0
+        self.idle: list[DependencyConnection] = []
+        self._queued: deque[DependencyCall] = deque()  # calls without a connection
+        self._to_connect: queue.SimpleQueue[DependencyCall] = queue.SimpleQueue()
+        self._last_reason: CloseReason | None = None
+
+    def start(self, listener: DependencyListener) -> None:
+        """Start the thread that starts the threads of connections."""
+        self._listener = listener
+        threading.Thread(
+            target=self._metrics.run_forever,
+            args=("database", self._start_connection),
+            name="database-open",
+            daemon=True,
+        ).start()
+
+    def update_address(self, address: tuple[str, int]) -> None:
+        """Make new calls at another address; those under way end where they are."""
+        with self.lock:
+            self._address = address
+            idle = self.idle
+            self.idle = []
+        for connection in idle:
+            connection.shut_down()
+
+    def close_idle(self) -> None:
+        """Close connections that are idle, well before the peer does: a call could cross that."""
+        with self.lock:
+            oldest = clock.now() - IDLE_TIMEOUT_US
+            expired = [connection for connection in self.idle if connection.idle_since < oldest]
+            self.idle = [connection for connection in self.idle if connection.idle_since >= oldest]
+        for connection in expired:
+            connection.shut_down()
+
+    # Given under the dispatcher's lock.
+
+    def call(self, request: PendingRequest, now: int, timeout_us: int) -> None:
+        """Make the call that the request's run waits for; give it up after `timeout_us`."""
+        call = DependencyCall(request, timeout_us)
+        request.dependency_call = call
+        self._timer.at(now + timeout_us, lambda: self.on_timeout(call))
+        with self.lock:
+            connection = self._take_idle(request.request_id)
+            if connection is None:
+                self._queue(call)
+                return
+            self._assign(connection, call)
+        connection.send(call)
+
+    def abandon(self, request: PendingRequest) -> None:
+        """Withdraw the call of a request that is over."""
+        call = request.dependency_call
+        request.dependency_call = None
+        self._withdraw(call)
+
+    # The pool. All of these are called under its lock.
+
+    def _take_idle(self, request_id: str) -> DependencyConnection | None:
+        """The newest idle connection that is usable and did not carry this request's last call."""
+        for index in range(len(self.idle) - 1, -1, -1):
+            if self.idle[index].last_request_id != request_id:
+                connection = self.idle.pop(index)
+                if connection.is_usable():
+                    return connection
+                connection.shut_down()
+        return None
+
+    def _assign(self, connection: DependencyConnection, call: DependencyCall) -> None:
+        connection.call = call
+        call.connection = connection
+
+    def _assign_queued(self, connection: DependencyConnection) -> DependencyCall | None:
+        """Give a free connection a queued call; without one it goes back to the pool."""
+        for call in self._queued:
+            if call.request.request_id != connection.last_request_id:
+                self._queued.remove(call)
+                self._assign(connection, call)
+                return call
+        self.idle.append(connection)
+        return None
+
+    def _queue(self, call: DependencyCall) -> None:
+        """Open a connection for a call, or let it wait for one."""
+        if self.connection_count < self._max_connections:
+            self.connection_count += 1
+            self._to_connect.put(call)
+        else:
+            self._queued.append(call)
+
+    # The end of a call.
+
+    def _withdraw(self, call: DependencyCall) -> bool:
+        """Take a call back, which closes its connection; whether it may have run."""
+        with self.lock:
+            call.is_over = True
+            connection = call.connection
+            if connection is None:
+                self._queued = deque(queued for queued in self._queued if queued is not call)
+            elif connection.call is call:
+                connection.call = None
+                connection.shut_down()
+        return connection is not None
+
+    def on_timeout(self, call: DependencyCall) -> None:
+        """Give a call up, unless it has ended."""
+        if self.claim_end(call):
+            self._metrics.increment("calls.given_up")
+            may_have_run = self._withdraw(call)
+            self._listener.on_call_ended(
+                call.request,
+                RequestEvent.CALL_OUTCOME_UNKNOWN if may_have_run else RequestEvent.CALL_NOT_SENT,
+                b"",
+            )
+
+    def claim_end(self, call: DependencyCall) -> bool:
+        """Whether the caller is the first to end the call, and is to report it."""
+        with self._request_lock:
+            is_first = call.request.dependency_call is call
+            if is_first:
+                call.request.dependency_call = None
+            return is_first
+
+    # The connections, a thread each.
+
+    def _start_connection(self) -> None:
+        """Start a thread, for which its starter waits: not to be done under a lock."""
+        call = self._to_connect.get()
+        try:
+            threading.Thread(
+                target=self._run_connection, args=(call,), name="database", daemon=True
+            ).start()
+        except RuntimeError as fault:  # the system has no thread to spare
+            self._on_connection_ended(None, call, CloseReason.UNREACHED, str(fault))
+
+    def _run_connection(self, call: DependencyCall) -> None:
+        """A connection's life: opened for a call, and read until it ends."""
+        try:
+            address = self._address
+            connection = DependencyConnection(connected(address, CONNECT_TIMEOUT_S), address)
+        except ConnectionClosedError as fault:
+            self._on_connection_ended(None, call, fault.end, str(fault))
+            return
+        self._send_first_call(connection, call)
+        reason, text = served(
+            lambda: self._read_replies(connection),
+            lambda: self._metrics.record_internal_error("database"),
+        )
+        with self.lock:
+            last_call = connection.call
+            connection.call = None
+            self.idle = [idle for idle in self.idle if idle is not connection]
+        connection.close()
+        self._on_connection_ended(connection, last_call, reason, text)
+
+    def _send_first_call(self, connection: DependencyConnection, call: DependencyCall) -> None:
+        """Send the call that the connection was opened for.
+
+        A queued one takes its place where that was withdrawn while the connection came about.
+        """
+        first: DependencyCall | None = call
+        with self.lock:
+            if call.is_over:
+                first = self._assign_queued(connection)
+            else:
+                self._assign(connection, call)
+        if first is not None:
+            connection.send(first)
+
+    def _on_connection_ended(
+        self,
+        connection: DependencyConnection | None,
+        call: DependencyCall | None,
+        reason: CloseReason,
+        text: str,
+    ) -> None:
+        """A connection has ended, or never came about; a call on it ends with it."""
+        with self.lock:
+            self.connection_count -= 1
+            if self._queued:
+                self._queue(self._queued.popleft())
+        self._metrics.increment(f"ends.database.{reason.value}")
+        if call is not None or reason not in (CloseReason.CLOSED, CloseReason.DECLARED):
+            # A day of garbled replies must not fill the log; the counters go on counting.
+            used = connection is not None and bool(connection.last_request_id)
+            log.log(
+                DEBUG if reason is self._last_reason else WARNING,
+                "connection to the database ended",
+                extra=log_fields(end=reason.value, why=text, used=used),
+            )
+            self._last_reason = reason
+        if call is not None and self.claim_end(call):
+            event = outcome(PeerKind.DATABASE, reason)
+            assert event is not None
+            self._listener.on_call_ended(call.request, event, b"")
+
+    def _read_replies(self, connection: DependencyConnection) -> CloseReason:
+        """Read until the connection can't be used any more.
+
+        The timeout and the buffer guard against lines without end and lengths that promise more
+        than comes.
+        """
+        buffer = Buffer(Receiver(connection.sock, REPLY_PIECE_TIMEOUT_S), lines.BUFFER)
+        is_in_step = True
+        while (reply := read_reply(buffer)) is not None:
+            call = connection.call
+            if call is None or call.request.request_id != reply.request_id:
+                is_in_step = False  # a whole reply to another call: the right one may follow
+                continue
+            is_in_step = is_in_step and len(buffer) == 0
+            if not self._end_call(connection, call, reply, is_in_step):
+                return CloseReason.DECLARED
+        return CloseReason.CLOSED
+
+    def _end_call(
+        self,
+        connection: DependencyConnection,
+        call: DependencyCall,
+        reply: DependencyReply,
+        is_in_step: bool,
+    ) -> bool:
+        """End a call with its reply; whether the connection may carry another."""
+        next_call = None
+        with self.lock:
+            if connection.call is not call:
+                return False  # withdrawn meanwhile
+            call.is_over = True
+            connection.call = None
+            connection.last_request_id = reply.request_id
+            connection.idle_since = clock.now()
+            is_reusable = is_in_step and connection.address == self._address
+            if is_reusable:
+                next_call = self._assign_queued(connection)
+        if next_call is not None:
+            connection.send(next_call)
+        if self.claim_end(call):
+            self._listener.on_call_ended(call.request, reply.event, reply.body)
+        return is_reusable
--- /dev/null
+++ b/gullyoke/dependencies/reply.py
@@ -0,0 +1,44 @@
+"""The dependency's replies, as they are read from a connection."""
+
+from __future__ import annotations
+
+from typing import Final, NamedTuple
+
+from gullyoke.admission.interface import RequestEvent
+from gullyoke.codec import lines
+from gullyoke.codec.buffer import Buffer
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
+
+ROWS: Final = "ROWS"  # the one reply with a body
+EVENT_OF_STATUS: Final = {
+    "FULL": RequestEvent.CALL_NOT_SENT,
+    "FAIL": RequestEvent.CALL_OUTCOME_UNKNOWN,
+    "TIMEOUT": RequestEvent.CALL_OUTCOME_UNKNOWN,
+    "NONE": RequestEvent.CALL_NOT_SENT,
+}
+LONGEST_REPORTED_LINE: Final = 100  # characters of a garbled line that go into the log
+
+
+class DependencyReply(NamedTuple):
+    """A whole reply to the call of the request of this id."""
+
+    request_id: str
+    event: RequestEvent
+    body: bytes
+
+
+def read_reply(buffer: Buffer) -> DependencyReply | None:
+    """The next reply, waiting for it; None when the dependency closed between two.
+
+    Raises:
+        ConnectionClosedError: The connection ended within a reply, or what came is none.
+    """
+    words = lines.read(buffer)
+    if words is None:
+        return None
+    if len(words) == 3 and words[1] == ROWS:
+        body = lines.content(buffer, words[2])
+        return DependencyReply(words[0], RequestEvent.CALL_SUCCEEDED, body)
+    if len(words) == 2 and words[1] in EVENT_OF_STATUS:
+        return DependencyReply(words[0], EVENT_OF_STATUS[words[1]], b"")
+    raise ConnectionClosedError(CloseReason.GARBLED, " ".join(words)[:LONGEST_REPORTED_LINE])
--- a/gullyoke/executors/__init__.py
+++ b/gullyoke/executors/__init__.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
+from enum import Enum
 from typing import Protocol
 
 from gullyoke.admission.interface import RequestEvent
@@ -13,14 +14,39 @@
 from gullyoke.runtime.messages import Answer
 
 
+class EngineState(Enum):
+    """How an engine begins. The value is its name on the wire."""
+
+    COLD = "cold"  # its caches are empty
+    WARM = "warm"
+
+
+class RunOutcome(Enum):
+    """How a run at the engine ended. The value is its name on the wire and in counters."""
+
+    COMPLETED = "ok"
+    FAILED = "failed"
+    CANCELLED = "halted"
+    NOT_STARTED = "void"
+
+
 class ExecutorListener(Protocol):
-    """What an executor reports to, on threads of its own and without a lock of its own."""
+    """What an executor reports to.
+
+    The reports (`on_...`) come on threads of the executor, which holds no lock meanwhile.
+    """
+
+    def is_in_flight(self, request: PendingRequest) -> bool:
+        """Whether a request of this id is not over yet."""
+
+    def post_event(self, request: PendingRequest, event: RequestEvent) -> None:
+        """An event on a run that was just started or cancelled, under the dispatcher's lock."""
 
-    def on_engine_hello(self, state: str, uptime_ms: int) -> None:
-        """The engine is up, in `state` "cold" or "warm", for so many milliseconds."""
+    def on_engine_hello(self, state: EngineState, uptime_ms: int) -> None:
+        """The engine has been up for so many milliseconds."""
 
-    def on_run_ended(self, request_id: str, end: str, result: bytes) -> None:
-        """A run at the engine has ended: "ok", "failed", "halted" or "void" (it never began)."""
+    def on_run_ended(self, request_id: str, outcome: RunOutcome, result: bytes) -> None:
+        """A run at the engine has ended."""
 
     def on_backend_run_ended(
         self, request: PendingRequest, event: RequestEvent, answer: Answer | None
--- /dev/null
+++ b/gullyoke/executors/backend_attempt.py
@@ -0,0 +1,164 @@
+"""One attempt to run a request at a back end that speaks SCGI, on a connection of its own."""
+
+from __future__ import annotations
+
+import socket
+from typing import Final, NamedTuple, Protocol, cast
+
+from gullyoke.codec import scgi
+from gullyoke.codec.buffer import Buffer
+from gullyoke.routing import AttemptOutcome, RoutedRun, SendAttempt, outcome_of_close
+from gullyoke.runtime import clock
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, end_of
+from gullyoke.runtime.dispatcher import PendingRequest
+from gullyoke.runtime.messages import Answer
+from gullyoke.runtime.metrics import Metrics
+from gullyoke.runtime.sockets import ConnectionBrokenError, Until, connected, shut
+
+CONNECT_TIMEOUT_S: Final = 1.0
+US_PER_S: Final = 1_000_000
+FIRST_FAILED_STATUS: Final = 500  # from here on the application reports a failure
+BAD_GATEWAY: Final = 502
+# Statuses by which our clients know that a request never ran.
+NEVER_RAN_STATUSES: Final = (429, 503)
+
+SocketAddress = tuple[str, int] | str  # host and port, or the path of a socket
+
+
+class AttemptSettings(NamedTuple):
+    """What is the same for all attempts of a pool.
+
+    Args:
+        linger_us: How long an answer is still waited for after the deadline, in microseconds.
+        cancel_by_close: Whether closing the connection stops the application.
+        max_answer_bytes: The longest answer that is taken.
+    """
+
+    linger_us: int
+    cancel_by_close: bool
+    max_answer_bytes: int
+
+
+class AttemptResult(NamedTuple):
+    """How an attempt ended.
+
+    Args:
+        outcome: How it ended.
+        answer: The back end's answer; None where none came whole.
+        reason: Why there is no answer, for the log; empty where there is one.
+    """
+
+    outcome: AttemptOutcome
+    answer: Answer | None
+    reason: str
+
+
+class AttemptOwner(Protocol):
+    """What an attempt needs of the pool that makes it."""
+
+    def address_of(self, backend_name: str) -> SocketAddress:
+        """Where a back end is."""
+
+    def register(self, attempt: BackendAttempt) -> bool:
+        """Let a cancel reach the connection, which is open now; False if it was cancelled."""
+
+
+def request_of(run: RoutedRun) -> PendingRequest:
+    """The request of a run, of which the router knows the decisions' part alone."""
+    return cast(PendingRequest, run.request)
+
+
+class BackendAttempt:
+    """Sends a request to a back end and reads its answer.
+
+    Attributes:
+        run: The run whose attempt this is.
+    """
+
+    __slots__ = ("_backend_name", "_metrics", "_owner", "_settings", "_sock", "run")
+
+    def __init__(
+        self, send: SendAttempt, settings: AttemptSettings, owner: AttemptOwner, metrics: Metrics
+    ) -> None:
+        self.run = send.run
+        self._backend_name = send.backend.settings.name
+        self._settings = settings
+        self._owner = owner
+        self._metrics = metrics
+        self._sock: socket.socket | None = None
+
+    def perform(self) -> AttemptResult:
+        """Make the attempt; never raises."""
+        try:
+            answer = self._exchange()
+        except ConnectionBrokenError as fault:
+            return self._failed(fault.end, True, str(fault))
+        except ConnectionClosedError as fault:
+            return self._failed(fault.end, False, str(fault))
+        except OSError as fault:
+            return self._failed(end_of(fault), True, str(fault))
+        except Exception:
+            self._metrics.record_internal_error("backends", request_of(self.run).request_id)
+            outcome = outcome_of_close(CloseReason.FAULT, True)
+            return AttemptResult(outcome, None, CloseReason.FAULT.value)
+        finally:
+            self._close()
+        failed = answer.status >= FIRST_FAILED_STATUS
+        outcome = AttemptOutcome.FAILED if failed else AttemptOutcome.COMPLETED
+        return AttemptResult(outcome, answer, "")
+
+    def shut_down(self) -> None:
+        """End the connection, if there is one; the thread that makes the attempt closes it."""
+        if self._sock is not None:
+            shut(self._sock)
+
+    def _close(self) -> None:
+        if self._sock is not None:
+            shut(self._sock)
+            self._sock.close()
+
+    def _failed(self, reason: CloseReason, written: bool, text: str) -> AttemptResult:
+        if self.run.cancelled and self._settings.cancel_by_close:
+            reason = CloseReason.DECLARED  # closed here, as was asked for
+        return AttemptResult(outcome_of_close(reason, written), None, text)
+
+    def _exchange(self) -> Answer:
+        """Send the request and read its answer.
+
+        Raises:
+            ConnectionClosedError: Before the first byte was written.
+            ConnectionBrokenError: After that.
+        """
+        until = self.run.deadline + self._settings.linger_us
+        connection = self._connect(until)
+        connection.send(self._encode_request())
+        try:
+            answer = self._read_answer(connection)
+        except ConnectionClosedError as fault:
+            raise ConnectionBrokenError(fault.end, str(fault)) from None
+        # What a back end rejects has reached it: our clients must not read the promise that it
+        # never ran.
+        if answer.status in NEVER_RAN_STATUSES:
+            return answer._replace(status=BAD_GATEWAY)
+        return answer
+
+    def _connect(self, until: int) -> Until:
+        left_s = (until - clock.now()) / US_PER_S
+        if left_s <= 0:  # no fault of the back end's
+            raise ConnectionClosedError(CloseReason.DECLARED, "its time is over")
+        address = self._owner.address_of(self._backend_name)
+        self._sock = connected(address, min(CONNECT_TIMEOUT_S, left_s))
+        if not self._owner.register(self):
+            raise ConnectionClosedError(CloseReason.DECLARED, "stopped")
+        return Until(self._sock, until)
+
+    def _encode_request(self) -> bytes:
+        replaced_fields = {
+            "max-wait-ms": str(max(0, (self.run.deadline - clock.now()) // 1000)),
+            "accepted-at-ms": str(clock.unix_ms()),
+        }
+        return scgi.request(request_of(self.run).message, replaced_fields)
+
+    def _read_answer(self, connection: Until) -> Answer:
+        max_bytes = self._settings.max_answer_bytes
+        return scgi.read_answer(Buffer(connection, scgi.ANSWER_HEAD + max_bytes + 1), max_bytes)
--- a/gullyoke/executors/engine_link.py
+++ b/gullyoke/executors/engine_link.py
@@ -1,5 +1,7 @@
-"""Send, to the engine: the link that is kept open, its commands, its notices, and attaching to it
-again.
+"""An executor that runs requests at the engine, over one link that is kept open.
+
+One thread attaches and reads, and attaches again when the link ends; another writes what the link
+did not take at once from the threads that gave the commands.
 """
 
 from __future__ import annotations
@@ -8,279 +10,344 @@
 import threading
 from collections import deque
 from logging import DEBUG, WARNING
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
 from gullyoke.codec import lines
 from gullyoke.codec.buffer import Buffer
-from gullyoke.codec.lines import command
-from gullyoke.executors import ExecutorListener
+from gullyoke.executors import ExecutorListener, engine_protocol
+from gullyoke.executors.engine_protocol import (
+    CallNeededNotice,
+    CommandRefused,
+    GaugesNotice,
+    Hello,
+    Notice,
+    RunEndedNotice,
+)
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, served
+from gullyoke.runtime.dispatcher import PendingRequest
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.sockets import Receiver, connected, shut
 
-CONNECT = 1.0  # seconds for a connection to come about
-PAUSES = (0.02, 1.0)  # seconds before the next try: the first, and the longest
-SENT = 256  # commands that no gauges confirm, before they are looked through
+CONNECT_TIMEOUT_S: Final = 1.0
+FIRST_BACKOFF_S: Final = 0.02
+LONGEST_BACKOFF_S: Final = 1.0
+MAX_UNCONFIRMED: Final = 256  # commands that no gauges confirm, before they are looked through
+NO_TAG: Final = -1
+
 
+class SentCommand(NamedTuple):
+    """A command to the engine.
 
-class Sent(NamedTuple):
-    """A command, and how many notices on its req had been read when it was given."""
+    Args:
+        data: Its bytes.
+        request: The request that it concerns; None for a poll of the gauges.
+        notices_read: How many notices on that request had been read when it was given.
+        tag: The tag of a poll of the gauges.
+    """
 
     data: bytes
-    request: object = None
-    noticed: int = 0
-    tag: int = -1
+    request: PendingRequest | None = None
+    notices_read: int = 0
+    tag: int = NO_TAG
 
 
 class EngineLink:
-    """Tables: `outbox`, commands not yet written.
-
-    `sent`, written since the last gauges that were answered, which prove that the engine read what
-    was written before. Both hold a few for each req in hand; where gauges stay out for long, `sent`
-    is rid of reqs that are over. `rest` is what the link did not take at once of the last command;
-    `writing`, whether the thread writes.
+    """The link, and the commands that may have to be sent again on the next one.
+
+    The condition `condition` guards everything here that more than one thread uses.
+
+    Attributes:
+        outbox: Commands that are not written yet.
+        unconfirmed: Commands written since the last poll of the gauges that was answered; the
+            answer proves that the engine read what was written before. Like the outbox it holds a
+            few for each request in flight; where gauges stay out for long it is rid of requests
+            that are over.
+        unwritten: What the link did not take at once of the last command.
+        attached: Whether commands may be written: all notices that were missed have been read.
+        sock: The link; None while there is none.
     """
 
     def __init__(self, address: tuple[str, int], gauges: tuple[str, ...], metrics: Metrics) -> None:
-        self.address, self.gauges, self.metrics, self.listener = address, gauges, metrics, None
-        self.bell = threading.Condition(threading.Lock())
-        self.outbox: deque[Sent] = deque()
-        self.sent: deque[Sent] = deque()
+        """Make a link that is not attached yet.
+
+        Args:
+            address: Where the engine listens.
+            gauges: Names of the gauges that it reports, in their order.
+            metrics: Counters.
+        """
+        self._address = address
+        self._gauges = gauges
+        self.metrics = metrics
+        self.listener: ExecutorListener
+        self.condition = threading.Condition(threading.Lock())
+        self.outbox: deque[SentCommand] = deque()
+        self.unconfirmed: deque[SentCommand] = deque()
         self.sock: socket.socket | None = None
-        self.last, self.marks, self.mark, self.attached = 0, 0, "", False
-        self.rest, self.writing = b"", False
-        self.moved = threading.Event()
-        self.look_at = SENT
+        self.attached = False
+        self.unwritten = b""
+        self._writing = False  # whether the writing thread is writing
+        self._last_notice = 0  # the highest number of a notice that was read
+        self._links_made = 0
+        self._attach_tag = ""  # the poll whose answer shows that all missed notices were read
+        self._address_changed = threading.Event()
+        self._prune_above = MAX_UNCONFIRMED
 
     def start(self, listener: ExecutorListener) -> None:
+        """Start the reading and the writing thread."""
         self.listener = listener
-        threading.Thread(target=self.keep, name="engine-read", daemon=True).start()
+        threading.Thread(target=self._keep_attached, name="engine-read", daemon=True).start()
         threading.Thread(
             target=self.metrics.run_forever,
-            args=("engine", self.write),
+            args=("engine", self.write_pending),
             name="engine-write",
             daemon=True,
         ).start()
 
     def update_address(self, address: tuple[str, int]) -> None:
-        """Its address is another from now on.
+        """Attach to another address from now on.
 
-        Runs go on; the new link tells what the old one did not.
+        Runs go on; the notices on the new link report what the old one did not.
         """
-        with self.bell:
-            self.address = address
+        with self.condition:
+            self._address = address
             if self.sock is not None:
                 shut(self.sock)
-        self.moved.set()
+        self._address_changed.set()
 
-    # Commands, given under the desk's lock.
+    # Commands, given under the dispatcher's lock.
 
-    def start_run(self, request) -> None:
-        self._give(
+    def start_run(self, request: PendingRequest) -> None:
+        """Begin the run of a request."""
+        self._queue(
             request,
-            command(
-                "RUN", request.request_id, request.request_class.name, body=request.message.body
+            engine_protocol.run(
+                request.request_id, request.request_class.name, request.message.body
             ),
         )
 
-    def send_call_reply(self, request, reply: bytes) -> None:
-        self._give(request, command("FEED", request.request_id, body=reply))
+    def send_call_reply(self, request: PendingRequest, reply: bytes) -> None:
+        """Hand the run the reply of the dependency that it waits for."""
+        self._queue(request, engine_protocol.call_reply(request.request_id, reply))
 
-    def skip_call(self, request) -> None:
-        self._give(request, command("SKIP", request.request_id, request.call_notice))
+    def skip_call(self, request: PendingRequest) -> None:
+        """Let the run go on without the call that it waits for."""
+        self._queue(request, engine_protocol.skip_call(request.request_id, request.call_notice))
 
-    def cancel_run(self, request) -> None:
-        self._give(request, command("HALT", request.request_id))
+    def cancel_run(self, request: PendingRequest) -> None:
+        """End the run; the engine reports its end."""
+        self._queue(request, engine_protocol.cancel(request.request_id))
 
-    def poll_gauges(self, tag: int) -> None:
-        if self.attached:  # without a link they would pile up
-            self._put(Sent(command("STAT", tag), tag=tag))
-            self.flush()
+    def _queue(self, request: PendingRequest, data: bytes) -> None:
+        self._append(SentCommand(data, request, request.notices_read))
 
-    def _give(self, request, data: bytes) -> None:
-        self._put(Sent(data, request, request.notices_read))
+    def _append(self, command: SentCommand) -> None:
+        with self.condition:
+            self.outbox.append(command)
 
-    def _put(self, sent: Sent) -> None:
-        with self.bell:
-            self.outbox.append(sent)
+    # Writing.
+
+    def poll_gauges(self, tag: int) -> None:
+        """Ask for the gauges; without a link polls would pile up, and none is made."""
+        if self.attached:
+            self._append(SentCommand(engine_protocol.poll_gauges(tag), tag=tag))
+            self.flush()
 
     def flush(self) -> None:
-        """Write what was given, where the link takes it without waiting.
+        """Write what was given, as far as the link takes it without waiting.
 
-        That saves a change of threads for each command. What it does not take is left to the
-        writing thread. Called without the desk's lock.
+        That saves a change of threads for each command. What the link does not take is left to the
+        writing thread.
         """
-        with self.bell:
-            if not self.outbox or not self.attached or self.rest or self.writing:
+        with self.condition:
+            if not self.outbox or not self.attached or self.unwritten or self._writing:
                 return  # the writing thread is at it, or will be
-            batch = self._batch()
-            data = b"".join(s.data for s in batch)
+            assert self.sock is not None
+            batch = self._take_batch()
+            data = b"".join(command.data for command in batch)
             try:
-                took = self.sock.send(data, socket.MSG_DONTWAIT)
+                written = self.sock.send(data, socket.MSG_DONTWAIT)
             except BlockingIOError:
-                took = 0
+                written = 0
             except OSError:
-                shut(self.sock)  # the reading side tells how it ended
+                shut(self.sock)  # the reading thread reports how it ended
                 return
-            if took < len(data):
-                self.rest = data[took:]
-                self.bell.notify_all()
+            if written < len(data):
+                self.unwritten = data[written:]
+                self.condition.notify_all()
         self.metrics.increment("engine.commands", len(batch))
 
-    def _batch(self) -> list[Sent]:
-        """All that is to be written now.
+    def _take_batch(self) -> list[SentCommand]:
+        """All commands that are to be written now.
 
-        From here on it may have reached the engine, in part or whole.
+        From here on they may have reached the engine, in part or whole.
         """
         batch = list(self.outbox)
         self.outbox.clear()
-        self.sent.extend(batch)
-        if len(self.sent) > self.look_at:
-            last = max((s.tag for s in self.sent), default=-1)
-            self.sent = deque(s for s in self.sent if self._in_hand(s) or 0 <= s.tag == last)
-            self.look_at = max(SENT, 2 * len(self.sent))
+        self.unconfirmed.extend(batch)
+        if len(self.unconfirmed) > self._prune_above:
+            self._prune_unconfirmed()
         return batch
 
-    def _in_hand(self, sent: Sent) -> bool:
-        return (
-            sent.request is not None
-            and sent.request.request_id in self.listener.dispatcher.requests
+    def _prune_unconfirmed(self) -> None:
+        """Drop commands for requests that are over, and all polls but the last."""
+        last_tag = max((command.tag for command in self.unconfirmed), default=NO_TAG)
+        self.unconfirmed = deque(
+            command
+            for command in self.unconfirmed
+            if self._is_in_flight(command) or 0 <= command.tag == last_tag
         )
+        self._prune_above = max(MAX_UNCONFIRMED, 2 * len(self.unconfirmed))
+
+    def _is_in_flight(self, command: SentCommand) -> bool:
+        return command.request is not None and self.listener.is_in_flight(command.request)
 
-    def write(self) -> None:
+    def write_pending(self) -> None:
         """Write what there is, once there is something and a link to write it on."""
-        with self.bell:
-            while not (self.attached and (self.outbox or self.rest)):
-                self.bell.wait()
-            batch, sock, rest = self._batch(), self.sock, self.rest
-            self.rest, self.writing = b"", True
+        with self.condition:
+            while not (self.attached and (self.outbox or self.unwritten)):
+                self.condition.wait()
+            assert self.sock is not None
+            batch = self._take_batch()
+            sock = self.sock
+            unwritten = self.unwritten
+            self.unwritten = b""
+            self._writing = True
         try:
-            sock.sendall(rest + b"".join(s.data for s in batch))
+            sock.sendall(unwritten + b"".join(command.data for command in batch))
             self.metrics.increment("engine.commands", len(batch))
         except OSError:
-            shut(sock)  # the reading side tells how it ended
+            shut(sock)  # the reading thread reports how it ended
         finally:
-            with self.bell:
-                self.writing = False
-                self.bell.notify_all()
+            with self.condition:
+                self._writing = False
+                self.condition.notify_all()
 
-    # Notices.
+    # Reading.
 
-    def keep(self) -> None:
+    def _keep_attached(self) -> None:
         """Attach, read until the link ends, and again, for as long as the process lives."""
-        pause, last = PAUSES[0], None
+        backoff_s = FIRST_BACKOFF_S
+        last_reason = None
         while True:
-            before = self.last
-            end, why = served(
+            last_notice = self._last_notice
+            reason, text = served(
                 self.attach_and_read, lambda: self.metrics.record_internal_error("engine")
             )
-            self.close()
-            self.metrics.increment(f"ends.engine.{end.value}")
-            # A peer that stays away would fill the log with one line; the counters go on counting.
+            self._close()
+            self.metrics.increment(f"ends.engine.{reason.value}")
+            # An engine that stays away must not fill the log; the counters go on counting.
             log.log(
-                DEBUG if end is last else WARNING,
+                DEBUG if reason is last_reason else WARNING,
                 "link to the engine ended",
-                extra=log_fields(end=end.value, why=why),
+                extra=log_fields(end=reason.value, why=text),
             )
-            last = end
-            pause = PAUSES[0] if self.last > before else min(2 * pause, PAUSES[1])
-            if self.moved.wait(pause):
-                self.moved.clear()
-                pause = PAUSES[0]
+            last_reason = reason
+            if self._last_notice > last_notice:
+                backoff_s = FIRST_BACKOFF_S
+            else:
+                backoff_s = min(2 * backoff_s, LONGEST_BACKOFF_S)
+            if self._address_changed.wait(backoff_s):
+                self._address_changed.clear()
+                backoff_s = FIRST_BACKOFF_S
 
-    def close(self) -> None:
+    def _close(self) -> None:
         """Close the link, by the reading thread alone, once no other thread writes on it."""
-        with self.bell:
-            self.attached, sock, self.sock = False, self.sock, None
+        with self.condition:
+            self.attached = False
+            sock = self.sock
+            self.sock = None
             if sock is None:
                 return
             shut(sock)  # ends a write that is going on
-            while self.writing:
-                self.bell.wait()
+            while self._writing:
+                self.condition.wait()
         sock.close()
 
     def attach_and_read(self) -> CloseReason:
-        address = self.address
-        sock = connected(address, CONNECT)
-        with self.bell:
-            self.sock, self.mark = sock, ""
-            if address != self.address:  # moved while this link came about
+        """The life of one link."""
+        address = self._address
+        sock = connected(address, CONNECT_TIMEOUT_S)
+        with self.condition:
+            self.sock = sock
+            self._attach_tag = ""
+            if address != self._address:  # changed while this link came about
                 raise ConnectionClosedError(
                     CloseReason.DECLARED, "the engine's address is another now"
                 )
-        sock.sendall(command("ATTACH", self.last))
+        sock.sendall(engine_protocol.attach(self._last_notice))
         buffer = Buffer(Receiver(sock), lines.BUFFER)
-        while (words := lines.read(buffer)) is not None:
-            self.notice(words, buffer)
+        while (notice := engine_protocol.read_notice(buffer, len(self._gauges))) is not None:
+            self._on_notice(notice)
         return CloseReason.CLOSED
 
-    def notice(self, words: list[str], buffer: Buffer) -> None:
-        kind, listener = words[0], self.listener
-        if kind == "HELLO" and len(words) == 3 and words[1] in ("cold", "warm"):
-            listener.on_engine_hello(words[1], lines.whole(words[2]))
-            self.marks += 1  # once it is answered, all notices missed have been read
-            self.mark = f"mark{self.marks}"
-            self.sock.sendall(command("STAT", self.mark))
-        elif kind == "DONE" and len(words) == 6 and words[3] in ("ok", "failed", "halted", "void"):
-            result = lines.content(buffer, words[5])
-            if self.new(words[1]):
-                listener.on_run_ended(words[2], words[3], result)
-        elif kind == "NEED" and len(words) == 4:
-            body = lines.content(buffer, words[3])
-            if self.new(words[1]):
-                listener.on_call_needed(words[2], self.last, body)
-        elif kind == "STATS" and len(words) == 2 + len(self.gauges):
-            if words[1] == self.mark:
-                self.reattached()
-            else:
-                self.confirmed(words[1])
-                listener.on_gauges(
-                    words[1], dict(zip(self.gauges, map(figure, words[2:]), strict=True))
-                )
-        elif kind == "NO" and len(words) == 3:
-            listener.on_command_refused(words[1], words[2])
-        elif kind == "NOTE" and len(words) >= 2:
-            self.new(words[1])
-        else:
-            raise ConnectionClosedError(CloseReason.GARBLED, " ".join(words)[:100])
-
-    def new(self, number: str) -> bool:
-        """Whether this notice was not read before."""
-        n = lines.whole(number)
-        if n <= self.last:
+    def _on_notice(self, notice: Notice) -> None:
+        match notice:
+            case RunEndedNotice():
+                if self._is_new(notice.number):
+                    self.listener.on_run_ended(notice.request_id, notice.outcome, notice.result)
+            case CallNeededNotice():
+                if self._is_new(notice.number):
+                    self.listener.on_call_needed(notice.request_id, notice.number, notice.body)
+            case GaugesNotice():
+                self._on_gauges(notice)
+            case CommandRefused():
+                self.listener.on_command_refused(notice.command, notice.request_id)
+            case Hello():
+                self._on_hello(notice)
+            case _:
+                self._is_new(notice.number)
+
+    def _is_new(self, number: int) -> bool:
+        """Whether the notice of this number was not read before; it is from now on."""
+        if number <= self._last_notice:
             return False
-        self.last = n
+        self._last_notice = number
         return True
 
-    def confirmed(self, tag: str) -> None:
-        with self.bell:
-            if any(str(s.tag) == tag for s in self.sent):
-                while str(self.sent.popleft().tag) != tag:
+    def _on_hello(self, hello: Hello) -> None:
+        self.listener.on_engine_hello(hello.state, hello.uptime_ms)
+        self._links_made += 1
+        # Once this poll is answered, all notices that were missed have been read.
+        self._attach_tag = f"mark{self._links_made}"
+        assert self.sock is not None
+        self.sock.sendall(engine_protocol.poll_gauges(self._attach_tag))
+
+    def _on_gauges(self, notice: GaugesNotice) -> None:
+        if notice.tag == self._attach_tag:
+            self.resend_unconfirmed()
+            return
+        self._confirm(notice.tag)
+        values = map(engine_protocol.parse_gauge, notice.values)
+        self.listener.on_gauges(notice.tag, dict(zip(self._gauges, values, strict=True)))
+
+    def _confirm(self, tag: str) -> None:
+        """The engine has read the poll of this tag, and with it all commands before."""
+        with self.condition:
+            if any(str(command.tag) == tag for command in self.unconfirmed):
+                while str(self.unconfirmed.popleft().tag) != tag:
                     pass
 
-    def reattached(self) -> None:
-        """What may have been lost with the last link is given once more, unless a notice shows it
-        was read.
+    def resend_unconfirmed(self) -> None:
+        """Attach: give commands again that may have been lost with the last link.
 
-        Guards against commands lost on a link that breaks. `RUN` may be repeated, `SKIP` names its
-        notice. A `FEED` might be doubled where its run goes on without a notice; no call of it
+        Not those of which a notice shows that they were read. `RUN` may be repeated, `SKIP` names
+        its notice. A `FEED` might be doubled where its run goes on without a notice; no call of it
         waits then.
         """
-        with self.bell:
-            again = [
-                s for s in self.sent if self._in_hand(s) and s.noticed == s.request.notices_read
+        with self.condition:
+            resent = [
+                command
+                for command in self.unconfirmed
+                if self._is_in_flight(command)
+                and command.request is not None
+                and command.notices_read == command.request.notices_read
             ]
-            self.sent.clear()
-            self.outbox.extendleft(reversed(again))
-            self.attached, self.mark, self.rest = True, "", b""  # the old link's rest is void
-            self.bell.notify_all()
-        if again:
-            self.metrics.increment("engine.repeated", len(again))
-
-
-def figure(text: str) -> float:
-    try:
-        return float(text)
-    except ValueError:
-        raise ConnectionClosedError(CloseReason.GARBLED, f"gauge {text[:20]!r}") from None
+            self.unconfirmed.clear()
+            self.outbox.extendleft(reversed(resent))
+            self.attached = True
+            self._attach_tag = ""
+            self.unwritten = b""  # what the old link did not take is void
+            self.condition.notify_all()
+        if resent:
+            self.metrics.increment("engine.repeated", len(resent))
--- a/gullyoke/executors/scgi_backends.py
+++ b/gullyoke/executors/scgi_backends.py
@@ -1,325 +1,303 @@
-"""Work at a pool of application servers that speak SCGI, in the engine's place.
+"""An executor that runs requests at a pool of application servers that speak SCGI.
 
-What goes where is decided in gullyoke/routing; here it is carried: a connection a try, a thread
-each, read to its end or its time.
+Where a run goes is decided in gullyoke/routing; here it is carried out: one connection and one
+thread an attempt.
 """
 
 from __future__ import annotations
 
 import queue
-import socket
 import threading
-from collections.abc import Callable
+from collections.abc import Callable, Iterable, Mapping
 from logging import INFO, WARNING
-from typing import NamedTuple
 
-from gullyoke.admission.interface import RequestEvent
-from gullyoke.codec import scgi
-from gullyoke.codec.buffer import Buffer
-from gullyoke.executors import ExecutorListener
+from gullyoke.executors import EngineState, ExecutorListener
+from gullyoke.executors.backend_attempt import (
+    AttemptResult,
+    AttemptSettings,
+    BackendAttempt,
+    SocketAddress,
+    request_of,
+)
 from gullyoke.routing import (
-    SET_ASIDE,
-    Dispatch,
-    Fate,
-    Member,
-    Run,
-    Send,
-    Standing,
-    Stated,
-    Tell,
-    fate_of,
+    EJECTED_STATES,
+    AttemptOutcome,
+    Backend,
+    BackendSettings,
+    HealthState,
+    RoutedRun,
+    Router,
+    RouterAction,
+    RunEnded,
+    SendAttempt,
 )
 from gullyoke.runtime import clock
-from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, end_of
 from gullyoke.runtime.dispatcher import PendingRequest, log_identity
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.messages import Answer
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.runtime.sockets import ConnectionBrokenError, Until, connected, shut
 from gullyoke.runtime.worker_pool import WorkerPool
 
-CONNECT = 1.0  # seconds for a connection to come about, at most
-PROMISES = (429, 503)  # statuses by which our callers know that a req never ran
-
-
-class Address(NamedTuple):
-    """A back end's name, as the operator states it, and where it is."""
-
-    name: str
-    at: tuple[str, int] | str
-
-
-class Carriage:
-    """A run's try that is being made: its connection while there is one."""
-
-    __slots__ = ("sock",)
 
-    def __init__(self) -> None:
-        self.sock: socket.socket | None = None
+class ScgiBackendPool:
+    """Carries out what the router decides.
 
-
-class Backends:
-    """Tables: `runs`, one row a run that is not over, and `carried`, its connection.
-
-    A run leaves both when the decisions hear of its end.
-
-    `linger` is how long, in microseconds, an answer is still waited for after its caller's time,
-    and a run whose connection broke is counted; `closes` whether closing the connection stops the
-    application.
+    A run is in the tables from its start until its end is reported to the decisions. The lock
+    guards the router and the tables; it is taken after the dispatcher's, never before it.
     """
 
     def __init__(
         self,
-        dispatch: Dispatch,
+        router: Router,
         cores: int,
-        linger: int,
-        closes: bool,
-        most: int,
+        settings: AttemptSettings,
         metrics: Metrics,
-        cold: bool = False,
+        starts_cold: bool = False,
     ) -> None:
-        self.dispatch, self.cores, self.linger, self.closes = dispatch, cores, linger, closes
-        self.most, self.metrics, self.listener, self.cold = most, metrics, None, cold
-        self.lock = threading.Lock()  # over `dispatch` and `runs`; taken after the desk's
-        self.where: dict[str, tuple[str, int] | str] = {}
-        self.runs: dict[PendingRequest, Run] = {}
-        self.carried: dict[Run, Carriage] = {}
-        self.opening: queue.SimpleQueue[Send] = queue.SimpleQueue()
-        self.crew = WorkerPool(self.carry)
+        """Make a pool without back ends.
+
+        Args:
+            router: Decides where runs go.
+            cores: Cores of the machine in the site's settings, to which gauges are scaled.
+            settings: What is the same for all attempts.
+            metrics: Counters.
+            starts_cold: Whether the decisions take the site to be cold.
+        """
+        self._router = router
+        self._cores = cores
+        self._settings = settings
+        self._metrics = metrics
+        self._starts_cold = starts_cold
+        self._listener: ExecutorListener
+        self._lock = threading.Lock()
+        self._addresses: dict[str, SocketAddress] = {}
+        self._runs: dict[PendingRequest, RoutedRun] = {}
+        self._attempts: dict[RoutedRun, BackendAttempt] = {}  # those whose connection is open
+        self._to_start: queue.SimpleQueue[SendAttempt] = queue.SimpleQueue()
+        self._workers = WorkerPool(self._attempt)
 
     def start(self, listener: ExecutorListener) -> None:
-        self.listener = listener
+        """Start the thread that starts workers, and report that the pool is there."""
+        self._listener = listener
         threading.Thread(
-            target=self.metrics.run_forever,
-            args=("backends", self.open),
+            target=self._metrics.run_forever,
+            args=("backends", self._start_worker),
             name="backends-open",
             daemon=True,
         ).start()
-        listener.on_engine_hello("cold" if self.cold else "warm", 0)
+        listener.on_engine_hello(EngineState.COLD if self._starts_cold else EngineState.WARM, 0)
 
     def update_address(self, address: tuple[str, int]) -> None:
-        """The engine's address means nothing here."""
-
-    def state(self, addresses: list[Address], stated: list[Stated]) -> None:
-        """These are the back ends from now on; those no longer stated finish what they have."""
-        with self.lock:
-            self.where |= {a.name: a.at for a in addresses}
-            moves, came, go = self.dispatch.state(clock.now(), stated)
-            self.where = {
-                name: at for name, at in self.where.items() if name in self.dispatch.pool.members
+        """Nothing to do: there is no engine."""
+
+    def configure(
+        self, addresses: Mapping[str, SocketAddress], settings: Iterable[BackendSettings]
+    ) -> None:
+        """Use these back ends from now on; those that are no longer configured drain."""
+        with self._lock:
+            self._addresses |= addresses
+            actions, change = self._router.configure(clock.now(), settings)
+            self._addresses = {
+                name: address
+                for name, address in self._addresses.items()
+                if name in self._router.pool.backends
             }
-        if came or go:
+        if change.added or change.draining:
             log.info(
                 "back ends stated",
-                extra=log_fields(came=",".join(came) or "-", leaving=",".join(go) or "-"),
+                extra=log_fields(
+                    came=",".join(change.added) or "-", leaving=",".join(change.draining) or "-"
+                ),
             )
-        self.follow(moves)
+        self._carry_out(actions)
+
+    def set_probe_gate(self, may_probe: Callable[[str], bool]) -> None:
+        """Ask `may_probe` before a back end of that name is probed, where servers take turns."""
+        self._router.set_probe_gate(may_probe)
 
-    def ill(self) -> set[str]:
-        """Those that are set aside."""
-        with self.lock:
+    def ejected(self) -> set[str]:
+        """Names of the back ends that are ejected or unreachable."""
+        with self._lock:
             return {
                 name
-                for name, m in self.dispatch.pool.members.items()
-                if m.health.standing in SET_ASIDE
+                for name, backend in self._router.pool.backends.items()
+                if backend.health.state in EJECTED_STATES
             }
 
-    # Commands, given under the desk's lock.
+    # Commands, given under the dispatcher's lock.
 
     def start_run(self, request: PendingRequest) -> None:
-        run = Run(request)
-        with self.lock:
-            self.runs[request] = run
-            moves = self.dispatch.begin(clock.now(), run)
-        self.follow(moves, self.listener.dispatcher.post_event)
+        """Send the request to a back end, or queue it."""
+        run = RoutedRun(request)
+        with self._lock:
+            self._runs[request] = run
+            actions = self._router.begin(clock.now(), run)
+        self._carry_out_locked(actions)
 
     def send_call_reply(self, request: PendingRequest, reply: bytes) -> None:
-        """No call of a back end's run comes by us."""
+        """Nothing to do: a back end makes its calls by itself."""
 
     def skip_call(self, request: PendingRequest) -> None:
-        """As above."""
+        """Nothing to do, as above."""
 
     def cancel_run(self, request: PendingRequest) -> None:
-        """The decisions ask for its end, which they do only where closing stops it.
+        """End the run: a queued one at once, one at a back end by closing its connection.
 
-        The thread that reads finds the end and tells it.
+        The decisions ask for it only where closing stops the application. The thread that reads
+        finds the end and reports it.
         """
-        with self.lock:
-            run = self.runs.get(request)
+        with self._lock:
+            run = self._runs.get(request)
             if run is None:
                 return
-            moves = self.dispatch.stop(clock.now(), run)
-            carriage = self.carried.get(run)
-            sock = carriage.sock if carriage else None
-            if sock is not None and self.closes:
-                shut(sock)
-        self.follow(moves, self.listener.dispatcher.post_event)
+            actions = self._router.cancel(run)
+            attempt = self._attempts.get(run)
+            if attempt is not None and self._settings.cancel_by_close:
+                attempt.shut_down()
+        self._carry_out_locked(actions)
 
     def flush(self) -> None:
-        """Each run has a thread of its own, which sends it."""
+        """Nothing to do: each attempt has a thread of its own, which sends it."""
 
     def poll_gauges(self, tag: int) -> None:
-        """The decisions' wake-up: the line moves on, and they hear how the pool stands."""
-        with self.lock:
+        """Let the queue move on, and report the state of the pool."""
+        with self._lock:
             now = clock.now()
-            moves = self.dispatch.turn(now)
-            busy, wanting, room = self.dispatch.gauges(now, self.cores)
-        self.follow(moves)
-        self.listener.on_gauges(str(tag), {"core_use": busy, "on_cores": wanting, "room": room})
+            actions = self._router.dispatch_queued(now)
+            gauges = self._router.gauges(now, self._cores)
+        self._carry_out(actions)
+        self._listener.on_gauges(
+            str(tag),
+            {"core_use": gauges.busy, "on_cores": gauges.runnable, "room": gauges.capacity},
+        )
 
-    # Moves.
+    # What the router decides.
 
-    def follow(
-        self, moves: list, tell: Callable[[PendingRequest, RequestEvent], None] | None = None
-    ) -> None:
-        """Carry them out. `tell` is given where the desk's lock is held."""
-        for move in moves:
-            if isinstance(move, Send):
-                self.give(move)
-            elif tell is not None:
-                self.over(move)
-                self.metrics.increment(f"runs.{move.word.name.lower()}")
-                tell(move.run.request, move.word)
+    def _carry_out_locked(self, actions: Iterable[RouterAction]) -> None:
+        """Carry out actions while the dispatcher's lock is held: ends are posted."""
+        for action in actions:
+            if isinstance(action, SendAttempt):
+                self._send(action)
             else:
-                self.told(move, None)
+                self._forget(action.run)
+                self._metrics.increment(f"runs.{action.event.name.lower()}")
+                self._listener.post_event(request_of(action.run), action.event)
+
+    def _carry_out(self, actions: Iterable[RouterAction]) -> None:
+        """Carry out actions without the dispatcher's lock."""
+        for action in actions:
+            if isinstance(action, SendAttempt):
+                self._send(action)
+            else:
+                self._report_end(action, None)
 
-    def give(self, send: Send) -> None:
-        """To a thread that rests, or to the one that starts threads, which takes too long for
-        here.
-        """
-        self.metrics.increment("backends.sent")
-        send.run.request.backend_name = send.member.stated.name
-        if not self.crew.hand(send):
-            self.opening.put(send)
+    def _send(self, send: SendAttempt) -> None:
+        """Hand an attempt to an idle worker, or have one started, which takes too long for here."""
+        self._metrics.increment("backends.sent")
+        request_of(send.run).backend_name = send.backend.settings.name
+        if not self._workers.hand(send):
+            self._to_start.put(send)
 
-    def over(self, move: Tell) -> None:
-        with self.lock:
-            self.runs.pop(move.run.request, None)
+    def _forget(self, run: RoutedRun) -> None:
+        with self._lock:
+            self._runs.pop(request_of(run), None)
 
-    def told(self, move: Tell, answer: Answer | None) -> None:
-        self.over(move)
-        self.listener.on_backend_run_ended(move.run.request, move.word, answer)
+    def _report_end(self, ended: RunEnded, answer: Answer | None) -> None:
+        self._forget(ended.run)
+        self._listener.on_backend_run_ended(request_of(ended.run), ended.event, answer)
 
-    # The tries, a thread each.
+    # The attempts, a thread each.
 
-    def open(self) -> None:
-        send = self.opening.get()
+    def _start_worker(self) -> None:
+        send = self._to_start.get()
         try:
             threading.Thread(
-                target=self.crew.work, args=(send,), name="backend", daemon=True
+                target=self._workers.work, args=(send,), name="backend", daemon=True
             ).start()
-            self.metrics.increment("threads.backend")
-        except RuntimeError as fault:  # no thread to be had
-            self.ended(send, Fate.UNRUN, None, str(fault))
-
-    def carry(self, send: Send) -> None:
-        """One try, whatever comes of it."""
-        carriage, answer, why = Carriage(), None, ""
-        try:
-            answer = self.exchange(send, carriage)
-            fate = Fate.DONE if answer.status < 500 else Fate.FAILED
-        except ConnectionBrokenError as ended:
-            fate, why = fate_of(self.end(send, ended.end), True), str(ended)
-        except ConnectionClosedError as ended:
-            fate, why = fate_of(self.end(send, ended.end), False), str(ended)
-        except OSError as broken:
-            fate, why = fate_of(self.end(send, end_of(broken)), True), str(broken)
-        except Exception:
-            self.metrics.record_internal_error("backends", send.run.request.request_id)
-            fate, why = fate_of(CloseReason.FAULT, True), "fault"
-        if carriage.sock is not None:
-            shut(carriage.sock)
-            carriage.sock.close()
-        self.ended(send, fate, answer, why)
-
-    def end(self, send: Send, end: CloseReason) -> CloseReason:
-        """Closed here, where that was asked for."""
-        return CloseReason.DECLARED if send.run.stopped and self.closes else end
-
-    def exchange(self, send: Send, carriage: Carriage) -> Answer:
-        """The req out and its answer in.
-
-        Raises `Ended` before its first byte was written, then `Broken`.
-        """
-        run, request = send.run, send.run.request
-        until = run.due + self.linger
-        left = (until - clock.now()) / 1e6
-        if left <= 0:
-            raise ConnectionClosedError(
-                CloseReason.DECLARED, "its time is over"
-            )  # no fault of the back end's
-        with self.lock:
-            where = self.where[send.member.stated.name]
-        carriage.sock = connected(where, min(CONNECT, left))
-        with self.lock:
-            self.carried[run] = carriage
-            if run.stopped and self.closes:
-                raise ConnectionClosedError(CloseReason.DECLARED, "stopped")
-        over = {
-            "max-wait-ms": str(max(0, (run.due - clock.now()) // 1000)),
-            "accepted-at-ms": str(clock.unix_ms()),
-        }
-        wire = Until(carriage.sock, until)
-        wire.send(scgi.request(request.message, over))
-        try:
-            answer = scgi.read_answer(Buffer(wire, scgi.ANSWER_HEAD + self.most + 1), self.most)
-        except ConnectionClosedError as ended:
-            raise ConnectionBrokenError(ended.end, str(ended)) from None
-        # What a back end refuses has reached it: our callers must not read the promise that it
-        # never ran.
-        return answer._replace(status=502) if answer.status in PROMISES else answer
-
-    def ended(self, send: Send, fate: Fate, answer: Answer | None, why: str) -> None:
-        """What the try came to, for the router; and what follows."""
-        run, request, now = send.run, send.run.request, clock.now()
-        self.metrics.increment(f"backends.{fate.value}")
-        if fate not in (Fate.DONE, Fate.STOPPED):
+            self._metrics.increment("threads.backend")
+        except RuntimeError as fault:  # the system has no thread to spare
+            result = AttemptResult(AttemptOutcome.NOT_STARTED, None, str(fault))
+            self._on_attempt_ended(send, result)
+
+    def _attempt(self, send: SendAttempt) -> None:
+        attempt = BackendAttempt(send, self._settings, self, self._metrics)
+        self._on_attempt_ended(send, attempt.perform())
+
+    def address_of(self, backend_name: str) -> SocketAddress:
+        """Where a back end is."""
+        with self._lock:
+            return self._addresses[backend_name]
+
+    def register(self, attempt: BackendAttempt) -> bool:
+        """Let a cancel reach the attempt's connection; False if its run was cancelled."""
+        with self._lock:
+            self._attempts[attempt.run] = attempt
+            return not (attempt.run.cancelled and self._settings.cancel_by_close)
+
+    def _on_attempt_ended(self, send: SendAttempt, result: AttemptResult) -> None:
+        """Tell the router, and carry out what follows."""
+        now = clock.now()
+        self._metrics.increment(f"backends.{result.outcome.value}")
+        if result.outcome not in (AttemptOutcome.COMPLETED, AttemptOutcome.CANCELLED):
             log.warning(
                 "try at a back end failed",
-                extra=log_fields(fate=fate.value, why=why, **log_identity(request)),
+                extra=log_fields(
+                    fate=result.outcome.value,
+                    why=result.reason,
+                    **log_identity(request_of(send.run)),
+                ),
             )
-        with self.lock:
-            self.carried.pop(run, None)
-            before = send.member.health.standing
-            moves = self.dispatch.ended(now, run, fate)
-            after, until = send.member.health.standing, send.member.health.until
-        if before is not after:
-            self.stands(send.member, after, until - now)
-        for move in moves:
-            if isinstance(move, Tell) and move.run is run:
-                self.told(move, answer)
+        with self._lock:
+            self._attempts.pop(send.run, None)
+            state_before = send.backend.health.state
+            actions = self._router.on_attempt_ended(now, send.run, result.outcome)
+            state = send.backend.health.state
+            ejected_until = send.backend.health.ejected_until
+        if state is not state_before:
+            self._log_state(send.backend, state, ejected_until - now)
+        for action in actions:
+            if action.run is not send.run:
+                self._carry_out([action])
+            elif isinstance(action, RunEnded):
+                self._report_end(action, result.answer)
             else:
-                if isinstance(move, Send) and move.run is run:
-                    self.metrics.increment("backends.again")
-                self.follow([move])
-
-    def stands(self, member: Member, standing: Standing, span: int) -> None:
-        aside = standing in (Standing.OUT, Standing.AWAY)
-        self.metrics.increment(f"backends.to_{standing.value}")
-        trial = {"trial_in_ms": span // 1000} if aside else {}
+                self._metrics.increment("backends.again")
+                self._send(action)
+
+    # Logging.
+
+    def _log_state(self, backend: Backend, state: HealthState, probe_in_us: int) -> None:
+        ejected = state in EJECTED_STATES
+        self._metrics.increment(f"backends.to_{state.value}")
+        probe = {"trial_in_ms": probe_in_us // 1000} if ejected else {}
         log.log(
-            WARNING if aside else INFO,
+            WARNING if ejected else INFO,
             "back end stands otherwise",
-            extra=log_fields(back_end=member.stated.name, standing=standing.value, **trial),
+            extra=log_fields(back_end=backend.settings.name, standing=state.value, **probe),
         )
 
-    def print(self) -> None:
-        """A line for each back end, as asked for with the counters."""
-        with self.lock:
-            now, rows = clock.now(), []
-            for name, m in self.dispatch.pool.members.items():
-                rows.append(
-                    {
-                        "back_end": name,
-                        "standing": m.health.standing.value,
-                        "in_hand": m.in_hand(now),
-                        "limit": int(m.limit.now),
-                        "response_ms": int(m.pace) // 1000,
-                        "sent": m.sent,
-                        "faults": f"{m.health.share(now):.2f}",
-                    }
-                )
-            line, again = len(self.dispatch.line.runs), self.dispatch.again
+    def log_backends(self) -> None:
+        """Write a line for each back end and one for the pool, as asked for with the counters."""
+        with self._lock:
+            now = clock.now()
+            rows = [
+                self._log_row(name, backend, now)
+                for name, backend in self._router.pool.backends.items()
+            ]
+            queued = len(self._router.queue.runs)
+            retries = self._router.retries
         for row in rows:
             log.info("back end", extra=log_fields(**row))
-        log.info("back ends", extra=log_fields(in_line=line, again=again))
+        log.info("back ends", extra=log_fields(in_line=queued, again=retries))
+
+    @staticmethod
+    def _log_row(name: str, backend: Backend, now: int) -> dict[str, object]:
+        return {
+            "back_end": name,
+            "standing": backend.health.state.value,
+            "in_hand": backend.in_flight(now),
+            "limit": int(backend.limit.current),
+            "response_ms": int(backend.response_time_us) // 1000,
+            "sent": backend.sent,
+            "faults": f"{backend.health.failure_rate(now):.2f}",
+        }
--- a/gullyoke/extensions/back_ends.py
+++ b/gullyoke/extensions/back_ends.py
@@ -7,11 +7,11 @@
 from gullyoke.admission.interface import StopMode
 from gullyoke.daemon.configuration import DaemonConfiguration
 from gullyoke.errors import ConfigurationError
-from gullyoke.executors.scgi_backends import Address as At
-from gullyoke.executors.scgi_backends import Backends
+from gullyoke.executors.backend_attempt import AttemptSettings
+from gullyoke.executors.scgi_backends import ScgiBackendPool
 from gullyoke.extensions.base import BaseExtension
 from gullyoke.operator_config.wanted import Pooled, Wanted
-from gullyoke.routing import Budget, Dispatch, Health, Pool, Stated
+from gullyoke.routing import BackendPool, BackendSettings, OutlierDetector, RetryBudget, Router
 from gullyoke.runtime.metrics import Metrics
 
 
@@ -24,13 +24,15 @@
     def __init__(self, path: str, wanted: Pooled) -> None:
         super().__init__(wanted)
         self.path, self.wanted, self.sockets = path, wanted, 0
-        self.backends: Backends | None = None
+        self.backends: ScgiBackendPool | None = None
         self.only: frozenset[str] | None = None  # of those stated, the subset in use; None: all
 
     def reserved_descriptors(self) -> int:
         return self.wanted.most()
 
-    def create_executor(self, configuration: DaemonConfiguration, metrics: Metrics) -> Backends:
+    def create_executor(
+        self, configuration: DaemonConfiguration, metrics: Metrics
+    ) -> ScgiBackendPool:
         """The back ends. Raises `Misstated` where they leave no room for connections."""
         wanted, self.sockets = self.wanted, configuration.max_descriptors
         self.roomy(wanted)
@@ -42,20 +44,18 @@
             False,
             None,
         )  # their calls do not come by us
-        pool = Pool(
+        pool = BackendPool(
             random.Random(configuration.seed ^ 0x5C91),
             wanted.ejecting.pool_share,
             wanted.first_limit,
             wanted.linger,
             lambda draw: healthy(wanted, draw),
         )
-        dispatch = Dispatch(pool, Budget(wanted.retry_share, wanted.retry_burst))
-        self.backends = Backends(
-            dispatch,
+        router = Router(pool, RetryBudget(wanted.retry_share, wanted.retry_burst))
+        self.backends = ScgiBackendPool(
+            router,
             machine.cores,
-            wanted.linger,
-            wanted.stops_on_close,
-            wanted.answer_bytes,
+            AttemptSettings(wanted.linger, wanted.stops_on_close, wanted.answer_bytes),
             metrics,
             machine.starts_cold,
         )
@@ -71,9 +71,9 @@
 
     def state(self, wanted: Pooled) -> None:
         used = [b for b in wanted.back_ends if self.only is None or b.name in self.only]
-        self.backends.state(
-            [At(b.name, b.address) for b in used],
-            [Stated(b.name, b.weight, b.least, b.most) for b in used],
+        self.backends.configure(
+            {b.name: b.address for b in used},
+            [BackendSettings(b.name, b.weight, b.least, b.most) for b in used],
         )
 
     def use(self, only: frozenset[str]) -> None:
@@ -84,7 +84,7 @@
             self.state(self.wanted)
 
     def log_status(self) -> None:
-        self.backends.print()
+        self.backends.log_backends()
 
     # While the server runs, other back ends are taken over.
 
@@ -110,13 +110,13 @@
         ]
 
 
-def healthy(wanted: Pooled, draw) -> Health:
+def healthy(wanted: Pooled, draw) -> OutlierDetector:
     e = wanted.ejecting
-    return Health(
+    return OutlierDetector(
         draw,
         e.consecutive,
         e.over_peers,
-        first_out=e.first_out,
-        longest_out=e.longest_out,
-        slow_start=e.slow_start,
+        first_ejection_us=e.first_out,
+        longest_ejection_us=e.longest_out,
+        slow_start_us=e.slow_start,
     )
--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -22,7 +22,7 @@
     RecordWrite,
     RunPhase,
 )
-from gullyoke.executors import Executor, ExecutorListener
+from gullyoke.executors import Executor, ExecutorListener, RunOutcome
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
 from gullyoke.runtime.messages import Answer
@@ -62,18 +62,6 @@
     return bool(request.key) and request.request_class.idempotency is not Idempotency.IDEMPOTENT
 
 
-class Ear:
-    """What work asks of its listener's desk.
-
-    The reqs in hand, and words on a run that it was just given.
-    """
-
-    def __init__(
-        self, dispatcher: Dispatcher, post_event: Callable[[PendingRequest, RequestEvent], None]
-    ) -> None:
-        self.requests, self.post_event = dispatcher.requests, post_event
-
-
 class Promised:
     """`fit` says whether the disk may be asked for a promise, `disk` queues a write.
 
@@ -102,7 +90,6 @@
         self.going: dict[str, PendingRequest] = {}
         self.keys: dict[str, str] = {}
         self.ends: dict[str, Callable[[bool], None]] = {}
-        self.dispatcher = Ear(dispatcher, self.post_event)
         self.send_call_reply, self.skip_call, self.cancel_run, self.flush = (
             inner.send_call_reply,
             inner.skip_call,
@@ -113,11 +100,10 @@
 
     def start(self, listener: ExecutorListener) -> None:
         self.listener = listener
-        self.on_call_needed, self.on_engine_hello, self.on_gauges = (
-            listener.on_call_needed,
-            listener.on_engine_hello,
-            listener.on_gauges,
-        )
+        self.on_call_needed = listener.on_call_needed
+        self.on_engine_hello = listener.on_engine_hello
+        self.on_gauges = listener.on_gauges
+        self.is_in_flight = listener.is_in_flight
         self.inner.start(self)
 
     # From the decisions, under the desk's lock.
@@ -164,16 +150,16 @@
 
     # From the work.
 
-    def on_run_ended(self, request_id: str, end: str, result: bytes) -> None:
-        if end == "void":
+    def on_run_ended(self, request_id: str, end: RunOutcome, result: bytes) -> None:
+        if end is RunOutcome.NOT_STARTED:
             self.left(request_id)
             self.listener.on_run_ended(request_id, end, result)
             return
         self.over(
             request_id,
-            Answer(200 if end == "ok" else 0, result),
+            Answer(200 if end is RunOutcome.COMPLETED else 0, result),
             lambda well: self.listener.on_run_ended(
-                request_id, end if well else "failed", result if well else b""
+                request_id, end if well else RunOutcome.FAILED, result if well else b""
             ),
         )
 
--- a/gullyoke/extensions/subsets.py
+++ b/gullyoke/extensions/subsets.py
@@ -28,7 +28,7 @@
 
     def start(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.pool.backends.dispatch.pool.may = self.may
+        self.pool.backends.set_probe_gate(self.may)
         if self.k:
             zones = self.zones()
             self.subset = Subset(
@@ -59,7 +59,7 @@
         )
         if me in servers:  # not in: what was chosen last stands
             self.subset.follow(now, order[: self.k])
-        only = frozenset(self.subset.helped(now, order, self.pool.backends.ill()))
+        only = frozenset(self.subset.helped(now, order, self.pool.backends.ejected()))
         if only != self.pool.only:
             log.info(
                 "subset",
--- a/gullyoke/routing/retry_budget.py
+++ b/gullyoke/routing/retry_budget.py
@@ -1,29 +1,29 @@
-"""How many further tries there may be.
-
-A share of first tries, and never a store of them for long.
-"""
+"""How many retries there may be: a share of the first attempts, with a small burst."""
 
 from __future__ import annotations
 
 
-class Budget:
-    """Each first try earns `share` of a further one; at most `most` are saved up.
+class RetryBudget:
+    """Each first attempt earns `retry_share` of a retry; at most `burst` are saved up.
 
-    Guards against tries that multiply when all back ends fail: what is sent is never over `first
-    tries * (1 + share) + most`. It starts empty but for one, so that a lone fault at the start is
-    not answered as errored. State: one number.
+    Bounds the load that retries add when all back ends fail: attempts never exceed
+    `first attempts * (1 + retry_share) + burst`. It starts with one retry, so that a lone failure
+    at the start need not fail its request.
     """
 
-    def __init__(self, share: float, most: float = 10.0) -> None:
-        self.share, self.most, self.left = share, most, min(1.0, most) if share > 0 else 0.0
+    def __init__(self, retry_share: float, burst: float = 10.0) -> None:
+        self.retry_share = retry_share
+        self.burst = burst
+        self.balance = min(1.0, burst) if retry_share > 0 else 0.0
 
-    def first(self) -> None:
-        self.left = min(self.most, self.left + self.share)
+    def on_first_attempt(self) -> None:
+        """Add what a first attempt earns."""
+        self.balance = min(self.burst, self.balance + self.retry_share)
 
-    def has(self) -> bool:
-        """Whether one more try may be made."""
-        return self.left >= 1
+    def allows_retry(self) -> bool:
+        """Whether one more retry may be made."""
+        return self.balance >= 1
 
-    def take(self) -> None:
-        """It is made."""
-        self.left -= 1
+    def spend(self) -> None:
+        """Take out the retry that is made."""
+        self.balance -= 1
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -14,7 +14,7 @@
 from crossing.live import REPEATS, Live, apart, eventually
 from gullyoke.admission.interface import PAST, Idempotency, RequestClass, RequestEvent
 from gullyoke.daemon.event_relay import EventRelay
-from gullyoke.dependencies import database as database_module
+from gullyoke.dependencies import client as dependency_module
 from gullyoke.executors.engine_link import EngineLink
 from gullyoke.frontends import message_handler as intake_module
 from gullyoke.runtime import dispatcher as desk_module
@@ -122,7 +122,7 @@
 
                 one.send(f"f{i}", "book", of=f"k{i}", **{"Replay-Key": f"k{i}"})
                 live.run(f"f{i}")
-                with live.hook(EventRelay, "_finish_run", before_done):
+                with live.hook(EventRelay, "finish_run", before_done):
                     live.done(f"f{i}")
                     self.assertEqual(one.answer(), (200, "fine"))
                 self.assertEqual(two.answer(), (200, "fine"))
@@ -199,30 +199,28 @@
         with Live() as live:
             heard, turn = [], {}
 
-            def before_limit(database, asked):
-                turn[asked] = threading.Event()
-                name = request_name(asked.request)
+            def before_limit(database, call):
+                turn[call] = threading.Event()
+                name = request_name(call.request)
                 eventually(lambda: name in live.db.carries, "the call at the database")
                 link = live.db.carries[name][-1]
-                live.db.say(f"{asked.request.request_id} ROWS 5\r\nreply\r\n", link)
+                live.db.say(f"{call.request.request_id} ROWS 5\r\nreply\r\n", link)
                 if first == "reply":
-                    eventually(lambda: asked.over, "the reply read")
-                    eventually(
-                        lambda: asked.request.dependency_call is not asked, "the reply taken"
-                    )
+                    eventually(lambda: call.is_over, "the reply read")
+                    eventually(lambda: call.request.dependency_call is not call, "the reply taken")
 
-            def before_ended(database, asked):
+            def before_ended(database, call):
                 reading = threading.current_thread().name == "database"
-                if first == "limit" and reading and asked in turn:
-                    eventually(lambda: asked.request.dependency_call is not asked, "given up")
+                if first == "limit" and reading and call in turn:
+                    eventually(lambda: call.request.dependency_call is not call, "given up")
 
             def called(relay, request, word, reply):
                 heard.append(word)
 
             client = live.client()
             with (
-                live.hook(database_module.Database, "limit", before_limit),
-                live.hook(database_module.Database, "_ended", before_ended),
+                live.hook(dependency_module.DependencyClient, "on_timeout", before_limit),
+                live.hook(dependency_module.DependencyClient, "claim_end", before_ended),
                 live.hook(EventRelay, "on_call_ended", called),
                 mock.patch.object(
                     live.dispatcher.server.below, "try_for", lambda request, now: 50_000
@@ -268,30 +266,30 @@
             mock.patch.object(live.dispatcher.server.below, "try_for", lambda request, now: 60_000),
         ):
             client = live.client()
-            real = database_module.connected
+            real = dependency_module.connected
 
             def slow(address, patience):
                 sock = real(address, patience)
                 eventually(lambda: live.count("calls.given_up") == made[0], "given up meanwhile")
                 return sock
 
-            made, hands = [0], live.daemon.database
+            made, dependency = [0], live.daemon.database
             for i in range(REPEATS):
                 made[0] = i + 1
-                with hands.lock:
-                    old, hands.idle = hands.idle, []
-                for wire in old:
-                    database_module.shut(wire.sock)
-                with mock.patch.object(database_module, "connected", slow):
+                with dependency.lock:
+                    old, dependency.idle = dependency.idle, []
+                for connection in old:
+                    connection.shut_down()
+                with mock.patch.object(dependency_module, "connected", slow):
                     client.send(f"g{i}")
                     live.run(f"g{i}")
                     live.need(f"g{i}")
-                    eventually(lambda: hands.idle, "its connection in the pool")
+                    eventually(lambda: dependency.idle, "its connection in the pool")
                 live.engine.heard.get(timeout=PATIENCE)  # it goes on without the call
                 live.done(f"g{i}")
                 self.assertEqual(client.answer(), (200, "fine"))
-                self.assertEqual(len(hands.idle), 1)
-                eventually(lambda: hands.count == 1, "one connection held")
+                self.assertEqual(len(dependency.idle), 1)
+                eventually(lambda: dependency.connection_count == 1, "one connection held")
 
     @apart
     def test_reused_id(self):
@@ -414,7 +412,7 @@
                     def __getattr__(self, name):
                         return getattr(self.sock, name)
 
-                with work.bell:
+                with work.condition:
                     work.sock = Slow(sock)
                 client.send(f"w{i}")
                 live.run(f"w{i}", again=[f"w{i - 1}"])
--- a/tests/executors/test_writing.py
+++ b/tests/executors/test_writing.py
@@ -11,7 +11,7 @@
 from standins import site
 
 from gullyoke.admission.interface import FAIL
-from gullyoke.executors.engine_link import SENT, EngineLink
+from gullyoke.executors.engine_link import MAX_UNCONFIRMED, EngineLink
 from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
 from gullyoke.runtime.messages import Message
 from gullyoke.runtime.metrics import Metrics
@@ -44,7 +44,7 @@
         ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         engine.sock, engine.attached = ours, True
         threading.Thread(
-            target=engine.metrics.run_forever, args=("engine", engine.write), daemon=True
+            target=engine.metrics.run_forever, args=("engine", engine.write_pending), daemon=True
         ).start()
         return engine, theirs
 
@@ -77,16 +77,19 @@
         """
         with contextlib.ExitStack() as stack:
             engine, theirs = self.linked(stack)
-            engine.listener = types.SimpleNamespace(dispatcher=types.SimpleNamespace(requests={}))
+            in_flight = set()
+            engine.listener = types.SimpleNamespace(
+                is_in_flight=lambda one: one.request_id in in_flight
+            )
             threading.Thread(target=swallow, args=(theirs,), daemon=True).start()
             kept = request(0)
-            engine.listener.dispatcher.requests[kept.request_id] = kept
+            in_flight.add(kept.request_id)
             engine.start_run(kept)
             for i in range(2000):
                 engine.start_run(request(i))
                 engine.poll_gauges(i)
-            self.assertLessEqual(len(engine.sent), 2 * SENT)
-            self.assertEqual(sum(s.request is kept for s in engine.sent), 1)
+            self.assertLessEqual(len(engine.unconfirmed), 2 * MAX_UNCONFIRMED)
+            self.assertEqual(sum(s.request is kept for s in engine.unconfirmed), 1)
 
     def test_rest_is_void_on_a_new_link(self):
         """What a broken link did not take of a command is not written to the next one.
@@ -95,13 +98,16 @@
         """
         with contextlib.ExitStack() as stack:
             engine, theirs = self.linked(stack)
-            engine.listener = types.SimpleNamespace(dispatcher=types.SimpleNamespace(requests={}))
-            engine.rest = b"half a command\r\n"
+            in_flight = set()
+            engine.listener = types.SimpleNamespace(
+                is_in_flight=lambda one: one.request_id in in_flight
+            )
+            engine.unwritten = b"half a command\r\n"
             engine.attached = False
             one = request(1)
-            engine.listener.dispatcher.requests[one.request_id] = one
+            in_flight.add(one.request_id)
             engine.start_run(one)
-            engine.reattached()
+            engine.resend_unconfirmed()
             theirs.settimeout(10)
             self.assertEqual(theirs.recv(5), b"RUN 0")
 
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -13,46 +13,64 @@
 
 from gullyoke.admission.interface import Idempotency, Request, RequestClass, RequestEvent
 from gullyoke.routing import (
-    Budget,
-    Dispatch,
-    Fate,
-    Health,
-    Limit,
-    Pool,
-    Run,
-    Send,
-    Standing,
-    Stated,
-    Tell,
-    fate_of,
+    AttemptOutcome,
+    BackendPool,
+    BackendSettings,
+    ConcurrencyLimit,
+    HealthState,
+    OutlierDetector,
+    RetryBudget,
+    RoutedRun,
+    Router,
+    RunEnded,
+    SendAttempt,
+    outcome_of_close,
 )
-from gullyoke.routing.outcomes import FAULTS, MAY_RUN_ON, WORDS
+from gullyoke.routing.outcomes import EVENT_OF_OUTCOME, FAILURES, MAY_STILL_RUN
 from gullyoke.runtime.close_reasons import CloseReason
 
 HERE = pathlib.Path(__file__).parent
-KINDS = {"r": Idempotency.IDEMPOTENT, "u": Idempotency.KEYED, "n": Idempotency.NON_IDEMPOTENT}
-FATES = {f.value: f for f in Fate}
-
-
-def a_run(kind=Idempotency.IDEMPOTENT, now=0, patience=10_000_000):
-    request_class = RequestClass("h", 1_000_000, patience, 1.0, kind, 0.0, 0, False, 0.0, 0.0)
-    return Run(Request(request_class, now, now + patience, 1.0))
+IDEMPOTENCIES = {
+    "r": Idempotency.IDEMPOTENT,
+    "u": Idempotency.KEYED,
+    "n": Idempotency.NON_IDEMPOTENT,
+}
+OUTCOMES = {outcome.value: outcome for outcome in AttemptOutcome}
+# The scenarios' names of the detector's parameters.
+DETECTION = {
+    "consecutive": "consecutive_failures",
+    "over": "rate_margin",
+    "enough": "min_volume",
+    "first_out": "first_ejection_us",
+    "longest_out": "longest_ejection_us",
+    "slow_start": "slow_start_us",
+}
+
+
+def make_run(idempotency=Idempotency.IDEMPOTENT, now=0, patience=10_000_000):
+    request_class = RequestClass(
+        "h", 1_000_000, patience, 1.0, idempotency, 0.0, 0, False, 0.0, 0.0
+    )
+    return RoutedRun(Request(request_class, now, now + patience, 1.0))
 
 
-def a_dispatch(
+def make_router(
     names="abc", seed=1, share=0.1, burst=10.0, out=0.5, first=8, most=64, linger=0, **health
 ):
-    pool = Pool(random.Random(seed), out, first, linger, lambda draw: Health(draw, **health))
-    dispatch = Dispatch(pool, Budget(share, burst))
-    dispatch.state(0, [Stated(n, most=most) for n in names])
-    return dispatch
+    detection = {DETECTION[name]: value for name, value in health.items()}
+    pool = BackendPool(
+        random.Random(seed), out, first, linger, lambda draw: OutlierDetector(draw, **detection)
+    )
+    router = Router(pool, RetryBudget(share, burst))
+    router.configure(0, [BackendSettings(n, most=most) for n in names])
+    return router
 
 
 class Scene:
     """One router under a scenario; tests/README.md has the notation."""
 
     def __init__(self):
-        self.dispatch, self.runs, self.said, self.given = None, {}, [], {}
+        self.router, self.runs, self.said, self.given = None, {}, [], {}
 
     def play(self, parts):
         if parts[0] == "pool":
@@ -68,7 +86,7 @@
                 for k in ("first", "most", "seed", "consecutive")
                 if k in self.given
             }
-            self.dispatch = a_dispatch(names, **times, **whole, **self.given)
+            self.router = make_router(names, **times, **whole, **self.given)
         elif parts[0] == ">":
             wanted = [x.strip() for x in " ".join(parts[1:]).split(";") if x.strip()]
             assert len(wanted) == len(self.said) and all(
@@ -76,11 +94,11 @@
                 for said, text in zip(self.said, wanted, strict=True)
             ), f"wanted {wanted}, got {self.said}"
         elif parts[0] == "stands":
-            for name, standing in (p.split("=") for p in parts[1:]):
-                got = self.dispatch.pool.members[name].health.standing.value
-                assert got == standing, f"{name} is {got}"
+            for name, state in (p.split("=") for p in parts[1:]):
+                got = self.router.pool.backends[name].health.state.value
+                assert got == state, f"{name} is {got}"
         elif parts[0] == "room":
-            assert self.dispatch.pool.room(self.now) == int(parts[1]), self.dispatch.pool.room(
+            assert self.router.pool.capacity(self.now) == int(parts[1]), self.router.pool.capacity(
                 self.now
             )
         else:
@@ -88,30 +106,32 @@
             self.event(parts[1], parts[2:])
 
     def event(self, verb, rest):
-        d, now = self.dispatch, self.now
+        d, now = self.router, self.now
         if verb == "begin":
             n = numbers(rest[2:])
-            run = self.runs[rest[0]] = a_run(
-                KINDS[rest[1]], now, int(n.get("patience", 10_000) * 1000)
+            run = self.runs[rest[0]] = make_run(
+                IDEMPOTENCIES[rest[1]], now, int(n.get("patience", 10_000) * 1000)
             )
             moves = d.begin(now, run)
         elif verb == "state":
-            moves, _, _ = d.state(now, [Stated(n, most=64) for n in rest])
+            moves, _ = d.configure(now, [BackendSettings(n, most=64) for n in rest])
         elif verb == "turn":
-            moves = d.turn(now)
+            moves = d.dispatch_queued(now)
         elif verb in ("answered", "gone"):
             name = "answered" if verb == "answered" else "client_gone"
             setattr(self.runs[rest[0]].request, name, True)
             moves = []
         elif verb == "stop":
-            moves = d.stop(now, self.runs[rest[0]])
+            moves = d.cancel(self.runs[rest[0]])
         else:
-            moves = [m for name in rest for m in d.ended(now, self.runs[name], FATES[verb])]
+            moves = [
+                m for name in rest for m in d.on_attempt_ended(now, self.runs[name], OUTCOMES[verb])
+            ]
         names = {run: name for name, run in self.runs.items()}
         self.said = [
-            f"send {names[m.run]} {m.member.stated.name}"
-            if isinstance(m, Send)
-            else f"tell {names[m.run]} {m.word.name.lower()}"
+            f"send {names[m.run]} {m.backend.settings.name}"
+            if isinstance(m, SendAttempt)
+            else f"tell {names[m.run]} {m.event.name.lower()}"
             for m in moves
         ]
 
@@ -122,8 +142,8 @@
     Figures from it are simulated.
     """
 
-    def __init__(self, dispatch, took, fate=lambda name, now: Fate.DONE, slots=8):
-        self.d, self.took, self.fate, self.slots = dispatch, took, fate, slots
+    def __init__(self, router, took, outcome=lambda name, now: AttemptOutcome.COMPLETED, slots=8):
+        self.d, self.took, self.outcome, self.slots = router, took, outcome, slots
         self.events, self.order, self.sent, self.tells = [], 0, [], Counter()
         self.free = {}
 
@@ -135,20 +155,22 @@
         while next_in < until or self.events:
             if (self.events and self.events[0][0] <= next_in) or next_in >= until:
                 now, _, run = heapq.heappop(self.events)
-                name = run.tried[-1].stated.name
-                moves = self.d.ended(now, run, self.fate(name, now))
+                name = run.attempted[-1].settings.name
+                moves = self.d.on_attempt_ended(now, run, self.outcome(name, now))
             else:
                 now, next_in = next_in, next_in + step
-                moves = self.d.begin(now, a_run(now=now, patience=patience)) + self.d.turn(now)
+                moves = self.d.begin(
+                    now, make_run(now=now, patience=patience)
+                ) + self.d.dispatch_queued(now)
             for m in moves:
-                if isinstance(m, Tell):
-                    self.tells[m.word] += 1
+                if isinstance(m, RunEnded):
+                    self.tells[m.event] += 1
                     continue
-                name = m.member.stated.name
+                name = m.backend.settings.name
                 self.sent.append((now, name))
                 lines = self.free.setdefault(name, [0] * self.slots)
                 at = min(range(self.slots), key=lines.__getitem__)
-                quick = self.fate(name, now) is not Fate.DONE
+                quick = self.outcome(name, now) is not AttemptOutcome.COMPLETED
                 lines[at] = max(now, lines[at]) + (1000 if quick else self.took(name, now))
                 self.order += 1
                 heapq.heappush(self.events, (now + 1000 if quick else lines[at], self.order, m.run))
@@ -172,13 +194,13 @@
         Only what was never written is known not to have run.
         """
         for end in CloseReason:
-            before, after = fate_of(end, False), fate_of(end, True)
-            self.assertIn(before, (Fate.UNRUN, Fate.STOPPED))
-            self.assertIsNot(after, Fate.UNRUN)
-            self.assertIsNot(WORDS[after], RequestEvent.NO_CAPACITY)
-        self.assertEqual(set(WORDS), set(Fate))
-        self.assertFalse(FAULTS & {Fate.DONE, Fate.STOPPED})
-        self.assertNotIn(Fate.UNRUN, MAY_RUN_ON)
+            before, after = outcome_of_close(end, False), outcome_of_close(end, True)
+            self.assertIn(before, (AttemptOutcome.NOT_STARTED, AttemptOutcome.CANCELLED))
+            self.assertIsNot(after, AttemptOutcome.NOT_STARTED)
+            self.assertIsNot(EVENT_OF_OUTCOME[after], RequestEvent.NO_CAPACITY)
+        self.assertEqual(set(EVENT_OF_OUTCOME), set(AttemptOutcome))
+        self.assertFalse(FAILURES & {AttemptOutcome.COMPLETED, AttemptOutcome.CANCELLED})
+        self.assertNotIn(AttemptOutcome.NOT_STARTED, MAY_STILL_RUN)
 
     def test_failing_fast(self):
         """One of three fails each run within 1 ms: it does not draw runs by being quick.
@@ -186,18 +208,24 @@
         It is ejected within half a second, and gets under one run in fifty after that (simulated).
         """
         sim = Simulated(
-            a_dispatch(first_out=2_000_000),
+            make_router(first_out=2_000_000),
             lambda name, now: 40_000,
-            lambda name, now: Fate.LOST if name == "b" and now > 2_000_000 else Fate.DONE,
+            lambda name, now: (
+                AttemptOutcome.CONNECTION_LOST
+                if name == "b" and now > 2_000_000
+                else AttemptOutcome.COMPLETED
+            ),
         )
         sim.run(100, 10_000_000)
-        self.assertIn(sim.d.pool.members["b"].health.standing, (Standing.OUT, Standing.TRIAL))
+        self.assertIn(
+            sim.d.pool.backends["b"].health.state, (HealthState.EJECTED, HealthState.PROBING)
+        )
         before, first = sim.share("b", 0, 2_000_000), sim.share("b", 2_000_000, 2_500_000)
         self.assertGreater(before, 0.2)
         self.assertLess(first, 0.3)
         self.assertLess(sim.share("b", 2_500_000, 10_000_000), 0.02)
         self.assertLess(sim.tells[RequestEvent.FAILED], 10)
-        self.assertLessEqual(sim.d.again, 0.1 * 1000 + 11)
+        self.assertLessEqual(sim.d.retries, 0.1 * 1000 + 11)
 
     def test_slow(self):
         """One of three is ten times slower.
@@ -205,7 +233,7 @@
         It keeps answering, and gets less than a fifth of the others.
         """
         sim = Simulated(
-            a_dispatch(), lambda name, now: 300_000 if name == "c" and now > 1_000_000 else 30_000
+            make_router(), lambda name, now: 300_000 if name == "c" and now > 1_000_000 else 30_000
         )
         sim.run(150, 12_000_000)
         slow = sim.share("c", 3_000_000, 12_000_000)
@@ -220,10 +248,14 @@
         (simulated).
         """
 
-        def fate(name, now):
-            return Fate.UNRUN if name == "a" and 2_000_000 < now < 5_000_000 else Fate.DONE
+        def outcome(name, now):
+            return (
+                AttemptOutcome.NOT_STARTED
+                if name == "a" and 2_000_000 < now < 5_000_000
+                else AttemptOutcome.COMPLETED
+            )
 
-        sim = Simulated(a_dispatch(slow_start=3_000_000), lambda name, now: 30_000, fate)
+        sim = Simulated(make_router(slow_start=3_000_000), lambda name, now: 30_000, outcome)
         sim.run(150, 25_000_000)
         self.assertEqual(set(sim.tells), {RequestEvent.COMPLETED})
         self.assertLess(sim.share("a", 2_500_000, 5_000_000), 0.02)
@@ -237,10 +269,12 @@
         """All refuse: every run is told at once that it can't be run, none waits, and the room is
         0.
         """
-        sim = Simulated(a_dispatch(), lambda name, now: 30_000, lambda name, now: Fate.UNRUN)
+        sim = Simulated(
+            make_router(), lambda name, now: 30_000, lambda name, now: AttemptOutcome.NOT_STARTED
+        )
         sim.run(200, 3_000_000)
         self.assertEqual(set(sim.tells), {RequestEvent.NO_CAPACITY})
-        self.assertFalse(sim.d.line.runs)
+        self.assertFalse(sim.d.queue.runs)
         gauges = sim.d.gauges(3_000_000, 6)
         self.assertEqual((gauges[0], gauges[2]) if not gauges[2] else (1.0, 0.0), (1.0, 0.0))
         self.assertLess(len(sim.sent), 60)  # back ends that are away are hardly asked
@@ -254,26 +288,30 @@
         The limit finds its way there from both sides.
         """
         for first in (2, 60):
-            limit, at = Limit(first, 1, 64), 0
+            limit, at = ConcurrencyLimit(first, 1, 64), 0
             for _ in range(3000):
-                in_hand = int(limit.now)
-                took = 30_000 * max(1, in_hand / 8) ** 2
-                at += int(took / max(1, in_hand))
-                limit.done(at, int(took), in_hand)
-            self.assertTrue(8 <= limit.now <= 20, limit.now)
-        limit.lost(at := at + 10**7)
-        lower = limit.now
-        limit.lost(at + 1)  # not twice for one trouble
-        self.assertEqual(limit.now, lower)
+                in_flight = int(limit.current)
+                took = 30_000 * max(1, in_flight / 8) ** 2
+                at += int(took / max(1, in_flight))
+                limit.on_completed(at, int(took), in_flight)
+            self.assertTrue(8 <= limit.current <= 20, limit.current)
+        limit.on_lost(at := at + 10**7)
+        lower = limit.current
+        limit.on_lost(at + 1)  # not twice for one trouble
+        self.assertEqual(limit.current, lower)
 
     def test_same(self):
         """The same events bring the same moves, chance included."""
 
         def moves(seed):
             sim = Simulated(
-                a_dispatch(seed=seed),
+                make_router(seed=seed),
                 lambda name, now: 30_000 + now % 7000,
-                lambda name, now: Fate.LOST if name == "a" and now % 3 else Fate.DONE,
+                lambda name, now: (
+                    AttemptOutcome.CONNECTION_LOST
+                    if name == "a" and now % 3
+                    else AttemptOutcome.COMPLETED
+                ),
             )
             sim.run(150, 4_000_000)
             return sim.sent
@@ -288,7 +326,7 @@
                 st.sampled_from(["begin", "end", "end", "stop", "gone", "state", "turn"]),
                 st.integers(0, 400_000),
                 st.integers(0, 10**6),
-                st.sampled_from(list(Fate)),
+                st.sampled_from(list(AttemptOutcome)),
                 st.sampled_from(list(Idempotency)),
             ),
             max_size=120,
@@ -303,67 +341,68 @@
         one back end; tries stay within their budget; ejected ones within their share; a back end
         never has more than its limit; nothing is kept of runs that are over.
         """
-        d = a_dispatch("abcd", share=share, burst=3.0, out=out)
+        d = make_router("abcd", share=share, burst=3.0, out=out)
         now, there, told, begun, first, tries = 0, {}, {}, [], 0, 0
 
         def follow(moves):
             nonlocal tries
             for m in moves:
                 self.assertNotIn(m.run, told)
-                if isinstance(m, Tell):
-                    told[m.run] = m.word
+                if isinstance(m, RunEnded):
+                    told[m.run] = m.event
                     there.pop(m.run, None)
                     continue
                 tries += 1
-                if m.run.perhaps:
-                    self.assertIs(m.run.kind, Idempotency.IDEMPOTENT)
-                self.assertEqual(len(set(m.run.tried)), len(m.run.tried))
-                self.assertLessEqual(len(m.member.began), max(1, int(m.member.limit.now)))
+                if m.run.may_have_run:
+                    self.assertIs(m.run.idempotency, Idempotency.IDEMPOTENT)
+                self.assertEqual(len(set(m.run.attempted)), len(m.run.attempted))
+                self.assertLessEqual(len(m.backend.started), max(1, int(m.backend.limit.current)))
                 self.assertNotIn(
-                    m.member.health.standing, (Standing.OUT, Standing.AWAY, Standing.LEAVING)
+                    m.backend.health.state,
+                    (HealthState.EJECTED, HealthState.UNREACHABLE, HealthState.DRAINING),
                 )
-                there[m.run] = m.member
+                there[m.run] = m.backend
 
-        for verb, step, pick, fate, kind in script:
+        for verb, step, pick, outcome, idempotency in script:
             now += step
             if verb == "begin":
                 first += 1
-                begun.append(run := a_run(kind, now, 50_000 + pick * 5))
+                begun.append(run := make_run(idempotency, now, 50_000 + pick * 5))
                 follow(d.begin(now, run))
             elif verb == "end" and there:
                 run = list(there)[pick % len(there)]
                 del there[run]
-                follow(d.ended(now, run, fate))
+                follow(d.on_attempt_ended(now, run, outcome))
             elif verb == "stop" and begun:
                 run = begun[pick % len(begun)]
                 if run not in told:
-                    follow(d.stop(now, run))
+                    follow(d.cancel(run))
             elif verb == "gone" and begun:
                 begun[pick % len(begun)].request.client_gone = True
             elif verb == "state":
                 names = [n for i, n in enumerate("abcdef") if pick >> i & 1] or ["a"]
-                follow(d.state(now, [Stated(n) for n in names])[0])
+                follow(d.configure(now, [BackendSettings(n) for n in names])[0])
             elif verb == "turn":
-                follow(d.turn(now))
+                follow(d.dispatch_queued(now))
             self.assertLessEqual(tries - first, share * first + 3.0 + 1)
-            stated = [
-                m for m in d.pool.members.values() if m.health.standing is not Standing.LEAVING
+            configured = [
+                m for m in d.pool.backends.values() if m.health.state is not HealthState.DRAINING
             ]
             if verb == "end":
-                ejected = sum(m.health.standing is Standing.OUT for m in stated)
+                ejected = sum(m.health.state is HealthState.EJECTED for m in configured)
                 self.assertTrue(
-                    ejected <= max(1, out * len(stated)) or "state" in [s[0] for s in script]
+                    ejected <= max(1, out * len(configured)) or "state" in [s[0] for s in script]
                 )
         while there:
             run = next(iter(there))
             del there[run]
             now += 1000
-            follow(d.ended(now, run, Fate.DONE))
-        for run in list(d.line.runs):
+            follow(d.on_attempt_ended(now, run, AttemptOutcome.COMPLETED))
+        for run in list(d.queue.runs):
             run.request.client_gone = True
-        follow(d.turn(now))
+        follow(d.dispatch_queued(now))
         self.assertEqual(set(told), set(begun))
-        self.assertFalse(any(m.began for m in d.pool.members.values()) or d.line.runs)
+        self.assertFalse(any(m.started for m in d.pool.backends.values()) or d.queue.runs)
 
 
 if __name__ == "__main__":
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -593,9 +593,12 @@
             mock.Mock(),
         )
         before = clock.now()
-        route.ask()
+        route.gauge_poller.poll()
         self.assertGreaterEqual(times[0], before + 1000)
-        dispatcher.now, route.due = 1_000_300, 1_000_000  # handled a little late: the beat stays
+        dispatcher.now, route.gauge_poller.due = (
+            1_000_300,
+            1_000_000,
+        )  # handled a little late: the beat stays
         route.schedule_tick(TICK)
         self.assertEqual(times[1], 1_000_000 + TICK)
 
