--- a/benchmarks/disk.py
+++ b/benchmarks/disk.py
@@ -25,7 +25,7 @@
 from gullyoke.emulator.fleet import Running, deciding
 from gullyoke.fault_testing.play import Play
 from gullyoke.fault_testing.script import read
-from gullyoke.model_checking import key_ledger as notes
+from gullyoke.model_checking import key_ledger
 from gullyoke.storage import warmup_history as cold
 
 LOAD = 24.0  # reqs a second: what the play's servers do with ease
@@ -262,17 +262,19 @@
         "asked": len(with_),
     }
     with ProcessPoolExecutor(os.cpu_count()) as pool:
-        states = [pool.submit(notes.found, None, 40, without_) for without_ in UndurablePolicy]
-        mutants = [pool.submit(notes.found, guard, 8) for guard in notes.MUTANTS]
+        states = [
+            pool.submit(key_ledger.explore_ledger, None, 40, policy) for policy in UndurablePolicy
+        ]
+        mutants = [pool.submit(key_ledger.explore_ledger, guard, 8) for guard in key_ledger.MUTANTS]
         for load in (1.0, 1.5) if short else (0.6, 1.0, 1.5):
             gains = list(pool.map(coldly, [(seed, load) for seed in range(1, 31)]))
             half = 2.05 * statistics.stdev(gains) / len(gains) ** 0.5
             out[f"cold_start_gain_{load}"] = [round(statistics.mean(gains), 4), round(half, 4)]
         out |= {
-            "crash_states": sum(one.result()[0] for one in states),
-            "violations": sum(one.result()[1] is not None for one in states),
+            "crash_states": sum(one.result().states for one in states),
+            "violations": sum(one.result().violation is not None for one in states),
             "mutants": len(mutants),
-            "mutants_found": sum(one.result()[1] is not None for one in mutants),
+            "mutants_found": sum(one.result().violation is not None for one in mutants),
         }
     print(json.dumps(out))
 
--- a/gullyoke/durability/__init__.py
+++ b/gullyoke/durability/__init__.py
@@ -1,7 +1,7 @@
-"""What lasts, and what to do where it can't.
+"""Rules for what has to survive a restart, and for what is done where the disk can't keep it.
 
-How a disk is, what may be written to it, the notes of reqs that must not run again after a restart,
-and whose folder one finds.
+The health of a disk, what may be written to it, the records of requests that must not run again
+after a restart, and whose folder a server finds.
 
 Decisions and state alone; no I/O, no clock and no chance but what is handed in. docs/disk-design.md
 says what was weighed, docs/store.md what an operator sees.
@@ -10,14 +10,14 @@
 from gullyoke.durability.disk_health import DiskHealth, DiskState, DiskStateChange
 from gullyoke.durability.disk_quota import DataKind, DiskQuota
 from gullyoke.durability.folder_trust import FolderMark, FolderTrust, assess_folder
-from gullyoke.durability.key_ledger import (
+from gullyoke.durability.key_ledger import KeyLedger
+from gullyoke.durability.key_record import DuplicateVerdict, KeyRecord, RunPhase, judge_record
+from gullyoke.durability.ledger_commands import (
     ActionKind,
-    KeyLedger,
     LedgerAction,
     RecordWrite,
     UndurablePolicy,
 )
-from gullyoke.durability.key_record import DuplicateVerdict, KeyRecord, RunPhase, judge_record
 from gullyoke.durability.pending_writes import PendingWrites
 
 __all__ = [
--- a/gullyoke/durability/disk_health.py
+++ b/gullyoke/durability/disk_health.py
@@ -1,12 +1,14 @@
-"""How a disk is, told by what calls on it return, how long they take and how much room is left.
+"""The health of a disk, from what calls on it return, how long they take and how full it is.
 
-It turns bad at once and well slowly: a trial has to go well GOOD times in a row over a span that
-doubles each time the disk turns bad again soon after, and then promises are taken little by little.
-What does not come back counts as it goes on: a call that is out for longer than STALL is a stall,
-though nothing was returned.
+It turns bad at once and healthy slowly: a probe has to succeed REQUIRED_PROBES times in a row over
+a time that doubles each time the disk turns bad again soon after, and then writes are accepted
+little by little. A call that does not return counts as it goes on: once it has taken longer than
+STALL_AFTER_US the disk is stalled, though nothing was returned.
 
-The span that grows with each relapse is flap damping (RFC 2439) with a doubling in the place of its
-penalty; the slow return is that of routing's ejected back ends.
+The time that grows with each relapse is flap damping (RFC 2439) with a doubling in the place of its
+penalty; the slow return is the slow start of load balancers.
+
+No I/O, no clock and no chance but what is handed in. Times are microseconds of one clock.
 """
 
 from __future__ import annotations
@@ -14,23 +16,27 @@
 import errno
 from collections.abc import Callable
 from enum import Enum
-from typing import NamedTuple
+from typing import Final, NamedTuple
+
+STALL_AFTER_US: Final = 1_000_000  # that a call may take
+PROBE_INTERVAL_US: Final = 500_000  # between probes of a disk that is not healthy
+MAX_PROBE_INTERVAL_US: Final = 4_000_000
+REQUIRED_PROBES: Final = 3  # in a row that must succeed
+MIN_BAD_US: Final = 1_000_000  # for which a disk is called bad at the least; doubled by relapses
+MAX_BAD_US: Final = 60_000_000
+RELAPSE_WITHIN_US: Final = 10_000_000  # of its return; or twice its last bad time if that is longer
+SLOW_START_US: Final = 4_000_000  # from its return until all writes are accepted again
+MIN_ACCEPTED_SHARE: Final = 0.1  # of the writes at the begin of the slow start
 
-STALL = 1_000_000  # microseconds that a call may be out
-TRIAL, TRIAL_LONGEST = 500_000, 4_000_000  # between trials of one that is not well
-GOOD = 3  # trials in a row that must go well
-DWELL, DWELL_LONGEST = (
-    1_000_000,
-    60_000_000,
-)  # it is called bad for so long at the least; doubled by relapses
-RELAPSE = 10_000_000  # bad again within so long of its return, or twice its last dwell
-RAMP = 4_000_000  # from its return until all promises are taken again
-NEAR, CLEAR = 0.10, 0.15  # the share left: near full under the first until over the other
-TIGHT, LOOSE = 0.02, 0.04  # full under the first until over the other
+# A disk is (near) full below the first share and until it is above the second.
+NEAR_FULL_BELOW: Final = 0.10
+NEAR_FULL_UNTIL: Final = 0.15
+FULL_BELOW: Final = 0.02
+FULL_UNTIL: Final = 0.04
 
 
 class DiskState(Enum):
-    """In the order of how bad they are: of two that hold the later one counts."""
+    """In the order of how bad they are: of two that are true the later one counts."""
 
     HEALTHY = "well"
     NEAR_FULL = "near full"
@@ -46,14 +52,16 @@
         return self.value.replace(" ", "_").replace("-", "_")
 
 
-BAD_STATES = (
+SEVERITY: Final = list(DiskState)
+BAD_STATES: Final = (
     DiskState.FULL,
     DiskState.FAILING,
     DiskState.STALLED,
     DiskState.READ_ONLY,
     DiskState.MISSING,
 )
-FAULTS = {
+# Any other error of the system means FAILING.
+STATE_BY_ERROR: Final = {
     errno.ENOSPC: DiskState.FULL,
     errno.EDQUOT: DiskState.FULL,
     errno.EFBIG: DiskState.FULL,
@@ -66,145 +74,176 @@
     errno.ENODEV: DiskState.MISSING,
     errno.ENXIO: DiskState.MISSING,
 }
-ORDER = list(DiskState)
 
 
 class DiskStateChange(NamedTuple):
-    """From one state to another, with the cause in words."""
+    """A change from one state to another, when, and why in words."""
 
-    at: int
+    at_us: int
     previous: DiskState
     current: DiskState
     reason: str
 
 
+class DiskCall(NamedTuple):
+    """A call on the disk that has not returned."""
+
+    started_us: int
+    operation: str
+
+
 class DiskHealth:
-    """One folder's disk.
+    """The health of one folder's disk.
+
+    Attributes:
+        listeners: Called with each change of state, by whichever method came to see it.
+        calls_in_flight: Calls that have not returned, by their numbers: as many as there are
+            threads that call.
 
-    `heed` hears each turn. `draw` gives a number from 0 to 1. Table: `out`, calls that have not
-    returned, by a number of their own: as many as there are threads that call.
+    Args:
+        now_us: The time.
+        draw: Gives a random number from 0 to 1.
     """
 
-    def __init__(self, now: int, draw: Callable[[], float]) -> None:
-        self.draw, self.out, self.count = draw, {}, 0
-        self.bad: DiskState | None = None  # by what calls returned; None while they go well
-        self.since, self.good, self.next, self.pause = now, 0, now, TRIAL
-        self.dwell, self.returned = DWELL, now - RAMP
-        self.free = 1.0  # the share of the room that is left, as last told
-        self.told = DiskState.HEALTHY
+    def __init__(self, now_us: int, draw: Callable[[], float]) -> None:
+        self.draw = draw
         self.listeners: list[Callable[[DiskStateChange], None]] = []
-
-    # What is seen.
-
-    def call_started(self, now: int, what: str) -> int:
-        """A call goes out; its number, for `ended`."""
-        self.count += 1
-        self.out[self.count] = now, what
-        return self.count
+        self.calls_in_flight: dict[int, DiskCall] = {}
+        self._calls = 0
+        self._free_share = 1.0
+        self._reported = DiskState.HEALTHY
+        self._error_state: DiskState | None = None  # by what calls returned
+        self._error = ""
+        self._bad_since_us = now_us
+        self._bad_at_least_us = MIN_BAD_US
+        self._returned_us = now_us - SLOW_START_US
+        self._good_probes = 0
+        self._next_probe_us = now_us
+        self._probe_interval_us = PROBE_INTERVAL_US
+
+    def call_started(self, now_us: int, operation: str) -> int:
+        """Record that a call goes out; give its number, for `call_finished`."""
+        self._calls += 1
+        self.calls_in_flight[self._calls] = DiskCall(now_us, operation)
+        return self._calls
 
     def call_finished(
-        self, now: int, number: int, fault: int | None = None, trial: bool = False
+        self, now_us: int, number: int, error_number: int | None = None, probe: bool = False
     ) -> None:
-        """It returned: `fault` is the system's number for what was wrong, None where it went
-        well.
-        """
-        began, what = self.out.pop(number, (now, "a call"))
-        if fault is not None:
-            self._worse(
-                now,
-                FAULTS.get(fault, DiskState.FAILING),
-                f"{what}: {errno.errorcode.get(fault, fault)}",
-            )
-        elif now - began > STALL:
-            self._worse(now, DiskState.STALLED, f"{what} took {(now - began) // 1000} ms")
-        elif trial:
-            self._better(now)
-
-    def set_free_share(self, now: int, free: float) -> None:
-        """The share of the room that is left.
-
-        Of the disk, or of what we may have of it if that is less.
+        """Record that a call returned.
+
+        Args:
+            now_us: The time.
+            number: The call's, from `call_started`.
+            error_number: The errno of its error; None where it succeeded.
+            probe: Whether it was a probe, which alone can make the disk healthy again.
         """
-        self.free = free
-
-    # What is made of it.
-
-    def state(self, now: int) -> DiskState:
-        """How it is now. Whoever hears a turn hears it from here."""
-        stuck = next((what for began, what in self.out.values() if now - began > STALL), None)
-        if stuck is not None and (
-            self.bad is None or self.bad in (DiskState.FULL, DiskState.FAILING)
-        ):
-            self._worse(now, DiskState.STALLED, f"{stuck} has not come back")
-        found = max([self.bad or DiskState.HEALTHY, self._by_room()], key=ORDER.index)
-        if found is not self.told:
-            if self.told in BAD_STATES and found not in BAD_STATES:
-                self.returned = now
-            turn = DiskStateChange(now, self.told, found, self._why(found))
-            self.told = found
-            for heed in self.listeners:
-                heed(turn)
-        return found
-
-    def accepts_writes(self, now: int) -> bool:
-        """Whether a promise may be asked of it now.
-
-        Of one that has just come back a part that grows.
+        call = self.calls_in_flight.pop(number, DiskCall(now_us, "a call"))
+        took_us = now_us - call.started_us
+        if error_number is not None:
+            state = STATE_BY_ERROR.get(error_number, DiskState.FAILING)
+            name = errno.errorcode.get(error_number, error_number)
+            self._record_failure(now_us, state, f"{call.operation}: {name}")
+        elif took_us > STALL_AFTER_US:
+            reason = f"{call.operation} took {took_us // 1000} ms"
+            self._record_failure(now_us, DiskState.STALLED, reason)
+        elif probe:
+            self._record_good_probe(now_us)
+
+    def set_free_share(self, free_share: float) -> None:
+        """Record the share that is free, of the disk or of the quota if that is less."""
+        self._free_share = free_share
+
+    def state(self, now_us: int) -> DiskState:
+        """Give the state now, and call the listeners where it has changed."""
+        self._check_calls_in_flight(now_us)
+        state = max(
+            self._error_state or DiskState.HEALTHY, self._state_by_space(), key=SEVERITY.index
+        )
+        if state is not self._reported:
+            if self._reported in BAD_STATES and state not in BAD_STATES:
+                self._returned_us = now_us
+            change = DiskStateChange(now_us, self._reported, state, self._reason_for(state))
+            self._reported = state
+            for listener in self.listeners:
+                listener(change)
+        return state
+
+    def accepts_writes(self, now_us: int) -> bool:
+        """Whether a write that a request waits for may be asked of the disk now.
+
+        Of one that has just come back a share that grows.
         """
-        if self.state(now) in BAD_STATES:
+        if self.state(now_us) in BAD_STATES:
             return False
-        part = (now - self.returned) / RAMP
-        return part >= 1 or self.draw() < max(0.1, part)
+        share = (now_us - self._returned_us) / SLOW_START_US
+        return share >= 1 or self.draw() < max(MIN_ACCEPTED_SHARE, share)
 
-    def claim_probe(self, now: int) -> bool:
-        """Whether to try it now, once.
+    def claim_probe(self, now_us: int) -> bool:
+        """Whether to probe the disk now, once.
 
-        True only while it is bad and nothing of the last trial is out.
+        True only while it is bad and no call is in flight.
         """
-        if self.state(now) not in BAD_STATES or now < self.next or self.out:
+        if self.state(now_us) not in BAD_STATES:
+            return False
+        if now_us < self._next_probe_us or self.calls_in_flight:
             return False
-        self.next = now + self.pause
-        self.pause = min(TRIAL_LONGEST, 2 * self.pause)
+        self._next_probe_us = now_us + self._probe_interval_us
+        self._probe_interval_us = min(MAX_PROBE_INTERVAL_US, 2 * self._probe_interval_us)
         return True
 
-    def _by_room(self) -> DiskState:
-        low = LOOSE if self.told is DiskState.FULL else TIGHT
-        near = CLEAR if self.told in (DiskState.NEAR_FULL, DiskState.FULL) else NEAR
-        return (
-            DiskState.FULL
-            if self.free < low
-            else DiskState.NEAR_FULL
-            if self.free < near
-            else DiskState.HEALTHY
-        )
-
-    def _worse(self, now: int, state: DiskState, why: str) -> None:
-        self.good, self.cause = 0, why
-        if self.bad is None:
-            post_event = now - self.returned < max(RELAPSE, 2 * self.dwell)
-            self.dwell = (
-                min(DWELL_LONGEST, 2 * self.dwell)
-                if post_event and self.returned >= self.since
-                else DWELL
-            )
-            self.since, self.pause, self.next = now, TRIAL, now + TRIAL
-            self.bad = state
-        elif self.bad is not state:
-            self.bad = state
-
-    def _better(self, now: int) -> None:
-        if self.bad is None:
+    def _check_calls_in_flight(self, now_us: int) -> None:
+        """A call that hangs makes the disk stalled, unless it is in a worse state."""
+        if self._error_state not in (None, DiskState.FULL, DiskState.FAILING):
             return
-        self.good, self.pause = self.good + 1, TRIAL
-        self.next = min(self.next, now + TRIAL)
-        if self.good >= GOOD and now - self.since >= self.dwell:
-            self.bad, self.returned = None, now
-
-    cause = ""
-
-    def _why(self, found: DiskState) -> str:
-        if self.bad is found:
-            return self.cause
-        return (
-            "well again" if found is DiskState.HEALTHY else f"{self.free:.1%} of the room is left"
-        )
+        for call in self.calls_in_flight.values():
+            if now_us - call.started_us > STALL_AFTER_US:
+                reason = f"{call.operation} has not come back"
+                self._record_failure(now_us, DiskState.STALLED, reason)
+                return
+
+    def _state_by_space(self) -> DiskState:
+        """Give the state by free space, with hysteresis."""
+        was_full = self._reported is DiskState.FULL
+        was_near_full = self._reported in (DiskState.NEAR_FULL, DiskState.FULL)
+        if self._free_share < (FULL_UNTIL if was_full else FULL_BELOW):
+            return DiskState.FULL
+        if self._free_share < (NEAR_FULL_UNTIL if was_near_full else NEAR_FULL_BELOW):
+            return DiskState.NEAR_FULL
+        return DiskState.HEALTHY
+
+    def _record_failure(self, now_us: int, state: DiskState, reason: str) -> None:
+        self._good_probes = 0
+        self._error = reason
+        if self._error_state is None:
+            self._bad_at_least_us = self._next_bad_time(now_us)
+            self._bad_since_us = now_us
+            self._probe_interval_us = PROBE_INTERVAL_US
+            self._next_probe_us = now_us + PROBE_INTERVAL_US
+        self._error_state = state
+
+    def _next_bad_time(self, now_us: int) -> int:
+        """Give for how long the disk is called bad now: doubled where this is a relapse."""
+        relapse_within_us = max(RELAPSE_WITHIN_US, 2 * self._bad_at_least_us)
+        is_relapse = now_us - self._returned_us < relapse_within_us
+        if is_relapse and self._returned_us >= self._bad_since_us:
+            return min(MAX_BAD_US, 2 * self._bad_at_least_us)
+        return MIN_BAD_US
+
+    def _record_good_probe(self, now_us: int) -> None:
+        if self._error_state is None:
+            return
+        self._good_probes += 1
+        self._probe_interval_us = PROBE_INTERVAL_US
+        self._next_probe_us = min(self._next_probe_us, now_us + PROBE_INTERVAL_US)
+        bad_us = now_us - self._bad_since_us
+        if self._good_probes >= REQUIRED_PROBES and bad_us >= self._bad_at_least_us:
+            self._error_state = None
+            self._returned_us = now_us
+
+    def _reason_for(self, state: DiskState) -> str:
+        if self._error_state is state:
+            return self._error
+        if state is DiskState.HEALTHY:
+            return "well again"
+        return f"{self._free_share:.1%} of the room is left"
--- a/gullyoke/durability/folder_trust.py
+++ b/gullyoke/durability/folder_trust.py
@@ -1,34 +1,45 @@
-"""Whose folder one finds, and how far it can be believed.
+"""Whose folder this server finds at its start, and how far it can be believed.
 
-A folder bears a mark: a format, a name, the number of the last start that wrote to it. A folder
-that is another's, of an older copy, or newer than this program says nothing that may be gone by.
-What was promised under its name then is not known, and for as long as a promise can last the server
-says so: tries that are marked as further ones are errored, and a voter is silent
+A folder bears a mark: a format, the server's name, the number of the last start that wrote to it.
+What a folder of another server, an older copy, or one of a later release says is not believed. What
+was recorded under its name then is not known, and for as long as a record can be in force the
+server acts so: retries that are marked as such fail, and a voter grants nothing
 (gullyoke/leases/voter.py waits by itself).
 """
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
-FORMAT = 2  # of a folder; 1 had no mark
-BACK = 5_000_000  # a clock that is behind the mark by more than this went back
+FOLDER_FORMAT: Final = 2  # format 1 had no mark
+CLOCK_TOLERANCE_US: Final = 5_000_000  # a clock behind the mark by more than this went back
 
 
 class FolderMark(NamedTuple):
-    """`number`: the start's, which never goes back; `at`: Unix microseconds of its writing."""
+    """Which start wrote a folder last. On the disk it is these four values in their order.
+
+    Attributes:
+        format: Of the folder.
+        name: The server's.
+        number: The start's, which never goes back.
+        written_us: When it was written, in microseconds of the Unix clock.
+    """
 
     format: int
     name: str
     number: int
-    at: int
+    written_us: int
 
 
 class FolderTrust(NamedTuple):
-    """`notes`: whether what it says is believed; `writes`.
-
-    Whether it may be written to; `doubts`: whether there were notes that are not known, so that
-    further tries must be doubted; `why`, in words.
+    """How far a folder is trusted.
+
+    Attributes:
+        believed: Whether what it says is believed.
+        writable: Whether it may be written to.
+        doubts_retries: Whether there may have been records that are not known, so that retries
+            must be doubted.
+        reason: Why, in words.
     """
 
     believed: bool
@@ -38,42 +49,50 @@
 
 
 def assess_folder(
-    mark: FolderMark | None, rows: int, name: str, known: int, now: int
+    mark: FolderMark | None, records: int, name: str, known_start: int, now_us: int
 ) -> FolderTrust:
-    """`rows`: how many records lie there; `known`.
-
-    The number of this name's last start as the others tell, 0 where there is nobody or they know of
-    none.
+    """Say how far a folder can be trusted.
+
+    Args:
+        mark: The mark in it, if there is one.
+        records: How many records lie there.
+        name: This server's.
+        known_start: The number of this name's last start as other servers know it; 0 where there
+            are none or they know of none.
+        now_us: Microseconds of the Unix clock.
     """
-    if mark is not None and mark.format > FORMAT:
-        return FolderTrust(False, False, True, f"format {mark.format}, newer than {FORMAT}")
-    if mark is not None and mark.name != name:
-        return FolderTrust(False, True, known > 0, f"the folder of {mark.name}")
-    if mark is None and rows:
-        return FolderTrust(True, True, False, "format 1, without a mark")
     if mark is None:
-        why = "a fresh folder, though others know this name" if known else "a fresh folder"
-        return FolderTrust(False, True, known > 0, why)
-    if is_older_copy(mark.number, known):
-        return FolderTrust(
-            False, True, True, f"an older copy: start {mark.number}, others know {known}"
-        )
-    if now < mark.at - BACK:
-        return FolderTrust(
-            True, True, False, f"the clock went back by {(mark.at - now) // 1_000_000} s"
-        )
+        return _assess_unmarked(records, known_start)
+    if mark.format > FOLDER_FORMAT:
+        reason = f"format {mark.format}, newer than {FOLDER_FORMAT}"
+        return FolderTrust(False, False, True, reason)
+    if mark.name != name:
+        return FolderTrust(False, True, known_start > 0, f"the folder of {mark.name}")
+    if is_older_copy(mark.number, known_start):
+        reason = f"an older copy: start {mark.number}, others know {known_start}"
+        return FolderTrust(False, True, True, reason)
+    if now_us < mark.written_us - CLOCK_TOLERANCE_US:
+        behind_s = (mark.written_us - now_us) // 1_000_000
+        return FolderTrust(True, True, False, f"the clock went back by {behind_s} s")
     return FolderTrust(True, True, False, "its own")
 
 
-def is_older_copy(last: int, known: int) -> bool:
-    """Whether the others know of a start after the one that a folder bears.
+def _assess_unmarked(records: int, known_start: int) -> FolderTrust:
+    if records:
+        return FolderTrust(True, True, False, "format 1, without a mark")
+    reason = "a fresh folder, though others know this name" if known_start else "a fresh folder"
+    return FolderTrust(False, True, known_start > 0, reason)
 
-    It is of an older copy.
-    """
-    return 0 < last < known
+
+def is_older_copy(last_start: int, known_start: int) -> bool:
+    """Whether other servers know of a start after the one that a folder bears."""
+    return 0 < last_start < known_start
 
 
-def next_mark(mark: FolderMark | None, name: str, number: int, now: int) -> FolderMark:
-    """What this start writes: its number is above the last one's, whatever the clock says."""
-    last = mark.number if mark is not None and mark.name == name else 0
-    return FolderMark(FORMAT, name, max(number, last + 1), now)
+def next_mark(mark: FolderMark | None, name: str, number: int, now_us: int) -> FolderMark:
+    """Give the mark that this start writes.
+
+    Its number is above the last one's, whatever the clock says.
+    """
+    last_start = mark.number if mark is not None and mark.name == name else 0
+    return FolderMark(FOLDER_FORMAT, name, max(number, last_start + 1), now_us)
--- a/gullyoke/durability/key_ledger.py
+++ b/gullyoke/durability/key_ledger.py
@@ -1,365 +1,256 @@
-"""The notes of one life of a server.
+"""The ledger of idempotency keys of one start of a server.
 
-What must be on the disk before a req runs and before its answer goes out, and what is done where it
-does not come to be.
+It says what must be on the disk before a request runs and before its answer goes out, and what is
+done where the disk does not get there:
 
-    asked --note--> NOTING --durable--> NOTED (runs) --end--> ENDING --durable--> ENDED (answered)
-                      |                   (BARE: runs without a note, where the operator says go on)
-                      +--failed, or not in time--> LEFT: it does not run, and what may lie there is to go
+    request_run --write--> RECORDING_START --durable--> RUNNING --end_run--> RECORDING_END
+                                |                                                 |
+                                |  (RUNNING_UNRECORDED: runs without a record,    | durable
+                                |   where the operator's policy is RUN_ANYWAY)    v
+                                +--failed, or not in time--> ABANDONED          ENDED (answered)
 
-A word of the disk that comes after a req was given up starts nothing. Which words can cross which
-is walked through in gullyoke/model_checking/key_ledger.py.
+An abandoned request does not run, and what may lie on the disk is removed. A write that finishes
+after its request was given up starts nothing. gullyoke/model_checking/key_ledger.py explores which
+events can cross which.
+
+No I/O and no clock. Times are microseconds of the Unix clock.
 """
 
 from __future__ import annotations
 
-import heapq
-from collections import deque
-from collections.abc import Iterable
-from enum import Enum
-from typing import NamedTuple
-
-from gullyoke.durability.key_record import (
-    BARE,
-    DuplicateVerdict,
-    KeyRecord,
-    RunPhase,
-    judge_record,
-    recovered_record,
+from gullyoke.durability.key_record import KeyRecord, RunPhase
+from gullyoke.durability.ledger_commands import (
+    ActionKind,
+    LedgerAction,
+    RecordWrite,
+    UndurablePolicy,
 )
 from gullyoke.durability.pending_writes import PendingWrites
+from gullyoke.durability.record_table import KeyStage, LedgerRow, RecordTable
 
 
-class UndurablePolicy(Enum):
-    """What is done where the disk can't promise in time.
-
-    `SHED`, the req is turned away unrun, or errored where it has run; `GO_ON`, it runs and is
-    answered without the promise.
-    """
-
-    REJECT = "shed"
-    RUN_ANYWAY = "go on"
-
-
-class ActionKind(Enum):
-    RUN = "run"  # give the run
-    REJECT = "unrun"  # it was not and will not be run
-    REPORT_DUPLICATE = "known"  # it may have run before: errored
-    REPORT_END = "end"  # tell how the run ended, as it did
-    REPORT_UNKNOWN = "unknown"  # tell that it errored: its end is not on the disk
-
+class KeyLedger(RecordTable):
+    """The table of requests with keys, and the order in which their records come to the disk.
 
-class LedgerAction(NamedTuple):
-    kind: ActionKind
-    key: str
+    A row leaves when its window is over (`expire`), or when its request was abandoned and that is
+    on the disk.
 
+    Attributes:
+        writes_in_flight: Keys by the numbers of the writes, in the order of asking.
+        unrecorded_runs: Runs without a record on the disk.
+        unrecorded_ends: Ends that did not come to the disk in time.
+        rejected: Requests rejected for the disk's sake.
 
-class RecordWrite(NamedTuple):
-    """Make this durable (None: take it out), then tell `written` with its number."""
-
-    key: str
-    note: KeyRecord | None
-    number: int
-
-
-class KeyStage(Enum):
-    RECORDING_START = "noting"
-    RUNNING = "noted"
-    RUNNING_UNRECORDED = "bare"
-    RECORDING_END = "ending"
-    ENDED = "ended"
-    ABANDONED = "left"
-
-
-class Row:
-    """`number` is that of the last write that counts.
-
-    `began`, when the one that is out was asked for; `told`, whether the end of the run was told;
-    `due`, by when its answer must go out.
+    Args:
+        incarnation: The number of this start.
+        policy: What is done where the disk can't make a record durable in time.
+        max_bytes: What records and results may take in memory.
     """
 
-    __slots__ = ("began", "due", "note", "number", "stage", "told")
-
-    def __init__(self, stage: KeyStage, note: KeyRecord, number: int, began: int, due: int) -> None:
-        self.stage, self.note, self.number, self.began, self.due = stage, note, number, began, due
-        self.told = False
-
-
-class KeyLedger:
-    """Tables: `rows`, one a key, `most` bytes of notes and results together.
-
-    No req that needs another is run with a promise. A row leaves when its window is over
-    (`expire`), or when its req was left unrun and that is on the disk. `ends`, a heap of rows by
-    the ends of their windows, which they leave then; `results`, keys in the order of their ends,
-    left when the result is given up or the window is over. `out`, writes on their way, by number,
-    in the order of asking; each leaves with the disk's word. `bare` counts runs without a promise,
-    `lost` ends that are not on the disk.
-    """
-
-    def __init__(self, life: int, without: UndurablePolicy, most: int) -> None:
-        self.incarnation, self.policy, self.max_bytes, self.pending_writes = (
-            life,
-            without,
-            most,
-            PendingWrites(),
-        )
-        self.rows: dict[str, Row] = {}
+    def __init__(self, incarnation: int, policy: UndurablePolicy, max_bytes: int) -> None:
+        super().__init__(incarnation, max_bytes)
+        self.policy = policy
+        self.pending_writes = PendingWrites()
         self.writes_in_flight: dict[int, str] = {}
-        self.ends: list[tuple[int, str]] = []
-        self.results: deque[str] = deque()
-        self.size_bytes = self.count = 0
-        self.unrecorded_runs = self.unrecorded_ends = self.rejected = 0
-
-    def recover(self, now: int, found: Iterable[tuple[str, KeyRecord]]) -> list[str]:
-        """What the disk had at the start; the keys whose window is over, to be taken out."""
-        past = []
-        for key, note in found:
-            if judge_record(note, now) is DuplicateVerdict.MAY_RUN:
-                past.append(key)
-                continue
-            stage = KeyStage.ENDED if note.phase is RunPhase.ENDED else KeyStage.RUNNING
-            if self.size_bytes + note.size() > self.max_bytes:  # the result goes, the note stays
-                note = note._replace(status=0, fields=(), body=b"")
-            self._put_row(key, Row(stage, recovered_record(note, now), 0, now, now))
-            if note.status:
-                self.results.append(key)
-        return past
-
-    # A req's path.
-
-    def find(self, now: int, key: str) -> KeyRecord | None:
-        """What is known of an earlier req of this key that is no longer in hand.
-
-        None where it may run.
-        """
-        row = self.rows.get(key)
-        if (
-            row is None
-            or row.stage is KeyStage.ABANDONED
-            or judge_record(row.note, now) is DuplicateVerdict.MAY_RUN
-        ):
-            return None
-        return row.note
+        self.writes = 0
+        self.unrecorded_runs = 0
+        self.unrecorded_ends = 0
+        self.rejected = 0
 
     def request_run(
-        self, now: int, key: str, arrived: int, until: int, due: int, run: float, takes: bool
+        self,
+        now_us: int,
+        key: str,
+        arrived_us: int,
+        window_end_us: int,
+        deadline_us: int,
+        run_us: float,
+        disk_accepts: bool,
     ) -> RecordWrite | LedgerAction:
-        """A req is to run: `run` is how long that usually takes, `takes` whether the disk is fit
-        for a promise.
+        """Ask to run a request.
+
+        Args:
+            now_us: The time.
+            key: Its key.
+            arrived_us: When it arrived.
+            window_end_us: Until when a duplicate of it must not run.
+            deadline_us: By when its answer must go out.
+            run_us: How long its run usually takes.
+            disk_accepts: Whether the disk accepts writes that requests wait for.
+
+        Returns:
+            The write to wait for, or what to do at once.
         """
-        if self.find(now, key) is not None:
+        if self.find(now_us, key) is not None:
             return LedgerAction(ActionKind.REPORT_DUPLICATE, key)
-        note = KeyRecord(RunPhase.STARTED, self.incarnation, arrived, until)
+        record = KeyRecord(RunPhase.STARTED, self.incarnation, arrived_us, window_end_us)
         if (
-            not takes
-            or self.size_bytes + note.size() > self.max_bytes
-            or not self.pending_writes.in_time(now, due, run)
+            not disk_accepts
+            or not self.fits(record.memory_bytes())
+            or not self.pending_writes.in_time(now_us, deadline_us, run_us)
         ):
-            return self._without(now, key, note, due)
-        self._put_row(key, Row(KeyStage.RECORDING_START, note, 0, now, due))
-        return self._write(now, key, note)
+            return self._decide_without_record(now_us, key, record, deadline_us)
+        self._put_row(key, LedgerRow(KeyStage.RECORDING_START, record, now_us, deadline_us))
+        return self._write(now_us, key, record)
 
-    def write_rejected(self, now: int, put: RecordWrite) -> LedgerAction | None:
-        """A write could not even be queued."""
-        row = self._back(now, put, False)
+    def write_rejected(self, now_us: int, write: RecordWrite) -> LedgerAction | None:
+        """Take that a write could not even be queued."""
+        row = self._row_of_write(now_us, write, False)
         if row is None:
             return None
         if row.stage is KeyStage.RECORDING_START:
-            note, due = row.note, row.due
-            self._drop(put.key)
-            return self._without(now, put.key, note, due)
+            self._drop(write.key)
+            return self._decide_without_record(now_us, write.key, row.record, row.deadline_us)
         if row.stage is KeyStage.RECORDING_END:
             row.stage = KeyStage.RUNNING
-            return self._unended(row, put.key)
-        if row.stage is KeyStage.ABANDONED:  # what lies there is taken for unknown after a restart
-            self._drop(put.key)
+            return self._report_without_record(row, write.key)
+        if row.stage is KeyStage.ABANDONED:  # what lies there counts as unknown after a restart
+            self._drop(write.key)
         return None
 
-    def write_finished(
-        self, now: int, put: RecordWrite, durable: bool
-    ) -> LedgerAction | RecordWrite | None:
-        """The disk's word on a write. One that is not the row's last counts for nothing."""
-        row = self._back(now, put, durable)
+    def write_finished(self, now_us: int, write: RecordWrite, durable: bool) -> LedgerAction | None:
+        """Take the outcome of a write; one that is not its row's last counts for nothing."""
+        row = self._row_of_write(now_us, write, durable)
         if row is None:
             return None
         if row.stage is KeyStage.RECORDING_START:
             if durable:
                 row.stage = KeyStage.RUNNING
-                return LedgerAction(ActionKind.RUN, put.key)
-            row.stage = KeyStage.ABANDONED
-            return LedgerAction(ActionKind.REJECT, put.key)  # `left` takes out what may lie there
+                return LedgerAction(ActionKind.RUN, write.key)
+            row.stage = KeyStage.ABANDONED  # `abandon` removes what may lie there
+            return LedgerAction(ActionKind.REJECT, write.key)
         if row.stage is KeyStage.RECORDING_END:
             if not durable:
                 row.stage = KeyStage.RUNNING
-                return self._unended(row, put.key)
-            row.stage = KeyStage.ENDED
-            self.results.append(put.key)
-            told, row.told = row.told, True
-            return None if told else LedgerAction(ActionKind.REPORT_END, put.key)
-        if row.stage is KeyStage.ABANDONED and put.note is None:
-            self._drop(put.key)
+                return self._report_without_record(row, write.key)
+            return self._report_recorded_end(row, write.key)
+        if row.stage is KeyStage.ABANDONED and write.record is None:
+            self._drop(write.key)
         return None
 
-    def abandon(self, now: int, key: str) -> RecordWrite | None:
-        """Its req ended without a run: what may lie on the disk is to go."""
+    def abandon(self, now_us: int, key: str) -> RecordWrite | None:
+        """Take that a request ended without a run: what may lie on the disk is removed."""
         row = self.rows.get(key)
         if row is None or row.stage in (KeyStage.ENDED, KeyStage.RECORDING_END):
             return None
         if row.stage is KeyStage.RUNNING_UNRECORDED:
             self._drop(key)
             return None
-        row.stage = KeyStage.ABANDONED  # behind its note, should that be on its way: in order
-        return self._write(now, key, None)
+        row.stage = KeyStage.ABANDONED
+        return self._write(now_us, key, None)  # after the record's own, should that be in flight
 
     def end_run(
         self,
-        now: int,
+        now_us: int,
         key: str,
         status: int,
         fields: tuple[tuple[str, str], ...],
         body: bytes,
-        takes: bool,
-    ) -> RecordWrite | LedgerAction:
-        """Its run is over; `status` 0 where that is not known or it failed."""
+        disk_accepts: bool,
+    ) -> RecordWrite | LedgerAction | None:
+        """Take that a run is over.
+
+        Args:
+            now_us: The time.
+            key: Its key.
+            status: Of the answer; 0 where that is not known or the run failed.
+            fields: The answer's header fields.
+            body: Its body.
+            disk_accepts: Whether the disk accepts writes that requests wait for.
+
+        Returns:
+            The write to wait for, or what to do at once; None where the end was already reported.
+        """
         row = self.rows.get(key)
         if row is None:
             return LedgerAction(ActionKind.REPORT_END, key)
-        note = row.note._replace(phase=RunPhase.ENDED, status=status, fields=fields, body=body)
-        if self.size_bytes + note.size() - row.note.size() > self.max_bytes:
-            note = note._replace(status=0, fields=(), body=b"")
-        if row.stage is KeyStage.RUNNING_UNRECORDED:  # known while this life lasts
-            self.size_bytes += note.size() - row.note.size()
-            row.stage, row.note, row.told = KeyStage.ENDED, note, True
+        record = row.record._replace(phase=RunPhase.ENDED, status=status, fields=fields, body=body)
+        if not self.fits(record.memory_bytes() - row.record.memory_bytes()):
+            record = record.without_result()
+        if row.stage is KeyStage.RUNNING_UNRECORDED:  # known to this start alone
+            self._replace_record(row, record)
+            row.stage = KeyStage.ENDED
+            row.end_reported = True
             return LedgerAction(ActionKind.REPORT_END, key)
-        if not takes:
+        if not disk_accepts:
             row.stage = KeyStage.RUNNING
-            return self._unended(row, key)
-        self.size_bytes += note.size() - row.note.size()
-        row.stage, row.note, row.began = KeyStage.RECORDING_END, note, now
-        return self._write(now, key, note)
-
-    def time_out_writes(self, now: int) -> list[LedgerAction]:
-        """Those whose write has taken too long: it is not waited for any more.
-
-        What it comes to is still heard.
-        """
-        acts = []
+            return self._report_without_record(row, key)
+        self._replace_record(row, record)
+        row.stage = KeyStage.RECORDING_END
+        row.write_started_us = now_us
+        return self._write(now_us, key, record)
+
+    def time_out_writes(self, now_us: int) -> list[LedgerAction]:
+        """Wait no more for writes that have taken too long; their outcomes still count."""
+        actions = []
         for number, key in self.writes_in_flight.items():
             row = self.rows.get(key)
-            if (
-                row is None
-                or row.number != number
-                or not self.pending_writes.is_overdue(now, row.began, row.due)
-            ):
+            if row is None or row.last_write != number:
+                continue
+            started_us = row.write_started_us
+            if not self.pending_writes.is_overdue(now_us, started_us, row.deadline_us):
                 continue
             if row.stage is KeyStage.RECORDING_START:
                 row.stage = KeyStage.ABANDONED
-                acts.append(LedgerAction(ActionKind.REJECT, key))
-            elif row.stage is KeyStage.RECORDING_END and not row.told:
-                acts.append(self._unended(row, key))
-        return acts
-
-    def expire(self, now: int) -> list[str]:
-        """The keys whose window is over; with them go their records.
-
-        One that is running stays until it has ended, and is looked at again a second later.
-        """
-        past = []
-        while self.ends and self.ends[0][0] < now:
-            until, key = heapq.heappop(self.ends)
-            row = self.rows.get(key)
-            if row is None or (row.note.until > until and row.note.until >= now):
-                continue  # gone, or noted anew since
-            if self._over(row):
-                self._drop(key)
-                past.append(key)
-            else:
-                heapq.heappush(self.ends, (now + 1_000_000, key))
-        while self.results and self.results[0] not in self.rows:
-            self.results.popleft()
-        return past
-
-    def _over(self, row: Row) -> bool:
-        other = (
-            row.note.incarnation != self.incarnation
-        )  # of an earlier start: it does not run here
-        return row.stage is KeyStage.ENDED or (
-            row.stage is KeyStage.RUNNING and (row.told or other)
-        )
-
-    def forget_other_starts(self) -> list[str]:
-        """What earlier starts noted is believed no more; the keys, to be taken out."""
-        past = [key for key, row in self.rows.items() if row.note.incarnation != self.incarnation]
-        for key in past:
-            self._drop(key)
-        return past
-
-    def sizes(self) -> tuple[int, int]:
-        """Bytes of notes and of results."""
-        notes = len(self.rows) * BARE
-        return notes, max(0, self.size_bytes - notes)
-
-    def drop_results(self, now: int, need: int) -> list[RecordWrite]:
-        """Results given up for so many bytes of room, the oldest first; their notes stay."""
-        puts = []
-        while need > 0 and self.results:
-            key = self.results.popleft()
-            row = self.rows.get(key)
-            if row is None or row.stage is not KeyStage.ENDED or not row.note.status:
-                continue
-            bare = row.note._replace(status=0, fields=(), body=b"")
-            freed = row.note.size() - bare.size()
-            need, self.size_bytes = need - max(1, freed), self.size_bytes - freed
-            row.note = bare
-            puts.append(self._write(now, key, bare))
-        return puts
-
-    # Inside.
-
-    def _without(self, now: int, key: str, note: KeyRecord, due: int) -> LedgerAction:
+                actions.append(LedgerAction(ActionKind.REJECT, key))
+            elif row.stage is KeyStage.RECORDING_END:
+                action = self._report_without_record(row, key)
+                if action is not None:
+                    actions.append(action)
+        return actions
+
+    def drop_results(self, now_us: int, needed_bytes: int) -> list[RecordWrite]:
+        """Drop results until so many bytes are free, the oldest first; their records stay."""
+        writes = []
+        while needed_bytes > 0:
+            before_bytes = self.size_bytes
+            key = self.drop_oldest_result()
+            if key is None:
+                break
+            needed_bytes -= max(1, before_bytes - self.size_bytes)
+            writes.append(self._write(now_us, key, self.rows[key].record))
+        return writes
+
+    def _decide_without_record(
+        self, now_us: int, key: str, record: KeyRecord, deadline_us: int
+    ) -> LedgerAction:
         if self.policy is UndurablePolicy.REJECT:
             self.rejected += 1
             return LedgerAction(ActionKind.REJECT, key)
         self.unrecorded_runs += 1
-        if (
-            self.size_bytes + note.size() <= self.max_bytes
-        ):  # else it runs and is not known afterwards
-            self._put_row(key, Row(KeyStage.RUNNING_UNRECORDED, note, 0, now, due))
+        if self.fits(record.memory_bytes()):  # else a duplicate finds nothing
+            row = LedgerRow(KeyStage.RUNNING_UNRECORDED, record, now_us, deadline_us)
+            self._put_row(key, row)
         return LedgerAction(ActionKind.RUN, key)
 
-    def _unended(self, row: Row, key: str) -> LedgerAction | None:
-        """Its end is not on the disk, or not yet: told once."""
-        told, row.told = row.told, True
-        if told:
+    def _report_recorded_end(self, row: LedgerRow, key: str) -> LedgerAction | None:
+        row.stage = KeyStage.ENDED
+        self.results.append(key)
+        if row.end_reported:
             return None
-        self.unrecorded_ends += 1
-        return LedgerAction(
-            ActionKind.REPORT_END
-            if self.policy is UndurablePolicy.RUN_ANYWAY
-            else ActionKind.REPORT_UNKNOWN,
-            key,
-        )
-
-    def _write(self, now: int, key: str, note: KeyRecord | None) -> RecordWrite:
-        self.count += 1
-        self.rows[key].number, self.writes_in_flight[self.count] = self.count, key
-        self.pending_writes.began(now, self.count)
-        return RecordWrite(key, note, self.count)
-
-    def _back(self, now: int, put: RecordWrite, durable: bool) -> Row | None:
-        """The row that a write is the last one of."""
-        self.writes_in_flight.pop(put.number, None)
-        self.pending_writes.ended(now, put.number, durable)
-        row = self.rows.get(put.key)
-        return row if row is not None and row.number == put.number else None
-
-    def _put_row(self, key: str, row: Row) -> None:
-        self._drop(key)
-        self.rows[key] = row
-        self.size_bytes += row.note.size()
-        heapq.heappush(self.ends, (row.note.until, key))
+        row.end_reported = True
+        return LedgerAction(ActionKind.REPORT_END, key)
 
-    def _drop(self, key: str) -> None:
-        row = self.rows.pop(key, None)
-        if row is not None:
-            self.size_bytes -= row.note.size()
+    def _report_without_record(self, row: LedgerRow, key: str) -> LedgerAction | None:
+        """Report, once, an end that is not on the disk, or not yet."""
+        if row.end_reported:
+            return None
+        row.end_reported = True
+        self.unrecorded_ends += 1
+        if self.policy is UndurablePolicy.RUN_ANYWAY:
+            return LedgerAction(ActionKind.REPORT_END, key)
+        return LedgerAction(ActionKind.REPORT_UNKNOWN, key)
+
+    def _write(self, now_us: int, key: str, record: KeyRecord | None) -> RecordWrite:
+        self.writes += 1
+        self.rows[key].last_write = self.writes
+        self.writes_in_flight[self.writes] = key
+        self.pending_writes.started(now_us, self.writes)
+        return RecordWrite(key, record, self.writes)
+
+    def _row_of_write(self, now_us: int, write: RecordWrite, durable: bool) -> LedgerRow | None:
+        """Give the row that a write is the last one of."""
+        self.writes_in_flight.pop(write.number, None)
+        self.pending_writes.finished(now_us, write.number, durable)
+        row = self.rows.get(write.key)
+        return row if row is not None and row.last_write == write.number else None
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -86,7 +86,7 @@
             return entry, prior
         note = self.past(now, digest(request.request_class.name, request.key))
         if note is not None:
-            entry = KeyEntry(None, note.until)
+            entry = KeyEntry(None, note.window_end_us)
             if note.phase is RunPhase.ENDED and note.status:
                 entry.result = Answer(note.status, note.body, note.fields)
             return entry, PAST
@@ -136,8 +136,8 @@
 
     def start(self) -> None:
         self.room.size |= {
-            DataKind.KEY_RECORDS: lambda: self.ledger.sizes()[0],
-            DataKind.RESULTS: lambda: self.ledger.sizes()[1],
+            DataKind.KEY_RECORDS: lambda: self.ledger.record_bytes(),
+            DataKind.RESULTS: lambda: self.ledger.result_bytes(),
         }
         self.room.give[DataKind.RESULTS] = self.give
         self.room.tidy.append(self.tidy)
@@ -176,7 +176,7 @@
             return
         trust = assess_folder(mark, len(found), self.daemon.configuration.name, 0, now)
         with self.promised.pen:
-            rows = [(key, packed(row.note)) for key, row in self.ledger.rows.items()]
+            rows = [(key, packed(row.record)) for key, row in self.ledger.rows.items()]
             known = {key for key, _ in rows}
             found = [(key, note) for key, note in found if key not in known]
             past = self.ledger.recover(now, found if trust.believed else [])
@@ -223,7 +223,7 @@
             self.daemon.metrics.increment("keys.older_copy")
             log.error("keys not believed", extra=log_fields(why=self.trust.reason))
         if own > self.mark.number:
-            self.mark = self.mark._replace(number=own, at=now)
+            self.mark = self.mark._replace(number=own, written_us=now)
             self.put(MARK, encode(tuple(self.mark)))
 
     # For the decisions' side.
@@ -277,7 +277,7 @@
             for put in puts:
                 self.put(
                     put.key,
-                    packed(put.note),
+                    packed(put.record),
                     lambda durable, put=put: self.promised.told(put, durable),
                 )
         self.daemon.metrics.increment("keys.results_dropped", len(puts))
@@ -316,7 +316,7 @@
                 "lost": one.unrecorded_ends,
                 "refused": one.rejected,
                 "out": len(one.writes_in_flight),
-                "usual_ms": f"{waits.mean / 1000:.2f}",
+                "usual_ms": f"{waits.mean_us / 1000:.2f}",
             }
         groups = committer.committed_groups if committer else 0
         log.info(
--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -229,7 +229,7 @@
             while isinstance(said, RecordWrite):
                 put = said
                 queued = self.disk(
-                    put.key, packed(put.note), lambda durable, put=put: self.told(put, durable)
+                    put.key, packed(put.record), lambda durable, put=put: self.told(put, durable)
                 )
                 said = None if queued else self.ledger.write_rejected(clock.now(), put)
             return said
--- a/gullyoke/storage/disk_monitor.py
+++ b/gullyoke/storage/disk_monitor.py
@@ -140,15 +140,15 @@
         """
         with self.lock:
             probe_is_due = self.health.claim_probe(clock.now())
-            calls_hang = (
-                bool(self.health.out) and self.health.state(clock.now()) is DiskState.STALLED
-            )
+            calls_hang = False
+            if self.health.calls_in_flight:
+                calls_hang = self.health.state(clock.now()) is DiskState.STALLED
         if calls_hang:
             return  # this one would hang as well
         folder = storage_folder.StorageFolder(self.folder, False, False)
         free_share = self._free_share(MonitoredFolder(folder, self).free_space())
         with self.lock:
-            self.health.set_free_share(clock.now(), free_share)
+            self.health.set_free_share(free_share)
             state = self.health.state(clock.now())
         if probe_is_due:
             self._probe(folder)
--- a/tests/compatibility/test_note_store.py
+++ b/tests/compatibility/test_note_store.py
@@ -11,8 +11,7 @@
     UndurablePolicy,
     assess_folder,
 )
-from gullyoke.durability.folder_trust import FORMAT as FOLDER_FORMAT
-from gullyoke.durability.folder_trust import next_mark
+from gullyoke.durability.folder_trust import FOLDER_FORMAT, next_mark
 from gullyoke.durability.key_record import DuplicateVerdict, judge_record
 from gullyoke.extensions.keys import FOLDER, MARK, decode_mark
 from gullyoke.extensions.promised import NOTE, digest, encode, packed, unpacked
--- a/tests/durability/test_rules.py
+++ b/tests/durability/test_rules.py
@@ -27,13 +27,14 @@
     assess_folder,
     judge_record,
 )
-from gullyoke.durability.disk_health import BAD_STATES, DWELL_LONGEST
+from gullyoke.durability.disk_health import BAD_STATES, MAX_BAD_US
 from gullyoke.durability.disk_quota import DataKind
 from gullyoke.durability.folder_trust import next_mark
-from gullyoke.durability.key_ledger import KeyStage, LedgerAction
 from gullyoke.durability.key_record import recovered_record
+from gullyoke.durability.ledger_commands import LedgerAction
 from gullyoke.durability.pending_writes import WRITE_TIMEOUT_US
-from gullyoke.model_checking import key_ledger as notes
+from gullyoke.durability.record_table import KeyStage
+from gullyoke.model_checking import key_ledger
 from gullyoke.storage import SlotFile, StoreFaultedError, StoreFullError
 from gullyoke.storage.slot_file import SLOT_COPY_BYTES, SLOT_FILE_NAME
 
@@ -63,7 +64,7 @@
         elif what == "end":
             one.call_finished(now, out.pop(words[0]))
         elif what == "free":
-            one.set_free_share(now, float(words[0]))
+            one.set_free_share(float(words[0]))
         elif what == "is":
             self.assertEqual(one.state(now).value, " ".join(words))
         elif what == "trial":
@@ -93,7 +94,7 @@
                 one.call_finished(
                     now, one.call_started(now, "sync"), errno.EIO if faulty else None, trial
                 )
-            if now > 300 * SECOND + DWELL_LONGEST + 30 * SECOND:
+            if now > 300 * SECOND + MAX_BAD_US + 30 * SECOND:
                 self.assertIs(one.state(now), DiskState.HEALTHY)
         self.assertLessEqual(len(turns), 40)  # 300 s of faults at every third call
 
@@ -107,17 +108,17 @@
         """
         waits = PendingWrites()
         for i in range(100):
-            waits.began(i * 10_000, i)
-            waits.ended(i * 10_000 + 2_000, i, True)
-        self.assertLess(waits.usual(10**6), 3_000)
+            waits.started(i * 10_000, i)
+            waits.finished(i * 10_000 + 2_000, i, True)
+        self.assertLess(waits.expected_us(10**6), 3_000)
         self.assertTrue(waits.in_time(0, 100_000, 50_000))
-        waits.began(10**6, "stuck")
-        self.assertGreater(waits.usual(10**6 + 300_000), 299_000)
+        waits.started(10**6, "stuck")
+        self.assertGreater(waits.expected_us(10**6 + 300_000), 299_000)
         self.assertFalse(waits.in_time(10**6 + 300_000, 10**6 + 800_000, 50_000))
         self.assertFalse(waits.is_overdue(10**6 + WRITE_TIMEOUT_US - 1, 10**6, 10**9))
         self.assertTrue(waits.is_overdue(10**6 + WRITE_TIMEOUT_US, 10**6, 10**9))
-        waits.ended(10**6 + WRITE_TIMEOUT_US, "stuck", False)
-        self.assertLess(waits.usual(10**7), 3_000)
+        waits.finished(10**6 + WRITE_TIMEOUT_US, "stuck", False)
+        self.assertLess(waits.expected_us(10**7), 3_000)
 
 
 class Shares(unittest.TestCase):
@@ -189,9 +190,9 @@
     def test_clock(self):
         """After a clock went back a note is in force for its window from now, not for a year."""
         note = KeyRecord(RunPhase.STARTED, 1, 10**15, 10**15 + 60 * SECOND)
-        self.assertEqual(recovered_record(note, 10**14).until, 10**14 + 60 * SECOND)
-        self.assertIs(judge_record(note, note.until + 1), DuplicateVerdict.MAY_RUN)
-        self.assertIs(judge_record(note, note.until), DuplicateVerdict.UNKNOWN)
+        self.assertEqual(recovered_record(note, 10**14).window_end_us, 10**14 + 60 * SECOND)
+        self.assertIs(judge_record(note, note.window_end_us + 1), DuplicateVerdict.MAY_RUN)
+        self.assertIs(judge_record(note, note.window_end_us), DuplicateVerdict.UNKNOWN)
 
 
 class Ledgers(unittest.TestCase):
@@ -200,13 +201,13 @@
         last state: never a second run, never turned away after one, never an end told that is lost.
         Without one of the guards the walk finds one.
         """
-        for without in UndurablePolicy:
-            states, wrong = notes.found(None, 30, without)
+        for policy in UndurablePolicy:
+            states, wrong = key_ledger.explore_ledger(None, 30, policy)
             self.assertIsNone(wrong)
             self.assertGreater(states, 1_000)
-        for guard in notes.MUTANTS:
+        for guard in key_ledger.MUTANTS:
             with self.subTest(guard):
-                self.assertIsNotNone(notes.found(guard, 8)[1])
+                self.assertIsNotNone(key_ledger.explore_ledger(guard, 8).violation)
 
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6), st.sampled_from(list(UndurablePolicy)))
@@ -264,14 +265,16 @@
                 one.expire(now)
                 queue += one.drop_results(now, chance.randrange(200))
             self.assertLessEqual(one.size_bytes, 20_000)
-            self.assertEqual(one.size_bytes, sum(row.note.size() for row in one.rows.values()))
+            self.assertEqual(
+                one.size_bytes, sum(row.record.memory_bytes() for row in one.rows.values())
+            )
         for put in queue:
             take(one.write_finished(now, put, True))
         while running:
             take(one.end_run(now, running.pop(), 200, (), b"", False))
         self.assertEqual(asked, told)
         one.expire(now + 60 * SECOND)
-        self.assertEqual((one.ends, len(one.results)), ([], 0))
+        self.assertEqual((one.window_ends, len(one.results)), ([], 0))
         self.assertEqual(
             [row.stage for row in one.rows.values() if row.stage is not KeyStage.ABANDONED], []
         )
