--- a/gullyoke/__main__.py
+++ b/gullyoke/__main__.py
@@ -8,7 +8,8 @@
 from gullyoke.runtime import signals
 
 if __name__ == "__main__":
-    signals.hold()  # before the imports, which take a while: no signal may end it meanwhile
+    # Before the imports, which take a while: no signal may end it meanwhile.
+    signals.block_signals()
     from gullyoke.daemon.serve import serve
 
     sys.exit(serve())
--- a/gullyoke/cli/main.py
+++ b/gullyoke/cli/main.py
@@ -50,7 +50,7 @@
       gullyoke serve --config config.json
       NODE_CONFIG=config.json gullyoke serve --operator deploy/scgi.textproto
     """
-    signals.hold()
+    signals.block_signals()
     from gullyoke.daemon.serve import serve as run
 
     if config:
--- a/gullyoke/daemon/command_router.py
+++ b/gullyoke/daemon/command_router.py
@@ -20,8 +20,9 @@
 from gullyoke.daemon.gauge_poller import GaugePoller
 from gullyoke.dependencies.client import DependencyClient
 from gullyoke.executors import Executor
-from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
+from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.lifecycle import Lifecycle
+from gullyoke.runtime.pending_request import PendingRequest
 from gullyoke.runtime.timer import Timer
 
 
@@ -87,8 +88,8 @@
     def _await_duplicate(self, request: PendingRequest, command: Command) -> None:
         """Answer from the request that this one repeats, now or once that has ended."""
         entry, _ = self._dispatcher.duplicates.find(request, self._dispatcher.now)
-        if entry is not None and entry.holder is not None:
-            entry.waiting.append(request)
+        if entry is not None and entry.request is not None:
+            entry.waiters.append(request)
         elif entry is not None and entry.result is not None:
             self._dispatcher.answer(request, RequestEvent.COMPLETED, entry.result)
             self._dispatcher.post_event(request, RequestEvent.COMPLETED)
@@ -99,7 +100,7 @@
         """The request is over: withdraw its call, and take it out of the tables."""
         if request.dependency_call is not None:
             self._dependency.abandon(request)
-        self._dispatcher.over(request)
+        self._dispatcher.on_finished(request)
 
     def schedule_tick(self, delay: int) -> None:
         """Let the decisions have their next tick after `delay` microseconds."""
@@ -107,20 +108,20 @@
 
     def set_health(self, ready: bool, cheap: bool) -> None:
         """Answer health checks so from now on."""
-        self._lifecycle.good = ready
+        self._lifecycle.ready = ready
 
     def set_load_signal(self, level: float) -> None:
         """Send this level with every answer from now on."""
-        self._lifecycle.level = level
+        self._lifecycle.load_signal = level
 
     def set_idle_timeout(self, timeout: int) -> None:
         """Close client connections that are idle for so many microseconds; 0: the longest."""
-        self._lifecycle.idle = timeout or self._lifecycle.longest_idle
+        self._lifecycle.idle_timeout_us = timeout or self._lifecycle.default_idle_timeout_us
 
     def log(self, text: str) -> None:
         """Queue a line for the log, written after the lock is released."""
-        self._dispatcher.notes.append(text)
+        self._dispatcher.pending_log_lines.append(text)
 
     def run_in_background(self, work: Iterator[None]) -> None:
         """Queue work that the dispatcher's own thread carries on, step by step."""
-        self._dispatcher.thoughts.put(work)
+        self._dispatcher.background_work.put(work)
--- a/gullyoke/daemon/daemon.py
+++ b/gullyoke/daemon/daemon.py
@@ -27,10 +27,10 @@
 from gullyoke.dependencies.client import DependencyClient
 from gullyoke.executors import Executor
 from gullyoke.executors.engine_link import EngineLink
-from gullyoke.frontends.connection_limits import Room
+from gullyoke.frontends.connection_limits import ConnectionLimits
 from gullyoke.frontends.connections import ConnectionTable
 from gullyoke.frontends.http1 import Http1
-from gullyoke.frontends.message_handler import Intake
+from gullyoke.frontends.message_handler import MessageHandler
 from gullyoke.runtime import clock, signals
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.duplicate_table import DuplicateTable
@@ -83,7 +83,7 @@
     executor: Executor
     database: DependencyClient
     event_relay: EventRelay
-    connection_limits: Room
+    connection_limits: ConnectionLimits
     connections: ConnectionTable
     service_discovery: ServiceDiscoveryReporter | None
     reloader: ConfigurationReloader
@@ -103,12 +103,14 @@
     def start(self) -> None:
         """Start all threads and serve."""
         self.timer.start()
-        threading.Thread(target=self.dispatcher.think, name="think", daemon=True).start()
+        threading.Thread(
+            target=self.dispatcher.run_background_work, name="think", daemon=True
+        ).start()
         for extension in self.extensions:
             extension.start()
         self.executor.start(self.event_relay)
         self.database.start(self.event_relay)
-        self.timer.at(clock.now() + SWEEP_INTERVAL_US, self.sweep)
+        self.timer.call_at(clock.now() + SWEEP_INTERVAL_US, self.sweep)
         self.connections.start()
         if self.service_discovery is not None:
             self.service_discovery.start()
@@ -121,7 +123,7 @@
 
     def sweep(self) -> None:
         """Close the connections whose time is up; runs on the timer's thread."""
-        self.timer.at(clock.now() + SWEEP_INTERVAL_US, self.sweep)
+        self.timer.call_at(clock.now() + SWEEP_INTERVAL_US, self.sweep)
         self.connections.sweep()
         self.database.close_idle()
 
@@ -148,7 +150,7 @@
     def apply_reload(self) -> None:
         """Read the configuration again and take over what may change under requests in flight."""
         self.configuration = self.reloader.reload(self.configuration)
-        self.connection_limits.state(max_connections(self.configuration, self.extensions))
+        self.connection_limits.set_limit(max_connections(self.configuration, self.extensions))
 
     def drain(self) -> int:
         """Answer what still comes until shortly before the stop, then close everything.
@@ -163,7 +165,7 @@
                 in_hand=len(self.dispatcher.requests),
             ),
         )
-        self.dispatcher.leave(self.configuration.stop_after_us)
+        self.dispatcher.begin_drain(self.configuration.stop_after_us)
         for extension in self.extensions:
             extension.begin_drain()
         stop_at = self.dispatcher.stop_at
@@ -188,7 +190,7 @@
                 self.handle_signal(received.si_signo)
 
     def _close_connections(self, end_us: int) -> None:
-        self.connections.leave()
+        self.connections.stop_accepting()
         while self.connections.open and clock.now() < end_us:
             time.sleep(CLOSE_POLL_S)
 
@@ -224,8 +226,8 @@
         duplicates=_create_duplicate_table(configuration, extensions),
     )
     lifecycle = Lifecycle(configuration.facts.permissions.max_idle)
-    message_handler = Intake(dispatcher, lifecycle, metrics)
-    connection_limits = Room(max_connections(configuration, extensions))
+    message_handler = MessageHandler(dispatcher, lifecycle, metrics)
+    connection_limits = ConnectionLimits(max_connections(configuration, extensions))
     connections = ConnectionTable(connection_limits, dispatcher, lifecycle, metrics)
     parts = DaemonParts(
         configuration, metrics, timer, dispatcher, lifecycle, message_handler, connections
@@ -243,7 +245,7 @@
     service_discovery = _create_service_discovery(configuration, lifecycle, metrics)
     for extension in extensions:
         extension.attach(parts)
-    connection_limits.among(len(connections.listeners))
+    connection_limits.set_listener_count(len(connections.listeners))
 
     clients: dict[str, AddressedClient] = {"engine": executor, "database": database}
     if service_discovery is not None:
@@ -315,7 +317,7 @@
     return ServiceDiscoveryReporter(
         configuration.name_service,
         configuration.name,
-        lambda: lifecycle.good,
+        lambda: lifecycle.ready,
         random.Random(configuration.seed),
         metrics,
     )
--- a/gullyoke/daemon/event_relay.py
+++ b/gullyoke/daemon/event_relay.py
@@ -9,10 +9,11 @@
 from gullyoke.daemon.command_router import CommandRouter
 from gullyoke.executors import EngineState, Executor, RunOutcome
 from gullyoke.runtime import clock
-from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
+from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.messages import Answer
 from gullyoke.runtime.metrics import Metrics
+from gullyoke.runtime.pending_request import PendingRequest
 
 US_PER_MS: Final = 1000
 STATUS_OK: Final = 200
--- a/gullyoke/daemon/extension.py
+++ b/gullyoke/daemon/extension.py
@@ -13,7 +13,7 @@
 from gullyoke.daemon.configuration import DaemonConfiguration
 from gullyoke.executors import Executor
 from gullyoke.frontends.connections import ConnectionTable
-from gullyoke.frontends.message_handler import Intake
+from gullyoke.frontends.message_handler import MessageHandler
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.duplicate_table import DuplicateTable
 from gullyoke.runtime.lifecycle import Lifecycle
@@ -41,7 +41,7 @@
     timer: Timer
     dispatcher: Dispatcher
     lifecycle: Lifecycle
-    message_handler: Intake
+    message_handler: MessageHandler
     connections: ConnectionTable
 
 
--- a/gullyoke/daemon/gauge_poller.py
+++ b/gullyoke/daemon/gauge_poller.py
@@ -34,7 +34,7 @@
         Counted from when the last one was due: waiting for gauges must not delay all later ones.
         """
         self.due = max(self._dispatcher.now, self.due + delay_us)
-        self._timer.at(self.due, self.poll)
+        self._timer.call_at(self.due, self.poll)
 
     def poll(self) -> None:
         """Ask for the gauges; the tick comes with them, or without any if they don't come soon."""
@@ -42,7 +42,7 @@
         tag = self._awaited_tag
         # From this moment, not from the last event's: where little happens that is older than the
         # whole timeout.
-        self._timer.at(clock.now() + GAUGES_TIMEOUT_US, lambda: self.on_gauges(tag, NO_GAUGES))
+        self._timer.call_at(clock.now() + GAUGES_TIMEOUT_US, lambda: self.on_gauges(tag, NO_GAUGES))
         self._executor.poll_gauges(tag)
 
     def on_gauges(self, tag: int, gauges: Mapping[str, float]) -> None:
@@ -52,4 +52,4 @@
                 return
             self._awaited_tag += 1
             self._dispatcher.duplicates.expire(self._dispatcher.now)
-        self._dispatcher.gauges(gauges)
+        self._dispatcher.on_tick(gauges)
--- a/gullyoke/daemon/serve.py
+++ b/gullyoke/daemon/serve.py
@@ -31,7 +31,7 @@
     Returns:
         The exit code: 0, or 2 where the configuration is missing or invalid.
     """
-    signals.hold()  # the command line may not have done so
+    signals.block_signals()  # the command line may not have done so
     try:
         configuration = load_configuration(os.environ, engine_optional)
         daemon = build_daemon(configuration, operator_file, log_formatter)
--- a/gullyoke/daemon/service_discovery.py
+++ b/gullyoke/daemon/service_discovery.py
@@ -16,11 +16,11 @@
 from gullyoke.codec import http
 from gullyoke.codec.buffer import Buffer
 from gullyoke.runtime import clock
-from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, served
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, serve_connection
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.messages import BadRequestError
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.runtime.sockets import Until, connected
+from gullyoke.runtime.sockets import DeadlineSocket, open_connection
 
 REPORT_INTERVAL_S: Final = 0.8  # the name service drops a server that is silent for 3 seconds
 REPORT_TIMEOUT_S: Final = 0.5
@@ -72,7 +72,9 @@
         backoff_s = FIRST_BACKOFF_S
         last_failure: CloseReason | None = None
         while True:
-            result, why = served(self.report, lambda: self.metrics.record_internal_error("naming"))
+            result, why = serve_connection(
+                self.report, lambda: self.metrics.record_internal_error("naming")
+            )
             if result is CloseReason.DECLARED:
                 last_failure = None
                 wait_s = REPORT_INTERVAL_S
@@ -96,7 +98,7 @@
         """
         connection = self._connect()
         # Guards against an answer that comes byte by byte: the timeout is for the whole of it.
-        link = Until(connection, clock.now() + int(REPORT_TIMEOUT_S * 1e6))
+        link = DeadlineSocket(connection, clock.now() + int(REPORT_TIMEOUT_S * 1e6))
         buffer = Buffer(link, http.BUFFER)
         link.send(self._request())
         try:
@@ -124,7 +126,7 @@
         if self.connection is None or self.connected_address != self.address:
             self.close()
             self.connected_address = self.address
-            self.connection = connected(self.connected_address, REPORT_TIMEOUT_S)
+            self.connection = open_connection(self.connected_address, REPORT_TIMEOUT_S)
         return self.connection
 
     def _request(self) -> bytes:
--- a/gullyoke/dependencies/__init__.py
+++ b/gullyoke/dependencies/__init__.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from gullyoke.admission.interface import RequestEvent
-from gullyoke.runtime.dispatcher import PendingRequest
+from gullyoke.runtime.pending_request import PendingRequest
 
 
 class DependencyListener(Protocol):
--- a/gullyoke/dependencies/call.py
+++ b/gullyoke/dependencies/call.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from gullyoke.codec.lines import command
-from gullyoke.runtime.dispatcher import PendingRequest
+from gullyoke.runtime.pending_request import PendingRequest
 
 if TYPE_CHECKING:
     from gullyoke.dependencies.connection import DependencyConnection
--- a/gullyoke/dependencies/client.py
+++ b/gullyoke/dependencies/client.py
@@ -20,13 +20,13 @@
     CloseReason,
     ConnectionClosedError,
     PeerKind,
-    outcome,
-    served,
+    event_for_closed,
+    serve_connection,
 )
-from gullyoke.runtime.dispatcher import PendingRequest
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.runtime.sockets import Receiver, connected
+from gullyoke.runtime.pending_request import PendingRequest
+from gullyoke.runtime.sockets import Receiver, open_connection
 from gullyoke.runtime.timer import Timer
 
 CONNECT_TIMEOUT_S: Final = 1.0
@@ -113,7 +113,7 @@
         """Make the call that the request's run waits for; give it up after `timeout_us`."""
         call = DependencyCall(request, timeout_us)
         request.dependency_call = call
-        self._timer.at(now + timeout_us, lambda: self.on_timeout(call))
+        self._timer.call_at(now + timeout_us, lambda: self.on_timeout(call))
         with self.lock:
             connection = self._take_idle(request.request_id)
             if connection is None:
@@ -211,12 +211,12 @@
         """A connection's life: opened for a call, and read until it ends."""
         try:
             address = self._address
-            connection = DependencyConnection(connected(address, CONNECT_TIMEOUT_S), address)
+            connection = DependencyConnection(open_connection(address, CONNECT_TIMEOUT_S), address)
         except ConnectionClosedError as fault:
-            self._on_connection_ended(None, call, fault.end, str(fault))
+            self._on_connection_ended(None, call, fault.reason, str(fault))
             return
         self._send_first_call(connection, call)
-        reason, text = served(
+        reason, text = serve_connection(
             lambda: self._read_replies(connection),
             lambda: self._metrics.record_internal_error("database"),
         )
@@ -264,7 +264,7 @@
             )
             self._last_reason = reason
         if call is not None and self.claim_end(call):
-            event = outcome(PeerKind.DATABASE, reason)
+            event = event_for_closed(PeerKind.DATABASE, reason)
             assert event is not None
             self._listener.on_call_ended(call.request, event, b"")
 
--- a/gullyoke/dependencies/connection.py
+++ b/gullyoke/dependencies/connection.py
@@ -7,7 +7,7 @@
 
 from gullyoke.dependencies.call import DependencyCall
 from gullyoke.runtime import clock
-from gullyoke.runtime.sockets import shut
+from gullyoke.runtime.sockets import shutdown_both
 
 
 class DependencyConnection:
@@ -59,7 +59,7 @@
 
     def shut_down(self) -> None:
         """End it in both directions, which wakes its reading thread."""
-        shut(self.sock)
+        shutdown_both(self.sock)
 
     def close(self) -> None:
         """Close the socket, by the reading thread alone."""
--- a/gullyoke/executors/__init__.py
+++ b/gullyoke/executors/__init__.py
@@ -10,8 +10,8 @@
 from typing import Protocol
 
 from gullyoke.admission.interface import RequestEvent
-from gullyoke.runtime.dispatcher import PendingRequest
 from gullyoke.runtime.messages import Answer
+from gullyoke.runtime.pending_request import PendingRequest
 
 
 class EngineState(Enum):
--- a/gullyoke/executors/backend_attempt.py
+++ b/gullyoke/executors/backend_attempt.py
@@ -9,11 +9,16 @@
 from gullyoke.codec.buffer import Buffer
 from gullyoke.routing import AttemptOutcome, RoutedRun, SendAttempt, outcome_of_close
 from gullyoke.runtime import clock
-from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, end_of
-from gullyoke.runtime.dispatcher import PendingRequest
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, close_reason_of
 from gullyoke.runtime.messages import Answer
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.runtime.sockets import ConnectionBrokenError, Until, connected, shut
+from gullyoke.runtime.pending_request import PendingRequest
+from gullyoke.runtime.sockets import (
+    ConnectionBrokenError,
+    DeadlineSocket,
+    open_connection,
+    shutdown_both,
+)
 
 CONNECT_TIMEOUT_S: Final = 1.0
 US_PER_S: Final = 1_000_000
@@ -92,11 +97,11 @@
         try:
             answer = self._exchange()
         except ConnectionBrokenError as fault:
-            return self._failed(fault.end, True, str(fault))
+            return self._failed(fault.reason, True, str(fault))
         except ConnectionClosedError as fault:
-            return self._failed(fault.end, False, str(fault))
+            return self._failed(fault.reason, False, str(fault))
         except OSError as fault:
-            return self._failed(end_of(fault), True, str(fault))
+            return self._failed(close_reason_of(fault), True, str(fault))
         except Exception:
             self._metrics.record_internal_error("backends", request_of(self.run).request_id)
             outcome = outcome_of_close(CloseReason.FAULT, True)
@@ -110,11 +115,11 @@
     def shut_down(self) -> None:
         """End the connection, if there is one; the thread that makes the attempt closes it."""
         if self._sock is not None:
-            shut(self._sock)
+            shutdown_both(self._sock)
 
     def _close(self) -> None:
         if self._sock is not None:
-            shut(self._sock)
+            shutdown_both(self._sock)
             self._sock.close()
 
     def _failed(self, reason: CloseReason, written: bool, text: str) -> AttemptResult:
@@ -135,22 +140,22 @@
         try:
             answer = self._read_answer(connection)
         except ConnectionClosedError as fault:
-            raise ConnectionBrokenError(fault.end, str(fault)) from None
+            raise ConnectionBrokenError(fault.reason, str(fault)) from None
         # What a back end rejects has reached it: our clients must not read the promise that it
         # never ran.
         if answer.status in NEVER_RAN_STATUSES:
             return answer._replace(status=BAD_GATEWAY)
         return answer
 
-    def _connect(self, until: int) -> Until:
+    def _connect(self, until: int) -> DeadlineSocket:
         left_s = (until - clock.now()) / US_PER_S
         if left_s <= 0:  # no fault of the back end's
             raise ConnectionClosedError(CloseReason.DECLARED, "its time is over")
         address = self._owner.address_of(self._backend_name)
-        self._sock = connected(address, min(CONNECT_TIMEOUT_S, left_s))
+        self._sock = open_connection(address, min(CONNECT_TIMEOUT_S, left_s))
         if not self._owner.register(self):
             raise ConnectionClosedError(CloseReason.DECLARED, "stopped")
-        return Until(self._sock, until)
+        return DeadlineSocket(self._sock, until)
 
     def _encode_request(self) -> bytes:
         replaced_fields = {
@@ -159,6 +164,6 @@
         }
         return scgi.request(request_of(self.run).message, replaced_fields)
 
-    def _read_answer(self, connection: Until) -> Answer:
+    def _read_answer(self, connection: DeadlineSocket) -> Answer:
         max_bytes = self._settings.max_answer_bytes
         return scgi.read_answer(Buffer(connection, scgi.ANSWER_HEAD + max_bytes + 1), max_bytes)
--- a/gullyoke/executors/engine_link.py
+++ b/gullyoke/executors/engine_link.py
@@ -23,11 +23,11 @@
     Notice,
     RunEndedNotice,
 )
-from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, served
-from gullyoke.runtime.dispatcher import PendingRequest
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, serve_connection
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.runtime.sockets import Receiver, connected, shut
+from gullyoke.runtime.pending_request import PendingRequest
+from gullyoke.runtime.sockets import Receiver, open_connection, shutdown_both
 
 CONNECT_TIMEOUT_S: Final = 1.0
 FIRST_BACKOFF_S: Final = 0.02
@@ -112,7 +112,7 @@
         with self.condition:
             self._address = address
             if self.sock is not None:
-                shut(self.sock)
+                shutdown_both(self.sock)
         self._address_changed.set()
 
     # Commands, given under the dispatcher's lock.
@@ -170,7 +170,7 @@
             except BlockingIOError:
                 written = 0
             except OSError:
-                shut(self.sock)  # the reading thread reports how it ended
+                shutdown_both(self.sock)  # the reading thread reports how it ended
                 return
             if written < len(data):
                 self.unwritten = data[written:]
@@ -217,7 +217,7 @@
             sock.sendall(unwritten + b"".join(command.data for command in batch))
             self.metrics.increment("engine.commands", len(batch))
         except OSError:
-            shut(sock)  # the reading thread reports how it ended
+            shutdown_both(sock)  # the reading thread reports how it ended
         finally:
             with self.condition:
                 self._writing = False
@@ -231,7 +231,7 @@
         last_reason = None
         while True:
             last_notice = self._last_notice
-            reason, text = served(
+            reason, text = serve_connection(
                 self.attach_and_read, lambda: self.metrics.record_internal_error("engine")
             )
             self._close()
@@ -259,7 +259,7 @@
             self.sock = None
             if sock is None:
                 return
-            shut(sock)  # ends a write that is going on
+            shutdown_both(sock)  # ends a write that is going on
             while self._writing:
                 self.condition.wait()
         sock.close()
@@ -267,7 +267,7 @@
     def attach_and_read(self) -> CloseReason:
         """The life of one link."""
         address = self._address
-        sock = connected(address, CONNECT_TIMEOUT_S)
+        sock = open_connection(address, CONNECT_TIMEOUT_S)
         with self.condition:
             self.sock = sock
             self._attach_tag = ""
--- a/gullyoke/executors/scgi_backends.py
+++ b/gullyoke/executors/scgi_backends.py
@@ -32,10 +32,10 @@
     SendAttempt,
 )
 from gullyoke.runtime import clock
-from gullyoke.runtime.dispatcher import PendingRequest, log_identity
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.messages import Answer
 from gullyoke.runtime.metrics import Metrics
+from gullyoke.runtime.pending_request import PendingRequest, log_identity
 from gullyoke.runtime.worker_pool import WorkerPool
 
 
@@ -195,7 +195,7 @@
         """Hand an attempt to an idle worker, or have one started, which takes too long for here."""
         self._metrics.increment("backends.sent")
         request_of(send.run).backend_name = send.backend.settings.name
-        if not self._workers.hand(send):
+        if not self._workers.assign(send):
             self._to_start.put(send)
 
     def _forget(self, run: RoutedRun) -> None:
@@ -212,7 +212,7 @@
         send = self._to_start.get()
         try:
             threading.Thread(
-                target=self._workers.work, args=(send,), name="backend", daemon=True
+                target=self._workers.run_worker, args=(send,), name="backend", daemon=True
             ).start()
             self._metrics.increment("threads.backend")
         except RuntimeError as fault:  # the system has no thread to spare
--- a/gullyoke/experiments/world.py
+++ b/gullyoke/experiments/world.py
@@ -80,7 +80,7 @@
             with self.pen:
                 act()
 
-        self.timer.at(clock.now() + delay, locked)
+        self.timer.call_at(clock.now() + delay, locked)
 
     def message(self, link, file, words: list[str]) -> None:
         body = file.read(int(words[-1]) + 2)[:-2] if words[0] in ("RUN", "FEED") else b""
--- a/gullyoke/extensions/class_pools.py
+++ b/gullyoke/extensions/class_pools.py
@@ -24,4 +24,4 @@
                     f"{self.path}: pools.class.handler: {name!r} is no handler of this site; "
                     f"right would be one of {', '.join(dispatcher.request_classes)}"
                 )
-        dispatcher.pool(self.classed.minimum, self.classed.classes)
+        dispatcher.set_class_pools(self.classed.minimum, self.classed.classes)
--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -114,7 +114,7 @@
         self.link.begin(self.member)
         if self.answers:
             self.answers.start()
-        daemon.timer.at(clock.now() + LOOK, self.look)
+        daemon.timer.call_at(clock.now() + LOOK, self.look)
         log.info(
             "fleet",
             extra=log_fields(
@@ -147,7 +147,7 @@
     def look(self) -> None:
         """The size in force, given to the decisions where that is wanted."""
         daemon = self.daemon
-        daemon.timer.at(clock.now() + LOOK, self.look)
+        daemon.timer.call_at(clock.now() + LOOK, self.look)
         for part in self.parts:
             part.update(clock.now())
         with self.link.lock:
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -41,10 +41,10 @@
 from gullyoke.membership.row import TURNS
 from gullyoke.operator_config.wanted import Kept, Wanted
 from gullyoke.runtime import clock
-from gullyoke.runtime.dispatcher import PendingRequest
 from gullyoke.runtime.duplicate_table import DuplicateTable, KeyEntry
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.messages import Answer
+from gullyoke.runtime.pending_request import PendingRequest
 from gullyoke.storage import GroupCommitter, Store, StoreVersionError
 
 if TYPE_CHECKING:
@@ -143,7 +143,7 @@
         self.room.tidy.append(self.tidy)
         self.room.start()
         self.room.watch.listeners.append(self.turned)
-        self.daemon.timer.at(clock.now() + SWEEP, self.sweep)
+        self.daemon.timer.call_at(clock.now() + SWEEP, self.sweep)
 
     def opened(self) -> Store:
         self.files = self.room.watch.open_folder(os.path.join(self.kept.folder, FOLDER))
@@ -248,7 +248,7 @@
 
     def sweep(self) -> None:
         now = clock.now()
-        self.daemon.timer.at(now + SWEEP, self.sweep)
+        self.daemon.timer.call_at(now + SWEEP, self.sweep)
         self.promised.overdue(now)
         bad = self.room.watch.state() in BAD_STATES
         self.state(not bad and self.committer is not None)
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -95,8 +95,8 @@
     def watch(self, dispatcher: Dispatcher, timer: Timer) -> None:
         """From now on: recall once there is a learner, keep a snapshot now and then."""
         if self.committer is not None:
-            timer.at(clock.now() + LOOK, lambda: self.look(dispatcher, timer))
-            timer.at(clock.now() + COLD_LOOK, lambda: self.look_cold(dispatcher, timer))
+            timer.call_at(clock.now() + LOOK, lambda: self.look(dispatcher, timer))
+            timer.call_at(clock.now() + COLD_LOOK, lambda: self.look_cold(dispatcher, timer))
 
     def look_cold(self, dispatcher: Dispatcher, timer: Timer) -> None:
         """While the server is cold.
@@ -118,7 +118,7 @@
                     colds.apply_snapshot(server, self.cold, age)
                     self.metrics.increment("memory.cold_recalled")
         if step is not None:
-            timer.at(clock.now() + COLD_LOOK, lambda: self.look_cold(dispatcher, timer))
+            timer.call_at(clock.now() + COLD_LOOK, lambda: self.look_cold(dispatcher, timer))
             return
         with dispatcher.lock:
             del server.hold.ran  # the class's own again
@@ -137,7 +137,7 @@
         server.hold.ran = noted
 
     def look(self, dispatcher: Dispatcher, timer: Timer) -> None:
-        timer.at(clock.now() + LOOK, lambda: self.look(dispatcher, timer))
+        timer.call_at(clock.now() + LOOK, lambda: self.look(dispatcher, timer))
         with dispatcher.lock:  # copies of small tables
             server = dispatcher.server
             if server is None or server.learner is None:
@@ -165,7 +165,7 @@
         self.kept = now
         if fit:
             self.put(LEARNED, rules.pack_row(row))
-        faults = sum(n for name, n in self.metrics.rows.items() if name.startswith("faults."))
+        faults = sum(n for name, n in self.metrics.counters.items() if name.startswith("faults."))
         if not self.calm and rules.is_healthy_start((now - self.began) / 1e6, faults, crowd):
             self.calm = True
             self.put(STARTS, rules.pack_row(rules.StartHistory()))
--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -24,9 +24,10 @@
 )
 from gullyoke.executors import Executor, ExecutorListener, RunOutcome
 from gullyoke.runtime import clock
-from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
+from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.messages import Answer
 from gullyoke.runtime.metrics import Metrics
+from gullyoke.runtime.pending_request import PendingRequest
 
 NOTE = "n"  # what a note's key begins with
 ENDS = (RequestEvent.COMPLETED, RequestEvent.FAILED, RequestEvent.CANCELLED)
--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -54,7 +54,7 @@
         """Alone slow from now on, or no longer: checks say so, unless it leaves anyway."""
         judged, daemon = self.judgement, self.fleet.daemon
         if self.heed and daemon.dispatcher.stop_at is None:
-            daemon.lifecycle.good = not judged.back
+            daemon.lifecycle.ready = not judged.back
         daemon.metrics.increment("fleet.slow_alone" if judged.back else "fleet.well_again")
         log.warning(
             "slow alone" if judged.back else "no longer slow alone",
--- a/gullyoke/frontends/connection.py
+++ b/gullyoke/frontends/connection.py
@@ -14,8 +14,8 @@
 
 from gullyoke.runtime import clock
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
-from gullyoke.runtime.dispatcher import PendingRequest
-from gullyoke.runtime.sockets import drain, half_close, shut
+from gullyoke.runtime.pending_request import PendingRequest
+from gullyoke.runtime.sockets import discard_input, half_close, shutdown_both
 
 # Ends after which the peer may have sent something that we did not read, and is worth waiting for:
 # closing over unread bytes resets the connection, and takes from the peer what it has yet to read.
@@ -95,8 +95,8 @@
             self.state, self.end = State.CLOSING, end
         if end in LINGERING:
             half_close(self.sock)
-            drain(self.sock)
-        shut(self.sock)
+            discard_input(self.sock)
+        shutdown_both(self.sock)
         self.sock.close()
 
     def _enter(self, state: State) -> None:
@@ -132,7 +132,7 @@
                 return False
             if self.state is not State.CLOSING:
                 self._decide(end)
-            shut(self.sock)
+            shutdown_both(self.sock)
             return True
 
     def _decide(self, end: CloseReason) -> None:
--- a/gullyoke/frontends/connection_limits.py
+++ b/gullyoke/frontends/connection_limits.py
@@ -5,7 +5,7 @@
 from collections.abc import Hashable, Mapping
 
 
-class Room:
+class ConnectionLimits:
     """`most` places for several fronts together; each is assured an equal part of half of them.
 
     Guards against one front's clients that use all descriptors up while the other must go on. With
@@ -14,14 +14,14 @@
 
     def __init__(self, most: int, fronts: int = 1) -> None:
         self.fronts = fronts
-        self.state(most)
+        self.set_limit(most)
 
-    def among(self, fronts: int) -> None:
+    def set_listener_count(self, fronts: int) -> None:
         """So many fronts share them from now on."""
         self.fronts = fronts
-        self.state(self.most)
+        self.set_limit(self.most)
 
-    def state(self, most: int) -> None:
+    def set_limit(self, most: int) -> None:
         """So many places from now on; who is over them stays until its end."""
         self.most = most
         self.assured = most // (2 * self.fronts) if self.fronts > 1 else 0
--- a/gullyoke/frontends/connections.py
+++ b/gullyoke/frontends/connections.py
@@ -13,16 +13,16 @@
 
 from gullyoke.codec.buffer import Buffer
 from gullyoke.frontends.connection import Connection, State
-from gullyoke.frontends.connection_limits import Room
+from gullyoke.frontends.connection_limits import ConnectionLimits
 from gullyoke.frontends.listening import listening
 from gullyoke.runtime import clock
-from gullyoke.runtime.close_reasons import CloseReason, PeerKind, outcome, served
+from gullyoke.runtime.close_reasons import CloseReason, PeerKind, event_for_closed, serve_connection
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.lifecycle import Lifecycle
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.messages import Answer, BadRequestError
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.runtime.sockets import Receiver, shut
+from gullyoke.runtime.sockets import Receiver, shutdown_both
 from gullyoke.runtime.worker_pool import WorkerPool
 
 FIRST_MESSAGE_US = 2_500_000  # from connecting to a whole first message
@@ -68,7 +68,7 @@
     """
 
     def __init__(
-        self, room: Room, dispatcher: Dispatcher, lifecycle: Lifecycle, metrics: Metrics
+        self, room: ConnectionLimits, dispatcher: Dispatcher, lifecycle: Lifecycle, metrics: Metrics
     ) -> None:
         self.room, self.dispatcher, self.lifecycle, self.metrics = (
             room,
@@ -138,9 +138,12 @@
                 if not self.make_room(listener):
                     self.ended(connection, CloseReason.CROWDED, "")
                     return
-                if not self.workers.hand(connection):
+                if not self.workers.assign(connection):
                     threading.Thread(
-                        target=self.workers.work, args=(connection,), name="gateway", daemon=True
+                        target=self.workers.run_worker,
+                        args=(connection,),
+                        name="gateway",
+                        daemon=True,
                     ).start()
                     self.metrics.increment("threads.gateway")
             except (OSError, RuntimeError) as fault:  # no thread to be had, or gone already
@@ -175,7 +178,7 @@
             if not self.room.may_lose(connection.listener, listener, count):
                 continue
             if connection.abort(CloseReason.SILENT, states, since):
-                self.decided(connection)
+                self.on_closing(connection)
                 return True
         return False
 
@@ -185,7 +188,7 @@
             if self.room.may_lose(connection.listener, listener, count) and connection.close_idle(
                 CloseReason.IDLE
             ):
-                self.decided(connection)
+                self.on_closing(connection)
                 self.hurry()
                 return True
         return False
@@ -196,7 +199,7 @@
             oldest = next(iter(self.closing))
             oldest.abort(CloseReason.IDLE, {State.CLOSING}, oldest.since)
 
-    def decided(self, connection: Connection) -> None:
+    def on_closing(self, connection: Connection) -> None:
         """Its end is decided: its place is free, its descriptor will be."""
         connection.listener.placed.pop(connection, None)
         self.closing[connection] = None
@@ -206,7 +209,7 @@
     def serve(self, connection: Connection) -> None:
         """A connection's life, on its own thread."""
         front = connection.listener.front
-        end, why = served(
+        end, why = serve_connection(
             lambda: front.exchange(connection, Buffer(Receiver(connection.sock), front.buffer)),
             lambda: self.metrics.record_internal_error(front.name),
         )
@@ -221,9 +224,9 @@
                 "connection of a gateway ended",
                 extra=log_fields(end=end.value, why=why, front=front),
             )
-        word = outcome(PeerKind.GATEWAY, end)
+        word = event_for_closed(PeerKind.GATEWAY, end)
         if connection.request is not None and word is not None:
-            self.dispatcher.tell(connection.request, word)
+            self.dispatcher.notify(connection.request, word)
         for table in (self.fresh, self.idle):
             table.pop(connection, None)
         try:
@@ -249,7 +252,7 @@
         """Silent connections are ended; so are those that a peer holds up."""
         for connection in list(self.open):
             if self.overdue(connection, clock.now()):
-                self.decided(connection)
+                self.on_closing(connection)
         self.hear_gone([c for c in list(self.open) if c.state is State.WAITING])
 
     def overdue(self, connection: Connection, now: int) -> bool:
@@ -269,7 +272,9 @@
             )
         if self.lifecycle.closing:
             return connection.close_idle(CloseReason.LEAVING)
-        return 0 < self.lifecycle.idle < spent and connection.close_idle(CloseReason.IDLE)
+        return 0 < self.lifecycle.idle_timeout_us < spent and connection.close_idle(
+            CloseReason.IDLE
+        )
 
     def hear_gone(self, waiting: list[Connection]) -> None:
         """A connection that is broken while its request waits.
@@ -292,9 +297,11 @@
                 continue
             if request is not None and not request.client_gone:
                 self.metrics.increment("reqs.gone")
-                self.dispatcher.tell(request, outcome(PeerKind.GATEWAY, CloseReason.RESET))
+                self.dispatcher.notify(
+                    request, event_for_closed(PeerKind.GATEWAY, CloseReason.RESET)
+                )
 
-    def leave(self) -> None:
+    def stop_accepting(self) -> None:
         """The end of the drain: take what waits in the backlogs, then no more.
 
         Idle connections end.
@@ -310,7 +317,7 @@
                 sock.setblocking(True)
                 self.take(sock, listener)
             listener.shut = True
-            shut(listener.sock)  # wakes its accepting thread, which closes it
+            shutdown_both(listener.sock)  # wakes its accepting thread, which closes it
         with self.left:
             self.left.notify_all()
         self.sweep()
--- a/gullyoke/frontends/http1.py
+++ b/gullyoke/frontends/http1.py
@@ -5,7 +5,7 @@
 from gullyoke.codec import http
 from gullyoke.codec.buffer import Buffer
 from gullyoke.frontends.connection import Connection
-from gullyoke.frontends.message_handler import Intake
+from gullyoke.frontends.message_handler import MessageHandler
 from gullyoke.runtime.close_reasons import CloseReason
 from gullyoke.runtime.messages import Answer, BadRequestError, Message
 
@@ -17,8 +17,8 @@
 
     buffer = http.BUFFER
 
-    def __init__(self, intake: Intake, name: str = "gateway") -> None:
-        self.intake, self.name = intake, name
+    def __init__(self, handler: MessageHandler, name: str = "gateway") -> None:
+        self.handler, self.name = handler, name
 
     def exchange(self, connection: Connection, buffer: Buffer) -> CloseReason:
         while True:
@@ -41,6 +41,6 @@
         if path == HEALTH:
             if method not in ("GET", "HEAD"):
                 raise BadRequestError(405, "method")
-            return self.intake.health(), close
-        answer = self.intake.request(message, connection)
-        return answer, close or self.intake.lifecycle.closing
+            return self.handler.health(), close
+        answer = self.handler.request(message, connection)
+        return answer, close or self.handler.lifecycle.closing
--- a/gullyoke/frontends/request_parsing.py
+++ b/gullyoke/frontends/request_parsing.py
@@ -5,8 +5,9 @@
 import re
 
 from gullyoke.runtime import clock
-from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
+from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.messages import BadRequestError, Message
+from gullyoke.runtime.pending_request import PendingRequest
 
 PATH = "/call/"
 LONGEST = 24 * 3600 * 1000  # ms; no caller waits longer, and no stamp is older
@@ -35,10 +36,10 @@
         return 0
     if not (text.isascii() and text.isdigit() and len(text) < 16):
         raise BadRequestError(400, f"field {name}")
-    return min(clock.since(int(text)), LONGEST * 1000)
+    return min(clock.age_of_unix_ms(int(text)), LONGEST * 1000)
 
 
-def made(dispatcher: Dispatcher, message: Message, front: str) -> PendingRequest:
+def parse_request(dispatcher: Dispatcher, message: Message, front: str) -> PendingRequest:
     """The req that a message holds."""
     method, path, _ = message.first
     if not path.startswith(PATH):
@@ -74,7 +75,7 @@
     return request
 
 
-def admit(dispatcher: Dispatcher, request: PendingRequest) -> None:
+def submit(dispatcher: Dispatcher, request: PendingRequest) -> None:
     """Hand it to the decisions.
 
     Raises `Unfit` where it could be taken for another: then nothing runs.
@@ -82,7 +83,7 @@
 
     def read() -> None:
         nonlocal unfit
-        unfit = mistakable(dispatcher, request)
+        unfit = conflict_with(dispatcher, request)
         if unfit is None:
             dispatcher.requests[request.request_id] = request
             _, request.duplicate_of = dispatcher.duplicates.find(request, dispatcher.now)
@@ -94,7 +95,7 @@
         raise unfit
 
 
-def mistakable(dispatcher: Dispatcher, request: PendingRequest) -> BadRequestError | None:
+def conflict_with(dispatcher: Dispatcher, request: PendingRequest) -> BadRequestError | None:
     """What forbids to take it beside what is in hand or was answered."""
     if request.request_id in dispatcher.requests:
         return BadRequestError(409, "a request of this id is in hand already")
--- a/gullyoke/frontends/scgi.py
+++ b/gullyoke/frontends/scgi.py
@@ -6,7 +6,7 @@
 from gullyoke.codec.buffer import Buffer
 from gullyoke.frontends.connection import Connection
 from gullyoke.frontends.http1 import HEALTH
-from gullyoke.frontends.message_handler import Intake
+from gullyoke.frontends.message_handler import MessageHandler
 from gullyoke.runtime.close_reasons import CloseReason
 from gullyoke.runtime.messages import Answer, BadRequestError, Message
 
@@ -16,8 +16,8 @@
 
     buffer = scgi.BUFFER
 
-    def __init__(self, intake: Intake, name: str = "scgi") -> None:
-        self.intake, self.name = intake, name
+    def __init__(self, handler: MessageHandler, name: str = "scgi") -> None:
+        self.handler, self.name = handler, name
 
     def exchange(self, connection: Connection, buffer: Buffer) -> CloseReason:
         connection.rest()
@@ -36,5 +36,5 @@
         if path == HEALTH:
             if method not in ("GET", "HEAD"):
                 raise BadRequestError(405, "method")
-            return self.intake.health()
-        return self.intake.request(message, connection)
+            return self.handler.health()
+        return self.handler.request(message, connection)
--- a/gullyoke/runtime/clock.py
+++ b/gullyoke/runtime/clock.py
@@ -12,7 +12,7 @@
     return START + (time.monotonic_ns() - BEGUN) // 1000
 
 
-def since(stamp_ms: int) -> int:
+def age_of_unix_ms(stamp_ms: int) -> int:
     """How long ago the Unix clock showed `stamp_ms`.
 
     Never less than nothing, also if it was set back.
--- a/gullyoke/runtime/close_reasons.py
+++ b/gullyoke/runtime/close_reasons.py
@@ -41,7 +41,7 @@
 GONE = {CloseReason.CLOSED, CloseReason.CUT, CloseReason.RESET}
 
 
-def outcome(peer: PeerKind, end: CloseReason) -> RequestEvent | None:
+def event_for_closed(peer: PeerKind, end: CloseReason) -> RequestEvent | None:
     if peer is PeerKind.DATABASE:
         return RequestEvent.CALL_NOT_SENT if end in UNRUN else RequestEvent.CALL_REPLY_LOST
     if peer is PeerKind.GATEWAY and end in GONE:
@@ -52,12 +52,14 @@
 class ConnectionClosedError(GullyokeError):
     """Raised where a connection turns out to have ended."""
 
-    def __init__(self, end: CloseReason, why: str = "") -> None:
-        super().__init__(why or end.value)
-        self.end = end
+    def __init__(self, reason: CloseReason, why: str = "") -> None:
+        super().__init__(why or reason.value)
+        self.reason = reason
 
 
-def served(serve: Callable[[], CloseReason], fault: Callable[[], None]) -> tuple[CloseReason, str]:
+def serve_connection(
+    serve: Callable[[], CloseReason], fault: Callable[[], None]
+) -> tuple[CloseReason, str]:
     """Serve a connection to its end: how it ended, and why.
 
     `fault` is told of an error of our own.
@@ -65,15 +67,15 @@
     try:
         return serve(), ""
     except ConnectionClosedError as ended:
-        return ended.end, str(ended)
+        return ended.reason, str(ended)
     except OSError as broken:
-        return end_of(broken), str(broken)
+        return close_reason_of(broken), str(broken)
     except Exception as own:  # it ends this connection and nothing else
         fault()
         return CloseReason.FAULT, type(own).__name__
 
 
-def end_of(fault: OSError) -> CloseReason:
+def close_reason_of(fault: OSError) -> CloseReason:
     """What an error of the operating system means for the connection it struck."""
     if isinstance(fault, ConnectionRefusedError):
         return CloseReason.REFUSED
--- a/gullyoke/runtime/dispatcher.py
+++ b/gullyoke/runtime/dispatcher.py
@@ -10,61 +10,17 @@
 
 from gullyoke.admission.class_pools import Pools
 from gullyoke.admission.controller import AdmissionController
-from gullyoke.admission.interface import FAIL, Gauges, Reject, Request, RequestEvent
+from gullyoke.admission.interface import FAIL, Gauges, RequestEvent, SiteFacts
 from gullyoke.runtime import clock
 from gullyoke.runtime.duplicate_table import DuplicateTable
 from gullyoke.runtime.logs import log
-from gullyoke.runtime.messages import Answer, Message
+from gullyoke.runtime.messages import Answer
 from gullyoke.runtime.metrics import Metrics
-from gullyoke.settings.site_settings import SiteFacts
+from gullyoke.runtime.pending_request import PendingRequest
 
 PAUSE = 0.002  # seconds between two pieces: others come first where CPU is short
 
 
-class PendingRequest(Request):
-    """A request with all that the sockets need of it.
-
-    `gate` is let go when its answer is there; `content` is a hash of its body, keyed by this
-    process's own secret.
-    """
-
-    __slots__ = (
-        "answer",
-        "answer_gate",
-        "backend_name",
-        "body_digest",
-        "call_body",
-        "call_notice",
-        "dependency_call",
-        "frontend_name",
-        "key",
-        "key_entry",
-        "message",
-        "notices_read",
-        "outcome",
-        "request_id",
-    )
-
-    def attach_message(
-        self, request_id: str, key: str | None, message: Message, frontend_name: str
-    ) -> None:
-        """Note what the message says of it.
-
-        `frontend_name` and `backend_name`, the back end it was last sent to, are for the log alone.
-        """
-        self.request_id = request_id
-        self.key = key
-        self.message = message
-        self.frontend_name = frontend_name
-        self.backend_name = "-"
-        self.body_digest = hash(message.body)
-        self.answer = self.outcome = self.key_entry = None
-        self.dependency_call = self.call_body = None
-        self.call_notice = self.notices_read = 0
-        self.answer_gate = threading.Lock()
-        self.answer_gate.acquire()
-
-
 class Dispatcher:
     """`handle` is the way in for everything that the decisions hear.
 
@@ -93,20 +49,20 @@
         if duplicates is None:
             duplicates = DuplicateTable(facts.fleet.read_cache_ttl)
         self.duplicates = duplicates
-        self.later: deque[tuple[PendingRequest, RequestEvent]] = deque()
-        self.gates: list[threading.Lock] = []
+        self.deferred_events: deque[tuple[PendingRequest, RequestEvent]] = deque()
+        self.answer_gates: list[threading.Lock] = []
         self.handling = False
-        self.notes: deque[str] = deque(maxlen=100)
-        self.thoughts: queue.SimpleQueue[Iterator] = queue.SimpleQueue()
+        self.pending_log_lines: deque[str] = deque(maxlen=100)
+        self.background_work: queue.SimpleQueue[Iterator] = queue.SimpleQueue()
         self.now, self.stop_at = clock.now(), None
-        self.pools: tuple[float, dict[str, str]] | None = None
+        self.class_pools: tuple[float, dict[str, str]] | None = None
 
-    def pool(self, minimum: float, classes: dict[str, str]) -> None:
+    def set_class_pools(self, minimum: float, classes: dict[str, str]) -> None:
         """Class pools, from the start of the decisions on.
 
         Handlers by their names, and their classes'.
         """
-        self.pools = minimum, classes
+        self.class_pools = minimum, classes
 
     def open(self, executor, began: int) -> None:
         """Make the server of decisions, which started at `began`, once the engine has told how it
@@ -120,9 +76,9 @@
                 self.server.begin_drain(self.now, self.stop_at)
 
     def _pools(self, began: int) -> Pools | None:
-        if self.pools is None:
+        if self.class_pools is None:
             return None
-        minimum, classes = self.pools
+        minimum, classes = self.class_pools
         class_of = {h: classes.get(h.name, h) for h in self.facts.request_classes}
         return Pools(began, self.facts.machine.cores, class_of, minimum)
 
@@ -140,25 +96,25 @@
                 self.now, self.handling = clock.now(), True
                 self._try(act, request)
                 self._try(lambda: self.server.dispatch(self.now), None)
-                while self.later:
-                    late, word = self.later.popleft()
+                while self.deferred_events:
+                    late, word = self.deferred_events.popleft()
                     self._try(
                         lambda late=late, word=word: self.server.on_event(self.now, late, word),
                         late,
                     )
                     self._try(lambda: self.server.dispatch(self.now), None)
         finally:
-            gates, self.gates, self.handling = self.gates, [], False
+            answer_gates, self.answer_gates, self.handling = self.answer_gates, [], False
             self.lock.release()
-        for gate in gates:  # opened earlier, their threads would wait for this one
+        for gate in answer_gates:  # opened earlier, their threads would wait for this one
             gate.release()
         self.flush()
-        while self.notes:
-            log.info(self.notes.popleft())
+        while self.pending_log_lines:
+            log.info(self.pending_log_lines.popleft())
 
     def post_event(self, request: PendingRequest, word: RequestEvent) -> None:
         """A word that came while the lock is held: told before it is let go."""
-        self.later.append((request, word))
+        self.deferred_events.append((request, word))
 
     def _try(self, act: Callable[[], None], request: PendingRequest | None) -> None:
         """Guards against an error in the decisions: it costs its own req an errored answer."""
@@ -169,7 +125,7 @@
             if request is not None:
                 self.executor.finished(request)
 
-    def think(self) -> None:
+    def run_background_work(self) -> None:
         """The thread that carries on with what the decisions work out in pieces, and lets reqs in
         between.
 
@@ -177,11 +133,11 @@
         every req, answer and call would wait behind it.
         """
         while True:
-            work = self.thoughts.get()
-            while self.piece(work):
+            work = self.background_work.get()
+            while self.run_background_step(work):
                 time.sleep(PAUSE)
 
-    def piece(self, work: Iterator) -> bool:
+    def run_background_step(self, work: Iterator) -> bool:
         """One piece of it; whether there is more."""
         with self.lock:
             try:
@@ -193,10 +149,10 @@
                 self.metrics.record_internal_error("decisions")
                 return False
 
-    def tell(self, request: PendingRequest, word: RequestEvent) -> None:
+    def notify(self, request: PendingRequest, word: RequestEvent) -> None:
         self.handle(lambda: self.server.on_event(self.now, request, word), request)
 
-    def gauges(self, got: dict[str, float]) -> None:
+    def on_tick(self, got: dict[str, float]) -> None:
         self.handle(
             lambda: self.server.on_tick(
                 self.now,
@@ -204,7 +160,7 @@
             )
         )
 
-    def leave(self, stop_after: int) -> None:
+    def begin_drain(self, stop_after: int) -> None:
         self.stop_at = clock.now() + stop_after
         self.handle(lambda: self.server.begin_drain(self.now, self.stop_at))
 
@@ -220,11 +176,11 @@
                 return
             request.outcome, request.answer = outcome, answer
         if self.handling:
-            self.gates.append(request.answer_gate)
+            self.answer_gates.append(request.answer_gate)
         else:
             request.answer_gate.release()
 
-    def over(self, request: PendingRequest) -> None:
+    def on_finished(self, request: PendingRequest) -> None:
         """Its life has ended; if it got no answer on its way it errored."""
         if (
             self.requests.get(request.request_id) is request
@@ -233,9 +189,9 @@
             self.answer(request, FAIL)
             if request.key_entry is not None:
                 for waiter in self.duplicates.run_ended(request, None, self.now):
-                    self.later.append((waiter, RequestEvent.FAILED))
+                    self.deferred_events.append((waiter, RequestEvent.FAILED))
 
-    def overdue(self, request: PendingRequest) -> None:
+    def fail_overdue(self, request: PendingRequest) -> None:
         """Its time is up and the decisions have not answered.
 
         Heard once more, and errored by now.
@@ -247,24 +203,3 @@
         )
         self.metrics.increment("answers.overdue")
         self.answer(request, FAIL)
-
-
-def outcome_name(outcome: object) -> str:
-    """What the counters call an outcome."""
-    return (
-        "done"
-        if outcome is RequestEvent.COMPLETED
-        else "shed"
-        if isinstance(outcome, Reject)
-        else "errored"
-    )
-
-
-def log_identity(request: PendingRequest) -> dict[str, str]:
-    """What each log line of a req carries."""
-    return {
-        "req": request.request_id,
-        "front": request.frontend_name,
-        "handler": request.request_class.name,
-        "back_end": request.backend_name,
-    }
--- a/gullyoke/runtime/duplicate_table.py
+++ b/gullyoke/runtime/duplicate_table.py
@@ -11,16 +11,21 @@
 class KeyEntry:
     """A kept request.
 
-    `holder` is the request while it is in hand; `content` tells what it asked for from what others
-    ask for, None where that is not known; `result` is None if it didn't end well.
+    `request` is the request while it is in hand; `body_digest` tells what it asked for from what
+    others ask for, None where that is not known; `result` is None if it didn't end well.
     """
 
-    __slots__ = ("content", "ended", "holder", "result", "until", "waiting")
+    __slots__ = ("body_digest", "ended_at", "expires_at", "request", "result", "waiters")
 
-    def __init__(self, holder, until: int, content: int | None = None) -> None:
-        self.holder, self.until, self.content, self.ended = holder, until, content, 0
+    def __init__(self, request, expires_at: int, body_digest: int | None = None) -> None:
+        self.request, self.expires_at, self.body_digest, self.ended_at = (
+            request,
+            expires_at,
+            body_digest,
+            0,
+        )
         self.result: Answer | None = None
-        self.waiting: list = []  # repeats to be answered from it
+        self.waiters: list = []  # repeats to be answered from it
 
 
 class DuplicateTable:
@@ -38,7 +43,7 @@
         hand.
         """
         entry = self.entries.get((request.request_class, request.key)) if request.key else None
-        if entry is None or (entry.holder is None and request.arrived > entry.until):
+        if entry is None or (entry.request is None and request.arrived > entry.expires_at):
             return None
         return entry
 
@@ -51,10 +56,10 @@
         entry = self.alive(request)
         known = (
             entry is not None
-            and entry.content is not None
+            and entry.body_digest is not None
             and request.request_class.idempotency is Idempotency.KEYED
         )
-        return known and entry.content != request.body_digest
+        return known and entry.body_digest != request.body_digest
 
     def find(self, request, now: int):
         """The entry it repeats, if it came while that was alive, and what the decisions hear of
@@ -63,22 +68,22 @@
         entry = self.alive(request)
         if entry is None:
             return None, None
-        if entry.holder is not None:
-            return entry, entry.holder
-        stale = entry.result is None or now > entry.ended + self.fresh_for
+        if entry.request is not None:
+            return entry, entry.request
+        stale = entry.result is None or now > entry.ended_at + self.fresh_for
         if stale and request.request_class.idempotency is Idempotency.IDEMPOTENT:
             return None, None
         return entry, PAST
 
-    def remember(self, request, until: int) -> None:
-        """Also refreshes: a newer try takes the place of its entry's holder."""
+    def remember(self, request, expires_at: int) -> None:
+        """Also refreshes: a newer try takes the place of its entry's request."""
         if request.key:
             self.forget(request)
             old = self.entries.pop((request.request_class, request.key), None)
             if old is not None:
                 self._drop(old)
             request.key_entry = self.entries[request.request_class, request.key] = KeyEntry(
-                request, until, request.body_digest
+                request, expires_at, request.body_digest
             )
 
     def forget(self, request) -> list:
@@ -89,18 +94,18 @@
         if self.entries.get((request.request_class, request.key)) is entry:
             del self.entries[request.request_class, request.key]
         self._drop(entry)
-        return entry.waiting
+        return entry.waiters
 
     def run_ended(self, request, result: Answer | None, now: int) -> list:
         """Its run is over: note how; who waits for it is handed back."""
         entry = request.key_entry
-        if entry is None or entry.holder is None:
+        if entry is None or entry.request is None:
             return []
-        entry.holder, entry.ended = None, now
+        entry.request, entry.ended_at = None, now
         if result is not None and self.bytes + result.size() <= RESULTS:
             entry.result = result
             self.bytes += result.size()
-        waiting, entry.waiting = entry.waiting, []
+        waiting, entry.waiters = entry.waiters, []
         return waiting
 
     def expire(self, now: int) -> None:
@@ -109,7 +114,7 @@
         Repeats that came within it may still be unread.
         """
         for key, entry in list(self.entries.items()):
-            if entry.holder is None and entry.until + key[0].timeout < now:
+            if entry.request is None and entry.expires_at + key[0].timeout < now:
                 del self.entries[key]
                 self._drop(entry)
 
--- a/gullyoke/runtime/lifecycle.py
+++ b/gullyoke/runtime/lifecycle.py
@@ -10,8 +10,8 @@
     that goes out with every answer, or None; `closing`: near the stop.
     """
 
-    __slots__ = ("closing", "good", "idle", "level", "longest_idle")
+    __slots__ = ("closing", "default_idle_timeout_us", "idle_timeout_us", "load_signal", "ready")
 
-    def __init__(self, longest_idle: int) -> None:
-        self.good, self.level, self.closing = True, None, False
-        self.idle = self.longest_idle = longest_idle
+    def __init__(self, default_idle_timeout_us: int) -> None:
+        self.ready, self.load_signal, self.closing = True, None, False
+        self.idle_timeout_us = self.default_idle_timeout_us = default_idle_timeout_us
--- a/gullyoke/runtime/metrics.py
+++ b/gullyoke/runtime/metrics.py
@@ -14,12 +14,12 @@
     """Counters by dotted name. Table: one row a name; the names are fixed in the code."""
 
     def __init__(self) -> None:
-        self.rows: Counter[str] = Counter()
+        self.counters: Counter[str] = Counter()
         self.lock = threading.Lock()
 
     def increment(self, name: str, n: int = 1) -> None:
         with self.lock:
-            self.rows[name] += n
+            self.counters[name] += n
 
     def record_internal_error(self, where: str, request: str = "-") -> None:
         """An error of our own, in the handling of an exception."""
@@ -37,7 +37,7 @@
 
     def print(self, why: str) -> None:
         with self.lock:
-            rows = sorted(self.rows.items())
+            rows = sorted(self.counters.items())
         log.info(
             "counters", extra=log_fields(why=why, **{name.replace(".", "_"): n for name, n in rows})
         )
--- a/gullyoke/runtime/signals.py
+++ b/gullyoke/runtime/signals.py
@@ -8,7 +8,7 @@
 HANDLED = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 
 
-def hold() -> None:
+def block_signals() -> None:
     """Keep the signals that come from now on until `House.run` asks for them.
 
     Called before anything else: a signal that comes while the server is being put together must
--- a/gullyoke/runtime/sockets.py
+++ b/gullyoke/runtime/sockets.py
@@ -7,10 +7,10 @@
 import time
 
 from gullyoke.runtime import clock
-from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, end_of
+from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, close_reason_of
 
 
-def connected(address: tuple[str, int] | str | None, patience: float) -> socket.socket:
+def open_connection(address: tuple[str, int] | str | None, patience: float) -> socket.socket:
     """A connection opened here, to a host and port or a path.
 
     That none came about has two ends, told apart by whether the peer said so.
@@ -53,13 +53,13 @@
                 self.sock.settimeout(self.piece)
             got = self.sock.recv_into(view)
         except OSError as fault:
-            raise ConnectionClosedError(end_of(fault), str(fault)) from None
+            raise ConnectionClosedError(close_reason_of(fault), str(fault)) from None
         if bounded:
             self.sock.settimeout(None)
         return got
 
 
-class Until:
+class DeadlineSocket:
     """What a buffer receives by where all that comes must have come by a time of the clock."""
 
     def __init__(self, sock: socket.socket, until: int) -> None:
@@ -70,7 +70,7 @@
             self.sock.settimeout(self.left())
             return self.sock.recv_into(view)
         except OSError as fault:
-            raise ConnectionClosedError(end_of(fault), str(fault)) from None
+            raise ConnectionClosedError(close_reason_of(fault), str(fault)) from None
 
     def left(self) -> float:
         """Seconds left; guards against a peer that sends a byte now and then for ever."""
@@ -93,11 +93,11 @@
                     sent += self.sock.send(view[sent:])
         except OSError as fault:
             raise (ConnectionBrokenError if sent else ConnectionClosedError)(
-                end_of(fault), str(fault)
+                close_reason_of(fault), str(fault)
             ) from None
         except ConnectionClosedError as fault:
             raise (ConnectionBrokenError if sent else ConnectionClosedError)(
-                fault.end, str(fault)
+                fault.reason, str(fault)
             ) from None
         return True
 
@@ -106,7 +106,7 @@
     """A connection that ended after something was written to it."""
 
 
-def shut(sock: socket.socket) -> None:
+def shutdown_both(sock: socket.socket) -> None:
     """End both directions, which wakes whoever waits on it."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
@@ -120,7 +120,7 @@
         pass
 
 
-def drain(sock: socket.socket, patience: float = 0.5, most: int = 2**18) -> None:
+def discard_input(sock: socket.socket, patience: float = 0.5, most: int = 2**18) -> None:
     """Take and drop what the peer still sends, to its end.
 
     Bounded in seconds and bytes, for peers that go on and on; one that keeps its side open has had
--- a/gullyoke/runtime/timer.py
+++ b/gullyoke/runtime/timer.py
@@ -27,7 +27,7 @@
             metrics,
         )
 
-    def at(self, time: int, act: Callable[[], None]) -> None:
+    def call_at(self, time: int, act: Callable[[], None]) -> None:
         with self.bell:
             heapq.heappush(self.heap, (time, next(self.count), act))
             if self.heap[0][2] is act:
--- a/gullyoke/runtime/worker_pool.py
+++ b/gullyoke/runtime/worker_pool.py
@@ -21,7 +21,7 @@
         self.act = act
         self.resting: list[queue.SimpleQueue] = []
 
-    def hand(self, task: object) -> bool:
+    def assign(self, task: object) -> bool:
         """To a thread that rests; False if none does, and then one has to be started on `work`."""
         try:
             self.resting.pop().put(task)
@@ -29,7 +29,7 @@
         except IndexError:
             return False
 
-    def work(self, task: object) -> None:
+    def run_worker(self, task: object) -> None:
         """A thread's life."""
         box: queue.SimpleQueue = queue.SimpleQueue()
         while task is not None:
--- a/tests/crossing/live.py
+++ b/tests/crossing/live.py
@@ -160,7 +160,7 @@
 
     def count(self, name):
         with self.metrics.lock:
-            return self.metrics.rows[name]
+            return self.metrics.counters[name]
 
     def run(self, name, again=()):
         """Wait for the engine to be told to run it.
--- a/tests/crossing/test_connections.py
+++ b/tests/crossing/test_connections.py
@@ -16,11 +16,11 @@
 from gullyoke.frontends import connection as connection_module
 from gullyoke.frontends import connections as connections_module
 from gullyoke.frontends.connection import Connection, State
-from gullyoke.frontends.connection_limits import Room
+from gullyoke.frontends.connection_limits import ConnectionLimits
 from gullyoke.frontends.connections import ConnectionTable
 from gullyoke.frontends.http1 import Http1
-from gullyoke.frontends.message_handler import Intake
-from gullyoke.runtime import worker_pool as crew_module
+from gullyoke.frontends.message_handler import MessageHandler
+from gullyoke.runtime import worker_pool as worker_pool_module
 from gullyoke.runtime.close_reasons import CloseReason
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.lifecycle import Lifecycle
@@ -162,7 +162,7 @@
                     ours = live.connection(client)
                     eventually(lambda ours=ours: ours.state is State.IDLE, "idle")
                     self.assertTrue(ours.close_idle(CloseReason.IDLE))
-                    live.connections.decided(ours)
+                    live.connections.on_closing(ours)
                 eventually(lambda: not live.connections.open, "all closed")
                 self.assertFalse(live.connections.closing or live.connections.idle)
                 for client in clients:
@@ -174,7 +174,7 @@
     def test_last_byte_meets_the_stall(self):
         """The last byte of a slow message comes as it is given up: run and answered, or neither."""
         with Live() as live:
-            real = connection_module.shut
+            real = connection_module.shutdown_both
             for i in range(REPEATS):
                 client = live.client()
                 live.served(client, f"s{i}")
@@ -189,7 +189,7 @@
                         eventually(lambda: not unread(sock), "the last byte read")
                     real(sock)
 
-                with mock.patch.object(connection_module, "shut", late):
+                with mock.patch.object(connection_module, "shutdown_both", late):
                     decided = ours.abort(CloseReason.STALLED, {State.READING}, ours.since)
                 self.assertTrue(decided)
                 with self.subTest(i), contextlib.suppress(ConnectionResetError):
@@ -239,11 +239,11 @@
         The client is told by the end of the connection at once.
         """
         dispatcher = Dispatcher(parse_site_facts(flatten_settings(site())), 1, Metrics())
-        real = connections_module.shut
+        real = connections_module.shutdown_both
         for _ in range(REPEATS):
             lifecycle, metrics = Lifecycle(0), Metrics()
-            table = ConnectionTable(Room(10), dispatcher, lifecycle, metrics)
-            table.listen(("127.0.0.1", 0), Http1(Intake(dispatcher, lifecycle, metrics)))
+            table = ConnectionTable(ConnectionLimits(10), dispatcher, lifecycle, metrics)
+            table.listen(("127.0.0.1", 0), Http1(MessageHandler(dispatcher, lifecycle, metrics)))
             table.start()
             listener, clients = table.listeners[0], []
 
@@ -253,8 +253,8 @@
                     clients[0].send("late")
                 real(sock)
 
-            with mock.patch.object(connections_module, "shut", late):
-                table.leave()
+            with mock.patch.object(connections_module, "shutdown_both", late):
+                table.stop_accepting()
             try:
                 answer = clients[0].answer()
             except OSError as fault:
@@ -308,7 +308,7 @@
         if timeout is not None:
             if self.task is not None:
                 task, self.task = self.task, None
-                assert self.crew.hand(task)
+                assert self.crew.assign(task)
             raise queue.Empty
         assert self.bell.wait(10)
         return self.items.pop(0)
@@ -324,8 +324,8 @@
             acted = []
             crew = WorkerPool(acted.append)
             box = LateBox(crew, "second")
-            with mock.patch.object(crew_module.queue, "SimpleQueue", lambda box=box: box):
-                thread = threading.Thread(target=crew.work, args=("first",))
+            with mock.patch.object(worker_pool_module.queue, "SimpleQueue", lambda box=box: box):
+                thread = threading.Thread(target=crew.run_worker, args=("first",))
                 thread.start()
                 thread.join(10)
             self.assertFalse(thread.is_alive())
@@ -377,7 +377,11 @@
             threads, held = threading.active_count(), descriptors()
             over_unread = []  # closing over unread bytes would reset the connection
             live.enter_context(
-                live.hook(connection_module, "shut", lambda sock: over_unread.append(unread(sock)))
+                live.hook(
+                    connection_module,
+                    "shutdown_both",
+                    lambda sock: over_unread.append(unread(sock)),
+                )
             )
             for i in range(max(1, REPEATS // 10)):
                 for data, status in self.CASES:
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -16,8 +16,8 @@
 from gullyoke.daemon.event_relay import EventRelay
 from gullyoke.dependencies import client as dependency_module
 from gullyoke.executors.engine_link import EngineLink
-from gullyoke.frontends import message_handler as intake_module
-from gullyoke.runtime import dispatcher as desk_module
+from gullyoke.frontends import message_handler as message_handler_module
+from gullyoke.runtime import pending_request as pending_request_module
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.duplicate_table import DuplicateTable
 
@@ -73,10 +73,12 @@
                 eventually(lambda: not live.dispatcher.requests, "the run's end handled")
 
             with (
-                live.hook(Dispatcher, "overdue", before_overdue),
+                live.hook(Dispatcher, "fail_overdue", before_overdue),
                 live.hook(EventRelay, "on_run_ended", before_done),
-                live.hook(intake_module, "outcome_name", before_counted),
-                mock.patch.object(desk_module, "threading", types.SimpleNamespace(Lock=Gate)),
+                live.hook(message_handler_module, "outcome_name", before_counted),
+                mock.patch.object(
+                    pending_request_module, "threading", types.SimpleNamespace(Lock=Gate)
+                ),
             ):
                 for i in range(REPEATS):
                     client.send(f"x{i}")
@@ -266,7 +268,7 @@
             mock.patch.object(live.dispatcher.server.below, "try_for", lambda request, now: 60_000),
         ):
             client = live.client()
-            real = dependency_module.connected
+            real = dependency_module.open_connection
 
             def slow(address, patience):
                 sock = real(address, patience)
@@ -280,7 +282,7 @@
                     old, dependency.idle = dependency.idle, []
                 for connection in old:
                     connection.shut_down()
-                with mock.patch.object(dependency_module, "connected", slow):
+                with mock.patch.object(dependency_module, "open_connection", slow):
                     client.send(f"g{i}")
                     live.run(f"g{i}")
                     live.need(f"g{i}")
@@ -355,7 +357,7 @@
         The link goes to the new one.
         """
         with Live() as live:
-            client, real = live.client(), EngineLink.attach_and_read.__globals__["connected"]
+            client, real = live.client(), EngineLink.attach_and_read.__globals__["open_connection"]
             for i in range(max(3, REPEATS // 10)):
                 eventually(lambda: live.daemon.executor.attached, "attached")
                 old = live.engine
@@ -369,7 +371,9 @@
                         live.daemon.executor.update_address(other.address)
                     return sock
 
-                with mock.patch.dict(EngineLink.attach_and_read.__globals__, {"connected": moved}):
+                with mock.patch.dict(
+                    EngineLink.attach_and_read.__globals__, {"open_connection": moved}
+                ):
                     old.drop()
                     eventually(lambda old=old: live.engine is not old, "moved")
                     self.assertEqual(live.engine.joined.get(timeout=PATIENCE), str(old.notices))
--- a/tests/crossing/test_signals.py
+++ b/tests/crossing/test_signals.py
@@ -43,16 +43,16 @@
     ],
     "twice": [
         ("signal", None, "sigwait", [TERM]),
-        ("gullyoke.runtime.dispatcher", "Dispatcher", "leave", [TERM]),
-        ("gullyoke.frontends.connections", "ConnectionTable", "leave", [TERM]),
+        ("gullyoke.runtime.dispatcher", "Dispatcher", "begin_drain", [TERM]),
+        ("gullyoke.frontends.connections", "ConnectionTable", "stop_accepting", [TERM]),
     ],
     "reload in the drain": [
         ("signal", None, "sigwait", [TERM]),
-        ("gullyoke.runtime.dispatcher", "Dispatcher", "leave", [HUP]),
+        ("gullyoke.runtime.dispatcher", "Dispatcher", "begin_drain", [HUP]),
     ],
     "reload at the end": [
         ("signal", None, "sigwait", [TERM]),
-        ("gullyoke.frontends.connections", "ConnectionTable", "leave", [HUP, TERM]),
+        ("gullyoke.frontends.connections", "ConnectionTable", "stop_accepting", [HUP, TERM]),
     ],
 }
 IMPORTING = "importing"
--- a/tests/daemon/test_naming.py
+++ b/tests/daemon/test_naming.py
@@ -49,7 +49,7 @@
             began = time.monotonic()
             with self.assertRaises(ConnectionClosedError) as ended:
                 naming.report()
-            self.assertIs(ended.exception.end, CloseReason.STALLED)
+            self.assertIs(ended.exception.reason, CloseReason.STALLED)
             self.assertLess(time.monotonic() - began, 3 * REPORT_TIMEOUT_S)
 
     def test_more_than_one_answer(self):
--- a/tests/executors/test_writing.py
+++ b/tests/executors/test_writing.py
@@ -12,9 +12,10 @@
 
 from gullyoke.admission.interface import FAIL
 from gullyoke.executors.engine_link import MAX_UNCONFIRMED, EngineLink
-from gullyoke.runtime.dispatcher import Dispatcher, PendingRequest
+from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.messages import Message
 from gullyoke.runtime.metrics import Metrics
+from gullyoke.runtime.pending_request import PendingRequest
 from gullyoke.settings.reader import flatten_settings
 from gullyoke.settings.site_settings import parse_site_facts
 
--- a/tests/frontends/test_fronts.py
+++ b/tests/frontends/test_fronts.py
@@ -36,7 +36,7 @@
 
     def finished(self, request):
         self.said.append((self.dispatcher.now, "over", request.request_id))
-        self.dispatcher.over(request)
+        self.dispatcher.on_finished(request)
 
     def schedule_tick(self, after):
         self.due = self.dispatcher.now + after
@@ -69,7 +69,9 @@
         )
         with (
             mock.patch.object(clock, "now", lambda: self.now),
-            mock.patch.object(clock, "since", lambda stamp: max(0, self.now - stamp * 1000)),
+            mock.patch.object(
+                clock, "age_of_unix_ms", lambda stamp: max(0, self.now - stamp * 1000)
+            ),
         ):
             self.dispatcher = Dispatcher(facts, 1, Metrics())
             self.executor = Recorded(self.dispatcher)
@@ -81,7 +83,7 @@
         until = self.now + after
         while self.executor.due is not None and self.executor.due <= until:
             self.now, self.executor.due = self.executor.due, None
-            self.dispatcher.gauges({"core_use": self.use, "on_cores": 3.0, "links": 3.0})
+            self.dispatcher.on_tick({"core_use": self.use, "on_cores": 3.0, "links": 3.0})
         self.now = until
         getattr(self, verb)(*rest)
 
@@ -99,17 +101,17 @@
         data = message(name, request_class, scgi=by is scgi, of=key, **fields)
         at = len(data) // 2 if self.cut is None else self.cut % len(data)
         got = by.read(Buffer(Pieces(data[:at], data[at:]), scgi.BUFFER))
-        request_parsing.admit(
-            self.dispatcher, request_parsing.made(self.dispatcher, got, by.__name__)
+        request_parsing.submit(
+            self.dispatcher, request_parsing.parse_request(self.dispatcher, got, by.__name__)
         )
 
     def tell(self, name, word):
         request = self.dispatcher.requests.get(request_id(name))
         if request is not None:
-            self.dispatcher.tell(request, word)
+            self.dispatcher.notify(request, word)
 
     def leave(self):
-        self.dispatcher.leave(1_500_000)
+        self.dispatcher.begin_drain(1_500_000)
 
 
 def a_script(seed, length=400):
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -72,15 +72,15 @@
         gone.bind(("127.0.0.1", 0))
         address = text(gone.getsockname())
         gone.close()
-        heard = links[1].metrics.rows.get("peers.dropped.topic", 0)
+        heard = links[1].metrics.counters.get("peers.dropped.topic", 0)
         row = links[0].member.row
         for _ in range(40):
             links[0].send(Send(address, Letter(row, 99, b"to nobody")))
             links[0].send(Send(text(links[1].address), Letter(row, 99, b"to one")))
         self.eventually(
-            lambda: links[1].metrics.rows.get("peers.dropped.topic", 0) == heard + 40, "all 40"
+            lambda: links[1].metrics.counters.get("peers.dropped.topic", 0) == heard + 40, "all 40"
         )
-        self.assertNotIn("peers.unsent", links[0].metrics.rows)
+        self.assertNotIn("peers.unsent", links[0].metrics.counters)
 
     def test_a_fleet(self):
         """Three join; what does not verify is dropped and counted.
@@ -102,14 +102,14 @@
                 Seal("f", (KEY,)).seal(b"no message"),
             ):
                 sock.sendto(data, links[1].address)
-            self.eventually(lambda: metrics.rows["peers.dropped.seal"] >= 5, "dropped")
-            self.eventually(lambda: metrics.rows["peers.dropped.malformed"] == 1, "malformed")
+            self.eventually(lambda: metrics.counters["peers.dropped.seal"] >= 5, "dropped")
+            self.eventually(lambda: metrics.counters["peers.dropped.malformed"] == 1, "malformed")
         links[2].end()
         began_at, gone = time.monotonic(), links[2].member.id
         self.eventually(lambda: all(gone not in k.member.view.rows for k in links[:2]), "removed")
         self.assertLess(time.monotonic() - began_at, 3.5)
         self.assertGreater(
-            links[0].metrics.rows["peers.refused"] + metrics.rows["peers.refused"], 0
+            links[0].metrics.counters["peers.refused"] + metrics.counters["peers.refused"], 0
         )
 
     def test_its_end(self):
@@ -120,7 +120,7 @@
         )  # closed within a turn
         link.join(5)
         self.assertFalse(link.is_alive())
-        self.assertEqual([name for name in link.metrics.rows if name.startswith("faults")], [])
+        self.assertEqual([name for name in link.metrics.counters if name.startswith("faults")], [])
 
     def test_another_key(self):
         """Who has another key is not let in and not answered, and stays alone."""
@@ -128,9 +128,9 @@
         (other,) = self.links(1, b"q" * 32)
         self.begin([one, other], (text(one.address),))
         other.member.entry.seeds = (text(one.address),)
-        self.eventually(lambda: one.metrics.rows["peers.dropped.seal"] >= 2, "its hellos")
+        self.eventually(lambda: one.metrics.counters["peers.dropped.seal"] >= 2, "its hellos")
         self.assertEqual((len(one.member.view), other.member.entry.stage.value), (1, "alone"))
-        self.assertEqual(one.metrics.rows["peers.sent"], 0)
+        self.assertEqual(one.metrics.counters["peers.sent"], 0)
 
     def test_a_fault_of_our_own(self):
         """An error in a turn is counted, and the next one comes."""
@@ -144,7 +144,7 @@
         link.member = types.SimpleNamespace(tick=tick, take=list, view=None)
         link.start()
         self.eventually(lambda: len(turns) >= 3, "three turns")
-        self.assertGreaterEqual(link.metrics.rows["faults.peers"], 2)
+        self.assertGreaterEqual(link.metrics.counters["faults.peers"], 2)
 
     def test_status(self):
         """What an operator asks: the view and its changes, as JSON and as lines."""
@@ -193,7 +193,7 @@
             number = StoredStartNumber(folder, metrics)
             number.keep(first)
             number.close()
-            self.assertEqual(metrics.rows["fleet.kept"], 1)
+            self.assertEqual(metrics.counters["fleet.kept"], 1)
             again = StoredStartNumber(folder, Metrics())
             self.assertGreater(began(5, again.known()), first)
             again.close()
@@ -201,7 +201,7 @@
             file.touch()
             broken = StoredStartNumber(str(file), metrics)
             broken.keep(7)
-            self.assertEqual((broken.known(), metrics.rows["fleet.unkept"]), (0, 1))
+            self.assertEqual((broken.known(), metrics.counters["fleet.unkept"]), (0, 1))
 
     def test_size_for_the_decisions(self):
         """The decisions go by the size agreed on where that is wanted and can be trusted, by the
@@ -211,7 +211,7 @@
         daemon = types.SimpleNamespace(
             configuration=types.SimpleNamespace(facts=types.SimpleNamespace(fleet=given)),
             dispatcher=types.SimpleNamespace(lock=threading.Lock()),
-            timer=types.SimpleNamespace(at=lambda *_: None),
+            timer=types.SimpleNamespace(call_at=lambda *_: None),
         )
         wanted = Together("f", ("", 0), "", (), "-", "", None, True)
         unit = Fleet("file", wanted, None)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -53,7 +53,12 @@
 from gullyoke.daemon.configuration import load_configuration
 from gullyoke.errors import ConfigurationError
 from gullyoke.runtime import clock
-from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, PeerKind, outcome
+from gullyoke.runtime.close_reasons import (
+    CloseReason,
+    ConnectionClosedError,
+    PeerKind,
+    event_for_closed,
+)
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.logs import RateLimitedQueueHandler
 from gullyoke.runtime.metrics import Metrics
@@ -441,7 +446,7 @@
                 with self.assertRaises(ConnectionClosedError) as cut:
                     buffer = Buffer(Pieces(load_configuration[:at], b""), lines.BUFFER)
                     lines.content(buffer, lines.read(buffer)[-1])
-                self.assertIs(cut.exception.end, CloseReason.CUT)
+                self.assertIs(cut.exception.reason, CloseReason.CUT)
         long = Buffer(Pieces(*[b"x" * 4096] * 9), lines.BUFFER)
         self.assertRaises(ConnectionClosedError, lines.read, long)
         self.assertLess(len(long.data), 9 * 4096)  # endless input does not grow it without end
@@ -589,7 +594,7 @@
             dispatcher,
             mock.Mock(),
             mock.Mock(),
-            mock.Mock(at=lambda time, act: times.append(time)),
+            mock.Mock(call_at=lambda time, act: times.append(time)),
             mock.Mock(),
         )
         before = clock.now()
@@ -609,10 +614,10 @@
             mock.Mock(outcome=None, key_entry=None, request_id="a"),
         )
         dispatcher.server, dispatcher.requests["a"] = mock.Mock(), request
-        dispatcher.executor = mock.Mock(finished=dispatcher.over)
+        dispatcher.executor = mock.Mock(finished=dispatcher.on_finished)
         dispatcher.server.on_event.side_effect = ZeroDivisionError
         with self.assertLogs("gullyoke", "ERROR"):
-            dispatcher.tell(request, RequestEvent.DEPENDENCY_CALL_NEEDED)
+            dispatcher.notify(request, RequestEvent.DEPENDENCY_CALL_NEEDED)
         self.assertIs(request.outcome, FAIL)
         self.assertTrue(request.answer_gate.release.called and dispatcher.server.dispatch.called)
         self.assertFalse(dispatcher.lock.locked() or dispatcher.requests)
@@ -641,7 +646,7 @@
         self.assertEqual(
             learner.before, learner.visits
         )  # it began with that, not with its first piece
-        while dispatcher.piece(work):
+        while dispatcher.run_background_step(work):
             pieces += 1
             self.assertIs(learner.policy, last)
             self.assertFalse(dispatcher.lock.locked())
@@ -667,15 +672,17 @@
         Only one that never came about proves that no call ran.
         """
         for end in CloseReason:
-            word = outcome(PeerKind.DATABASE, end)
+            word = event_for_closed(PeerKind.DATABASE, end)
             self.assertIs(
                 word,
                 RequestEvent.CALL_NOT_SENT
                 if end in (CloseReason.REFUSED, CloseReason.UNREACHED)
                 else RequestEvent.CALL_REPLY_LOST,
             )
-            self.assertIn(outcome(PeerKind.GATEWAY, end), (None, RequestEvent.CLIENT_GONE))
-            self.assertIsNone(outcome(PeerKind.ENGINE, end) or outcome(PeerKind.NAMING, end))
+            self.assertIn(event_for_closed(PeerKind.GATEWAY, end), (None, RequestEvent.CLIENT_GONE))
+            self.assertIsNone(
+                event_for_closed(PeerKind.ENGINE, end) or event_for_closed(PeerKind.NAMING, end)
+            )
 
     def test_scenarios(self):
         paths = sorted(HERE.glob("scenarios/*.txt"))
