--- a/benchmarks/disk.py
+++ b/benchmarks/disk.py
@@ -26,7 +26,7 @@
 from gullyoke.fault_testing.play import Play
 from gullyoke.fault_testing.script import read
 from gullyoke.model_checking import key_ledger
-from gullyoke.storage import warmup_history as cold
+from gullyoke.storage import warmup_history
 
 LOAD = 24.0  # reqs a second: what the play's servers do with ease
 QUEUE, RESULTS = 4, 16  # MB that may wait for the disk, and that notes and results may take
@@ -182,7 +182,7 @@
             drawn(W, Machines(servers=1, fresh=True), load, 30 * SECOND, seed), deciding(False)
         )
 
-    curve, first = cold.WarmupRecorder(), day(500 + seed)
+    curve, first = warmup_history.WarmupRecorder(), day(500 + seed)
     server = first.nodes[0].server
     ran = server.hold.ran
 
@@ -194,15 +194,15 @@
     first.play()
     found, again, at = curve.take_snapshot(1, 0.0, None), day(seed), [-1]
     other = again.nodes[0].server
-    read_ = other.read
+    on_request = other.on_request
 
     def recalled(now: int, request) -> None:
-        if (step := cold.age_bucket(now)) != at[0]:
+        if (step := warmup_history.age_bucket(now)) != at[0]:
             at[0] = step
-            cold.apply_snapshot(other, found, now)
-        read_(now, request)
+            warmup_history.apply_snapshot(other, found, now)
+        on_request(now, request)
 
-    other.read = recalled
+    other.on_request = recalled
     return again.play().share() - day(seed).play().share()
 
 
--- a/gullyoke/durability/key_ledger.py
+++ b/gullyoke/durability/key_ledger.py
@@ -108,19 +108,21 @@
             self._drop(write.key)
         return None
 
-    def write_finished(self, now_us: int, write: RecordWrite, durable: bool) -> LedgerAction | None:
+    def write_finished(
+        self, now_us: int, write: RecordWrite, persisted: bool
+    ) -> LedgerAction | None:
         """Take the outcome of a write; one that is not its row's last counts for nothing."""
-        row = self._row_of_write(now_us, write, durable)
+        row = self._row_of_write(now_us, write, persisted)
         if row is None:
             return None
         if row.stage is KeyStage.RECORDING_START:
-            if durable:
+            if persisted:
                 row.stage = KeyStage.RUNNING
                 return LedgerAction(ActionKind.RUN, write.key)
             row.stage = KeyStage.ABANDONED  # `abandon` removes what may lie there
             return LedgerAction(ActionKind.REJECT, write.key)
         if row.stage is KeyStage.RECORDING_END:
-            if not durable:
+            if not persisted:
                 row.stage = KeyStage.RUNNING
                 return self._report_without_record(row, write.key)
             return self._report_recorded_end(row, write.key)
@@ -248,9 +250,9 @@
         self.pending_writes.started(now_us, self.writes)
         return RecordWrite(key, record, self.writes)
 
-    def _row_of_write(self, now_us: int, write: RecordWrite, durable: bool) -> LedgerRow | None:
+    def _row_of_write(self, now_us: int, write: RecordWrite, persisted: bool) -> LedgerRow | None:
         """Give the row that a write is the last one of."""
         self.writes_in_flight.pop(write.number, None)
-        self.pending_writes.finished(now_us, write.number, durable)
+        self.pending_writes.finished(now_us, write.number, persisted)
         row = self.rows.get(write.key)
         return row if row is not None and row.last_write == write.number else None
--- a/gullyoke/durability/pending_writes.py
+++ b/gullyoke/durability/pending_writes.py
@@ -35,10 +35,10 @@
         """Record that a write was asked for."""
         self.started_us[number] = now_us
 
-    def finished(self, now_us: int, number: object, durable: bool) -> None:
+    def finished(self, now_us: int, number: object, persisted: bool) -> None:
         """Record that a write is over; only one that is durable is measured."""
         started_us = self.started_us.pop(number, None)
-        if started_us is None or not durable:
+        if started_us is None or not persisted:
             return
         took_us = now_us - started_us
         if not self._measured:
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -160,7 +160,7 @@
         now = clock.now()
         if now - self.kept < KEEP and not leaving:
             return
-        fit = rules.is_worth_keeping(row.run_times_us, self.usual, warm, leaving)
+        fit = rules.should_save(row.run_times_us, self.usual, warm, leaving)
         self.usual = rules.usual_run_times(row.run_times_us, self.usual)
         self.kept = now
         if fit:
--- a/gullyoke/model_checking/key_ledger.py
+++ b/gullyoke/model_checking/key_ledger.py
@@ -78,8 +78,10 @@
 def _late_write_runs() -> contextlib.AbstractContextManager[object]:
     row_of_write = KeyLedger._row_of_write
 
-    def revive(self: KeyLedger, now_us: int, write: RecordWrite, durable: bool) -> LedgerRow | None:
-        row = row_of_write(self, now_us, write, durable) or self.rows.get(write.key)
+    def revive(
+        self: KeyLedger, now_us: int, write: RecordWrite, persisted: bool
+    ) -> LedgerRow | None:
+        row = row_of_write(self, now_us, write, persisted) or self.rows.get(write.key)
         if row is not None and row.stage is KeyStage.ABANDONED and write.record is not None:
             row.stage = KeyStage.RECORDING_START
         return row
@@ -88,11 +90,11 @@
 
 
 def _writes_out_of_order() -> contextlib.AbstractContextManager[object]:
-    def finish_newest(self: KeyLedgerWorld, durable: bool) -> None:
+    def finish_newest(self: KeyLedgerWorld, persisted: bool) -> None:
         write = self.writes.pop()
-        if durable:
+        if persisted:
             self.disk = write.record
-        self.take(self.ledger.write_finished(self.now, write, durable))
+        self.take(self.ledger.write_finished(self.now, write, persisted))
 
     return mock.patch.object(KeyLedgerWorld, "finish_write", finish_newest)
 
@@ -128,5 +130,8 @@
 ) -> Exploration:
     """Explore the world to a depth, with one guard taken out or none."""
     with MUTANTS[mutant]() if mutant else contextlib.nullcontext():
-        walk = walked(KeyLedgerWorld(policy=policy), depth, max_states)
-    return Exploration(walk.states, f"{walk.found}\n{walk.script()}" if walk.found else None)
+        exploration = walked(KeyLedgerWorld(policy=policy), depth, max_states)
+    return Exploration(
+        exploration.states,
+        f"{exploration.found}\n{exploration.script()}" if exploration.found else None,
+    )
--- a/gullyoke/model_checking/key_ledger_world.py
+++ b/gullyoke/model_checking/key_ledger_world.py
@@ -10,7 +10,6 @@
 
 from __future__ import annotations
 
-from enum import Enum, StrEnum
 from typing import Final
 
 from gullyoke.durability.key_ledger import KeyLedger
@@ -24,6 +23,7 @@
 from gullyoke.durability.pending_writes import WRITE_TIMEOUT_US
 from gullyoke.durability.record_table import LedgerRow
 from gullyoke.model_checking.explore import Move
+from gullyoke.model_checking.key_ledger_events import Event, FailedWrite, Report, RunEnd
 
 KEY: Final = "k"
 BODY: Final = b"made"
@@ -34,42 +34,6 @@
 MAX_LEDGER_BYTES: Final = 10**6
 
 
-class Event(StrEnum):
-    """What can happen next; the first part of a move."""
-
-    ATTEMPT = "try"
-    ATTEMPT_ON_BAD_DISK = "try-unfit"
-    WRITE_DURABLE = "written"
-    WRITE_FAILED = "failed"
-    RUN_ENDS = "ends"
-    WRITES_OVERDUE = "overdue"
-    RESULT_DROPPED = "shrink"
-    CRASH = "crash"
-    WINDOW_OVER = "window"
-
-
-class FailedWrite(StrEnum):
-    """Whether a write that failed is on the disk."""
-
-    THERE = "there"
-    NOT_THERE = "not-there"
-
-
-class RunEnd(StrEnum):
-    """How a run ends."""
-
-    WELL = "well"
-    ILL = "ill"
-    ON_BAD_DISK = "unfit"
-
-
-class Report(Enum):
-    """What a caller is answered."""
-
-    RESULT = "made"
-    FAILED = "errored"
-
-
 class KeyLedgerWorld:
     """The state of the world.
 
@@ -140,7 +104,7 @@
         if not self.writes:
             return []
         outcomes = FailedWrite if self.faults else ()
-        return [(Event.WRITE_DURABLE,), *((Event.WRITE_FAILED, outcome) for outcome in outcomes)]
+        return [(Event.WRITE_PERSISTED,), *((Event.WRITE_FAILED, outcome) for outcome in outcomes)]
 
     def make(self, move: Move) -> None:
         """Let a move happen."""
@@ -148,8 +112,8 @@
         event = move[0]
         if event in (Event.ATTEMPT, Event.ATTEMPT_ON_BAD_DISK):
             self._attempt(disk_accepts=event is Event.ATTEMPT)
-        elif event is Event.WRITE_DURABLE:
-            self.finish_write(durable=True)
+        elif event is Event.WRITE_PERSISTED:
+            self.finish_write(persisted=True)
         elif event is Event.WRITE_FAILED:
             self._fail_write(move[1])
         elif event is Event.RUN_ENDS:
@@ -188,12 +152,12 @@
             ended_well = action.kind is ActionKind.REPORT_END and self.good_ends
             self._report(Report.RESULT if ended_well else Report.FAILED)
 
-    def finish_write(self, durable: bool) -> None:
+    def finish_write(self, persisted: bool) -> None:
         """Let the oldest write finish."""
         write = self.writes.pop(0)
-        if durable:
+        if persisted:
             self.disk = write.record
-        self.take(self.ledger.write_finished(self.now, write, durable))
+        self.take(self.ledger.write_finished(self.now, write, persisted))
 
     def key(self) -> tuple[object, ...]:
         """Give what tells two states apart."""
@@ -248,7 +212,7 @@
         self.faults -= 1
         if outcome is FailedWrite.THERE:
             self.disk = self.writes[0].record
-        self.finish_write(durable=False)
+        self.finish_write(persisted=False)
 
     def _time_out_writes(self) -> None:
         self.now += WRITE_TIMEOUT_US
--- a/gullyoke/storage/disk_monitor.py
+++ b/gullyoke/storage/disk_monitor.py
@@ -139,7 +139,7 @@
             OSError: The disk failed; that is recorded.
         """
         with self.lock:
-            probe_is_due = self.health.claim_probe(clock.now())
+            should_probe = self.health.claim_probe(clock.now())
             calls_hang = False
             if self.health.calls_in_flight:
                 calls_hang = self.health.state(clock.now()) is DiskState.STALLED
@@ -150,7 +150,7 @@
         with self.lock:
             self.health.set_free_share(free_share)
             state = self.health.state(clock.now())
-        if probe_is_due:
+        if should_probe:
             self._probe(folder)
         self.on_check(state)
 
--- a/gullyoke/storage/group_commit.py
+++ b/gullyoke/storage/group_commit.py
@@ -21,7 +21,7 @@
 OnCommitted = Callable[[bool], None]
 
 
-def ignore_outcome(durable: bool) -> None:
+def ignore_outcome(persisted: bool) -> None:
     """For entries whose writer need not know whether they are durable."""
 
 
@@ -157,16 +157,16 @@
     def _commit(self, batch: list[Entry]) -> None:
         try:
             self.store.put([(entry.key, entry.value) for entry in batch if entry.key != WAKE_KEY])
-            durable = True
+            persisted = True
         except (StoreFullError, StoreFaultedError):
-            durable = False
-        self.degraded = not durable
+            persisted = False
+        self.degraded = not persisted
         self.committed_groups += 1
         self.committed_entries += len(batch)
         with self.bytes_lock:
             self.pending_bytes -= sum(entry.size_bytes for entry in batch)
         for entry in batch:
-            entry.on_committed(durable)
+            entry.on_committed(persisted)
 
     def close(self, timeout_s: float | None = None) -> bool:
         """Make durable what is queued, then end the thread.
--- a/gullyoke/storage/run_time_history.py
+++ b/gullyoke/storage/run_time_history.py
@@ -39,7 +39,7 @@
     frozen=True,
     rename={
         "settings_digest": "stated",
-        "taken_at_s": "at",
+        "recorded_at_s": "at",
         "run_times_us": "costs",
         "dependency_call_us": "call",
     },
@@ -48,14 +48,14 @@
 
     Attributes:
         settings_digest: The digest of the settings under which it was learned.
-        taken_at_s: When, in seconds of the Unix clock.
+        recorded_at_s: When, in seconds of the Unix clock.
         run_times_us: The usual time of a run by request class, in microseconds.
         dependency_call_us: The usual time of a dependency call, in microseconds.
         version: Of the row.
     """
 
     settings_digest: int
-    taken_at_s: float
+    recorded_at_s: float
     run_times_us: dict[str, float]
     dependency_call_us: float
     version: int = ROW_VERSION
@@ -87,7 +87,7 @@
     return digest
 
 
-def is_worth_keeping(
+def should_save(
     run_times_us: dict[str, float], usual_us: dict[str, float], warm: bool, draining: bool
 ) -> bool:
     """Whether the run times of now may be kept for the next start.
@@ -135,7 +135,7 @@
         return SnapshotVerdict(0.0, "other things were stated")
     if starts.unhealthy_starts >= MAX_UNHEALTHY_STARTS:
         return SnapshotVerdict(0.0, f"{starts.unhealthy_starts} starts that did not come to calm")
-    age_s = max(0.0, now_s - snapshot.taken_at_s)
+    age_s = max(0.0, now_s - snapshot.recorded_at_s)
     if age_s > MAX_AGE_S:
         return SnapshotVerdict(0.0, "too old")
     return SnapshotVerdict(MAX_WEIGHT * 0.5 ** (age_s / HALF_LIFE_S), "remembered")
@@ -169,8 +169,8 @@
     costs = server.hold.cost
     for request_class in costs:
         if request_class.name in snapshot.run_times_us:
-            kept = snapshot.run_times_us[request_class.name]
-            costs[request_class] += weight * (kept - costs[request_class])
+            saved_us = snapshot.run_times_us[request_class.name]
+            costs[request_class] += weight * (saved_us - costs[request_class])
     usual_us = snapshot.dependency_call_us * (weight > 0)
     server.below.usual = usual_us
     server.below.lately = usual_us
--- a/gullyoke/storage/warmup_history.py
+++ b/gullyoke/storage/warmup_history.py
@@ -30,20 +30,20 @@
 class WarmupSnapshot(
     msgspec.Struct,
     frozen=True,
-    rename={"settings_digest": "stated", "taken_at_s": "at", "run_times_us": "costs"},
+    rename={"settings_digest": "stated", "recorded_at_s": "at", "run_times_us": "costs"},
 ):
     """What cold starts were like. The names of the fields on the disk are those in `rename`.
 
     Attributes:
         settings_digest: The digest of the settings under which it was learned.
-        taken_at_s: When, in seconds of the Unix clock.
+        recorded_at_s: When, in seconds of the Unix clock.
         run_times_us: By request class, a time of runs for each bucket of AGE_BUCKETS_US, in
             microseconds; 0 where none was seen.
         version: Of the row.
     """
 
     settings_digest: int
-    taken_at_s: float
+    recorded_at_s: float
     run_times_us: dict[str, list[float]]
     version: int = ROW_VERSION
 
