--- a/gullyoke/durability/disk_health.py
+++ b/gullyoke/durability/disk_health.py
@@ -138,7 +138,7 @@
             error_number: The errno of its error; None where it succeeded.
             probe: Whether it was a probe, which alone can make the disk healthy again.
         """
-        call = self.calls_in_flight.pop(number, DiskCall(now_us, "a call"))
+        call = self.calls_in_flight.pop(number, None) or DiskCall(now_us, "a call")
         took_us = now_us - call.started_us
         if error_number is not None:
             state = STATE_BY_ERROR.get(error_number, DiskState.FAILING)
@@ -156,10 +156,11 @@
 
     def state(self, now_us: int) -> DiskState:
         """Give the state now, and call the listeners where it has changed."""
-        self._check_calls_in_flight(now_us)
-        state = max(
-            self._error_state or DiskState.HEALTHY, self._state_by_space(), key=SEVERITY.index
-        )
+        if self.calls_in_flight:
+            self._check_calls_in_flight(now_us)
+        state = self._state_by_space()
+        if self._error_state is not None:
+            state = max(self._error_state, state, key=SEVERITY.index)
         if state is not self._reported:
             if self._reported in BAD_STATES and state not in BAD_STATES:
                 self._returned_us = now_us
--- a/gullyoke/durability/key_record.py
+++ b/gullyoke/durability/key_record.py
@@ -46,10 +46,10 @@
 
     def memory_bytes(self) -> int:
         """Give about what it takes in memory; on the disk it is less."""
-        fields_bytes = sum(
-            len(name) + len(value) + FIELD_MEMORY_BYTES for name, value in self.fields
-        )
-        return RECORD_MEMORY_BYTES + len(self.body) + fields_bytes
+        size_bytes = RECORD_MEMORY_BYTES + len(self.body)
+        for name, value in self.fields:
+            size_bytes += len(name) + len(value) + FIELD_MEMORY_BYTES
+        return size_bytes
 
     def without_result(self) -> KeyRecord:
         """Give the record without its answer."""
