--- a/tests/durability/test_rules.py
+++ b/tests/durability/test_rules.py
@@ -1,6 +1,6 @@
-"""The rules of what lasts, without a disk.
+"""The rules of durability, without a disk.
 
-Its state, waits, rooms, trust, the notes of reqs, cells.
+The health of a disk, pending writes, quotas, folder trust, the ledger of keys, and the slot file.
 """
 
 import errno
@@ -42,132 +42,133 @@
 SECOND = 1_000_000
 
 
-class Disks(unittest.TestCase):
+class DiskHealthTest(unittest.TestCase):
     def test_scenarios(self):
         """disks/*.txt, tests/README.md has the notation."""
         for path in sorted((HERE / "disks").glob("*.txt")):
             draws, out = [0.0], {}
-            one = DiskHealth(0, lambda draws=draws: draws[0])
+            health = DiskHealth(0, lambda draws=draws: draws[0])
             for number, line in enumerate(path.read_text().splitlines(), 1):
                 words = line.partition("#")[0].split()
                 if not words:
                     continue
                 with self.subTest(path.stem, line=number):
-                    self.line(one, draws, out, int(words[0]) * 1000, words[1], words[2:])
+                    self.line(health, draws, out, int(words[0]) * 1000, words[1], words[2:])
 
-    def line(self, one, draws, out, now, what, words):
+    def line(self, health, draws, out, now, what, words):
         if what in ("call", "tried"):
             fault = getattr(errno, words[0]) if words else None
-            one.call_finished(now, one.call_started(now, what), fault, what == "tried")
+            health.call_finished(now, health.call_started(now, what), fault, what == "tried")
         elif what == "begin":
-            out[words[0]] = one.call_started(now, words[0])
+            out[words[0]] = health.call_started(now, words[0])
         elif what == "end":
-            one.call_finished(now, out.pop(words[0]))
+            health.call_finished(now, out.pop(words[0]))
         elif what == "free":
-            one.set_free_share(float(words[0]))
+            health.set_free_share(float(words[0]))
         elif what == "is":
-            self.assertEqual(one.state(now).value, " ".join(words))
+            self.assertEqual(health.state(now).value, " ".join(words))
         elif what == "trial":
-            self.assertEqual(one.claim_probe(now), words == ["yes"])
+            self.assertEqual(health.claim_probe(now), words == ["yes"])
         else:  # takes a share: just under it yes, over it no
             share = float(words[0])
             draws[0] = share - 0.01
-            self.assertTrue(one.accepts_writes(now))
+            self.assertTrue(health.accepts_writes(now))
             draws[0] = share + 0.01
-            self.assertEqual(one.accepts_writes(now), share == 1)
+            self.assertEqual(health.accepts_writes(now), share == 1)
 
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6))
     def test_no_flapping(self, seed):
-        """A disk that fails now and then for a while turns at most so often, however calls come; a
-        minute and a half after it is well for good it is so said.
+        """A disk that fails now and then changes state at most so often, however calls come.
+
+        A minute and a half after its last fault it is called healthy.
         """
-        chance, now, turns = random.Random(seed), 0, []
-        one = DiskHealth(0, chance.random)
-        one.listeners.append(turns.append)
+        chance, now, changes = random.Random(seed), 0, []
+        health = DiskHealth(0, chance.random)
+        health.listeners.append(changes.append)
         faulty = True
         while now < 600 * SECOND:
             now += chance.randrange(100_000, 400_000)
             faulty = now < 300 * SECOND and chance.random() < 0.3
-            trial = one.claim_probe(now)
-            if trial or one.state(now) not in BAD_STATES:
-                one.call_finished(
-                    now, one.call_started(now, "sync"), errno.EIO if faulty else None, trial
+            probe = health.claim_probe(now)
+            if probe or health.state(now) not in BAD_STATES:
+                health.call_finished(
+                    now, health.call_started(now, "sync"), errno.EIO if faulty else None, probe
                 )
             if now > 300 * SECOND + MAX_BAD_US + 30 * SECOND:
-                self.assertIs(one.state(now), DiskState.HEALTHY)
-        self.assertLessEqual(len(turns), 40)  # 300 s of faults at every third call
+                self.assertIs(health.state(now), DiskState.HEALTHY)
+        self.assertLessEqual(len(changes), 40)  # 300 s of faults at every third call
 
 
-class Waiting(unittest.TestCase):
-    def test_waits(self):
+class PendingWritesTest(unittest.TestCase):
+    def test_expected_time_of_a_write(self):
         """What is usual is learned.
 
-        One that does not come back makes the next one longer, and no promise is asked for that
-        would come too late.
+        One that does not return makes the next one longer, and no write is asked for that would
+        come too late.
         """
-        waits = PendingWrites()
+        writes = PendingWrites()
         for i in range(100):
-            waits.started(i * 10_000, i)
-            waits.finished(i * 10_000 + 2_000, i, True)
-        self.assertLess(waits.expected_us(10**6), 3_000)
-        self.assertTrue(waits.in_time(0, 100_000, 50_000))
-        waits.started(10**6, "stuck")
-        self.assertGreater(waits.expected_us(10**6 + 300_000), 299_000)
-        self.assertFalse(waits.in_time(10**6 + 300_000, 10**6 + 800_000, 50_000))
-        self.assertFalse(waits.is_overdue(10**6 + WRITE_TIMEOUT_US - 1, 10**6, 10**9))
-        self.assertTrue(waits.is_overdue(10**6 + WRITE_TIMEOUT_US, 10**6, 10**9))
-        waits.finished(10**6 + WRITE_TIMEOUT_US, "stuck", False)
-        self.assertLess(waits.expected_us(10**7), 3_000)
-
-
-class Shares(unittest.TestCase):
-    def test_rooms(self):
-        """What is worth least goes first, notes in force never.
-
-        In trouble only promises are written.
+            writes.started(i * 10_000, i)
+            writes.finished(i * 10_000 + 2_000, i, True)
+        self.assertLess(writes.expected_us(10**6), 3_000)
+        self.assertTrue(writes.in_time(0, 100_000, 50_000))
+        writes.started(10**6, "stuck")
+        self.assertGreater(writes.expected_us(10**6 + 300_000), 299_000)
+        self.assertFalse(writes.in_time(10**6 + 300_000, 10**6 + 800_000, 50_000))
+        self.assertFalse(writes.is_overdue(10**6 + WRITE_TIMEOUT_US - 1, 10**6, 10**9))
+        self.assertTrue(writes.is_overdue(10**6 + WRITE_TIMEOUT_US, 10**6, 10**9))
+        writes.finished(10**6 + WRITE_TIMEOUT_US, "stuck", False)
+        self.assertLess(writes.expected_us(10**7), 3_000)
+
+
+class DiskQuotaTest(unittest.TestCase):
+    def test_what_is_dropped_first(self):
+        """What is worth least is dropped first, key records in force never.
+
+        On a bad disk only lease grants are written.
         """
-        rooms = DiskQuota(10_000)
-        rooms.used |= {
+        quota = DiskQuota(10_000)
+        quota.used |= {
             DataKind.RUN_TIMES: 50,
             DataKind.FLEET_RECORD: 100,
             DataKind.RESULTS: 4_000,
             DataKind.KEY_RECORDS: 2_000,
         }
-        self.assertAlmostEqual(rooms.free_share(), 0.385)
+        self.assertAlmostEqual(quota.free_share(), 0.385)
         self.assertEqual(
-            [(g.kind, g.size_bytes) for g in rooms.to_reclaim(DiskState.NEAR_FULL)],
+            [(g.kind, g.size_bytes) for g in quota.to_reclaim(DiskState.NEAR_FULL)],
             [(DataKind.RUN_TIMES, 50), (DataKind.FLEET_RECORD, 100), (DataKind.RESULTS, 50)],
         )
-        self.assertEqual(rooms.to_reclaim(DiskState.HEALTHY), [])
-        rooms.used |= {DataKind.FLEET_RECORD: 1_600, DataKind.KEY_RECORDS: 9_000}
+        self.assertEqual(quota.to_reclaim(DiskState.HEALTHY), [])
+        quota.used |= {DataKind.FLEET_RECORD: 1_600, DataKind.KEY_RECORDS: 9_000}
         self.assertEqual(
-            [(g.kind, g.size_bytes) for g in rooms.to_reclaim(DiskState.HEALTHY)],
+            [(g.kind, g.size_bytes) for g in quota.to_reclaim(DiskState.HEALTHY)],
             [(DataKind.FLEET_RECORD, 100)],
         )
-        self.assertEqual(rooms.to_reclaim(DiskState.FULL), [])
-        rooms.used |= dict.fromkeys(
+        self.assertEqual(quota.to_reclaim(DiskState.FULL), [])
+        quota.used |= dict.fromkeys(
             (DataKind.RUN_TIMES, DataKind.FLEET_RECORD, DataKind.RESULTS), 0
         )
-        self.assertEqual(rooms.to_reclaim(DiskState.NEAR_FULL), [])
-        self.assertAlmostEqual(rooms.free_share(), 0.1)
+        self.assertEqual(quota.to_reclaim(DiskState.NEAR_FULL), [])
+        self.assertAlmostEqual(quota.free_share(), 0.1)
         for state in DiskState:
-            written = [kind for kind in DataKind if rooms.is_written(kind, state)]
+            written = [kind for kind in DataKind if quota.is_written(kind, state)]
             self.assertEqual(written, sorted(written))
             self.assertIn(DataKind.LEASE_GRANTS, written)
         self.assertNotIn(
-            DataKind.FLEET_RECORD, [k for k in DataKind if rooms.is_written(k, DiskState.NEAR_FULL)]
+            DataKind.FLEET_RECORD, [k for k in DataKind if quota.is_written(k, DiskState.NEAR_FULL)]
         )
         self.assertIn(
-            DataKind.KEY_RECORDS, [k for k in DataKind if rooms.is_written(k, DiskState.NEAR_FULL)]
+            DataKind.KEY_RECORDS, [k for k in DataKind if quota.is_written(k, DiskState.NEAR_FULL)]
         )
 
 
-class Trusting(unittest.TestCase):
-    def test_folders(self):
+class FolderTrustTest(unittest.TestCase):
+    def test_every_folder_that_may_be_found(self):
         """Each folder that may lie there after a restart.
 
-        Whether it is believed, written to, doubted.
+        Whether it is believed, written to, and makes retries doubtful.
         """
         now = 10**15
         own = FolderMark(2, "n1", 100, now)
@@ -187,19 +188,20 @@
         self.assertEqual(next_mark(own, "n1", 40, 7), FolderMark(2, "n1", 101, 7))
         self.assertEqual(next_mark(own, "n2", 40, 7).number, 40)
 
-    def test_clock(self):
-        """After a clock went back a note is in force for its window from now, not for a year."""
+    def test_clock_that_went_back(self):
+        """After a clock went back a record is in force for its window from now, not for a year."""
         note = KeyRecord(RunPhase.STARTED, 1, 10**15, 10**15 + 60 * SECOND)
         self.assertEqual(recovered_record(note, 10**14).window_end_us, 10**14 + 60 * SECOND)
         self.assertIs(judge_record(note, note.window_end_us + 1), DuplicateVerdict.MAY_RUN)
         self.assertIs(judge_record(note, note.window_end_us), DuplicateVerdict.UNKNOWN)
 
 
-class Ledgers(unittest.TestCase):
-    def test_walked(self):
-        """Every order of tries, writes that fail or come late, ends and crashes of one key, to the
-        last state: never a second run, never turned away after one, never an end told that is lost.
-        Without one of the guards the walk finds one.
+class KeyLedgerTest(unittest.TestCase):
+    def test_every_order_of_events(self):
+        """Attempts, writes that fail or come late, ends and crashes of one key, in every order.
+
+        Never a second run, never a rejection after one, never a reported end that is lost. Without
+        one of the guards the exploration finds a violation.
         """
         for policy in UndurablePolicy:
             states, wrong = key_ledger.explore_ledger(None, 30, policy)
@@ -211,76 +213,77 @@
 
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6), st.sampled_from(list(UndurablePolicy)))
-    def test_bounds(self, seed, without):
+    def test_bounds_in_random_runs(self, seed, policy):
         """Whatever the disk says and in whatever moment.
 
-        Each run that was asked for is told one thing; bytes stay within the bound and are those of
+        Each run that was asked for gets one answer; bytes stay within the bound and are those of
         the rows; when all windows are over nothing is left.
         """
-        chance, one, now, queue = random.Random(seed), KeyLedger(1, without, 20_000), 0, []
-        asked, told, running = 0, 0, []
-
-        def take(said):
-            nonlocal told
-            if isinstance(said, RecordWrite):
-                queue.append(said)
-            elif isinstance(said, LedgerAction):
-                told += said.kind in (ActionKind.RUN, ActionKind.REJECT)
-                if said.kind is ActionKind.RUN:
-                    running.append(said.key)
-                if said.kind is ActionKind.REJECT:
-                    take(one.abandon(now, said.key))
+        chance, ledger, now, queue = random.Random(seed), KeyLedger(1, policy, 20_000), 0, []
+        asked, answered, running = 0, 0, []
+
+        def take(command):
+            nonlocal answered
+            if isinstance(command, RecordWrite):
+                queue.append(command)
+            elif isinstance(command, LedgerAction):
+                answered += command.kind in (ActionKind.RUN, ActionKind.REJECT)
+                if command.kind is ActionKind.RUN:
+                    running.append(command.key)
+                if command.kind is ActionKind.REJECT:
+                    take(ledger.abandon(now, command.key))
 
         for _ in range(200):
             now += chance.randrange(300_000)
-            what = chance.randrange(6)
-            if what == 0:
+            step = chance.randrange(6)
+            if step == 0:
                 key = f"k{chance.randrange(40)}"
-                known = one.find(now, key) is not None
-                said = one.request_run(
+                known = ledger.find(now, key) is not None
+                command = ledger.request_run(
                     now, key, now, now + 20 * SECOND, now + 5 * SECOND, 1000, chance.random() < 0.8
                 )
                 self.assertEqual(
                     known,
-                    isinstance(said, LedgerAction) and said.kind is ActionKind.REPORT_DUPLICATE,
+                    isinstance(command, LedgerAction)
+                    and command.kind is ActionKind.REPORT_DUPLICATE,
                 )
                 asked += not known
-                take(said)
-            elif what in (1, 2) and queue:
-                put = queue.pop(0)
+                take(command)
+            elif step in (1, 2) and queue:
+                write = queue.pop(0)
                 take(
-                    one.write_finished(now, put, True)
+                    ledger.write_finished(now, write, True)
                     if chance.random() < 0.8
-                    else one.write_rejected(now, put)
+                    else ledger.write_rejected(now, write)
                     if chance.random() < 0.5
-                    else one.write_finished(now, put, False)
+                    else ledger.write_finished(now, write, False)
                 )
-            elif what == 3 and running:
+            elif step == 3 and running:
                 body = b"x" * chance.randrange(300)
-                take(one.end_run(now, running.pop(), 200, (), body, chance.random() < 0.8))
-            elif what == 4:
-                for act in one.time_out_writes(now):
-                    take(act)
-            elif what == 5:
-                one.expire(now)
-                queue += one.drop_results(now, chance.randrange(200))
-            self.assertLessEqual(one.size_bytes, 20_000)
+                take(ledger.end_run(now, running.pop(), 200, (), body, chance.random() < 0.8))
+            elif step == 4:
+                for action in ledger.time_out_writes(now):
+                    take(action)
+            elif step == 5:
+                ledger.expire(now)
+                queue += ledger.drop_results(now, chance.randrange(200))
+            self.assertLessEqual(ledger.size_bytes, 20_000)
             self.assertEqual(
-                one.size_bytes, sum(row.record.memory_bytes() for row in one.rows.values())
+                ledger.size_bytes, sum(row.record.memory_bytes() for row in ledger.rows.values())
             )
-        for put in queue:
-            take(one.write_finished(now, put, True))
+        for write in queue:
+            take(ledger.write_finished(now, write, True))
         while running:
-            take(one.end_run(now, running.pop(), 200, (), b"", False))
-        self.assertEqual(asked, told)
-        one.expire(now + 60 * SECOND)
-        self.assertEqual((one.window_ends, len(one.results)), ([], 0))
+            take(ledger.end_run(now, running.pop(), 200, (), b"", False))
+        self.assertEqual(asked, answered)
+        ledger.expire(now + 60 * SECOND)
+        self.assertEqual((ledger.window_ends, len(ledger.results)), ([], 0))
         self.assertEqual(
-            [row.stage for row in one.rows.values() if row.stage is not KeyStage.ABANDONED], []
+            [row.stage for row in ledger.rows.values() if row.stage is not KeyStage.ABANDONED], []
         )
 
 
-class Fixed:
+class SlotFileInMemory:
     """A file in memory whose writes may be cut."""
 
     def __init__(self, data=None):
@@ -306,24 +309,24 @@
         pass
 
 
-class Cell(unittest.TestCase):
-    def test_cuts(self):
+class SlotFileTest(unittest.TestCase):
+    def test_write_cut_at_every_byte(self):
         """A write cut at every byte.
 
         The value before or the new one, whole; all others as they were; it opens and goes on.
         """
         for cut in range(0, SLOT_COPY_BYTES, 7):
-            files = Fixed()
-            cells = SlotFile(files, 3)
-            cells.put([("a", b"1"), ("b", b"2")])
-            cells.put([("a", b"3")])
-            cells.put([("c", b"gone"), ("b", b"4")])
-            cells.put([("c", None)])
+            files = SlotFileInMemory()
+            slots = SlotFile(files, 3)
+            slots.put([("a", b"1"), ("b", b"2")])
+            slots.put([("a", b"3")])
+            slots.put([("c", b"gone"), ("b", b"4")])
+            slots.put([("c", None)])
             files.cut = cut
             with self.assertRaises(StoreFaultedError):
-                cells.put([("a", b"5" * 100)])
+                slots.put([("a", b"5" * 100)])
             files.cut = None
-            again = SlotFile(Fixed(bytearray(files.data)), 3)
+            again = SlotFile(SlotFileInMemory(bytearray(files.data)), 3)
             got = dict(again.items())
             self.assertIn(got.pop("a"), (b"3", b"5" * 100))
             self.assertEqual(got, {"b": b"4"})
@@ -341,25 +344,25 @@
     def test_like_a_dict(self, steps):
         """Any puts and removals, starts in between.
 
-        What was put is there; a sixth key finds no cell.
+        What was put is there; a fifth key finds no slot.
         """
-        files, wanted = Fixed(), {}
-        cells = SlotFile(files, 4)
+        files, wanted = SlotFileInMemory(), {}
+        slots = SlotFile(files, 4)
         for key, value, anew in steps:
             try:
-                cells.put([(key, value)])
+                slots.put([(key, value)])
                 wanted[key] = value
             except StoreFullError:
                 self.assertGreaterEqual(sum(v is not None for v in wanted.values()), 4)
             if anew:
-                cells = SlotFile(files, 4)
+                slots = SlotFile(files, 4)
             self.assertEqual(
-                dict(cells.items()), {k: v for k, v in wanted.items() if v is not None}
+                dict(slots.items()), {k: v for k, v in wanted.items() if v is not None}
             )
 
-    def test_too_long(self):
+    def test_value_too_long_for_a_slot(self):
         with self.assertRaises(StoreFullError):
-            SlotFile(Fixed(), 2).put([("a", bytes(SLOT_COPY_BYTES))])
+            SlotFile(SlotFileInMemory(), 2).put([("a", bytes(SLOT_COPY_BYTES))])
 
 
 if __name__ == "__main__":
