--- a/tests/compatibility/test_note_store.py
+++ b/tests/compatibility/test_note_store.py
@@ -1,4 +1,4 @@
-"""The store folder with notes of idempotency keys: segments, records, the mark and the notes."""
+"""The store folder of idempotency keys: segments, records, the mark and the keys' records."""
 
 import unittest
 
@@ -35,15 +35,15 @@
 WINDOW_END = NOW + 600_000_000
 START = 1_699_999_990
 
-# Keys of notes: the digests of a handler's name and the caller's key.
+# Keys of records: the digests of a request class's name and the caller's key.
 RUNNING = "n0c991d19da7496b1a68b727aba1b98b5"
 ENDED = "n0123"
 REMOVED = "n4567"
 OTHER_START = "n89ab"
 
 MARK_VALUE = FolderMark(2, "server-1", 41, NOW)
-RUNNING_NOTE = KeyRecord(RunPhase.STARTED, START, NOW - 5_000, WINDOW_END)
-ENDED_NOTE = KeyRecord(
+RUNNING_RECORD = KeyRecord(RunPhase.STARTED, START, NOW - 5_000, WINDOW_END)
+ENDED_RECORD = KeyRecord(
     RunPhase.ENDED,
     START,
     NOW - 9_000,
@@ -52,24 +52,28 @@
     (("content-type", "text/plain"), ("x-größe", "7")),
     b"order 77\x00\xff",
 )
-REMOVED_NOTE = KeyRecord(RunPhase.ENDED, START, NOW, WINDOW_END, 500, (), b"r" * 400)
-OTHER_NOTE = KeyRecord(RunPhase.ENDED, START - 100, NOW - 700_000_000, NOW - 100_000_000)
+REMOVED_RECORD = KeyRecord(RunPhase.ENDED, START, NOW, WINDOW_END, 500, (), b"r" * 400)
+OTHER_START_RECORD = KeyRecord(RunPhase.ENDED, START - 100, NOW - 700_000_000, NOW - 100_000_000)
 
 
 def write_first_start(folder):
-    """Two batches: the mark and three notes, then an end, a removal and one more note."""
+    """Two batches: the mark and three records, then an end, a removal and one more record."""
     disk = StorageFolder(folder)
     store = Store(disk, segment_bytes=4096, quota_bytes=2**20)
     store.put(
         [
             (MARK, encode(tuple(FolderMark(2, "server-1", 40, NOW - 1_000_000)))),
-            (RUNNING, packed(RUNNING_NOTE)),
-            (REMOVED, packed(REMOVED_NOTE)),
-            (ENDED, packed(RUNNING_NOTE)),
+            (RUNNING, packed(RUNNING_RECORD)),
+            (REMOVED, packed(REMOVED_RECORD)),
+            (ENDED, packed(RUNNING_RECORD)),
         ]
     )
     store.put(
-        [(ENDED, packed(ENDED_NOTE)), (REMOVED, packed(None)), (OTHER_START, packed(OTHER_NOTE))]
+        [
+            (ENDED, packed(ENDED_RECORD)),
+            (REMOVED, packed(None)),
+            (OTHER_START, packed(OTHER_START_RECORD)),
+        ]
     )
     disk.close()
 
@@ -81,7 +85,7 @@
     disk.close()
 
 
-class NoteStore(unittest.TestCase):
+class KeyRecordStore(unittest.TestCase):
     def opened(self, name="notes"):
         disk = StorageFolder(copy_of(self, name))
         self.addCleanup(disk.close)
@@ -119,25 +123,25 @@
         self.assertEqual((store.dropped_bytes, store.oldest_format, store.next_segment), (0, 2, 3))
         self.assertEqual(sorted(store.keys()), sorted([MARK, RUNNING, ENDED, OTHER_START]))
         self.assertEqual(FolderMark(*decode_mark(store.get(MARK))), MARK_VALUE)
-        self.assertEqual(unpacked(store.get(RUNNING)), RUNNING_NOTE)
-        self.assertEqual(unpacked(store.get(ENDED)), ENDED_NOTE)
-        self.assertEqual(unpacked(store.get(OTHER_START)), OTHER_NOTE)
+        self.assertEqual(unpacked(store.get(RUNNING)), RUNNING_RECORD)
+        self.assertEqual(unpacked(store.get(ENDED)), ENDED_RECORD)
+        self.assertEqual(unpacked(store.get(OTHER_START)), OTHER_START_RECORD)
         self.assertIsNone(store.get(REMOVED))
 
-    def test_recorded_notes_are_in_force(self):
-        """After a restart the recorded notes are judged as before."""
+    def test_recorded_key_records_are_in_force(self):
+        """After a restart the recorded keys are judged as before."""
         store = self.opened()
-        notes = [(key, unpacked(value)) for key, value in store.items() if key != MARK]
+        records = [(key, unpacked(value)) for key, value in store.items() if key != MARK]
         ledger = KeyLedger(START + 10, UndurablePolicy.REJECT, 2**20)
-        self.assertEqual(ledger.recover(NOW, notes), [OTHER_START])
-        self.assertEqual(ledger.find(NOW, RUNNING), RUNNING_NOTE)
+        self.assertEqual(ledger.recover(NOW, records), [OTHER_START])
+        self.assertEqual(ledger.find(NOW, RUNNING), RUNNING_RECORD)
         self.assertIs(judge_record(ledger.find(NOW, RUNNING), NOW), DuplicateVerdict.UNKNOWN)
-        self.assertEqual(ledger.find(NOW, ENDED), ENDED_NOTE)
+        self.assertEqual(ledger.find(NOW, ENDED), ENDED_RECORD)
         self.assertIs(judge_record(ledger.find(NOW, ENDED), NOW), DuplicateVerdict.RESULT)
         self.assertIsNone(ledger.find(WINDOW_END + 1, ENDED))
         mark = FolderMark(*decode_mark(store.get(MARK)))
         self.assertEqual(
-            tuple(assess_folder(mark, len(notes), "server-1", 41, NOW))[:3], (True, True, False)
+            tuple(assess_folder(mark, len(records), "server-1", 41, NOW))[:3], (True, True, False)
         )
         self.assertEqual(
             next_mark(mark, "server-1", 7, NOW + 5), FolderMark(2, "server-1", 42, NOW + 5)
@@ -180,7 +184,7 @@
         folder = temporary_folder(self)
         disk = StorageFolder(folder)
         committer = GroupCommitter(Store(disk), initial_batch=[(MARK, encode(tuple(MARK_VALUE)))])
-        committer.put(RUNNING, packed(RUNNING_NOTE))
+        committer.put(RUNNING, packed(RUNNING_RECORD))
         committer.put(RUNNING, None)
         self.assertTrue(committer.close(10))
         disk.close()
@@ -190,7 +194,7 @@
             [
                 Record(2, "", b"", RecordKind.HEADER),
                 Record(1, MARK, encode(tuple(MARK_VALUE))),
-                Record(2, RUNNING, packed(RUNNING_NOTE)),
+                Record(2, RUNNING, packed(RUNNING_RECORD)),
                 Record(3, RUNNING, b"", RecordKind.DELETED),
             ],
         )
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -42,17 +42,17 @@
 ROOT = pathlib.Path(__file__).parents[2]
 
 
-class Memory:
-    """Files that remember what was synced.
+class FolderInMemory:
+    """A folder that records what was synced.
 
-    `fail` names calls that break, by their count from now on.
+    `fail` gives the error of a call, and after how many calls from now it is raised.
     """
 
     def __init__(self, files=()):
         self.files = dict(files)  # all that was written
         self.synced = {name: len(data) for name, data in self.files.items()}
         self.folder = set(self.files)  # names that are durable
-        self.gone = {}  # removed, and not durably so
+        self.removed = {}  # removed, and not durably so
         self.fail, self.calls, self.watch = {}, 0, None
 
     def _call(self, what):
@@ -90,11 +90,11 @@
 
     def remove(self, name):
         self._call("remove")
-        self.gone[name] = self.files.pop(name)
+        self.removed[name] = self.files.pop(name)
 
     def sync_folder(self):
         self._call("sync_folder")
-        self.folder, self.gone = set(self.files), {}
+        self.folder, self.removed = set(self.files), {}
 
     def crashes(self):
         """Every state that a power cut now may leave.
@@ -114,7 +114,7 @@
                 at = safe + (len(data) - safe) // 3
                 states.append(data[:at] + bytes(8) + data[at + 8 :])
             choices.append([(name, s) for s in states] + ([] if name in self.folder else [None]))
-        choices += [[(n, d), None] for n, d in self.gone.items()]
+        choices += [[(n, d), None] for n, d in self.removed.items()]
         for state in itertools.product(*choices):
             yield fixed | dict(x for x in state if x)
 
@@ -133,13 +133,13 @@
 ]
 
 
-class Stores(unittest.TestCase):
+class StoreTest(unittest.TestCase):
     def test_formats(self):
         """A folder of version 1, whose segments have no header, is read and gone on with.
 
-        One of a later version is refused, and nothing in it changes.
+        One of a later version is not opened, and nothing in it changes.
         """
-        old = Memory(
+        old = FolderInMemory(
             {
                 "0000000001.seg": pack_record(Record(1, "a", b"1"))
                 + pack_record(Record(2, "b", b"2"))
@@ -151,10 +151,12 @@
             (1, {"a": b"1", "b": b"2"}, 0),
         )
         store.put([("a", b"3")])
-        again = Store(Memory(old.files))
+        again = Store(FolderInMemory(old.files))
         self.assertEqual((again.oldest_format, dict(again.items())), (1, {"a": b"3", "b": b"2"}))
-        self.assertEqual(Store(Memory({"0000000001.seg": segment_header()})).oldest_format, 2)
-        later = Memory(
+        self.assertEqual(
+            Store(FolderInMemory({"0000000001.seg": segment_header()})).oldest_format, 2
+        )
+        later = FolderInMemory(
             {
                 "0000000001.seg": pack_record(Record(3, "", b"", RecordKind.HEADER))
                 + pack_record(Record(1, "a", b"1"))
@@ -171,42 +173,44 @@
         What was acknowledged is there, nothing is half there, the store opens and goes on, and
         opens again.
         """
-        files, states, acked, going = Memory(), 0, {}, {}
+        files, states, acknowledged, going = FolderInMemory(), 0, {}, {}
         store, compactions = Store(files, segment_bytes=120), 0
 
         def look():
             nonlocal states
             for state in files.crashes():
                 states += 1
-                again = Store(Memory(state), segment_bytes=120)
+                again = Store(FolderInMemory(state), segment_bytes=120)
                 got = dict(again.items())
                 for key in "abcdef":
-                    allowed = {acked.get(key)} | ({going[key]} if key in going else set())
+                    allowed = {acknowledged.get(key)} | ({going[key]} if key in going else set())
                     self.assertIn(got.get(key), allowed, (key, state))
                 self.assertLessEqual(set(got), set("abcdef"))
                 if states % 50 == 0:
                     again.put([("new", b"9")])
                     self.assertEqual(
-                        dict(Store(Memory(again.files.files)).items()), got | {"new": b"9"}
+                        dict(Store(FolderInMemory(again.files.files)).items()), got | {"new": b"9"}
                     )
 
         files.watch = look
         for batch in SCRIPT:
             going = dict(batch)
             store.put(batch)
-            acked, going = acked | going, {}
+            acknowledged, going = acknowledged | going, {}
             look()
             compactions = store.compacted_segments
         self.assertGreater(compactions, 1)
         self.assertGreater(states, 500)
-        self.assertEqual(dict(store.items()), {k: v for k, v in acked.items() if v is not None})
+        self.assertEqual(
+            dict(store.items()), {k: v for k, v in acknowledged.items() if v is not None}
+        )
 
     def test_cuts(self):
         """Any file cut at any byte, any byte flipped or gone.
 
         Each record whole or dropped and counted.
         """
-        files = Memory()
+        files = FolderInMemory()
         store = Store(files, segment_bytes=150)
         for batch in SCRIPT:
             store.put(batch)
@@ -217,12 +221,12 @@
         for name, data in files.files.items():
             for at in range(len(data)):
                 flipped = bytes([data[at] ^ 0x10])
-                for spoilt in (
+                for damaged in (
                     data[:at],
                     data[:at] + flipped + data[at + 1 :],
                     data[:at] + data[at + 1 :],
                 ):
-                    again = Store(Memory(files.files | {name: spoilt}))
+                    again = Store(FolderInMemory(files.files | {name: damaged}))
                     for key, value in again.items():
                         self.assertIn(value, ever[key])
                     lost = sum(len(d) for d in again.files.files.values()) - sum(
@@ -255,18 +259,18 @@
     )
     def test_random(self, script):
         """Against a dict, with faults of the disk, compaction and restarts in between."""
-        files, wanted = Memory(), {}
-        store, perhaps = Store(files, segment_bytes=200), {}
+        files, wanted = FolderInMemory(), {}
+        store, uncertain = Store(files, segment_bytes=200), {}
         for verb, what in script:
             if verb == "put":
                 try:
                     store.put(what)
                     for key, value in what:
                         wanted[key] = value
-                        perhaps.pop(key, None)
+                        uncertain.pop(key, None)
                 except StoreFaultedError:
                     for key, value in what:  # in force now as before; after a restart as either
-                        perhaps.setdefault(key, {wanted.get(key)}).add(value)
+                        uncertain.setdefault(key, {wanted.get(key)}).add(value)
                 files.fail = {}
             elif verb == "fail":
                 files.fail = {what: (0, 5)}
@@ -274,21 +278,21 @@
                 store.compact(9)
             else:
                 files.fail = {}
-                store = Store(Memory(files.files), segment_bytes=200)
+                store = Store(FolderInMemory(files.files), segment_bytes=200)
                 files = store.files
-                for key, values in perhaps.items():
+                for key, values in uncertain.items():
                     self.assertIn(store.get(key), values)
                     wanted[key] = store.get(key)
-                perhaps = {}
+                uncertain = {}
             for key in "abcdefgh":
                 self.assertEqual(store.get(key), wanted.get(key))
 
     def test_faults(self):
         """A full disk, one that can't sync, a quota.
 
-        Said, counted, and the store goes on when it can.
+        Raised, counted, and the store goes on when it can.
         """
-        files = Memory()
+        files = FolderInMemory()
         store = Store(files, segment_bytes=500, quota_bytes=400)
         store.put([("a", b"1" * 100)])
         for what in ("append", "appended", "sync", "create"):
@@ -307,7 +311,7 @@
 
     def test_bounded(self):
         """Steady overwrites take at most three times what is kept, and old files go."""
-        files, written = Memory(), 0
+        files, written = FolderInMemory(), 0
         store, append = Store(files, segment_bytes=4000, quota_bytes=60_000), files.append
 
         def counted(name, data):
@@ -323,7 +327,7 @@
         self.assertEqual(len(store.keys()), 50)
 
     def test_disk(self):
-        """A real folder: a second process is refused, a restart finds all, commands tell what is
+        """A real folder: a second process is locked out, a restart finds all, commands show what is
         there.
         """
         with tempfile.TemporaryDirectory() as folder:
@@ -343,43 +347,40 @@
             last = sorted(pathlib.Path(folder).glob("*.seg"))[-1]
             with last.open("ab") as file:
                 file.write(b"half a rec")
-            spoilt = run(main, ["store", "check", folder, "--json"])
+            damaged = run(main, ["store", "check", folder, "--json"])
             self.assertEqual(
-                (spoilt.exit_code, json.loads(spoilt.output)["dropped_bytes"]), (1, 10)
+                (damaged.exit_code, json.loads(damaged.output)["dropped_bytes"]), (1, 10)
             )
 
     def test_committer(self):
-        """Many threads wait at once, few groups; a full queue refuses.
-
-        A weak disk tells so and recovers.
-        """
-        files = Memory()
+        """Entries are committed; after an error of the disk the committer is degraded until the next."""
+        files = FolderInMemory()
         committer = GroupCommitter(Store(files), max_entries=100)
-        told, all_told = [], threading.Semaphore(0)
+        outcomes, all_finished = [], threading.Semaphore(0)
 
-        def hear(durable):
-            told.append(durable)
-            all_told.release()
+        def record_outcome(durable):
+            outcomes.append(durable)
+            all_finished.release()
 
         for i in range(60):
-            self.assertTrue(committer.put(f"k{i}", b"v", hear))
+            self.assertTrue(committer.put(f"k{i}", b"v", record_outcome))
         for _ in range(60):
-            self.assertTrue(all_told.acquire(timeout=10))
-        self.assertEqual((told, committer.degraded), ([True] * 60, False))
+            self.assertTrue(all_finished.acquire(timeout=10))
+        self.assertEqual((outcomes, committer.degraded), ([True] * 60, False))
         files.fail = {"sync": (0, 5)}
-        committer.put("x", b"1", hear)
-        self.assertTrue(all_told.acquire(timeout=10))
-        self.assertEqual((told[-1], committer.degraded), (False, True))
+        committer.put("x", b"1", record_outcome)
+        self.assertTrue(all_finished.acquire(timeout=10))
+        self.assertEqual((outcomes[-1], committer.degraded), (False, True))
         files.fail = {}
-        committer.put("x", b"2", hear)
+        committer.put("x", b"2", record_outcome)
         committer.close()
         self.assertEqual(
-            (told[-1], committer.degraded, committer.store.get("x")), (True, False, b"2")
+            (outcomes[-1], committer.degraded, committer.store.get("x")), (True, False, b"2")
         )
 
     def test_full_queue_rejects(self):
         """While the disk hangs only so much is queued; more is rejected, and no close waits longer."""
-        files, released = Memory(), threading.Event()
+        files, released = FolderInMemory(), threading.Event()
         files.watch = lambda: released.wait(10)
         committer = GroupCommitter(Store(files), max_entries=1)
         self.addCleanup(released.set)
@@ -420,7 +421,7 @@
     def test_killed(self):
         """A writer killed with SIGKILL at a random moment.
 
-        Every key that it said was durable is there.
+        Every key that it printed as durable is there.
         """
         code = (
             "import sys; from gullyoke.storage import *\n"
