--- a/gullyoke/durability/disk_quota.py
+++ b/gullyoke/durability/disk_quota.py
@@ -1,6 +1,6 @@
 """Who may use how much of a disk, and what is dropped first when it grows full.
 
-Each kind of data has its share. Near full nothing is lost yet: what is dead is compacted away. When
+Each kind of data has its quota. Near full nothing is lost yet: what is dead is compacted away. When
 that does not do, what is worth least goes first: the usual run times of a server, then the fleet's
 record, then the results of ended requests (a duplicate is then answered failed, as unknown, never
 run again), and key records whose window is over. Key records that are in force and lease grants are
@@ -16,7 +16,7 @@
 
 
 class DataKind(IntEnum):
-    """What is kept on a disk, by worth: the least first."""
+    """The data on a disk, by worth: the least first."""
 
     RUN_TIMES = 0
     FLEET_RECORD = 1
@@ -37,8 +37,8 @@
     DataKind.KEY_RECORDS: "notes",
     DataKind.LEASE_GRANTS: "promises",
 }
-# The share of the quota that each kind may have; lease grants have slots of their own beside it.
-SHARES: Final = {
+# The share of the whole quota that each kind may have; lease grants have slots of their own beside.
+QUOTA_SHARES: Final = {
     DataKind.RUN_TIMES: 0.05,
     DataKind.FLEET_RECORD: 0.15,
     DataKind.RESULTS: 0.5,
@@ -70,16 +70,16 @@
 
     Attributes:
         quota_bytes: What all kinds but lease grants may take together.
-        used: Bytes by kind, as last reported by whoever keeps them.
+        used: Bytes by kind, as last reported by their owners.
     """
 
     def __init__(self, quota_bytes: int) -> None:
         self.quota_bytes = quota_bytes
-        self.used = dict.fromkeys(SHARES, 0)
+        self.used = dict.fromkeys(QUOTA_SHARES, 0)
 
     def limit_bytes(self, kind: DataKind) -> int:
         """Give how many bytes a kind may have."""
-        return int(SHARES[kind] * self.quota_bytes)
+        return int(QUOTA_SHARES[kind] * self.quota_bytes)
 
     def is_written(self, kind: DataKind, state: DiskState) -> bool:
         """Whether a kind is written at all in a state of the disk."""
--- a/gullyoke/storage/__init__.py
+++ b/gullyoke/storage/__init__.py
@@ -1,10 +1,9 @@
-"""An embedded store that survives cuts.
+"""An embedded key-value store that survives crashes and power cuts.
 
-Records in segments, an index in memory, compaction, recovery.
-
-One writer, no server. `Store` is the core and does what it is told, on the caller's thread;
-`Committer` puts it behind a thread that groups what is to be durable. docs/store.md has the format.
-The daemon imports it only where an operator's file names a folder.
+Records in append-only segments, an index in memory, compaction and recovery; one writer, no server.
+`Store` works on the caller's thread; `GroupCommitter` puts it behind a thread that commits entries
+in groups. `SlotFile` has a few small values whose space is reserved. docs/store.md has the format.
+The daemon imports the package only where an operator's file names a folder.
 """
 
 from gullyoke.storage.folder import FileOperations, StorageFolder
--- a/gullyoke/storage/run_time_history.py
+++ b/gullyoke/storage/run_time_history.py
@@ -1,8 +1,8 @@
-"""What a server keeps of its usual run times over a restart, and when the next start may use it.
+"""What a server saves of its usual run times for the next start, and when that may use it.
 
 No I/O: rows in, verdicts out.
 
-Kept are the usual times of runs and of dependency calls. Not kept are:
+Saved are the usual times of runs and of dependency calls. Not saved are:
 
 - the learner's counts: given back at half their weight they cost 0.034 of the value in the first
   30 s after a cold start (simulated over 30 seeds), since a cold server is not the machine that
@@ -90,7 +90,7 @@
 def should_save(
     run_times_us: dict[str, float], usual_us: dict[str, float], warm: bool, draining: bool
 ) -> bool:
-    """Whether the run times of now may be kept for the next start.
+    """Whether the run times of now may be saved for the next start.
 
     Only of a warm server that does not drain and runs no slower than twice the usual: times of a
     slow or cold spell would, after the restart, reject what a healthy server can do.
@@ -122,7 +122,7 @@
     Its weight falls with its age; a clock that went back makes it neither younger nor older.
 
     Args:
-        snapshot: What the last start kept, if anything.
+        snapshot: What the last start saved, if anything.
         settings_digest: Of this start's settings.
         now_s: Seconds of the Unix clock.
         starts: How the last starts went.
--- a/gullyoke/storage/store.py
+++ b/gullyoke/storage/store.py
@@ -36,7 +36,7 @@
 class StoreFaultedError(GullyokeError, OSError):
     """A batch was not made durable: its segment is closed and the next batch begins another.
 
-    What it held may or may not be there after a crash; the caller's batch is not in force.
+    Its records may or may not be there after a crash; the caller's batch is not in force.
     """
 
 
--- a/gullyoke/storage/warmup_history.py
+++ b/gullyoke/storage/warmup_history.py
@@ -3,7 +3,7 @@
 No I/O.
 
 What a warm server learned does not help a cold one (gullyoke/storage/run_time_history.py); what one
-learned while cold is of the same machine in the same state. Kept is the time that nine in ten runs
+learned while cold is of the same machine in the same state. Saved is the time that nine in ten runs
 did not exceed, by age in steps that double: a cold server does better to think itself slow than to
 begin what comes too late (docs/store.md has the figures, with those of the mean and of other
 quantiles).
@@ -22,7 +22,7 @@
 AGE_BUCKETS_US: Final = (500_000, 1_000_000, 2_000_000, 4_000_000, 8_000_000, 16_000_000)
 DECILES: Final = 10
 NINTH_DECILE: Final = 9
-MAX_SAMPLES: Final = 64  # run times that are kept of a bucket
+MAX_SAMPLES: Final = 64  # newest run times of a bucket that count
 NEWEST_WEIGHT: Final = 0.5  # of the newest start against those before
 ROW_VERSION: Final = 1
 
