--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -32,7 +32,7 @@
 from gullyoke.fault_testing.play import Play
 from gullyoke.fault_testing.script import read
 from gullyoke.model_checking import shares as walk
-from gullyoke.peer_transport.quota_service import pack
+from gullyoke.peer_transport.quota_codec import pack
 
 SECOND = model.SECOND
 ARMS = {"today": None, "signals": (True, False), "shares": (False, True), "together": (True, True)}
--- a/gullyoke/cli/fleet.py
+++ b/gullyoke/cli/fleet.py
@@ -408,7 +408,7 @@
 
     from gullyoke.extensions.duties import FOLDER, OURS
     from gullyoke.leases.voter import Promise
-    from gullyoke.peer_transport.lease_service import decode_rows, encode_promise
+    from gullyoke.peer_transport.lease_codec import decode_rows, encode_promise
     from gullyoke.storage import SlotFile, StorageFolder
 
     files = StorageFolder(os.path.join(folder, FOLDER))
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -25,7 +25,8 @@
 from gullyoke.membership.entry import Stage
 from gullyoke.membership.row import TURNS
 from gullyoke.operator_config.wanted import Dutied, Wanted
-from gullyoke.peer_transport.lease_service import TOPIC, LeaseService, decode_rows
+from gullyoke.peer_transport.lease_codec import decode_rows
+from gullyoke.peer_transport.lease_service import TOPIC, LeaseService
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -13,13 +13,13 @@
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.operator_config.wanted import Slotted
+from gullyoke.peer_transport.quota_codec import configuration_digest
 from gullyoke.peer_transport.quota_service import (
     QUOTAS,
     TOPIC,
     SharedQuota,
     SharedSlots,
     TenantQuotaService,
-    configuration_digest,
 )
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
--- a/gullyoke/leases/replicated_record.py
+++ b/gullyoke/leases/replicated_record.py
@@ -1,10 +1,10 @@
-"""The record that a lease holder leaves to the next one: a few bytes, kept by a majority of voters.
+"""The record that a lease holder leaves to the next one, kept by a majority of the voters.
 
 Only the holder writes it, under its epoch and a number of its own; a voter acknowledges a write
 once its disk has it. A new holder first reads from a majority, takes the record with the highest
-epoch and number, and writes it again under its own epoch. From then on a majority rejects
-whatever an earlier holder still writes (Attiya, Bar-Noy and Dolev 1995, with the lease's epoch as
-the writer's number).
+epoch and number, and writes it again under its own epoch. From then on a majority rejects whatever
+an earlier holder still writes (Attiya, Bar-Noy and Dolev 1995, with the lease's epoch as the
+writer's number).
 
 The messages travel as arrays of their fields in the order in which they stand here.
 """
--- a/gullyoke/peer_transport/codec.py
+++ b/gullyoke/peer_transport/codec.py
@@ -2,14 +2,14 @@
 layout.
 
 A later release may append to any array; what is appended is passed over, so that two releases live
-in one fleet. Whatever does not have this form is `Malformed`, and nothing of it is used.
+in one fleet. Whatever does not have this form is a `MalformedDatagramError`, and nothing of it
+is used.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-from gullyoke.errors import GullyokeError
 from gullyoke.membership.row import TURNS, Entry, Kind, Mark, News, Report, Row, Status
 from gullyoke.membership.words import (
     WHOLE,
@@ -23,22 +23,24 @@
     Ping,
     Rows,
 )
+from gullyoke.peer_transport.field_readers import (
+    U64_END,
+    MalformedDatagramError,
+    check_numbers,
+    check_text,
+    malformed_on_error,
+)
 
 VERSION = 1
 LONGEST = 1200  # bytes of a datagram, its seal included
 NAME, ADDRESS, ZONE = 64, 64, 32  # characters at the most
-U64 = 1 << 64
-
-
-class MalformedDatagramError(GullyokeError, ValueError):
-    """Bytes that are no message of ours."""
 
 
 class Array(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """An array whose length may grow in later versions."""
 
 
-class RowWire(Array):
+class RowWire(Array, frozen=True):
     name: str
     number: int
     status: int
@@ -47,7 +49,7 @@
     life: int
 
 
-class NewsWire(Array):
+class NewsWire(Array, frozen=True):
     """`kind` 0: a row; 1: a mark, as id, number, status, by, accusing, standing; 2.
 
     A report, as observer, number, seq, unsure, and its entries in threes.
@@ -58,7 +60,7 @@
     figures: list[int] = []
 
 
-class Wire(Array):
+class Wire(Array, frozen=True):
     """Every message: what its `kind` does not use is empty."""
 
     version: int
@@ -86,16 +88,12 @@
 
 
 def row_in(wire: RowWire) -> Row:
-    if (
-        not 0 < len(wire.name) <= NAME
-        or not 0 < len(wire.address) <= ADDRESS
-        or len(wire.zone) > ZONE
-    ):
-        raise MalformedDatagramError("a row's texts")
-    if not (
-        0 <= wire.number < U64 - TURNS and 0 <= wire.life < U64 and 0 <= wire.status <= Status.DEAD
-    ):
-        raise MalformedDatagramError("a row's figures")
+    check_text("a name", wire.name, NAME, shortest=1)
+    check_text("an address", wire.address, ADDRESS, shortest=1)
+    check_text("a zone", wire.zone, ZONE)
+    check_numbers((wire.number, wire.life, wire.status))
+    if wire.number >= U64_END - TURNS or wire.status > Status.DEAD:
+        raise MalformedDatagramError(f"a row of number {wire.number}, status {wire.status}")
     return Row(wire.name, wire.number, Status(wire.status), wire.address, wire.zone, wire.life)
 
 
@@ -113,8 +111,7 @@
 def news_in(wire: NewsWire) -> News | None:
     """None for a kind that a later release has."""
     figures = wire.figures
-    if any(not 0 <= x < U64 for x in figures):
-        raise MalformedDatagramError("a figure out of bounds")
+    check_numbers(figures)
     if wire.kind == 0 and wire.row is not None:
         return row_in(wire.row)
     if wire.kind == 1 and len(figures) >= 6 and figures[2] <= Status.DEAD:
@@ -164,20 +161,14 @@
 
 
 def unpack(data: bytes) -> Message:
-    """The message that bytes hold. Raises `Malformed`."""
-    try:
+    """The message that bytes hold. Raises `MalformedDatagramError`."""
+    with malformed_on_error():
         wire = decode(data)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise MalformedDatagramError(str(fault)) from None
     if wire.version < 1 or not 0 <= wire.kind < len(KINDS):
         raise MalformedDatagramError(f"version {wire.version}, kind {wire.kind}")
-    if (
-        not all(
-            0 <= x < U64 for x in (wire.seq, wire.digest, wire.about, wire.signal, *wire.figures)
-        )
-        or not 0 <= wire.lost <= WHOLE
-    ):
-        raise MalformedDatagramError("a figure out of bounds")
+    check_numbers((wire.seq, wire.digest, wire.about, wire.signal, wire.lost, *wire.figures))
+    if wire.lost > WHOLE:
+        raise MalformedDatagramError(f"a lost share of {wire.lost}")
     kind, sender = KINDS[wire.kind], row_in(wire.sender)
     if kind is Hello:
         return Hello(sender)
--- a/gullyoke/peer_transport/lease_service.py
+++ b/gullyoke/peer_transport/lease_service.py
@@ -9,8 +9,6 @@
 import threading
 from collections.abc import Callable, Iterable, Mapping
 
-import msgspec
-
 from gullyoke.leases.announcements import Announcement, ForwardedCommand, Instruction, KnownHolders
 from gullyoke.leases.candidate import AddressedMessage as Said_to
 from gullyoke.leases.candidate import Candidate
@@ -34,78 +32,27 @@
     StoredRecord,
     WriteRecord,
 )
-from gullyoke.leases.voter import Promise, PromiseWrite, Voter
+from gullyoke.leases.voter import PromiseWrite, Voter
 from gullyoke.membership.row import Row as Member
-from gullyoke.peer_transport.codec import MalformedDatagramError
+from gullyoke.peer_transport.lease_codec import (
+    PROMISE_KEY_PREFIX,
+    RECORD_KEY_PREFIX,
+    encode_promise,
+    encode_record,
+    pack,
+    unpack,
+)
 from gullyoke.peer_transport.link import AddressedBody
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
 TOPIC = 2
-KINDS = (
-    PreVote,
-    LeaseRequest,
-    VoteReply,
-    LeaseRelease,
-    HandoverOffer,
-    HandoverAccept,
-    EpochQuery,
-    EpochReply,
-    WriteRecord,
-    RecordWritten,
-    ReadRecord,
-    RecordRead,
-    Announcement,
-    Instruction,
-    ForwardedCommand,
-)
 TO_VOTERS = (PreVote, LeaseRequest, LeaseRelease, EpochQuery, EpochReply, WriteRecord, ReadRecord)
 AGAIN = 250_000  # microseconds between askings of a register that was not answered
 FAN = 64  # notices in one turn
-encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(tuple[int, list]).decode
-
 Disk = Callable[[str, bytes, Callable[[bool], None]], bool]
 
 
-def pack(message: tuple) -> bytes:
-    return encode((KINDS.index(type(message)), tuple(message)))
-
-
-def unpack(body: bytes) -> tuple:
-    """The message that a body holds. Raises `Malformed`."""
-    try:
-        kind, fields = decode(body)
-        if not 0 <= kind < len(KINDS):
-            raise MalformedDatagramError(f"a duty's letter of kind {kind}")
-        made = KINDS[kind]
-        message = msgspec.convert(fields[: len(made._fields)], made)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-        raise MalformedDatagramError(str(fault)) from None
-    if any(type(x) is int and not 0 <= x < 2**64 for x in message):
-        raise MalformedDatagramError("a figure out of bounds")
-    return message
-
-
-def encode_promise(row: Promise) -> bytes:
-    return encode(tuple(row))
-
-
-def decode_rows(
-    items: Iterable[tuple[str, bytes]],
-) -> tuple[dict[str, Promise], dict[str, StoredRecord]]:
-    """The promises and what is kept, as a disk has them."""
-    promised: dict[str, Promise] = {}
-    kept: dict[str, StoredRecord] = {}
-    for key, value in items:
-        kind, _, duty = key.partition(" ")
-        if kind == "promise":
-            promised[duty] = Promise(*msgspec.msgpack.decode(value, type=tuple[int, int, str]))
-        elif kind == "kept":
-            kept[duty] = StoredRecord(*msgspec.msgpack.decode(value, type=tuple[int, int, bytes]))
-    return promised, kept
-
-
 class LeaseService:
     """A `Topic`.
 
@@ -222,7 +169,7 @@
             if said is not None:
                 self.send([(asker, pack(said))])
 
-        if not self.disk(f"promise {write.duty}", encode_promise(write.promise), told):
+        if not self.disk(PROMISE_KEY_PREFIX + write.duty, encode_promise(write.promise), told):
             self.voter.write_finished(clock.now(), write, False)
 
     def _learn(self, now: int, message: EpochReply) -> None:
@@ -238,7 +185,7 @@
 
         for write in writes:
             self.disk(
-                f"promise {write.duty}",
+                PROMISE_KEY_PREFIX + write.duty,
                 encode_promise(write.promise),
                 lambda durable, write=write: told(durable, write),
             )
@@ -256,7 +203,7 @@
                 said = self.records.acknowledge(keep, self.voter.name)
             self.send([(asker, pack(said))])
 
-        self.disk(f"kept {keep.duty}", encode(tuple(kept)), told)
+        self.disk(RECORD_KEY_PREFIX + keep.duty, encode_record(kept), told)
         return None
 
     # What is held here.
--- a/gullyoke/peer_transport/link.py
+++ b/gullyoke/peer_transport/link.py
@@ -21,6 +21,7 @@
 from gullyoke.membership import TICK, Member, Row
 from gullyoke.membership.words import Letter, Send
 from gullyoke.peer_transport import codec
+from gullyoke.peer_transport.field_readers import MalformedDatagramError
 from gullyoke.peer_transport.seal import ReplayWindow, Seal
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
@@ -47,7 +48,7 @@
     def turn(self, now: int) -> Iterable[AddressedBody]: ...
 
     def hear(self, now: int, sender: Row, body: bytes) -> Iterable[AddressedBody]:
-        """Raises `Malformed` for what is none of its letters."""
+        """Raises `MalformedDatagramError` for what is none of its letters."""
 
 
 class PeerLink(threading.Thread):
@@ -121,7 +122,7 @@
             return
         try:
             message = codec.unpack(opened[0])
-        except codec.MalformedDatagramError:
+        except MalformedDatagramError:
             self.metrics.increment("peers.dropped.malformed")
             return
         if not self.counts.fresh(message.row.life, opened[1]):
@@ -148,7 +149,7 @@
             return self.posted(
                 letter.topic, self.topics[letter.topic].hear(now, letter.row, letter.body)
             )
-        except codec.MalformedDatagramError:
+        except MalformedDatagramError:
             self.metrics.increment("peers.dropped.malformed")
             return []
 
--- a/gullyoke/peer_transport/quota_service.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -13,59 +13,17 @@
 import threading
 from collections.abc import Callable, Iterable, Mapping
 
-import msgspec
-
 from gullyoke.coordination.limit_parts import LimitPart
 from gullyoke.coordination.quota_leases import (
-    LenderClaim,
     LenderVote,
-    QuotaGrant,
-    QuotaRequest,
-    QuotaReturn,
 )
-from gullyoke.coordination.quota_participant import ASKER, LENDER, AddressedQuotaMessage, Message
-from gullyoke.membership.row import Row, whole
-from gullyoke.peer_transport.codec import MalformedDatagramError
+from gullyoke.coordination.quota_participant import ASKER, LENDER, AddressedQuotaMessage
+from gullyoke.membership.row import Row
 from gullyoke.peer_transport.link import AddressedBody
+from gullyoke.peer_transport.quota_codec import digest_of, pack, unpack
 from gullyoke.runtime import clock
 
 TOPIC, QUOTAS = 1, 3
-KINDS = (LenderClaim, LenderVote, QuotaRequest, QuotaGrant, QuotaReturn)
-encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(tuple[int, int, list]).decode
-
-
-def configuration_digest(homes: Mapping[str, str], limit: int, floor: int, *more: str) -> int:
-    """The digest of what has to be stated alike.
-
-    `limit` in tokens; of a quota whose it is and its rate.
-    """
-    return whole(
-        " ".join(
-            [*(f"{name}@{at}" for name, at in sorted(homes.items())), str(limit), str(floor), *more]
-        )
-    )
-
-
-def pack(digest: int, message: Message) -> bytes:
-    return encode((digest, KINDS.index(type(message)), tuple(message)))
-
-
-def unpack(digest: int, body: bytes) -> Message | None:
-    """None for a fleet that is stated otherwise. Raises `Malformed`."""
-    try:
-        of, kind, fields = decode(body)
-        if of != digest:
-            return None
-        if not 0 <= kind < len(KINDS):
-            raise MalformedDatagramError(f"a share's letter of kind {kind}")
-        made = KINDS[kind]
-        message = msgspec.convert(fields[: len(made._fields)], made)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-        raise MalformedDatagramError(str(fault)) from None
-    if any(isinstance(x, int | float) and not 0 <= x < 2**64 for x in message):
-        raise MalformedDatagramError("a figure out of bounds")
-    return message
 
 
 class SharedLimit:
@@ -190,10 +148,7 @@
         return [post for limit in self.limits.values() for post in limit.turn(now)]
 
     def hear(self, now: int, sender: Row, body: bytes) -> Iterable[AddressedBody]:
-        try:
-            limit = self.limits.get(decode(body)[0])
-        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-            raise MalformedDatagramError(str(fault)) from None
+        limit = self.limits.get(digest_of(body))
         if limit is None:
             self.others += 1
             return ()
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -21,7 +21,8 @@
     Ping,
     Rows,
 )
-from gullyoke.peer_transport.codec import LONGEST, VERSION, MalformedDatagramError, pack, unpack
+from gullyoke.peer_transport.codec import LONGEST, VERSION, pack, unpack
+from gullyoke.peer_transport.field_readers import MalformedDatagramError
 from gullyoke.peer_transport.seal import Seal, parse_keys
 
 NUMBER = 1_700_000_000 << 20
--- a/tests/compatibility/test_letters.py
+++ b/tests/compatibility/test_letters.py
@@ -25,8 +25,8 @@
     VoteReply,
 )
 from gullyoke.leases.replicated_record import ReadRecord, RecordRead, RecordWritten, WriteRecord
-from gullyoke.peer_transport import lease_service, quota_service
-from gullyoke.peer_transport.codec import MalformedDatagramError
+from gullyoke.peer_transport import lease_codec, lease_service, quota_codec, quota_service
+from gullyoke.peer_transport.field_readers import MalformedDatagramError
 
 U64_MOST = 2**64 - 1
 LIFE = 0x1122334455667788
@@ -75,25 +75,25 @@
 
     def test_digest_of_what_is_stated(self):
         """Servers that are stated alike have the same digest, in any order of the homes."""
-        self.assertEqual(quota_service.configuration_digest(HOMES, 120, 8), SLOTS_DIGEST)
+        self.assertEqual(quota_codec.configuration_digest(HOMES, 120, 8), SLOTS_DIGEST)
         self.assertEqual(
-            quota_service.configuration_digest(HOMES, 160, 4, "acme", f"{12.5:g}"), QUOTA_DIGEST
+            quota_codec.configuration_digest(HOMES, 160, 4, "acme", f"{12.5:g}"), QUOTA_DIGEST
         )
 
     def test_letters_are_read(self):
         self.assertEqual(list(self.recorded), list(SHARES_LETTERS))
         for name, message in SHARES_LETTERS.items():
             with self.subTest(name):
-                found = quota_service.unpack(SLOTS_DIGEST, self.recorded[name])
+                found = quota_codec.unpack(SLOTS_DIGEST, self.recorded[name])
                 self.assertIs(type(found), type(message))
                 self.assertEqual(found, message)
-                self.assertIsNone(quota_service.unpack(QUOTA_DIGEST, self.recorded[name]))
+                self.assertIsNone(quota_codec.unpack(QUOTA_DIGEST, self.recorded[name]))
 
     def test_letters_are_written_with_the_same_bytes(self):
         for name, message in SHARES_LETTERS.items():
             with self.subTest(name):
                 self.assertEqual(
-                    quota_service.pack(SLOTS_DIGEST, message).hex(), self.recorded[name].hex()
+                    quota_codec.pack(SLOTS_DIGEST, message).hex(), self.recorded[name].hex()
                 )
 
     def test_what_a_later_release_appends_is_passed_over(self):
@@ -101,11 +101,11 @@
             with self.subTest(name):
                 digest, kind, fields = msgspec.msgpack.decode(self.recorded[name])
                 longer = msgspec.msgpack.encode([digest, kind, [*fields, "later"]])
-                self.assertEqual(quota_service.unpack(SLOTS_DIGEST, longer), message)
+                self.assertEqual(quota_codec.unpack(SLOTS_DIGEST, longer), message)
 
     def test_unknown_kind_is_malformed(self):
         with self.assertRaises(MalformedDatagramError):
-            quota_service.unpack(SLOTS_DIGEST, msgspec.msgpack.encode([SLOTS_DIGEST, 5, []]))
+            quota_codec.unpack(SLOTS_DIGEST, msgspec.msgpack.encode([SLOTS_DIGEST, 5, []]))
 
 
 class DutyLetters(unittest.TestCase):
@@ -115,25 +115,48 @@
         self.assertEqual(list(self.recorded), list(DUTY_LETTERS))
         for name, message in DUTY_LETTERS.items():
             with self.subTest(name):
-                found = lease_service.unpack(self.recorded[name])
+                found = lease_codec.unpack(self.recorded[name])
                 self.assertIs(type(found), type(message))
                 self.assertEqual(found, message)
 
     def test_letters_are_written_with_the_same_bytes(self):
         for name, message in DUTY_LETTERS.items():
             with self.subTest(name):
-                self.assertEqual(lease_service.pack(message).hex(), self.recorded[name].hex())
+                self.assertEqual(lease_codec.pack(message).hex(), self.recorded[name].hex())
 
     def test_what_a_later_release_appends_is_passed_over(self):
         for name, message in DUTY_LETTERS.items():
             with self.subTest(name):
                 kind, fields = msgspec.msgpack.decode(self.recorded[name])
                 longer = msgspec.msgpack.encode([kind, [*fields, "later"]])
-                self.assertEqual(lease_service.unpack(longer), message)
+                self.assertEqual(lease_codec.unpack(longer), message)
 
     def test_unknown_kind_is_malformed(self):
         with self.assertRaises(MalformedDatagramError):
-            lease_service.unpack(msgspec.msgpack.encode([15, []]))
+            lease_codec.unpack(msgspec.msgpack.encode([15, []]))
+
+
+class BoundsOfNumbers(unittest.TestCase):
+    """Numbers of letters of both topics are from 0 to 2**64, fractions and nested ones as well."""
+
+    def assert_malformed(self, kind, fields):
+        with self.assertRaises(MalformedDatagramError):
+            lease_codec.unpack(msgspec.msgpack.encode([kind, fields]))
+
+    def test_fractions_of_shares(self):
+        for weight in (-0.5, 2.0**64, float("inf"), float("nan")):
+            with self.subTest(weight), self.assertRaises(MalformedDatagramError):
+                body = [SLOTS_DIGEST, 2, ["server-1", LIFE, 9, 12, weight, 4]]
+                quota_codec.unpack(SLOTS_DIGEST, msgspec.msgpack.encode(body))
+
+    def test_numbers_of_duties(self):
+        self.assert_malformed(5, ["roll", -1, 1_700_000_000])
+        self.assert_malformed(5, ["roll", LIFE, -1])
+
+    def test_nested_numbers_of_duties(self):
+        for entry in (["ask", -1, LIFE, "server-1"], ["ask", 7, -1, "server-1"]):
+            with self.subTest(entry):
+                self.assert_malformed(7, ["server-3", 4, [["roll", 8, 0, ""], entry], False])
 
 
 if __name__ == "__main__":
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -25,7 +25,8 @@
 from gullyoke.operator_config.wanted import Dutied
 from gullyoke.peer_transport.lease_service import LeaseService
 from gullyoke.peer_transport.link import PeerLink
-from gullyoke.peer_transport.quota_service import SharedSlots, configuration_digest
+from gullyoke.peer_transport.quota_codec import configuration_digest
+from gullyoke.peer_transport.quota_service import SharedSlots
 from gullyoke.peer_transport.seal import Seal
 from gullyoke.peer_transport.status_server import StatusServer
 from gullyoke.runtime import clock
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -20,13 +20,8 @@
 from gullyoke.leases.voter import Promise, Voter
 from gullyoke.membership import Row as Member
 from gullyoke.membership import Status
-from gullyoke.peer_transport.lease_service import (
-    LeaseService,
-    decode_rows,
-    encode_promise,
-    pack,
-    unpack,
-)
+from gullyoke.peer_transport.lease_codec import decode_rows, encode_promise, pack, unpack
+from gullyoke.peer_transport.lease_service import LeaseService
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.storage import SlotFile, StorageFolder
 from gullyoke.storage.slot_file import SLOT_COPY_BYTES, SLOT_FILE_NAME
--- a/tests/coordination/test_quotas.py
+++ b/tests/coordination/test_quotas.py
@@ -12,15 +12,10 @@
 from gullyoke.coordination.tenant_quotas import BIN, ArrivalRate, TenantQuotaPart, tokens
 from gullyoke.emulator.quotas import asked
 from gullyoke.membership import Member, Row, Status, began
-from gullyoke.peer_transport.codec import MalformedDatagramError
+from gullyoke.peer_transport.field_readers import MalformedDatagramError
 from gullyoke.peer_transport.link import PeerLink
-from gullyoke.peer_transport.quota_service import (
-    QUOTAS,
-    SharedQuota,
-    TenantQuotaService,
-    configuration_digest,
-    encode,
-)
+from gullyoke.peer_transport.quota_codec import configuration_digest, encode
+from gullyoke.peer_transport.quota_service import QUOTAS, SharedQuota, TenantQuotaService
 from gullyoke.peer_transport.seal import Seal
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
--- a/tests/coordination/test_wire.py
+++ b/tests/coordination/test_wire.py
@@ -21,16 +21,10 @@
 )
 from gullyoke.coordination.quota_participant import QuotaParticipant
 from gullyoke.membership import Member, Row, Status, began
-from gullyoke.peer_transport.codec import MalformedDatagramError
+from gullyoke.peer_transport.field_readers import MalformedDatagramError
 from gullyoke.peer_transport.link import PeerLink
-from gullyoke.peer_transport.quota_service import (
-    TOPIC,
-    SharedSlots,
-    configuration_digest,
-    encode,
-    pack,
-    unpack,
-)
+from gullyoke.peer_transport.quota_codec import configuration_digest, encode, pack, unpack
+from gullyoke.peer_transport.quota_service import TOPIC, SharedSlots
 from gullyoke.peer_transport.seal import Seal
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
--- a/tests/membership/test_properties.py
+++ b/tests/membership/test_properties.py
@@ -18,6 +18,7 @@
 from gullyoke.membership.view import View
 from gullyoke.membership.words import Ack, Ask, Compare, Gossip, Hello, Ping, Rows
 from gullyoke.peer_transport import codec
+from gullyoke.peer_transport.field_readers import MalformedDatagramError
 from gullyoke.peer_transport.seal import ReplayWindow, Seal, UnusableKeyError, parse_keys
 
 TEXT = st.text("abcdefghij0123456789.:-", min_size=1, max_size=20)
@@ -209,7 +210,7 @@
     @given(st.binary(max_size=200))
     def test_any_bytes(self, data):
         """Bytes are a message or `Malformed`, nothing else."""
-        with contextlib.suppress(codec.MalformedDatagramError):
+        with contextlib.suppress(MalformedDatagramError):
             codec.unpack(data)
 
     @settings(max_examples=200, deadline=None, derandomize=True, database=None)
@@ -217,7 +218,7 @@
     def test_bytes_that_were_changed(self, message, at, by):
         data = bytearray(codec.pack(message))
         data[at % len(data)] ^= by
-        with contextlib.suppress(codec.MalformedDatagramError):
+        with contextlib.suppress(MalformedDatagramError):
             codec.unpack(bytes(data))
 
     def test_a_later_release(self):
