--- a/benchmarks/duty.py
+++ b/benchmarks/duty.py
@@ -19,7 +19,7 @@
 from gullyoke.fault_testing.play import Play as Real
 from gullyoke.fault_testing.processes import DUTY
 from gullyoke.fault_testing.script import read
-from gullyoke.leases.dependency_probe import FAILED, DependencyProbe
+from gullyoke.leases.dependency_probe import FAILURES_TO_DEAD, DependencyProbe
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.model_checking import duty as walk
 
@@ -109,7 +109,7 @@
     chance = random.Random(servers)
     all_ = [DependencyProbe(chance.random) for _ in range(servers)]
     for one in all_:
-        for _ in range(FAILED + 1):
+        for _ in range(FAILURES_TO_DEAD + 1):
             one.record_call(SECOND, False)
     all_[0].hold(duty)
     tries = 0
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -379,13 +379,16 @@
 
     def known(self, now: int, name: str) -> tuple[str, int]:
         """Who holds a duty as far as is known here, and the newest epoch."""
-        one, known = self.duties.candidates[name], self.duties.board.rows.get(name)
+        one, known = self.duties.candidates[name], self.duties.known_holders.by_duty.get(name)
         epoch = self.duties.held_epoch(now, name)
         if epoch is not None:
             return self.fleet.daemon.configuration.name, epoch
         if known is None:
             return "", one.highest_epoch
-        return known.notice.name if now - known.at < YOUNG else "", known.notice.epoch
+        return (
+            known.announcement.name if now - known.received_at_us < YOUNG else "",
+            known.announcement.epoch,
+        )
 
     def holder(self, now: int, name: str) -> dict:
         one, (holder, epoch) = self.duties.candidates[name], self.known(now, name)
--- a/gullyoke/leases/__init__.py
+++ b/gullyoke/leases/__init__.py
@@ -1,9 +1,9 @@
-"""Duties of one: leases by a majority of stated voters, each with an epoch that only grows, fences
-that hold whatever leases come to, and what is done under them.
+"""Leases: what only one process of a fleet does at a time.
 
-Decisions and state alone; no I/O, no clock and no chance but what is handed in. Safety rests on
-durable promises, majorities and clocks whose rates differ by a stated bound; membership only speeds
-things up. docs/duty-design.md says what was taken from where.
+A majority of voters grants a lease under an epoch that only grows; a fence at the resource rejects
+acts of older epochs. The package has decisions and state alone: no I/O, no clock and no randomness
+but what is handed in. It is safe by durable promises, majorities and a bound on how far the rates
+of clocks differ; membership only speeds it up. docs/duty-design.md names the sources of each part.
 """
 
 from gullyoke.leases.candidate import Candidate
--- a/gullyoke/leases/announcements.py
+++ b/gullyoke/leases/announcements.py
@@ -1,67 +1,69 @@
-"""What a holder tells all members, and what anybody asks of a holder.
+"""What a lease holder sends to the members of the fleet, and what operators send to a holder.
 
-Whoever hears a notice or an order holds its epoch against the newest it has seen
-(gullyoke/leases/fence.py).
+A receiver compares the epoch of an announcement or instruction with the newest that it has seen of
+the lease (gullyoke/leases/fence.py). The messages travel as arrays of their fields in the order in
+which they stand here.
 """
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from typing import Final, NamedTuple
+
+MAX_LEASES: Final = 64  # leases of which a process remembers the holder
 
 
 class Announcement(NamedTuple):
-    """I hold this duty; `body` is what all should know of it."""
+    """From a holder to all members: it holds the lease `duty`; `body` is for its handler there."""
 
     duty: str
     epoch: int
-    life: int
+    incarnation: int
     name: str
     body: bytes
 
 
 class Instruction(NamedTuple):
-    """From a holder to one member: do this."""
+    """From a holder to one member: do `what`, with `body` as its argument."""
 
     duty: str
     epoch: int
-    life: int
+    incarnation: int
     what: str
     body: bytes
 
 
 class ForwardedCommand(NamedTuple):
-    """From anybody to the holder: an operator asks this."""
+    """An operator's command in `what`, forwarded to the holder by the server that was asked."""
 
     duty: str
     what: str
 
 
 class KnownHolder(NamedTuple):
-    """The last notice of a duty, and when it came."""
+    """The last announcement of a lease, and when it came, in microseconds."""
 
-    notice: Announcement
-    at: int
+    announcement: Announcement
+    received_at_us: int
 
 
 class KnownHolders:
-    """What is known of holders here. Table: one row a duty, at most MOST."""
+    """The last announcement of each lease that came to this process.
 
-    MOST = 64
+    Attributes:
+        by_duty: Announcements by the name of the lease, at most `MAX_LEASES`.
+    """
 
     def __init__(self) -> None:
-        self.rows: dict[str, KnownHolder] = {}
-
-    def take(self, now: int, notice: Announcement) -> bool:
-        """Whether it is news: not of an older epoch."""
-        known = self.rows.get(notice.duty)
-        if (known is not None and notice.epoch < known.notice.epoch) or (
-            known is None and len(self.rows) >= self.MOST
-        ):
+        """Start without any announcement."""
+        self.by_duty: dict[str, KnownHolder] = {}
+
+    def take(self, now: int, announcement: Announcement) -> bool:
+        """Remember an announcement; False where it is of an older epoch than the last."""
+        known = self.by_duty.get(announcement.duty)
+        if known is None:
+            if len(self.by_duty) >= MAX_LEASES:
+                return False
+        elif announcement.epoch < known.announcement.epoch:
             return False
-        self.rows[notice.duty] = KnownHolder(notice, now)
+        self.by_duty[announcement.duty] = KnownHolder(announcement, now)
         return True
-
-    def holder(self, now: int, duty: str, young: int) -> str:
-        """Who holds it by a notice that is young enough; empty where that is not known."""
-        known = self.rows.get(duty)
-        return known.notice.name if known is not None and now - known.at < young else ""
--- a/gullyoke/leases/candidate_rank.py
+++ b/gullyoke/leases/candidate_rank.py
@@ -1,60 +1,60 @@
-"""Who should have a duty, told by the view alone.
+"""The order in which members should compete for a lease, by the membership view alone.
 
-Spread over the members by a hash, the well placed first.
+All members that have the same view compute the same order. A hash spreads the leases over the
+members.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
 from gullyoke.membership.row import whole
 
-STEP = 200_000  # microseconds that each better placed one is given first
-TRIES = 4  # so many try at all; the others only once these have had their time
-SETTLED = 10_000_000  # one that has been in the view for less is not settled
+DELAY_STEP_US: Final = 200_000  # head start of each member over the one that ranks after it
+MAX_DELAY_STEPS: Final = 4  # all members that rank lower compete at the same time
+CAPACITY_STEPS: Final = 2  # free capacity counts in halves, so that ranks do not flicker
 
 
 class CandidatePlacement(NamedTuple):
-    """How a member is placed.
-
-    `settled`: in the view for long enough, its row not changed lately; `reached`: nobody accuses
-    it; `leaving`: it has notice to leave; `room`: of its cores, from 0 to 1; `ill`: the duty failed
-    there lately.
+    """What the rank of a member is computed from.
+
+    Attributes:
+        name: The member's name.
+        settled: Whether it is in the view for some time and its row has not changed lately.
+        reached: Whether no member suspects it.
+        leaving: Whether it is about to leave.
+        free_capacity: The free share of its cores, from 0 to 1.
+        failed: Whether the work under the lease failed there lately.
     """
 
     name: str
     settled: bool = True
     reached: bool = True
     leaving: bool = False
-    room: float = 1.0
-    ill: bool = False
+    free_capacity: float = 1.0
+    failed: bool = False
 
 
 def rank_candidates(duty: str, members: Iterable[CandidatePlacement]) -> list[str]:
-    """Best first, the same for all who see the same.
-
-    Among those alike the hash of duty and name decides, so that many duties are spread; room counts
-    in three steps, so that it does not flicker.
-    """
+    """Return the names of the members, best first; a hash decides among those alike."""
 
-    def key(one: CandidatePlacement) -> tuple:
+    def key(member: CandidatePlacement) -> tuple[bool, bool, bool, bool, int, int]:
         return (
-            one.leaving,
-            one.ill,
-            not one.reached,
-            not one.settled,
-            -round(2 * one.room),
-            whole(f"{duty} {one.name}"),
+            member.leaving,
+            member.failed,
+            not member.reached,
+            not member.settled,
+            -round(CAPACITY_STEPS * member.free_capacity),
+            whole(f"{duty} {member.name}"),
         )
 
-    return [one.name for one in sorted(members, key=key)]
+    return [member.name for member in sorted(members, key=key)]
 
 
 def candidate_delay_us(duty: str, name: str, members: Iterable[CandidatePlacement]) -> int | None:
-    """How long this one waits while nobody holds the duty; None for one that is not there."""
+    """Return how long a member waits while nobody holds the lease; None for no member."""
     ranked = rank_candidates(duty, members)
     if name not in ranked:
         return None
-    at = ranked.index(name)
-    return min(at, TRIES) * STEP
+    return min(ranked.index(name), MAX_DELAY_STEPS) * DELAY_STEP_US
--- a/gullyoke/leases/dependency_probe.py
+++ b/gullyoke/leases/dependency_probe.py
@@ -1,88 +1,113 @@
-"""A dead or overloaded dependency is asked by one.
+"""Probing of a dependency that is down: the lease holder probes it, all others wait for its word.
 
-The holder of the duty tries, the rest learn the news.
-
-A server takes it for dead when its last FAILED calls failed and none went well for SILENT. Then it
-lets no call out while a holder's word that it is dead is young; without such a word it asks for
-itself, seldom. A word that it is well opens it a little at first, so that all servers together do
-not bring it down again.
+A server takes the dependency for dead after a row of failed calls. It then lets no call out while a
+young announcement of the holder says that the dependency is dead. Without such an announcement it
+probes by itself, seldom. When the dependency is back, calls are let out little by little, so that
+all servers together do not overload it again.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Final, NamedTuple
+
+FAILURES_TO_DEAD: Final = 5  # failed calls in a row from which a dependency may count as dead
+SILENCE_TO_DEAD_US: Final = 500_000  # and no successful call for so long
+ANNOUNCEMENT_VALID_US: Final = 3_000_000
+HOLDER_PROBE_INTERVAL_US: Final = 500_000
+LONE_PROBE_INTERVAL_US: Final = 2_000_000  # without a holder's announcement, from half of it on
+SLOW_START_US: Final = 3_000_000  # after the dependency is back, until all calls are let out
+SLOW_START_LEAST_SHARE: Final = 0.1  # of the calls, at the beginning
+
+
+class HolderReport(NamedTuple):
+    """The holder's last announcement: its epoch, when it came, and whether it says dead."""
 
-FAILED, SILENT = 5, 500_000  # calls in a row, and microseconds since one went well
-YOUNG = 3_000_000  # a holder's word counts for so long
-TRIAL = 500_000  # between the holder's tries
-# and between those of one that hears of no holder, half of it by chance
-ALONE = 2_000_000
-OPENING = 3_000_000  # after the news that it is well: so long until all may call as ever
+    epoch: int
+    received_at_us: int
+    dead: bool
 
 
 class DependencyProbe:
-    """One server's view of what it calls.
+    """One server's view of its dependency. All times are in microseconds.
 
-    `draw` gives a number from 0 to 1. Nothing here grows.
+    Attributes:
+        dead: Whether the dependency is taken for dead.
+        opened: When it came back, while calls are let out little by little; None otherwise.
+        announced: The holder's last announcement, if any.
+        probes_sent: How many calls were let out to a dependency that is taken for dead.
     """
 
     def __init__(self, draw: Callable[[], float]) -> None:
-        self.draw, self.failed, self.well_at, self.dead = draw, 0, 0, False
-        self.announced: tuple[int, int, bool] | None = (
-            None  # epoch, when it came, whether it is dead
-        )
-        self.next, self.opened, self.lease_held = 0, None, False
-        self.probes_sent = 0  # tries made at one that is taken for dead
-
-    def record_call(self, now: int, well: bool) -> None:
-        """A call of this server's ended."""
-        if well:
-            self.failed, self.well_at = 0, now
+        """Start with a dependency that is up; `draw` returns a random number from 0 to 1."""
+        self.draw = draw
+        self.dead = False
+        self.opened: int | None = None
+        self.announced: HolderReport | None = None
+        self.probes_sent = 0
+        self._lease_held = False
+        self._failures = 0
+        self._last_success_us = 0
+        self._next_probe_us = 0
+
+    def record_call(self, now: int, succeeded: bool) -> None:
+        """Take the result of a call of this server."""
+        if succeeded:
+            self._failures = 0
+            self._last_success_us = now
             if self.dead:
-                self.dead, self.opened = False, now
+                self.dead = False
+                self.opened = now
             return
-        self.failed += 1
-        if self.failed >= FAILED and now - self.well_at >= SILENT and not self.dead:
-            self.dead, self.opened = True, None
-            self.next = now + int(TRIAL * (0.5 + self.draw()))
+        self._failures += 1
+        silent = now - self._last_success_us >= SILENCE_TO_DEAD_US
+        if self._failures >= FAILURES_TO_DEAD and silent and not self.dead:
+            self.dead = True
+            self.opened = None
+            self._next_probe_us = now + int(HOLDER_PROBE_INTERVAL_US * (0.5 + self.draw()))
 
     def record_announcement(self, now: int, epoch: int, dead: bool) -> None:
-        """A holder's word; one of an older epoch is none."""
-        if (self.announced is not None and epoch < self.announced[0]) or self.lease_held:
+        """Take the holder's announcement; one of an older epoch is ignored."""
+        last = self.announced
+        if self._lease_held or (last is not None and epoch < last.epoch):
             return
-        was, self.announced = self.announced, (epoch, now, dead)
-        if not dead and self.dead and (was is None or was[2] or was[0] < epoch):
-            self.dead, self.opened, self.failed = False, now, 0
+        self.announced = HolderReport(epoch, now, dead)
+        is_news = last is None or last.dead or last.epoch < epoch
+        if not dead and self.dead and is_news:
+            self.dead = False
+            self.opened = now
+            self._failures = 0
 
     def allows_call(self, now: int) -> bool:
-        """Whether a call may go out now. Counted as a try where it is taken for dead."""
+        """Tell whether a call may go out now; to be called once for each call."""
         if not self.dead:
-            return self._open(now)
-        if (
-            not self.lease_held
-            and self.announced is not None
-            and self.announced[2]
-            and now - self.announced[1] < YOUNG
-        ):
+            return self._allows_in_slow_start(now)
+        if not self._lease_held and self._announced_dead(now):
             return False
-        if now < self.next:
+        if now < self._next_probe_us:
             return False
-        self.next = now + (TRIAL if self.lease_held else int(ALONE * (0.5 + self.draw())))
+        if self._lease_held:
+            self._next_probe_us = now + HOLDER_PROBE_INTERVAL_US
+        else:
+            self._next_probe_us = now + int(LONE_PROBE_INTERVAL_US * (0.5 + self.draw()))
         self.probes_sent += 1
         return True
 
-    def _open(self, now: int) -> bool:
-        """All calls, or after an outage a part that grows to all."""
+    def set_lease_held(self, held: bool) -> None:
+        """Set whether this server holds the lease, and so probes for all."""
+        self._lease_held = held
+        if held:
+            self.announced = None
+
+    def _announced_dead(self, now: int) -> bool:
+        last = self.announced
+        return last is not None and last.dead and now - last.received_at_us < ANNOUNCEMENT_VALID_US
+
+    def _allows_in_slow_start(self, now: int) -> bool:
         if self.opened is None:
             return True
-        part = (now - self.opened) / OPENING
-        if part >= 1:
+        share = (now - self.opened) / SLOW_START_US
+        if share >= 1:
             self.opened = None
             return True
-        return self.draw() < max(0.1, part)
-
-    def set_lease_held(self, held: bool) -> None:
-        """This one holds the duty from now on, or no longer."""
-        self.lease_held = held
-        if held:
-            self.announced = None
+        return self.draw() < max(SLOW_START_LEAST_SHARE, share)
--- a/gullyoke/model_checking/duty.py
+++ b/gullyoke/model_checking/duty.py
@@ -284,7 +284,7 @@
             sorted(self.acts.items()),
             self.newest,
             sorted(self.taken.items()),
-            sorted(self.fence.rows.items()),
+            sorted(self.fence.newest.items()),
             self.drift,
             self.restarts,
             self.faults,
--- a/gullyoke/peer_transport/lease_service.py
+++ b/gullyoke/peer_transport/lease_service.py
@@ -76,7 +76,12 @@
     ) -> None:
         self.name, self.life, self.voter, self.records = name, life, voter, records
         self.candidates, self.voters, self.taken = dict(candidates), dict(voters), taken
-        self.disk, self.metrics, self.fence, self.board = disk, metrics, Fence(), KnownHolders()
+        self.disk, self.metrics, self.fence, self.known_holders = (
+            disk,
+            metrics,
+            Fence(),
+            KnownHolders(),
+        )
         self.lock = threading.RLock()
         self.send: Callable[[list[AddressedBody]], None] = lambda posts: None
         self.registers: dict[str, tuple[ReplicatedRecord, int]] = {}
@@ -255,7 +260,9 @@
         with self.lock:
             if len(self.fan) < 4096:
                 self.fan += [(address, data) for address in members]
-            self.board.take(clock.now(), Announcement(duty, epoch, self.life, self.name, body))
+            self.known_holders.take(
+                clock.now(), Announcement(duty, epoch, self.life, self.name, body)
+            )
 
     def instruct(self, duty: str, epoch: int, to: str, what: str, body: bytes) -> None:
         address = self.taken(to)
@@ -275,7 +282,7 @@
             if not self.fence.admits(message.duty, message.epoch, message.incarnation):
                 self.metrics.increment("duty.stale_refused")
                 return ()
-            news = not isinstance(message, Announcement) or self.board.take(now, message)
+            news = not isinstance(message, Announcement) or self.known_holders.take(now, message)
         if isinstance(message, Instruction):
             self.on_instruction(now, message)
         elif news:
--- a/tests/compatibility/test_duty_messages.py
+++ b/tests/compatibility/test_duty_messages.py
@@ -37,7 +37,7 @@
         self.assertEqual(holder.notice(), b"dead")
         for body, dead in ((b"dead", True), (b"well", False)):
             other.heard(5, Announcement("ask", EPOCH, 7, "server-1", body))
-            self.assertEqual(other.probe.announced[2], dead)
+            self.assertEqual(other.probe.announced.dead, dead)
 
     def test_book_notice(self):
         """`book`: by home that ended, the address of who lends for it."""
--- a/tests/leases/test_duty.py
+++ b/tests/leases/test_duty.py
@@ -19,7 +19,14 @@
 from gullyoke.leases import rolling_restart as roll
 from gullyoke.leases.candidate import Candidate
 from gullyoke.leases.candidate_rank import CandidatePlacement, candidate_delay_us, rank_candidates
-from gullyoke.leases.dependency_probe import ALONE, OPENING, SILENT, TRIAL, YOUNG, DependencyProbe
+from gullyoke.leases.dependency_probe import (
+    ANNOUNCEMENT_VALID_US,
+    HOLDER_PROBE_INTERVAL_US,
+    LONE_PROBE_INTERVAL_US,
+    SILENCE_TO_DEAD_US,
+    SLOW_START_US,
+    DependencyProbe,
+)
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.fence import Fence
 from gullyoke.leases.replicated_record import (
@@ -294,22 +301,22 @@
         all come back little by little.
         """
         one, chance = DependencyProbe(random.Random(1).random), random.Random(2)
-        now = SILENT
+        now = SILENCE_TO_DEAD_US
         for _ in range(5):
             self.assertTrue(one.allows_call(now))
             one.record_call(now, False)
         self.assertTrue(one.dead)
         one.record_announcement(now, 7, True)
-        tries = sum(one.allows_call(now + t) for t in range(0, YOUNG, 50_000))
+        tries = sum(one.allows_call(now + t) for t in range(0, ANNOUNCEMENT_VALID_US, 50_000))
         self.assertEqual(tries, 0)
-        begin = now + YOUNG
+        begin = now + ANNOUNCEMENT_VALID_US
         tries = sum(one.allows_call(begin + t) for t in range(0, 20 * SECOND, 50_000))
-        self.assertLessEqual(tries, 20 * SECOND // (ALONE // 2))
-        self.assertGreaterEqual(tries, 20 * SECOND // (2 * ALONE))
+        self.assertLessEqual(tries, 20 * SECOND // (LONE_PROBE_INTERVAL_US // 2))
+        self.assertGreaterEqual(tries, 20 * SECOND // (2 * LONE_PROBE_INTERVAL_US))
         begin += 20 * SECOND
         one.set_lease_held(True)
         tries = sum(one.allows_call(begin + t) for t in range(0, 10 * SECOND, 50_000))
-        self.assertAlmostEqual(tries, 10 * SECOND / TRIAL, delta=2)
+        self.assertAlmostEqual(tries, 10 * SECOND / HOLDER_PROBE_INTERVAL_US, delta=2)
         one.set_lease_held(False)
         begin += 10 * SECOND
         one.record_announcement(
@@ -317,9 +324,11 @@
         )  # of an older epoch, or none since: 7 was before holding
         one.record_announcement(begin, 8, False)
         self.assertFalse(one.dead)
-        first = sum(one.allows_call(begin + chance.randrange(OPENING // 10)) for _ in range(400))
+        first = sum(
+            one.allows_call(begin + chance.randrange(SLOW_START_US // 10)) for _ in range(400)
+        )
         self.assertLess(first, 100)
-        self.assertTrue(all(one.allows_call(begin + OPENING + 1) for _ in range(50)))
+        self.assertTrue(all(one.allows_call(begin + SLOW_START_US + 1) for _ in range(50)))
 
     def test_an_old_word(self):
         one = DependencyProbe(random.Random(1).random)
@@ -398,7 +407,7 @@
         self.assertEqual(roll.step(plan, 1, self.fleet(rows, 0.3), "m0").state, "stopped")
         going = roll.step(plan, 1, self.fleet(rows, 0.1), "m0")
         self.assertEqual([name for name, *_ in going.doing], ["m1", "m2"])
-        late = roll.step(going, 1 + roll.PATIENCE + 1, self.fleet(rows, 0.1), "m0")
+        late = roll.step(going, 1 + roll.RETURN_TIMEOUT_US + 1, self.fleet(rows, 0.1), "m0")
         self.assertEqual((late.state, "m1" in late.why), ("stopped", True))
         again = roll.resume(late, 10**9, self.fleet(rows, 0.2))
         self.assertEqual(roll.step(again, 10**9 + 1, self.fleet(rows, 0.2), "m0").state, "going")
