--- /dev/null
+++ b/gullyoke/coordination/lender.py
@@ -0,0 +1,153 @@
+"""The lender of a part of a fleet's limit: who gets how many of its tokens.
+
+A lender never has more tokens out than it has, whatever is lost or late. It counts a quota lease
+for longer than its borrower does, by all that two clocks may differ.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Hashable
+from typing import NamedTuple
+
+from gullyoke.coordination import quota_durations as durations
+from gullyoke.coordination.lender_tenure import LenderTenure
+from gullyoke.coordination.max_min_fairness import Demand, fill_level
+from gullyoke.coordination.quota_messages import QuotaGrant, QuotaRequest, QuotaReturn
+from gullyoke.membership.row import whole
+
+LEAST_WEIGHT = 1e-6
+
+
+class QuotaLease:
+    """What a lender has granted one borrower.
+
+    Attributes:
+        sequence: Number of the borrower's last request.
+        tokens: Tokens that the borrower may have in use until `until_us`.
+        granted: Tokens last granted; what it uses at the most once it has the answer.
+        until_us: End of the lease, in microseconds.
+    """
+
+    __slots__ = ("granted", "sequence", "tokens", "until_us")
+
+    def __init__(self) -> None:
+        """Start without tokens."""
+        self.sequence = 0
+        self.tokens = 0
+        self.granted = 0
+        self.until_us = 0
+
+
+class DemandAt(NamedTuple):
+    """A borrower's demand, and when it was stated, in microseconds."""
+
+    demand: Demand
+    at_us: int
+
+
+class Lender:
+    """The lender of the tokens of one name. Times are microseconds of its monotonic clock.
+
+    Attributes:
+        tenure: The process' right to the name.
+        total: Tokens that the name has to lend.
+        after_us: For how long use counts on after the end of a lease, where a mean is limited.
+        leases: By borrower; removed when they end.
+        demands: By borrower; removed after `DEMAND_VALID_US`.
+        level: The fair level (gullyoke/coordination/max_min_fairness.py).
+    """
+
+    def __init__(self, tenure: LenderTenure, tokens: int, after_us: int = 0) -> None:
+        """Start with all tokens at home."""
+        self.tenure = tenure
+        self.total = tokens
+        self.after_us = after_us
+        self.leases: dict[Hashable, QuotaLease] = {}
+        self.demands: dict[Hashable, DemandAt] = {}
+        self.level = math.inf
+        self._level_at_us: int | None = None
+
+    def outstanding(self, now: int) -> int:
+        """Return how many tokens borrowers may have in use."""
+        ended = [borrower for borrower, lease in self.leases.items() if now >= lease.until_us]
+        for borrower in ended:
+            del self.leases[borrower]
+        return sum(lease.tokens for lease in self.leases.values())
+
+    def answer_request(self, now: int, request: QuotaRequest) -> QuotaGrant | None:
+        """Return the grant; None for a request that is not newer than the borrower's last."""
+        lease = self.leases.get(request.borrower)
+        if lease is not None and request.sequence <= lease.sequence:
+            return None
+        free = self.total - self.outstanding(now)
+        lease = self.leases.get(request.borrower)
+        demand = Demand(
+            max(0, request.wanted),
+            max(0, request.elsewhere),
+            max(LEAST_WEIGHT, request.weight),
+        )
+        self.demands[request.borrower] = DemandAt(demand, now)
+        tokens = 0
+        if self.tenure.may_lend(now, self.after_us):
+            tokens = self._grantable(now, request.borrower, demand, lease, free)
+            if lease is not None or tokens > 0:
+                self._grant(now, request, lease, tokens)
+        return QuotaGrant(request.lender, request.borrower, request.sequence, tokens)
+
+    def _grantable(
+        self, now: int, borrower: Hashable, demand: Demand, lease: QuotaLease | None, free: int
+    ) -> int:
+        """Return how many tokens the borrower gets in all."""
+        fair = self._fair_share(now, borrower, demand)
+        granted = lease.granted if lease else 0
+        grown = granted + max(1, self.total // durations.GROWTH_DIVISOR)
+        return min(fair, grown, (lease.tokens if lease else 0) + free)
+
+    def _grant(
+        self, now: int, request: QuotaRequest, lease: QuotaLease | None, tokens: int
+    ) -> None:
+        if lease is None:
+            lease = self.leases[request.borrower] = QuotaLease()
+        lease.sequence = request.sequence
+        lease.granted = tokens
+        # A smaller grant frees nothing yet: the borrower may use what it had until it returns it or
+        # the lease ends.
+        lease.tokens = max(lease.tokens, tokens)
+        if tokens > 0:
+            duration_us = durations.QUOTA_LEASE_US + self.after_us
+            lease.until_us = now + durations.longest_elsewhere_us(duration_us)
+
+    def _fair_share(self, now: int, borrower: Hashable, demand: Demand) -> int:
+        """Return the borrower's fair share in whole tokens.
+
+        A hash decides who gets what rounding leaves, another borrower each `ROUNDING_INTERVAL_US`,
+        so that none goes without for ever where there are fewer tokens than borrowers.
+        """
+        last_us = self._level_at_us
+        if last_us is None or now - last_us >= durations.FAIR_LEVEL_INTERVAL_US:
+            self._level_at_us = now
+            self._update_level(now)
+        share = demand.part(self.level)
+        interval = now // durations.ROUNDING_INTERVAL_US
+        draw = whole(f"{self.tenure.name} {borrower} {interval}") / 2**64
+        return min(demand.want, int(share + draw))
+
+    def _update_level(self, now: int) -> None:
+        outdated = [
+            borrower
+            for borrower, stated in self.demands.items()
+            if now - stated.at_us > durations.DEMAND_VALID_US
+        ]
+        for borrower in outdated:
+            del self.demands[borrower]
+        self.level = fill_level(self.total, (stated.demand for stated in self.demands.values()))
+
+    def handle_return(self, now: int, returned: QuotaReturn) -> None:
+        """Take tokens back that the borrower no longer uses.
+
+        A return of an older lease is ignored: the answer to a newer request is on its way.
+        """
+        lease = self.leases.get(returned.borrower)
+        if lease is not None and returned.sequence == lease.sequence:
+            lease.tokens = min(lease.tokens, max(returned.tokens, lease.granted))
--- a/gullyoke/coordination/limit_parts.py
+++ b/gullyoke/coordination/limit_parts.py
@@ -1,153 +1,202 @@
-"""One server's part of what all servers share below.
+"""One server's part of a limit on the calls of all servers to a dependency.
 
-What the decisions ask of it (the port's `Slots`).
+These classes answer what the decisions ask of the `Slots` protocol
+(gullyoke/admission/interface/fleet_feedback.py).
 
-Two kinds of limit. `Own`: so many calls in hand at every moment. A call takes a slot from when it
-goes out until it is over, and one that was lost until its linger is over as well: the dependency
-may have it in hand so long. `Mean`: so many in the mean of a span. What is lent then is a part of
-that mean, in UNITs, and call time that was used counts for a whole span, so what is passed on is
-free of it first.
+There are two kinds of limit. `ConcurrencyPart` limits the calls in flight at every moment. A call
+takes a token from its start until its end; one that was lost takes it until its linger is over as
+well, because the dependency may still be working on it. `MeanConcurrencyPart` limits the mean
+number of calls in flight over a window. A token is then a part of that mean, and call time that was
+used counts for a whole window, so tokens that are passed on are free of it first.
 
-A call never goes out for longer than what it stands on is surely this server's. What is wanted is
-told from the most that were out and waiting of late.
+A call never runs for longer than the tokens that it uses are surely this server's. The need is
+estimated from the most calls that were lately in flight and waiting.
 """
 
 from __future__ import annotations
 
 import math
 from collections import deque
+from typing import Final
 
-from gullyoke.coordination.quota_leases import RENEW, BorrowedQuota
-from gullyoke.coordination.quota_participant import AddressedQuotaMessage, Message, QuotaParticipant
+from gullyoke.coordination.borrower import BorrowedQuota
+from gullyoke.coordination.quota_durations import RENEW_US
+from gullyoke.coordination.quota_messages import QuotaMessage
+from gullyoke.coordination.quota_participant import AddressedQuotaMessage, QuotaParticipant
 
-LEAST = 100_000  # microseconds: for less than that no call goes out
-AHEAD = 8  # one slot more is wanted for so many in use, so that growth finds some
-SPAN = 2 * RENEW  # what was wanted counts for so long, and half as long again
-CALL = 600_000  # microseconds for which a mean must be sure, the linger beside
-UNIT = 16  # tokens of a mean of one call in hand
-USED = 0.95  # of a mean share, so much is used: the decisions' own margin
+SHORTEST_CALL_US: Final = 100_000  # no call starts whose tokens are sure for less
+GROWTH_DIVISOR: Final = 8  # one token more is wanted for so many in use, so that growth finds some
+PEAK_WINDOW_US: Final = 2 * RENEW_US  # a need counts for one to two such windows
+CALL_US: Final = 600_000  # the tokens of a mean must be sure for so long, and for the linger
+TOKENS_PER_CALL: Final = 16  # tokens of a mean of one call in flight
+USED_SHARE: Final = 0.95  # of a mean, so much is used: the margin of the decisions
+MEAN_GROWTH: Final = 1.25  # so much of the mean in use is wanted
+LEAST_PACE: Final = 0.25  # calls at a time, for estimates of waits
+LEAST_MEAN: Final = 0.01  # calls; above 0, so that a wait can be estimated
 
 
 class RecentPeak:
-    """The most of a figure within the last SPAN or two."""
+    """The highest value within the last `PEAK_WINDOW_US` and the window before."""
 
     def __init__(self) -> None:
-        self.lately = self.before = self.since = 0
+        """Start at 0."""
+        self._current = 0
+        self._before = 0
+        self._since_us = 0
 
-    def note(self, now: int, figure: int) -> None:
-        self._turn(now)
-        self.lately = max(self.lately, figure)
+    def record(self, now: int, value: int) -> None:
+        """Take a value."""
+        self._turn_window(now)
+        self._current = max(self._current, value)
 
-    def most(self, now: int) -> int:
-        self._turn(now)
-        return max(self.lately, self.before)
+    def highest(self, now: int) -> int:
+        """Return the highest value."""
+        self._turn_window(now)
+        return max(self._current, self._before)
 
-    def _turn(self, now: int) -> None:
-        if now - self.since >= SPAN:
-            self.before = self.lately if now - self.since < 2 * SPAN else 0
-            self.lately, self.since = 0, now
+    def _turn_window(self, now: int) -> None:
+        age_us = now - self._since_us
+        if age_us >= PEAK_WINDOW_US:
+            self._before = self._current if age_us < 2 * PEAK_WINDOW_US else 0
+            self._current = 0
+            self._since_us = now
 
 
 class LimitPart:
-    """What both kinds have in common: this process's part, what it wants, and its letters."""
+    """What all parts of limits have in common: a participant, its need and its messages.
 
-    def __init__(self, participant: QuotaParticipant, linger: int) -> None:
-        self.participant, self.linger, self.peak = participant, linger, RecentPeak()
-        self.refused = 0  # how often none was free
+    Attributes:
+        refused: How often no token was free; the key of the same name is shown to operators.
+    """
+
+    def __init__(self, participant: QuotaParticipant, linger_us: int) -> None:
+        """Take over a participant; a lost call may run on for `linger_us`."""
+        self.participant = participant
+        self.linger_us = linger_us
+        self.peak = RecentPeak()
+        self.refused = 0
 
     def used(self, now: int) -> int:
-        """Tokens in use."""
+        """Return how many tokens are in use."""
         raise NotImplementedError
 
-    def turn(self, now: int) -> list[AddressedQuotaMessage]:
-        most = self.peak.most(now)
-        self.participant.need, self.participant.used = most + -(-most // AHEAD), self.used(now)
-        return self.participant.turn(now)
+    def tick(self, now: int) -> list[AddressedQuotaMessage]:
+        """Return what is to be sent now; to be called a few times a second."""
+        highest = self.peak.highest(now)
+        self.participant.needed = highest + -(-highest // GROWTH_DIVISOR)
+        self.participant.used = self.used(now)
+        return self.participant.tick(now)
 
-    def hear(self, now: int, message: Message) -> AddressedQuotaMessage | None:
+    def handle(self, now: int, message: QuotaMessage) -> AddressedQuotaMessage | None:
+        """Take a message; return the answer, if there is one."""
         self.participant.used = self.used(now)
-        return self.participant.hear(now, message)
+        return self.participant.handle(now, message)
 
 
 class ConcurrencyPart(LimitPart):
-    """Slots. Table: `lingers`, when each lost call is over at the latest; it leaves then."""
+    """A part of a limit on the calls in flight; a token is a call.
 
-    def __init__(self, participant: QuotaParticipant, linger: int) -> None:
-        super().__init__(participant, linger)
+    Attributes:
+        out: Calls in flight.
+    """
+
+    def __init__(self, participant: QuotaParticipant, linger_us: int) -> None:
+        """Start without calls."""
+        super().__init__(participant, linger_us)
         self.out = 0
-        self.lingers: deque[int] = deque()
+        self._lost_until_us: deque[int] = deque()  # when lost calls are over at the latest
 
     def used(self, now: int) -> int:
-        while self.lingers and self.lingers[0] <= now:
-            self.lingers.popleft()
-        return self.out + len(self.lingers)
+        """Return how many calls are in flight here or may be at the dependency."""
+        while self._lost_until_us and self._lost_until_us[0] <= now:
+            self._lost_until_us.popleft()
+        return self.out + len(self._lost_until_us)
 
     def share(self, now: int, told: float | None, spent: float) -> float | None:
-        return None  # what is out at every moment needs no mean beside
+        """Return None: no mean is limited."""
+        return None
 
     def free(self, now: int, waiting: int) -> bool:
+        """Tell whether a call may start now; `waiting` more would like to."""
         used = self.used(now)
-        self.peak.note(now, used + waiting + 1)
-        free = self.participant.borrower.sure(now, used + 1) - self.linger > now + LEAST
+        self.peak.record(now, used + waiting + 1)
+        secured_until_us = self.participant.borrower.secured_until(now, used + 1)
+        free = secured_until_us - self.linger_us > now + SHORTEST_CALL_US
         self.refused += not free
         return free
 
     def until(self, now: int) -> float:
-        return self.participant.borrower.sure(now, self.used(now) + 1)
+        """Return when the next call has to be over, its linger included."""
+        return self.participant.borrower.secured_until(now, self.used(now) + 1)
 
     def pace(self, now: int) -> float:
-        return max(0.25, float(self.participant.in_force(now)))
+        """Return how many calls may be in flight at a time."""
+        return max(LEAST_PACE, float(self.participant.in_force(now)))
 
     def began(self) -> None:
+        """Count a call that starts."""
         self.out += 1
 
     def ended(self, now: int, lost: bool, well: bool) -> None:
+        """Count a call that ends; one that was `lost` may still be at the dependency."""
         self.out -= 1
-        if lost and self.linger:
-            self.lingers.append(now + self.linger)
+        if lost and self.linger_us:
+            self._lost_until_us.append(now + self.linger_us)
 
 
 class MeanConcurrencyPart(LimitPart):
-    """A part of the mean over `span`."""
+    """A part of a limit on the mean number of calls in flight over `window_us`."""
 
-    def __init__(self, participant: QuotaParticipant, linger: int, span: int) -> None:
-        super().__init__(participant, linger)
-        self.span, self.spent = span, 0.0
+    def __init__(self, participant: QuotaParticipant, linger_us: int, window_us: int) -> None:
+        """Start without calls."""
+        super().__init__(participant, linger_us)
+        self.window_us = window_us
+        self._spent_us = 0.0
 
     def used(self, now: int) -> int:
-        return math.ceil(self.spent * UNIT / (USED * self.span))
+        """Return how many tokens the call time of the last window comes to."""
+        return math.ceil(self._spent_us * TOKENS_PER_CALL / (USED_SHARE * self.window_us))
 
     def share(self, now: int, told: float | None, spent: float) -> float | None:
-        """What is sure for a call's time; never nothing, so that a wait can be reckoned."""
-        self.spent = spent
-        self.peak.note(now, math.ceil(1.25 * self.used(now)) + 1)
-        tokens = self.participant.borrower.right(now) + sum(held.tokens for held in self._sure(now))
-        return max(0.01, tokens / UNIT)
-
-    def _sure(self, now: int) -> list[BorrowedQuota]:
-        """The loans that last for a call, and so are counted."""
+        """Return the mean that is sure for a call's time.
+
+        `spent` is the call time of the last window, in microseconds.
+        """
+        self._spent_us = spent
+        self.peak.record(now, math.ceil(MEAN_GROWTH * self.used(now)) + 1)
+        borrowed = sum(lease.tokens for lease in self._sure_leases(now))
+        tokens = self.participant.borrower.guaranteed(now) + borrowed
+        return max(LEAST_MEAN, tokens / TOKENS_PER_CALL)
+
+    def _sure_leases(self, now: int) -> list[BorrowedQuota]:
+        """Return the leases that last for a call, and so count."""
+        call_end_us = now + self.linger_us + CALL_US
         return [
-            held
-            for held in self.participant.borrower.held.values()
-            if held.tokens and held.until > now + self.linger + CALL
+            lease
+            for lease in self.participant.borrower.leases.values()
+            if lease.tokens and lease.until_us > call_end_us
         ]
 
     def free(self, now: int, waiting: int) -> bool:
-        """The mean in force bounds it.
+        """Return True: the mean limits the calls.
 
-        Who waits wants twice what it has, and one call at the least.
+        While calls wait, twice the tokens in force are wanted, and those of one call at the least.
         """
         if waiting:
             self.refused += 1
-            self.peak.note(now, 2 * self.participant.in_force(now) + UNIT)
+            self.peak.record(now, 2 * self.participant.in_force(now) + TOKENS_PER_CALL)
         return True
 
     def until(self, now: int) -> float:
-        return min((held.until for held in self._sure(now)), default=math.inf)
+        """Return when the next call has to be over, its linger included."""
+        return min((lease.until_us for lease in self._sure_leases(now)), default=math.inf)
 
     def pace(self, now: int) -> float:
-        return max(0.25, self.participant.in_force(now) / UNIT)
+        """Return how many calls may be in flight at a time."""
+        return max(LEAST_PACE, self.participant.in_force(now) / TOKENS_PER_CALL)
 
-    def began(self) -> None: ...
+    def began(self) -> None:
+        """Do nothing: the call time counts."""
 
-    def ended(self, now: int, lost: bool, well: bool) -> None: ...
+    def ended(self, now: int, lost: bool, well: bool) -> None:
+        """Do nothing: the call time counts."""
--- a/gullyoke/coordination/max_min_fairness.py
+++ b/gullyoke/coordination/max_min_fairness.py
@@ -1,44 +1,49 @@
-"""What many want of what there is, given out by weight.
+"""Weighted max-min fairness: how a total is divided between demands.
 
-Nobody gets more than it wants, and who wants more than its part shares what the others leave
-(max-min fairness, Bertsekas and Gallager 1992).
+Nobody gets more than it wants, and those that want more than their share divide what the others
+leave (Bertsekas and Gallager 1992).
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
-EXACT = 1e-6  # of the level
+LEVEL_PRECISION: Final = 1e-6  # of the level
 
 
 class Demand(NamedTuple):
-    """So many are wanted of this, beside what is held `elsewhere`; by weight."""
+    """What one borrower wants.
+
+    Attributes:
+        want: Tokens wanted here.
+        elsewhere: Tokens that it has besides; they count against its share.
+        weight: Its share of what is scarce is proportional to this; above 0.
+    """
 
     want: int
     elsewhere: int = 0
     weight: float = 1.0
 
     def part(self, level: float) -> float:
-        """What it gets where all are filled up to `level` times their weight, counting what they
-        hold elsewhere.
-        """
+        """Return its share where everybody has `level` times its weight, if it wants as much."""
         return min(float(self.want), max(0.0, level * self.weight - self.elsewhere))
 
 
-def fill_level(total: int, wishes: Iterable[Demand]) -> float:
-    """To where all are filled, so that `total` is given out.
+def fill_level(total: int, demands: Iterable[Demand]) -> float:
+    """Return the level at which the shares of all demands come to `total`.
 
-    Infinite where there is enough for all.
+    Infinity where there is enough for all.
     """
-    wishes = list(wishes)
-    if sum(wish.want for wish in wishes) <= total:
+    demands = list(demands)
+    if sum(demand.want for demand in demands) <= total:
         return math.inf
-    low, high = 0.0, max((wish.want + wish.elsewhere) / wish.weight for wish in wishes)
-    while high - low > EXACT * max(1.0, high):
+    low = 0.0
+    high = max((demand.want + demand.elsewhere) / demand.weight for demand in demands)
+    while high - low > LEVEL_PRECISION * max(1.0, high):
         middle = (low + high) / 2
-        if sum(wish.part(middle) for wish in wishes) > total:
+        if sum(demand.part(middle) for demand in demands) > total:
             high = middle
         else:
             low = middle
@@ -46,13 +51,25 @@
 
 
 def split_limit(
-    limit: int, largest: int, homes: Iterable[str], floor_share: float
+    limit: int, largest_fleet: int, lenders: Iterable[str], floor_share: float
 ) -> tuple[int, dict[str, int]]:
-    """A limit for the whole fleet as a floor that each of `largest` processes has by right, and
-    what each of `homes` has to lend: all together the limit. Raises `ValueError` for what can't be.
+    """Divide a fleet's limit into a floor of each process and the tokens of each lender.
+
+    Args:
+        limit: The limit in tokens.
+        largest_fleet: The most processes that have the floor.
+        lenders: Names of the lenders.
+        floor_share: The part of the limit that goes into floors, from 0 to 1.
+
+    Returns:
+        The floor, and the tokens by lender; all floors and tokens together are the limit.
+
+    Raises:
+        ValueError: For a negative limit, an empty fleet, or a share that is none.
     """
-    if limit < 0 or largest < 1 or not 0 <= floor_share <= 1:
-        raise ValueError(f"a limit of {limit} for {largest} with a floor of {floor_share}")
-    floor, names = int(limit * floor_share / largest), sorted(homes)
-    part, more = divmod(limit - floor * largest, max(1, len(names)))
-    return floor, {name: part + (i < more) for i, name in enumerate(names)}
+    if limit < 0 or largest_fleet < 1 or not 0 <= floor_share <= 1:
+        raise ValueError(f"a limit of {limit} for {largest_fleet} with a floor of {floor_share}")
+    floor = int(limit * floor_share / largest_fleet)
+    names = sorted(lenders)
+    tokens, remainder = divmod(limit - floor * largest_fleet, max(1, len(names)))
+    return floor, {name: tokens + (i < remainder) for i, name in enumerate(names)}
--- a/gullyoke/coordination/quota_participant.py
+++ b/gullyoke/coordination/quota_participant.py
@@ -1,137 +1,170 @@
-"""One process's part in a shared limit.
+"""One process' part in a fleet's limit: it borrows, and where it is a lender it lends and votes.
 
-It borrows, and where it is at a home it lends and votes. What it says and hears are the messages of
-gullyoke/coordination/quota_leases.py; who carries them is not its affair.
-
-`need` and `used` are told to it: what it would use, and what it has in use at this moment.
+Messages go in and come out; who carries them is decided elsewhere
+(gullyoke/peer_transport/quota_service.py).
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
+from enum import Enum, auto
 from typing import NamedTuple
 
-from gullyoke.coordination.quota_leases import (
-    Borrower,
-    Lender,
+from gullyoke.coordination.borrower import Borrower
+from gullyoke.coordination.lender import Lender
+from gullyoke.coordination.lender_tenure import LenderTenure, LenderVoter
+from gullyoke.coordination.quota_messages import (
     LenderClaim,
-    LenderTenure,
     LenderVote,
-    LenderVoter,
     QuotaGrant,
+    QuotaMessage,
     QuotaRequest,
     QuotaReturn,
 )
 
-Message = LenderClaim | LenderVote | QuotaRequest | QuotaGrant | QuotaReturn
-
 
-class AddressedQuotaMessage(NamedTuple):
-    """To whom: a voter, at the stated address of that home.
+class Recipient(Enum):
+    """To whom a message goes."""
 
-    A lender, whoever is taken for that home; or back to the process that asked.
-    """
+    VOTER = auto()  # the process at the configured address of the lender
+    LENDER = auto()  # the process that lends under the lender's name
+    REQUESTER = auto()  # the process whose message is answered
 
-    to: str
-    home: str
-    message: Message
 
+class AddressedQuotaMessage(NamedTuple):
+    """A message, to whom it goes, and the name of the lender that it is about or goes to."""
 
-VOTER, LENDER, ASKER = "voter", "lender", "asker"
+    to: Recipient
+    lender: str
+    message: QuotaMessage
 
 
 class QuotaParticipant:
-    """`home` is the name it lends under, None where it is at none.
+    """One process' borrower, and its lender and voter where it has them.
 
-    `votes`, whether it is at that home's stated address. `tokens` is what this home has to lend,
-    `floor` what each process has by right; `linger` and `after`, for how long what a process used
-    before its end stays in use, and counts.
+    Attributes:
+        needed: Tokens that the process would use; set by the owner.
+        used: Tokens that it has in use; set by the owner.
+        lender_name: The name under which it lends; None where it is no lender.
+        substitutes: Lenders of names whose processes ended, while this process lends for them.
     """
 
     def __init__(
         self,
         now: int,
-        life: int,
-        homes: Iterable[str],
+        incarnation: int,
+        lender_names: Iterable[str],
         tokens: int,
         floor: int,
-        home: str | None = None,
+        lender_name: str | None = None,
         votes: bool = False,
-        linger: int = 0,
-        after: int = 0,
+        linger_us: int = 0,
+        after_us: int = 0,
     ) -> None:
-        self.homes = tuple(homes)
-        if home is not None and home not in self.homes:
-            raise ValueError(f"{home!r} is none of the homes {', '.join(self.homes)}")
-        self.home, self.need, self.used = home, 0, 0
-        self.borrower = Borrower(life, floor, self.homes, home, now + linger + after)
-        self.voter = LenderVoter(now, home, self.homes) if home and votes else None
-        self.holding = LenderTenure(home, life, self.homes) if home else None
-        self.lender = Lender(self.holding, tokens, after) if self.holding else None
-        self.life, self.after = life, after
-        self.estates: dict[str, Lender] = {}  # of homes that ended, lent here for as long as asked
+        """Start a participant.
+
+        Args:
+            now: Microseconds of the monotonic clock.
+            incarnation: The random number drawn at the process' start.
+            lender_names: Names of all lenders.
+            tokens: Tokens that this lender has to lend.
+            floor: Tokens that each process has without a lease.
+            lender_name: The name under which it lends, if any.
+            votes: Whether it is at the configured address of that lender.
+            linger_us: For how long after its end a process' calls may still run.
+            after_us: For how long use counts on after the end of a lease, where a mean is limited.
+
+        Raises:
+            ValueError: For a name that is no lender's.
+        """
+        self.lender_names = tuple(lender_names)
+        if lender_name is not None and lender_name not in self.lender_names:
+            names = ", ".join(self.lender_names)
+            raise ValueError(f"{lender_name!r} is none of the homes {names}")
+        self.lender_name = lender_name
+        self.incarnation = incarnation
+        self.after_us = after_us
+        self.needed = 0
+        self.used = 0
+        begins_us = now + linger_us + after_us
+        self.borrower = Borrower(incarnation, floor, self.lender_names, lender_name, begins_us)
+        self.voter: LenderVoter | None = None
+        self.tenure: LenderTenure | None = None
+        self.lender: Lender | None = None
+        if lender_name:
+            if votes:
+                self.voter = LenderVoter(now, lender_name, self.lender_names)
+            self.tenure = LenderTenure(lender_name, incarnation, self.lender_names)
+            self.lender = Lender(self.tenure, tokens, after_us)
+        self.substitutes: dict[str, Lender] = {}
 
     def in_force(self, now: int) -> int:
-        """What this process may use at this moment: asked again after every wait."""
+        """Return how many tokens may be used now; to be called again after every wait."""
         return self.borrower.in_force(now)
 
-    def turn(self, now: int) -> list[AddressedQuotaMessage]:
-        """What is to be said now; called a few times a second."""
-        said: list[AddressedQuotaMessage] = []
+    def tick(self, now: int) -> list[AddressedQuotaMessage]:
+        """Return what is to be sent now; to be called a few times a second."""
+        out: list[AddressedQuotaMessage] = []
         for lender in self.lenders():
-            if (claim := lender.holding.claim(now)) is not None:
-                said += [AddressedQuotaMessage(VOTER, home, claim) for home in self.homes]
-        said += [
-            AddressedQuotaMessage(LENDER, back.home, back)
-            for back in self.borrower.give_back(now, self.used)
-        ]
-        return said + [
-            AddressedQuotaMessage(LENDER, want.home, want)
-            for want in self.borrower.ask(now, self.need)
-        ]
-
-    def hear(self, now: int, message: Message) -> AddressedQuotaMessage | None:
-        """What it answers, if anything."""
-        if isinstance(message, LenderClaim):
-            promise = self.voter.claim(now, message) if self.voter else None
-            return promise and AddressedQuotaMessage(ASKER, message.home, promise)
+            claim = lender.tenure.next_claim(now)
+            if claim is not None:
+                out += [
+                    AddressedQuotaMessage(Recipient.VOTER, name, claim)
+                    for name in self.lender_names
+                ]
+        for returned in self.borrower.next_returns(now, self.used):
+            out.append(AddressedQuotaMessage(Recipient.LENDER, returned.lender, returned))
+        for request in self.borrower.next_requests(now, self.needed):
+            out.append(AddressedQuotaMessage(Recipient.LENDER, request.lender, request))
+        return out
+
+    def handle(self, now: int, message: QuotaMessage) -> AddressedQuotaMessage | None:
+        """Take a message; return the answer, if there is one."""
         if isinstance(message, LenderVote):
             for lender in self.lenders():
-                lender.holding.hear(now, message)
+                lender.tenure.handle_vote(now, message)
+            return None
+        if isinstance(message, QuotaReturn):
+            lends = self._lender_of(message.lender)
+            if lends is not None:
+                lends.handle_return(now, message)
+            return None
+        answer: QuotaMessage | None = None
+        to = Recipient.REQUESTER
+        if isinstance(message, LenderClaim):
+            answer = self.voter.answer_claim(now, message) if self.voter else None
         elif isinstance(message, QuotaRequest):
-            lender = self.lends_for(message.home)
-            grant = lender.want(now, message) if lender else None
-            return grant and AddressedQuotaMessage(ASKER, message.home, grant)
+            lends = self._lender_of(message.lender)
+            answer = lends.answer_request(now, message) if lends else None
         elif isinstance(message, QuotaGrant):
-            back = self.borrower.hear(now, message, self.used)
-            return back and AddressedQuotaMessage(LENDER, message.home, back)
-        elif isinstance(message, QuotaReturn) and (lender := self.lends_for(message.home)):
-            lender.returned(now, message)
-        return None
-
-    # What homes that ended had to lend, given out here: the name's own majority keeps it safe,
-    # whoever asks.
+            answer = self.borrower.handle_grant(now, message, self.used)
+            to = Recipient.LENDER
+        return AddressedQuotaMessage(to, message.lender, answer) if answer is not None else None
 
     def lenders(self) -> list[Lender]:
-        return ([self.lender] if self.lender else []) + list(self.estates.values())
+        """Return the lenders of all names that this process lends under."""
+        own = [self.lender] if self.lender else []
+        return own + list(self.substitutes.values())
 
-    def lends_for(self, home: str) -> Lender | None:
-        return self.lender if home == self.home else self.estates.get(home)
+    def _lender_of(self, name: str) -> Lender | None:
+        return self.lender if name == self.lender_name else self.substitutes.get(name)
 
     def take_over(self, tokens: Mapping[str, int]) -> None:
-        """Lend under these homes' names from now on, and under no others but one's own.
-
-        A name is had only once a majority of the homes has no promise of it out any more; one that
-        comes back gets it when this stops claiming.
-        """
+        """Lend under these names of lenders that ended, and under no others but one's own.
 
-        def made(home: str, count: int) -> Lender:
-            return self.estates.get(home) or Lender(
-                LenderTenure(home, self.life, self.homes), count, self.after
-            )
+        It is safe whoever asks for it: a name's tokens are lent only once a majority of the lenders
+        has granted the name, which it does when no other process has it any more. A process that
+        comes back gets its name when this one stops to claim it.
 
-        self.estates = {
-            home: made(home, count)
-            for home, count in tokens.items()
-            if home in self.homes and home != self.home
+        Args:
+            tokens: By name, how many tokens it has to lend.
+        """
+        self.substitutes = {
+            name: self.substitutes.get(name) or self._substitute(name, count)
+            for name, count in tokens.items()
+            if name in self.lender_names and name != self.lender_name
         }
+
+    def _substitute(self, name: str, tokens: int) -> Lender:
+        tenure = LenderTenure(name, self.incarnation, self.lender_names)
+        return Lender(tenure, tokens, self.after_us)
--- a/gullyoke/emulator/beside.py
+++ b/gullyoke/emulator/beside.py
@@ -11,9 +11,13 @@
 
 from gullyoke.admission.controller import AdmissionController
 from gullyoke.admission.interface import DependencyFacts, Fleet
-from gullyoke.coordination.limit_parts import UNIT, MeanConcurrencyPart
+from gullyoke.coordination.limit_parts import TOKENS_PER_CALL, MeanConcurrencyPart
 from gullyoke.coordination.max_min_fairness import split_limit
-from gullyoke.coordination.quota_participant import ASKER, AddressedQuotaMessage, QuotaParticipant
+from gullyoke.coordination.quota_participant import (
+    AddressedQuotaMessage,
+    QuotaParticipant,
+    Recipient,
+)
 from gullyoke.coordination.signals import Heard, Judgement, Reading, Stage, Telling
 from gullyoke.emulator.fleet import Node, Running, deciding
 
@@ -42,7 +46,9 @@
         if beside.shares and day.shared and day.shared.survives:
             homes = [str(i) for i in range(min(HOMES, day.machines.servers))]
             largest = beside.largest or day.machines.servers + sum(n for _, n in day.machines.join)
-            floor, tokens = split_limit(day.shared.survives * UNIT, largest, homes, FLOOR)
+            floor, tokens = split_limit(
+                day.shared.survives * TOKENS_PER_CALL, largest, homes, FLOOR
+            )
             home = str(node.number) if str(node.number) in homes else None
             part = QuotaParticipant(
                 now,
@@ -99,16 +105,16 @@
         if self.own is None or not self.node.up or now > self.node.fleet.last:
             return
         self.node.fleet.at(TURN, self.turn)
-        for letter in self.own.turn(now):
+        for letter in self.own.tick(now):
             self.post(letter, -1)
 
     def post(self, letter: AddressedQuotaMessage, asker: int) -> None:
-        to, me = asker if letter.to == ASKER else int(letter.home), self.node.number
+        to, me = asker if letter.to == Recipient.REQUESTER else int(letter.lender), self.node.number
         self.beside.send(me, to, lambda peer: peer.hear_letter(me, letter.message))
 
     def hear_letter(self, sender: int, message) -> None:
         if self.own is not None:
-            answer = self.own.hear(self.node.fleet.now(), message)
+            answer = self.own.handle(self.node.fleet.now(), message)
             if answer is not None:
                 self.post(answer, sender)
 
--- a/gullyoke/emulator/quotas.py
+++ b/gullyoke/emulator/quotas.py
@@ -79,7 +79,7 @@
 
     def look() -> None:
         nonlocal over
-        parts = sum(p.quota.part(p.now()) for p in processes)
+        parts = sum(p.quota.rate_in_force(p.now()) for p in processes)
         over = max(over, parts / quota - 1)
         play.after(SECOND // 20, look)
 
--- a/gullyoke/emulator/shares.py
+++ b/gullyoke/emulator/shares.py
@@ -11,14 +11,12 @@
 import itertools
 import random
 
-from gullyoke.coordination.clock_drift import DRIFT_DIVISOR
 from gullyoke.coordination.limit_parts import ConcurrencyPart, LimitPart
+from gullyoke.coordination.quota_durations import DRIFT_DIVISOR
 from gullyoke.coordination.quota_participant import (
-    ASKER,
-    LENDER,
-    VOTER,
     AddressedQuotaMessage,
     QuotaParticipant,
+    Recipient,
 )
 
 SECOND = 1_000_000
@@ -53,11 +51,11 @@
 
     @property
     def need(self) -> int:
-        return self.part.need
+        return self.part.needed
 
     @need.setter
     def need(self, need: int) -> None:
-        self.part.need = need
+        self.part.needed = need
 
     def now(self) -> int:
         return self.ahead + int(self.play.now * self.rate)
@@ -65,7 +63,7 @@
     def turn(self) -> None:
         if self.calls:
             self.call()
-        for letter in (self.quota or (self.own if self.calls else self.part)).turn(self.now()):
+        for letter in (self.quota or (self.own if self.calls else self.part)).tick(self.now()):
             self.post(letter, "")
 
     def call(self) -> None:
@@ -90,7 +88,7 @@
                 self.play.after(int(most / self.rate), call.given_up)
 
     def hear(self, from_: str, message) -> None:
-        letter = (self.quota or (self.own if self.calls else self.part)).hear(self.now(), message)
+        letter = (self.quota or (self.own if self.calls else self.part)).handle(self.now(), message)
         if letter is not None:
             self.post(letter, from_)
 
@@ -98,8 +96,10 @@
         """Votes are asked for at a home's stated address, loans where this process takes that home
         to be.
         """
-        taken = self.play.takes.get((self.key, letter.home), letter.home)
-        to = {VOTER: letter.home, LENDER: taken, ASKER: asker}[letter.to]
+        taken = self.play.takes.get((self.key, letter.lender), letter.lender)
+        to = {Recipient.VOTER: letter.lender, Recipient.LENDER: taken, Recipient.REQUESTER: asker}[
+            letter.to
+        ]
         self.play.send(self.key, to, letter.message)
 
     def lent(self) -> int:
@@ -215,8 +215,8 @@
         for process in self.processes.values():
             if process.up:
                 now = process.now()
-                for home, held in process.borrower.held.items():
-                    sums[home] += held.tokens if now < held.until else 0
+                for home, held in process.borrower.leases.items():
+                    sums[home] += held.tokens if now < held.until_us else 0
         return sums
 
     def run(self, until: int) -> None:
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -27,6 +27,7 @@
 from gullyoke.membership.row import TURNS
 from gullyoke.operator_config.wanted import OwnDuty
 from gullyoke.peer_transport.lease_service import LeaseService
+from gullyoke.peer_transport.quota_service import Substitutes
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.storage.append_file import AppendFile
@@ -187,7 +188,7 @@
             at = {str(home): str(where) for home, where in json.loads(notice.body or b"{}").items()}
         except (ValueError, AttributeError):
             return
-        self.shares.shared.substitutes = at, now + YOUNG
+        self.shares.shared.substitutes = Substitutes(at, now + YOUNG)
 
     def told(self, now: int) -> dict:
         return {"lends_for": list(self.gone)}
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from gullyoke.coordination import tenant_quotas as quotas
-from gullyoke.coordination.limit_parts import UNIT, ConcurrencyPart, MeanConcurrencyPart
+from gullyoke.coordination.limit_parts import TOKENS_PER_CALL, ConcurrencyPart, MeanConcurrencyPart
 from gullyoke.coordination.max_min_fairness import split_limit
 from gullyoke.coordination.quota_participant import QuotaParticipant
 from gullyoke.errors import ConfigurationError
@@ -34,7 +34,7 @@
 
     def unit(self) -> int:
         """Tokens of a slot: a limit on the mean is lent in parts of a call."""
-        return UNIT if self.wanted.mean else 1
+        return TOKENS_PER_CALL if self.wanted.mean else 1
 
     def attach(self, fleet: Fleet) -> None:
         """Raises `Misstated` where there is nothing below that could be shared."""
@@ -103,9 +103,9 @@
         whole = quotas.tokens(self.wanted.largest)
         tenants = sorted(
             fleet.daemon.configuration.facts.tenants, key=lambda c: (-c.quota, c.name)
-        )[: quotas.MOST]
+        )[: quotas.MAX_LEASED_TENANTS]
         for tenant in tenants:
-            made, floor = self.sharing(fleet, whole, 0, quotas.SAVED)
+            made, floor = self.sharing(fleet, whole, 0, quotas.SAVED_US)
             digest = configuration_digest(
                 self.wanted.homes, whole, floor, tenant.name, f"{tenant.quota:g}"
             )
@@ -119,7 +119,7 @@
             tenant.leased_quota = limit.leased_quota
         fleet.link.topics[QUOTAS] = TenantQuotaService(self.quotas.values())
         fleet.link.status_sections["quotas"] = lambda now: {
-            name: limit.status(now) | {"reqs_a_second": round(limit.own.part(now), 2)}
+            name: limit.status(now) | {"reqs_a_second": round(limit.own.rate_in_force(now), 2)}
             for name, limit in self.quotas.items()
         }
 
--- a/gullyoke/model_checking/shares.py
+++ b/gullyoke/model_checking/shares.py
@@ -6,7 +6,7 @@
 Two walks, since the whole at once grows too fast: `loans`, in which the home's name is safe and
 whatever can happen between it and its borrowers does; `names`, in which borrowers ask without
 faults and whatever can happen to the name does. What is looked for in both: more of the home's
-tokens in force than there are. The modules are those that run (gullyoke/coordination/quota_leases.py), with
+tokens in force than there are. The modules are those that run (gullyoke/coordination), with
 their times put to ticks.
 """
 
@@ -16,14 +16,13 @@
 from collections.abc import Callable, Iterator
 from unittest import mock
 
-from gullyoke.coordination import quota_leases as shares
-from gullyoke.coordination.quota_leases import (
-    Borrower,
-    Lender,
+from gullyoke.coordination import quota_durations
+from gullyoke.coordination.borrower import Borrower
+from gullyoke.coordination.lender import Lender
+from gullyoke.coordination.lender_tenure import LenderTenure, LenderVoter
+from gullyoke.coordination.quota_messages import (
     LenderClaim,
-    LenderTenure,
     LenderVote,
-    LenderVoter,
     QuotaGrant,
     QuotaRequest,
     QuotaReturn,
@@ -40,18 +39,18 @@
 def ticks() -> Iterator[None]:
     """The module's times in ticks: the smallest that keep their order."""
     small = {
-        "LEASE": 3,
-        "LOAN": 3,
-        "RENEW": 1,
-        "SHORT": 1,
-        "ASKED": 8,
-        "WEIGHED": 1,
-        "TURNED": 10**6,
-        "GROWTH": 1,
+        "TENURE_US": 3,
+        "QUOTA_LEASE_US": 3,
+        "RENEW_US": 1,
+        "SHORT_RETRY_US": 1,
+        "DEMAND_VALID_US": 8,
+        "FAIR_LEVEL_INTERVAL_US": 1,
+        "ROUNDING_INTERVAL_US": 10**6,
+        "GROWTH_DIVISOR": 1,
     }
     with contextlib.ExitStack() as stack:
         for name, value in small.items():
-            stack.enter_context(mock.patch.object(shares, name, value))
+            stack.enter_context(mock.patch.object(quota_durations, name, value))
         yield
 
 
@@ -76,7 +75,11 @@
         self.lives += 1
         holding = LenderTenure("h0", self.lives, HOMES)
         if not self.names:  # the name is its own from its start on
-            holding.since, holding.until, holding.next = self.clocks[name], FOREVER, FOREVER
+            holding.since_us, holding.until_us, holding.next_claim_us = (
+                self.clocks[name],
+                FOREVER,
+                FOREVER,
+            )
         self.lenders[name] = Lender(holding, TOKENS)
 
     # What can happen. An exchange that nothing comes between is one move; whatever of it can be
@@ -86,12 +89,12 @@
         out: list[Move] = [("time",)]
         out += [("come", i) for i in range(len(self.net))]
         for name, home in self.lenders.items():
-            if self.clocks[name] >= home.holding.next:
+            if self.clocks[name] >= home.tenure.next_claim_us:
                 out += [("claim", name, reached) for reached in REACHED]
                 if len(self.net) < NET:
                     out.append(("claim-late", name, REACHED[1]))
         for name, one in self.borrowers.items():
-            if self.clocks[name] >= min(one.next, one.short):
+            if self.clocks[name] >= min(one.next_renewal_us, one.next_short_retry_us):
                 out += [("ask", name, "done")]
                 if not self.names:
                     out += [("ask", name, "no-return")]
@@ -140,16 +143,16 @@
 
     def claim(self, name: str, reached: str, late: bool) -> None:
         """A round that comes to these voters; `late`: the last of their words stays on its way."""
-        claim = self.lenders[name].holding.claim(self.clocks[name])
+        claim = self.lenders[name].tenure.next_claim(self.clocks[name])
         for voter in reached.split("+"):
-            promise = self.voters[voter].claim(self.clocks[voter], claim)
+            promise = self.voters[voter].answer_claim(self.clocks[voter], claim)
             if late and voter == reached.split("+")[-1]:
                 self.net.append((voter, name, promise))
             else:
                 self.hear(voter, name, promise)
 
     def ask(self, name: str, how: str) -> None:
-        for want in self.borrowers[name].ask(self.clocks[name], TOKENS):
+        for want in self.borrowers[name].next_requests(self.clocks[name], TOKENS):
             message, from_, to = want, name, self.taken[name]
             while message is not None:
                 kind = {QuotaRequest: "want", QuotaGrant: "grant", QuotaReturn: "return"}[
@@ -170,15 +173,15 @@
     def answer(self, from_: str, to: str, message: object) -> object | None:
         now = self.clocks[to]
         if isinstance(message, LenderClaim):
-            return self.voters[to].claim(now, message)
+            return self.voters[to].answer_claim(now, message)
         if isinstance(message, LenderVote):
-            self.lenders[to].holding.hear(now, message)
+            self.lenders[to].tenure.handle_vote(now, message)
         elif isinstance(message, QuotaRequest):
-            return self.lenders[to].want(now, message)
+            return self.lenders[to].answer_request(now, message)
         elif isinstance(message, QuotaGrant):
-            return self.borrowers[to].hear(now, message)
+            return self.borrowers[to].handle_grant(now, message)
         elif isinstance(message, QuotaReturn):
-            self.lenders[to].returned(now, message)
+            self.lenders[to].handle_return(now, message)
         return None
 
     # What is asked of it.
@@ -192,25 +195,31 @@
         voters = [
             (
                 name,
-                max(-1, rel(name, v.mute)),
-                sorted((life, max(-1, rel(name, until))) for life, until in v.promised.values()),
+                max(-1, rel(name, v.silent_until_us)),
+                sorted((life, max(-1, rel(name, until))) for life, until in v.granted.values()),
             )
             for name, v in self.voters.items()
         ]
         lenders = [
             (
                 name,
-                h.holding.life,
-                rel(name, h.holding.asked),
-                max(-1, rel(name, h.holding.next)),
-                sorted(h.holding.said),
-                max(-1, rel(name, h.holding.until)),
-                rel(name, h.holding.since),
+                h.tenure.incarnation,
+                rel(name, h.tenure.claimed_at_us),
+                max(-1, rel(name, h.tenure.next_claim_us)),
+                sorted(h.tenure.granted_by),
+                max(-1, rel(name, h.tenure.until_us)),
+                rel(name, h.tenure.since_us),
                 sorted(
-                    (who, x.seq - self.seq(who), x.tokens, x.told, max(-1, rel(name, x.until)))
-                    for who, x in h.loans.items()
+                    (
+                        who,
+                        x.sequence - self.seq(who),
+                        x.tokens,
+                        x.granted,
+                        max(-1, rel(name, x.until_us)),
+                    )
+                    for who, x in h.leases.items()
                 ),
-                sorted((who, w.want, rel(name, at)) for who, (w, at) in h.wants.items()),
+                sorted((who, w.want, rel(name, at)) for who, (w, at) in h.demands.items()),
                 h.level,
             )
             for name, h in self.lenders.items()
@@ -218,10 +227,13 @@
         borrowers = [
             (
                 name,
-                max(-1, rel(name, min(b.next, b.short))),
-                [(x.tokens, max(-1, rel(name, x.until)), x.seq - b.seq) for x in b.held.values()],
-                [(seq - b.seq, rel(name, at)) for seq, at in b.asked.values()],
-                len(b.owed),
+                max(-1, rel(name, min(b.next_renewal_us, b.next_short_retry_us))),
+                [
+                    (x.tokens, max(-1, rel(name, x.until_us)), x.sequence - b.sequence)
+                    for x in b.leases.values()
+                ],
+                [(seq - b.sequence, rel(name, at)) for seq, at in b.pending.values()],
+                len(b.unreturned),
             )
             for name, b in self.borrowers.items()
         ]
@@ -230,13 +242,17 @@
         return voters, lenders, borrowers, net, skew, self.drift, self.restarts, self.taken["b1"]
 
     def seq(self, who: int) -> int:
-        return self.borrowers[f"b{who - 20}"].seq
+        return self.borrowers[f"b{who - 20}"].sequence
 
     def told(self, from_: str, to: str, message: object) -> tuple:
         """A message, its numbers as seen from where they are counted."""
         if isinstance(message, LenderVote):
-            return message.life, message.round - self.lenders[to].holding.round, message.kept
-        return message.borrower, message.seq - self.seq(message.borrower), message[3]
+            return (
+                message.incarnation,
+                message.round - self.lenders[to].tenure.round,
+                message.granted,
+            )
+        return message.borrower, message.sequence - self.seq(message.borrower), message[3]
 
     def wrong(self) -> str | None:
         lent = sum(b.in_force(self.clocks[name]) for name, b in self.borrowers.items())
@@ -296,35 +312,39 @@
 
 
 def _counted_late() -> contextlib.AbstractContextManager:
-    hear = Borrower.hear
+    hear = Borrower.handle_grant
 
     def late(self, now, grant, used=0):
         back = hear(self, now, grant, used)
         if back is not None:
-            self.held[grant.home] = self.held[grant.home]._replace(until=now + shares.LOAN)
+            self.leases[grant.lender] = self.leases[grant.lender]._replace(
+                until_us=now + quota_durations.QUOTA_LEASE_US
+            )
         return back
 
-    return mock.patch.object(Borrower, "hear", late)
+    return mock.patch.object(Borrower, "handle_grant", late)
 
 
 def _frees_at_once() -> contextlib.AbstractContextManager:
-    want = Lender.want
+    want = Lender.answer_request
 
     def frees(self, now, asked):
         found = want(self, now, asked)
-        if found is not None and asked.borrower in self.loans:
-            self.loans[asked.borrower].tokens = found.tokens
+        if found is not None and asked.borrower in self.leases:
+            self.leases[asked.borrower].tokens = found.tokens
         return found
 
-    return mock.patch.object(Lender, "want", frees)
+    return mock.patch.object(Lender, "answer_request", frees)
 
 
 def _clocks_alike() -> contextlib.AbstractContextManager:
-    return mock.patch.object(shares, "longest_elsewhere", lambda span: span)
+    return mock.patch.object(quota_durations, "longest_elsewhere_us", lambda span: span)
 
 
 def _lends_at_once() -> contextlib.AbstractContextManager:
-    return mock.patch.object(LenderTenure, "lends", lambda self, now, after=0: self.holds(now))
+    return mock.patch.object(
+        LenderTenure, "may_lend", lambda self, now, after=0: self.is_valid(now)
+    )
 
 
 def _voter_forgets() -> contextlib.AbstractContextManager:
@@ -332,21 +352,24 @@
 
     def forgets(self, now, name, homes):
         begin(self, now, name, homes)
-        self.mute = now
+        self.silent_until_us = now
 
     return mock.patch.object(LenderVoter, "__init__", forgets)
 
 
 def _any_number() -> contextlib.AbstractContextManager:
-    hear = LenderTenure.hear
+    hear = LenderTenure.handle_vote
 
     def any_number(self, now, promise):
         hear(self, now, promise)
-        if (promise.home, promise.life) == (self.home, self.life) and promise.kept:
-            self.since = self.since if self.holds(now) else now
-            self.until = max(self.until, self.asked + shares.LEASE)
-
-    return mock.patch.object(LenderTenure, "hear", any_number)
+        if (promise.lender, promise.incarnation) == (
+            self.name,
+            self.incarnation,
+        ) and promise.granted:
+            self.since_us = self.since_us if self.is_valid(now) else now
+            self.until_us = max(self.until_us, self.claimed_at_us + quota_durations.TENURE_US)
+
+    return mock.patch.object(LenderTenure, "handle_vote", any_number)
 
 
 MUTANTS: dict[str, Callable[[], contextlib.AbstractContextManager]] = {
--- a/gullyoke/peer_transport/lease_service.py
+++ b/gullyoke/peer_transport/lease_service.py
@@ -94,7 +94,7 @@
 
     # For the link.
 
-    def turn(self, now: int) -> list[AddressedBody]:
+    def tick(self, now: int) -> list[AddressedBody]:
         with self.lock:
             posts: list[AddressedBody] = []
             if self.voter is not None and (learn := self.voter.epoch_query(now)) is not None:
@@ -105,7 +105,7 @@
             out, self.fan = self.fan[:FAN], self.fan[FAN:]
             return posts + out
 
-    def hear(self, now: int, sender: Member, body: bytes) -> Iterable[AddressedBody]:
+    def handle(self, now: int, sender: Member, body: bytes) -> Iterable[AddressedBody]:
         message = unpack(body)
         if isinstance(message, Announcement | Instruction | ForwardedCommand):
             return self._told(now, message)
--- a/gullyoke/peer_transport/link.py
+++ b/gullyoke/peer_transport/link.py
@@ -16,7 +16,7 @@
 import threading
 import time
 from collections.abc import Callable, Iterable
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from gullyoke.membership import TICK, Member, Row
 from gullyoke.membership.words import Letter, Send
@@ -36,7 +36,11 @@
 KNOWN = 4096  # addresses that are kept in the system's form
 
 
-AddressedBody = tuple[str, bytes]  # an address, and what a topic says to whoever is there
+class AddressedBody(NamedTuple):
+    """The address of a peer, and the body of a message to it."""
+
+    address: str
+    body: bytes
 
 
 class MessageHandler(Protocol):
@@ -45,9 +49,9 @@
     Called under the link's lock, by its thread.
     """
 
-    def turn(self, now: int) -> Iterable[AddressedBody]: ...
+    def tick(self, now: int) -> Iterable[AddressedBody]: ...
 
-    def hear(self, now: int, sender: Row, body: bytes) -> Iterable[AddressedBody]:
+    def handle(self, now: int, sender: Row, body: bytes) -> Iterable[AddressedBody]:
         """Raises `MalformedDatagramError` for what is none of its letters."""
 
 
@@ -141,13 +145,13 @@
         return [
             send
             for number, topic in self.topics.items()
-            for send in self.posted(number, topic.turn(now))
+            for send in self.posted(number, topic.tick(now))
         ]
 
     def letter(self, now: int, letter: Letter) -> list[Send]:
         try:
             return self.posted(
-                letter.topic, self.topics[letter.topic].hear(now, letter.row, letter.body)
+                letter.topic, self.topics[letter.topic].handle(now, letter.row, letter.body)
             )
         except MalformedDatagramError:
             self.metrics.increment("peers.dropped.malformed")
--- a/gullyoke/peer_transport/quota_codec.py
+++ b/gullyoke/peer_transport/quota_codec.py
@@ -12,19 +12,19 @@
 
 import msgspec
 
-from gullyoke.coordination.quota_leases import (
+from gullyoke.coordination.quota_messages import (
     LenderClaim,
     LenderVote,
     QuotaGrant,
+    QuotaMessage,
     QuotaRequest,
     QuotaReturn,
 )
-from gullyoke.coordination.quota_participant import Message
 from gullyoke.membership.row import whole
 from gullyoke.peer_transport.field_readers import MessageKinds, malformed_on_error
 
 # The position of a message is its number on the wire; new ones go to the end.
-KINDS: Final[MessageKinds[Message]] = MessageKinds(
+KINDS: Final[MessageKinds[QuotaMessage]] = MessageKinds(
     "a message of quota leases",
     (LenderClaim, LenderVote, QuotaRequest, QuotaGrant, QuotaReturn),
 )
@@ -45,7 +45,7 @@
     return whole(" ".join([*lenders, str(limit), str(floor), *more]))
 
 
-def pack(digest: int, message: Message) -> bytes:
+def pack(digest: int, message: QuotaMessage) -> bytes:
     """Return the body of a message."""
     return encode((digest, *KINDS.to_wire(message)))
 
@@ -60,7 +60,7 @@
         return _decode_body(body)[0]
 
 
-def unpack(digest: int, body: bytes) -> Message | None:
+def unpack(digest: int, body: bytes) -> QuotaMessage | None:
     """Return the message of a body; None where it was sent under another digest.
 
     Raises:
--- a/gullyoke/peer_transport/quota_service.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -1,155 +1,198 @@
-"""Shares on the members' datagrams.
+"""Quota leases on the peers' datagrams: to whom each message goes, and a lock around each part.
 
-Their letters as bytes, to whom each goes, and the slots that the decisions ask, behind one small
-lock.
-
-A body is a MessagePack array: the digest of the stated homes and limit, the kind, and its fields.
-What another release appends is passed over; letters of a fleet stated otherwise are dropped: their
-tokens are others.
+The decisions call the parts from their threads, the link's thread ticks them and hands them the
+messages that came. Each part has one lock, under which nothing waits.
 """
 
 from __future__ import annotations
 
 import threading
 from collections.abc import Callable, Iterable, Mapping
+from typing import Final, Generic, NamedTuple, TypeVar
 
-from gullyoke.coordination.limit_parts import LimitPart
-from gullyoke.coordination.quota_leases import (
-    LenderVote,
-)
-from gullyoke.coordination.quota_participant import ASKER, LENDER, AddressedQuotaMessage
+from gullyoke.coordination.limit_parts import ConcurrencyPart, LimitPart, MeanConcurrencyPart
+from gullyoke.coordination.quota_messages import LenderVote
+from gullyoke.coordination.quota_participant import AddressedQuotaMessage, Recipient
+from gullyoke.coordination.tenant_quotas import TenantQuotaPart
 from gullyoke.membership.row import Row
 from gullyoke.peer_transport.link import AddressedBody
 from gullyoke.peer_transport.quota_codec import digest_of, pack, unpack
 from gullyoke.runtime import clock
 
-TOPIC, QUOTAS = 1, 3
+TOPIC: Final = 1  # the topic of the limit on calls to the dependency
+QUOTAS: Final = 3  # the topic of tenants' quotas
+
+PartT = TypeVar("PartT", bound=LimitPart)
+
+
+class Substitutes(NamedTuple):
+    """Addresses of those that lend for lenders that ended, by lender; valid until `until_us`."""
 
+    addresses: Mapping[str, str]
+    until_us: int
 
-class SharedLimit:
-    """One shared limit.
 
-    `homes`: stated addresses by name. `taken` gives the address of whom the view takes for a name.
-    A `Topic` for the link; `lock` is held for moments.
+class SharedLimit(Generic[PartT]):
+    """One limit of the whole fleet; a `MessageHandler` of the link.
+
+    Attributes:
+        own: This server's part.
+        homes: Configured addresses of the lenders, by name.
+        others: Messages that came from servers that are configured otherwise.
+        substitutes: Who lends for lenders that ended; set by the owner.
     """
 
     def __init__(
         self,
-        own: LimitPart,
+        own: PartT,
         homes: Mapping[str, str],
         digest: int,
-        taken: Callable[[str], str | None],
+        address_of: Callable[[str], str | None],
     ) -> None:
-        self.own, self.homes, self.digest, self.taken = own, dict(homes), digest, taken
+        """Take over a part.
+
+        Args:
+            own: This server's part.
+            homes: Configured addresses of the lenders, by name.
+            digest: Digest of the configuration (gullyoke/peer_transport/quota_codec.py).
+            address_of: Returns the address of a member by its name, as the membership view has it.
+        """
+        self.own = own
+        self.homes = dict(homes)
+        self.digest = digest
+        self.address_of = address_of
         self.lock = threading.Lock()
-        self.others = 0  # letters of a fleet stated otherwise
-        self.substitutes: tuple[dict[str, str], int] = (
-            {},
-            0,
-        )  # who lends for homes that ended, and until when
+        self.others = 0
+        self.substitutes = Substitutes({}, 0)
 
-    def turn(self, now: int) -> list[AddressedBody]:
+    def tick(self, now: int) -> list[AddressedBody]:
+        """Return what is to be sent now."""
         with self.lock:
-            letters = self.own.turn(now)
-        return [post for letter in letters for post in self.post(letter, "")]
+            messages = self.own.tick(now)
+        return [body for message in messages for body in self._addressed(message, "")]
 
-    def hear(self, now: int, sender: Row, body: bytes) -> Iterable[AddressedBody]:
+    def handle(self, now: int, sender: Row, body: bytes) -> Iterable[AddressedBody]:
+        """Take a message; return the answer, if there is one.
+
+        Raises:
+            MalformedDatagramError: For bytes that are no message of quota leases.
+        """
         message = unpack(self.digest, body)
         if message is None:
             self.others += 1
             return ()
-        # A vote counts from the process at the voter's stated address alone.
-        if isinstance(message, LenderVote) and self.homes.get(message.by) != sender.address:
+        # A vote counts only from the process at the voter's configured address.
+        if isinstance(message, LenderVote) and self.homes.get(message.voter) != sender.address:
             return ()
         with self.lock:
-            letter = self.own.hear(now, message)
-        return self.post(letter, sender.address) if letter is not None else ()
-
-    def post(self, letter: AddressedQuotaMessage, asker: str) -> list[AddressedBody]:
-        """A lender is whoever is taken for that home, or stands in for it.
-
-        A voter, whoever is at its stated address.
-        """
-        stated_at, (instead, until) = self.homes.get(letter.home, ""), self.substitutes
-        to = asker if letter.to == ASKER else stated_at
-        if letter.to == LENDER:
-            to = (
-                self.taken(letter.home)
-                or (clock.now() < until and instead.get(letter.home))
-                or stated_at
-            )
-        return [(to, pack(self.digest, letter.message))] if to else []
+            answer = self.own.handle(now, message)
+        return self._addressed(answer, sender.address) if answer is not None else ()
+
+    def _addressed(self, message: AddressedQuotaMessage, requester: str) -> list[AddressedBody]:
+        """Return the message with its address; nothing where the address is not known."""
+        if message.to is Recipient.REQUESTER:
+            address = requester
+        elif message.to is Recipient.LENDER:
+            address = self._lender_address(message.lender)
+        else:
+            address = self.homes.get(message.lender, "")
+        return [AddressedBody(address, pack(self.digest, message.message))] if address else []
+
+    def _lender_address(self, lender: str) -> str:
+        """Return the address of the member of that name, its substitute's or the configured one."""
+        substitutes = self.substitutes
+        address = self.address_of(lender)
+        if not address and clock.now() < substitutes.until_us:
+            address = substitutes.addresses.get(lender)
+        return address or self.homes.get(lender, "")
 
     def status(self, now: int) -> dict[str, object]:
-        """How it stands, for the status and the log."""
+        """Return how the limit stands, for operators and the log."""
         with self.lock:
-            part, own = self.own.participant, self.own
-            lent = part.lender.out(now) if part.lender else 0
+            own = self.own
+            participant = own.participant
+            lender = participant.lender
             return {
-                "in_force": part.in_force(now),
-                "floor": part.borrower.floor,
+                "in_force": participant.in_force(now),
+                "floor": participant.borrower.floor,
                 "used": own.used(now),
-                "need": part.need,
+                "need": participant.needed,
                 "refused": own.refused,
-                "home": part.home or "-",
-                "lends": bool(part.lender and part.holding.lends(now)),
-                "lent": lent,
+                "home": participant.lender_name or "-",
+                "lends": lender is not None and lender.tenure.may_lend(now),
+                "lent": lender.outstanding(now) if lender is not None else 0,
                 "others": self.others,
             }
 
 
-class SharedSlots(SharedLimit):
-    """It is a `Slots` for the decisions, under the desk's lock."""
+class SharedSlots(SharedLimit[ConcurrencyPart | MeanConcurrencyPart]):
+    """A limit on calls; the `Slots` of the decisions."""
 
     def share(self, now: int, told: float | None, spent: float) -> float | None:
+        """Return the mean number of calls that may be in flight; None where no mean is limited."""
         with self.lock:
             return self.own.share(now, told, spent)
 
     def free(self, now: int, waiting: int) -> bool:
+        """Tell whether a call may start now; `waiting` more would like to."""
         with self.lock:
             return self.own.free(now, waiting)
 
     def until(self, now: int) -> float:
+        """Return when the next call has to be over, its linger included."""
         with self.lock:
             return self.own.until(now)
 
     def pace(self, now: int) -> float:
+        """Return how many calls may be in flight at a time."""
         with self.lock:
             return self.own.pace(now)
 
     def began(self) -> None:
+        """Count a call that starts."""
         with self.lock:
             self.own.began()
 
     def ended(self, now: int, lost: bool, well: bool) -> None:
+        """Count a call that ends; one that was `lost` may still be at the dependency."""
         with self.lock:
             self.own.ended(now, lost, well)
 
 
-class SharedQuota(SharedLimit):
-    """`lent` is a customer's for the decisions, under the desk's lock."""
+class SharedQuota(SharedLimit[TenantQuotaPart]):
+    """A tenant's quota of the whole fleet."""
 
     def leased_quota(self, now: int) -> float:
+        """Count a request and return this server's part of the quota, in requests a second."""
         with self.lock:
             return self.own.leased_quota(now)
 
 
 class TenantQuotaService:
-    """A `Topic` for all customers' quotas.
+    """All tenants' quotas that are leased; a `MessageHandler` of the link.
 
-    Table: `limits`, by the digest of what is stated, one a customer whose quota is lent.
+    Attributes:
+        limits: By the digest of their configuration.
+        others: Messages that are of no limit here.
     """
 
     def __init__(self, limits: Iterable[SharedQuota]) -> None:
+        """Take over the limits."""
         self.limits = {limit.digest: limit for limit in limits}
         self.others = 0
 
-    def turn(self, now: int) -> list[AddressedBody]:
-        return [post for limit in self.limits.values() for post in limit.turn(now)]
+    def tick(self, now: int) -> list[AddressedBody]:
+        """Return what is to be sent now."""
+        return [body for limit in self.limits.values() for body in limit.tick(now)]
+
+    def handle(self, now: int, sender: Row, body: bytes) -> Iterable[AddressedBody]:
+        """Take a message of any of the limits.
 
-    def hear(self, now: int, sender: Row, body: bytes) -> Iterable[AddressedBody]:
+        Raises:
+            MalformedDatagramError: For bytes that are no message of quota leases.
+        """
         limit = self.limits.get(digest_of(body))
         if limit is None:
             self.others += 1
             return ()
-        return limit.hear(now, sender, body)
+        return limit.handle(now, sender, body)
--- a/tests/compatibility/test_letters.py
+++ b/tests/compatibility/test_letters.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from compatibility.recorded import recorded_hex
-from gullyoke.coordination.quota_leases import (
+from gullyoke.coordination.quota_messages import (
     LenderClaim,
     LenderVote,
     QuotaGrant,
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -162,8 +162,10 @@
         duties.send = sent.extend
         after = NOW + 10_000_000
         sender = Member("server-3", 1, Status.ALIVE, "10.0.0.3:7900", "a", 0x33)
-        duties.hear(after, sender, pack(LeaseRequest("ask", 0x33, "server-3", 1_700_000_009, 2, 3)))
-        duties.hear(after, sender, pack(WriteRecord("ask", 0x33, 1_700_000_009, 1, b"body")))
+        duties.handle(
+            after, sender, pack(LeaseRequest("ask", 0x33, "server-3", 1_700_000_009, 2, 3))
+        )
+        duties.handle(after, sender, pack(WriteRecord("ask", 0x33, 1_700_000_009, 1, b"body")))
         self.assertEqual(
             written,
             [
--- a/tests/coordination/test_quotas.py
+++ b/tests/coordination/test_quotas.py
@@ -9,7 +9,7 @@
 
 from gullyoke.admission.interface import Tenant
 from gullyoke.coordination.quota_participant import QuotaParticipant
-from gullyoke.coordination.tenant_quotas import BIN, ArrivalRate, TenantQuotaPart, tokens
+from gullyoke.coordination.tenant_quotas import BIN_US, ArrivalRate, TenantQuotaPart, tokens
 from gullyoke.emulator.quotas import asked
 from gullyoke.membership import Member, Row, Status, began
 from gullyoke.peer_transport.field_readers import MalformedDatagramError
@@ -49,9 +49,9 @@
         """Reqs are counted by whole bins; after a pause nothing comes."""
         rate = ArrivalRate()
         for i in range(100):
-            rate.note(i * 10_000)
-        self.assertEqual(rate.now(SECOND), 100.0)
-        self.assertEqual(rate.now(SECOND + 3 * BIN), 0.0)
+            rate.record(i * 10_000)
+        self.assertEqual(rate.per_second(SECOND), 100.0)
+        self.assertEqual(rate.per_second(SECOND + 3 * BIN_US), 0.0)
 
     def test_not_lent(self):
         self.assertIsNone(Tenant("c", 5.0).leased_quota(0))
@@ -89,11 +89,11 @@
             self.assertLess(time.monotonic(), until, part)
             part = big.leased_quota(clock.now())
             time.sleep(0.004)
-        self.assertEqual(small.own.part(clock.now()), 25.0)
-        self.assertEqual(topics[0].hear(0, None, encode((1, 0, []))), ())
+        self.assertEqual(small.own.rate_in_force(clock.now()), 25.0)
+        self.assertEqual(topics[0].handle(0, None, encode((1, 0, []))), ())
         self.assertEqual(topics[0].others, 1)
         with self.assertRaises(MalformedDatagramError):
-            topics[0].hear(0, None, b"\xc1")
+            topics[0].handle(0, None, b"\xc1")
 
 
 if __name__ == "__main__":
--- a/tests/coordination/test_shares.py
+++ b/tests/coordination/test_shares.py
@@ -10,7 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullyoke.coordination import quota_leases as shares
+from gullyoke.coordination import quota_durations
+from gullyoke.coordination.borrower import Borrower
+from gullyoke.coordination.lender_tenure import LenderTenure, LenderVoter
 from gullyoke.coordination.limit_parts import ConcurrencyPart
 from gullyoke.coordination.max_min_fairness import Demand, fill_level, split_limit
 from gullyoke.coordination.quota_participant import QuotaParticipant
@@ -126,9 +128,9 @@
         def any_time(self, now):
             return now + 60 * SECOND
 
-        back = shares.Borrower._back
+        back = Borrower._return
         for what, guard in (
-            ("in use stays out", mock.patch.object(shares.Borrower, "_back", told_at_once)),
+            ("in use stays out", mock.patch.object(Borrower, "_return", told_at_once)),
             ("ends with its loan", mock.patch.object(ConcurrencyPart, "until", any_time)),
         ):
             for cut in (False, True):
@@ -202,30 +204,30 @@
         """
 
         def early(self, now, after=0):
-            return self.holds(now)
+            return self.is_valid(now)
 
         def forgetful(self, now, name, homes):
             begun(self, now, name, homes)
-            self.mute = now
+            self.silent_until_us = now
 
         def any_number(self, now, promise):
             heard(self, now, promise)
-            if (promise.home, promise.life) == (self.home, self.life):
-                self.since = self.since or now
-                self.until = max(self.until, self.asked + shares.LEASE)
+            if (promise.lender, promise.incarnation) == (self.name, self.incarnation):
+                self.since_us = self.since_us or now
+                self.until_us = max(self.until_us, self.claimed_at_us + quota_durations.TENURE_US)
 
-        begun, heard = shares.LenderVoter.__init__, shares.LenderTenure.hear
+        begun, heard = LenderVoter.__init__, LenderTenure.handle_vote
         for what, play, guard in (
             (
                 "waits out a loan",
                 self.again,
-                mock.patch.object(shares.LenderTenure, "lends", early),
+                mock.patch.object(LenderTenure, "may_lend", early),
             ),
-            ("a majority", self.twice, mock.patch.object(shares.LenderTenure, "hear", any_number)),
+            ("a majority", self.twice, mock.patch.object(LenderTenure, "handle_vote", any_number)),
             (
                 "a voter is mute",
                 lambda seed: self.twice(seed, ("h1", "h2")),
-                mock.patch.object(shares.LenderVoter, "__init__", forgetful),
+                mock.patch.object(LenderVoter, "__init__", forgetful),
             ),
         ):
             with self.subTest(what):
@@ -285,7 +287,7 @@
         play.run(20 * SECOND)
         self.assertGreater(play.processes["b0"].lent(), 20)
         play.cut = {("b0", home) for home in play.homes}
-        play.run(play.now + shares.LOAN + SECOND // 10)
+        play.run(play.now + quota_durations.QUOTA_LEASE_US + SECOND // 10)
         one = play.processes["b0"]
         self.assertEqual((one.lent(), one.borrower.in_force(one.now())), (0, 3))
 
--- a/tests/coordination/test_wire.py
+++ b/tests/coordination/test_wire.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from gullyoke.coordination.limit_parts import ConcurrencyPart
-from gullyoke.coordination.quota_leases import (
+from gullyoke.coordination.quota_messages import (
     LenderClaim,
     LenderVote,
     QuotaGrant,
@@ -111,12 +111,12 @@
         self.assertEqual(wants(parts[3], 100), 1)  # stated otherwise: none of theirs
         eventually(lambda: max(part.others for part in parts[:3]) > 0, "letters of another limit")
         self.assertEqual(wants(parts[3], 100), 1)
-        before = parts[2].own.participant.holding.until
-        forged = LenderVote("p2", 102, parts[2].own.participant.holding.round, "p0", True)
+        before = parts[2].own.participant.tenure.until_us
+        forged = LenderVote("p2", 102, parts[2].own.participant.tenure.round, "p0", True)
         elsewhere = Row("p3", 1, Status.ALIVE, at[3], "z", 103)
-        parts[2].own.participant.holding.until = 0
-        self.assertEqual(parts[2].hear(clock.now(), elsewhere, pack(parts[2].digest, forged)), ())
-        self.assertLess(parts[2].own.participant.holding.until, before + 1)
+        parts[2].own.participant.tenure.until_us = 0
+        self.assertEqual(parts[2].handle(clock.now(), elsewhere, pack(parts[2].digest, forged)), ())
+        self.assertLess(parts[2].own.participant.tenure.until_us, before + 1)
 
 
 if __name__ == "__main__":
