--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -437,7 +437,9 @@
                 if self.duties.held_epoch(now, self.name) != epoch:
                     return
                 left = self.duties.candidates[self.name].remaining_us(now) // 1000
-                conn.sendall(f"HOLD {self.name} {epoch} {self.duties.life} {left}\n".encode())
+                conn.sendall(
+                    f"HOLD {self.name} {epoch} {self.duties.incarnation} {left}\n".encode()
+                )
                 said = conn.recv(64).split(b"\n")[0].strip()
             self.faults = 0
             if said == b"STALE":
--- a/gullyoke/peer_transport/lease_service.py
+++ b/gullyoke/peer_transport/lease_service.py
@@ -1,17 +1,18 @@
-"""Duties on the members' datagrams: letters as bytes, promises through the disk, and one lock.
+"""Leases on the peers' datagrams: to whom each message goes, under one lock.
 
-A body is a MessagePack array of a kind and its fields; what another release appends is passed over.
-An answer that rests on a promise goes out once the disk has it, told by the thread that wrote it.
+The link's thread ticks the service and hands it the messages that came; other threads call the
+methods of a holder.
 """
 
 from __future__ import annotations
 
 import threading
 from collections.abc import Callable, Iterable, Mapping
+from functools import partial
+from typing import Any, Final, NamedTuple
 
 from gullyoke.leases.announcements import Announcement, ForwardedCommand, Instruction, KnownHolders
-from gullyoke.leases.candidate import AddressedMessage as Said_to
-from gullyoke.leases.candidate import Candidate
+from gullyoke.leases.candidate import AddressedMessage, Candidate, LeaseChange
 from gullyoke.leases.fence import Fence
 from gullyoke.leases.messages import (
     EpochQuery,
@@ -29,271 +30,263 @@
     RecordStore,
     RecordWritten,
     ReplicatedRecord,
-    StoredRecord,
     WriteRecord,
 )
-from gullyoke.leases.voter import PromiseWrite, Voter
+from gullyoke.leases.voter import Voter
 from gullyoke.membership.row import Row as Member
-from gullyoke.peer_transport.lease_codec import (
-    PROMISE_KEY_PREFIX,
-    RECORD_KEY_PREFIX,
-    encode_promise,
-    encode_record,
-    pack,
-    unpack,
-)
+from gullyoke.peer_transport.lease_codec import pack, unpack
+from gullyoke.peer_transport.lease_voter_requests import VoterRequests, WriteDurably
 from gullyoke.peer_transport.link import AddressedBody
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
-TOPIC = 2
-TO_VOTERS = (PreVote, LeaseRequest, LeaseRelease, EpochQuery, EpochReply, WriteRecord, ReadRecord)
-AGAIN = 250_000  # microseconds between askings of a register that was not answered
-FAN = 64  # notices in one turn
-Disk = Callable[[str, bytes, Callable[[bool], None]], bool]
+TOPIC: Final = 2
+RECORD_RETRY_US: Final = 250_000  # between messages about a record that is not committed yet
+ANNOUNCEMENTS_A_TICK: Final = 64
+MAX_QUEUED_ANNOUNCEMENTS: Final = 4096
+
+# Messages to a voter go to its configured address, all others to where the view has the member.
+TO_VOTERS: Final = (
+    PreVote,
+    LeaseRequest,
+    LeaseRelease,
+    EpochQuery,
+    EpochReply,
+    WriteRecord,
+    ReadRecord,
+)
+
 
+class HeldRecord(NamedTuple):
+    """The record of a lease that is held here, and when to send its next message."""
 
-class LeaseService:
-    """A `Topic`.
+    record: ReplicatedRecord
+    next_us: int
 
-    `voters`: stated addresses by name; `taken`: the address of whom the view takes for a name;
-    `members`: all addresses of the view but one's own; `disk` makes a record durable and tells;
-    `send` sends from a thread that is not the link's. Tables: `registers`, one a duty that is held
-    here; `fan`, addresses that are still to hear a notice, filled anew each time.
+
+class LeaseService:
+    """All leases of one process; a `MessageHandler` of the link.
+
+    Attributes:
+        voter: This process' voter; None where it is none.
+        records: The records that the voter keeps.
+        candidates: Candidates by the name of their lease.
+        voters: Configured addresses of the voters, by name.
+        fence: The newest epochs that announcements and instructions came with.
+        known_holders: The last announcements.
+        lock: Guards all of these; nothing waits under it.
+        send: Sends bodies from a thread that is not the link's; set by the owner.
+        on_announcement: Called with the time and each announcement that is news.
+        on_instruction: Called with the time and each instruction.
+        on_forwarded_command: Called with the time and each command that was forwarded to here.
     """
 
     def __init__(
         self,
         name: str,
-        life: int,
+        incarnation: int,
         voter: Voter | None,
         records: RecordStore,
         candidates: Mapping[str, Candidate],
         voters: Mapping[str, str],
-        taken: Callable[[str], str | None],
-        disk: Disk,
+        address_of: Callable[[str], str | None],
+        write_durably: WriteDurably,
         metrics: Metrics,
     ) -> None:
-        self.name, self.life, self.voter, self.records = name, life, voter, records
-        self.candidates, self.voters, self.taken = dict(candidates), dict(voters), taken
-        self.disk, self.metrics, self.fence, self.known_holders = (
-            disk,
-            metrics,
-            Fence(),
-            KnownHolders(),
-        )
+        """Take over the parts.
+
+        Args:
+            name: This process' name.
+            incarnation: The random number drawn at its start.
+            voter: Its voter, if it is one.
+            records: The records that the voter keeps.
+            candidates: Candidates by the name of their lease.
+            voters: Configured addresses of the voters, by name.
+            address_of: Returns the address of a member by its name, as the membership view has it.
+            write_durably: Writes to the voter's folder.
+            metrics: Counts what happens.
+        """
+        self.name = name
+        self.incarnation = incarnation
+        self.voter = voter
+        self.records = records
+        self.candidates = dict(candidates)
+        self.voters = dict(voters)
+        self.address_of = address_of
+        self.metrics = metrics
+        self.fence = Fence()
+        self.known_holders = KnownHolders()
         self.lock = threading.RLock()
-        self.send: Callable[[list[AddressedBody]], None] = lambda posts: None
-        self.registers: dict[str, tuple[ReplicatedRecord, int]] = {}
-        self.fan: list[tuple[str, bytes]] = []
-        self.on_announcement: Callable[[int, Announcement], None] = lambda now, notice: None
-        self.on_instruction: Callable[[int, Instruction], None] = lambda now, order: None
-        self.on_forwarded_command: Callable[[int, ForwardedCommand], None] = lambda now, plea: None
-        for duty, one in self.candidates.items():
-            one.listeners.append(lambda turn, duty=duty: self._turned(duty, turn.what))
+        self.send: Callable[[list[AddressedBody]], None] = lambda bodies: None
+        self.on_announcement: Callable[[int, Announcement], None] = lambda now, message: None
+        self.on_instruction: Callable[[int, Instruction], None] = lambda now, message: None
+        self.on_forwarded_command: Callable[[int, ForwardedCommand], None] = lambda now, message: (
+            None
+        )
+        self._voter_requests = VoterRequests(
+            self.lock, write_durably, lambda bodies: self.send(bodies), metrics
+        )
+        self._held_records: dict[str, HeldRecord] = {}
+        self._announcements: list[AddressedBody] = []  # still to be sent
+        for duty, candidate in self.candidates.items():
+            candidate.listeners.append(partial(self._lease_changed, duty))
 
     # For the link.
 
     def tick(self, now: int) -> list[AddressedBody]:
+        """Return what is to be sent now."""
         with self.lock:
-            posts: list[AddressedBody] = []
-            if self.voter is not None and (learn := self.voter.epoch_query(now)) is not None:
-                posts += self._posted(Said_to(name, learn) for name in sorted(self.voter.others))
-            for one in self.candidates.values():
-                posts += self._posted(one.tick(now))
-            posts += self._registers(now)
-            out, self.fan = self.fan[:FAN], self.fan[FAN:]
-            return posts + out
+            out: list[AddressedBody] = []
+            query = self.voter.epoch_query(now) if self.voter is not None else None
+            if self.voter is not None and query is not None:
+                others = sorted(self.voter.others)
+                out += self._addressed(AddressedMessage(name, query) for name in others)
+            for candidate in self.candidates.values():
+                out += self._addressed(candidate.tick(now))
+            out += self._record_messages(now)
+            out += self._announcements[:ANNOUNCEMENTS_A_TICK]
+            self._announcements = self._announcements[ANNOUNCEMENTS_A_TICK:]
+            return out
 
     def handle(self, now: int, sender: Member, body: bytes) -> Iterable[AddressedBody]:
+        """Take a message; return what is to be sent because of it.
+
+        Raises:
+            MalformedDatagramError: For bytes that are no message of leases.
+        """
         message = unpack(body)
-        if isinstance(message, Announcement | Instruction | ForwardedCommand):
-            return self._told(now, message)
+        if isinstance(message, ForwardedCommand):
+            self.on_forwarded_command(now, message)
+            return ()
+        if isinstance(message, Announcement | Instruction):
+            self._handle_holders_message(now, message)
+            return ()
         with self.lock:
-            if isinstance(message, TO_VOTERS):
-                answer = self._vote(now, sender, message) if self.voter is not None else None
-                return [(sender.address, pack(answer))] if answer is not None else ()
-            return self._posted(self._answered(now, sender, message))
-
-    def _vote(self, now: int, sender: Member, message: tuple) -> tuple | None:
-        voter = self.voter
-        if isinstance(message, PreVote):
-            return voter.answer_pre_vote(now, message)
-        if isinstance(message, LeaseRequest):
-            answer = voter.answer_request(now, message)
-            if isinstance(answer, PromiseWrite):
-                self._write(answer, sender.address)
-                return None
-            return answer
-        if isinstance(message, LeaseRelease):
-            voter.release(now, message)
-        elif isinstance(message, EpochQuery):
-            return voter.answer_epoch_query(now, message)
-        elif isinstance(message, EpochReply):
-            self._learn(now, message)
-        elif isinstance(message, ReadRecord):
-            return self.records.read(message, self.voter.name) if not voter.fresh else None
-        elif isinstance(message, WriteRecord):
-            return self._keep(message, sender.address)
-        return None
-
-    def _answered(self, now: int, sender: Member, message: tuple) -> list[Said_to]:
+            if not isinstance(message, TO_VOTERS):
+                return self._addressed(self._handle_as_candidate(now, sender, message))
+            if self.voter is None:
+                return ()
+            answer = self._voter_requests.handle(self.voter, self.records, now, sender, message)
+            return [AddressedBody(sender.address, pack(answer))] if answer is not None else ()
+
+    def _handle_as_candidate(
+        self, now: int, sender: Member, message: tuple[Any, ...]
+    ) -> list[AddressedMessage]:
         if isinstance(message, RecordWritten | RecordRead):
-            register = self.registers.get(message.duty)
-            if register is not None:
-                (
-                    register[0].handle_written
-                    if isinstance(message, RecordWritten)
-                    else register[0].handle_read
-                )(message)
+            self._handle_record_reply(message)
+            return []
+        if not isinstance(message, VoteReply | HandoverOffer | HandoverAccept):
             return []
-        one = self.candidates.get(message.duty)
-        if one is None:
+        candidate = self.candidates.get(message.duty)
+        if candidate is None:
             return []
-        if isinstance(message, VoteReply):  # a vote counts from the voter's stated address alone
-            return (
-                one.handle_reply(now, message)
-                if self.voters.get(message.voter) == sender.address
-                else []
-            )
+        if isinstance(message, VoteReply):
+            # A vote counts only from the process at the voter's configured address.
+            if self.voters.get(message.voter) != sender.address:
+                return []
+            return candidate.handle_reply(now, message)
         if isinstance(message, HandoverOffer):
-            return one.accept_handover(now, sender.name, message)
-        return (
-            one.handover_accepted(now, sender.name, message)
-            if isinstance(message, HandoverAccept)
-            else []
-        )
+            return candidate.accept_handover(now, sender.name, message)
+        return candidate.handover_accepted(now, sender.name, message)
+
+    def _handle_record_reply(self, message: RecordWritten | RecordRead) -> None:
+        held = self._held_records.get(message.duty)
+        if held is None:
+            return
+        if isinstance(message, RecordWritten):
+            held.record.handle_written(message)
+        else:
+            held.record.handle_read(message)
 
-    # Through the disk.
-
-    def _write(self, write: PromiseWrite, asker: str) -> None:
-        def told(durable: bool) -> None:
-            with self.lock:
-                said = self.voter.write_finished(clock.now(), write, durable)
-            self.metrics.increment("duty.promised" if durable else "duty.unpromised")
-            if said is not None:
-                self.send([(asker, pack(said))])
-
-        if not self.disk(PROMISE_KEY_PREFIX + write.duty, encode_promise(write.promise), told):
-            self.voter.write_finished(clock.now(), write, False)
-
-    def _learn(self, now: int, message: EpochReply) -> None:
-        writes = self.voter.learn_epochs(now, message)
-        left = len(writes)
-
-        def told(durable: bool, write: PromiseWrite) -> None:
-            nonlocal left
-            with self.lock:
-                left -= durable
-                if durable:
-                    self.voter.promise_learned(write, left == 0)
-
-        for write in writes:
-            self.disk(
-                PROMISE_KEY_PREFIX + write.duty,
-                encode_promise(write.promise),
-                lambda durable, write=write: told(durable, write),
-            )
-
-    def _keep(self, keep: WriteRecord, asker: str) -> RecordWritten | None:
-        row = self.voter.promises.get(keep.duty)
-        if self.voter.fresh or not self.records.accepts(keep, row.epoch if row else 0):
-            return self.records.acknowledge(keep, self.voter.name) if not self.voter.fresh else None
-        kept = StoredRecord(keep.epoch, keep.write_number, keep.body)
-
-        def told(durable: bool) -> None:
-            with self.lock:
-                if durable:
-                    self.records.store(keep.duty, kept)
-                said = self.records.acknowledge(keep, self.voter.name)
-            self.send([(asker, pack(said))])
-
-        self.disk(RECORD_KEY_PREFIX + keep.duty, encode_record(kept), told)
-        return None
-
-    # What is held here.
-
-    def _turned(self, duty: str, what: str) -> None:
-        one = self.candidates[duty]
-        if what == "held":
-            self.registers[duty] = ReplicatedRecord(duty, self.life, one.epoch, self.voters), 0
+    # Leases that are held here.
+
+    def _lease_changed(self, duty: str, change: LeaseChange) -> None:
+        if change.what == "held":
+            epoch = self.candidates[duty].epoch
+            record = ReplicatedRecord(duty, self.incarnation, epoch, self.voters)
+            self._held_records[duty] = HeldRecord(record, 0)
         else:
-            self.registers.pop(duty, None)
-
-    def _registers(self, now: int) -> list[AddressedBody]:
-        posts: list[AddressedBody] = []
-        for duty, (register, next_) in self.registers.items():
-            if not register.committed and now >= next_:
-                self.registers[duty] = register, now + AGAIN
-                posts += self._posted(
-                    Said_to(voter, register.next_message()) for voter in sorted(self.voters)
-                )
-        return posts
+            self._held_records.pop(duty, None)
+
+    def _record_messages(self, now: int) -> list[AddressedBody]:
+        out: list[AddressedBody] = []
+        for duty, (record, next_us) in self._held_records.items():
+            if record.committed or now < next_us:
+                continue
+            self._held_records[duty] = HeldRecord(record, now + RECORD_RETRY_US)
+            for voter in sorted(self.voters):
+                out.append(AddressedBody(self.voters[voter], pack(record.next_message())))
+        return out
 
     def register(self, duty: str) -> ReplicatedRecord | None:
-        found = self.registers.get(duty)
-        return found[0] if found else None
+        """Return the record of a lease that is held here; None for others."""
+        held = self._held_records.get(duty)
+        return held.record if held else None
 
     def held_epoch(self, now: int, duty: str) -> int | None:
-        """The epoch under which this process may act now. Asked after every wait."""
+        """Return the epoch under which this process may act now; None where it may not.
+
+        To be called again after every wait.
+        """
         with self.lock:
-            one = self.candidates.get(duty)
-            return one.held_epoch(now) if one else None
+            candidate = self.candidates.get(duty)
+            return candidate.held_epoch(now) if candidate else None
 
     def leave(self, duty: str, why: str, to: str = "", failed: bool = False) -> None:
+        """Release a lease; see `Candidate.leave` for the arguments."""
         with self.lock:
-            posts = self._posted(self.candidates[duty].leave(clock.now(), why, to, failed))
-        self.send(posts)
+            messages = self.candidates[duty].leave(clock.now(), why, to, failed)
+            bodies = self._addressed(messages)
+        self.send(bodies)
 
     def hand_over(self, duty: str, to: str) -> bool:
-        """Whether it is held here, and another is asked to take it."""
+        """Offer a lease to another member; False where it is not held here or `to` is unknown."""
         with self.lock:
-            posts = self._posted(self.candidates[duty].offer_handover(clock.now(), to))
-        self.send(posts)
-        return bool(posts)
+            bodies = self._addressed(self.candidates[duty].offer_handover(clock.now(), to))
+        self.send(bodies)
+        return bool(bodies)
 
-    # Notices, orders, pleas.
+    # Announcements, instructions, forwarded commands.
 
     def announce(self, duty: str, epoch: int, body: bytes, members: Iterable[str]) -> None:
-        """To all, a few each turn."""
-        data = pack(Announcement(duty, epoch, self.life, self.name, body))
+        """Send an announcement to the addresses of all other members, a few each tick."""
+        announcement = Announcement(duty, epoch, self.incarnation, self.name, body)
+        data = pack(announcement)
         with self.lock:
-            if len(self.fan) < 4096:
-                self.fan += [(address, data) for address in members]
-            self.known_holders.take(
-                clock.now(), Announcement(duty, epoch, self.life, self.name, body)
-            )
+            if len(self._announcements) < MAX_QUEUED_ANNOUNCEMENTS:
+                self._announcements += [AddressedBody(address, data) for address in members]
+            self.known_holders.take(clock.now(), announcement)
 
     def instruct(self, duty: str, epoch: int, to: str, what: str, body: bytes) -> None:
-        address = self.taken(to)
+        """Send an instruction to a member; nothing where its address is not known."""
+        address = self.address_of(to)
         if address:
-            self.send([(address, pack(Instruction(duty, epoch, self.life, what, body)))])
+            instruction = Instruction(duty, epoch, self.incarnation, what, body)
+            self.send([AddressedBody(address, pack(instruction))])
 
     def forward_command(self, duty: str, what: str, to: str) -> None:
-        address = self.taken(to)
+        """Send an operator's command to the holder; nothing where its address is not known."""
+        address = self.address_of(to)
         if address:
-            self.send([(address, pack(ForwardedCommand(duty, what)))])
+            self.send([AddressedBody(address, pack(ForwardedCommand(duty, what)))])
 
-    def _told(self, now: int, message: Announcement | Instruction | ForwardedCommand) -> tuple:
-        if isinstance(message, ForwardedCommand):
-            self.on_forwarded_command(now, message)
-            return ()
+    def _handle_holders_message(self, now: int, message: Announcement | Instruction) -> None:
         with self.lock:
             if not self.fence.admits(message.duty, message.epoch, message.incarnation):
                 self.metrics.increment("duty.stale_refused")
-                return ()
-            news = not isinstance(message, Announcement) or self.known_holders.take(now, message)
+                return
+            is_news = isinstance(message, Instruction) or self.known_holders.take(now, message)
         if isinstance(message, Instruction):
             self.on_instruction(now, message)
-        elif news:
+        elif is_news:
             self.on_announcement(now, message)
-        return ()
 
-    def _posted(self, posts: Iterable[Said_to]) -> list[AddressedBody]:
-        """A voter is at its stated address; whoever else, where the view has it."""
+    def _addressed(self, messages: Iterable[AddressedMessage]) -> list[AddressedBody]:
+        """Return the messages as bodies; without those whose address is not known."""
         out: list[AddressedBody] = []
-        for to, message in posts:
-            address = self.voters.get(to) if isinstance(message, TO_VOTERS) else self.taken(to)
+        for to, message in messages:
+            is_vote = isinstance(message, TO_VOTERS)
+            address = self.voters.get(to) if is_vote else self.address_of(to)
             if address:
-                out.append((address, pack(message)))
+                out.append(AddressedBody(address, pack(message)))
         return out
--- /dev/null
+++ b/gullyoke/peer_transport/lease_voter_requests.py
@@ -0,0 +1,151 @@
+"""Requests to this process' voter, and the writes to its folder that their replies wait for.
+
+A reply that rests on a promise or a record is sent once the disk has it, by the thread that wrote
+it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from contextlib import AbstractContextManager
+from functools import partial
+from typing import Any, Protocol
+
+from gullyoke.leases.messages import (
+    EpochQuery,
+    EpochReply,
+    LeaseRelease,
+    LeaseRequest,
+    PreVote,
+)
+from gullyoke.leases.replicated_record import (
+    ReadRecord,
+    RecordStore,
+    RecordWritten,
+    StoredRecord,
+    WriteRecord,
+)
+from gullyoke.leases.voter import PromiseWrite, Voter
+from gullyoke.membership.row import Row as Member
+from gullyoke.peer_transport.lease_codec import (
+    PROMISE_KEY_PREFIX,
+    RECORD_KEY_PREFIX,
+    encode_promise,
+    encode_record,
+    pack,
+)
+from gullyoke.peer_transport.link import AddressedBody
+from gullyoke.runtime import clock
+from gullyoke.runtime.metrics import Metrics
+
+
+class WriteDurably(Protocol):
+    """Writes a value under a key to the voter's folder."""
+
+    def __call__(self, key: str, data: bytes, told: Callable[[bool], None], /) -> bool:
+        """Queue the write; `told` is called with whether it succeeded. False if not queued."""
+
+
+class VoterRequests:
+    """Hands messages to the voter and its disk, and sends the replies that had to wait."""
+
+    def __init__(
+        self,
+        lock: AbstractContextManager[Any],
+        write_durably: WriteDurably,
+        send: Callable[[list[AddressedBody]], None],
+        metrics: Metrics,
+    ) -> None:
+        """Take over what the requests need.
+
+        Args:
+            lock: Guards the voter and its records; held by the caller of `handle`.
+            write_durably: Writes to the voter's folder.
+            send: Sends bodies from the thread that wrote.
+            metrics: Counts promises that were written, and those that were not.
+        """
+        self._lock = lock
+        self._write_durably = write_durably
+        self._send = send
+        self._metrics = metrics
+
+    def handle(
+        self,
+        voter: Voter,
+        records: RecordStore,
+        now: int,
+        sender: Member,
+        message: tuple[Any, ...],
+    ) -> tuple[Any, ...] | None:
+        """Return the voter's answer; None where there is none, or it waits for the disk."""
+        match message:
+            case PreVote():
+                return voter.answer_pre_vote(now, message)
+            case LeaseRequest():
+                answer = voter.answer_request(now, message)
+                if isinstance(answer, PromiseWrite):
+                    self._write_promise(voter, answer, sender.address)
+                    return None
+                return answer
+            case LeaseRelease():
+                voter.release(now, message)
+            case EpochQuery():
+                return voter.answer_epoch_query(now, message)
+            case EpochReply():
+                self._learn(voter, now, message)
+            case ReadRecord():
+                return None if voter.fresh else records.read(message, voter.name)
+            case WriteRecord():
+                return self._write_record(voter, records, message, sender.address)
+        return None
+
+    def _write_promise(self, voter: Voter, write: PromiseWrite, requester: str) -> None:
+        def told(durable: bool) -> None:
+            with self._lock:
+                reply = voter.write_finished(clock.now(), write, durable)
+            self._metrics.increment("duty.promised" if durable else "duty.unpromised")
+            if reply is not None:
+                self._send([AddressedBody(requester, pack(reply))])
+
+        key = PROMISE_KEY_PREFIX + write.duty
+        if not self._write_durably(key, encode_promise(write.promise), told):
+            voter.write_finished(clock.now(), write, False)
+
+    def _learn(self, voter: Voter, now: int, message: EpochReply) -> None:
+        writes = voter.learn_epochs(now, message)
+        remaining = len(writes)
+
+        def told(write: PromiseWrite, durable: bool) -> None:
+            nonlocal remaining
+            with self._lock:
+                remaining -= durable
+                if durable:
+                    voter.promise_learned(write, remaining == 0)
+
+        for write in writes:
+            self._write_durably(
+                PROMISE_KEY_PREFIX + write.duty,
+                encode_promise(write.promise),
+                partial(told, write),
+            )
+
+    def _write_record(
+        self, voter: Voter, records: RecordStore, request: WriteRecord, requester: str
+    ) -> RecordWritten | None:
+        """Return the answer to a write that is not accepted; others are answered when durable."""
+        if voter.fresh:
+            return None
+        promise = voter.promises.get(request.duty)
+        if not records.accepts(request, promise.epoch if promise else 0):
+            return records.acknowledge(request, voter.name)
+        record = StoredRecord(request.epoch, request.write_number, request.body)
+
+        def told(durable: bool) -> None:
+            with self._lock:
+                if durable:
+                    records.store(request.duty, record)
+                answer = records.acknowledge(request, voter.name)
+            self._send([AddressedBody(requester, pack(answer))])
+
+        self._write_durably(RECORD_KEY_PREFIX + request.duty, encode_record(record), told)
+        return None
--- a/tests/compatibility/test_duty_messages.py
+++ b/tests/compatibility/test_duty_messages.py
@@ -114,7 +114,7 @@
         server = threading.Thread(target=serve)
         server.start()
         duties = mock.MagicMock()
-        duties.life = 0x1122
+        duties.incarnation = 0x1122
         duties.held_epoch.return_value = EPOCH
         duties.candidates["report"].remaining_us.return_value = 1_500_999
         told = Told(
