--- a/gullyoke/peer_transport/__init__.py
+++ b/gullyoke/peer_transport/__init__.py
@@ -1,4 +1,6 @@
-"""Membership on sockets.
+"""Transport between the members of a fleet: sealed datagrams, their codecs, and one thread.
 
-Datagrams under a key, one small thread, and what an operator asks on loopback.
+`link` is the socket and its thread, `seal` the authentication, `codec` the datagrams of membership,
+`lease_service` and `quota_service` the messages of leases and of quota leases, `status_server` what
+operators ask on loopback.
 """
--- a/gullyoke/peer_transport/codec.py
+++ b/gullyoke/peer_transport/codec.py
@@ -32,7 +32,7 @@
 )
 
 VERSION = 1
-LONGEST = 1200  # bytes of a datagram, its seal included
+MAX_DATAGRAM_BYTES = 1200  # bytes of a datagram, its seal included
 NAME, ADDRESS, ZONE = 64, 64, 32  # characters at the most
 
 
--- a/gullyoke/peer_transport/seal.py
+++ b/gullyoke/peer_transport/seal.py
@@ -1,10 +1,8 @@
-"""The seal of a datagram.
+"""The seal of a datagram: a keyed digest over it, its count and the fleet's name.
 
-A keyed digest over it, its count and the fleet's name, under one of two keys.
-
-What does not verify is dropped and counted, never answered. The first key of the file seals; both
-verify, so that a new one can come in before the old one goes. Counts grow with each datagram of a
-start and are kept by sender: one that is old or came already is dropped.
+A datagram that does not verify is dropped and counted, never answered. The first key of the key
+file seals and both verify, so a new key can come in before the old one goes. Counts grow with each
+datagram that a process sends; a receiver drops a datagram whose count is old or came already.
 """
 
 from __future__ import annotations
@@ -12,13 +10,16 @@
 import hmac
 from collections import OrderedDict
 from hashlib import blake2b
+from typing import Final, NamedTuple
 
 from gullyoke.errors import GullyokeError
 
-DIGEST, COUNT = 16, 8  # bytes at the end of a datagram
-SHORTEST, KEYS = 16, 2  # bytes of a key at the least; keys in a file at the most
-WINDOW = 1024  # counts that may come out of order
-SENDERS = 4096  # of whom counts are kept; the one longest silent goes first
+DIGEST_BYTES: Final = 16  # at the end of a datagram
+COUNT_BYTES: Final = 8  # before the digest
+SHORTEST_KEY_BYTES: Final = 16
+MAX_KEYS: Final = 2  # in a key file
+WINDOW: Final = 1024  # counts that may come out of order
+MAX_SENDERS: Final = 4096  # of which counts are kept; the one longest silent goes first
 
 
 class UnusableKeyError(GullyokeError, ValueError):
@@ -26,9 +27,12 @@
 
 
 def parse_keys(text: str) -> tuple[bytes, ...]:
-    """The keys of a file: one or two lines of hex digits, the first one sealing.
+    """Return the keys of a key file; the first one seals.
+
+    The file has one or two lines of hex digits; `#` begins a comment.
 
-    `#` begins a comment.
+    Raises:
+        UnusableKeyError: For any other text.
     """
     lines = [line.partition("#")[0].strip() for line in text.splitlines()]
     try:
@@ -37,62 +41,86 @@
         raise UnusableKeyError(
             "a line that is not hex digits; right would be 32 or more of them a line"
         ) from None
-    if not 1 <= len(keys) <= KEYS:
+    if not 1 <= len(keys) <= MAX_KEYS:
         raise UnusableKeyError(f"{len(keys)} keys; right would be one or two lines")
-    if min(map(len, keys)) < SHORTEST or max(map(len, keys)) > blake2b.MAX_KEY_SIZE:
+    shortest = min(map(len, keys))
+    longest = max(map(len, keys))
+    if shortest < SHORTEST_KEY_BYTES or longest > blake2b.MAX_KEY_SIZE:
         raise UnusableKeyError(
-            f"a key of under {SHORTEST} or over {blake2b.MAX_KEY_SIZE} bytes; right would be "
-            f"{2 * SHORTEST} to {2 * blake2b.MAX_KEY_SIZE} hex digits"
+            f"a key of under {SHORTEST_KEY_BYTES} or over {blake2b.MAX_KEY_SIZE} bytes; right "
+            f"would be {2 * SHORTEST_KEY_BYTES} to {2 * blake2b.MAX_KEY_SIZE} hex digits"
         )
     return keys
 
 
+class OpenedDatagram(NamedTuple):
+    """What was sealed, and the sender's count of its datagrams."""
+
+    data: bytes
+    sender_count: int
+
+
 class Seal:
-    """Seals and opens datagrams of one fleet."""
+    """Seals and opens the datagrams of one fleet.
+
+    Attributes:
+        keys: The first one seals, all verify; may be replaced at any time.
+    """
 
     def __init__(self, fleet: str, keys: tuple[bytes, ...]) -> None:
-        self.person = blake2b(fleet.encode(), digest_size=16).digest()
-        self.keys, self.count = keys, 0
+        """Start with the count 0; `fleet` is the fleet's name."""
+        self.keys = keys
+        self._personalization = blake2b(fleet.encode(), digest_size=16).digest()
+        self._count = 0
 
     def seal(self, data: bytes) -> bytes:
-        self.count += 1
-        data += self.count.to_bytes(COUNT, "big")
+        """Return the data with its count and digest."""
+        self._count += 1
+        data += self._count.to_bytes(COUNT_BYTES, "big")
         return data + self._digest(self.keys[0], data)
 
-    def open(self, data: bytes) -> tuple[bytes, int] | None:
-        """What was sealed, and its count; None where it does not verify."""
-        body, digest = data[:-DIGEST], data[-DIGEST:]
-        if len(body) < COUNT or not any(
-            hmac.compare_digest(self._digest(key, body), digest) for key in self.keys
-        ):
+    def open(self, data: bytes) -> OpenedDatagram | None:
+        """Return what was sealed; None where it does not verify."""
+        body = data[:-DIGEST_BYTES]
+        digest = data[-DIGEST_BYTES:]
+        if len(body) < COUNT_BYTES:
             return None
-        return body[:-COUNT], int.from_bytes(body[-COUNT:], "big")
+        if not any(hmac.compare_digest(self._digest(key, body), digest) for key in self.keys):
+            return None
+        return OpenedDatagram(body[:-COUNT_BYTES], int.from_bytes(body[-COUNT_BYTES:], "big"))
 
     def _digest(self, key: bytes, data: bytes) -> bytes:
-        return blake2b(data, digest_size=DIGEST, key=key, person=self.person).digest()
+        person = self._personalization
+        return blake2b(data, digest_size=DIGEST_BYTES, key=key, person=person).digest()
 
 
-class ReplayWindow:
-    """Which datagrams came already.
+class SenderCounts(NamedTuple):
+    """The highest count of a sender, and a bit for each of the `WINDOW` before it."""
 
-    Table: one row a sender's start, at most SENDERS: the highest count, and a bit for each of the
-    WINDOW before it.
-    """
+    highest: int
+    seen: int
+
+
+class ReplayWindow:
+    """Which datagrams came already, by the incarnation of their sender; at most `MAX_SENDERS`."""
 
     def __init__(self) -> None:
-        self.rows: OrderedDict[int, tuple[int, int]] = OrderedDict()
-
-    def fresh(self, life: int, count: int) -> bool:
-        """Whether this is new; it counts as come from now on."""
-        top, bits = self.rows.pop(life, (0, 0))
-        if count > top:
-            bits = (bits << min(count - top, WINDOW) | 1) & ((1 << WINDOW) - 1)
-            top, new = count, True
+        """Start without senders."""
+        self._senders: OrderedDict[int, SenderCounts] = OrderedDict()
+
+    def admits(self, incarnation: int, count: int) -> bool:
+        """Tell whether a datagram is new, and remember that it came."""
+        highest, seen = self._senders.pop(incarnation, SenderCounts(0, 0))
+        if count > highest:
+            seen = (seen << min(count - highest, WINDOW) | 1) & ((1 << WINDOW) - 1)
+            highest = count
+            new = True
         else:
-            bit = 1 << (top - count)
-            new = top - count < WINDOW and not bits & bit
-            bits |= bit if new else 0
-        self.rows[life] = top, bits
-        if len(self.rows) > SENDERS:
-            self.rows.popitem(last=False)
+            age = highest - count
+            new = age < WINDOW and not seen & (1 << age)
+            if new:
+                seen |= 1 << age
+        self._senders[incarnation] = SenderCounts(highest, seen)
+        if len(self._senders) > MAX_SENDERS:
+            self._senders.popitem(last=False)
         return new
--- a/gullyoke/peer_transport/start_number.py
+++ b/gullyoke/peer_transport/start_number.py
@@ -1,55 +1,81 @@
-"""The start's number on a lasting disk, so that the next start takes one above it, whatever the
-clock says.
+"""The number of a process' start on a lasting disk.
+
+The next start takes a number above it, whatever the clock says.
 """
 
 from __future__ import annotations
 
 import os
 from collections.abc import Callable
+from typing import TYPE_CHECKING, Any, Final
 
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.metrics import Metrics
 
-KEY, FOLDER, QUOTA = "number", "fleet", 2**20
-CLOSE = 0.5  # seconds that the end waits for a disk that hangs
+if TYPE_CHECKING:  # loaded only where there is a folder
+    from gullyoke.storage import GroupCommitter, Store
+
+FOLDER: Final = "fleet"  # within the folder that is configured
+KEY: Final = "number"
+SEGMENT_BYTES: Final = 4096
+QUOTA_BYTES: Final = 2**20
+NUMBER_BYTES: Final = 8
+CLOSE_TIMEOUT_S: Final = 0.5  # for a disk that hangs
 
 
 class StoredStartNumber:
-    """`folder` None: nothing is kept, and the others' memory and the clock must do.
+    """The number that the last start stored, and the store of this one.
+
+    A disk that fails is logged and counted, and never waited for.
 
-    A disk that fails is said and counted, never waited for. `files` opens the folder; a plain
-    `Disk` where it is not given.
+    Attributes:
+        latest: The last number given to `keep`, 0 before.
     """
 
-    def __init__(self, folder: str | None, metrics: Metrics, files: Callable | None = None) -> None:
-        self.metrics, self.latest, self.committer, self._known = metrics, 0, None, 0
+    def __init__(
+        self, folder: str | None, metrics: Metrics, open_folder: Callable[[str], Any] | None = None
+    ) -> None:
+        """Read what the last start stored.
+
+        Args:
+            folder: The folder that is configured. None: nothing is stored, and the number rests on
+                what the other members remember and on the clock.
+            metrics: Counts what was stored and what could not be.
+            open_folder: Opens a folder; a plain `StorageFolder` where it is not given.
+        """
+        self.metrics = metrics
+        self.latest = 0
+        self._known = 0
+        self._committer: GroupCommitter[Store] | None = None
         if folder is None:
             return
         from gullyoke.storage import GroupCommitter, StorageFolder, Store
 
         try:
-            self.disk = (files or StorageFolder)(os.path.join(folder, FOLDER))
-            store = Store(self.disk, segment_bytes=4096, quota_bytes=QUOTA)
+            self._folder = (open_folder or StorageFolder)(os.path.join(folder, FOLDER))
+            store = Store(self._folder, segment_bytes=SEGMENT_BYTES, quota_bytes=QUOTA_BYTES)
             self._known = int.from_bytes(store.get(KEY) or b"", "big")
-            self.committer = GroupCommitter(store)
-        except OSError as fault:
+            self._committer = GroupCommitter(store)
+        except OSError as error:
             metrics.increment("fleet.unkept")
-            log.error("fleet number not kept", extra=log_fields(folder=folder, why=fault))
+            log.error("fleet number not kept", extra=log_fields(folder=folder, why=error))
 
     def known(self) -> int:
-        """What the last start kept, 0 where there is none."""
+        """Return what the last start stored; 0 where there is nothing."""
         return self._known
 
     def keep(self, number: int) -> None:
+        """Store a number; does not wait for the disk."""
         self.latest = number
-        if self.committer is not None:
-
-            def told(durable: bool) -> None:
-                self.metrics.increment("fleet.kept" if durable else "fleet.unkept")
+        if self._committer is not None:
+            data = number.to_bytes(NUMBER_BYTES, "big")
+            self._committer.put(KEY, data, self._count_outcome)
 
-            self.committer.put(KEY, number.to_bytes(8, "big"), told)
+    def _count_outcome(self, durable: bool) -> None:
+        self.metrics.increment("fleet.kept" if durable else "fleet.unkept")
 
     def close(self) -> None:
-        if self.committer is not None:
-            self.committer.close(CLOSE)
-            self.disk.close()
+        """Store what is queued, for `CLOSE_TIMEOUT_S` at the most, and close the folder."""
+        if self._committer is not None:
+            self._committer.close(CLOSE_TIMEOUT_S)
+            self._folder.close()
--- a/gullyoke/peer_transport/status_server.py
+++ b/gullyoke/peer_transport/status_server.py
@@ -1,132 +1,155 @@
-"""What an operator asks a running server on loopback: its view, its last changes.
+"""What an operator asks a running server on loopback: one line in, one line of JSON out.
 
-One line in, JSON out.
+The keys of the answers are read by `gullyoke fleet` and by operators' scripts, so they stay.
 """
 
 from __future__ import annotations
 
 import socket
 import threading
+from typing import Any, Final
 
 import msgspec
 
-from gullyoke.membership.row import TURNS
+from gullyoke.membership.row import TURNS, Row
 from gullyoke.peer_transport.link import PeerLink
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
-PATIENCE, LINE = 1.0, 256  # seconds for a whole question, and its bytes
+ASKER_TIMEOUT_S: Final = 1.0  # for each read and write
+MAX_LINE_BYTES: Final = 256
+BACKLOG: Final = 8  # connections that wait to be accepted
 
 
 class StatusServer(threading.Thread):
-    """One asker at a time, none for longer than PATIENCE.
+    """Answers one connection at a time.
 
-    What is asked costs the members' lock for a copy.
+    `status` and `events` take the link's lock while the answer is put together.
     """
 
     def __init__(self, address: tuple[str, int], link: PeerLink, metrics: Metrics) -> None:
-        """Raises `OSError` where it can't listen."""
+        """Listen.
+
+        Args:
+            address: Host and port.
+            link: Whose member and commands are asked.
+            metrics: Counts connections that failed.
+
+        Raises:
+            OSError: Where it can't listen.
+        """
         super().__init__(name="fleet-status", daemon=True)
-        self.sock = socket.create_server(address, backlog=8)
-        self.link, self.metrics, self.ended = link, metrics, False
+        self.sock = socket.create_server(address, backlog=BACKLOG)
+        self.link = link
+        self.metrics = metrics
+        self.ended = False
 
     def run(self) -> None:
+        """Serve connections until the socket is closed."""
         while not self.ended:
             try:
-                conn, _ = self.sock.accept()
+                connection, _ = self.sock.accept()
             except OSError:
                 return
             try:
-                with conn:
-                    conn.settimeout(PATIENCE)
-                    self.answer(conn)
+                with connection:
+                    connection.settimeout(ASKER_TIMEOUT_S)
+                    self.answer(connection)
             except OSError:
                 self.metrics.increment("fleet.status.broken")
             except Exception:
                 self.metrics.record_internal_error("fleet-status")
 
-    def answer(self, conn: socket.socket) -> None:
+    def answer(self, connection: socket.socket) -> None:
+        """Read one line and answer it; nothing for a connection that ends before its line."""
         line = b""
-        while b"\n" not in line and len(line) <= LINE:
-            more = conn.recv(LINE)
-            if not more:
+        while b"\n" not in line and len(line) <= MAX_LINE_BYTES:
+            data = connection.recv(MAX_LINE_BYTES)
+            if not data:
                 return
-            line += more
-        asked, *words = line.partition(b"\n")[0].decode("latin-1").split() or [""]
-        if asked in self.link.commands:  # another part's: it takes what locks it needs
-            found = self.link.commands[asked](words)
-        else:
-            with self.link.lock:
-                found = {"status": status, "events": events}.get(asked, unknown)(self.link)
-        conn.sendall(msgspec.json.encode(found) + b"\n")
+            line += data
+        command, *arguments = line.partition(b"\n")[0].decode("latin-1").split() or [""]
+        connection.sendall(msgspec.json.encode(self._result(command, arguments)) + b"\n")
+
+    def _result(self, command: str, arguments: list[str]) -> dict[str, Any]:
+        if command in self.link.commands:  # takes the locks that it needs by itself
+            return self.link.commands[command](arguments)
+        with self.link.lock:
+            if command == "status":
+                return status(self.link)
+            if command == "events":
+                return events(self.link)
+        return {"fault": "right would be status or events"}
 
     def end(self) -> None:
+        """Close the socket, which ends the thread."""
         self.ended = True
         self.sock.close()
 
 
-def unknown(link: PeerLink) -> dict:
-    return {"fault": "right would be status or events"}
-
-
-def status(link: PeerLink) -> dict:
-    """The view as it stands here; times in ms."""
-    one, now = link.member, clock.now()
-    size = one.size(now)
-    signals = link.signals.rows if link.signals is not None else {}
-    told = {who: reading for who, (_, _, reading) in signals.items()}
-    rows = []
-    for row in sorted(one.view.rows.values(), key=lambda row: row.name):
-        edge, reading = one.edges.get(row.id), told.get(row.id)
-        rows.append(
-            {
-                "name": row.name,
-                "state": one.state(now, row),
-                "zone": row.zone,
-                "address": row.address,
-                "start": row.number // TURNS,
-                "refuted": row.number % TURNS,
-                "accused_by": len(one.tally.accusers(row.id, row.number)),
-                "round_trip_ms": round(edge.rtt / 1000, 2)
-                if edge is not None and edge.rtt
-                else None,
-                "room": None if reading is None else round(reading.room, 2),
-                "shed": None if reading is None else round(reading.shed, 2),
-                "pace": None if reading is None else reading.pace,
-            }
-        )
+def status(link: PeerLink) -> dict[str, Any]:
+    """Return the membership view of this server; under the link's lock. Times are in ms."""
+    member = link.member
+    now = clock.now()
+    size = member.size(now)
+    rows = sorted(member.view.rows.values(), key=lambda row: row.name)
     return {
-        "name": one.row.name,
-        "stage": one.entry.stage.value,
-        "view": one.view.number,
-        "digest": f"{one.view.digest:016x}",
+        "name": member.row.name,
+        "stage": member.entry.stage.value,
+        "view": member.view.number,
+        "digest": f"{member.view.digest:016x}",
         "members": size.members,
         "seen": size.seen,
         "age_ms": size.age // 1000,
         "confidence": round(size.confidence, 2),
-        "unsure": one.trust.unsure(now),
-        "failing": round(one.trust.failing, 2),
-        "lost": round(one.trust.lost, 2),
-        "rows": rows,
-        **{name: tell(now) for name, tell in link.status_sections.items()},
+        "unsure": member.trust.unsure(now),
+        "failing": round(member.trust.failing, 2),
+        "lost": round(member.trust.lost, 2),
+        "rows": [_row_status(link, now, row) for row in rows],
+        **{name: section(now) for name, section in link.status_sections.items()},
     }
 
 
-def events(link: PeerLink) -> dict:
-    """The last changes with their evidence; how long ago, in ms."""
-    one, now = link.member, clock.now()
+def _row_status(link: PeerLink, now: int, row: Row) -> dict[str, Any]:
+    """Return how one member stands, as seen from here."""
+    member = link.member
+    edge = member.edges.get(row.id)
+    reported = link.signals.rows.get(row.id) if link.signals is not None else None
+    reading = reported[2] if reported is not None else None
+    return {
+        "name": row.name,
+        "state": member.state(now, row),
+        "zone": row.zone,
+        "address": row.address,
+        "start": row.number // TURNS,
+        "refuted": row.number % TURNS,
+        "accused_by": len(member.tally.accusers(row.id, row.number)),
+        "round_trip_ms": round(edge.rtt / 1000, 2) if edge is not None and edge.rtt else None,
+        "room": None if reading is None else round(reading.room, 2),
+        "shed": None if reading is None else round(reading.shed, 2),
+        "pace": None if reading is None else reading.pace,
+    }
+
+
+def events(link: PeerLink) -> dict[str, Any]:
+    """Return the last changes of the view with their evidence; under the link's lock.
+
+    `ago_ms` is how long ago a change was, in milliseconds.
+    """
+    member = link.member
+    now = clock.now()
     return {
-        "name": one.row.name,
+        "name": member.row.name,
         "events": [
             {
-                "ago_ms": (now - e.at) // 1000,
-                "view": e.number,
-                "what": e.what,
-                "name": e.name,
-                "status": e.status,
-                "by": e.by,
-                "evidence": e.evidence,
+                "ago_ms": (now - event.at) // 1000,
+                "view": event.number,
+                "what": event.what,
+                "name": event.name,
+                "status": event.status,
+                "by": event.by,
+                "evidence": event.evidence,
             }
-            for e in one.history.events
+            for event in member.history.events
         ],
     }
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -21,7 +21,7 @@
     Ping,
     Rows,
 )
-from gullyoke.peer_transport.codec import LONGEST, VERSION, pack, unpack
+from gullyoke.peer_transport.codec import MAX_DATAGRAM_BYTES, VERSION, pack, unpack
 from gullyoke.peer_transport.field_readers import MalformedDatagramError
 from gullyoke.peer_transport.seal import Seal, parse_keys
 
@@ -71,7 +71,9 @@
 
 class Messages(unittest.TestCase):
     def test_constants(self):
-        self.assertEqual((VERSION, LONGEST, SIGNAL, TURNS, BUCKETS), (1, 1200, 14, 2**20, 64))
+        self.assertEqual(
+            (VERSION, MAX_DATAGRAM_BYTES, SIGNAL, TURNS, BUCKETS), (1, 1200, 14, 2**20, 64)
+        )
         self.assertEqual([int(one) for one in Status], [0, 1, 2, 3, 4])
         self.assertEqual([int(one) for one in Kind], [1, 2])
 
--- a/tests/membership/test_properties.py
+++ b/tests/membership/test_properties.py
@@ -275,13 +275,13 @@
         """
         counts = ReplayWindow()
         self.assertEqual(
-            [counts.fresh(1, n) for n in (1, 3, 2, 2, 3, 2000, 976, 977, 1999, 1999)],
+            [counts.admits(1, n) for n in (1, 3, 2, 2, 3, 2000, 976, 977, 1999, 1999)],
             [True, True, True, False, False, True, False, True, True, False],
         )
         chance, sent = random.Random(1), list(range(2001, 2500))
         chance.shuffle(sent)
-        self.assertTrue(all(counts.fresh(1, n) for n in sent))
-        self.assertFalse(any(counts.fresh(1, n) for n in sent))
+        self.assertTrue(all(counts.admits(1, n) for n in sent))
+        self.assertFalse(any(counts.admits(1, n) for n in sent))
 
     def test_numbers(self):
         """A start's number is above what was kept and what is known, whatever the clock says."""
