--- a/benchmarks/disk.py
+++ b/benchmarks/disk.py
@@ -184,13 +184,13 @@
 
     curve, first = warmup_history.WarmupRecorder(), day(500 + seed)
     server = first.nodes[0].server
-    ran = server.hold.ran
+    ran = server.queue.run_finished
 
     def noted(h, span: int) -> None:
         ran(h, span)
         curve.record_run(server.now, h.name, span)
 
-    server.hold.ran = noted
+    server.queue.run_finished = noted
     first.play()
     found, again, at = curve.take_snapshot(1, 0.0, None), day(seed), [-1]
     other = again.nodes[0].server
--- a/gullyoke/admission/dependency_limiter.py
+++ b/gullyoke/admission/dependency_limiter.py
@@ -1,141 +1,221 @@
-"""How many calls to the dependency may be in flight, and for how long."""
+"""How many calls to the dependency may be in flight, and for how long; times are microseconds."""
 
 from __future__ import annotations
 
 import math
 from collections import deque
+from typing import Final, NamedTuple
+
+from gullyoke.admission.interface import DependencySlots, Request, RequestEvent
+from gullyoke.admission.timing import TICK_US, full_value_deadline
+
+USED_QUOTA_SHARE: Final = 0.95
+"""Share of the quota that is used."""
+TIMEOUT_CALL_TIMES: Final = 4
+"""A call's timeout in recent call times (not from the paper)."""
+TIMEOUT_BUDGET_SHARE: Final = 4
+"""A call may also take what is left of the budget divided by this (not from the paper)."""
+LOWERING_CALL_TIMES: Final = 8
+"""Recent call time over the usual one from which the limit is lowered (not from the paper)."""
+SLOW_CALL_TIMES: Final = 2
+"""Recent call time over the usual one from which requests wait by weight."""
+LOWERED_SHARE: Final = 0.9
+RAISED_SHARE: Final = 1.125
+CALL_TIME_SMOOTHING: Final = 8
+"""A call moves the recent call time by one part in so many."""
+USUAL_CALL_TIME_GROWTH: Final = 1.001
+"""By this the usual call time, the lowest of late, rises with each call."""
+
+
+class EndedCall(NamedTuple):
+    """A call that still counts against the quota.
+
+    Args:
+        counts_until: When it leaves the quota's window.
+        call_time: Microseconds for which the dependency had it, its linger included.
+    """
 
-from gullyoke.admission.interface import RequestEvent
-from gullyoke.admission.timing import TICK, aim
+    counts_until: int
+    call_time: int
 
 
-class CallsBelow:
-    """A bound of its own on the time that calls are in hand.
+class DependencyLimiter:
+    """Bounds the time that calls are in flight; requests wait by weight while calls are slow.
 
-    The line goes by value when it is slow.
+    This server keeps to the dependency's quota by itself. Calls that ended within the window, and
+    those in flight, each counted to the end of its timeout and its linger, together stay under the
+    quota's part of the window; also where the quota is under one call. Tables: the waiting
+    requests, which leave when they call or are given up, and the ended calls of one window.
 
-    Rule 4 by ourselves: what ended within the span and what is out, each counted to the end of its
-    patience and its linger, together stay under our share of the span, also where the share is
-    under one call. Tables: the line (left when let out or given up) and `spent` (calls that ended,
-    gone after the span).
+    Args:
+        now: The time in microseconds.
+        quota: Mean number of calls in flight that is this server's; None for no bound.
+        window: Microseconds over which that mean is taken.
+        linger: Microseconds for which an abandoned call stays in the dependency's hands at most.
+        slots: What this server has of the calls that all servers share.
     """
 
-    def __init__(self, now: int, share: float | None, span: int, linger: int, slots) -> None:
-        self.share, self.span, self.linger, self.slots = share, span, linger, slots
-        self.budget = math.inf if share is None else 0.95 * share * span  # anew at each wake-up
-        self.line, self.spent, self.used, self.booked = [], deque(), 0, 0
-        self.window, self.out, self.most = math.inf, 0, 0  # at once: allowed, now, most lately
-        self.usual, self.lately, self.hush, self.told, self.well, self.spoilt = (
-            0.0,
-            0.0,
-            now,
-            now,
-            0,
-            False,
-        )
-
-    def left(self, now: int) -> float:
-        """The call time that is still ours."""
-        while self.spent and self.spent[0][0] <= now:
-            self.used -= self.spent.popleft()[1]
-        return self.budget - self.used - self.booked
-
-    def try_for(self, request, now: int) -> int:
-        """The patience with a call.
-
-        A few usual ones (ours), or a quarter of what is left if more.
+    def __init__(
+        self, now: int, quota: float | None, window: int, linger: int, slots: DependencySlots
+    ) -> None:
+        self.quota = quota
+        self.window = window
+        self.linger = linger
+        self.slots = slots
+        self.waiting: list[Request] = []
+        # Call time in the window: the quota's, of ended calls, and reserved for those in flight.
+        self.budget = self._window_budget()
+        self.ended_calls: deque[EndedCall] = deque()
+        self.used_call_time = 0
+        self.reserved_call_time = 0
+        # Calls at once: the limit, the number now, and the largest since the last tick.
+        self.concurrency_limit = math.inf
+        self.in_flight = 0
+        self.peak_in_flight = 0
+        # The mean of late, and the lowest one.
+        self.recent_call_time = 0.0
+        self.usual_call_time = 0.0
+        self.paused_until = now
+        self.last_ended_at = now
+        self.last_success_started_at = 0
+        self.last_reply_lost = False
+
+    def _window_budget(self) -> float:
+        return math.inf if self.quota is None else USED_QUOTA_SHARE * self.quota * self.window
+
+    def remaining_call_time(self, now: int) -> float:
+        """Return the call time that is left of this server's quota."""
+        while self.ended_calls and self.ended_calls[0].counts_until <= now:
+            self.used_call_time -= self.ended_calls.popleft().call_time
+        return self.budget - self.used_call_time - self.reserved_call_time
+
+    def call_timeout(self, request: Request, now: int) -> int:
+        """Return the timeout of a call made now, in microseconds.
+
+        A few times the recent call time, or a part of what is left of the quota if that is more;
+        never past the request's deadline or the end of the slot.
         """
-        most = min(request.deadline, self.slots.until(now) - self.linger) - now
-        if self.share is not None:  # a bound is stated, and its span
-            most = min(
-                most,
-                max(4 * self.lately, self.left(now) / 4),
-                2 * self.span // 5,
+        longest: float = min(request.deadline, self.slots.until(now) - self.linger) - now
+        if self.quota is not None:
+            longest = min(
+                longest,
+                max(
+                    TIMEOUT_CALL_TIMES * self.recent_call_time,
+                    self.remaining_call_time(now) / TIMEOUT_BUDGET_SHARE,
+                ),
+                2 * self.window // 5,
                 self.budget - self.linger,
             )
-        return max(1, int(most))
-
-    def room(self, request, now: int) -> bool:
-        """Whether one more stays within our share, however long it takes."""
-        quiet = (
-            now < self.hush or self.out >= self.window or not self.slots.free(now, len(self.line))
-        )
-        return not quiet and self.try_for(request, now) + self.linger <= self.left(now)
-
-    def began(self, patience: int) -> None:
-        self.booked, self.out = self.booked + patience + self.linger, self.out + 1
+        return max(1, int(longest))
+
+    def has_capacity(self, request: Request, now: int) -> bool:
+        """Return whether one more call stays within the quota, however long it takes."""
+        if now < self.paused_until or self.in_flight >= self.concurrency_limit:
+            return False
+        if not self.slots.free(now, len(self.waiting)):
+            return False
+        return self.call_timeout(request, now) + self.linger <= self.remaining_call_time(now)
+
+    def call_started(self, timeout: int) -> None:
+        """Count a call that is made now."""
+        self.reserved_call_time += timeout + self.linger
+        self.in_flight += 1
         self.slots.began()
-        self.most = max(self.most, self.out)
+        self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
 
     def adjust(self, now: int) -> None:
-        """Fewer calls at once while they take far longer than usual (ours).
+        """Adjust the limits at a tick.
 
-        One that is crowded does less.
+        Fewer calls at once are made while they take far longer than usual: a crowded dependency
+        does less (not from the paper).
         """
-        self.share = self.slots.share(now, self.share, self.used + self.booked)
-        self.budget = math.inf if self.share is None else 0.95 * self.share * self.span
-        most, self.most = min(self.window, self.most or self.window), self.out
-        self.window = (
-            max(1.0, 0.9 * most) if self.lately > 8 * self.usual else self.window * 1.125 + 1
+        self.quota = self.slots.share(
+            now, self.quota, self.used_call_time + self.reserved_call_time
         )
-
-    def ended(self, now: int, word: RequestEvent, took: int, patience: int) -> bool:
-        """Whether it was lost alone.
-
-        A younger one went `well`, or its reply was `spoilt` and not the last. Guards against a
-        reply that is spoilt or never comes silencing all calls, as trouble below does.
+        self.budget = self._window_budget()
+        peak = min(self.concurrency_limit, self.peak_in_flight or self.concurrency_limit)
+        self.peak_in_flight = self.in_flight
+        if self.recent_call_time > LOWERING_CALL_TIMES * self.usual_call_time:
+            self.concurrency_limit = max(1.0, LOWERED_SHARE * peak)
+        else:
+            self.concurrency_limit = self.concurrency_limit * RAISED_SHARE + 1
+
+    def call_ended(self, now: int, event: RequestEvent, took: int, timeout: int) -> bool:
+        """Count the end of a call.
+
+        Args:
+            now: The time in microseconds.
+            event: How it ended.
+            took: Microseconds that it took.
+            timeout: Its timeout.
+
+        Returns:
+            Whether it was lost by itself, and says nothing of the dependency: a call that was
+            started after it succeeded, or its reply was lost and the one before was not. Without
+            that, a reply that is lost or never comes would pause all calls.
         """
-        self.booked -= patience + self.linger
-        self.told, self.out = now, self.out - 1
-        self.slots.ended(
-            now,
-            lost := word not in (RequestEvent.CALL_SUCCEEDED, RequestEvent.CALL_NOT_SENT),
-            word is RequestEvent.CALL_SUCCEEDED,
+        succeeded = event is RequestEvent.CALL_SUCCEEDED
+        reply_lost = event is RequestEvent.CALL_REPLY_LOST
+        lost = not succeeded and event is not RequestEvent.CALL_NOT_SENT
+        self.reserved_call_time -= timeout + self.linger
+        self.last_ended_at = now
+        self.in_flight -= 1
+        self.slots.ended(now, lost, succeeded)
+        lost_alone = lost and (
+            self.last_success_started_at > now - took or (reply_lost and not self.last_reply_lost)
         )
-        alone = lost and (
-            self.well > now - took or (word is RequestEvent.CALL_REPLY_LOST and not self.spoilt)
-        )
-        self.spoilt = word is RequestEvent.CALL_REPLY_LOST
-        spent = took + (self.linger if lost else 0)
-        self.spent.append((now + spent - took + self.span, spent))
-        self.used += spent
-        if word is RequestEvent.CALL_SUCCEEDED:
-            self.well = max(self.well, now - took)
-        elif not alone:
-            self.hush = now + TICK  # a failed call is not followed at once by another
-        if word is RequestEvent.CALL_SUCCEEDED or (
-            lost and not alone and took > self.lately
-        ):  # one lost took that at least
-            self.lately += (took - self.lately) / (8 if self.lately else 1)
-        self.usual = min(self.usual or self.lately, self.lately) * 1.001
-        return alone
-
-    def wait(self, now: int) -> float:
-        """How long a call that joins the line now is likely to take.
-
-        What is ours comes back at our share.
+        self.last_reply_lost = reply_lost
+        self._count_call_time(now, took, lost)
+        if succeeded:
+            self.last_success_started_at = max(self.last_success_started_at, now - took)
+        elif not lost_alone:
+            self.paused_until = now + TICK_US  # a failed call is not followed at once by another
+        # A lost call took at least so long.
+        if succeeded or (lost and not lost_alone and took > self.recent_call_time):
+            smoothing = CALL_TIME_SMOOTHING if self.recent_call_time else 1
+            self.recent_call_time += (took - self.recent_call_time) / smoothing
+        lowest = min(self.usual_call_time or self.recent_call_time, self.recent_call_time)
+        self.usual_call_time = lowest * USUAL_CALL_TIME_GROWTH
+        return lost_alone
+
+    def _count_call_time(self, now: int, took: int, lost: bool) -> None:
+        """Count an ended call in the window; the dependency may have a lost one until later."""
+        call_time = took + (self.linger if lost else 0)
+        self.ended_calls.append(EndedCall(now + call_time - took + self.window, call_time))
+        self.used_call_time += call_time
+
+    def expected_wait(self, now: int) -> float:
+        """Return how long a request that begins to wait now is likely to wait for its answer.
+
+        Call time that is used comes back at the rate of the quota.
         """
-        if self.budget <= self.linger:  # none can be made within our share
+        if self.budget <= self.linger:  # no call can be made within the quota
             return math.inf
-        old = not self.booked and not self.line and now > self.told + self.lately
-        call = 0.0 if old else self.lately  # the next call tells how it stands below
-        if self.share is None:
-            return call * (1 + len(self.line) / self.slots.pace(now))
-        short = max(0.0, min(self.budget, self.linger + 4 * call) - self.left(now))
-        return call + (len(self.line) * call + short) / min(self.share, self.window)
-
-    def leave_out(self, now: int):
-        """Those in the line that must go on without their call now to be in time."""
+        is_stale = (
+            not self.reserved_call_time
+            and not self.waiting
+            and now > self.last_ended_at + self.recent_call_time
+        )
+        call_time = 0.0 if is_stale else self.recent_call_time  # the next call shows how it is
+        if self.quota is None:
+            return call_time * (1 + len(self.waiting) / self.slots.pace(now))
+        wanted = min(self.budget, self.linger + TIMEOUT_CALL_TIMES * call_time)
+        missing = max(0.0, wanted - self.remaining_call_time(now))
+        rate = min(self.quota, self.concurrency_limit)
+        return call_time + (len(self.waiting) * call_time + missing) / rate
+
+    def requests_to_skip(self, now: int) -> list[Request]:
+        """Return the waiting requests that have to go on without their call now to be in time."""
         return [
-            r
-            for r in self.line
-            if r.request_class.degraded_value_share
-            and now + self.lately + r.request_class.latency_objective / 8 > aim(r)
+            request
+            for request in self.waiting
+            if request.request_class.degraded_value_share
+            and now + self.recent_call_time + request.request_class.latency_objective / 8
+            > full_value_deadline(request)
         ]
 
-    def pick(self):
-        return (
-            max(self.line, key=lambda r: r.request_class.priority_weight)
-            if self.lately > 2 * self.usual
-            else self.line[0]
-        )
+    def next_request(self) -> Request:
+        """Return the waiting request that calls next: the first, or by weight while it is slow."""
+        if self.recent_call_time > SLOW_CALL_TIMES * self.usual_call_time:
+            return max(self.waiting, key=lambda request: request.request_class.priority_weight)
+        return self.waiting[0]
--- a/gullyoke/admission/fair_queue.py
+++ b/gullyoke/admission/fair_queue.py
@@ -1,111 +1,184 @@
-"""The queue: turns for the cores by request class and weight."""
+"""The queue for the cores: request classes take turns by weight."""
 
 from __future__ import annotations
 
 import math
 from collections import deque
+from collections.abc import Iterable
+from typing import Final
 
-from gullyoke.admission.dependency_limiter import CallsBelow
-from gullyoke.admission.timing import aim
+from gullyoke.admission.dependency_limiter import DependencyLimiter
+from gullyoke.admission.interface import Request, RequestClass
+from gullyoke.admission.timing import first_run_time, full_value_deadline
 
+SMALLEST_WEIGHT: Final = 1e-9
+RUN_TIME_SMOOTHING: Final = 32
+"""A run's time moves the mean of its class by one part in so many."""
+LONGEST_RUN_TIME_SHARE: Final = 0.75
+"""Share of the objective up to which a mean run time counts (not from the paper)."""
+JUST_ARRIVED_PARTS: Final = 10
+"""A request has just arrived while its age is under its timeout divided by this."""
 
-class Hold:
-    """A line a handler, turns by weight.
+WITHIN_QUOTA: Final = False
+OVER_QUOTA: Final = True
 
-    Within a line, what is within its customer's share goes first.
+ClassQueue = tuple[deque[Request], deque[Request]]
+"""One class's queued requests: within their tenants' quotas, and over them."""
 
-    Tables: a line for each handler; a line holds only held reqs, and they leave when run or given
-    up.
+
+class FairQueue:
+    """Start-time fair queueing (Goyal et al. 1996) over request classes.
+
+    Requests within their tenants' quotas go before all that are over them. The tables have a row
+    for each class; a request leaves its queue when it runs or is given up.
+
+    Args:
+        request_classes: All classes of the site.
+        weighs_by_work: Whether a turn costs the run's time, and not one run.
+        dependency: What estimates the wait for a dependency call.
     """
 
-    def __init__(self, request_classes, by_work: bool, below: CallsBelow) -> None:
-        self.by_work, self.below, self.clock, self.size = by_work, below, 0.0, 0
-        self.cost = {
-            h: h.latency_objective / 6 for h in request_classes
-        }  # mean time of a run; first guess ours
-        self.lines = {h: (deque(), deque()) for h in request_classes}
-        self.turn = dict.fromkeys(request_classes, 0.0)
-
-    def charge(self, h) -> float:
-        """What one run advances the handler's turn by."""
-        return (self.cost[h] if self.by_work else 1.0) / max(h.priority_weight, 1e-9)
-
-    def ran(self, h, took: int) -> None:
-        self.cost[h] += (took - self.cost[h]) / 32
-
-    def add(self, request) -> None:
-        h = request.request_class
-        if not any(self.lines[h]):
-            self.turn[h] = max(self.turn[h], self.clock)
-        self.lines[h][request.over_quota].append(request)
+    def __init__(
+        self,
+        request_classes: Iterable[RequestClass],
+        weighs_by_work: bool,
+        dependency: DependencyLimiter,
+    ) -> None:
+        request_classes = list(request_classes)
+        self.weighs_by_work = weighs_by_work
+        self.dependency = dependency
+        self.size = 0
+        self.run_times = {each: first_run_time(each) for each in request_classes}
+        """Mean microseconds of a run, by class."""
+        self.queues: dict[RequestClass, ClassQueue] = {
+            each: (deque(), deque()) for each in request_classes
+        }
+        self.virtual_time = 0.0
+        self.start_tags = dict.fromkeys(request_classes, 0.0)
+
+    def turn_cost(self, request_class: RequestClass) -> float:
+        """Return by how much one run advances its class's start tag."""
+        work = self.run_times[request_class] if self.weighs_by_work else 1.0
+        return work / max(request_class.priority_weight, SMALLEST_WEIGHT)
+
+    def run_finished(self, request_class: RequestClass, run_time: int) -> None:
+        """Learn from a run that took `run_time` microseconds."""
+        mean = self.run_times[request_class]
+        self.run_times[request_class] = mean + (run_time - mean) / RUN_TIME_SMOOTHING
+
+    def pace(self) -> float:
+        """Return the classes' run times over the first guesses at them, in the mean."""
+        ratios = [mean / first_run_time(each) for each, mean in self.run_times.items()]
+        return sum(ratios) / max(1, len(ratios))
+
+    def add(self, request: Request) -> None:
+        """Queue a request."""
+        request_class = request.request_class
+        queue = self.queues[request_class]
+        if not any(queue):
+            self.start_tags[request_class] = max(self.start_tags[request_class], self.virtual_time)
+        queue[request.over_quota].append(request)
         self.size += 1
 
-    def drop(self, request) -> None:
-        self.lines[request.request_class][request.over_quota].remove(request)
+    def remove(self, request: Request) -> None:
+        """Take a request out of the queue, whether it runs or is given up."""
+        self.queues[request.request_class][request.over_quota].remove(request)
         self.size -= 1
 
-    def next(self):
-        for over in (0, 1):
-            waiting = [h for h, pair in self.lines.items() if pair[over]]
+    def contains(self, request: Request) -> bool:
+        """Return whether the request is queued."""
+        return request in self.queues[request.request_class][request.over_quota]
+
+    def next_request(self) -> Request | None:
+        """Return the request whose turn is next, which stays queued."""
+        for over_quota in (WITHIN_QUOTA, OVER_QUOTA):
+            waiting = [each for each, queue in self.queues.items() if queue[over_quota]]
             if waiting:
-                h = min(waiting, key=lambda h: self.turn[h])
-                return self.lines[h][over][0]
+                first = min(waiting, key=self.start_tags.__getitem__)
+                return self.queues[first][over_quota][0]
         return None
 
-    def took_turn(self, request) -> None:
-        h = request.request_class
-        self.clock = self.turn[h]
-        self.turn[h] += self.charge(h)
+    def turn_taken(self, request: Request) -> None:
+        """Advance the virtual time by the turn of a request that now runs."""
+        request_class = request.request_class
+        self.virtual_time = self.start_tags[request_class]
+        self.start_tags[request_class] += self.turn_cost(request_class)
 
-    def worst(self, now: int, newcomer):
-        """Who goes when one must.
+    def choose_victim(self, now: int, newcomer: Request) -> Request:
+        """Return the request to give up so that another one fits.
 
-        From the line longest for its weight, the youngest, if it came just now.
+        It is the youngest of the queue that is longest for its weight, if it has just arrived; the
+        newcomer counts as queued.
         """
         if newcomer.over_quota:
             return newcomer
-        for over in (1, 0):
-            length = {
-                h: len(pair[over]) * self.charge(h) for h, pair in self.lines.items() if pair[over]
-            }
-            if not over:
-                length[newcomer.request_class] = length.get(
-                    newcomer.request_class, 0.0
-                ) + self.charge(newcomer.request_class)
-            for h in sorted(length, key=length.get, reverse=True):
-                if not over and h is newcomer.request_class:
-                    return newcomer
-                last = self.lines[h][over][-1]
-                if (now - last.arrived) * 10 < h.timeout:
-                    return last
+        lengths = self._weighted_lengths(OVER_QUOTA)
+        for request_class in sorted(lengths, key=lengths.__getitem__, reverse=True):
+            youngest = self.queues[request_class][OVER_QUOTA][-1]
+            if _has_just_arrived(youngest, now):
+                return youngest
+        lengths = self._weighted_lengths(WITHIN_QUOTA)
+        own_class = newcomer.request_class
+        lengths[own_class] = lengths.get(own_class, 0.0) + self.turn_cost(own_class)
+        for request_class in sorted(lengths, key=lengths.__getitem__, reverse=True):
+            if request_class is own_class:
+                return newcomer
+            youngest = self.queues[request_class][WITHIN_QUOTA][-1]
+            if _has_just_arrived(youngest, now):
+                return youngest
         return newcomer
 
-    def hopeless(self, now: int):
-        """The held reqs whose run could no longer earn their value."""
+    def _weighted_lengths(self, over_quota: bool) -> dict[RequestClass, float]:
+        """Return the lengths of the queues that aren't empty, in units of their turns."""
+        return {
+            request_class: len(queue[over_quota]) * self.turn_cost(request_class)
+            for request_class, queue in self.queues.items()
+            if queue[over_quota]
+        }
+
+    def requests_too_late(self, now: int) -> list[Request]:
+        """Return the queued requests whose run could no longer end in time."""
         return [
-            r
-            for pair in self.lines.values()
-            for line in pair
-            for r in line
-            if self.too_late(r, now)
+            request
+            for queue in self.queues.values()
+            for line in queue
+            for request in line
+            if self.is_too_late(request, now)
         ]
 
-    def ahead(self, h=None) -> float:
-        """The time on one core of all that is held, or takes its turn before a newcomer of this
-        handler.
+    def backlog(self, request_class: RequestClass | None = None) -> float:
+        """Return how long one core would run all that is queued, in microseconds.
+
+        Args:
+            request_class: Where it is given, only what takes its turn before a newcomer of this
+                class counts.
         """
-        turns = (len(self.lines[h][0]) + len(self.lines[h][1])) * self.charge(h) if h else math.inf
+        own_turns = math.inf
+        if request_class is not None:
+            within_quota, over_quota = self.queues[request_class]
+            own_turns = (len(within_quota) + len(over_quota)) * self.turn_cost(request_class)
         return sum(
-            self.cost[g] * min(len(pair[0]) + len(pair[1]), turns / self.charge(g))
-            for g, pair in self.lines.items()
+            self.run_times[each]
+            * min(len(within_quota) + len(over_quota), own_turns / self.turn_cost(each))
+            for each, (within_quota, over_quota) in self.queues.items()
         )
 
-    def too_late(self, request, now: int) -> bool:
-        """Whether a run begun then would end too late.
+    def is_too_late(self, request: Request, now: int) -> bool:
+        """Return whether a run begun at `now` would end too late to earn its full value.
 
-        The usual time counts to three quarters of the target (ours): a server that was slow goes on
-        trying fresh reqs, and so learns when it is well again.
+        The mean run time counts up to a part of the objective only: a server that was slow goes on
+        to run some fresh requests, and so learns when it is fast again.
         """
-        h = request.request_class
-        below = self.below.wait(now) if h.calls_dependency and not h.degraded_value_share else 0
-        return now + min(self.cost[h], 0.75 * h.latency_objective) + below > aim(request)
+        request_class = request.request_class
+        run_time = min(
+            self.run_times[request_class],
+            LONGEST_RUN_TIME_SHARE * request_class.latency_objective,
+        )
+        call_wait = 0.0
+        if request_class.calls_dependency and not request_class.degraded_value_share:
+            call_wait = self.dependency.expected_wait(now)
+        return now + run_time + call_wait > full_value_deadline(request)
+
+
+def _has_just_arrived(request: Request, now: int) -> bool:
+    return (now - request.arrived) * JUST_ARRIVED_PARTS < request.request_class.timeout
--- a/gullyoke/admission/interface/facts.py
+++ b/gullyoke/admission/interface/facts.py
@@ -9,7 +9,13 @@
 
 from gullyoke.admission.interface.commands import Command
 from gullyoke.admission.interface.events import RequestEvent
-from gullyoke.admission.interface.fleet_feedback import ALONE, UNSHARED, Beside, Slots
+from gullyoke.admission.interface.fleet_feedback import (
+    ALONE,
+    UNSHARED,
+    DependencySlots,
+    FleetFeedback,
+)
+from gullyoke.admission.interface.request_state import RequestState
 
 
 class Idempotency(Enum):
@@ -140,7 +146,7 @@
     call_quota: float | None
     quota_window: int
     linger: int
-    slots: Slots = UNSHARED
+    slots: DependencySlots = UNSHARED
 
 
 @dataclass(slots=True)
@@ -188,7 +194,7 @@
     over_quota_value: float
     read_cache_ttl: int
     callers: int = 0
-    feedback: Beside = ALONE
+    feedback: FleetFeedback = ALONE
 
 
 @dataclass(slots=True)
@@ -256,8 +262,8 @@
     tenant: Tenant | None = None
     cost_hint: int = 0
     rank: float = 0.0
-    path: Generator[Command, RequestEvent | None, None] | None = field(default=None, repr=False)
-    state: object = None
+    path: Generator[Command, RequestEvent, None] | None = field(default=None, repr=False)
+    state: RequestState | None = None
     over_quota: bool = False
     started_at: int = 0
     displaced: bool = False
--- a/gullyoke/admission/interface/fleet_feedback.py
+++ b/gullyoke/admission/interface/fleet_feedback.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 
-class Slots(Protocol):
+class DependencySlots(Protocol):
     """What calls below this server may have out, of what all servers share."""
 
     def share(self, now: int, told: float | None, spent: float) -> float | None:
@@ -39,7 +39,7 @@
         """
 
 
-class Beside(Protocol):
+class FleetFeedback(Protocol):
     """What the others' words come to."""
 
     def full(self, alone: bool) -> bool:
--- a/gullyoke/admission/interface/stepper.py
+++ b/gullyoke/admission/interface/stepper.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
-from typing import Protocol
+from collections.abc import Callable, Iterator
+from typing import Any, Protocol
 
 from gullyoke.admission.interface.commands import Command
 from gullyoke.admission.interface.events import RequestEvent
@@ -55,7 +55,8 @@
         Returns False once the path has ended.
         """
         assert request.path is not None
-        resume = request.path.send
+        # A path starts, and goes on after a command that does not suspend it, with None.
+        resume: Callable[[Any], Command] = request.path.send
         try:
             while True:
                 command = resume(event)
--- a/gullyoke/admission/learner.py
+++ b/gullyoke/admission/learner.py
@@ -1,165 +1,302 @@
-"""UCRL-M: learning from how many requests in the server the next one is better rejected."""
+"""UCRL-M: learns from how many requests on it is better to reject the next one.
+
+After "Learning Optimal Admission Control in Partially Observable Queueing Networks" (cited as "the
+paper"). The server is seen as one queue whose state is the number of its requests; the sections on
+the aggregated MDP justify that. Time is cut into steps with at most one arrival or departure each.
+An action in a state is a pair; pair `2 * state + action` has action 0 for rejecting and 1 for
+admitting an arrival. What is marked "not from the paper" was chosen by measurement.
+"""
 
 from __future__ import annotations
 
 import math
+from collections.abc import Iterator
+from typing import Final
+
+MODULES: Final = 3
+"""Number of modules, the paper's tau_mix (section 4): step t belongs to module t modulo this."""
+WIDTH_SCALE: Final = 0.02
+"""Factor on the confidence widths; with their full size nothing is learned in a server's time."""
+PRIOR_VISITS: Final = 4.0
+"""Visits that each pair and module starts with, as of a full server at load 1."""
+STEPS_PER_COMPLETION: Final = 12
+"""Time steps for each request that a full server completes (not from the paper)."""
+MAX_SWEEPS: Final = 30
+"""Sweeps of an extended value iteration at most (not from the paper)."""
+UNIFORMIZATION_MARGIN: Final = 0.95
+"""Largest probability that a state is left in one step of the uniformized model."""
+SPAN_TOLERANCE: Final = 1 / 8
+"""Sweeps end when the span of the gains is below this share of a request's cost for a step."""
+SMALLEST_RATE: Final = 1e-9
+
+
+PairModel = tuple[float, float, float, float, float]
+"""The extremes that the confidence region of a pair allows, per time step.
+
+In this order: the largest reward (the negated cost, 0 at most), the largest probability of a
+departure, the smallest of an arrival beside that, the smallest probability of a departure, and the
+largest of an arrival. The most optimistic model of a pair is emptying, with the second and third,
+or filling, with the last two. A plain tuple, since sweeps unpack them often.
+"""
+StateModel = tuple[PairModel, PairModel]
+"""The models of the pairs of one state: rejecting, admitting."""
 
 
 class Learner:
-    """UCRL-M on s, the reqs held or running.
+    """Counts what happens in each pair, and finds a new policy once the counts have doubled.
 
-    Counts a pair (s, action) and module, EVI, episodes by doubling.
+    The tables have a row for each module and a column for each pair; their size is fixed at the
+    start, and a restart empties them.
 
-    Tables: one row for each pair and module, 2 * 3 * (S + 1), fixed at the start; emptied by a
-    restart.
+    Args:
+        now: The time in microseconds.
+        max_requests: The largest state: with so many requests a newcomer is always rejected.
+        cores: Cores on which requests run.
+        run_time: Microseconds that a run is first taken to last.
+        holding_cost: Cost of a request for a microsecond in the server; a rejection costs 1.
+        modules: Number of modules.
+        width_scale: Factor on the confidence widths.
+        prior_visits: Visits that each pair and module starts with.
     """
 
     def __init__(
         self,
         now: int,
-        top: int,
+        max_requests: int,
         cores: int,
-        work: float,
-        holding: float,
-        modules=3,
-        width=0.02,
-        prior=4.0,
+        run_time: float,
+        holding_cost: float,
+        modules: int = MODULES,
+        width_scale: float = WIDTH_SCALE,
+        prior_visits: float = PRIOR_VISITS,
     ) -> None:
-        self.top, self.cores, self.modules, self.width = top, cores, modules, width
-        self.step = max(
-            1, int(work / cores / 12)
-        )  # ours: a dozen steps for each req a full server ends
-        self.origin, self.steps, self.s, self.busy = now, 0, 0, False
-        self.room = math.inf  # runs that can be had, where the cores are not its own
-        self.holding = holding * self.step  # cost of a req for a step; a refusal costs 1
-        pairs, rate = 2 * (top + 1), cores * self.step / work
-        ends = [rate * min(i // 2, cores) / cores for i in range(pairs)]
-        comes = [rate if i % 2 and i // 2 < top else 0.0 for i in range(pairs)]
-        shed = [0.0 if i % 2 else rate for i in range(pairs)]
-        self.visits = [[prior] * pairs for _ in range(modules)]  # ours: a full server at load 1
-        self.ups, self.downs, self.sheds = (
-            [[prior * x for x in row] for _ in range(modules)] for row in (comes, ends, shed)
-        )
-        self.before = [row[:] for row in self.visits]
-        self.steepness, self.policy = (
-            [0.0] * (top + 1),
-            [1] * (top + 1),
-        )  # of the bias, from s to s + 1
-        self.episodes, self.bound, self.fresh, self.ramp = 0, 0, True, modules
+        self.max_requests = max_requests
+        self.cores = cores
+        self.modules = modules
+        self.width_scale = width_scale
+        self.step_us = max(1, int(run_time / cores / STEPS_PER_COMPLETION))
+        self.started_at = now
+        self.steps = 0
+        self.requests = 0
+        self.cores_busy = False
+        self.run_capacity = math.inf  # concurrent runs, where the cores are not the server's own
+        self.step_cost = holding_cost * self.step_us  # of a request for a time step
+
+        self._count_prior(cores * self.step_us / run_time, prior_visits)
+        self.visits_before_episode = [row[:] for row in self.visits]
+        # The difference of the bias between state s + 1 and state s, by s.
+        self.bias_differences = [0.0] * (max_requests + 1)
+        self.policy = [True] * (max_requests + 1)  # by state: whether an arrival is admitted
+        self.episodes = 0
+        self.rejected = 0
+        self.episode_due = True
+        self.ramping_steps = modules
 
-    def admits(self, kept: int = 0) -> bool:
-        """The decision on an arrival, as if `kept` more were there.
+    def _count_prior(self, completion_rate: float, prior_visits: float) -> None:
+        """Fill the tables as if a full server at load 1 had been seen for `prior_visits`.
 
-        Binds only while the cores are busy.
+        Args:
+            completion_rate: Completions of a full server in a time step.
+            prior_visits: Visits of each pair and module.
         """
-        at = self.s + kept
-        admit = not self.binds() or (at < self.top and self.policy[at] == 1)
-        self.bound += not admit
-        return admit
+        pairs = 2 * (self.max_requests + 1)
+        departures = [
+            completion_rate * min(pair // 2, self.cores) / self.cores for pair in range(pairs)
+        ]
+        arrivals = [
+            completion_rate if pair % 2 and pair // 2 < self.max_requests else 0.0
+            for pair in range(pairs)
+        ]
+        rejections = [0.0 if pair % 2 else completion_rate for pair in range(pairs)]
+
+        def table(rates: list[float]) -> list[list[float]]:
+            return [[prior_visits * rate for rate in rates] for _ in range(self.modules)]
+
+        self.visits = [[prior_visits] * pairs for _ in range(self.modules)]
+        self.arrivals = table(arrivals)
+        self.departures = table(departures)
+        self.rejections = table(rejections)
 
-    def binds(self) -> bool:
-        """The gauge speaks of the last half second.
+    def admits(self, reserved: int = 0) -> bool:
+        """Decide on an arrival, as if `reserved` more requests were here; counts a rejection."""
+        state = self.requests + reserved
+        admitted = not self.is_binding() or (state < self.max_requests and self.policy[state])
+        self.rejected += not admitted
+        return admitted
 
-        With fewer reqs than cores a core is free now (ours).
+    def is_binding(self) -> bool:
+        """Return whether the policy is applied, which it is only while the cores are busy.
+
+        The gauge reports the last half second; with fewer requests than cores a core is free now
+        (not from the paper).
         """
-        return self.busy and self.s >= min(self.cores, self.room)
+        return self.cores_busy and self.requests >= min(self.cores, self.run_capacity)
+
+    def count(self, now: int, change: int = 0, rejections: int = 0) -> None:
+        """Count one step with at most one arrival or departure.
+
+        The empty steps since the last one are counted first, in bulk.
 
-    def count(self, now: int, move: int = 0, shed: int = 0) -> None:
-        """One step with at most one arrival or departure, after the empty ones since the last, in
-        bulk.
+        Args:
+            now: The time in microseconds.
+            change: How the number of requests changed: 1, 0 or -1.
+            rejections: 1 for a request that was rejected or given up.
         """
-        due = (now - self.origin) // self.step
-        if due > self.steps:
-            self._add(due - self.steps, 0, 0)
-        if move or shed:
-            self._add(1, move, shed)
-            self.s += move
-
-    def _add(self, n: int, move: int, shed: int) -> None:
-        s = min(self.s, self.top)
-        pair = 2 * s + (self.policy[s] if self.binds() else 1)
-        if shed and not move:  # an arrival refused; one given up later is a departure
-            pair = 2 * s
-        first, self.steps = self.steps, self.steps + n
-        ramping = min(n, self.ramp)  # the ramping phase's samples are thrown away
-        self.ramp -= ramping
-        first, n = first + ramping, n - ramping
-        for k in range(min(n, self.modules)):
-            m = (first + k) % self.modules
-            self.visits[m][pair] += (n - k - 1) // self.modules + 1
-            self.ups[m][pair] += move > 0
-            self.downs[m][pair] += move < 0
-            self.sheds[m][pair] += shed
-            if self.visits[m][pair] >= 2 * max(0.5, self.before[m][pair]):
-                self.fresh = True
-
-    def solve(self):
-        """A new episode, from now on.
-
-        The work that finds its policy, in pieces; reqs go on between them.
+        steps_by_now = (now - self.started_at) // self.step_us
+        if steps_by_now > self.steps:
+            self._count_steps(steps_by_now - self.steps, 0, 0)
+        if change or rejections:
+            self._count_steps(1, change, rejections)
+            self.requests += change
+
+    def _count_steps(self, steps: int, change: int, rejections: int) -> None:
+        """Count `steps` equal steps in the current state, and end the episode when due.
+
+        The steps of the ramping phase (algorithm 1) are thrown away. An episode ends once some
+        module has visited a pair in it as often as ever before (18).
         """
-        self.fresh, self.ramp, self.episodes = False, self.modules, self.episodes + 1
-        self.before = [row[:] for row in self.visits]
-        return self.sweeps()
+        state = min(self.requests, self.max_requests)
+        if rejections and not change:  # an arrival was rejected; one given up is a departure
+            pair = 2 * state
+        else:
+            pair = 2 * state + (self.policy[state] if self.is_binding() else 1)
+        first = self.steps
+        self.steps += steps
+        ramping = min(steps, self.ramping_steps)
+        self.ramping_steps -= ramping
+        first += ramping
+        steps -= ramping
+        for offset in range(min(steps, self.modules)):
+            module = (first + offset) % self.modules
+            visits = self.visits[module]
+            visits[pair] += (steps - offset - 1) // self.modules + 1
+            self.arrivals[module][pair] += change > 0
+            self.departures[module][pair] += change < 0
+            self.rejections[module][pair] += rejections
+            if visits[pair] >= 2 * max(0.5, self.visits_before_episode[module][pair]):
+                self.episode_due = True
 
-    def sweeps(self):
-        """Finds the policy that is best in the most optimistic model within the widths.
+    def start_episode(self) -> Iterator[None]:
+        """Begin an episode now, under the last policy until the work that is returned is done.
 
-        Widths have UCRL2's form (Jaksch et al. 2010) with the constants of the birth-and-death case
-        (Anselmi et al. 2022), scaled by `width` (ours). Tridiagonal; starts from the last bias;
-        stops by span.
+        Returns:
+            The extended value iteration, one sweep for each item; requests go on between them.
         """
-        log, worst, rows, most = (
-            math.log(4 * (self.steps + 2)),
-            1 + self.holding * self.top,
-            [],
-            1e-9,
-        )
-        for pair in range(2 * (self.top + 1)):
-            s, visits = pair // 2, [row[pair] for row in self.visits]
-            n = max(visits)
-            m, n = visits.index(n), max(1.0, n)
-            cost, slack = (
-                self.holding * s + self.sheds[m][pair] / n,
-                self.width * math.sqrt(8 * log / n) / 2,
-            )
-            gain = min(0.0, self.width * worst * math.sqrt(2 * log / n) - cost)
-            up, down = self.ups[m][pair] / n, self.downs[m][pair] / n
-            far_down = min(1.0, down + slack) if s else 0.0
-            far_up = min(1.0, up + slack) if s < self.top else 0.0
-            rows.append(
-                (
-                    gain,
-                    far_down,
-                    min(max(0.0, up - slack), 1 - far_down),
-                    min(max(0.0, down - slack), 1 - far_up),
-                    far_up,
-                )
-            )
-            most = max(most, far_down + rows[-1][2], far_up + rows[-1][3])
-        # Uniformized at the model's own largest rate: the same policy and bias in fewer sweeps.
-        scale = 0.95 / most
-        rows = [tuple(x * scale for x in row) for row in rows]
-        both, steps, policy = list(zip(rows[::2], rows[1::2], strict=True)), self.steepness, []
-        for _ in range(30):
-            gains, policy, emptier = [], [], 0.0
-            for (r0, d0, u0, a0, b0), (r1, d1, u1, a1, b1) in both:
-                fuller = steps[len(gains)]
-                q0, q1 = r0 - d0 * emptier + u0 * fuller, r1 - d1 * emptier + u1 * fuller
-                if fuller > 0:  # unexplored fuller states may look better
-                    q0 = max(q0, r0 - a0 * emptier + b0 * fuller)
-                    q1 = max(q1, r1 - a1 * emptier + b1 * fuller)
-                policy.append(q1 >= q0)
-                gains.append(q1 if q1 >= q0 else q0)
-                emptier = fuller
-            for s in range(self.top):
-                steps[s] += gains[s + 1] - gains[s]
-            if max(gains) - min(gains) < self.holding * scale / 8:
+        self.episode_due = False
+        self.ramping_steps = self.modules
+        self.episodes += 1
+        self.visits_before_episode = [row[:] for row in self.visits]
+        return self._extended_value_iteration()
+
+    def _extended_value_iteration(self) -> Iterator[None]:
+        """Find the best policy of the most optimistic model in the confidence region.
+
+        Extended value iteration (appendix 10, for (12)) on bias differences, since each state
+        leads to its two neighbours alone. It starts from the differences of the last episode, and
+        ends once the gains of all states are nearly the same.
+        """
+        models, scale = self._optimistic_models()
+        differences = self.bias_differences
+        policy: list[bool] = []
+        for _ in range(MAX_SWEEPS):
+            gains, policy = _sweep(models, differences)
+            for state in range(self.max_requests):
+                differences[state] += gains[state + 1] - gains[state]
+            if max(gains) - min(gains) < self.step_cost * scale * SPAN_TOLERANCE:
                 break
             yield
         self.policy = policy
 
-    def story(self) -> str:
-        """Where the threshold stands (the first s refused), for the log."""
-        first = self.policy.index(0, self.cores) if 0 in self.policy[self.cores :] else self.top
-        return f"s {self.s} threshold {first} of {self.top} episodes {self.episodes} refused {self.bound}"
+    def _optimistic_models(self) -> tuple[list[StateModel], float]:
+        """Return the extremes of the confidence region (17) by state, and their time scale.
+
+        They are uniformized at the model's own largest rate: the policy and the bias stay as they
+        are, in fewer sweeps.
+        """
+        log_steps = math.log(4 * (self.steps + 2))
+        models = [self._pair_model(pair, log_steps) for pair in range(2 * (self.max_requests + 1))]
+        largest_rate = SMALLEST_RATE
+        for _, most_departures, fewest_arrivals, fewest_departures, most_arrivals in models:
+            largest_rate = max(
+                largest_rate,
+                most_departures + fewest_arrivals,
+                most_arrivals + fewest_departures,
+            )
+        scale = UNIFORMIZATION_MARGIN / largest_rate
+        scaled = [
+            (reward * scale, out * scale, few_in * scale, few_out * scale, many_in * scale)
+            for reward, out, few_in, few_out, many_in in models
+        ]
+        return list(zip(scaled[::2], scaled[1::2], strict=True)), scale
+
+    def _pair_model(self, pair: int, log_steps: float) -> PairModel:
+        """Return the extremes of the confidence region of one pair.
+
+        The estimates are those (14, 15) of the module that visited the pair most (13). The widths
+        have UCRL2's form (Jaksch et al. 2010) with the constants of the birth-and-death case
+        (Anselmi et al. 2022), scaled by `width_scale` (not from the paper). The reward is the
+        paper's (1) without its constant: the cost of the requests here and of rejections.
+        """
+        state = pair // 2
+        visits_by_module = [row[pair] for row in self.visits]
+        visits = max(visits_by_module)
+        module = visits_by_module.index(visits)
+        visits = max(1.0, visits)
+
+        cost = self.step_cost * state + self.rejections[module][pair] / visits
+        worst_cost = 1 + self.step_cost * self.max_requests
+        reward_width = self.width_scale * worst_cost * math.sqrt(2 * log_steps / visits)
+        rate_width = self.width_scale * math.sqrt(8 * log_steps / visits) / 2
+
+        arrivals = self.arrivals[module][pair] / visits
+        departures = self.departures[module][pair] / visits
+        most_departures = min(1.0, departures + rate_width) if state else 0.0
+        most_arrivals = min(1.0, arrivals + rate_width) if state < self.max_requests else 0.0
+        fewest_arrivals = min(max(0.0, arrivals - rate_width), 1 - most_departures)
+        fewest_departures = min(max(0.0, departures - rate_width), 1 - most_arrivals)
+        reward = min(0.0, reward_width - cost)
+        return reward, most_departures, fewest_arrivals, fewest_departures, most_arrivals
+
+    def log_line(self) -> str:
+        """Return the log's line on the threshold, which is the first state that rejects."""
+        beyond_cores = self.policy[self.cores :]
+        threshold = self.max_requests
+        if False in beyond_cores:
+            threshold = self.policy.index(False, self.cores)
+        return (
+            f"s {self.requests} threshold {threshold} of {self.max_requests} "
+            f"episodes {self.episodes} refused {self.rejected}"
+        )
+
+
+def _sweep(models: list[StateModel], differences: list[float]) -> tuple[list[float], list[bool]]:
+    """Apply the optimality operator of the extended MDP once.
+
+    Args:
+        models: The extremes that the confidence region allows, by state.
+        differences: The differences of the bias between state s + 1 and state s, by s.
+
+    Returns:
+        By state, the gain of the better action, and whether that is admitting. Admitting wins ties.
+    """
+    gains: list[float] = []
+    policy: list[bool] = []
+    below = 0.0  # the bias difference to the emptier state; `above`, to the fuller one
+    for (
+        (reject_reward, reject_out, reject_in, reject_few_out, reject_many_in),
+        (admit_reward, admit_out, admit_in, admit_few_out, admit_many_in),
+    ), above in zip(models, differences, strict=True):
+        reject = reject_reward - reject_out * below + reject_in * above
+        admit = admit_reward - admit_out * below + admit_in * above
+        if above > 0:  # unexplored fuller states may look better
+            reject_filling = reject_reward - reject_few_out * below + reject_many_in * above
+            if reject_filling > reject:
+                reject = reject_filling
+            admit_filling = admit_reward - admit_few_out * below + admit_many_in * above
+            if admit_filling > admit:
+                admit = admit_filling
+        admitted = admit >= reject
+        policy.append(admitted)
+        gains.append(admit if admitted else reject)
+        below = above
+    return gains, policy
--- a/gullyoke/admission/safety_limits.py
+++ b/gullyoke/admission/safety_limits.py
@@ -2,48 +2,76 @@
 
 from __future__ import annotations
 
-from gullyoke.admission.timing import TICK
+from typing import Final
 
+from gullyoke.admission.interface import Limits, Machine, Request
+from gullyoke.admission.timing import TICK_US
 
-class Guards:
-    """What the four rules need whatever the rest decides.
+USED_MEMORY_SHARE: Final = 0.92
+"""Share of the memory that is used at most."""
+USED_OVERLOAD_SHARE: Final = 0.8
+"""Share of the running requests that the server survives that is used (not from the paper)."""
+STOP_MARGIN_US: Final = 2 * TICK_US
+"""Microseconds before the stop at which all requests are answered."""
 
-    Memory, the crowd on the cores, the drain.
+
+class SafetyLimits:
+    """Memory in use, the speed of a server that warms up, and the drain.
+
+    Args:
+        now: The time in microseconds.
+        machine: The server's machine.
+        limits: The figures of the rules.
     """
 
-    def __init__(self, now: int, machine, limits) -> None:
-        self.machine, self.limits, self.started = machine, limits, now
-        self.kb, self.notice, self.stop_at = 0.0, None, None
-        self.keys: dict = {}  # kept reqs to the end of their notes; see `expire`
+    def __init__(self, now: int, machine: Machine, limits: Limits) -> None:
+        self.machine = machine
+        self.limits = limits
+        self.started_at = now
+        self.memory_kb = 0.0  # in use, remembered keys apart
+        self.drain_started_at: int | None = None
+        self.stop_at: int | None = None
+        self.key_expiries: dict[Request, int] = {}
 
     def speed(self, now: int) -> float:
-        """The share of its speed that the server has at the least."""
-        low = self.limits.cold_capacity if self.machine.starts_cold else 1.0
-        return min(1.0, low + (1 - low) * (now - self.started) / max(1, self.limits.warmup_time))
+        """Return the share of its full speed that the server has at the least."""
+        start = self.limits.cold_capacity if self.machine.starts_cold else 1.0
+        age = now - self.started_at
+        return min(1.0, start + (1 - start) * age / max(1, self.limits.warmup_time))
 
-    def crowd(self, now: int) -> float:
-        """What may be on the cores, with a margin (ours).
+    def max_on_cores(self, now: int) -> float:
+        """Return how many requests may be on the cores, with a margin.
 
-        Those at a call come back by themselves.
+        Those that wait for a dependency call count too: they come back by themselves.
         """
         return (
-            0.8 * self.machine.cores * (1 + (self.limits.overload_multiple - 1) * self.speed(now))
+            USED_OVERLOAD_SHARE
+            * self.machine.cores
+            * (1 + (self.limits.overload_multiple - 1) * self.speed(now))
         )
 
-    def expire(self, now: int) -> None:
-        self.keys = {request: until for request, until in self.keys.items() if until > now}
+    def expire_keys(self, now: int) -> None:
+        """Drop the remembered keys whose time is over."""
+        self.key_expiries = {
+            request: expiry for request, expiry in self.key_expiries.items() if expiry > now
+        }
 
-    def fits(self, kb: float) -> bool:
-        return self.kb + kb + len(self.keys) * self.machine.key_kb <= 0.92 * self.machine.memory_kb
+    def has_memory(self, kilobytes: float) -> bool:
+        """Return whether so much more memory may be used."""
+        used = self.memory_kb + kilobytes + len(self.key_expiries) * self.machine.key_kb
+        return used <= USED_MEMORY_SHARE * self.machine.memory_kb
 
-    def may_run(self, request, now: int) -> bool:
-        """Rule 3: nothing that came later than the grace is run.
+    def may_run(self, request: Request, now: int) -> bool:
+        """Return whether the drain allows the request to run.
 
-        Near the stop nothing more is begun.
+        What arrived after the drain's grace never runs, and near the stop nothing is started.
         """
-        in_grace = self.notice is None or request.arrived <= self.notice + self.limits.drain_grace
-        return in_grace and not self.closing(now)
+        in_grace = (
+            self.drain_started_at is None
+            or request.arrived <= self.drain_started_at + self.limits.drain_grace
+        )
+        return in_grace and not self.is_stopping(now)
 
-    def closing(self, now: int) -> bool:
-        """The stop is near: all in hand is answered now."""
-        return self.stop_at is not None and now >= self.stop_at - 2 * TICK
+    def is_stopping(self, now: int) -> bool:
+        """Return whether the stop is so near that all requests are to be answered now."""
+        return self.stop_at is not None and now >= self.stop_at - STOP_MARGIN_US
--- a/gullyoke/admission/timing.py
+++ b/gullyoke/admission/timing.py
@@ -1,19 +1,32 @@
-"""When an answer earns its full value, and the time between ticks."""
+"""The time between ticks, and what is expected of a request's times; all in microseconds."""
 
 from __future__ import annotations
 
-TICK = 100_000  # between wake-ups (ours); one wake-up is out at a time
+from typing import Final
 
+from gullyoke.admission.interface import Request, RequestClass
 
-def aim(request) -> int:
-    """By when an answer earns its full value, as far as this server can know.
+TICK_US: Final = 100_000
+"""Microseconds between ticks; one tick is scheduled at a time (not from the paper)."""
+RUN_TIMES_PER_OBJECTIVE: Final = 6
+"""A run is first taken to last the latency objective divided by this (not from the paper)."""
 
-    Earlier tries are not told.
 
-    Guards against runs for callers whose patience with a try is shorter than the target.
+def first_run_time(request_class: RequestClass) -> float:
+    """Return how long a run of the class is taken to last before any has ended."""
+    return request_class.latency_objective / RUN_TIMES_PER_OBJECTIVE
+
+
+def full_value_deadline(request: Request) -> int:
+    """Return the time by which an answer earns its full value, as far as this server can know.
+
+    The times of earlier attempts are unknown here. The deadline counts too, less a tick: a client
+    whose patience with an attempt is shorter than the objective is gone before the objective is.
     """
-    h = request.request_class
+    request_class = request.request_class
     return min(
-        request.deadline - TICK,
-        request.arrived + h.latency_objective + int(h.objective_stretch * request.cost_hint),
+        request.deadline - TICK_US,
+        request.arrived
+        + request_class.latency_objective
+        + int(request_class.objective_stretch * request.cost_hint),
     )
--- a/gullyoke/coordination/limit_parts.py
+++ b/gullyoke/coordination/limit_parts.py
@@ -1,6 +1,6 @@
 """One server's part of a limit on the calls of all servers to a dependency.
 
-These classes answer what the decisions ask of the `Slots` protocol
+These classes answer what the decisions ask of the `DependencySlots` protocol
 (gullyoke/admission/interface/fleet_feedback.py).
 
 There are two kinds of limit. `ConcurrencyPart` limits the calls in flight at every moment. A call
--- a/gullyoke/coordination/signals.py
+++ b/gullyoke/coordination/signals.py
@@ -17,6 +17,8 @@
 from statistics import median
 from typing import NamedTuple
 
+from gullyoke.admission.load_snapshot import LoadSnapshot
+
 STEPS = 15  # a share is told in so many steps
 YOUNG = 3_000_000  # microseconds for which a reading counts
 MOST, LEAST = 64, 5  # senders that are kept; fewer young ones say nothing
@@ -48,18 +50,9 @@
     stage: Stage
 
     @classmethod
-    def of(cls, server, stage: Stage) -> Reading:
-        """That of a server of decisions (gullyoke/admission/controller.py).
-
-        A run's usual time is held against what is taken for it before any has run: the same
-        yardstick on all servers.
-        """
-        room = max(0.0, 1 - (server.on + server.hold.size) / max(1.0, server.cap.now))
-        paces = [
-            cost / (request_class.latency_objective / 6)
-            for request_class, cost in server.hold.cost.items()
-        ]
-        return cls(room, server.advice.shedding, sum(paces) / max(1, len(paces)), stage)
+    def of(cls, load: LoadSnapshot, stage: Stage) -> Reading:
+        """Return the reading of a server that is loaded so."""
+        return cls(load.free_share, load.rejected_share, load.pace, stage)
 
     def pack(self) -> int:
         """14 bits. Pace is told in steps of a fifth, up to 3."""
@@ -172,7 +165,7 @@
 class Judgement:
     """One server's answers to 'slow or full?'.
 
-    The part of the port that the decisions ask (`Beside`). `draw` gives a number from 0 to 1.
+    The part of the port that the decisions ask (`FleetFeedback`). `draw` gives a number from 0 to 1.
     """
 
     def __init__(self, draw: Callable[[], float]) -> None:
--- a/gullyoke/emulator/beside.py
+++ b/gullyoke/emulator/beside.py
@@ -75,20 +75,14 @@
         server = node.server
         if not isinstance(server, AdmissionController) or server.learner is None:
             return
-        cold = server.guards.speed(now) < 1
-        stage = (
-            Stage.DRAINING
-            if server.guards.notice is not None
-            else Stage.COLD
-            if cold
-            else Stage.WARM
-        )
-        reading = Reading.of(server, stage)
+        load = server.load_snapshot(now)
+        stage = Stage.DRAINING if load.draining else Stage.COLD if load.warming_up else Stage.WARM
+        reading = Reading.of(load, stage)
         judged, was = self.judgement, self.judgement.back
         judged.weigh(now, reading, self.heard.young(now))
         if judged.back and stage is Stage.WARM:
             reading = reading._replace(stage=Stage.BACK)
-        if judged.back != was and self.beside.signals and server.guards.notice is None:
+        if judged.back != was and self.beside.signals and not load.draining:
             node.good = not judged.back
         self.count += 1
         word = self.beside.lie(node.number, self.telling.word(reading))
--- a/gullyoke/emulator/fleet.py
+++ b/gullyoke/emulator/fleet.py
@@ -11,11 +11,13 @@
 import numpy as np
 import simpy
 
-from gullyoke.admission.class_pools import Pools
+from gullyoke.admission.class_pools import ClassPools
 from gullyoke.admission.controller import AdmissionController
 from gullyoke.admission.interface import (
+    CALLING_DEPENDENCY,
     FAIL,
     RUN,
+    RUNNING,
     SKIP_DEPENDENCY_CALL,
     CallDependency,
     DependencyFacts,
@@ -205,7 +207,7 @@
             request.poorer, request.call = True, False
             self.cores.add(request.left, lambda: self._ran(request, request.left))
         elif isinstance(command, Reject) or command is FAIL:
-            if request.state not in ("on", "off") and not request.left:
+            if request.state not in (RUNNING, CALLING_DEPENDENCY) and not request.left:
                 self.held(-request.memory_kb)
             self.fleet.told(request, self, command)
 
@@ -555,7 +557,7 @@
         limits = Limits(100_000, 2_000_000, m.tip_multiple, 1_500_000, COLD, WARM)
         request_classes = node.fleet.request_classes
         shares = (
-            Pools(
+            ClassPools(
                 node.fleet.now(),
                 m.cores,
                 {h: h for h in request_classes},
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -15,7 +15,7 @@
 import time
 from collections.abc import Callable
 
-from gullyoke.admission.interface import Slots
+from gullyoke.admission.interface import DependencySlots
 from gullyoke.coordination.max_min_fairness import split_limit
 from gullyoke.durability.disk_quota import DataKind
 from gullyoke.extensions.disks import Room
@@ -67,13 +67,13 @@
 
 
 class Gated:
-    """A `Slots` for the decisions.
+    """A `DependencySlots` for the decisions.
 
     No call goes out to what is taken for dead but by whose turn it is.
     """
 
     def __init__(
-        self, slots: Slots, probe: DependencyProbe, holding: Callable[[int], bool]
+        self, slots: DependencySlots, probe: DependencyProbe, holding: Callable[[int], bool]
     ) -> None:
         self.slots, self.probe, self.holding = slots, probe, holding
         self.lock = threading.Lock()
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -108,7 +108,7 @@
             server = dispatcher.server
             if server is not None and not server.machine.starts_cold:
                 return  # it began warm
-            age = clock.now() - server.guards.started if server is not None else 0
+            age = clock.now() - server.safety.started_at if server is not None else 0
             step = colds.age_bucket(age)
             if server is not None and step != self.step:
                 if self.step < 0:
@@ -121,20 +121,20 @@
             timer.call_at(clock.now() + COLD_LOOK, lambda: self.look_cold(dispatcher, timer))
             return
         with dispatcher.lock:
-            del server.hold.ran  # the class's own again
+            del server.queue.run_finished  # the class's own again
             row = self.curve.take_snapshot(self.stated, time.time(), self.cold)
         if row.run_times_us:
             self.put(COLD, rules.pack_row(row))
 
     def follow(self, server) -> None:
         """Each run's time is noted from now on, beside what the decisions make of it."""
-        ran, curve = server.hold.ran, self.curve
+        ran, curve = server.queue.run_finished, self.curve
 
         def noted(request_class, took: int) -> None:
             ran(request_class, took)
-            curve.record_run(server.now - server.guards.started, request_class.name, took)
+            curve.record_run(server.now - server.safety.started_at, request_class.name, took)
 
-        server.hold.ran = noted
+        server.queue.run_finished = noted
 
     def look(self, dispatcher: Dispatcher, timer: Timer) -> None:
         timer.call_at(clock.now() + LOOK, lambda: self.look(dispatcher, timer))
@@ -148,10 +148,10 @@
                     rules.apply_snapshot(server, self.found, self.weight)
                 self.metrics.increment("memory.recalled" if self.weight > 0 else "memory.fresh")
             row = rules.take_snapshot(server, self.stated, time.time())
-            warm = server.guards.speed(dispatcher.now) >= 1.0
+            warm = server.safety.speed(dispatcher.now) >= 1.0
             leaving, crowd = (
                 dispatcher.stop_at is not None,
-                server.on > server.guards.crowd(dispatcher.now),
+                server.running > server.safety.max_on_cores(dispatcher.now),
             )
         self.keep(row, warm, leaving, crowd)
 
--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -130,7 +130,7 @@
                 request.arrived,
                 until,
                 request.deadline,
-                self.real.server.hold.cost[h],
+                self.real.server.queue.run_times[h],
                 fit,
             )
 
--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -69,6 +69,12 @@
 def standing(dispatcher: Dispatcher) -> Reading:
     """How this server stands, in the words of the signals; under the desk's lock."""
     server = dispatcher.server
-    cold = server.guards.speed(dispatcher.now) < 1
-    stage = Stage.DRAINING if dispatcher.stop_at is not None else Stage.COLD if cold else Stage.WARM
-    return Reading.of(server, stage)
+    load = server.load_snapshot(dispatcher.now)
+    stage = (
+        Stage.DRAINING
+        if dispatcher.stop_at is not None
+        else Stage.COLD
+        if load.warming_up
+        else Stage.WARM
+    )
+    return Reading.of(load, stage)
--- a/gullyoke/peer_transport/quota_service.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -126,7 +126,7 @@
 
 
 class SharedSlots(SharedLimit[ConcurrencyPart | MeanConcurrencyPart]):
-    """A limit on calls; the `Slots` of the decisions."""
+    """A limit on calls; the `DependencySlots` of the decisions."""
 
     def share(self, now: int, told: float | None, spent: float) -> float | None:
         """Return the mean number of calls that may be in flight; None where no mean is limited."""
--- a/gullyoke/runtime/dispatcher.py
+++ b/gullyoke/runtime/dispatcher.py
@@ -8,7 +8,7 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 
-from gullyoke.admission.class_pools import Pools
+from gullyoke.admission.class_pools import ClassPools
 from gullyoke.admission.controller import AdmissionController
 from gullyoke.admission.interface import FAIL, Gauges, RequestEvent, SiteFacts
 from gullyoke.runtime import clock
@@ -75,12 +75,12 @@
             if self.stop_at is not None:
                 self.server.begin_drain(self.now, self.stop_at)
 
-    def _pools(self, began: int) -> Pools | None:
+    def _pools(self, began: int) -> ClassPools | None:
         if self.class_pools is None:
             return None
         minimum, classes = self.class_pools
         class_of = {h: classes.get(h.name, h) for h in self.facts.request_classes}
-        return Pools(began, self.facts.machine.cores, class_of, minimum)
+        return ClassPools(began, self.facts.machine.cores, class_of, minimum)
 
     def handle(
         self, act: Callable[[], None], request: PendingRequest | None = None, patience: float = -1
--- a/gullyoke/storage/run_time_history.py
+++ b/gullyoke/storage/run_time_history.py
@@ -160,20 +160,22 @@
     """Copy what the decisions have learned; None before their first request."""
     if server.learner is None:
         return None
-    run_times_us = {request_class.name: cost for request_class, cost in server.hold.cost.items()}
-    return RunTimeSnapshot(settings_digest, now_s, run_times_us, server.below.usual)
+    run_times_us = {
+        request_class.name: cost for request_class, cost in server.queue.run_times.items()
+    }
+    return RunTimeSnapshot(settings_digest, now_s, run_times_us, server.dependency.usual_call_time)
 
 
 def apply_snapshot(server: AdmissionController, snapshot: RunTimeSnapshot, weight: float) -> None:
     """Move the first guesses of the decisions towards a snapshot, by its weight from 0 to 1."""
-    costs = server.hold.cost
+    costs = server.queue.run_times
     for request_class in costs:
         if request_class.name in snapshot.run_times_us:
             saved_us = snapshot.run_times_us[request_class.name]
             costs[request_class] += weight * (saved_us - costs[request_class])
     usual_us = snapshot.dependency_call_us * (weight > 0)
-    server.below.usual = usual_us
-    server.below.lately = usual_us
+    server.dependency.usual_call_time = usual_us
+    server.dependency.recent_call_time = usual_us
 
 
 RowT = TypeVar("RowT", bound=msgspec.Struct)
--- a/gullyoke/storage/warmup_history.py
+++ b/gullyoke/storage/warmup_history.py
@@ -128,7 +128,7 @@
     bucket = age_bucket(age_us)
     if bucket is None:
         return
-    costs = server.hold.cost
+    costs = server.queue.run_times
     nothing = [0.0] * len(AGE_BUCKETS_US)
     for request_class in costs:
         run_time_us = snapshot.run_times_us.get(request_class.name, nothing)[bucket]
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -225,7 +225,7 @@
                 live.hook(dependency_module.DependencyClient, "claim_end", before_ended),
                 live.hook(EventRelay, "on_call_ended", called),
                 mock.patch.object(
-                    live.dispatcher.server.below, "try_for", lambda request, now: 50_000
+                    live.dispatcher.server.dependency, "call_timeout", lambda request, now: 50_000
                 ),
             ):
                 for i in range(REPEATS):
@@ -265,7 +265,7 @@
         """
         with (
             Live() as live,
-            mock.patch.object(live.dispatcher.server.below, "try_for", lambda request, now: 60_000),
+            mock.patch.object(live.dispatcher.server.dependency, "call_timeout", lambda request, now: 60_000),
         ):
             client = live.client()
             real = dependency_module.open_connection
--- a/tests/emulator/test_class_pools.py
+++ b/tests/emulator/test_class_pools.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from emulator.test_emulator import W
-from gullyoke.admission.class_pools import Pools
+from gullyoke.admission.class_pools import ClassPools
 from gullyoke.admission.interface import RUN, Idempotency, RequestClass
 from gullyoke.cli.main import main
 from gullyoke.emulator.day import SECOND, Machines, Shared, drawn
@@ -37,12 +37,12 @@
         for _ in range(seconds * 10):
             now += 100_000
             for h, cores in rates.items():
-                for _ in range(max(0, round(cores * 100_000 / pools.of[h].cost))):
+                for _ in range(max(0, round(cores * 100_000 / pools.by_class[h].cost))):
                     asked[h] = asked.get(h, 0) + 1
-                    if pools.ask(h):
+                    if pools.take(h):
                         fits[h] = fits.get(h, 0) + 1
-            pools.done = pools.cores * 100_000  # the cores are always full
-            pools.adjust(now, 100_000, True)
+            pools.completed_core_time = pools.cores * 100_000  # the cores are always full
+            pools.adjust(100_000, True)
         return {h: fits.get(h, 0) / asked[h] for h in asked}, now
 
     def test_order(self):
@@ -51,7 +51,7 @@
         time.
         """
         low, high = request_class("low", 1.0, 200_000), request_class("high", 3.0, 100_000)
-        pools = Pools(0, 4, {low: 1, high: 2}, minimum=0.05)
+        pools = ClassPools(0, 4, {low: 1, high: 2}, minimum_share=0.05)
         self.demand(pools, {low: 10.0, high: 2.0}, 5)
         got, now = self.demand(pools, {low: 10.0, high: 2.0}, 5, 5 * SECOND)
         self.assertEqual(got[high], 1.0)
@@ -70,10 +70,10 @@
         The threshold is its limit.
         """
         one = request_class("one", 1.0, 100_000)
-        pools = Pools(0, 2, {one: one})
+        pools = ClassPools(0, 2, {one: one})
         got, _ = self.demand(pools, {one: 20.0}, 5)
         self.assertEqual(got, {one: 1.0})
-        self.assertEqual(pools.reserve(one), 0)
+        self.assertEqual(pools.reserved_requests(one), 0)
 
     def test_no_room(self):
         """Guards against a limit of next to nothing, whose wait is no number that fits.
@@ -81,11 +81,11 @@
         Advice is bounded.
         """
         low, high = request_class("low", 1.0, 2201), request_class("high", 1.0, 2200)
-        pools = Pools(0, 1, {low: low, high: high}, 2.2e-309)
+        pools = ClassPools(0, 1, {low: low, high: high}, 2.2e-309)
         self.demand(pools, {low: 2.0, high: 2.0}, 3)
-        for pool in pools.rows:
-            pool.rate, pool.rest = 2.2e-309, 0.0
-        self.assertLessEqual(pools.room_in(low), 10 * SECOND)
+        for pool in pools.pools:
+            pool.limit, pool.balance = 2.2e-309, 0.0
+        self.assertLessEqual(pools.capacity_wait(low), 10 * SECOND)
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(
@@ -107,20 +107,20 @@
             request_class(f"h{i}", value, work): load
             for i, (value, work, load) in enumerate(classes)
         }
-        pools = Pools(0, cores, {h: h for h in rates}, minimum)
+        pools = ClassPools(0, cores, {h: h for h in rates}, minimum)
         now = 0
         for _ in range(30):
             now += 100_000
             for h, load in rates.items():
-                for _ in range(min(50, int(load * 100_000 / pools.of[h].cost))):
-                    pools.ask(h)
-            pools.done = cores * 100_000
-            pools.adjust(now, 100_000, True)
-            self.assertLessEqual(sum(p.rate for p in pools.rows), 1.11 * pools.capacity + 1e-6)
-            for h, p in pools.of.items():
-                self.assertLessEqual(p.rate, p.asked + 1e-9)
-                self.assertLessEqual(pools.reserve(h), (cores + 1) // 2)
-                self.assertGreaterEqual(pools.room_in(h), 0)
+                for _ in range(min(50, int(load * 100_000 / pools.by_class[h].cost))):
+                    pools.take(h)
+            pools.completed_core_time = cores * 100_000
+            pools.adjust(100_000, True)
+            self.assertLessEqual(sum(p.limit for p in pools.pools), 1.11 * pools.capacity + 1e-6)
+            for h, p in pools.by_class.items():
+                self.assertLessEqual(p.limit, p.demand + 1e-9)
+                self.assertLessEqual(pools.reserved_requests(h), (cores + 1) // 2)
+                self.assertGreaterEqual(pools.capacity_wait(h), 0)
 
 
 class Days(unittest.TestCase):
@@ -223,7 +223,7 @@
                 late.append(request)
             do(request, command)
 
-        node.server.stage.do = watched
+        node.server.stepper.execute = watched
         got = running.play()
         self.assertEqual((got.unanswered, got.overdue, late), (0, 0, []))
 
--- a/tests/storage/test_remember.py
+++ b/tests/storage/test_remember.py
@@ -28,9 +28,9 @@
         young = Running(drawn(W, Machines(servers=1), 1.5, SECOND, 2), deciding(False))
         young.play()
         fresh = young.nodes[0].server
-        before = {h.name: cost for h, cost in fresh.hold.cost.items()}
+        before = {h.name: cost for h, cost in fresh.queue.run_times.items()}
         run_time_history.apply_snapshot(fresh, found, 0.25)
-        for h, cost in fresh.hold.cost.items():
+        for h, cost in fresh.queue.run_times.items():
             self.assertAlmostEqual(cost, 0.75 * before[h.name] + 0.25 * found.run_times_us[h.name])
         run_time_history.apply_snapshot(
             fresh, run_time_history.RunTimeSnapshot(7, 0.0, {"gone": 5.0}, 0.0), 0.25
@@ -137,11 +137,11 @@
         server = (
             Running(drawn(W, Machines(servers=1), 1.5, SECOND, 2), deciding(False)).nodes[0].server
         )
-        before = {h.name: cost for h, cost in server.hold.cost.items()}
+        before = {h.name: cost for h, cost in server.queue.run_times.items()}
         warmup_history.apply_snapshot(server, both, 17_000_000)
-        self.assertEqual(before, {h.name: cost for h, cost in server.hold.cost.items()})
+        self.assertEqual(before, {h.name: cost for h, cost in server.queue.run_times.items()})
         warmup_history.apply_snapshot(server, both, 700_000)
-        after = {h.name: cost for h, cost in server.hold.cost.items()}
+        after = {h.name: cost for h, cost in server.queue.run_times.items()}
         self.assertEqual(after, before | {"box-view": both.run_times_us["box-view"][1]})
         self.assertTrue(warmup_history.is_usable(both, 7, run_time_history.StartHistory(0)))
         self.assertFalse(
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -46,7 +46,7 @@
     Tenant,
 )
 from gullyoke.admission.learner import Learner
-from gullyoke.admission.timing import TICK
+from gullyoke.admission.timing import TICK_US as TICK
 from gullyoke.codec import http, lines
 from gullyoke.codec.buffer import Buffer
 from gullyoke.daemon.command_router import CommandRouter
@@ -640,11 +640,11 @@
             Dispatcher(parse_site_facts(flatten_settings(site())), 1, Metrics()),
             Learner(0, 40, 2, 1e5, 1e-6),
         )
-        learner.steepness, last = [1.0] * 41, learner.policy
+        learner.bias_differences, last = [1.0] * 41, learner.policy
         learner.visits[0][6] += 9.0
-        work, pieces = learner.solve(), 0
+        work, pieces = learner.start_episode(), 0
         self.assertEqual(
-            learner.before, learner.visits
+            learner.visits_before_episode, learner.visits
         )  # it began with that, not with its first piece
         while dispatcher.run_background_step(work):
             pieces += 1
