--- a/gullyoke/simulator_adapter/__init__.py
+++ b/gullyoke/simulator_adapter/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter for the bench: its wire on one side, the port on the other.
+"""The adapter to the simulator: its wire on one side, the decisions' commands on the other.
 
-Wire names end here.
+The wire's names stand in this package alone.
 """
--- a/gullyoke/simulator_adapter/__main__.py
+++ b/gullyoke/simulator_adapter/__main__.py
@@ -1,12 +1,15 @@
-"""Run the decisions on the bench's wire: `python -m gullyoke.simulator_adapter`, batches in, replies out."""
+"""Run the decisions on the simulator's wire, from standard input to standard output."""
 
 import sys
 
-from gullyoke.simulator_adapter.batches import MalformedMessageError, play
+from gullyoke.simulator_adapter.batches import answer_batches
+from gullyoke.simulator_adapter.wire import MalformedMessageError
+
+EXIT_MALFORMED = 2
 
 if __name__ == "__main__":
     try:
-        play(sys.stdin.buffer, sys.stdout)
-    except MalformedMessageError as fault:
-        print(fault, file=sys.stderr)
-        sys.exit(2)
+        answer_batches(sys.stdin.buffer, sys.stdout)
+    except MalformedMessageError as error:
+        print(error, file=sys.stderr)
+        sys.exit(EXIT_MALFORMED)
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -10,7 +10,8 @@
 
 from compatibility.recorded import DATA
 from gullyoke.admission.interface import Gauges
-from gullyoke.simulator_adapter.batches import MalformedMessageError, Play, play
+from gullyoke.simulator_adapter.batches import BatchReader, answer_batches
+from gullyoke.simulator_adapter.wire import MalformedMessageError
 
 CONFIGURE = next(
     line
@@ -57,7 +58,7 @@
 def replies_to(batches):
     """The reply lines, one list for each batch."""
     sink = io.StringIO()
-    play(io.BytesIO(batches), sink)
+    answer_batches(io.BytesIO(batches), sink)
     return by_batch(sink.getvalue())
 
 
@@ -97,7 +98,7 @@
 
     def test_arrival_fields(self):
         """Each field of an arrival, and what stands where it is absent."""
-        game = Play()
+        reader = BatchReader()
         for line in (
             "frame TimeUs=1000000 seq=1",
             "on Who=server_0",
@@ -110,8 +111,8 @@
             "Update=1 Footprint=24.5 Resent=1 Forerunner=00000000000000a1 NameKey=k:7 "
             "Type=view Standing=0.625 SrcPeer=17 Owner=acme CostUs=12000",
         ):
-            game.line(line)
-        first, second = game.seats["server_0"].requests.values()
+            reader.read_line(line)
+        first, second = reader.servers["server_0"].requests.values()
         self.assertEqual(
             (
                 first.request_id,
@@ -156,26 +157,26 @@
         )
 
     def test_truth_values(self):
-        game = Play()
+        reader = BatchReader()
         for line in ("frame TimeUs=1000000 seq=1", "on Who=server_0", CONFIGURE):
-            game.line(line)
+            reader.read_line(line)
         for request_id, (text, value) in enumerate(
             (("1", True), ("0", False), ("true", True), ("false", False))
         ):
-            game.line(f"arrival Tid={request_id:016x} Type=view Resent={text}")
-            self.assertIs(game.seats["server_0"].requests[f"{request_id:016x}"].is_retry, value)
+            reader.read_line(f"arrival Tid={request_id:016x} Type=view Resent={text}")
+            self.assertIs(reader.servers["server_0"].requests[f"{request_id:016x}"].is_retry, value)
 
     def test_gauges(self):
         """The server's own gauges by their names; one that is not told is None."""
-        game = Play()
+        reader = BatchReader()
         for line in ("frame TimeUs=1000000 seq=1", "on Who=server_0", CONFIGURE):
-            game.line(line)
-        server = game.seats["server_0"].server = mock.MagicMock()
+            reader.read_line(line)
+        server = reader.servers["server_0"].controller = mock.MagicMock()
         for text, gauges in (
             ("core_use:0.62,on_cores:3,heap_share:0.41,links:120", Gauges(0.62, 3.0, 120.0)),
             ("links:7", Gauges(None, None, 7.0)),
         ):
-            game.line(f"fired Token=1 Telemetry={text}")
+            reader.read_line(f"fired Token=1 Telemetry={text}")
             server.on_tick.assert_called_with(1_000_000, gauges)
 
     def test_empty_batch(self):
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -65,7 +65,7 @@
 from gullyoke.settings.reader import flatten_settings
 from gullyoke.settings.site_settings import parse_site_facts
 from gullyoke.simulator_adapter import batches
-from gullyoke.simulator_adapter.batches import MalformedMessageError
+from gullyoke.simulator_adapter.wire import MalformedMessageError
 
 HERE = pathlib.Path(__file__).parent
 WORDS = {
@@ -419,7 +419,7 @@
     @staticmethod
     def wire(text):
         out = io.StringIO()
-        batches.play(io.BytesIO(text.encode()), out)
+        batches.answer_batches(io.BytesIO(text.encode()), out)
         return out.getvalue()
 
     def test_torn(self):
