--- /dev/null
+++ b/gullyoke/admission/arrivals.py
@@ -0,0 +1,136 @@
+"""Whether a request that was read is queued or rejected."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from gullyoke.admission.interface import (
+    QUEUED,
+    Idempotency,
+    Reject,
+    Request,
+    RequestClass,
+    RequestEvent,
+)
+from gullyoke.admission.server_state import ServerState
+from gullyoke.admission.timing import TICK_US
+
+LONG_QUEUE_SHARE: Final = 40
+"""Pools bind where the queue takes longer than the class's objective divided by this."""
+LARGEST_SPARE_MEMORY_SHARE: Final = 0.5
+"""Of the memory, queued requests leave so much at most for runs to grow."""
+POOL_WAIT_FACTOR: Final = 3
+"""A client that its class's pool rejects stays away for so many times the pool's wait."""
+
+
+class ArrivalDecisions:
+    """Decides on arrivals, in the order of `accept_or_reject`.
+
+    Args:
+        state: The server's state.
+    """
+
+    def __init__(self, state: ServerState) -> None:
+        self.state = state
+
+    def accept_or_reject(self, request: Request) -> Reject | None:
+        """Return the rejection of a request, or None once its state is queued."""
+        state = self.state
+        request_class = request.request_class
+        rejection = self._reject_hopeless(request)
+        if rejection is not None:
+            return rejection
+        pools = state.pools
+        # Pools act where there is a queue: what is dispatched at once is not theirs to reject.
+        pools_bind = pools is not None and self._has_long_queue(request_class)
+        if pools is not None and not pools.take(request_class) and pools_bind:
+            self._count_rejection()
+            pool_wait = pools.capacity_wait(request_class)
+            return state.feedback.reject(False, backlog=POOL_WAIT_FACTOR * pool_wait)
+        if not self._make_room(request):
+            self._count_rejection()
+            return state.feedback.reject(False)
+        reserved = 0
+        if pools is not None and pools_bind:
+            reserved = pools.reserved_requests(request_class)
+        return self._apply_threshold(request, reserved)
+
+    def _reject_hopeless(self, request: Request) -> Reject | None:
+        """Reject what could not be answered in time."""
+        state = self.state
+        accepting = request.request_class.accepting
+        # An answer at the next tick would come too late, or what runs need is not to be had.
+        if request.deadline <= state.now + TICK_US or not accepting:
+            return state.feedback.reject(accepting, leaving=not accepting)
+        backlog = state.queue.backlog(request.request_class) / state.machine.cores
+        assert state.learner is not None
+        if state.learner.is_binding() and state.queue.is_too_late(
+            request, state.now + int(backlog)
+        ):
+            self._count_rejection()
+            return state.feedback.reject(
+                state.queue.is_too_late(request, state.now), backlog=backlog
+            )
+        return None
+
+    def _has_long_queue(self, request_class: RequestClass) -> bool:
+        """Return whether the threshold binds and the queue takes a while."""
+        state = self.state
+        assert state.learner is not None
+        if not state.learner.is_binding():
+            return False
+        return state.queue_time() > request_class.latency_objective / LONG_QUEUE_SHARE
+
+    def _make_room(self, request: Request) -> bool:
+        """Give up queued requests until the memory suffices; return False if it doesn't.
+
+        Queued requests leave memory for some to run.
+        """
+        state = self.state
+        machine = state.machine
+        free_cores = max(0, machine.cores - state.running - state.calling_dependency)
+        spare_kb = min(
+            LARGEST_SPARE_MEMORY_SHARE * machine.memory_kb,
+            free_cores * request.memory_kb * (machine.running_memory_factor - 1),
+        )
+        key_kb = machine.key_kb if key_ttl(request.request_class) else 0
+        while not state.safety.has_memory(request.memory_kb + spare_kb + key_kb):
+            victim = state.queue.choose_victim(state.now, request)
+            if victim is request:
+                return False
+            state.resume(victim, RequestEvent.EVICTED)
+        return True
+
+    def _apply_threshold(self, request: Request, reserved: int) -> Reject | None:
+        """Queue the request if the learner admits it, or in the place of a worse one.
+
+        Args:
+            request: The request.
+            reserved: Requests for which the threshold keeps places.
+
+        Returns:
+            The rejection, where the request itself is the worst.
+        """
+        state = self.state
+        assert state.learner is not None
+        if state.learner.admits(reserved):
+            state.move(request, QUEUED)
+            return None
+        self._count_rejection()
+        victim = state.queue.choose_victim(state.now, request)
+        if victim is request:
+            return state.feedback.reject(False, backlog=state.queue_time())
+        state.move(request, QUEUED, counted=False)
+        victim.displaced = True  # by the newcomer: the learner's state stays as it is
+        state.resume(victim, RequestEvent.EVICTED)
+        return None
+
+    def _count_rejection(self) -> None:
+        """Count a rejected arrival in the learner."""
+        assert self.state.learner is not None
+        self.state.learner.count(self.state.now, 0, 1)
+
+
+def key_ttl(request_class: RequestClass) -> int:
+    """Return for how many microseconds the key of such a request is remembered while it waits."""
+    return request_class.key_ttl if request_class.idempotency is Idempotency.KEYED else 0
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -106,7 +106,7 @@
         """
         with dispatcher.lock:
             server = dispatcher.server
-            if server is not None and not server.machine.starts_cold:
+            if server is not None and not server.safety.machine.starts_cold:
                 return  # it began warm
             age = clock.now() - server.safety.started_at if server is not None else 0
             step = colds.age_bucket(age)
@@ -151,7 +151,7 @@
             warm = server.safety.speed(dispatcher.now) >= 1.0
             leaving, crowd = (
                 dispatcher.stop_at is not None,
-                server.running > server.safety.max_on_cores(dispatcher.now),
+                server.state.running > server.safety.max_on_cores(dispatcher.now),
             )
         self.keep(row, warm, leaving, crowd)
 
--- a/tests/emulator/test_class_pools.py
+++ b/tests/emulator/test_class_pools.py
@@ -223,7 +223,7 @@
                 late.append(request)
             do(request, command)
 
-        node.server.stepper.execute = watched
+        node.server.state.stepper.execute = watched
         got = running.play()
         self.assertEqual((got.unanswered, got.overdue, late), (0, 0, []))
 
