--- a/gullyoke/admission/interface/fleet_feedback.py
+++ b/gullyoke/admission/interface/fleet_feedback.py
@@ -1,87 +1,106 @@
-"""What other servers of a fleet can state to the decisions, and what stands there where nothing is
-known of them: each is asked under the lock that the decisions hold, and answers at once.
+"""What other servers of a fleet tell the decisions, and what stands there where none does.
+
+Each method is called under the lock that the decisions run under, and answers at once. Times are
+whole microseconds.
 """
 
 from __future__ import annotations
 
 import math
-from typing import Protocol
+from typing import Final, Protocol
+
+UNSHARED_CALLS_AT_ONCE: Final = 8.0
+"""Calls that are taken to be in flight at once where no slots are shared."""
 
 
 class DependencySlots(Protocol):
-    """What calls below this server may have out, of what all servers share."""
+    """This server's part of the dependency calls that all servers share."""
 
     def share(self, now: int, told: float | None, spent: float) -> float | None:
-        """The mean number of calls that may be out; `told`, what it is so far.
+        """Return the mean number of calls that may be in flight.
 
-        `spent`, the call time, in microseconds, that counts against it. None where no mean is
-        bound.
+        Args:
+            now: The time.
+            told: That number so far.
+            spent: Call time that counts against it.
+
+        Returns:
+            The mean; None where none is bound.
         """
 
     def free(self, now: int, waiting: int) -> bool:
-        """Whether one more may go out now; `waiting` would like to beside it."""
+        """Return whether one more call may be made now; `waiting` more requests want one."""
 
     def until(self, now: int) -> float:
-        """By when the next one has to be over, its linger included.
-
-        Its place is sure until then.
-        """
+        """Return by when the next call has to be over, its linger included."""
 
     def pace(self, now: int) -> float:
-        """How many may be out at once, for reckoning how long one waits; above 0."""
+        """Return how many calls may be in flight at once, above 0; for estimates of waits."""
 
-    def began(self) -> None: ...
+    def began(self) -> None:
+        """Count a call that is made now."""
 
     def ended(self, now: int, lost: bool, well: bool) -> None:
-        """`lost`: it may stay in the dependency's hands for the stated linger; `well`.
+        """Count a call that has ended.
 
-        It was answered.
+        Args:
+            now: The time.
+            lost: Whether it may stay in the dependency's hands for the stated linger.
+            well: Whether it was answered.
         """
 
 
 class FleetFeedback(Protocol):
-    """What the others' words come to."""
+    """What the reports of the other servers come to."""
 
     def full(self, alone: bool) -> bool:
-        """Whether so many turn reqs away themselves that a further try is not worth it.
+        """Return whether so many servers reject requests that a retry is not worth it.
 
-        `alone`, what this server says by itself.
+        Args:
+            alone: Whether this server by itself is so full.
         """
 
     def stay(self, wait: int) -> int:
-        """How long a caller should stay away, in microseconds, where this server alone would say
-        `wait`.
-        """
+        """Return for how long a client should stay away; `wait`, this server's own advice."""
 
 
-class Unshared:
-    """No slots are shared: others' calls are no affair of this server's."""
+class UnsharedSlots:
+    """No slots are shared: calls of other servers don't count here."""
 
     def share(self, now: int, told: float | None, spent: float) -> float | None:
+        """Return the stated mean."""
         return told
 
     def free(self, now: int, waiting: int) -> bool:
+        """Return True: there is always a slot."""
         return True
 
     def until(self, now: int) -> float:
+        """Return that calls may take for ever."""
         return math.inf
 
     def pace(self, now: int) -> float:
-        return 8.0
+        """Return a fixed number of calls."""
+        return UNSHARED_CALLS_AT_ONCE
 
-    def began(self) -> None: ...
+    def began(self) -> None:
+        """Count nothing."""
 
-    def ended(self, now: int, lost: bool, well: bool) -> None: ...
+    def ended(self, now: int, lost: bool, well: bool) -> None:
+        """Count nothing."""
 
 
-class Alone:
-    """Nobody tells anything."""
+class NoFleetFeedback:
+    """No other server reports anything."""
 
     def full(self, alone: bool) -> bool:
+        """Return what this server finds by itself."""
         return alone
 
     def stay(self, wait: int) -> int:
+        """Return this server's own advice."""
         return wait
 
 
-UNSHARED, ALONE = Unshared(), Alone()
+UNSHARED: Final = UnsharedSlots()
+ALONE: Final = NoFleetFeedback()
--- a/gullyoke/emulator/baselines.py
+++ b/gullyoke/emulator/baselines.py
@@ -1,77 +1,104 @@
-"""Policies to compare with, never to run.
-
-A plain pool with a short line, and strict priority by value.
-"""
+"""Policies to compare the decisions with: a plain worker pool, and strict priority by value."""
 
 from __future__ import annotations
 
 from collections import deque
 
-from gullyoke.admission.interface import FAIL, RUN, CallDependency, Reject, RequestEvent
-
-TICK = 100_000
+from gullyoke.admission.interface import (
+    FAIL,
+    RUN,
+    CallDependency,
+    CommandExecutor,
+    Gauges,
+    Reject,
+    Request,
+    RequestEvent,
+)
+from gullyoke.admission.timing import TICK_US
 
 
 class PlainPool:
-    """So many runs and so many waiting; first come first served, or by value (`strict`).
+    """A fixed number of runs and a queue with a fixed length, as many servers have them.
+
+    Called as `AdmissionController` is. A queued request whose deadline is near fails at the next
+    tick; runs are never stopped, and calls are bound by the deadline alone.
 
-    Called as the decisions are; what is out of time is answered errored at the next wake-up.
+    Args:
+        executor: What carries out the decisions.
+        max_running: Requests that run at once.
+        max_queued: Requests that wait for a run.
+        by_value: Whether the most valuable request goes first, and not the one that came first.
     """
 
-    def __init__(self, executor, runs: int, line: int, strict: bool = False) -> None:
-        self.executor, self.runs, self.most, self.strict, self.on = executor, runs, line, strict, 0
-        self.line: deque = deque()
-        self.open: dict = {}
-        executor.schedule_tick(TICK)
-
-    def on_request(self, now: int, request) -> None:
-        if len(self.line) >= self.most and self.on >= self.runs:
-            worst = (
-                min(self.line, key=lambda r: r.request_class.priority_weight, default=request)
-                if self.strict
-                else request
-            )
-            if worst.request_class.priority_weight >= request.request_class.priority_weight:
-                worst = request
-            self.executor.execute(worst, Reject())
-            if worst is request:
+    def __init__(
+        self, executor: CommandExecutor, max_running: int, max_queued: int, by_value: bool = False
+    ) -> None:
+        self.executor = executor
+        self.max_running = max_running
+        self.max_queued = max_queued
+        self.by_value = by_value
+        self.running = 0
+        self.queue: deque[Request] = deque()
+        self.open_requests: dict[Request, None] = {}  # in their order
+        executor.schedule_tick(TICK_US)
+
+    def on_request(self, now: int, request: Request) -> None:
+        """Queue the request; where the queue is full, reject it or one that is worth less."""
+        if len(self.queue) >= self.max_queued and self.running >= self.max_running:
+            victim = self._least_valuable(request)
+            self.executor.execute(victim, Reject())
+            if victim is request:
                 return
-            self.line.remove(worst)
-            self.open.pop(worst, None)
-        self.open[request] = None
-        self.line.append(request)
-
-    def on_event(self, now: int, request, word: RequestEvent) -> None:
-        if word in (RequestEvent.COMPLETED, RequestEvent.FAILED):
-            self.on -= 1
-            self.open.pop(request, None)
-        elif word is RequestEvent.DEPENDENCY_CALL_NEEDED:
-            self.executor.execute(request, CallDependency(max(1, request.deadline - now)))
-        elif word in (RequestEvent.CALL_OUTCOME_UNKNOWN, RequestEvent.CALL_NOT_SENT):
-            self.on -= 1
-            self.open.pop(request, None)
+            self.queue.remove(victim)
+            self.open_requests.pop(victim, None)
+        self.open_requests[request] = None
+        self.queue.append(request)
+
+    def _least_valuable(self, newcomer: Request) -> Request:
+        """Return the queued request that is worth less than the newcomer, or the newcomer."""
+        if not self.by_value or not self.queue:
+            return newcomer
+        queued = min(self.queue, key=_value)
+        return newcomer if _value(queued) >= _value(newcomer) else queued
+
+    def on_event(self, now: int, request: Request, event: RequestEvent) -> None:
+        """Take the end of a run, or make the call that it needs; a failed call fails the run."""
+        if event in (RequestEvent.COMPLETED, RequestEvent.FAILED):
+            self._end_run(request)
+        elif event is RequestEvent.DEPENDENCY_CALL_NEEDED:
+            timeout = max(1, request.deadline - now)
+            self.executor.execute(request, CallDependency(timeout))
+        elif event in (RequestEvent.CALL_OUTCOME_UNKNOWN, RequestEvent.CALL_NOT_SENT):
+            self._end_run(request)
             self.executor.execute(request, FAIL)
 
-    def on_tick(self, now: int, gauges) -> None:
-        for request in [r for r in self.line if r.deadline <= now + TICK]:
-            self.line.remove(request)
-            self.open.pop(request, None)
+    def _end_run(self, request: Request) -> None:
+        self.running -= 1
+        self.open_requests.pop(request, None)
+
+    def on_tick(self, now: int, gauges: Gauges) -> None:
+        """Fail the requests whose deadline comes before the next tick."""
+        for request in [each for each in self.queue if each.deadline <= now + TICK_US]:
+            self.queue.remove(request)
+            self.open_requests.pop(request, None)
             self.executor.execute(request, FAIL)
-        for request in list(self.open):
-            if request.deadline <= now + TICK and not request.answered:
+        for request in list(self.open_requests):
+            if request.deadline <= now + TICK_US and not request.answered:
                 request.answered = True
                 self.executor.execute(request, FAIL)
-        self.executor.schedule_tick(TICK)
+        self.executor.schedule_tick(TICK_US)
 
     def dispatch(self, now: int) -> None:
-        while self.line and self.on < self.runs:
-            request = (
-                max(self.line, key=lambda r: r.request_class.priority_weight)
-                if self.strict
-                else self.line[0]
-            )
-            self.line.remove(request)
-            self.on += 1
+        """Run queued requests while there is capacity."""
+        while self.queue and self.running < self.max_running:
+            request = max(self.queue, key=_value) if self.by_value else self.queue[0]
+            self.queue.remove(request)
+            self.running += 1
             self.executor.execute(request, RUN)
 
-    def begin_drain(self, now: int, stop_at: int) -> None: ...
+    def begin_drain(self, now: int, stop_at: int) -> None:
+        """Do nothing: a plain pool does not know of drains."""
+
+
+def _value(request: Request) -> float:
+    return request.request_class.priority_weight
