--- a/gullyoke/admission/class_pools.py
+++ b/gullyoke/admission/class_pools.py
@@ -24,7 +24,7 @@
 DISTRIBUTED_SHARE: Final = 1.1
 """Of the completed work, so much is distributed; the threshold takes what is too much."""
 NEGLIGIBLE_SHARE: Final = 0.01
-"""Demand below this share of the capacity counts as none."""
+"""Demand under this share of the capacity counts as none."""
 SAVED_RUNS: Final = 2
 """A pool can save the core time of so many runs at least."""
 LARGEST_DEBT: Final = 3
@@ -34,7 +34,7 @@
 
 
 class ClassPool:
-    """The limit that one class's requests share; rates are core time for a unit of time.
+    """The limit that one class's requests share; rates are core time by time.
 
     Args:
         value: What an answer is worth.
@@ -48,7 +48,7 @@
         self.arrived_core_time = 0.0  # since the last tick
         self.demand = 0.0  # rate that is asked for
         self.limit = 0.0  # rate that is granted
-        self.balance = 0.0  # core time that is left; below 0 where some is owed
+        self.balance = 0.0  # core time that is left; negative where some is owed
         self.unlimited = True
 
 
@@ -56,7 +56,7 @@
     """Limits what each class may take in, by core time.
 
     Limits are set at each tick. What is completed while requests wait is distributed in the order
-    of value for a unit of work, to each class what it asked for of late; what one class leaves goes
+    of value for the work, to each class what it asked for of late; what one class leaves goes
     at once to the next, and none gets less than its minimum, if it asks. Limits bind only where the
     threshold does.
 
@@ -142,7 +142,7 @@
         self.completed_core_time = 0.0
 
     def _distribute(self, elapsed: int) -> None:
-        """Distribute the capacity in the order of value for a unit of work."""
+        """Distribute the capacity in the order of value for the work."""
         remaining = DISTRIBUTED_SHARE * self.capacity
         minimums = {
             pool: min(pool.demand, self.minimum_share * self.capacity) for pool in self.pools
--- a/gullyoke/admission/client_feedback.py
+++ b/gullyoke/admission/client_feedback.py
@@ -24,11 +24,11 @@
 
 
 class ClientFeedback:
-    """Tells callers when to come back, and how long connections may be idle.
+    """Advises callers when to come back, and how long connections may be idle.
 
     Args:
         executor: What carries out the decisions.
-        permissions: What the site lets the server tell its callers.
+        permissions: What the server may advise its callers of.
         fleet: What the other servers report.
     """
 
--- a/gullyoke/admission/controller.py
+++ b/gullyoke/admission/controller.py
@@ -122,13 +122,13 @@
         self._give_up_late_requests(now)
 
     def dispatch(self, now: int) -> None:
-        """Start an episode if one is due, then calls and runs for which there is capacity.
+        """Start an episode if one is needed, then calls and runs for which there is capacity.
 
         To be called after each batch of the other calls.
         """
         state = self.state
         state.now = now
-        if state.learner is not None and state.learner.episode_due:
+        if state.learner is not None and state.learner.needs_episode:
             state.learner.count(now)
             self.executor.run_in_background(state.learner.start_episode())
         dependency = self.dependency
--- a/gullyoke/admission/dependency_limiter.py
+++ b/gullyoke/admission/dependency_limiter.py
@@ -150,7 +150,7 @@
             timeout: Its timeout.
 
         Returns:
-            Whether it was lost by itself, and says nothing of the dependency: a call that was
+            Whether it was lost by itself, which shows nothing of the dependency: a call that was
             started after it succeeded, or its reply was lost and the one before was not. Without
             that, a reply that is lost or never comes would pause all calls.
         """
--- a/gullyoke/admission/fair_queue.py
+++ b/gullyoke/admission/fair_queue.py
@@ -98,7 +98,7 @@
                 return self.queues[first][over_quota][0]
         return None
 
-    def turn_taken(self, request: Request) -> None:
+    def advance_turn(self, request: Request) -> None:
         """Advance the virtual time by the turn of a request that now runs."""
         request_class = request.request_class
         self.virtual_time = self.start_tags[request_class]
--- a/gullyoke/admission/interface/commands.py
+++ b/gullyoke/admission/interface/commands.py
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AwaitDuplicate(Command):
-    """Answer from the request that this one repeats, once that has ended."""
+    """Answer from the request that this one duplicates, once that has ended."""
 
     suspends: ClassVar[bool] = True
 
--- a/gullyoke/admission/interface/facts.py
+++ b/gullyoke/admission/interface/facts.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Generator
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
 from gullyoke.admission.interface.commands import Command
 from gullyoke.admission.interface.events import RequestEvent
@@ -151,15 +151,15 @@
 
 @dataclass(slots=True)
 class Permissions:
-    """What the site lets a server say to its callers and hear from them.
+    """What the site lets a server send to its callers and learn of them.
 
     Args:
         sends_retry_after: Whether advice when to come back is forwarded.
         max_retry_after: The longest advice that is followed, in microseconds.
         load_signal: Kind of the level that goes out with answers; None where it is unused.
         load_signal_ttl: Microseconds for which callers remember the level.
-        reports_client_gone: Whether the server hears when a client gives up.
-        passes_deadline: Whether requests tell how long their caller waits.
+        reports_client_gone: Whether the server learns when a client gives up.
+        passes_deadline: Whether requests state how long their caller waits.
         deep_checks: Whether health checks do work of their own.
         readiness: Whether the endpoint list follows the health answers.
         max_idle: Microseconds after which callers close idle connections.
@@ -178,14 +178,14 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """The servers beside this one and their callers.
+    """The servers of the fleet and their callers.
 
     Args:
         size: Servers of the fleet.
-        weighs_by_work: Whether value is counted for each unit of work, not for each request.
+        weighs_by_work: Whether value is counted by work, not by request.
         over_quota_value: Share of the value that a request beyond its tenant's quota earns.
         read_cache_ttl: Microseconds for which the answer to a read may serve others; 0 for never.
-        callers: How many callers there are; 0 where that is not told.
+        callers: How many callers there are; 0 where that is not known.
         feedback: What the other servers report.
     """
 
@@ -226,16 +226,16 @@
     capacity: float | None = None
 
 
-class Repeat:
-    """Stands for a remembered request that this server no longer has in hand."""
+class RememberedRequest:
+    """Stands for a request that has ended and is remembered by its key alone."""
 
 
-PAST = Repeat()
+PAST: Final = RememberedRequest()
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request in hand.
+    """A request that the decisions have not finished with.
 
     Args:
         request_class: Its class.
@@ -243,7 +243,7 @@
         deadline: By when its answer has to be there.
         memory_kb: Kilobytes that it takes while it waits.
         is_retry: Whether its caller marked it as a retry or a hedged request.
-        duplicate_of: The request that it repeats, `PAST` where that has ended, None for none.
+        duplicate_of: The request that it duplicates, `PAST` where that has ended, None for none.
         has_key: Whether it names a key or a subject.
         tenant: Whose it is; None where the site has no tenants.
         cost_hint: Its caller's estimate of its work, in microseconds; 0 where there is none.
@@ -257,7 +257,7 @@
     deadline: int
     memory_kb: float
     is_retry: bool = False
-    duplicate_of: Request | Repeat | None = None
+    duplicate_of: Request | RememberedRequest | None = None
     has_key: bool = False
     tenant: Tenant | None = None
     cost_hint: int = 0
--- a/gullyoke/admission/interface/fleet_feedback.py
+++ b/gullyoke/admission/interface/fleet_feedback.py
@@ -1,4 +1,4 @@
-"""What other servers of a fleet tell the decisions, and what stands there where none does.
+"""What other servers of a fleet report to the decisions, and what stands there where none does.
 
 Each method is called under the lock that the decisions run under, and answers at once. Times are
 whole microseconds.
--- a/gullyoke/admission/interface/stepper.py
+++ b/gullyoke/admission/interface/stepper.py
@@ -37,7 +37,7 @@
     def run_in_background(self, work: Iterator[None]) -> None:
         """Carry on with `work` to its end, one step after the other.
 
-        At once, or between calls of the decisions; never two works at a time, and no step beside
+        At once, or between calls of the decisions; never two works at a time, and no step during
         such a call.
         """
 
--- a/gullyoke/admission/learner.py
+++ b/gullyoke/admission/learner.py
@@ -13,6 +13,8 @@
 from collections.abc import Iterator
 from typing import Final
 
+from gullyoke.admission.value_iteration import PairModel, StateModel, sweep, uniformize
+
 MODULES: Final = 3
 """Number of modules, the paper's tau_mix (section 4): step t belongs to module t modulo this."""
 WIDTH_SCALE: Final = 0.02
@@ -23,23 +25,8 @@
 """Time steps for each request that a full server completes (not from the paper)."""
 MAX_SWEEPS: Final = 30
 """Sweeps of an extended value iteration at most (not from the paper)."""
-UNIFORMIZATION_MARGIN: Final = 0.95
-"""Largest probability that a state is left in one step of the uniformized model."""
 SPAN_TOLERANCE: Final = 1 / 8
-"""Sweeps end when the span of the gains is below this share of a request's cost for a step."""
-SMALLEST_RATE: Final = 1e-9
-
-
-PairModel = tuple[float, float, float, float, float]
-"""The extremes that the confidence region of a pair allows, per time step.
-
-In this order: the largest reward (the negated cost, 0 at most), the largest probability of a
-departure, the smallest of an arrival beside that, the smallest probability of a departure, and the
-largest of an arrival. The most optimistic model of a pair is emptying, with the second and third,
-or filling, with the last two. A plain tuple, since sweeps unpack them often.
-"""
-StateModel = tuple[PairModel, PairModel]
-"""The models of the pairs of one state: rejecting, admitting."""
+"""Sweeps end when the spread of the gains is under this share of a request's cost for a step."""
 
 
 class Learner:
@@ -89,7 +76,7 @@
         self.policy = [True] * (max_requests + 1)  # by state: whether an arrival is admitted
         self.episodes = 0
         self.rejected = 0
-        self.episode_due = True
+        self.needs_episode = True
         self.ramping_steps = modules
 
     def _count_prior(self, completion_rate: float, prior_visits: float) -> None:
@@ -150,7 +137,7 @@
             self.requests += change
 
     def _count_steps(self, steps: int, change: int, rejections: int) -> None:
-        """Count `steps` equal steps in the current state, and end the episode when due.
+        """Count `steps` equal steps in the current state, and end the episode where they suffice.
 
         The steps of the ramping phase (algorithm 1) are thrown away. An episode ends once some
         module has visited a pair in it as often as ever before (18).
@@ -174,7 +161,7 @@
             self.departures[module][pair] += change < 0
             self.rejections[module][pair] += rejections
             if visits[pair] >= 2 * max(0.5, self.visits_before_episode[module][pair]):
-                self.episode_due = True
+                self.needs_episode = True
 
     def start_episode(self) -> Iterator[None]:
         """Begin an episode now, under the last policy until the work that is returned is done.
@@ -182,7 +169,7 @@
         Returns:
             The extended value iteration, one sweep for each item; requests go on between them.
         """
-        self.episode_due = False
+        self.needs_episode = False
         self.ramping_steps = self.modules
         self.episodes += 1
         self.visits_before_episode = [row[:] for row in self.visits]
@@ -199,7 +186,7 @@
         differences = self.bias_differences
         policy: list[bool] = []
         for _ in range(MAX_SWEEPS):
-            gains, policy = _sweep(models, differences)
+            gains, policy = sweep(models, differences)
             for state in range(self.max_requests):
                 differences[state] += gains[state + 1] - gains[state]
             if max(gains) - min(gains) < self.step_cost * scale * SPAN_TOLERANCE:
@@ -208,26 +195,10 @@
         self.policy = policy
 
     def _optimistic_models(self) -> tuple[list[StateModel], float]:
-        """Return the extremes of the confidence region (17) by state, and their time scale.
-
-        They are uniformized at the model's own largest rate: the policy and the bias stay as they
-        are, in fewer sweeps.
-        """
+        """Return the extremes of the confidence region (17) by state, and their time scale."""
         log_steps = math.log(4 * (self.steps + 2))
         models = [self._pair_model(pair, log_steps) for pair in range(2 * (self.max_requests + 1))]
-        largest_rate = SMALLEST_RATE
-        for _, most_departures, fewest_arrivals, fewest_departures, most_arrivals in models:
-            largest_rate = max(
-                largest_rate,
-                most_departures + fewest_arrivals,
-                most_arrivals + fewest_departures,
-            )
-        scale = UNIFORMIZATION_MARGIN / largest_rate
-        scaled = [
-            (reward * scale, out * scale, few_in * scale, few_out * scale, many_in * scale)
-            for reward, out, few_in, few_out, many_in in models
-        ]
-        return list(zip(scaled[::2], scaled[1::2], strict=True)), scale
+        return uniformize(models)
 
     def _pair_model(self, pair: int, log_steps: float) -> PairModel:
         """Return the extremes of the confidence region of one pair.
@@ -267,36 +238,3 @@
             f"s {self.requests} threshold {threshold} of {self.max_requests} "
             f"episodes {self.episodes} refused {self.rejected}"
         )
-
-
-def _sweep(models: list[StateModel], differences: list[float]) -> tuple[list[float], list[bool]]:
-    """Apply the optimality operator of the extended MDP once.
-
-    Args:
-        models: The extremes that the confidence region allows, by state.
-        differences: The differences of the bias between state s + 1 and state s, by s.
-
-    Returns:
-        By state, the gain of the better action, and whether that is admitting. Admitting wins ties.
-    """
-    gains: list[float] = []
-    policy: list[bool] = []
-    below = 0.0  # the bias difference to the emptier state; `above`, to the fuller one
-    for (
-        (reject_reward, reject_out, reject_in, reject_few_out, reject_many_in),
-        (admit_reward, admit_out, admit_in, admit_few_out, admit_many_in),
-    ), above in zip(models, differences, strict=True):
-        reject = reject_reward - reject_out * below + reject_in * above
-        admit = admit_reward - admit_out * below + admit_in * above
-        if above > 0:  # unexplored fuller states may look better
-            reject_filling = reject_reward - reject_few_out * below + reject_many_in * above
-            if reject_filling > reject:
-                reject = reject_filling
-            admit_filling = admit_reward - admit_few_out * below + admit_many_in * above
-            if admit_filling > admit:
-                admit = admit_filling
-        admitted = admit >= reject
-        policy.append(admitted)
-        gains.append(admit if admitted else reject)
-        below = above
-    return gains, policy
--- a/gullyoke/admission/request_path.py
+++ b/gullyoke/admission/request_path.py
@@ -108,7 +108,7 @@
             cache_ttl: Microseconds for which its answer may serve duplicates once it is there.
         """
         state = self.state
-        state.queue.turn_taken(request)
+        state.queue.advance_turn(request)
         state.move(request, RUNNING)
         request.started_at = state.now
         if cache_ttl and request.has_key and state.safety.has_memory(state.machine.key_kb):
@@ -202,7 +202,7 @@
         return (yield AWAIT)
 
     def _answer_from_duplicate(self, request: Request) -> RequestPath:
-        """Answer a duplicate from its first request: it never runs beside it, nor is rejected."""
+        """Answer a duplicate, which neither runs nor is rejected, from its first request."""
         state = self.state
         # Too late for the next tick, or no memory. Its first request may have run: no rejection.
         if request.deadline <= state.now + TICK_US or not state.safety.has_memory(
--- a/gullyoke/admission/timing.py
+++ b/gullyoke/admission/timing.py
@@ -21,7 +21,7 @@
     """Return the time by which an answer earns its full value, as far as this server can know.
 
     The times of earlier attempts are unknown here. The deadline counts too, less a tick: a client
-    whose patience with an attempt is shorter than the objective is gone before the objective is.
+    that gives an attempt less time than the objective has left before that.
     """
     request_class = request.request_class
     return min(
