--- a/gullyoke/admission/interface/events.py
+++ b/gullyoke/admission/interface/events.py
@@ -35,4 +35,4 @@
     CALL_OUTCOME_UNKNOWN = auto()
     """The call failed and may have had its effect."""
     CALL_REPLY_LOST = auto()
-    """The connection broke under the call: it may have had its effect, and load is not the cause."""
+    """The connection broke under the call: it may have had its effect; load is not the cause."""
--- a/gullyoke/admission/value_iteration.py
+++ b/gullyoke/admission/value_iteration.py
@@ -17,8 +17,8 @@
 
 In this order: the largest reward (the negated cost, 0 at most), the largest probability of a
 departure, the smallest of an arrival together with it, the smallest probability of a departure, and
-the largest of an arrival. The most optimistic model of a pair is emptying, with the second and third,
-or filling, with the last two. A plain tuple, since sweeps unpack them often.
+the largest of an arrival. The most optimistic model of a pair is emptying, with the second and
+third, or filling, with the last two. A plain tuple, since sweeps unpack them often.
 """
 StateModel = tuple[PairModel, PairModel]
 """The models of the pairs of one state: rejecting, admitting."""
