--- /dev/null
+++ b/gullyoke/daemon/composition.py
@@ -0,0 +1,178 @@
+"""The daemon put together: each part is made once, after those that it is given."""
+
+from __future__ import annotations
+
+import logging
+import random
+import sys
+import threading
+from collections.abc import Sequence
+from typing import Final
+
+from gullyoke.daemon.command_router import CommandRouter
+from gullyoke.daemon.configuration import DaemonConfiguration
+from gullyoke.daemon.daemon import Daemon
+from gullyoke.daemon.descriptors import max_calls, max_connections
+from gullyoke.daemon.event_relay import EventRelay
+from gullyoke.daemon.extension import DaemonParts, Extension, OperatorConfiguration
+from gullyoke.daemon.reload import AddressedClient, ConfigurationReloader
+from gullyoke.daemon.service_discovery import ServiceDiscoveryReporter
+from gullyoke.dependencies.client import DependencyClient
+from gullyoke.executors import Executor
+from gullyoke.executors.engine_link import EngineLink
+from gullyoke.frontends.connection_limits import ConnectionLimits
+from gullyoke.frontends.connections import ConnectionTable
+from gullyoke.frontends.http1 import Http1
+from gullyoke.frontends.message_handler import MessageHandler
+from gullyoke.runtime.dispatcher import Dispatcher
+from gullyoke.runtime.duplicate_table import DuplicateTable
+from gullyoke.runtime.lifecycle import Lifecycle
+from gullyoke.runtime.logs import start_logging
+from gullyoke.runtime.metrics import Metrics
+from gullyoke.runtime.timer import Timer
+
+THREAD_STACK_BYTES: Final = 128 * 1024  # the deepest call path needs under 32 KiB
+#: A thread that computes keeps the interpreter from the others for this long at most.
+THREAD_SWITCH_INTERVAL_S: Final = 0.001
+
+
+def build_daemon(
+    configuration: DaemonConfiguration,
+    operator_file: OperatorConfiguration | None = None,
+    log_formatter: logging.Formatter | None = None,
+) -> Daemon:
+    """Put a daemon together; nothing is served before it is started.
+
+    Args:
+        configuration: the daemon's own configuration.
+        operator_file: what the operator adds; None for nothing.
+        log_formatter: the form of the log's lines; None for key=value lines.
+
+    Raises:
+        ConfigurationError: an extension can't meet its configuration.
+        OSError: an address can't be listened on.
+    """
+    _configure_threads()
+    log_writer = start_logging(configuration.log_level, log_formatter)
+    extensions = operator_file.extensions if operator_file is not None else ()
+    metrics = Metrics()
+    executor = _create_executor(configuration, extensions, metrics)
+    dispatcher = Dispatcher(
+        configuration.facts,
+        configuration.seed,
+        metrics,
+        flush=executor.flush,
+        duplicates=_create_duplicate_table(configuration, extensions),
+    )
+    connection_limits = ConnectionLimits(max_connections(configuration, extensions))
+    parts = _create_parts(configuration, metrics, dispatcher, connection_limits)
+    for extension in extensions:
+        executor = extension.wrap_executor(parts, executor)
+    database = DependencyClient(
+        configuration.database, max_calls(configuration), parts.timer, metrics, dispatcher.lock
+    )
+    command_router = CommandRouter(dispatcher, executor, database, parts.timer, parts.lifecycle)
+    service_discovery = _create_service_discovery(configuration, parts.lifecycle, metrics)
+    _open_listeners(parts, extensions, connection_limits)
+    return Daemon(
+        configuration=configuration,
+        extensions=extensions,
+        log_writer=log_writer,
+        metrics=metrics,
+        timer=parts.timer,
+        dispatcher=dispatcher,
+        executor=executor,
+        database=database,
+        event_relay=EventRelay(dispatcher, command_router, executor, metrics),
+        connection_limits=connection_limits,
+        connections=parts.connections,
+        service_discovery=service_discovery,
+        reloader=ConfigurationReloader(
+            _addressed_clients(executor, database, service_discovery), operator_file, metrics
+        ),
+    )
+
+
+def _configure_threads() -> None:
+    threading.stack_size(THREAD_STACK_BYTES)
+    sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
+
+
+def _create_executor(
+    configuration: DaemonConfiguration, extensions: Sequence[Extension], metrics: Metrics
+) -> Executor:
+    """Create the executor of the first extension that has one, or the link to the engine.
+
+    All extensions are asked, since each checks its configuration then.
+    """
+    created = [extension.create_executor(configuration, metrics) for extension in extensions]
+    for executor in created:
+        if executor is not None:
+            return executor
+    return EngineLink(configuration.engine, configuration.facts.machine.gauges, metrics)
+
+
+def _create_duplicate_table(
+    configuration: DaemonConfiguration, extensions: Sequence[Extension]
+) -> DuplicateTable | None:
+    """Create the table of the first extension that has one; None for the dispatcher's own."""
+    created = [extension.create_duplicate_table(configuration) for extension in extensions]
+    return next((table for table in created if table is not None), None)
+
+
+def _create_parts(
+    configuration: DaemonConfiguration,
+    metrics: Metrics,
+    dispatcher: Dispatcher,
+    connection_limits: ConnectionLimits,
+) -> DaemonParts:
+    """Create the parts that extensions may use."""
+    lifecycle = Lifecycle(configuration.facts.permissions.max_idle)
+    return DaemonParts(
+        configuration=configuration,
+        metrics=metrics,
+        timer=Timer(metrics),
+        dispatcher=dispatcher,
+        lifecycle=lifecycle,
+        message_handler=MessageHandler(dispatcher, lifecycle, metrics),
+        connections=ConnectionTable(connection_limits, dispatcher, lifecycle, metrics),
+    )
+
+
+def _create_service_discovery(
+    configuration: DaemonConfiguration, lifecycle: Lifecycle, metrics: Metrics
+) -> ServiceDiscoveryReporter | None:
+    if configuration.name_service is None:
+        return None
+    return ServiceDiscoveryReporter(
+        configuration.name_service,
+        configuration.name,
+        lambda: lifecycle.ready,
+        random.Random(configuration.seed),
+        metrics,
+    )
+
+
+def _open_listeners(
+    parts: DaemonParts, extensions: Sequence[Extension], connection_limits: ConnectionLimits
+) -> None:
+    """Listen for the daemon's own front end and for those of the extensions.
+
+    The listeners then share the connections; nothing is accepted before the start.
+    """
+    parts.connections.listen(parts.configuration.listen, Http1(parts.message_handler))
+    for extension in extensions:
+        extension.attach(parts)
+    connection_limits.set_listener_count(len(parts.connections.listeners))
+
+
+def _addressed_clients(
+    executor: Executor,
+    database: DependencyClient,
+    service_discovery: ServiceDiscoveryReporter | None,
+) -> dict[str, AddressedClient]:
+    """Return the parts whose address a reload may change, by its field in the configuration."""
+    clients: dict[str, AddressedClient] = {"engine": executor, "database": database}
+    if service_discovery is not None:
+        clients["name_service"] = service_discovery
+    return clients
--- a/gullyoke/daemon/serve.py
+++ b/gullyoke/daemon/serve.py
@@ -7,8 +7,8 @@
 import sys
 from typing import Final
 
+from gullyoke.daemon.composition import build_daemon
 from gullyoke.daemon.configuration import load_configuration
-from gullyoke.daemon.daemon import build_daemon
 from gullyoke.daemon.extension import OperatorConfiguration
 from gullyoke.errors import ConfigurationError
 from gullyoke.runtime import signals
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -18,7 +18,7 @@
 from gullyoke.admission.interface import DependencySlots
 from gullyoke.coordination.max_min_fairness import split_limit
 from gullyoke.durability.disk_quota import DataKind
-from gullyoke.extensions.disks import Room
+from gullyoke.extensions.disks import ConnectionLimits
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.leases import rolling_restart as rolls
 from gullyoke.leases.announcements import Announcement, Instruction
@@ -359,7 +359,7 @@
 
     name = "record"
 
-    def __init__(self, fleet: Fleet, duties: LeaseService, room: Room) -> None:
+    def __init__(self, fleet: Fleet, duties: LeaseService, room: ConnectionLimits) -> None:
         super().__init__(fleet, duties)
         self.lines = AppendFile(
             os.path.join(room.folder, "record.jsonl"),
--- a/gullyoke/extensions/disks.py
+++ b/gullyoke/extensions/disks.py
@@ -14,7 +14,7 @@
 EACH = 1_000_000  # microseconds between looks at who has how much
 
 
-class Room:
+class ConnectionLimits:
     """A folder under watch, with what each kind may have of it.
 
     `size` and `give` are by kind: how many bytes it takes, and giving up so many; `tidy` compacts
@@ -61,9 +61,9 @@
     """Table: `rooms`, one a folder; as many as the file names."""
 
     def __init__(self) -> None:
-        self.rooms: dict[str, Room] = {}
+        self.rooms: dict[str, ConnectionLimits] = {}
 
-    def at(self, folder: str, quota: int, metrics: Metrics) -> Room:
+    def at(self, folder: str, quota: int, metrics: Metrics) -> ConnectionLimits:
         if folder not in self.rooms:
-            self.rooms[folder] = Room(folder, quota, metrics)
+            self.rooms[folder] = ConnectionLimits(folder, quota, metrics)
         return self.rooms[folder]
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -14,7 +14,7 @@
 from gullyoke.daemon.extension import DaemonParts
 from gullyoke.durability.disk_quota import DataKind
 from gullyoke.extensions.base import BaseExtension
-from gullyoke.extensions.disks import Disks, Room
+from gullyoke.extensions.disks import ConnectionLimits, Disks
 from gullyoke.operator_config.wanted import Kept
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher
@@ -56,7 +56,7 @@
 class Remembered:
     """Table: none but its curve's; the store holds three rows."""
 
-    def __init__(self, room: Room, quota: int, stated: object, metrics: Metrics) -> None:
+    def __init__(self, room: ConnectionLimits, quota: int, stated: object, metrics: Metrics) -> None:
         self.stated, self.metrics, self.committer = rules.settings_digest(stated), metrics, None
         self.room, folder = room, room.folder
         self.found, self.weight, self.starts = None, 0.0, rules.StartHistory()
--- a/tests/compatibility/test_memory_store.py
+++ b/tests/compatibility/test_memory_store.py
@@ -3,7 +3,7 @@
 import unittest
 
 from compatibility.recorded import copy_of, files_in, temporary_folder
-from gullyoke.extensions.disks import Room
+from gullyoke.extensions.disks import ConnectionLimits
 from gullyoke.extensions.memory import COLD, LEARNED, STARTS, Remembered
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.storage import StorageFolder, Store
@@ -77,7 +77,7 @@
     def test_recorded_memory_is_recalled(self):
         """A server opened on the recorded folder has the same memory, and counts its start."""
         folder = copy_of(self, "memory")
-        room = Room(str(folder), QUOTA, Metrics())
+        room = ConnectionLimits(str(folder), QUOTA, Metrics())
         memory = Remembered(room, QUOTA, SETTINGS, Metrics())
         self.assertEqual(memory.found, LEARNED_VALUE)
         self.assertEqual(memory.cold, COLD_VALUE)
--- a/tests/crossing/live.py
+++ b/tests/crossing/live.py
@@ -19,9 +19,9 @@
 
 from standins import PATIENCE, ROOT, Sockets, message, request_id
 
-from gullyoke.daemon import daemon as daemon_module
+from gullyoke.daemon import composition
+from gullyoke.daemon.composition import build_daemon
 from gullyoke.daemon.configuration import load_configuration
-from gullyoke.daemon.daemon import build_daemon
 from gullyoke.runtime.logs import log
 
 REPEATS = int(os.environ.get("GULLYOKE_REPEATS", "100"))
@@ -131,7 +131,7 @@
         self.callback(os.unlink, self.peers.config)
         self.callback(self.peers.folder.cleanup)
         self.enter_context(
-            mock.patch.object(daemon_module, "start_logging", lambda *given: mock.Mock())
+            mock.patch.object(composition, "start_logging", lambda *given: mock.Mock())
         )
         log.addHandler(logging.NullHandler())
         self.daemon = build_daemon(load_configuration({"NODE_CONFIG": self.peers.config}))
