--- a/gullyoke/extensions/back_ends.py
+++ b/gullyoke/extensions/back_ends.py
@@ -1,122 +1,182 @@
-"""SCGI back ends in the engine's place."""
+"""SCGI back ends, which run the requests in the engine's place."""
 
 from __future__ import annotations
 
 import random
+from collections.abc import Callable
+from typing import Final
 
-from gullyoke.admission.interface import StopMode
+from gullyoke.admission.interface import SiteFacts, StopMode
 from gullyoke.daemon.configuration import DaemonConfiguration
 from gullyoke.errors import ConfigurationError
 from gullyoke.executors.backend_attempt import AttemptSettings
 from gullyoke.executors.scgi_backends import ScgiBackendPool
 from gullyoke.extensions.base import BaseExtension
-from gullyoke.operator_config.wanted import Pooled, Wanted
+from gullyoke.operator_config.wanted import BackEnd, Pooled, Wanted
 from gullyoke.routing import BackendPool, BackendSettings, OutlierDetector, RetryBudget, Router
 from gullyoke.runtime.metrics import Metrics
 
+#: Keeps the draws of the routing apart from other uses of the daemon's seed.
+ROUTING_SEED: Final = 0x5C91
+#: Back ends may use one descriptor in so many.
+DESCRIPTORS_PER_BACKEND_CONNECTION: Final = 2
+
 
 class BackEnds(BaseExtension):
-    """`wanted` is what the file says of them, those in force included."""
+    """The back ends of the operator's file.
+
+    Attributes:
+        wanted: the section of the file, with the back ends in force.
+        backends: the executor; made by `create_executor`.
+        selected: the names of the subset in use; None where all are used.
+    """
 
     name = "backends"
     section = "pool"
 
+    backends: ScgiBackendPool
+
     def __init__(self, path: str, wanted: Pooled) -> None:
+        """Create the extension.
+
+        Args:
+            path: the operator's file, for errors.
+            wanted: its section.
+        """
         super().__init__(wanted)
-        self.path, self.wanted, self.sockets = path, wanted, 0
-        self.backends: ScgiBackendPool | None = None
-        self.only: frozenset[str] | None = None  # of those stated, the subset in use; None: all
+        self.path = path
+        self.wanted = wanted
+        self.selected: frozenset[str] | None = None
+        self.max_descriptors = 0
 
     def reserved_descriptors(self) -> int:
+        """Return how many connections all back ends may take together."""
         return self.wanted.most()
 
     def create_executor(
         self, configuration: DaemonConfiguration, metrics: Metrics
     ) -> ScgiBackendPool:
-        """The back ends. Raises `Misstated` where they leave no room for connections."""
-        wanted, self.sockets = self.wanted, configuration.max_descriptors
-        self.roomy(wanted)
+        """Create the pool of back ends.
+
+        Raises:
+            ConfigurationError: they leave no descriptors for client connections.
+        """
+        self.max_descriptors = configuration.max_descriptors
+        self._check_descriptors(self.wanted)
+        _replace_engine_facts(configuration.facts, self.wanted)
         machine = configuration.facts.machine
-        # Whether running work can be stopped is the back ends' affair, not the engine's of the
-        # settings.
-        machine.stop_mode = StopMode.DISCARD if wanted.stops_on_close else StopMode.NEVER
-        configuration.facts.dependency.exists, configuration.facts.dependency.call_quota = (
-            False,
-            None,
-        )  # their calls do not come by us
-        pool = BackendPool(
-            random.Random(configuration.seed ^ 0x5C91),
-            wanted.ejecting.pool_share,
-            wanted.first_limit,
-            wanted.linger,
-            lambda draw: healthy(wanted, draw),
-        )
-        router = Router(pool, RetryBudget(wanted.retry_share, wanted.retry_burst))
         self.backends = ScgiBackendPool(
-            router,
+            _create_router(self.wanted, random.Random(configuration.seed ^ ROUTING_SEED)),
             machine.cores,
-            AttemptSettings(wanted.linger, wanted.stops_on_close, wanted.answer_bytes),
+            AttemptSettings(
+                self.wanted.linger, self.wanted.stops_on_close, self.wanted.answer_bytes
+            ),
             metrics,
             machine.starts_cold,
         )
-        self.state(wanted)
+        self._configure_backends()
         return self.backends
 
-    def roomy(self, wanted: Pooled) -> None:
-        if wanted.most() > self.sockets // 2:
-            raise ConfigurationError(
-                f"{self.path}: backends.backend: their `most` come to {wanted.most()} together; "
-                f"right would be {self.sockets // 2} at most, half of limits.sockets"
-            )
+    def select(self, names: frozenset[str]) -> None:
+        """Use these back ends from now on; nothing changes where none of them is in the file."""
+        names &= {backend.name for backend in self.wanted.back_ends}
+        if names and names != self.selected:
+            self.selected = names
+            self._configure_backends()
 
-    def state(self, wanted: Pooled) -> None:
-        used = [b for b in wanted.back_ends if self.only is None or b.name in self.only]
-        self.backends.configure(
-            {b.name: b.address for b in used},
-            [BackendSettings(b.name, b.weight, b.least, b.most) for b in used],
-        )
+    def zones(self) -> dict[str, str]:
+        """Return the zone of each back end in the file, by name."""
+        return {backend.name: backend.zone for backend in self.wanted.back_ends}
 
-    def use(self, only: frozenset[str]) -> None:
-        """These of those stated are used from now on; none of them: all."""
-        only &= {b.name for b in self.wanted.back_ends}
-        if only and only != self.only:
-            self.only = only
-            self.state(self.wanted)
+    def ejected(self) -> set[str]:
+        """Return the names of the back ends that take no runs but probes."""
+        return self.backends.ejected()
+
+    def set_probe_gate(self, may_probe: Callable[[str], bool]) -> None:
+        """Ask `may_probe`, with the name of a back end, before each probe of one."""
+        self.backends.set_probe_gate(may_probe)
 
     def log_status(self) -> None:
+        """Log a line for each back end."""
         self.backends.log_backends()
 
-    # While the server runs, other back ends are taken over.
-
     def check_reload(self, new: Wanted) -> None:
+        """Check that the new back ends leave descriptors for client connections.
+
+        Raises:
+            ConfigurationError: they do not.
+        """
         if new.pool is not None:
-            self.roomy(new.pool)
+            self._check_descriptors(new.pool)
 
     def apply_reload(self, new: Wanted) -> dict[str, object]:
+        """Use the back ends of the new file; the other settings need a restart."""
         if new.pool is not None:
             self.wanted = self.wanted._replace(back_ends=new.pool.back_ends)
-            if self.only is not None and not self.only & {b.name for b in self.wanted.back_ends}:
-                self.only = None  # none of its subset is left: all, until the next look
-            self.state(self.wanted)
+            if self.selected is not None and not self._used_backends():
+                self.selected = None  # all are used until the fleet selects again
+            self._configure_backends()
         return {"back_ends": len(self.wanted.back_ends)}
 
     def ignored_changes(self, new: Wanted) -> list[str]:
+        """Return the settings that differ, other than the back ends themselves."""
         if new.pool is None:
             return [self.name]
         return [
-            name
-            for name in Pooled._fields
-            if name != "back_ends" and getattr(self.wanted, name) != getattr(new.pool, name)
+            field
+            for field in Pooled._fields
+            if field != "back_ends" and getattr(self.wanted, field) != getattr(new.pool, field)
         ]
 
+    def _check_descriptors(self, wanted: Pooled) -> None:
+        limit = self.max_descriptors // DESCRIPTORS_PER_BACKEND_CONNECTION
+        if wanted.most() > limit:
+            raise ConfigurationError(
+                f"{self.path}: backends.backend: their `most` come to {wanted.most()} together; "
+                f"right would be {limit} at most, half of limits.sockets"
+            )
+
+    def _used_backends(self) -> list[BackEnd]:
+        return [
+            backend
+            for backend in self.wanted.back_ends
+            if self.selected is None or backend.name in self.selected
+        ]
+
+    def _configure_backends(self) -> None:
+        used = self._used_backends()
+        self.backends.configure(
+            {backend.name: backend.address for backend in used},
+            [
+                BackendSettings(backend.name, backend.weight, backend.least, backend.most)
+                for backend in used
+            ],
+        )
+
+
+def _replace_engine_facts(facts: SiteFacts, wanted: Pooled) -> None:
+    """Change what the settings state of the engine to what is true of the back ends.
+
+    Whether a run can be cancelled depends on the application; its calls of a dependency do not pass
+    through this daemon.
+    """
+    facts.machine.stop_mode = StopMode.DISCARD if wanted.stops_on_close else StopMode.NEVER
+    facts.dependency.exists = False
+    facts.dependency.call_quota = None
+
+
+def _create_router(wanted: Pooled, rng: random.Random) -> Router:
+    ejecting = wanted.ejecting
+
+    def create_detector(draw: Callable[[], float]) -> OutlierDetector:
+        return OutlierDetector(
+            draw,
+            ejecting.consecutive,
+            ejecting.over_peers,
+            first_ejection_us=ejecting.first_out,
+            longest_ejection_us=ejecting.longest_out,
+            slow_start_us=ejecting.slow_start,
+        )
 
-def healthy(wanted: Pooled, draw) -> OutlierDetector:
-    e = wanted.ejecting
-    return OutlierDetector(
-        draw,
-        e.consecutive,
-        e.over_peers,
-        first_ejection_us=e.first_out,
-        longest_ejection_us=e.longest_out,
-        slow_start_us=e.slow_start,
-    )
+    pool = BackendPool(rng, ejecting.pool_share, wanted.first_limit, wanted.linger, create_detector)
+    return Router(pool, RetryBudget(wanted.retry_share, wanted.retry_burst))
--- a/gullyoke/extensions/class_pools.py
+++ b/gullyoke/extensions/class_pools.py
@@ -1,4 +1,4 @@
-"""Class pools, where they are wanted."""
+"""Class pools: each request class has a part of the cores to itself."""
 
 from __future__ import annotations
 
@@ -9,19 +9,32 @@
 
 
 class ClassPools(BaseExtension):
+    """Gives the pools of the operator's file to the dispatcher."""
+
     name = section = "classed"
 
-    def __init__(self, path: str, classed: Classed) -> None:
-        super().__init__(classed)
-        self.path, self.classed = path, classed
+    def __init__(self, path: str, wanted: Classed) -> None:
+        """Create the extension.
+
+        Args:
+            path: the operator's file, for errors.
+            wanted: its section.
+        """
+        super().__init__(wanted)
+        self.path = path
+        self.wanted = wanted
 
     def attach(self, daemon: DaemonParts) -> None:
-        """Raises `Misstated` for a handler that the site does not have."""
-        dispatcher = daemon.dispatcher
-        for name in self.classed.classes:
-            if name not in dispatcher.request_classes:
+        """Set the pools, which the decisions use from their start on.
+
+        Raises:
+            ConfigurationError: a pool names a request class that the site does not have.
+        """
+        known = daemon.dispatcher.request_classes
+        for name in self.wanted.classes:
+            if name not in known:
                 raise ConfigurationError(
                     f"{self.path}: pools.class.handler: {name!r} is no handler of this site; "
-                    f"right would be one of {', '.join(dispatcher.request_classes)}"
+                    f"right would be one of {', '.join(known)}"
                 )
-        dispatcher.set_class_pools(self.classed.minimum, self.classed.classes)
+        daemon.dispatcher.set_class_pools(self.wanted.minimum, self.wanted.classes)
--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -36,6 +36,13 @@
 class Fleet(BaseExtension):
     name = section = "fleet"
 
+    # Set by `attach`.
+    daemon: DaemonParts
+    link: PeerLink
+    # Set by `start`.
+    member: Member
+    number: StoredStartNumber
+
     def __init__(
         self,
         path: str,
@@ -47,10 +54,6 @@
         super().__init__(wanted)
         self.disks = disks or Disks()
         self.path, self.wanted, self.kept = path, wanted, kept
-        self.daemon: DaemonParts | None = None
-        self.link: PeerLink | None = None
-        self.member: Member | None = None
-        self.number: StoredStartNumber | None = None
         self.told = self.size = 0
         self.read: tuple[bytes, ...] = ()  # the keys of a file that is about to be taken over
         self.parts = tuple(parts)
--- a/gullyoke/extensions/json_log.py
+++ b/gullyoke/extensions/json_log.py
@@ -1,22 +1,24 @@
-"""The log's lines as JSON objects: one flat object a line, the same names as in key=value lines."""
+"""Log lines as JSON: one flat object a line, with the names of the key=value lines."""
 
 from __future__ import annotations
 
 import logging
+from typing import Any
 
 from pythonjsonlogger.core import RESERVED_ATTRS
 from pythonjsonlogger.json import JsonFormatter
 
 
 class JsonLogFormatter(JsonFormatter):
-    """Formats a record as one flat JSON object."""
+    """Formats a record as one flat JSON object; values that JSON lacks become texts."""
 
     def __init__(self) -> None:
-        """Create the formatter; values that JSON does not have become texts."""
         super().__init__(reserved_attrs=RESERVED_ATTRS, json_default=str)
 
-    def add_fields(self, log_data: dict, record: logging.LogRecord, message_dict: dict) -> None:
-        """Put the fields of a record into the object; called by the base class."""
+    def add_fields(
+        self, log_data: dict[str, Any], record: logging.LogRecord, message_dict: dict[str, Any]
+    ) -> None:
+        """Put the fields of a record into the object; the base class calls this."""
         log_data |= {
             "time": round(record.created, 3),
             "level": record.levelname.lower(),
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -208,9 +208,9 @@
         """Once in a fleet: a copy that is older than what the others know is believed no more, and
         the mark grows with this server's own start there.
         """
-        member = self.fleet.member if self.fleet is not None else None
-        if member is None or self.mark is None or self.committer is None:
+        if self.fleet is None or self.mark is None or self.committer is None:
             return
+        member = self.fleet.member
         known, own = member.entry.known // TURNS, member.row.number // TURNS
         if self.trust.believed and is_older_copy(self.last, known):
             self.trust = FolderTrust(
--- a/gullyoke/extensions/listeners.py
+++ b/gullyoke/extensions/listeners.py
@@ -1,25 +1,36 @@
-"""Further ways in, beside the platform's HTTP/1.1."""
+"""Further listeners, next to the one of the daemon's own configuration."""
 
 from __future__ import annotations
 
 from gullyoke.daemon.extension import DaemonParts
 from gullyoke.extensions.base import BaseExtension
+from gullyoke.frontends.connections import Front
 from gullyoke.frontends.http1 import Http1
 from gullyoke.frontends.scgi import Scgi
 from gullyoke.operator_config.wanted import Way
 
-PROTOCOLS = {"SCGI": Scgi, "HTTP_1": Http1}
-
 
 class Listeners(BaseExtension):
+    """Opens the listeners of the operator's file."""
+
     name = section = "ways"
 
-    def __init__(self, ways: tuple[Way, ...]) -> None:
-        super().__init__(ways)
-        self.ways = ways
+    def __init__(self, listeners: tuple[Way, ...]) -> None:
+        """Create the extension from the listeners in the file."""
+        super().__init__(listeners)
+        self.listeners = listeners
 
     def attach(self, daemon: DaemonParts) -> None:
-        for way in self.ways:
-            daemon.connections.listen(
-                way.address, PROTOCOLS[way.protocol](daemon.message_handler, way.name)
-            )
+        """Listen on each address; accepting begins with the daemon's start.
+
+        Raises:
+            OSError: an address can't be listened on.
+        """
+        for listener in self.listeners:
+            daemon.connections.listen(listener.address, _create_front_end(daemon, listener))
+
+
+def _create_front_end(daemon: DaemonParts, listener: Way) -> Front:
+    if listener.protocol == "SCGI":
+        return Scgi(daemon.message_handler, listener.name)
+    return Http1(daemon.message_handler, listener.name)
--- a/gullyoke/extensions/operator_file.py
+++ b/gullyoke/extensions/operator_file.py
@@ -11,7 +11,7 @@
 from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.extensions.listeners import Listeners
 from gullyoke.operator_config.read import read
-from gullyoke.operator_config.wanted import OperatorFileError, Wanted
+from gullyoke.operator_config.wanted import Dutied, OperatorFileError, Together, Wanted
 from gullyoke.runtime.logs import log, log_fields
 
 #: By a section's name in the log, the attribute of the parsed file that has it.
@@ -132,7 +132,11 @@
         from gullyoke.extensions.fleet import Fleet
 
         fleet = Fleet(
-            path, wanted.fleet, wanted.kept, create_fleet_extensions(wanted, back_ends), disks
+            path,
+            wanted.fleet,
+            wanted.kept,
+            create_fleet_extensions(wanted.fleet, wanted.duties, back_ends),
+            disks,
         )
         extensions.append(fleet)
     if wanted.kept is not None and wanted.kept.without:
@@ -142,23 +146,25 @@
     return extensions
 
 
-def create_fleet_extensions(wanted: Wanted, back_ends: BackEnds | None) -> list[FleetExtension]:
+def create_fleet_extensions(
+    wanted: Together, duties: Dutied | None, back_ends: BackEnds | None
+) -> list[FleetExtension]:
     """Create what the file adds to the fleet's membership."""
     extensions: list[FleetExtension] = []
-    if wanted.fleet.signals:
+    if wanted.signals:
         from gullyoke.extensions.signals import Signals
 
-        extensions.append(Signals(wanted.fleet.heed))
-    if wanted.fleet.shares is not None:
+        extensions.append(Signals(wanted.heed))
+    if wanted.shares is not None:
         from gullyoke.extensions.shares import Shares
 
-        extensions.append(Shares(wanted.fleet.shares))
+        extensions.append(Shares(wanted.shares))
     if back_ends is not None:
         from gullyoke.extensions.subsets import Subsets
 
-        extensions.append(Subsets(wanted.pool.subset, back_ends))
-    if wanted.duties is not None:
+        extensions.append(Subsets(back_ends.wanted.subset, back_ends))
+    if duties is not None:
         from gullyoke.extensions.duties import Duty
 
-        extensions.append(Duty(wanted.duties))
+        extensions.append(Duty(duties))
     return extensions
--- a/gullyoke/extensions/subsets.py
+++ b/gullyoke/extensions/subsets.py
@@ -1,89 +1,114 @@
-"""Which of the back ends this server uses, where many servers share many of them, and whose turn it
-is to try one that was set aside: both told by the view of the fleet alone.
+"""Which back ends this server uses, and whose turn it is to probe an ejected one.
+
+Where many servers share many back ends, each uses a subset. All members of a fleet compute the same
+subsets and turns from the same view, so nothing is negotiated.
 """
 
 from __future__ import annotations
 
 import time
+from typing import Final
 
 from gullyoke.coordination.subsets import Subset, choose_subsets, order_alone
 from gullyoke.coordination.turns import turns_within
 from gullyoke.extensions.back_ends import BackEnds
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.fleet_extension import FleetExtension
-from gullyoke.membership.row import LIVE, Status
+from gullyoke.membership.row import LIVE, Row, Status
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 
-SLOT, ROUND = 250_000, 20  # microseconds of a turn to try a back end, and turns in a round
+PROBE_TURN_US: Final = 250_000
+#: Within so many turns each member has had one.
+PROBE_TURNS: Final = 20
 
 
 class Subsets(FleetExtension):
-    """`k`: back ends in a subset; 0: all are used, and only turns are taken."""
+    """Selects this server's back ends.
+
+    Attributes:
+        subset: the subset in force; None where all back ends are used and only probes take turns.
+        members: the names of the members that share the back ends.
+    """
+
+    fleet: Fleet
 
-    def __init__(self, k: int, back_ends: BackEnds) -> None:
-        self.k, self.fleet, self.pool = k, None, back_ends
+    def __init__(self, size: int, back_ends: BackEnds) -> None:
+        """Create the extension.
+
+        Args:
+            size: the number of back ends in a subset; 0 to use all.
+            back_ends: the back ends of the operator's file.
+        """
+        self.size = size
+        self.back_ends = back_ends
         self.subset: Subset | None = None
-        self.names: tuple[str, ...] = ()  # the members whose turns go round
+        self.members: tuple[str, ...] = ()
 
     def start(self, fleet: Fleet) -> None:
+        """Select a subset as if this server were alone, until it sees the others."""
         self.fleet = fleet
-        self.pool.backends.set_probe_gate(self.may)
-        if self.k:
-            zones = self.zones()
-            self.subset = Subset(
-                clock.now(), order_alone(fleet.daemon.configuration.name, list(zones))[: self.k]
-            )
-            self.pool.use(frozenset(self.subset.held))
-            fleet.link.status_sections["subset"] = lambda now: sorted(self.pool.only or ())
-
-    def zones(self) -> dict[str, str]:
-        return {b.name: b.zone for b in self.pool.wanted.back_ends}
+        self.back_ends.set_probe_gate(self.may_probe)
+        if self.size:
+            order = order_alone(fleet.daemon.configuration.name, list(self.back_ends.zones()))
+            self.subset = Subset(clock.now(), order[: self.size])
+            self.back_ends.select(frozenset(self.subset.held))
+            fleet.link.status_sections["subset"] = lambda now: sorted(self.back_ends.selected or ())
 
     def update(self, now: int) -> None:
-        fleet, zones = self.fleet, self.zones()
-        with fleet.link.lock:
-            rows = [
-                row
-                for row in fleet.member.view.rows.values()
-                if row.status in LIVE and row.status is not Status.JOINING
-            ]
-        self.names = tuple(row.name for row in rows)
+        """Follow the members and the health of the back ends."""
+        rows = self._sharing_members()
+        self.members = tuple(row.name for row in rows)
         if self.subset is None:
             return
-        me, servers = fleet.daemon.configuration.name, {row.name: row.zone for row in rows}
-        order = (
-            choose_subsets(servers, zones, len(zones))[me]
-            if me in servers
-            else order_alone(me, list(zones))
-        )
-        if me in servers:  # not in: what was chosen last stands
-            self.subset.follow(now, order[: self.k])
-        only = frozenset(self.subset.helped(now, order, self.pool.backends.ejected()))
-        if only != self.pool.only:
+        order = self._preference({row.name: row.zone for row in rows})
+        if self.fleet.daemon.configuration.name in self.members:  # else what was chosen last stays
+            self.subset.follow(now, order[: self.size])
+        selected = frozenset(self.subset.helped(now, order, self.back_ends.ejected()))
+        if selected != self.back_ends.selected:
             log.info(
                 "subset",
-                extra=log_fields(back_ends=",".join(sorted(only)), helping=len(self.subset.help)),
+                extra=log_fields(
+                    back_ends=",".join(sorted(selected)), helping=len(self.subset.help)
+                ),
             )
-            self.pool.use(only)
+            self.back_ends.select(selected)
 
-    def may(self, name: str) -> bool:
-        """Whether it is this server's turn to try a back end.
+    def may_probe(self, back_end: str) -> bool:
+        """Return whether it is this server's turn to probe a back end.
 
-        One that knows nobody tries when it likes.
+        A server that knows of no members may always probe.
         """
-        me, names = self.fleet.daemon.configuration.name, self.names
-        if me not in names:
+        members = self.members
+        name = self.fleet.daemon.configuration.name
+        if name not in members:
             return True
-        return turns_within(f"trial {name}", len(names), SLOT, ROUND).mine(
-            int(time.time() * 1e6), me, names
-        )
+        turns = turns_within(f"trial {back_end}", len(members), PROBE_TURN_US, PROBE_TURNS)
+        return turns.mine(int(time.time() * 1e6), name, members)
 
     def log_status(self) -> None:
+        """Log the back ends in use."""
         log.info(
             "subset",
             extra=log_fields(
-                back_ends=",".join(sorted(self.pool.only or ())) or "all",
+                back_ends=",".join(sorted(self.back_ends.selected or ())) or "all",
                 helping=len(self.subset.help) if self.subset else 0,
             ),
         )
+
+    def _sharing_members(self) -> list[Row]:
+        """Return the members that take requests, as this server sees them."""
+        with self.fleet.link.lock:
+            return [
+                row
+                for row in self.fleet.member.view.rows.values()
+                if row.status in LIVE and row.status is not Status.JOINING
+            ]
+
+    def _preference(self, zone_by_member: dict[str, str]) -> tuple[str, ...]:
+        """Return all back ends in the order in which this server prefers them."""
+        zones = self.back_ends.zones()
+        name = self.fleet.daemon.configuration.name
+        if name not in zone_by_member:
+            return order_alone(name, list(zones))
+        return choose_subsets(zone_by_member, zones, len(zones))[name]
