--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -18,7 +18,7 @@
 from gullyoke.admission.interface import DependencySlots
 from gullyoke.coordination.max_min_fairness import split_limit
 from gullyoke.durability.disk_quota import DataKind
-from gullyoke.extensions.disks import ConnectionLimits
+from gullyoke.extensions.data_folders import DataFolder
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.leases import rolling_restart as rolls
 from gullyoke.leases.announcements import Announcement, Instruction
@@ -359,16 +359,17 @@
 
     name = "record"
 
-    def __init__(self, fleet: Fleet, duties: LeaseService, room: ConnectionLimits) -> None:
+    def __init__(self, fleet: Fleet, duties: LeaseService, folder: DataFolder) -> None:
         super().__init__(fleet, duties)
         self.lines = AppendFile(
-            os.path.join(room.folder, "record.jsonl"),
+            os.path.join(folder.path, "record.jsonl"),
             LONGEST,
-            room.watch,
-            lambda: room.writes(DataKind.FLEET_RECORD),
+            folder.monitor,
+            lambda: folder.accepts(DataKind.FLEET_RECORD),
+        )
+        folder.register(
+            DataKind.FLEET_RECORD, self.lines.size_bytes, lambda size: self.lines.drop_older()
         )
-        room.size[DataKind.FLEET_RECORD] = self.lines.size_bytes
-        room.give[DataKind.FLEET_RECORD] = lambda size: self.lines.drop_older()
         self.last, self.epoch, self.count = None, 0, 0
 
     def act(self, now: int, epoch: int) -> None:
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -74,8 +74,8 @@
         )
         voter, shelf = None, RecordStore()
         if wanted.folder:
-            self.room = fleet.disks.at(wanted.folder, QUOTA, fleet.daemon.metrics)
-            self.room.start()
+            self.folder = fleet.folders.open(wanted.folder, QUOTA, fleet.daemon.metrics)
+            self.folder.start()
         if wanted.voters.get(told.name) == fleet.wanted.advertise:
             voter, shelf = self.voter(told.name, row, spans)
         names = [
@@ -150,7 +150,7 @@
         if name in made:
             return made[name](self.fleet, self.duties)
         if name == "record":
-            return Record(self.fleet, self.duties, self.room)
+            return Record(self.fleet, self.duties, self.folder)
         return Told(
             self.fleet, self.duties, next(own for own in self.wanted.own if own.name == name)
         )
@@ -166,7 +166,7 @@
 
         rows, kept, number = None, {}, self.wanted.set
         try:
-            self.files = self.room.watch.open_folder(os.path.join(self.wanted.folder, FOLDER))
+            self.files = self.folder.monitor.open_folder(os.path.join(self.wanted.folder, FOLDER))
             store = SlotFile(self.files)  # their room is taken now: a promise fits a full disk
             found = dict(store.items())
             whose, then = ours(found.pop(OURS, b""))
--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -16,7 +16,7 @@
 from gullyoke.daemon.extension import DaemonParts
 from gullyoke.errors import ConfigurationError
 from gullyoke.extensions.base import BaseExtension
-from gullyoke.extensions.disks import Disks
+from gullyoke.extensions.data_folders import DataFolders
 from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.membership import Change, Member, Row, Status, began
 from gullyoke.membership.row import identity
@@ -49,10 +49,10 @@
         wanted: Together,
         kept: Kept | None,
         parts: Sequence[FleetExtension] = (),
-        disks: Disks | None = None,
+        folders: DataFolders | None = None,
     ) -> None:
         super().__init__(wanted)
-        self.disks = disks or Disks()
+        self.folders = folders or DataFolders()
         self.path, self.wanted, self.kept = path, wanted, kept
         self.told = self.size = 0
         self.read: tuple[bytes, ...] = ()  # the keys of a file that is about to be taken over
@@ -91,9 +91,9 @@
         self.told = self.size = daemon.configuration.facts.fleet.size
         files = None
         if self.kept:
-            files = self.disks.at(
+            files = self.folders.open(
                 self.kept.folder, self.kept.quota, daemon.metrics
-            ).watch.open_folder
+            ).monitor.open_folder
         self.number = StoredStartNumber(
             self.kept.folder if self.kept else None, daemon.metrics, files
         )
@@ -109,9 +109,7 @@
         self.number.keep(row.number)
         self.member = Member(clock.now(), row, wanted.seeds, chance)
         self.member.heed.append(self.changed)
-        self.link.status_sections["disks"] = lambda now: {
-            folder: room.watch.state().value for folder, room in self.disks.rooms.items()
-        }
+        self.link.status_sections["disks"] = lambda now: self.folders.states()
         for part in self.parts:
             part.start(self)
         self.link.begin(self.member)
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -36,7 +36,7 @@
 from gullyoke.durability.folder_trust import is_older_copy, next_mark
 from gullyoke.executors import Executor
 from gullyoke.extensions.base import BaseExtension
-from gullyoke.extensions.disks import Disks
+from gullyoke.extensions.data_folders import DataFolders
 from gullyoke.extensions.promised import NOTE, Promised, digest, encode, packed, unpacked
 from gullyoke.membership.row import TURNS
 from gullyoke.operator_config.wanted import Kept, Wanted
@@ -98,9 +98,9 @@
 class Keys(BaseExtension):
     name = section = "kept"
 
-    def __init__(self, kept: Kept, disks: Disks, fleet: Fleet | None = None) -> None:
+    def __init__(self, kept: Kept, folders: DataFolders, fleet: Fleet | None = None) -> None:
         super().__init__(kept)
-        self.kept, self.disks, self.fleet = kept, disks, fleet
+        self.kept, self.folders, self.fleet = kept, folders, fleet
         self.committer: GroupCommitter | None = None
         self.ready = threading.Event()
         self.trust: FolderTrust | None = None
@@ -119,7 +119,7 @@
         self.ledger = KeyLedger(
             int(time.time()), UndurablePolicy(self.kept.without), min(RESULTS, self.kept.quota // 2)
         )
-        self.room = self.disks.at(self.kept.folder, self.kept.quota, daemon.metrics)
+        self.folder = self.folders.open(self.kept.folder, self.kept.quota, daemon.metrics)
         self.window = max(
             [h.key_ttl for h in daemon.configuration.facts.request_classes], default=0
         )
@@ -135,18 +135,15 @@
             log.error("keys not read yet", extra=log_fields(folder=self.kept.folder))
 
     def start(self) -> None:
-        self.room.size |= {
-            DataKind.KEY_RECORDS: lambda: self.ledger.record_bytes(),
-            DataKind.RESULTS: lambda: self.ledger.result_bytes(),
-        }
-        self.room.give[DataKind.RESULTS] = self.give
-        self.room.tidy.append(self.tidy)
-        self.room.start()
-        self.room.watch.listeners.append(self.turned)
+        self.folder.register(DataKind.KEY_RECORDS, self.ledger.record_bytes)
+        self.folder.register(DataKind.RESULTS, self.ledger.result_bytes, self.give)
+        self.folder.add_compaction(self.tidy)
+        self.folder.start()
+        self.folder.monitor.listeners.append(self.turned)
         self.daemon.timer.call_at(clock.now() + SWEEP, self.sweep)
 
     def opened(self) -> Store:
-        self.files = self.room.watch.open_folder(os.path.join(self.kept.folder, FOLDER))
+        self.files = self.folder.monitor.open_folder(os.path.join(self.kept.folder, FOLDER))
         return Store(
             self.files, segment_bytes=max(4096, self.kept.quota // 8), quota_bytes=self.kept.quota
         )
@@ -237,7 +234,7 @@
 
     def fit(self) -> bool:
         """Whether the disk may be asked for a promise now."""
-        return self.committer is not None and self.room.watch.accepts_writes()
+        return self.committer is not None and self.folder.monitor.accepts_writes()
 
     def put(
         self, key: str, value: bytes | None, told: Callable[[bool], None] = lambda durable: None
@@ -250,7 +247,7 @@
         now = clock.now()
         self.daemon.timer.call_at(now + SWEEP, self.sweep)
         self.promised.overdue(now)
-        bad = self.room.watch.state() in BAD_STATES
+        bad = self.folder.monitor.state() in BAD_STATES
         self.state(not bad and self.committer is not None)
         if now >= self.next:
             self.next = now + LOOK
@@ -323,13 +320,13 @@
             "keys",
             extra=log_fields(
                 **row,
-                state=self.room.watch.state().value,
+                state=self.folder.monitor.state().value,
                 group=f"{committer.committed_entries / groups:.1f}" if groups else "-",
             ),
         )
 
     def close(self) -> None:
         """Never held up for long by a disk that hangs."""
-        self.room.watch.stop()
+        self.folder.monitor.stop()
         if self.committer is not None and not self.committer.close(CLOSE):
             log.error("keys not all written", extra=log_fields(held=self.committer.pending_bytes))
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -1,192 +1,213 @@
-"""What the daemon remembers over a restart.
+"""What the daemon remembers over a restart: the run times that the decisions have learned.
 
-Read at the start, given to the learner, kept as it goes on.
-
-The rules are in gullyoke/storage/run_time_history.py; here they meet the store, the clock and the desk's
-lock. Nothing of it stops a server: a folder that can't be used is said and counted, and the server
-starts with nothing.
+Both recorders run on the timer's thread and read the decisions under the dispatcher's lock.
 """
 
 from __future__ import annotations
 
 import time
+from typing import Final
 
+from gullyoke.admission.controller import AdmissionController
+from gullyoke.admission.interface import RequestClass
 from gullyoke.daemon.extension import DaemonParts
 from gullyoke.durability.disk_quota import DataKind
 from gullyoke.extensions.base import BaseExtension
-from gullyoke.extensions.disks import ConnectionLimits, Disks
+from gullyoke.extensions.data_folders import DataFolder, DataFolders
+from gullyoke.extensions.memory_store import (
+    RUN_TIMES_KEY,
+    STARTS_KEY,
+    WARMUP_KEY,
+    MemoryStore,
+)
 from gullyoke.operator_config.wanted import Kept
 from gullyoke.runtime import clock
-from gullyoke.runtime.dispatcher import Dispatcher
-from gullyoke.runtime.logs import log, log_fields
-from gullyoke.runtime.metrics import Metrics
-from gullyoke.runtime.timer import Timer
-from gullyoke.storage import GroupCommitter, Store
-from gullyoke.storage import run_time_history as rules
-from gullyoke.storage import warmup_history as colds
+from gullyoke.storage import run_time_history, warmup_history
+from gullyoke.storage.run_time_history import RunTimeSnapshot, StartHistory
 
-LOOK, KEEP = 500_000, 5_000_000  # microseconds between looks, and between snapshots
-COLD_LOOK = 50_000  # and between looks while cold
-LEARNED, STARTS, COLD = "learned", "starts", "cold"  # the keys
+LEARNER_INTERVAL_US: Final = 500_000
+SNAPSHOT_INTERVAL_US: Final = 5_000_000
+WARMUP_INTERVAL_US: Final = 50_000
+#: The counters of errors of the daemon's own code begin with this.
+INTERNAL_ERRORS: Final = "faults."
 
 
 class Memory(BaseExtension):
-    """The feature: what is remembered lies in the folder that the file names."""
+    """Keeps learned run times in the folder of the operator's file."""
 
     name = section = "kept"
 
-    def __init__(self, kept: Kept, disks: Disks) -> None:
-        super().__init__(kept)
-        self.kept, self.disks, self.memory, self.daemon = kept, disks, None, None
+    # Set by `attach`.
+    folder: DataFolder
+    store: MemoryStore
+    run_times: RunTimeRecorder
+    warmup: WarmupTracker
+
+    def __init__(self, wanted: Kept, folders: DataFolders) -> None:
+        """Create the extension.
+
+        Args:
+            wanted: the section of the operator's file.
+            folders: the folders, which other extensions use too.
+        """
+        super().__init__(wanted)
+        self.wanted = wanted
+        self.folders = folders
 
     def attach(self, daemon: DaemonParts) -> None:
-        self.daemon = daemon
-        self.room = self.disks.at(self.kept.folder, self.kept.quota, daemon.metrics)
-        self.memory = Remembered(
-            self.room, self.kept.quota, daemon.configuration.settings, daemon.metrics
+        """Read what an earlier process has kept."""
+        self.folder = self.folders.open(self.wanted.folder, self.wanted.quota, daemon.metrics)
+        self.store = MemoryStore(
+            self.folder, self.wanted.quota, daemon.configuration.settings, daemon.metrics
         )
+        self.run_times = RunTimeRecorder(daemon, self.store)
+        self.warmup = WarmupTracker(daemon, self.store)
 
     def start(self) -> None:
-        self.room.size[DataKind.RUN_TIMES] = self.memory.size
-        self.room.give[DataKind.RUN_TIMES] = lambda size: self.memory.give()
-        self.room.start()
-        self.memory.watch(self.daemon.dispatcher, self.daemon.timer)
-
-
-class Remembered:
-    """Table: none but its curve's; the store holds three rows."""
-
-    def __init__(self, room: ConnectionLimits, quota: int, stated: object, metrics: Metrics) -> None:
-        self.stated, self.metrics, self.committer = rules.settings_digest(stated), metrics, None
-        self.room, folder = room, room.folder
-        self.found, self.weight, self.starts = None, 0.0, rules.StartHistory()
-        self.cold, self.curve, self.step = None, colds.WarmupRecorder(), -1
-        self.usual: dict[str, float] = {}
-        self.recalled, self.calm, self.kept, self.began = False, False, clock.now(), clock.now()
-        try:
-            store = Store(
-                room.watch.open_folder(folder),
-                segment_bytes=max(4096, quota // 8),
-                quota_bytes=quota,
-            )
-            self.starts = (
-                rules.unpack_row(store.get(STARTS), rules.StartHistory) or rules.StartHistory()
-            )
-            self.found = rules.unpack_row(store.get(LEARNED), rules.RunTimeSnapshot)
-            self.cold = rules.unpack_row(store.get(COLD), colds.WarmupSnapshot)
-            verdict = rules.judge_snapshot(self.found, self.stated, time.time(), self.starts)
-            self.weight = verdict.weight
-            self.committer = GroupCommitter(store)
-            self.committer.put(STARTS, rules.pack_row(rules.start_begun(self.starts)))
-            log.info(
-                "memory",
-                extra=log_fields(
-                    folder=folder,
-                    weight=f"{verdict.weight:.3f}",
-                    why=verdict.reason,
-                    dropped=store.dropped_bytes,
-                    unwell=self.starts.unhealthy_starts,
-                ),
-            )
-        except OSError as fault:
-            metrics.increment("memory.faults")
-            log.error("memory not used", extra=log_fields(folder=folder, why=fault))
+        """Use what was read once there are decisions, and keep what they learn."""
+        self.folder.register(
+            DataKind.RUN_TIMES, self.store.size_bytes, lambda size: self.store.delete_all()
+        )
+        self.folder.start()
+        if self.store.committer is not None:
+            self.run_times.start()
+            self.warmup.start()
 
-    def watch(self, dispatcher: Dispatcher, timer: Timer) -> None:
-        """From now on: recall once there is a learner, keep a snapshot now and then."""
-        if self.committer is not None:
-            timer.call_at(clock.now() + LOOK, lambda: self.look(dispatcher, timer))
-            timer.call_at(clock.now() + COLD_LOOK, lambda: self.look_cold(dispatcher, timer))
 
-    def look_cold(self, dispatcher: Dispatcher, timer: Timer) -> None:
-        """While the server is cold.
+class RunTimeRecorder:
+    """Gives the learned run times to the decisions at their start, and keeps them from then on."""
 
-        Usual times as they were then, by age; what this start is like is noted. At the end of it
-        that is kept.
-        """
-        with dispatcher.lock:
+    def __init__(self, daemon: DaemonParts, store: MemoryStore) -> None:
+        self.daemon = daemon
+        self.store = store
+        self.began_us = clock.now()
+        self.last_snapshot_us = self.began_us
+        self.usual_run_times_us: dict[str, float] = {}
+        self.applied = False
+        self.start_is_healthy = False
+
+    def start(self) -> None:
+        """Look at the decisions from now on, at each interval."""
+        self.daemon.timer.call_at(clock.now() + LEARNER_INTERVAL_US, self._update)
+
+    def _update(self) -> None:
+        self.start()
+        dispatcher = self.daemon.dispatcher
+        with dispatcher.lock:  # what is copied is small
             server = dispatcher.server
-            if server is not None and not server.safety.machine.starts_cold:
-                return  # it began warm
-            age = clock.now() - server.safety.started_at if server is not None else 0
-            step = colds.age_bucket(age)
-            if server is not None and step != self.step:
-                if self.step < 0:
-                    self.follow(server)
-                self.step = step
-                if step is not None and colds.is_usable(self.cold, self.stated, self.starts):
-                    colds.apply_snapshot(server, self.cold, age)
-                    self.metrics.increment("memory.cold_recalled")
-        if step is not None:
-            timer.call_at(clock.now() + COLD_LOOK, lambda: self.look_cold(dispatcher, timer))
-            return
-        with dispatcher.lock:
-            del server.queue.run_finished  # the class's own again
-            row = self.curve.take_snapshot(self.stated, time.time(), self.cold)
-        if row.run_times_us:
-            self.put(COLD, rules.pack_row(row))
+            if server is None:
+                return
+            snapshot = self._exchange(server)
+            if snapshot is None:
+                return
+            warm = server.guards.speed(dispatcher.now) >= 1.0
+            draining = dispatcher.stop_at is not None
+            overloaded = server.on > server.guards.crowd(dispatcher.now)
+        if clock.now() - self.last_snapshot_us >= SNAPSHOT_INTERVAL_US or draining:
+            self._keep(snapshot, warm, draining, overloaded)
+
+    def _exchange(self, server: AdmissionController) -> RunTimeSnapshot | None:
+        """Apply what was kept, the first time; return what has been learned by now."""
+        if server.learner is None:
+            return None
+        if not self.applied:
+            self.applied = True
+            kept = self.store.snapshot if self.store.weight > 0 else None
+            if kept is not None:
+                run_time_history.apply_snapshot(server, kept, self.store.weight)
+            self.daemon.metrics.increment("memory.recalled" if kept is not None else "memory.fresh")
+        return run_time_history.take_snapshot(server, self.store.digest, time.time())
+
+    def _keep(
+        self, snapshot: RunTimeSnapshot, warm: bool, draining: bool, overloaded: bool
+    ) -> None:
+        """Keep a snapshot of a server in its usual state."""
+        now = clock.now()
+        run_times_us = snapshot.run_times_us
+        is_usual = run_time_history.is_worth_keeping(
+            run_times_us, self.usual_run_times_us, warm, draining
+        )
+        self.usual_run_times_us = run_time_history.usual_run_times(
+            run_times_us, self.usual_run_times_us
+        )
+        self.last_snapshot_us = now
+        if is_usual:
+            self.store.put(RUN_TIMES_KEY, snapshot)
+        if not self.start_is_healthy and run_time_history.is_healthy_start(
+            (now - self.began_us) / 1e6, self._internal_errors(), overloaded
+        ):
+            self.start_is_healthy = True
+            self.store.put(STARTS_KEY, StartHistory())
 
-    def follow(self, server) -> None:
-        """Each run's time is noted from now on, beside what the decisions make of it."""
-        ran, curve = server.queue.run_finished, self.curve
+    def _internal_errors(self) -> int:
+        rows = self.daemon.metrics.counters
+        return sum(count for name, count in rows.items() if name.startswith(INTERNAL_ERRORS))
 
-        def noted(request_class, took: int) -> None:
-            ran(request_class, took)
-            curve.record_run(server.now - server.safety.started_at, request_class.name, took)
 
-        server.queue.run_finished = noted
+class WarmupTracker:
+    """Sets the run times of earlier warm-ups while this one lasts, and records it.
 
-    def look(self, dispatcher: Dispatcher, timer: Timer) -> None:
-        timer.call_at(clock.now() + LOOK, lambda: self.look(dispatcher, timer))
-        with dispatcher.lock:  # copies of small tables
-            server = dispatcher.server
-            if server is None or server.learner is None:
-                return
-            if not self.recalled:
-                self.recalled = True
-                if self.weight > 0:
-                    rules.apply_snapshot(server, self.found, self.weight)
-                self.metrics.increment("memory.recalled" if self.weight > 0 else "memory.fresh")
-            row = rules.take_snapshot(server, self.stated, time.time())
-            warm = server.safety.speed(dispatcher.now) >= 1.0
-            leaving, crowd = (
-                dispatcher.stop_at is not None,
-                server.state.running > server.safety.max_on_cores(dispatcher.now),
-            )
-        self.keep(row, warm, leaving, crowd)
+    A server that has just started is slower than it will be: run times depend on its age.
+    """
 
-    def keep(self, row: rules.RunTimeSnapshot, warm: bool, leaving: bool, crowd: bool) -> None:
-        """A snapshot, if it is time for one and the moment is fit."""
-        now = clock.now()
-        if now - self.kept < KEEP and not leaving:
-            return
-        fit = rules.should_save(row.run_times_us, self.usual, warm, leaving)
-        self.usual = rules.usual_run_times(row.run_times_us, self.usual)
-        self.kept = now
-        if fit:
-            self.put(LEARNED, rules.pack_row(row))
-        faults = sum(n for name, n in self.metrics.counters.items() if name.startswith("faults."))
-        if not self.calm and rules.is_healthy_start((now - self.began) / 1e6, faults, crowd):
-            self.calm = True
-            self.put(STARTS, rules.pack_row(rules.StartHistory()))
-
-    def size(self) -> int:
-        return self.committer.store.plan.live_bytes() if self.committer is not None else 0
-
-    def give(self) -> None:
-        """All of it: what a server remembers of usual times it can learn again."""
-        for key in (LEARNED, COLD):
-            self.committer.put(key, None)
-
-    def put(self, key: str, data: bytes) -> None:
-        if not self.room.writes(
-            DataKind.RUN_TIMES
-        ):  # what is worth least is not written where room is short
-            self.metrics.increment("memory.skipped")
-            return
+    def __init__(self, daemon: DaemonParts, store: MemoryStore) -> None:
+        self.daemon = daemon
+        self.store = store
+        self.recorder = warmup_history.WarmupRecorder()
+        self.recording = False
+        self.bucket: int | None = None
 
-        def told(durable: bool) -> None:
-            self.metrics.increment("memory.kept" if durable else "memory.faults")
+    def start(self) -> None:
+        """Look at the server's age from now on, at each interval until it is warm."""
+        self.daemon.timer.call_at(clock.now() + WARMUP_INTERVAL_US, self._update)
 
-        if not self.committer.put(key, data, told):
-            self.metrics.increment("memory.refused")
+    def _update(self) -> None:
+        dispatcher = self.daemon.dispatcher
+        with dispatcher.lock:
+            server = dispatcher.server
+            if server is not None:
+                if not server.machine.starts_cold:
+                    return
+                self._follow_age(server)
+        if server is None or self.bucket is not None:
+            self.start()
+            return
+        self._finish(server)
+
+    def _follow_age(self, server: AdmissionController) -> None:
+        """Set the run times of the age that the server has reached; under the lock."""
+        age_us = clock.now() - server.guards.started
+        bucket = warmup_history.age_bucket(age_us)
+        if self.recording and bucket == self.bucket:
+            return
+        if not self.recording:
+            self.recording = True
+            self._record_runs(server)
+        self.bucket = bucket
+        kept = self.store.warmup
+        if bucket is not None and warmup_history.is_usable(
+            kept, self.store.digest, self.store.starts
+        ):
+            warmup_history.apply_snapshot(server, kept, age_us)
+            self.daemon.metrics.increment("memory.cold_recalled")
+
+    def _record_runs(self, server: AdmissionController) -> None:
+        """Record the time of each run, next to what the decisions make of it."""
+        decide = server.hold.ran
+
+        def record(request_class: RequestClass, took_us: int) -> None:
+            decide(request_class, took_us)
+            age_us = server.now - server.guards.started
+            self.recorder.record_run(age_us, request_class.name, took_us)
+
+        server.hold.ran = record  # type: ignore[method-assign,assignment]  # no hook for it
+
+    def _finish(self, server: AdmissionController) -> None:
+        """Keep the record of the warm-up that is over."""
+        with self.daemon.dispatcher.lock:
+            del server.hold.ran  # the method of its class again
+            snapshot = self.recorder.take_snapshot(
+                self.store.digest, time.time(), self.store.warmup
+            )
+        if snapshot.run_times_us:
+            self.store.put(WARMUP_KEY, snapshot)
--- a/gullyoke/extensions/operator_file.py
+++ b/gullyoke/extensions/operator_file.py
@@ -119,15 +119,15 @@
     path: str, wanted: Wanted, back_ends: BackEnds | None
 ) -> list[ReloadableExtension]:
     """Create those that write to folders; they share the watch of a folder."""
-    from gullyoke.extensions.disks import Disks
+    from gullyoke.extensions.data_folders import DataFolders
 
-    disks = Disks()
+    folders = DataFolders()
     extensions: list[ReloadableExtension] = []
     fleet = None
     if wanted.kept is not None:
         from gullyoke.extensions.memory import Memory
 
-        extensions.append(Memory(wanted.kept, disks))
+        extensions.append(Memory(wanted.kept, folders))
     if wanted.fleet is not None:
         from gullyoke.extensions.fleet import Fleet
 
@@ -136,13 +136,13 @@
             wanted.fleet,
             wanted.kept,
             create_fleet_extensions(wanted.fleet, wanted.duties, back_ends),
-            disks,
+            folders,
         )
         extensions.append(fleet)
     if wanted.kept is not None and wanted.kept.without:
         from gullyoke.extensions.keys import Keys
 
-        extensions.append(Keys(wanted.kept, disks, fleet))
+        extensions.append(Keys(wanted.kept, folders, fleet))
     return extensions
 
 
--- a/tests/compatibility/test_duty_messages.py
+++ b/tests/compatibility/test_duty_messages.py
@@ -10,7 +10,7 @@
 
 from compatibility.recorded import temporary_folder
 from gullyoke.extensions.charges import Ask, Book, Record, Roll, Told
-from gullyoke.extensions.disks import ConnectionLimits
+from gullyoke.extensions.data_folders import DataFolder
 from gullyoke.leases.announcements import Announcement, Instruction
 from gullyoke.leases.rolling_restart import RestartPlan
 from gullyoke.membership import Row, Status
@@ -76,9 +76,12 @@
     def test_record_line(self):
         """`record`: a line of JSON in the holder's folder; the count goes on as text."""
         folder = temporary_folder(self)
-        room = ConnectionLimits(str(folder), 2**20, Counters())
-        self.addCleanup(room.watch.end)
-        record, register = Record(fleet_of("server-1"), mock.MagicMock(), room), mock.MagicMock()
+        data_folder = DataFolder(str(folder), 2**20, Counters())
+        self.addCleanup(data_folder.monitor.stop)
+        record, register = (
+            Record(fleet_of("server-1"), mock.MagicMock(), data_folder),
+            mock.MagicMock(),
+        )
         record.count, record.epoch = 41, EPOCH
         row = {"what": "view", "members": 3, "seen": 2, "digest": f"{7:016x}"}
         record.write(5, row, register)
--- a/tests/compatibility/test_memory_store.py
+++ b/tests/compatibility/test_memory_store.py
@@ -3,8 +3,13 @@
 import unittest
 
 from compatibility.recorded import copy_of, files_in, temporary_folder
-from gullyoke.extensions.disks import ConnectionLimits
-from gullyoke.extensions.memory import COLD, LEARNED, STARTS, Remembered
+from gullyoke.extensions.data_folders import DataFolder
+from gullyoke.extensions.memory_store import (
+    RUN_TIMES_KEY,
+    STARTS_KEY,
+    WARMUP_KEY,
+    MemoryStore,
+)
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.storage import StorageFolder, Store
 from gullyoke.storage.record import LocatedRecord, scan_records
@@ -47,15 +52,15 @@
 def write_memory(folder):
     disk = StorageFolder(folder)
     store = Store(disk, segment_bytes=QUOTA // 8, quota_bytes=QUOTA)
-    store.put([(STARTS, pack_row(STARTS_VALUE))])
-    store.put([(COLD, pack_row(COLD_VALUE))])
-    store.put([(LEARNED, pack_row(LEARNED_VALUE))])
+    store.put([(STARTS_KEY, pack_row(STARTS_VALUE))])
+    store.put([(WARMUP_KEY, pack_row(COLD_VALUE))])
+    store.put([(RUN_TIMES_KEY, pack_row(LEARNED_VALUE))])
     disk.close()
 
 
-class MemoryStore(unittest.TestCase):
+class MemoryRows(unittest.TestCase):
     def test_constants(self):
-        self.assertEqual((LEARNED, STARTS, COLD), ("learned", "starts", "cold"))
+        self.assertEqual((RUN_TIMES_KEY, STARTS_KEY, WARMUP_KEY), ("learned", "starts", "cold"))
         self.assertEqual(
             AGE_BUCKETS_US, (500_000, 1_000_000, 2_000_000, 4_000_000, 8_000_000, 16_000_000)
         )
@@ -77,13 +82,13 @@
     def test_recorded_memory_is_recalled(self):
         """A server opened on the recorded folder has the same memory, and counts its start."""
         folder = copy_of(self, "memory")
-        room = ConnectionLimits(str(folder), QUOTA, Metrics())
-        memory = Remembered(room, QUOTA, SETTINGS, Metrics())
-        self.assertEqual(memory.found, LEARNED_VALUE)
-        self.assertEqual(memory.cold, COLD_VALUE)
+        data_folder = DataFolder(str(folder), QUOTA, Metrics())
+        memory = MemoryStore(data_folder, QUOTA, SETTINGS, Metrics())
+        self.assertEqual(memory.snapshot, LEARNED_VALUE)
+        self.assertEqual(memory.warmup, COLD_VALUE)
         self.assertEqual(memory.starts, STARTS_VALUE)
         self.assertTrue(memory.committer.close(10))
-        room.watch.stop()
+        data_folder.monitor.stop()
         written = [
             one.record
             for one in scan_records(files_in(folder)["0000000002.seg"])
@@ -97,7 +102,7 @@
     def test_recorded_memory_is_trusted(self):
         disk = StorageFolder(copy_of(self, "memory"))
         self.addCleanup(disk.close)
-        found = unpack_row(Store(disk).get(LEARNED), RunTimeSnapshot)
+        found = unpack_row(Store(disk).get(RUN_TIMES_KEY), RunTimeSnapshot)
         at = 1_700_000_000.5
         self.assertEqual(judge_snapshot(found, SETTINGS_DIGEST, at, STARTS_VALUE)[0], 0.5)
         self.assertEqual(judge_snapshot(found, SETTINGS_DIGEST, at + 3600, STARTS_VALUE)[0], 0.25)
