--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -155,7 +155,10 @@
         self.shares = next(part for part in fleet.parts if type(part).__name__ == "Shares")
         self.homes = wanted.homes
         _, self.tokens = split_limit(
-            wanted.slots * self.shares.unit(), wanted.largest, wanted.homes, wanted.floor_share
+            wanted.slots * self.shares.tokens_per_slot(),
+            wanted.largest,
+            wanted.homes,
+            wanted.floor_share,
         )
         self.gone: tuple[str, ...] = ()
 
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -1,12 +1,17 @@
-"""This server's part in what all servers share, on the members' datagrams.
+"""This server's part of the limits that all servers share.
 
-The slots below, and customers' quotas.
+These are the calls of the dependency that may be in flight at once (slots) and the quotas of tenants.
+Both are split into tokens, which members of the fleet lend to each other with their datagrams.
 """
 
 from __future__ import annotations
 
-from gullyoke.coordination import tenant_quotas as quotas
-from gullyoke.coordination.limit_parts import TOKENS_PER_CALL, ConcurrencyPart, MeanConcurrencyPart
+from collections.abc import Mapping
+from typing import Any, NamedTuple
+
+from gullyoke.admission.interface import DependencyFacts, Tenant
+from gullyoke.coordination import tenant_quotas
+from gullyoke.coordination.limit_parts import UNIT, ConcurrencyPart, MeanConcurrencyPart
 from gullyoke.coordination.max_min_fairness import split_limit
 from gullyoke.coordination.quota_participant import QuotaParticipant
 from gullyoke.errors import ConfigurationError
@@ -25,133 +30,166 @@
 from gullyoke.runtime.logs import log, log_fields
 
 
+class Participation(NamedTuple):
+    """This server's part of one limit.
+
+    Args:
+        participant: borrows and lends tokens.
+        floor: the tokens that each server has without borrowing.
+    """
+
+    participant: QuotaParticipant
+    floor: int
+
+
 class Shares(FleetExtension):
-    """`wanted`: what the file states, alike on all servers."""
+    """Takes part in the limits of the operator's file, which is the same on all servers.
+
+    Attributes:
+        shared: the slots; None where none are shared.
+        quotas: the shared quotas, by tenant.
+    """
+
+    fleet: Fleet
 
     def __init__(self, wanted: Slotted) -> None:
-        self.wanted, self.shared, self.in_force = wanted, None, -1
+        """Create the extension from its section of the operator's file."""
+        self.wanted = wanted
+        self.shared: SharedSlots | None = None
         self.quotas: dict[str, SharedQuota] = {}
+        self.logged_in_force: object = None
 
-    def unit(self) -> int:
-        """Tokens of a slot: a limit on the mean is lent in parts of a call."""
-        return TOKENS_PER_CALL if self.wanted.mean else 1
+    def tokens_per_slot(self) -> int:
+        """Return how many tokens a slot is; a limit on a mean is lent in parts of a call."""
+        return UNIT if self.wanted.mean else 1
 
     def attach(self, fleet: Fleet) -> None:
-        """Raises `Misstated` where there is nothing below that could be shared."""
-        below, tenants = (
-            fleet.daemon.configuration.facts.dependency,
-            fleet.daemon.configuration.facts.tenants,
-        )
-        if self.wanted.quotas and not tenants:
+        """Check that the site has what is to be shared.
+
+        Raises:
+            ConfigurationError: it has not.
+        """
+        facts = fleet.daemon.configuration.facts
+        if self.wanted.quotas and not facts.tenants:
             raise ConfigurationError(
                 f"{fleet.path}: fleet.shares.quotas: the settings name no customers (Orgs); "
                 "right would be none"
             )
         if not self.wanted.slots:
             return
-        if not below.exists:
+        if not facts.dependency.exists:
             raise ConfigurationError(
                 f"{fleet.path}: fleet.shares: no calls go below from here; right would be none"
             )
-        if self.wanted.mean and not below.quota_window:
+        if self.wanted.mean and not facts.dependency.quota_window:
             raise ConfigurationError(
                 f"{fleet.path}: fleet.shares.mean: the settings state no span (ShareSpanUs); "
                 "right would be slots at every moment"
             )
 
     def start(self, fleet: Fleet) -> None:
+        """Give the shared limits to the decisions and to the link between the members."""
+        self.fleet = fleet
+        facts = fleet.daemon.configuration.facts
         if self.wanted.slots:
-            self.begin_slots(fleet)
+            self._share_slots(facts.dependency)
         if self.wanted.quotas:
-            self.begin_quotas(fleet)
-
-    def sharing(
-        self, fleet: Fleet, limit: int, linger: int, after: int
-    ) -> tuple[QuotaParticipant, int]:
-        """This process's part in a limit of so many tokens, and the floor."""
-        wanted, name = self.wanted, fleet.daemon.configuration.name
-        floor, tokens = split_limit(limit, wanted.largest, wanted.homes, wanted.floor_share)
+            self._share_quotas(facts.tenants)
+
+    def update(self, now: int) -> None:
+        """Log the slots where this server's part has changed."""
+        if self.shared is None:
+            return
+        status = self.shared.status(now)
+        if status["in_force"] != self.logged_in_force:
+            self.logged_in_force = status["in_force"]
+            log.debug("slots", extra=log_fields(**status))
+
+    def log_status(self) -> None:
+        """Log this server's part of each limit."""
+        if self.shared is not None:
+            log.info("slots", extra=log_fields(**self.shared.status(clock.now())))
+        for name, limit in self.quotas.items():
+            log.info("quota", extra=log_fields(tenant=name, **limit.status(clock.now())))
+
+    def _share_slots(self, dependency: DependencyFacts) -> None:
+        wanted = self.wanted
+        tokens = wanted.slots * self.tokens_per_slot()
+        window_us = dependency.quota_window if wanted.mean else 0
+        participation = self._participate(tokens, dependency.linger, window_us)
+        part = (
+            MeanConcurrencyPart(
+                participation.participant, dependency.linger, dependency.quota_window
+            )
+            if wanted.mean
+            else ConcurrencyPart(participation.participant, dependency.linger)
+        )
+        digest = configuration_digest(wanted.homes, tokens, participation.floor)
+        self.shared = SharedSlots(part, wanted.homes, digest, self.fleet.taken)
+        dependency.slots = self.shared
+        self.fleet.link.topics[TOPIC] = self.shared
+        self.fleet.link.status_sections["shares"] = self.shared.status
+
+    def _share_quotas(self, tenants: list[Tenant]) -> None:
+        """Share the largest quotas; the others are divided by the size of the fleet."""
+        largest = sorted(tenants, key=lambda tenant: (-tenant.quota, tenant.name))
+        for tenant in largest[: tenant_quotas.MOST]:
+            limit = self._share_quota(tenant)
+            self.quotas[tenant.name] = limit
+            tenant.leased_quota = limit.leased_quota
+        self.fleet.link.topics[QUOTAS] = TenantQuotaService(self.quotas.values())
+        self.fleet.link.status_sections["quotas"] = self._quota_status
+
+    def _share_quota(self, tenant: Tenant) -> SharedQuota:
+        tokens = tenant_quotas.tokens(self.wanted.largest)
+        participation = self._participate(tokens, 0, tenant_quotas.SAVED)
+        digest = configuration_digest(
+            self.wanted.homes, tokens, participation.floor, tenant.name, f"{tenant.quota:g}"
+        )
+        part = tenant_quotas.TenantQuotaPart(participation.participant, tenant.quota, tokens)
+        return SharedQuota(part, self.wanted.homes, digest, self.fleet.taken)
+
+    def _quota_status(self, now: int) -> Mapping[str, Any]:
+        return {
+            name: limit.status(now) | {"reqs_a_second": round(limit.own.part(now), 2)}
+            for name, limit in self.quotas.items()
+        }
+
+    def _participate(self, tokens: int, linger_us: int, window_us: int) -> Participation:
+        """Create this server's part of a limit.
+
+        Args:
+            tokens: the whole limit.
+            linger_us: for how long what a server used stays in use after its end.
+            window_us: for how long it counts after that.
+        """
+        wanted = self.wanted
+        floor, lendable = split_limit(tokens, wanted.largest, wanted.homes, wanted.floor_share)
+        name = self.fleet.daemon.configuration.name
         home = name if name in wanted.homes else None
-        votes = home is not None and wanted.homes[home] == fleet.wanted.advertise
-        made = QuotaParticipant(
+        lent_tokens = lendable[home] if home is not None else 0
+        votes = home is not None and wanted.homes[home] == self.fleet.wanted.advertise
+        participant = QuotaParticipant(
             clock.now(),
-            fleet.member.row.life,
+            self.fleet.member.row.life,
             wanted.homes,
-            tokens.get(home, 0),
+            lent_tokens,
             floor,
             home,
             votes,
-            linger,
-            after,
+            linger_us,
+            window_us,
         )
-        made.borrower.weight = wanted.weight
+        participant.borrower.weight = wanted.weight
         log.info(
             "shares",
             extra=log_fields(
-                tokens=limit,
+                tokens=tokens,
                 floor=floor,
                 homes=len(wanted.homes),
-                lends=tokens.get(home, 0),
+                lends=lent_tokens,
                 home=home or "-",
                 votes=votes,
             ),
         )
-        return made, floor
-
-    def begin_quotas(self, fleet: Fleet) -> None:
-        """The quotas of those who have most; the others' go by the size agreed on."""
-        whole = quotas.tokens(self.wanted.largest)
-        tenants = sorted(
-            fleet.daemon.configuration.facts.tenants, key=lambda c: (-c.quota, c.name)
-        )[: quotas.MAX_LEASED_TENANTS]
-        for tenant in tenants:
-            made, floor = self.sharing(fleet, whole, 0, quotas.SAVED_US)
-            digest = configuration_digest(
-                self.wanted.homes, whole, floor, tenant.name, f"{tenant.quota:g}"
-            )
-            limit = SharedQuota(
-                quotas.TenantQuotaPart(made, tenant.quota, whole),
-                self.wanted.homes,
-                digest,
-                fleet.taken,
-            )
-            self.quotas[tenant.name] = limit
-            tenant.leased_quota = limit.leased_quota
-        fleet.link.topics[QUOTAS] = TenantQuotaService(self.quotas.values())
-        fleet.link.status_sections["quotas"] = lambda now: {
-            name: limit.status(now) | {"reqs_a_second": round(limit.own.rate_in_force(now), 2)}
-            for name, limit in self.quotas.items()
-        }
-
-    def begin_slots(self, fleet: Fleet) -> None:
-        wanted, below = self.wanted, fleet.daemon.configuration.facts.dependency
-        unit, after = self.unit(), below.quota_window if wanted.mean else 0
-        sharing, floor = self.sharing(fleet, wanted.slots * unit, below.linger, after)
-        own = (
-            MeanConcurrencyPart(sharing, below.linger, below.quota_window)
-            if wanted.mean
-            else ConcurrencyPart(sharing, below.linger)
-        )
-        self.shared = SharedSlots(
-            own,
-            wanted.homes,
-            configuration_digest(wanted.homes, wanted.slots * unit, floor),
-            fleet.taken,
-        )
-        below.slots = self.shared
-        fleet.link.topics[TOPIC] = self.shared
-        fleet.link.status_sections["shares"] = self.shared.status
-
-    def update(self, now: int) -> None:
-        if self.shared is None:
-            return
-        told = self.shared.status(now)
-        if told["in_force"] != self.in_force:
-            self.in_force = told["in_force"]
-            log.debug("slots", extra=log_fields(**told))
-
-    def log_status(self) -> None:
-        if self.shared is not None:
-            log.info("slots", extra=log_fields(**self.shared.status(clock.now())))
-        for name, limit in self.quotas.items():
-            log.info("quota", extra=log_fields(tenant=name, **limit.status(clock.now())))
+        return Participation(participant, floor)
--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -1,12 +1,15 @@
-"""How this server stands is told to the others on the members' datagrams, and theirs weighed.
+"""Load signals: the members of a fleet tell each other how loaded they are.
 
-Is it slow, or is the fleet full? Where the file says so, advice and health answers follow.
+From the peers' signals a server sees whether it alone is slow or the whole fleet is loaded. Where the
+operator's file says so, retry advice and health answers follow from that.
 """
 
 from __future__ import annotations
 
 import random
+from typing import Final
 
+from gullyoke.admission.controller import AdmissionController
 from gullyoke.coordination.signals import Heard, Judgement, Reading, Stage, Telling
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.fleet_extension import FleetExtension
@@ -14,67 +17,95 @@
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.logs import log, log_fields
 
+#: Keeps the draws of retry advice apart from other uses of the daemon's seed.
+ADVICE_SEED: Final = 0x51C
+
 
 class Signals(FleetExtension):
-    """`heed`: whether what the others tell is acted on, or only shown."""
+    """Sends this server's signal and judges it against those of the peers."""
+
+    # Set by `start`.
+    fleet: Fleet
+    received: Heard
+    judgement: Judgement
 
-    def __init__(self, heed: bool) -> None:
-        self.heed, self.telling, self.woke = heed, Telling(), 0
-        self.fleet: Fleet | None = None
-        self.judgement: Judgement | None = None
+    def __init__(self, acts: bool) -> None:
+        """Create the extension.
+
+        Args:
+            acts: whether advice and health answers follow the signals, or they are only shown.
+        """
+        self.acts = acts
+        self.sender = Telling()
+        self.seen_pauses = 0
 
     def start(self, fleet: Fleet) -> None:
-        self.fleet, told = fleet, fleet.daemon.configuration
-        fleet.link.signals = Heard()
-        fleet.member.signalled = fleet.link.signals.hear
-        self.judgement = Judgement(random.Random(told.seed ^ 0x51C).random)
-        if self.heed:
-            told.facts.fleet.feedback = self.judgement
+        """Receive the peers' signals from now on."""
+        self.fleet = fleet
+        configuration = fleet.daemon.configuration
+        self.received = Heard()
+        fleet.link.signals = self.received
+        fleet.member.signalled = self.received.hear
+        self.judgement = Judgement(random.Random(configuration.seed ^ ADVICE_SEED).random)
+        if self.acts:
+            configuration.facts.fleet.feedback = self.judgement
 
     def update(self, now: int) -> None:
-        fleet, dispatcher, judged = self.fleet, self.fleet.daemon.dispatcher, self.judgement
-        with dispatcher.lock:  # a few figures
-            reading = None if dispatcher.server is None else standing(dispatcher)
+        """Send the present load, and judge it against that of the peers."""
+        reading = self._read_load()
         if reading is None:
             return
-        with fleet.link.lock:
-            now = clock.now()
-            if fleet.member.trust.woke != self.woke:
-                self.woke = fleet.member.trust.woke
-                fleet.link.signals.paused()
-            was = judged.back
-            judged.weigh(now, reading, fleet.link.signals.young(now))
-            if judged.back and self.heed and reading.stage is Stage.WARM:
-                reading = reading._replace(stage=Stage.BACK)
-            fleet.member.signal = self.telling.word(reading)
-        if judged.back != was:
-            self.turned(reading)
-
-    def turned(self, reading: Reading) -> None:
-        """Alone slow from now on, or no longer: checks say so, unless it leaves anyway."""
-        judged, daemon = self.judgement, self.fleet.daemon
-        if self.heed and daemon.dispatcher.stop_at is None:
-            daemon.lifecycle.ready = not judged.back
-        daemon.metrics.increment("fleet.slow_alone" if judged.back else "fleet.well_again")
+        was_alone_slow = self.judgement.back
+        with self.fleet.link.lock:
+            reading = self._judge(reading)
+            self.fleet.member.signal = self.sender.word(reading)
+        if self.judgement.back != was_alone_slow:
+            self._apply_judgement(reading)
+
+    def _read_load(self) -> Reading | None:
+        """Return this server's load; None before there are decisions."""
+        dispatcher = self.fleet.daemon.dispatcher
+        with dispatcher.lock:  # a few figures are read
+            if dispatcher.server is None:
+                return None
+            return Reading.of(dispatcher.server, _stage(dispatcher, dispatcher.server))
+
+    def _judge(self, reading: Reading) -> Reading:
+        """Judge a reading against the peers' and return what is sent of it; under the link's lock."""
+        now = clock.now()
+        pauses = self.fleet.member.trust.woke
+        if pauses != self.seen_pauses:  # this process was stopped: what it had received is old
+            self.seen_pauses = pauses
+            self.received.paused()
+        self.judgement.weigh(now, reading, self.received.young(now))
+        if self.judgement.back and self.acts and reading.stage is Stage.WARM:
+            return reading._replace(stage=Stage.BACK)
+        return reading
+
+    def _apply_judgement(self, reading: Reading) -> None:
+        """This server alone is slow from now on, or no longer: health answers say so.
+
+        While it drains they are left as they are.
+        """
+        daemon = self.fleet.daemon
+        alone_slow = self.judgement.back
+        peers = self.judgement.seen
+        if self.acts and daemon.dispatcher.stop_at is None:
+            daemon.lifecycle.ready = not alone_slow
+        daemon.metrics.increment("fleet.slow_alone" if alone_slow else "fleet.well_again")
         log.warning(
-            "slow alone" if judged.back else "no longer slow alone",
+            "slow alone" if alone_slow else "no longer slow alone",
             extra=log_fields(
                 pace=f"{reading.pace:.2f}",
-                peers=f"{judged.seen.pace:.2f}" if judged.seen else "-",
-                acted=self.heed,
+                peers=f"{peers.pace:.2f}" if peers else "-",
+                acted=self.acts,
             ),
         )
 
 
-def standing(dispatcher: Dispatcher) -> Reading:
-    """How this server stands, in the words of the signals; under the desk's lock."""
-    server = dispatcher.server
-    load = server.load_snapshot(dispatcher.now)
-    stage = (
-        Stage.DRAINING
-        if dispatcher.stop_at is not None
-        else Stage.COLD
-        if load.warming_up
-        else Stage.WARM
-    )
-    return Reading.of(load, stage)
+def _stage(dispatcher: Dispatcher, server: AdmissionController) -> Stage:
+    """Return the stage of this server's life; under the dispatcher's lock."""
+    warming_up = server.guards.speed(dispatcher.now) < 1
+    if dispatcher.stop_at is not None:
+        return Stage.DRAINING
+    return Stage.COLD if warming_up else Stage.WARM
