--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -20,6 +20,7 @@
 from gullyoke.durability.disk_quota import DataKind
 from gullyoke.extensions.data_folders import DataFolder
 from gullyoke.extensions.fleet import Fleet
+from gullyoke.extensions.shares import Shares
 from gullyoke.leases import rolling_restart as rolls
 from gullyoke.leases.announcements import Announcement, Instruction
 from gullyoke.leases.dependency_probe import DependencyProbe
@@ -152,7 +153,7 @@
     def __init__(self, fleet: Fleet, duties: LeaseService) -> None:
         super().__init__(fleet, duties)
         wanted = fleet.wanted.shares
-        self.shares = next(part for part in fleet.parts if type(part).__name__ == "Shares")
+        self.shares = next(part for part in fleet.parts if isinstance(part, Shares))
         self.homes = wanted.homes
         _, self.tokens = split_limit(
             wanted.slots * self.shares.tokens_per_slot(),
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -100,9 +100,9 @@
             snapshot = self._exchange(server)
             if snapshot is None:
                 return
-            warm = server.guards.speed(dispatcher.now) >= 1.0
+            warm = server.safety.speed(dispatcher.now) >= 1.0
             draining = dispatcher.stop_at is not None
-            overloaded = server.on > server.guards.crowd(dispatcher.now)
+            overloaded = server.state.running > server.safety.max_on_cores(dispatcher.now)
         if clock.now() - self.last_snapshot_us >= SNAPSHOT_INTERVAL_US or draining:
             self._keep(snapshot, warm, draining, overloaded)
 
@@ -124,7 +124,7 @@
         """Keep a snapshot of a server in its usual state."""
         now = clock.now()
         run_times_us = snapshot.run_times_us
-        is_usual = run_time_history.is_worth_keeping(
+        is_usual = run_time_history.should_save(
             run_times_us, self.usual_run_times_us, warm, draining
         )
         self.usual_run_times_us = run_time_history.usual_run_times(
@@ -166,7 +166,7 @@
         with dispatcher.lock:
             server = dispatcher.server
             if server is not None:
-                if not server.machine.starts_cold:
+                if not server.safety.machine.starts_cold:
                     return
                 self._follow_age(server)
         if server is None or self.bucket is not None:
@@ -176,7 +176,7 @@
 
     def _follow_age(self, server: AdmissionController) -> None:
         """Set the run times of the age that the server has reached; under the lock."""
-        age_us = clock.now() - server.guards.started
+        age_us = clock.now() - server.safety.started_at
         bucket = warmup_history.age_bucket(age_us)
         if self.recording and bucket == self.bucket:
             return
@@ -193,19 +193,19 @@
 
     def _record_runs(self, server: AdmissionController) -> None:
         """Record the time of each run, next to what the decisions make of it."""
-        decide = server.hold.ran
+        decide = server.queue.run_finished
 
         def record(request_class: RequestClass, took_us: int) -> None:
             decide(request_class, took_us)
-            age_us = server.now - server.guards.started
+            age_us = server.now - server.safety.started_at
             self.recorder.record_run(age_us, request_class.name, took_us)
 
-        server.hold.ran = record  # type: ignore[method-assign,assignment]  # no hook for it
+        server.queue.run_finished = record  # type: ignore[method-assign,assignment]  # no hook for it
 
     def _finish(self, server: AdmissionController) -> None:
         """Keep the record of the warm-up that is over."""
         with self.daemon.dispatcher.lock:
-            del server.hold.ran  # the method of its class again
+            del server.queue.run_finished  # the method of its class again
             snapshot = self.recorder.take_snapshot(
                 self.store.digest, time.time(), self.store.warmup
             )
--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -258,7 +258,9 @@
         elif act.kind is ActionKind.REJECT and request is not None:
             self.metrics.increment("keys.unrun")
             self.left(request.request_id)
-            (self.real.post_event if inside else self.real.tell)(request, RequestEvent.NO_CAPACITY)
+            (self.real.post_event if inside else self.real.notify)(
+                request, RequestEvent.NO_CAPACITY
+            )
         elif act.kind is ActionKind.RUN and request is not None:
             if inside:
                 self.inner.start_run(request)
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -11,7 +11,7 @@
 
 from gullyoke.admission.interface import DependencyFacts, Tenant
 from gullyoke.coordination import tenant_quotas
-from gullyoke.coordination.limit_parts import UNIT, ConcurrencyPart, MeanConcurrencyPart
+from gullyoke.coordination.limit_parts import TOKENS_PER_CALL, ConcurrencyPart, MeanConcurrencyPart
 from gullyoke.coordination.max_min_fairness import split_limit
 from gullyoke.coordination.quota_participant import QuotaParticipant
 from gullyoke.errors import ConfigurationError
@@ -61,7 +61,7 @@
 
     def tokens_per_slot(self) -> int:
         """Return how many tokens a slot is; a limit on a mean is lent in parts of a call."""
-        return UNIT if self.wanted.mean else 1
+        return TOKENS_PER_CALL if self.wanted.mean else 1
 
     def attach(self, fleet: Fleet) -> None:
         """Check that the site has what is to be shared.
@@ -133,7 +133,7 @@
     def _share_quotas(self, tenants: list[Tenant]) -> None:
         """Share the largest quotas; the others are divided by the size of the fleet."""
         largest = sorted(tenants, key=lambda tenant: (-tenant.quota, tenant.name))
-        for tenant in largest[: tenant_quotas.MOST]:
+        for tenant in largest[: tenant_quotas.MAX_LEASED_TENANTS]:
             limit = self._share_quota(tenant)
             self.quotas[tenant.name] = limit
             tenant.leased_quota = limit.leased_quota
@@ -142,7 +142,7 @@
 
     def _share_quota(self, tenant: Tenant) -> SharedQuota:
         tokens = tenant_quotas.tokens(self.wanted.largest)
-        participation = self._participate(tokens, 0, tenant_quotas.SAVED)
+        participation = self._participate(tokens, 0, tenant_quotas.SAVED_US)
         digest = configuration_digest(
             self.wanted.homes, tokens, participation.floor, tenant.name, f"{tenant.quota:g}"
         )
@@ -151,7 +151,7 @@
 
     def _quota_status(self, now: int) -> Mapping[str, Any]:
         return {
-            name: limit.status(now) | {"reqs_a_second": round(limit.own.part(now), 2)}
+            name: limit.status(now) | {"reqs_a_second": round(limit.own.rate_in_force(now), 2)}
             for name, limit in self.quotas.items()
         }
 
--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -9,7 +9,7 @@
 import random
 from typing import Final
 
-from gullyoke.admission.controller import AdmissionController
+from gullyoke.admission.load_snapshot import LoadSnapshot
 from gullyoke.coordination.signals import Heard, Judgement, Reading, Stage, Telling
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.fleet_extension import FleetExtension
@@ -68,7 +68,8 @@
         with dispatcher.lock:  # a few figures are read
             if dispatcher.server is None:
                 return None
-            return Reading.of(dispatcher.server, _stage(dispatcher, dispatcher.server))
+            load = dispatcher.server.load_snapshot(dispatcher.now)
+            return Reading.of(load, _stage(dispatcher, load))
 
     def _judge(self, reading: Reading) -> Reading:
         """Judge a reading against the peers' and return what is sent of it; under the link's lock."""
@@ -103,9 +104,8 @@
         )
 
 
-def _stage(dispatcher: Dispatcher, server: AdmissionController) -> Stage:
+def _stage(dispatcher: Dispatcher, load: LoadSnapshot) -> Stage:
     """Return the stage of this server's life; under the dispatcher's lock."""
-    warming_up = server.guards.speed(dispatcher.now) < 1
     if dispatcher.stop_at is not None:
         return Stage.DRAINING
-    return Stage.COLD if warming_up else Stage.WARM
+    return Stage.COLD if load.warming_up else Stage.WARM
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -265,7 +265,9 @@
         """
         with (
             Live() as live,
-            mock.patch.object(live.dispatcher.server.dependency, "call_timeout", lambda request, now: 60_000),
+            mock.patch.object(
+                live.dispatcher.server.dependency, "call_timeout", lambda request, now: 60_000
+            ),
         ):
             client = live.client()
             real = dependency_module.open_connection
