--- a/gullyoke/daemon/daemon.py
+++ b/gullyoke/daemon/daemon.py
@@ -150,12 +150,12 @@
                 in_hand=len(self.dispatcher.requests),
             ),
         )
+        stop_at_us = clock.now() + self.configuration.stop_after_us
         self.dispatcher.begin_drain(self.configuration.stop_after_us)
         for extension in self.extensions:
             extension.begin_drain()
-        stop_at = self.dispatcher.stop_at
-        self._handle_signals_until(stop_at - LAST_ACCEPT_BEFORE_STOP_US)
-        self._close_connections(stop_at - CLOSE_BEFORE_STOP_US)
+        self._handle_signals_until(stop_at_us - LAST_ACCEPT_BEFORE_STOP_US)
+        self._close_connections(stop_at_us - CLOSE_BEFORE_STOP_US)
         log.info(
             "left",
             extra=log_fields(
