--- a/gullyoke/daemon/command_router.py
+++ b/gullyoke/daemon/command_router.py
@@ -42,7 +42,7 @@
         self._dependency = dependency
         self._lifecycle = lifecycle
         self.gauge_poller = GaugePoller(dispatcher, executor, timer)
-        self._handlers: dict[type[Command], Callable[[PendingRequest, Command], None]] = {
+        self._methods: dict[type[Command], Callable[[PendingRequest, Command], None]] = {
             Run: self._start_run,
             SkipDependencyCall: self._skip_call,
             Cancel: self._cancel_run,
@@ -55,10 +55,10 @@
         }
 
     def execute(self, request: PendingRequest, command: Command) -> None:
-        """Carry out a command; those without a handler ask for nothing."""
-        handler = self._handlers.get(type(command))
-        if handler is not None:
-            handler(request, command)
+        """Carry out a command; those without a method ask for nothing."""
+        method = self._methods.get(type(command))
+        if method is not None:
+            method(request, command)
 
     def _start_run(self, request: PendingRequest, command: Command) -> None:
         self._executor.start_run(request)
--- a/gullyoke/daemon/gauge_poller.py
+++ b/gullyoke/daemon/gauge_poller.py
@@ -18,7 +18,7 @@
     """Schedules ticks, one at a time, and gives each the gauges that were polled for it.
 
     Attributes:
-        due: When the last tick was due, in microseconds.
+        scheduled_at: When the last tick was to begin, in microseconds.
     """
 
     def __init__(self, dispatcher: Dispatcher, executor: Executor, timer: Timer) -> None:
@@ -26,15 +26,16 @@
         self._executor = executor
         self._timer = timer
         self._awaited_tag = 0  # of the poll whose gauges the next tick waits for
-        self.due = 0
+        self.scheduled_at = 0
 
     def schedule(self, delay_us: int) -> None:
         """Begin a tick after `delay_us`, under the dispatcher's lock.
 
-        Counted from when the last one was due: waiting for gauges must not delay all later ones.
+        Counted from the time that the last one was scheduled for: waiting for gauges must not delay
+        all later ones.
         """
-        self.due = max(self._dispatcher.now, self.due + delay_us)
-        self._timer.call_at(self.due, self.poll)
+        self.scheduled_at = max(self._dispatcher.now, self.scheduled_at + delay_us)
+        self._timer.call_at(self.scheduled_at, self.poll)
 
     def poll(self) -> None:
         """Ask for the gauges; the tick comes with them, or without any if they don't come soon."""
--- a/gullyoke/dependencies/reply.py
+++ b/gullyoke/dependencies/reply.py
@@ -33,12 +33,12 @@
     Raises:
         ConnectionClosedError: The connection ended within a reply, or what came is none.
     """
-    words = lines.read(buffer)
-    if words is None:
+    parts = lines.read(buffer)
+    if parts is None:
         return None
-    if len(words) == 3 and words[1] == ROWS:
-        body = lines.content(buffer, words[2])
-        return DependencyReply(words[0], RequestEvent.CALL_SUCCEEDED, body)
-    if len(words) == 2 and words[1] in EVENT_OF_STATUS:
-        return DependencyReply(words[0], EVENT_OF_STATUS[words[1]], b"")
-    raise ConnectionClosedError(CloseReason.GARBLED, " ".join(words)[:LONGEST_REPORTED_LINE])
+    if len(parts) == 3 and parts[1] == ROWS:
+        body = lines.content(buffer, parts[2])
+        return DependencyReply(parts[0], RequestEvent.CALL_SUCCEEDED, body)
+    if len(parts) == 2 and parts[1] in EVENT_OF_STATUS:
+        return DependencyReply(parts[0], EVENT_OF_STATUS[parts[1]], b"")
+    raise ConnectionClosedError(CloseReason.GARBLED, " ".join(parts)[:LONGEST_REPORTED_LINE])
--- a/gullyoke/executors/engine_protocol.py
+++ b/gullyoke/executors/engine_protocol.py
@@ -102,10 +102,10 @@
     Raises:
         ConnectionClosedError: The link ended within a notice, or what came is none.
     """
-    words = lines.read(buffer)
-    if words is None:
+    parts = lines.read(buffer)
+    if parts is None:
         return None
-    match words:
+    match parts:
         case ["DONE", number, request_id, outcome, _, size] if outcome in RUN_OUTCOMES:
             result = lines.content(buffer, size)
             return RunEndedNotice(lines.whole(number), request_id, RUN_OUTCOMES[outcome], result)
@@ -120,7 +120,7 @@
             return Hello(ENGINE_STATES[state], lines.whole(uptime_ms))
         case ["NOTE", number, *_]:
             return UnknownNotice(lines.whole(number))
-    raise ConnectionClosedError(CloseReason.GARBLED, " ".join(words)[:LONGEST_REPORTED_LINE])
+    raise ConnectionClosedError(CloseReason.GARBLED, " ".join(parts)[:LONGEST_REPORTED_LINE])
 
 
 def parse_gauge(text: str) -> float:
--- a/gullyoke/routing/backend.py
+++ b/gullyoke/routing/backend.py
@@ -12,7 +12,9 @@
 from gullyoke.routing.routed_run import RoutedRun
 
 RESPONSE_TIME_TAU_US: Final = 2_000_000  # in which a response time loses most of its weight
-LARGEST_KEPT_SHARE: Final = 7 / 8  # each new response time has at least an eighth of the weight
+LARGEST_REMAINING_WEIGHT: Final = (
+    7 / 8
+)  # each new response time has at least an eighth of the weight
 FAILURE_PENALTY: Final = 4  # a failure counts as so many typical response times at least
 
 
@@ -63,7 +65,7 @@
 
     def capacity(self, now: int) -> int:
         """How many runs it takes at once: none while it is ejected, one for a probe."""
-        if self.health.state is HealthState.PROBING or self.health.probe_is_due(now):
+        if self.health.state is HealthState.PROBING or self.health.is_ready_to_probe(now):
             return 1
         share = self.health.traffic_share(now)
         return max(1, int(self.limit.current * share)) if share else 0
@@ -132,7 +134,11 @@
             self.response_time_us = float(duration_us)
             self._measured_at = now
             return
-        kept_share = math.exp(-max(1, now - self._measured_at) / RESPONSE_TIME_TAU_US)
-        kept_share = min(kept_share, LARGEST_KEPT_SHARE)  # where many end at once each one counts
-        self.response_time_us = self.response_time_us * kept_share + duration_us * (1 - kept_share)
+        remaining_weight = math.exp(-max(1, now - self._measured_at) / RESPONSE_TIME_TAU_US)
+        remaining_weight = min(
+            remaining_weight, LARGEST_REMAINING_WEIGHT
+        )  # where many end at once each one counts
+        self.response_time_us = self.response_time_us * remaining_weight + duration_us * (
+            1 - remaining_weight
+        )
         self._measured_at = now
--- a/gullyoke/routing/outlier_detection.py
+++ b/gullyoke/routing/outlier_detection.py
@@ -91,9 +91,9 @@
     def decay(self, now: int) -> None:
         """Let the counts lose their weight up to `now`."""
         if now > self._decayed_at:
-            kept_share = 0.5 ** ((now - self._decayed_at) / COUNTS_HALF_LIFE_US)
-            self.successes *= kept_share
-            self.failures *= kept_share
+            remaining_weight = 0.5 ** ((now - self._decayed_at) / COUNTS_HALF_LIFE_US)
+            self.successes *= remaining_weight
+            self.failures *= remaining_weight
             self._decayed_at = now
 
     def on_outcome(
@@ -121,7 +121,7 @@
             if self.state is HealthState.HEALTHY:
                 self._ejections = 0  # it has come through its slow start
             return False
-        return self._eject_if_due(now, peer_failure_rate, may_eject)
+        return self._eject_if_warranted(now, peer_failure_rate, may_eject)
 
     def _count(self, now: int, outcome: AttemptOutcome, failed: bool) -> None:
         self.decay(now)
@@ -147,7 +147,7 @@
         self.enter(now, HealthState.SLOW_START)
         return False
 
-    def _eject_if_due(self, now: int, peer_failure_rate: float, may_eject: bool) -> bool:
+    def _eject_if_warranted(self, now: int, peer_failure_rate: float, may_eject: bool) -> bool:
         # Nothing is risked by not using a back end that is not there: the pool need not spare it.
         if self._refusals_in_a_row >= min(REFUSALS_IN_A_ROW, self._consecutive_failures):
             self._eject(now, HealthState.UNREACHABLE)
@@ -169,6 +169,6 @@
         self._refusals_in_a_row = 0
         self.enter(now, state)
 
-    def probe_is_due(self, now: int) -> bool:
+    def is_ready_to_probe(self, now: int) -> bool:
         """Whether the back end is ejected and its time is over."""
         return self.state in EJECTED_STATES and now >= self.ejected_until
--- a/gullyoke/routing/pool.py
+++ b/gullyoke/routing/pool.py
@@ -158,7 +158,7 @@
         for backend in self.backends.values():
             if (
                 backend not in attempted
-                and backend.health.probe_is_due(now)
+                and backend.health.is_ready_to_probe(now)
                 and not backend.started
                 and (not others_accept or self.may_probe(backend.settings.name))
             ):
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -330,7 +330,7 @@
             for i in range(REPEATS):
                 client.send(f"b{i}", "pay")
                 live.run(f"b{i}", again=[f"b{i - 1}"])
-                eventually(lambda: live.daemon.executor.attached, "attached")
+                eventually(lambda: live.daemon.executor.writer.attached, "attached")
                 while not live.engine.joined.empty():
                     live.engine.joined.get()
                 live.engine.drop()
@@ -361,7 +361,7 @@
         with Live() as live:
             client, real = live.client(), EngineLink.attach_and_read.__globals__["open_connection"]
             for i in range(max(3, REPEATS // 10)):
-                eventually(lambda: live.daemon.executor.attached, "attached")
+                eventually(lambda: live.daemon.executor.writer.attached, "attached")
                 old = live.engine
 
                 def moved(address, patience, old=old):
@@ -389,10 +389,10 @@
         Never before that thread is done with it.
         """
         with Live() as live:
-            work, client = live.daemon.executor, live.client()
+            writer, client = live.daemon.executor.writer, live.client()
             for i in range(REPEATS):
-                eventually(lambda: work.attached, "attached")
-                sock, closed_under = work.sock, []
+                eventually(lambda: writer.attached, "attached")
+                sock, closed_under = writer.sock, []
 
                 class Slow:
                     """A socket whose writes take a while, and that tells who closes it
@@ -408,7 +408,7 @@
                     def sendall(self, data):
                         self.writing = True
                         self.sock.shutdown(socket.SHUT_RDWR)  # the reading side finds the end now
-                        eventually(lambda: not work.attached, "the reading side at its close")
+                        eventually(lambda: not writer.attached, "the reading side at its close")
                         self.writing = False
 
                     def close(self):
@@ -418,8 +418,8 @@
                     def __getattr__(self, name):
                         return getattr(self.sock, name)
 
-                with work.condition:
-                    work.sock = Slow(sock)
+                with writer.condition:
+                    writer.sock = Slow(sock)
                 client.send(f"w{i}")
                 live.run(f"w{i}", again=[f"w{i - 1}"])
                 live.done(f"w{i}")
--- a/tests/executors/test_writing.py
+++ b/tests/executors/test_writing.py
@@ -11,7 +11,8 @@
 from standins import site
 
 from gullyoke.admission.interface import FAIL
-from gullyoke.executors.engine_link import MAX_UNCONFIRMED, EngineLink
+from gullyoke.executors.engine_link import EngineLink
+from gullyoke.executors.engine_writer import MAX_UNCONFIRMED
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.messages import Message
 from gullyoke.runtime.metrics import Metrics
@@ -38,14 +39,17 @@
 class Writing(unittest.TestCase):
     def linked(self, stack):
         """An engine's link whose other end nobody reads yet, with little room between."""
-        engine = EngineLink(("127.0.0.1", 1), (), Metrics())
+        metrics = Metrics()
+        engine = EngineLink(("127.0.0.1", 1), (), metrics)
         ours, theirs = socket.socketpair()
         stack.enter_context(ours)
         stack.enter_context(theirs)
         ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        engine.sock, engine.attached = ours, True
+        engine.writer.sock, engine.writer.attached = ours, True
         threading.Thread(
-            target=engine.metrics.run_forever, args=("engine", engine.write_pending), daemon=True
+            target=metrics.run_forever,
+            args=("engine", engine.writer.write_pending),
+            daemon=True,
         ).start()
         return engine, theirs
 
@@ -79,7 +83,7 @@
         with contextlib.ExitStack() as stack:
             engine, theirs = self.linked(stack)
             in_flight = set()
-            engine.listener = types.SimpleNamespace(
+            engine.writer.listener = types.SimpleNamespace(
                 is_in_flight=lambda one: one.request_id in in_flight
             )
             threading.Thread(target=swallow, args=(theirs,), daemon=True).start()
@@ -89,8 +93,8 @@
             for i in range(2000):
                 engine.start_run(request(i))
                 engine.poll_gauges(i)
-            self.assertLessEqual(len(engine.unconfirmed), 2 * MAX_UNCONFIRMED)
-            self.assertEqual(sum(s.request is kept for s in engine.unconfirmed), 1)
+            self.assertLessEqual(len(engine.writer.unconfirmed), 2 * MAX_UNCONFIRMED)
+            self.assertEqual(sum(s.request is kept for s in engine.writer.unconfirmed), 1)
 
     def test_rest_is_void_on_a_new_link(self):
         """What a broken link did not take of a command is not written to the next one.
@@ -100,15 +104,15 @@
         with contextlib.ExitStack() as stack:
             engine, theirs = self.linked(stack)
             in_flight = set()
-            engine.listener = types.SimpleNamespace(
+            engine.writer.listener = types.SimpleNamespace(
                 is_in_flight=lambda one: one.request_id in in_flight
             )
-            engine.unwritten = b"half a command\r\n"
-            engine.attached = False
+            engine.writer.unwritten = b"half a command\r\n"
+            engine.writer.attached = False
             one = request(1)
             in_flight.add(one.request_id)
             engine.start_run(one)
-            engine.resend_unconfirmed()
+            engine.writer.attach()
             theirs.settimeout(10)
             self.assertEqual(theirs.recv(5), b"RUN 0")
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -600,7 +600,7 @@
         before = clock.now()
         route.gauge_poller.poll()
         self.assertGreaterEqual(times[0], before + 1000)
-        dispatcher.now, route.gauge_poller.due = (
+        dispatcher.now, route.gauge_poller.scheduled_at = (
             1_000_300,
             1_000_000,
         )  # handled a little late: the beat stays
