--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -70,7 +70,7 @@
     """One router under a scenario; tests/README.md has the notation."""
 
     def __init__(self):
-        self.router, self.runs, self.said, self.given = None, {}, [], {}
+        self.router, self.runs, self.actions, self.given = None, {}, [], {}
 
     def play(self, parts):
         if parts[0] == "pool":
@@ -89,10 +89,10 @@
             self.router = make_router(names, **times, **whole, **self.given)
         elif parts[0] == ">":
             wanted = [x.strip() for x in " ".join(parts[1:]).split(";") if x.strip()]
-            assert len(wanted) == len(self.said) and all(
-                said == text or (text.endswith("*") and said.startswith(text[:-1]))
-                for said, text in zip(self.said, wanted, strict=True)
-            ), f"wanted {wanted}, got {self.said}"
+            assert len(wanted) == len(self.actions) and all(
+                got == text or (text.endswith("*") and got.startswith(text[:-1]))
+                for got, text in zip(self.actions, wanted, strict=True)
+            ), f"wanted {wanted}, got {self.actions}"
         elif parts[0] == "stands":
             for name, state in (p.split("=") for p in parts[1:]):
                 got = self.router.pool.backends[name].health.state.value
@@ -106,33 +106,35 @@
             self.event(parts[1], parts[2:])
 
     def event(self, verb, rest):
-        d, now = self.router, self.now
+        router, now = self.router, self.now
         if verb == "begin":
             n = numbers(rest[2:])
             run = self.runs[rest[0]] = make_run(
                 IDEMPOTENCIES[rest[1]], now, int(n.get("patience", 10_000) * 1000)
             )
-            moves = d.begin(now, run)
+            actions = router.begin(now, run)
         elif verb == "state":
-            moves, _ = d.configure(now, [BackendSettings(n, most=64) for n in rest])
+            actions, _ = router.configure(now, [BackendSettings(n, most=64) for n in rest])
         elif verb == "turn":
-            moves = d.dispatch_queued(now)
+            actions = router.dispatch_queued(now)
         elif verb in ("answered", "gone"):
             name = "answered" if verb == "answered" else "client_gone"
             setattr(self.runs[rest[0]].request, name, True)
-            moves = []
+            actions = []
         elif verb == "stop":
-            moves = d.cancel(self.runs[rest[0]])
+            actions = router.cancel(self.runs[rest[0]])
         else:
-            moves = [
-                m for name in rest for m in d.on_attempt_ended(now, self.runs[name], OUTCOMES[verb])
+            actions = [
+                action
+                for name in rest
+                for action in router.on_attempt_ended(now, self.runs[name], OUTCOMES[verb])
             ]
         names = {run: name for name, run in self.runs.items()}
-        self.said = [
-            f"send {names[m.run]} {m.backend.settings.name}"
-            if isinstance(m, SendAttempt)
-            else f"tell {names[m.run]} {m.event.name.lower()}"
-            for m in moves
+        self.actions = [
+            f"send {names[action.run]} {action.backend.settings.name}"
+            if isinstance(action, SendAttempt)
+            else f"tell {names[action.run]} {action.event.name.lower()}"
+            for action in actions
         ]
 
 
@@ -143,8 +145,8 @@
     """
 
     def __init__(self, router, took, outcome=lambda name, now: AttemptOutcome.COMPLETED, slots=8):
-        self.d, self.took, self.outcome, self.slots = router, took, outcome, slots
-        self.events, self.order, self.sent, self.tells = [], 0, [], Counter()
+        self.router, self.took, self.outcome, self.slots = router, took, outcome, slots
+        self.events, self.order, self.sent, self.ended = [], 0, [], Counter()
         self.free = {}
 
     def run(self, rate, until, start=0, patience=10_000_000):
@@ -156,24 +158,26 @@
             if (self.events and self.events[0][0] <= next_in) or next_in >= until:
                 now, _, run = heapq.heappop(self.events)
                 name = run.attempted[-1].settings.name
-                moves = self.d.on_attempt_ended(now, run, self.outcome(name, now))
+                actions = self.router.on_attempt_ended(now, run, self.outcome(name, now))
             else:
                 now, next_in = next_in, next_in + step
-                moves = self.d.begin(
+                actions = self.router.begin(
                     now, make_run(now=now, patience=patience)
-                ) + self.d.dispatch_queued(now)
-            for m in moves:
-                if isinstance(m, RunEnded):
-                    self.tells[m.event] += 1
+                ) + self.router.dispatch_queued(now)
+            for action in actions:
+                if isinstance(action, RunEnded):
+                    self.ended[action.event] += 1
                     continue
-                name = m.backend.settings.name
+                name = action.backend.settings.name
                 self.sent.append((now, name))
                 lines = self.free.setdefault(name, [0] * self.slots)
                 at = min(range(self.slots), key=lines.__getitem__)
                 quick = self.outcome(name, now) is not AttemptOutcome.COMPLETED
                 lines[at] = max(now, lines[at]) + (1000 if quick else self.took(name, now))
                 self.order += 1
-                heapq.heappush(self.events, (now + 1000 if quick else lines[at], self.order, m.run))
+                heapq.heappush(
+                    self.events, (now + 1000 if quick else lines[at], self.order, action.run)
+                )
 
     def share(self, name, since, until):
         there = [n for t, n in self.sent if since <= t < until]
@@ -218,14 +222,14 @@
         )
         sim.run(100, 10_000_000)
         self.assertIn(
-            sim.d.pool.backends["b"].health.state, (HealthState.EJECTED, HealthState.PROBING)
+            sim.router.pool.backends["b"].health.state, (HealthState.EJECTED, HealthState.PROBING)
         )
         before, first = sim.share("b", 0, 2_000_000), sim.share("b", 2_000_000, 2_500_000)
         self.assertGreater(before, 0.2)
         self.assertLess(first, 0.3)
         self.assertLess(sim.share("b", 2_500_000, 10_000_000), 0.02)
-        self.assertLess(sim.tells[RequestEvent.FAILED], 10)
-        self.assertLessEqual(sim.d.retries, 0.1 * 1000 + 11)
+        self.assertLess(sim.ended[RequestEvent.FAILED], 10)
+        self.assertLessEqual(sim.router.retries, 0.1 * 1000 + 11)
 
     def test_slow(self):
         """One of three is ten times slower.
@@ -239,7 +243,7 @@
         slow = sim.share("c", 3_000_000, 12_000_000)
         self.assertLess(slow, 0.08)
         self.assertGreater(slow, 0.0)
-        self.assertEqual(set(sim.tells), {RequestEvent.COMPLETED})
+        self.assertEqual(set(sim.ended), {RequestEvent.COMPLETED})
 
     def test_return(self):
         """One is gone for 3 s and comes back.
@@ -257,7 +261,7 @@
 
         sim = Simulated(make_router(slow_start=3_000_000), lambda name, now: 30_000, outcome)
         sim.run(150, 25_000_000)
-        self.assertEqual(set(sim.tells), {RequestEvent.COMPLETED})
+        self.assertEqual(set(sim.ended), {RequestEvent.COMPLETED})
         self.assertLess(sim.share("a", 2_500_000, 5_000_000), 0.02)
         self.assertGreater(sim.share("a", 17_000_000, 25_000_000), 0.28)
         times = [t for t, n in sim.sent if n == "a" and t > 5_000_000]
@@ -266,21 +270,21 @@
         self.assertLess(early, 0.25)
 
     def test_all_gone(self):
-        """All refuse: every run is told at once that it can't be run, none waits, and the room is
+        """All refuse: every run is ended at once as not run, none waits, and the room is
         0.
         """
         sim = Simulated(
             make_router(), lambda name, now: 30_000, lambda name, now: AttemptOutcome.NOT_STARTED
         )
         sim.run(200, 3_000_000)
-        self.assertEqual(set(sim.tells), {RequestEvent.NO_CAPACITY})
-        self.assertFalse(sim.d.queue.runs)
-        gauges = sim.d.gauges(3_000_000, 6)
+        self.assertEqual(set(sim.ended), {RequestEvent.NO_CAPACITY})
+        self.assertFalse(sim.router.queue.runs)
+        gauges = sim.router.gauges(3_000_000, 6)
         self.assertEqual((gauges[0], gauges[2]) if not gauges[2] else (1.0, 0.0), (1.0, 0.0))
         self.assertLess(len(sim.sent), 60)  # back ends that are away are hardly asked
-        back = Simulated(sim.d, lambda name, now: 30_000)
+        back = Simulated(sim.router, lambda name, now: 30_000)
         back.run(100, 40_000_000, start=33_000_000)
-        self.assertGreater(back.tells[RequestEvent.COMPLETED], 0.9 * sum(back.tells.values()))
+        self.assertGreater(back.ended[RequestEvent.COMPLETED], 0.9 * sum(back.ended.values()))
 
     def test_limit(self):
         """A back end that crowds above eight at once.
@@ -301,9 +305,9 @@
         self.assertEqual(limit.current, lower)
 
     def test_same(self):
-        """The same events bring the same moves, chance included."""
+        """The same events bring the same actions, chance included."""
 
-        def moves(seed):
+        def actions(seed):
             sim = Simulated(
                 make_router(seed=seed),
                 lambda name, now: 30_000 + now % 7000,
@@ -316,8 +320,8 @@
             sim.run(150, 4_000_000)
             return sim.sent
 
-        self.assertEqual(moves(7), moves(7))
-        self.assertNotEqual(moves(7), moves(8))
+        self.assertEqual(actions(7), actions(7))
+        self.assertNotEqual(actions(7), actions(8))
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(
@@ -335,58 +339,62 @@
         st.sampled_from([0.0, 0.34, 0.5, 1.0]),
     )
     def test_rules(self, script, share, out):
-        """Whatever happens: each run is told once.
+        """Whatever happens: each run is ended once.
 
         A try that may have run is followed by another only where that may be; no run is twice at
-        one back end; tries stay within their budget; ejected ones within their share; a back end
+        one back end; attempts stay within their budget; ejected ones within their share; a back end
         never has more than its limit; nothing is kept of runs that are over.
         """
-        d = make_router("abcd", share=share, burst=3.0, out=out)
-        now, there, told, begun, first, tries = 0, {}, {}, [], 0, 0
-
-        def follow(moves):
-            nonlocal tries
-            for m in moves:
-                self.assertNotIn(m.run, told)
-                if isinstance(m, RunEnded):
-                    told[m.run] = m.event
-                    there.pop(m.run, None)
+        router = make_router("abcd", share=share, burst=3.0, out=out)
+        now, there, ended, begun, first, attempts = 0, {}, {}, [], 0, 0
+
+        def follow(actions):
+            nonlocal attempts
+            for action in actions:
+                self.assertNotIn(action.run, ended)
+                if isinstance(action, RunEnded):
+                    ended[action.run] = action.event
+                    there.pop(action.run, None)
                     continue
-                tries += 1
-                if m.run.may_have_run:
-                    self.assertIs(m.run.idempotency, Idempotency.IDEMPOTENT)
-                self.assertEqual(len(set(m.run.attempted)), len(m.run.attempted))
-                self.assertLessEqual(len(m.backend.started), max(1, int(m.backend.limit.current)))
+                attempts += 1
+                if action.run.may_have_run:
+                    self.assertIs(action.run.idempotency, Idempotency.IDEMPOTENT)
+                self.assertEqual(len(set(action.run.attempted)), len(action.run.attempted))
+                self.assertLessEqual(
+                    len(action.backend.started), max(1, int(action.backend.limit.current))
+                )
                 self.assertNotIn(
-                    m.backend.health.state,
+                    action.backend.health.state,
                     (HealthState.EJECTED, HealthState.UNREACHABLE, HealthState.DRAINING),
                 )
-                there[m.run] = m.backend
+                there[action.run] = action.backend
 
         for verb, step, pick, outcome, idempotency in script:
             now += step
             if verb == "begin":
                 first += 1
                 begun.append(run := make_run(idempotency, now, 50_000 + pick * 5))
-                follow(d.begin(now, run))
+                follow(router.begin(now, run))
             elif verb == "end" and there:
                 run = list(there)[pick % len(there)]
                 del there[run]
-                follow(d.on_attempt_ended(now, run, outcome))
+                follow(router.on_attempt_ended(now, run, outcome))
             elif verb == "stop" and begun:
                 run = begun[pick % len(begun)]
-                if run not in told:
-                    follow(d.cancel(run))
+                if run not in ended:
+                    follow(router.cancel(run))
             elif verb == "gone" and begun:
                 begun[pick % len(begun)].request.client_gone = True
             elif verb == "state":
                 names = [n for i, n in enumerate("abcdef") if pick >> i & 1] or ["a"]
-                follow(d.configure(now, [BackendSettings(n) for n in names])[0])
+                follow(router.configure(now, [BackendSettings(n) for n in names])[0])
             elif verb == "turn":
-                follow(d.dispatch_queued(now))
-            self.assertLessEqual(tries - first, share * first + 3.0 + 1)
+                follow(router.dispatch_queued(now))
+            self.assertLessEqual(attempts - first, share * first + 3.0 + 1)
             configured = [
-                m for m in d.pool.backends.values() if m.health.state is not HealthState.DRAINING
+                m
+                for m in router.pool.backends.values()
+                if m.health.state is not HealthState.DRAINING
             ]
             if verb == "end":
                 ejected = sum(m.health.state is HealthState.EJECTED for m in configured)
@@ -397,12 +405,12 @@
             run = next(iter(there))
             del there[run]
             now += 1000
-            follow(d.on_attempt_ended(now, run, AttemptOutcome.COMPLETED))
-        for run in list(d.queue.runs):
+            follow(router.on_attempt_ended(now, run, AttemptOutcome.COMPLETED))
+        for run in list(router.queue.runs):
             run.request.client_gone = True
-        follow(d.dispatch_queued(now))
-        self.assertEqual(set(told), set(begun))
-        self.assertFalse(any(m.started for m in d.pool.backends.values()) or d.queue.runs)
+        follow(router.dispatch_queued(now))
+        self.assertEqual(set(ended), set(begun))
+        self.assertFalse(any(m.started for m in router.pool.backends.values()) or router.queue.runs)
 
 
 if __name__ == "__main__":
