--- a/gullyoke/admission/controller.py
+++ b/gullyoke/admission/controller.py
@@ -97,7 +97,7 @@
         """Continue the path of a request to which `event` has happened."""
         state = self.state
         state.now = now
-        request.client_gone |= event is RequestEvent.CLIENT_GONE
+        request.client_disconnected |= event is RequestEvent.CLIENT_DISCONNECTED
         if request in state.open_requests:
             state.resume(request, event)
 
@@ -201,7 +201,7 @@
         for request in list(state.open_requests):
             if (
                 not request.answered
-                and not request.client_gone
+                and not request.client_disconnected
                 and (stopping or request.deadline <= now + TICK_US)
             ):
                 state.resume(request, RequestEvent.DEADLINE_NEAR)
--- a/gullyoke/admission/interface/events.py
+++ b/gullyoke/admission/interface/events.py
@@ -14,7 +14,7 @@
     """From the decisions: it is given up in favour of others."""
     DEADLINE_NEAR = auto()
     """From the decisions: its deadline comes before the next tick."""
-    CLIENT_GONE = auto()
+    CLIENT_DISCONNECTED = auto()
     """Its client no longer waits for an answer."""
     COMPLETED = auto()
     """Its run ended well and the result is the answer."""
--- a/gullyoke/admission/interface/facts.py
+++ b/gullyoke/admission/interface/facts.py
@@ -95,7 +95,7 @@
         memory_kb: Memory for requests and remembered keys, in kilobytes.
         running_memory_factor: Memory of a running request over that of a waiting one.
         key_kb: Kilobytes of a remembered key.
-        starts_cold: Whether the process was just started and is warming up.
+        needs_warmup: Whether the process was just started and is warming up.
         stop_mode: What cancelling a run does.
         gauges: Names of the machine's gauges, in their order.
     """
@@ -104,7 +104,7 @@
     memory_kb: float
     running_memory_factor: float
     key_kb: float
-    starts_cold: bool
+    needs_warmup: bool
     stop_mode: StopMode
     gauges: tuple[str, ...]
 
@@ -118,7 +118,7 @@
         drain_grace: Requests that arrive later than this after the drain began never run.
         overload_multiple: Running requests for each core that a warm server survives.
         overload_window: Microseconds over which that mean is taken.
-        cold_capacity: Share of its speed that a cold server has at the least.
+        warmup_capacity: Share of its speed that a server has when its warm-up begins.
         warmup_time: Microseconds after which it is warm at the latest.
     """
 
@@ -126,7 +126,7 @@
     drain_grace: int
     overload_multiple: float
     overload_window: int
-    cold_capacity: float
+    warmup_capacity: float
     warmup_time: int
 
 
@@ -158,7 +158,7 @@
         max_retry_after: The longest advice that is followed, in microseconds.
         load_signal: Kind of the level that goes out with answers; None where it is unused.
         load_signal_ttl: Microseconds for which callers remember the level.
-        reports_client_gone: Whether the server learns when a client gives up.
+        reports_disconnected_clients: Whether the server learns when a client gives up.
         passes_deadline: Whether requests state how long their caller waits.
         deep_checks: Whether health checks do work of their own.
         readiness: Whether the endpoint list follows the health answers.
@@ -169,7 +169,7 @@
     max_retry_after: int
     load_signal: str | None
     load_signal_ttl: int
-    reports_client_gone: bool
+    reports_disconnected_clients: bool
     passes_deadline: bool
     deep_checks: bool
     readiness: bool
@@ -269,4 +269,4 @@
     displaced: bool = False
     core_time: float = 0.0
     answered: bool = False
-    client_gone: bool = False
+    client_disconnected: bool = False
--- a/gullyoke/admission/request_path.py
+++ b/gullyoke/admission/request_path.py
@@ -47,7 +47,7 @@
 )
 GIVEN_UP: Final = (
     RequestEvent.DEADLINE_NEAR,
-    RequestEvent.CLIENT_GONE,
+    RequestEvent.CLIENT_DISCONNECTED,
     RequestEvent.EVICTED,
 )
 
@@ -136,7 +136,7 @@
         if key_ttl(request.request_class):  # a later attempt may be the one that runs
             state.safety.key_expiries.pop(request, None)
             yield FORGET_KEY
-        if event is not RequestEvent.CLIENT_GONE:
+        if event is not RequestEvent.CLIENT_DISCONNECTED:
             hopeless = event is RequestEvent.DEADLINE_NEAR or state.queue.is_too_late(
                 request, state.now
             )
@@ -147,7 +147,7 @@
         state = self.state
         request_class = request.request_class
         state.move(request, CALLING_DEPENDENCY)
-        if request.answered or request.client_gone:
+        if request.answered or request.client_disconnected:
             return (yield from self._abandon(request, RequestEvent.DEADLINE_NEAR))
         is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
         late = state.now + state.dependency.expected_wait(state.now) > full_value_deadline(request)
@@ -194,7 +194,7 @@
     def _abandon(self, request: Request, event: RequestEvent) -> SubPath:
         """Answer a run that nobody waits for, if it must be, and cancel it where that is safe."""
         state = self.state
-        if not request.client_gone and not request.answered:
+        if not request.client_disconnected and not request.answered:
             request.answered = True
             yield state.feedback.reject(True) if event is RequestEvent.EVICTED else FAIL
         if state.can_cancel(request):
@@ -221,7 +221,7 @@
         state = self.state
         if state.safety.key_expiries.pop(request, None):
             yield FORGET_KEY  # a later attempt may be the one that runs
-        has_client = not request.answered and not request.client_gone
+        has_client = not request.answered and not request.client_disconnected
         if event is RequestEvent.NO_CAPACITY and has_client:
             yield state.feedback.reject(False, backlog=state.queue_time())
 
--- a/gullyoke/admission/safety_limits.py
+++ b/gullyoke/admission/safety_limits.py
@@ -35,7 +35,7 @@
 
     def speed(self, now: int) -> float:
         """Return the share of its full speed that the server has at the least."""
-        start = self.limits.cold_capacity if self.machine.starts_cold else 1.0
+        start = self.limits.warmup_capacity if self.machine.needs_warmup else 1.0
         age = now - self.started_at
         return min(1.0, start + (1 - start) * age / max(1, self.limits.warmup_time))
 
--- a/gullyoke/daemon/event_relay.py
+++ b/gullyoke/daemon/event_relay.py
@@ -48,7 +48,7 @@
     def on_engine_hello(self, state: EngineState, uptime_ms: int) -> None:
         """The engine is up; the decisions begin with the first one, cold if it is."""
         if self._dispatcher.server is None:
-            self._dispatcher.facts.machine.starts_cold |= state is EngineState.COLD
+            self._dispatcher.facts.machine.needs_warmup |= state is EngineState.COLD
             self._dispatcher.open(self._router, clock.now() - uptime_ms * US_PER_MS)
             log.info("serving", extra=log_fields(engine=state.value, up_ms=uptime_ms))
 
--- a/gullyoke/executors/scgi_backends.py
+++ b/gullyoke/executors/scgi_backends.py
@@ -52,7 +52,7 @@
         cores: int,
         settings: AttemptSettings,
         metrics: Metrics,
-        starts_cold: bool = False,
+        needs_warmup: bool = False,
     ) -> None:
         """Make a pool without back ends.
 
@@ -61,13 +61,13 @@
             cores: Cores of the machine in the site's settings, to which gauges are scaled.
             settings: What is the same for all attempts.
             metrics: Counters.
-            starts_cold: Whether the decisions take the site to be cold.
+            needs_warmup: Whether the decisions take the site to be cold.
         """
         self._router = router
         self._cores = cores
         self._settings = settings
         self._metrics = metrics
-        self._starts_cold = starts_cold
+        self._starts_cold = needs_warmup
         self._listener: ExecutorListener
         self._lock = threading.Lock()
         self._addresses: dict[str, SocketAddress] = {}
--- a/gullyoke/extensions/back_ends.py
+++ b/gullyoke/extensions/back_ends.py
@@ -72,7 +72,7 @@
                 self.wanted.linger, self.wanted.stops_on_close, self.wanted.answer_bytes
             ),
             metrics,
-            machine.starts_cold,
+            machine.needs_warmup,
         )
         self._configure_backends()
         return self.backends
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -166,7 +166,7 @@
         with dispatcher.lock:
             server = dispatcher.server
             if server is not None:
-                if not server.safety.machine.starts_cold:
+                if not server.safety.machine.needs_warmup:
                     return
                 self._follow_age(server)
         if server is None or self.bucket is not None:
--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -272,7 +272,7 @@
         if (
             self.real.requests.get(request.request_id) is request
             and not request.answered
-            and not request.client_gone
+            and not request.client_disconnected
         ):
             self.inner.start_run(request)
         else:
--- a/gullyoke/frontends/connections.py
+++ b/gullyoke/frontends/connections.py
@@ -295,7 +295,7 @@
                 not seen & HUNG_UP or connection.sock.fileno() != number
             ):  # its number may be another's now
                 continue
-            if request is not None and not request.client_gone:
+            if request is not None and not request.client_disconnected:
                 self.metrics.increment("reqs.gone")
                 self.dispatcher.notify(
                     request, event_for_closed(PeerKind.GATEWAY, CloseReason.RESET)
--- a/gullyoke/routing/routed_run.py
+++ b/gullyoke/routing/routed_run.py
@@ -34,4 +34,4 @@
 
     def is_awaited(self) -> bool:
         """Whether its caller still waits for it and nobody asked for its end."""
-        return not (self.cancelled or self.request.answered or self.request.client_gone)
+        return not (self.cancelled or self.request.answered or self.request.client_disconnected)
--- a/gullyoke/runtime/close_reasons.py
+++ b/gullyoke/runtime/close_reasons.py
@@ -45,7 +45,7 @@
     if peer is PeerKind.DATABASE:
         return RequestEvent.CALL_NOT_SENT if end in UNRUN else RequestEvent.CALL_REPLY_LOST
     if peer is PeerKind.GATEWAY and end in GONE:
-        return RequestEvent.CLIENT_GONE
+        return RequestEvent.CLIENT_DISCONNECTED
     return None
 
 
--- a/gullyoke/settings/site_settings.py
+++ b/gullyoke/settings/site_settings.py
@@ -120,7 +120,7 @@
         memory_kb=family.number("MemoryKb", minimum=1),
         running_memory_factor=family.number("Blowup", minimum=1),
         key_kb=family.number("KeyKb", 0.0),
-        starts_cold=family.boolean("FreshStart", "false"),
+        needs_warmup=family.boolean("FreshStart", "false"),
         stop_mode=family.choice("StopMode", STOP_MODES, "off"),
         gauges=tuple(family.list_of("OwnStats", str)),
     )
@@ -132,7 +132,7 @@
         drain_grace=rules.whole_number("DrainGraceUs"),
         overload_multiple=rules.number("TipMultiple", minimum=1),
         overload_window=rules.whole_number("TipAfterUs"),
-        cold_capacity=rules.number("StartCapacity"),
+        warmup_capacity=rules.number("StartCapacity"),
         warmup_time=rules.whole_number("ColdUs"),
     )
 
@@ -153,7 +153,7 @@
         max_retry_after=allowed.whole_number("MaxRetryAfterUs", 0),
         load_signal=family.choice("Say", LOAD_SIGNALS, "off"),
         load_signal_ttl=family.whole_number("HeededUs", 0),
-        reports_client_gone=family.boolean("CancelSeen", "false"),
+        reports_disconnected_clients=family.boolean("CancelSeen", "false"),
         passes_deadline=family.boolean("PassesDeadline", "false"),
         deep_checks=family.boolean("DeepChecks", "false"),
         readiness=family.boolean("Readiness", "false"),
--- a/gullyoke/simulator_adapter/simulated_server.py
+++ b/gullyoke/simulator_adapter/simulated_server.py
@@ -140,9 +140,9 @@
         """Take that a run waits for a dependency call."""
         self._post_event(now, fields, RequestEvent.DEPENDENCY_CALL_NEEDED)
 
-    def client_gone(self, now: int, fields: Fields) -> None:
+    def client_disconnected(self, now: int, fields: Fields) -> None:
         """Take that a client has given up."""
-        self._post_event(now, fields, RequestEvent.CLIENT_GONE)
+        self._post_event(now, fields, RequestEvent.CLIENT_DISCONNECTED)
 
     def _post_event(self, now: int, fields: Fields, event: RequestEvent) -> None:
         request = self.requests.get(fields["Tid"])
@@ -173,7 +173,7 @@
     "finished": SimulatedServer.run_ended,
     "call_done": SimulatedServer.call_ended,
     "needs": SimulatedServer.call_needed,
-    "timed_out_client": SimulatedServer.client_gone,
+    "timed_out_client": SimulatedServer.client_disconnected,
     "fired": SimulatedServer.tick,
     "quiesce": SimulatedServer.drain,
 }
--- a/tests/frontends/test_fronts.py
+++ b/tests/frontends/test_fronts.py
@@ -146,7 +146,7 @@
                     RequestEvent.COMPLETED,
                     RequestEvent.COMPLETED,
                     RequestEvent.FAILED,
-                    RequestEvent.CLIENT_GONE,
+                    RequestEvent.CLIENT_DISCONNECTED,
                 )
             )
             script.append((after, "tell", chance.choice(names[-6:]), word))
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -118,7 +118,7 @@
         elif verb == "turn":
             actions = router.dispatch_queued(now)
         elif verb in ("answered", "gone"):
-            name = "answered" if verb == "answered" else "client_gone"
+            name = "answered" if verb == "answered" else "client_disconnected"
             setattr(self.runs[rest[0]].request, name, True)
             actions = []
         elif verb == "stop":
@@ -384,7 +384,7 @@
                 if run not in ended:
                     follow(router.cancel(run))
             elif verb == "gone" and begun:
-                begun[pick % len(begun)].request.client_gone = True
+                begun[pick % len(begun)].request.client_disconnected = True
             elif verb == "state":
                 names = [n for i, n in enumerate("abcdef") if pick >> i & 1] or ["a"]
                 follow(router.configure(now, [BackendSettings(n) for n in names])[0])
@@ -407,7 +407,7 @@
             now += 1000
             follow(router.on_attempt_ended(now, run, AttemptOutcome.COMPLETED))
         for run in list(router.queue.runs):
-            run.request.client_gone = True
+            run.request.client_disconnected = True
         follow(router.dispatch_queued(now))
         self.assertEqual(set(ended), set(begun))
         self.assertFalse(any(m.started for m in router.pool.backends.values()) or router.queue.runs)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -72,7 +72,7 @@
     "go": RequestEvent.ADMITTED,
     "out": RequestEvent.EVICTED,
     "late": RequestEvent.DEADLINE_NEAR,
-    "gone": RequestEvent.CLIENT_GONE,
+    "gone": RequestEvent.CLIENT_DISCONNECTED,
     "done": RequestEvent.COMPLETED,
     "errored": RequestEvent.FAILED,
     "stopped": RequestEvent.CANCELLED,
@@ -679,7 +679,7 @@
                 if end in (CloseReason.REFUSED, CloseReason.UNREACHED)
                 else RequestEvent.CALL_REPLY_LOST,
             )
-            self.assertIn(event_for_closed(PeerKind.GATEWAY, end), (None, RequestEvent.CLIENT_GONE))
+            self.assertIn(event_for_closed(PeerKind.GATEWAY, end), (None, RequestEvent.CLIENT_DISCONNECTED))
             self.assertIsNone(
                 event_for_closed(PeerKind.ENGINE, end) or event_for_closed(PeerKind.NAMING, end)
             )
