--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -21,7 +21,7 @@
 
 from gullyoke.coordination.limit_parts import MeanConcurrencyPart
 from gullyoke.coordination.quota_participant import QuotaParticipant
-from gullyoke.coordination.signals import Judgement, Reading, Stage
+from gullyoke.coordination.signals import LoadAssessment, LoadReport, ServingStage
 from gullyoke.coordination.subsets import apertures, moved_share
 from gullyoke.emulator import shares as model
 from gullyoke.emulator.beside import Beside, playing
@@ -120,10 +120,14 @@
     sharing = QuotaParticipant(0, 1, ("h0",), 100, 20)
     mean, judged, n = (
         MeanConcurrencyPart(sharing, 0, 5 * SECOND),
-        Judgement(random.Random(1).random),
+        LoadAssessment(random.Random(1).random),
         20_000,
     )
-    judged.weigh(0, Reading(0.1, 0.2, 1.0, Stage.WARM), [Reading(0.5, 0.1, 1.0, Stage.WARM)] * 16)
+    judged.update(
+        0,
+        LoadReport(0.1, 0.2, 1.0, ServingStage.WARM),
+        [LoadReport(0.5, 0.1, 1.0, ServingStage.WARM)] * 16,
+    )
     began = time.perf_counter()
     for now in range(n):
         mean.free(now, 0)
--- a/gullyoke/coordination/subsets.py
+++ b/gullyoke/coordination/subsets.py
@@ -14,14 +14,14 @@
 
 from gullyoke.membership.row import whole
 
-Chosen = dict[str, tuple[str, ...]]
+SubsetsByServer = dict[str, tuple[str, ...]]
 
-SETTLE = 5_000_000  # microseconds for which a choice must stand before anything moves
-PACE = 1_000_000  # between two moves: a change of view is no flood of connections
-LACKING = 1_000_000  # and for which half of a subset must be ill before others help out
+SETTLE_US = 5_000_000  # microseconds for which a choice must stand before anything moves
+MOVE_INTERVAL_US = 1_000_000  # between two moves: a change of view is no flood of connections
+LACKING_US = 1_000_000  # and for which half of a subset must be ill before others help out
 
 
-def apertures(servers: Sequence[str], back_ends: Sequence[str], k: int) -> Chosen:
+def apertures(servers: Sequence[str], back_ends: Sequence[str], k: int) -> SubsetsByServer:
     """Each back end in as many subsets as any other, within one."""
     order, ring = sorted(servers, key=whole), sorted(back_ends, key=whole)
     n, m = len(order), len(ring)
@@ -32,13 +32,15 @@
     }
 
 
-def choose_subsets(servers: Mapping[str, str], back_ends: Mapping[str, str], k: int) -> Chosen:
+def choose_subsets(
+    servers: Mapping[str, str], back_ends: Mapping[str, str], k: int
+) -> SubsetsByServer:
     """The subsets of all servers, names by zone on both sides.
 
     A zone's servers take the zone's own back ends first; where these are fewer than `k`, the rest
     comes from all other zones, even over these. The same for all who see the same.
     """
-    out: Chosen = {}
+    out: SubsetsByServer = {}
     for zone in sorted(set(servers.values())):
         here = [s for s, z in servers.items() if z == zone]
         near = [b for b, z in back_ends.items() if z == zone]
@@ -48,7 +50,7 @@
     return out
 
 
-def order_alone(server: str, back_ends: Sequence[str]) -> tuple[str, ...]:
+def order_without_peers(server: str, back_ends: Sequence[str]) -> tuple[str, ...]:
     """The order in which one that knows of no other takes the back ends.
 
     From a place of its own, so that many who know of nobody do not all take the same.
@@ -58,7 +60,7 @@
     return tuple(ring[start:] + ring[:start])
 
 
-def moved_share(before: Chosen, after: Chosen) -> float:
+def moved_share(before: SubsetsByServer, after: SubsetsByServer) -> float:
     """The share of connections that are opened anew, at servers that are there both times."""
     kept = [server for server in before if server in after]
     links = sum(len(after[server]) for server in kept)
@@ -78,14 +80,14 @@
 
     def __init__(self, now: int, wanted: Sequence[str]) -> None:
         self.held, self.help = list(wanted), []
-        self.wanted, self.since, self.moved_at = tuple(wanted), now, now - PACE
-        self.lacks, self.enough, self.helped_at = None, None, now - PACE
+        self.wanted, self.since, self.moved_at = tuple(wanted), now, now - MOVE_INTERVAL_US
+        self.lacks, self.enough, self.helped_at = None, None, now - MOVE_INTERVAL_US
 
     def follow(self, now: int, wanted: Sequence[str]) -> tuple[str, ...]:
         """The subset from now on, where this is what is chosen by the view of now."""
         if tuple(wanted) != self.wanted:
             self.wanted, self.since = tuple(wanted), now
-        if now - self.since >= SETTLE and now - self.moved_at >= PACE:
+        if now - self.since >= SETTLE_US and now - self.moved_at >= MOVE_INTERVAL_US:
             surplus = [b for b in self.held if b not in self.wanted]
             missing = [b for b in self.wanted if b not in self.held]
             if surplus or missing:
@@ -107,13 +109,17 @@
         if own >= half:
             self.lacks = None
             self.enough = self.enough if self.enough is not None else now
-            if now - self.enough >= SETTLE:
+            if now - self.enough >= SETTLE_US:
                 self.help.clear()
         else:
             self.enough = None
             self.lacks = self.lacks if self.lacks is not None else now
             short = own + sum(b not in ill for b in self.help) < half
-            if short and now - self.lacks >= LACKING and now - self.helped_at >= PACE:
+            if (
+                short
+                and now - self.lacks >= LACKING_US
+                and now - self.helped_at >= MOVE_INTERVAL_US
+            ):
                 taken = {*self.held, *self.help, *ill}
                 more = next((b for b in order if b not in taken), None)
                 if more is not None:
--- a/gullyoke/emulator/beside.py
+++ b/gullyoke/emulator/beside.py
@@ -18,7 +18,13 @@
     QuotaParticipant,
     Recipient,
 )
-from gullyoke.coordination.signals import Heard, Judgement, Reading, Stage, Telling
+from gullyoke.coordination.signals import (
+    LoadAssessment,
+    LoadReport,
+    ReceivedReports,
+    ReportSmoother,
+    ServingStage,
+)
 from gullyoke.emulator.fleet import Node, Running, deciding
 
 SECOND, TURN = 1_000_000, 100_000
@@ -37,8 +43,8 @@
     def __init__(self, beside: Beside, node: Node, below: DependencyFacts, fleet: Fleet) -> None:
         self.beside, self.node, self.count = beside, node, 0
         chance = beside.chance
-        self.telling, self.heard = Telling(), Heard()
-        self.judgement = Judgement(random.Random(chance.getrandbits(40)).random)
+        self.telling, self.heard = ReportSmoother(), ReceivedReports()
+        self.judgement = LoadAssessment(random.Random(chance.getrandbits(40)).random)
         self.own: MeanConcurrencyPart | None = None
         if beside.signals:
             fleet.feedback = self.judgement
@@ -76,23 +82,29 @@
         if not isinstance(server, AdmissionController) or server.learner is None:
             return
         load = server.load_snapshot(now)
-        stage = Stage.DRAINING if load.draining else Stage.COLD if load.warming_up else Stage.WARM
-        reading = Reading.of(load, stage)
-        judged, was = self.judgement, self.judgement.back
-        judged.weigh(now, reading, self.heard.young(now))
-        if judged.back and stage is Stage.WARM:
-            reading = reading._replace(stage=Stage.BACK)
-        if judged.back != was and self.beside.signals and not load.draining:
-            node.good = not judged.back
+        stage = (
+            ServingStage.DRAINING
+            if load.draining
+            else ServingStage.COLD
+            if load.warming_up
+            else ServingStage.WARM
+        )
+        reading = LoadReport.of(load, stage)
+        judged, was = self.judgement, self.judgement.withdrawn
+        judged.update(now, reading, self.heard.valid(now))
+        if judged.withdrawn and stage is ServingStage.WARM:
+            reading = reading._replace(stage=ServingStage.WITHDRAWN)
+        if judged.withdrawn != was and self.beside.signals and not load.draining:
+            node.good = not judged.withdrawn
         self.count += 1
-        word = self.beside.lie(node.number, self.telling.word(reading))
+        word = self.beside.lie(node.number, self.telling.pack(reading))
         for other in self.beside.neighbours(node.number):
             self.beside.send(
                 node.number, other, lambda peer: peer.hear_word(node.number, self.count, word)
             )
 
     def hear_word(self, sender: int, count: int, word: int) -> None:
-        self.heard.hear(self.node.fleet.now(), sender, count, word)
+        self.heard.take(self.node.fleet.now(), sender, count, word)
 
     def turn(self) -> None:
         now = self.node.fleet.now()
@@ -149,7 +161,7 @@
 
     def lie(self, number: int, word: int) -> int:
         if number == self.liar:
-            return Reading(1.0, 0.0, 0.0, Stage.WARM).pack()
+            return LoadReport(1.0, 0.0, 0.0, ServingStage.WARM).pack()
         now = self.peers[number].node.fleet.now()
         if self.frozen and now >= self.frozen:  # all reporters are stuck at what they said then
             return self.words.setdefault(number, word)
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -293,12 +293,12 @@
         for row in rows:
             reading = readings.get(row.id)
             there = states[row.id] == "alive"
-            calm = reading is None or reading.shed < 0.25
+            calm = reading is None or reading.rejected_share < 0.25
             if not there:
                 self.since[row.name] = now
             self.since.setdefault(row.name, now)
             if reading is not None:
-                sheds.append(reading.shed)
+                sheds.append(reading.rejected_share)
             members.append(
                 rolls.MemberState(
                     row.name,
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -262,7 +262,7 @@
             unsure = one.trust.unsure(now)
             rows = [(row, one.state(now, row)) for row in one.view.rows.values()]
             told = fleet.link.signals.rows if fleet.link.signals is not None else {}
-            rooms = {who: reading.room for who, (_, _, reading) in told.items()}
+            rooms = {who: reading.free_capacity for who, (_, _, reading) in told.items()}
         placed = [
             CandidatePlacement(
                 row.name,
--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -10,7 +10,13 @@
 from typing import Final
 
 from gullyoke.admission.load_snapshot import LoadSnapshot
-from gullyoke.coordination.signals import Heard, Judgement, Reading, Stage, Telling
+from gullyoke.coordination.signals import (
+    LoadAssessment,
+    LoadReport,
+    ReceivedReports,
+    ReportSmoother,
+    ServingStage,
+)
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.runtime import clock
@@ -26,8 +32,8 @@
 
     # Set by `start`.
     fleet: Fleet
-    received: Heard
-    judgement: Judgement
+    received: ReceivedReports
+    judgement: LoadAssessment
 
     def __init__(self, acts: bool) -> None:
         """Create the extension.
@@ -36,17 +42,17 @@
             acts: whether advice and health answers follow the signals, or they are only shown.
         """
         self.acts = acts
-        self.sender = Telling()
+        self.sender = ReportSmoother()
         self.seen_pauses = 0
 
     def start(self, fleet: Fleet) -> None:
         """Receive the peers' signals from now on."""
         self.fleet = fleet
         configuration = fleet.daemon.configuration
-        self.received = Heard()
+        self.received = ReceivedReports()
         fleet.link.signals = self.received
-        fleet.member.signalled = self.received.hear
-        self.judgement = Judgement(random.Random(configuration.seed ^ ADVICE_SEED).random)
+        fleet.member.signalled = self.received.take
+        self.judgement = LoadAssessment(random.Random(configuration.seed ^ ADVICE_SEED).random)
         if self.acts:
             configuration.facts.fleet.feedback = self.judgement
 
@@ -55,57 +61,57 @@
         reading = self._read_load()
         if reading is None:
             return
-        was_alone_slow = self.judgement.back
+        was_alone_slow = self.judgement.withdrawn
         with self.fleet.link.lock:
             reading = self._judge(reading)
-            self.fleet.member.signal = self.sender.word(reading)
-        if self.judgement.back != was_alone_slow:
+            self.fleet.member.signal = self.sender.pack(reading)
+        if self.judgement.withdrawn != was_alone_slow:
             self._apply_judgement(reading)
 
-    def _read_load(self) -> Reading | None:
+    def _read_load(self) -> LoadReport | None:
         """Return this server's load; None before there are decisions."""
         dispatcher = self.fleet.daemon.dispatcher
         with dispatcher.lock:  # a few figures are read
             if dispatcher.server is None:
                 return None
             load = dispatcher.server.load_snapshot(dispatcher.now)
-            return Reading.of(load, _stage(dispatcher, load))
+            return LoadReport.of(load, _stage(dispatcher, load))
 
-    def _judge(self, reading: Reading) -> Reading:
+    def _judge(self, reading: LoadReport) -> LoadReport:
         """Judge a reading against the peers' and return what is sent of it; under the link's lock."""
         now = clock.now()
         pauses = self.fleet.member.trust.woke
         if pauses != self.seen_pauses:  # this process was stopped: what it had received is old
             self.seen_pauses = pauses
-            self.received.paused()
-        self.judgement.weigh(now, reading, self.received.young(now))
-        if self.judgement.back and self.acts and reading.stage is Stage.WARM:
-            return reading._replace(stage=Stage.BACK)
+            self.received.clear()
+        self.judgement.update(now, reading, self.received.valid(now))
+        if self.judgement.withdrawn and self.acts and reading.stage is ServingStage.WARM:
+            return reading._replace(stage=ServingStage.WITHDRAWN)
         return reading
 
-    def _apply_judgement(self, reading: Reading) -> None:
+    def _apply_judgement(self, reading: LoadReport) -> None:
         """This server alone is slow from now on, or no longer: health answers say so.
 
         While it drains they are left as they are.
         """
         daemon = self.fleet.daemon
-        alone_slow = self.judgement.back
-        peers = self.judgement.seen
+        alone_slow = self.judgement.withdrawn
+        peers = self.judgement.peers
         if self.acts and daemon.dispatcher.stop_at is None:
             daemon.lifecycle.ready = not alone_slow
         daemon.metrics.increment("fleet.slow_alone" if alone_slow else "fleet.well_again")
         log.warning(
             "slow alone" if alone_slow else "no longer slow alone",
             extra=log_fields(
-                pace=f"{reading.pace:.2f}",
-                peers=f"{peers.pace:.2f}" if peers else "-",
+                pace=f"{reading.latency_ratio:.2f}",
+                peers=f"{peers.latency_ratio:.2f}" if peers else "-",
                 acted=self.acts,
             ),
         )
 
 
-def _stage(dispatcher: Dispatcher, load: LoadSnapshot) -> Stage:
+def _stage(dispatcher: Dispatcher, load: LoadSnapshot) -> ServingStage:
     """Return the stage of this server's life; under the dispatcher's lock."""
     if dispatcher.stop_at is not None:
-        return Stage.DRAINING
-    return Stage.COLD if load.warming_up else Stage.WARM
+        return ServingStage.DRAINING
+    return ServingStage.COLD if load.warming_up else ServingStage.WARM
--- a/gullyoke/extensions/subsets.py
+++ b/gullyoke/extensions/subsets.py
@@ -9,7 +9,7 @@
 import time
 from typing import Final
 
-from gullyoke.coordination.subsets import Subset, choose_subsets, order_alone
+from gullyoke.coordination.subsets import Subset, choose_subsets, order_without_peers
 from gullyoke.coordination.turns import turns_within
 from gullyoke.extensions.back_ends import BackEnds
 from gullyoke.extensions.fleet import Fleet
@@ -50,7 +50,9 @@
         self.fleet = fleet
         self.back_ends.set_probe_gate(self.may_probe)
         if self.size:
-            order = order_alone(fleet.daemon.configuration.name, list(self.back_ends.zones()))
+            order = order_without_peers(
+                fleet.daemon.configuration.name, list(self.back_ends.zones())
+            )
             self.subset = Subset(clock.now(), order[: self.size])
             self.back_ends.select(frozenset(self.subset.held))
             fleet.link.status_sections["subset"] = lambda now: sorted(self.back_ends.selected or ())
@@ -110,5 +112,5 @@
         zones = self.back_ends.zones()
         name = self.fleet.daemon.configuration.name
         if name not in zone_by_member:
-            return order_alone(name, list(zones))
+            return order_without_peers(name, list(zones))
         return choose_subsets(zone_by_member, zones, len(zones))[name]
--- a/gullyoke/peer_transport/link.py
+++ b/gullyoke/peer_transport/link.py
@@ -25,7 +25,7 @@
 from gullyoke.runtime.metrics import Metrics
 
 if TYPE_CHECKING:  # loaded only where signals are wanted
-    from gullyoke.coordination.signals import Heard
+    from gullyoke.coordination.signals import ReceivedReports
 
 RECEIVE_BUFFER_BYTES: Final = 2**20
 IP_RECVERR: Final = getattr(socket, "IP_RECVERR", 11)  # Linux: ICMP errors come to the error queue
@@ -99,7 +99,7 @@
         self.seal = seal
         self.metrics = metrics
         self.lock = threading.Lock()
-        self.signals: Heard | None = None
+        self.signals: ReceivedReports | None = None
         self.topics: dict[int, MessageHandler] = {}
         self.status_sections: dict[str, Callable[[int], object]] = {}
         self.commands: dict[str, Callable[[list[str]], dict[str, Any]]] = {}
--- a/gullyoke/peer_transport/status_server.py
+++ b/gullyoke/peer_transport/status_server.py
@@ -115,7 +115,7 @@
     member = link.member
     edge = member.edges.get(row.id)
     reported = link.signals.rows.get(row.id) if link.signals is not None else None
-    reading = reported[2] if reported is not None else None
+    reading = reported.report if reported is not None else None
     return {
         "name": row.name,
         "state": member.state(now, row),
@@ -125,9 +125,9 @@
         "refuted": row.number % TURNS,
         "accused_by": len(member.tally.accusers(row.id, row.number)),
         "round_trip_ms": round(edge.rtt / 1000, 2) if edge is not None and edge.rtt else None,
-        "room": None if reading is None else round(reading.room, 2),
-        "shed": None if reading is None else round(reading.shed, 2),
-        "pace": None if reading is None else reading.pace,
+        "room": None if reading is None else round(reading.free_capacity, 2),
+        "shed": None if reading is None else round(reading.rejected_share, 2),
+        "pace": None if reading is None else reading.latency_ratio,
     }
 
 
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from compatibility.recorded import recorded_hex
-from gullyoke.coordination.signals import Reading, Stage
-from gullyoke.coordination.signals import unpack as unpack_reading
+from gullyoke.coordination.signals import LoadReport, ServingStage
+from gullyoke.coordination.signals import unpack_report as unpack_reading
 from gullyoke.membership import Row, Status, began
 from gullyoke.membership.row import TURNS, Entry, Kind, Mark, Report, identity
 from gullyoke.membership.view import BUCKETS, View
@@ -143,12 +143,12 @@
     """The 14 bits on how a server stands."""
 
     def test_reading(self):
-        self.assertEqual([int(stage) for stage in Stage], [0, 1, 2, 3])
+        self.assertEqual([int(stage) for stage in ServingStage], [0, 1, 2, 3])
         for reading, word in (
-            (Reading(1.0, 0.0, 1.0, Stage.WARM), 0x150F),
-            (Reading(0.2, 0.4, 2.4, Stage.BACK), 0x3C63),
-            (Reading(0.0, 1.0, 3.0, Stage.DRAINING), 0x2FF0),
-            (Reading(0.0, 0.0, 0.0, Stage.COLD), 0),
+            (LoadReport(1.0, 0.0, 1.0, ServingStage.WARM), 0x150F),
+            (LoadReport(0.2, 0.4, 2.4, ServingStage.WITHDRAWN), 0x3C63),
+            (LoadReport(0.0, 1.0, 3.0, ServingStage.DRAINING), 0x2FF0),
+            (LoadReport(0.0, 0.0, 0.0, ServingStage.COLD), 0),
         ):
             self.assertEqual(reading.pack(), word)
             self.assertEqual(unpack_reading(word), reading)
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -8,8 +8,8 @@
 
 from gullyoke.coordination.limit_parts import ConcurrencyPart
 from gullyoke.coordination.quota_participant import QuotaParticipant
-from gullyoke.coordination.signals import Heard, Reading
-from gullyoke.coordination.signals import Stage as Standing
+from gullyoke.coordination.signals import LoadReport, ReceivedReports
+from gullyoke.coordination.signals import ServingStage as Standing
 from gullyoke.durability.disk_health import DiskState
 from gullyoke.extensions.charges import Roll
 from gullyoke.extensions.duties import Duty
@@ -80,9 +80,9 @@
     def test_status(self):
         other = Row("server-2", NUMBER + (1 << 20) + 3, Status.ALIVE, "10.0.0.2:7900", "-", 8)
         self.member.view.merge(clock.now(), other)
-        self.link.signals = Heard()
-        self.link.signals.hear(
-            clock.now(), other.id, 1, Reading(0.6, 0.2, 1.4, Standing.WARM).pack()
+        self.link.signals = ReceivedReports()
+        self.link.signals.take(
+            clock.now(), other.id, 1, LoadReport(0.6, 0.2, 1.4, Standing.WARM).pack()
         )
         sharing = QuotaParticipant(clock.now(), 7, VOTERS, 30, 5, "server-1", True)
         slots = SharedSlots(
--- a/tests/coordination/test_subsets.py
+++ b/tests/coordination/test_subsets.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from gullyoke.coordination.subsets import (
-    PACE,
-    SETTLE,
+    MOVE_INTERVAL_US,
+    SETTLE_US,
     Subset,
     apertures,
     choose_subsets,
@@ -101,8 +101,10 @@
             seen.append(one.follow(now + step * 100_000, ("a", "d", "e")))
         self.assertEqual(set(seen[-1]), {"a", "d", "e"})
         changes = [i for i in range(1, 100) if seen[i] != seen[i - 1]]
-        self.assertGreaterEqual(changes[0] * 100_000, SETTLE)
-        self.assertTrue(all((b - a) * 100_000 >= PACE for a, b in itertools.pairwise(changes)))
+        self.assertGreaterEqual(changes[0] * 100_000, SETTLE_US)
+        self.assertTrue(
+            all((b - a) * 100_000 >= MOVE_INTERVAL_US for a, b in itertools.pairwise(changes))
+        )
 
 
 if __name__ == "__main__":
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -16,7 +16,7 @@
 from click.testing import CliRunner
 
 from gullyoke.cli.main import main
-from gullyoke.coordination.signals import Heard, Reading, Stage
+from gullyoke.coordination.signals import LoadReport, ReceivedReports, ServingStage
 from gullyoke.errors import ConfigurationError
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.membership import Member, Row, Status, began
@@ -173,11 +173,11 @@
         """How a member stands comes with what it sends anyway, and is shown."""
         links = self.links(2)
         for link in links:
-            link.signals = Heard()
+            link.signals = ReceivedReports()
         self.begin(links, (text(links[0].address),))
         for link in links:
-            link.member.signalled = link.signals.hear
-        links[1].member.signal = Reading(0.4, 0.2, 1.4, Stage.WARM).pack()
+            link.member.signalled = link.signals.take
+        links[1].member.signal = LoadReport(0.4, 0.2, 1.4, ServingStage.WARM).pack()
         self.eventually(lambda: links[0].signals.rows, "a signal")
         row = next(r for r in status(links[0])["rows"] if r["name"] == "p1")
         self.assertEqual((row["room"], row["shed"], row["pace"]), (0.4, 0.2, 1.4))
