--- a/gullyoke/coordination/__init__.py
+++ b/gullyoke/coordination/__init__.py
@@ -1,5 +1,5 @@
-"""Choices of many servers that add up.
+"""Choices of many servers that add up: quota leases, load reports, turns and subsets.
 
-Shares of what is limited for the whole fleet, turns, subsets. Decisions and state alone; no I/O, no
-clock, no chance but what is handed in. docs/together-design.md says why so.
+The package has decisions and state alone: no I/O, no clock and no randomness but what is handed in.
+docs/together-design.md says why each choice was made.
 """
--- a/gullyoke/coordination/turns.py
+++ b/gullyoke/coordination/turns.py
@@ -1,58 +1,82 @@
-"""Turns: what many may do, but only so many at a time.
+"""Turns: what many members may do, but only so many at a time.
 
-Who has one is told by the view and the clock alone.
-
-Time is cut into slots; in each, the members in the order of a hash of name, duty and round are
-taken `k` at a time, so in ceil(n / k) slots everybody has had one: nobody is left out, and one that
-is not used passes on with its slot. Two whose views differ by d members give at most k more for
-each side's reading: where it must be exclusive, a duty is needed, not a turn. A short gap at each
-slot's end keeps clocks that differ apart.
+Who has a turn follows from the membership view and the clock alone. Time is cut into slots. In each
+slot the next `k` members have a turn, in the order of a hash of the subject, the round and the
+name, so all members have one within ceil(n / k) slots; a turn that is not used ends with its slot.
+Members whose views differ by d members give at most k turns more for each of the views; what must be
+exclusive needs a lease. A gap at both ends of a slot keeps clocks that differ apart.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import Final, NamedTuple
 
 from gullyoke.membership.row import whole
 
+GAP_DIVISOR: Final = 8  # a gap is this part of its slot
+
+
+def turns_within(subject: str, count: int, slot_us: int, slots: int) -> Turns:
+    """Return turns of `count` members that come round within so many slots."""
+    members_a_slot = max(1, -(-count // slots))
+    return Turns(subject, members_a_slot, slot_us, slot_us // GAP_DIVISOR)
+
+
+class SlotPosition(NamedTuple):
+    """A moment: its round, its slot within the round, and whether it is outside the gaps."""
 
-def turns_within(what: str, count: int, slot: int, slots: int) -> Turns:
-    """Turns of so many members that come round within `slots` slots, an eighth of each a gap at
-    both ends.
-    """
-    return Turns(what, max(1, -(-count // slots)), slot, slot // 8)
+    round: int
+    slot: int
+    inside: bool
 
 
 class Turns:
-    """`slot` and `gap` in microseconds of the wall clock, which members hold alike within `gap`."""
+    """Turns about one subject. Times are microseconds of the wall clock."""
 
-    def __init__(self, what: str, k: int, slot: int, gap: int) -> None:
-        if k < 1 or not 0 <= 2 * gap < slot:
-            raise ValueError(f"{k} at a time in slots of {slot} with gaps of {gap}")
-        self.what, self.k, self.slot, self.gap = what, k, slot, gap
+    def __init__(self, subject: str, members_a_slot: int, slot_us: int, gap_us: int) -> None:
+        """Set the slots.
 
-    def order(self, round_: int, members: Iterable[str]) -> list[str]:
-        """The members in this round's order.
+        Args:
+            subject: What the turns are about; each has an order of its own.
+            members_a_slot: How many members have a turn at a time.
+            slot_us: The length of a slot.
+            gap_us: The length of the gaps at its ends; clocks may differ by as much.
 
-        Another one each round, the same for all who see the same.
+        Raises:
+            ValueError: For no members, or gaps that leave nothing of a slot.
         """
-        return sorted(members, key=lambda name: whole(f"{self.what} {round_} {name}"))
+        if members_a_slot < 1 or not 0 <= 2 * gap_us < slot_us:
+            raise ValueError(
+                f"{members_a_slot} at a time in slots of {slot_us} with gaps of {gap_us}"
+            )
+        self.subject = subject
+        self.members_a_slot = members_a_slot
+        self.slot_us = slot_us
+        self.gap_us = gap_us
+
+    def order(self, round_: int, members: Iterable[str]) -> list[str]:
+        """Return the members in the order of a round."""
+        return sorted(members, key=lambda name: whole(f"{self.subject} {round_} {name}"))
 
-    def at(self, wall: int, count: int) -> tuple[int, int, bool]:
-        """The round, the slot in it, and whether this moment is within it and not its gap."""
-        slots = max(1, -(-count // self.k))
-        number, into = divmod(wall, self.slot)
-        return number // slots, number % slots, self.gap <= into < self.slot - self.gap
+    def position(self, wall_us: int, count: int) -> SlotPosition:
+        """Return where a moment is in the turns of `count` members."""
+        slots = max(1, -(-count // self.members_a_slot))
+        number, into_us = divmod(wall_us, self.slot_us)
+        inside = self.gap_us <= into_us < self.slot_us - self.gap_us
+        return SlotPosition(number // slots, number % slots, inside)
 
-    def mine(self, wall: int, name: str, members: Iterable[str]) -> bool:
-        """Whether `name` may act now."""
+    def mine(self, wall_us: int, name: str, members: Iterable[str]) -> bool:
+        """Tell whether a member has a turn now."""
         members = set(members)
         if name not in members:
             return False
-        round_, slot, inside = self.at(wall, len(members))
-        order = self.order(round_, members)
-        return inside and name in order[slot * self.k : (slot + 1) * self.k]
+        position = self.position(wall_us, len(members))
+        if not position.inside:
+            return False
+        first = position.slot * self.members_a_slot
+        return name in self.order(position.round, members)[first : first + self.members_a_slot]
 
-    def left(self, wall: int) -> int:
-        """Microseconds until the slot's end, its gap taken off: what does not fit is not begun."""
-        return max(0, self.slot - self.gap - wall % self.slot)
+    def remaining_us(self, wall_us: int) -> int:
+        """Return the time until the slot's last gap; what does not fit should not begin."""
+        return max(0, self.slot_us - self.gap_us - wall_us % self.slot_us)
--- a/gullyoke/extensions/subsets.py
+++ b/gullyoke/extensions/subsets.py
@@ -54,7 +54,7 @@
                 fleet.daemon.configuration.name, list(self.back_ends.zones())
             )
             self.subset = Subset(clock.now(), order[: self.size])
-            self.back_ends.select(frozenset(self.subset.held))
+            self.back_ends.select(frozenset(self.subset.members))
             fleet.link.status_sections["subset"] = lambda now: sorted(self.back_ends.selected or ())
 
     def update(self, now: int) -> None:
@@ -66,12 +66,12 @@
         order = self._preference({row.name: row.zone for row in rows})
         if self.fleet.daemon.configuration.name in self.members:  # else what was chosen last stays
             self.subset.follow(now, order[: self.size])
-        selected = frozenset(self.subset.helped(now, order, self.back_ends.ejected()))
+        selected = frozenset(self.subset.with_helpers(now, order, self.back_ends.ejected()))
         if selected != self.back_ends.selected:
             log.info(
                 "subset",
                 extra=log_fields(
-                    back_ends=",".join(sorted(selected)), helping=len(self.subset.help)
+                    back_ends=",".join(sorted(selected)), helping=len(self.subset.helpers)
                 ),
             )
             self.back_ends.select(selected)
@@ -94,7 +94,7 @@
             "subset",
             extra=log_fields(
                 back_ends=",".join(sorted(self.back_ends.selected or ())) or "all",
-                helping=len(self.subset.help) if self.subset else 0,
+                helping=len(self.subset.helpers) if self.subset else 0,
             ),
         )
 
--- a/tests/coordination/test_turns.py
+++ b/tests/coordination/test_turns.py
@@ -44,8 +44,8 @@
 
     def test_what_does_not_fit(self):
         turns = Turns("x", 1, SLOT, GAP)
-        self.assertEqual(turns.left(SLOT // 2), SLOT // 2 - GAP)
-        self.assertEqual(turns.left(SLOT - 1), 0)
+        self.assertEqual(turns.remaining_us(SLOT // 2), SLOT // 2 - GAP)
+        self.assertEqual(turns.remaining_us(SLOT - 1), 0)
         with self.assertRaises(ValueError):
             Turns("x", 0, SLOT, GAP)
 
