--- a/gullyoke/coordination/turns.py
+++ b/gullyoke/coordination/turns.py
@@ -3,8 +3,8 @@
 Who has a turn follows from the membership view and the clock alone. Time is cut into slots. In each
 slot the next `k` members have a turn, in the order of a hash of the subject, the round and the
 name, so all members have one within ceil(n / k) slots; a turn that is not used ends with its slot.
-Members whose views differ by d members give at most k turns more for each of the views; what must be
-exclusive needs a lease. A gap at both ends of a slot keeps clocks that differ apart.
+Members whose views differ by d members give at most k turns more for each of the views: what must
+be exclusive needs a lease. A gap at both ends of a slot keeps clocks that differ apart.
 """
 
 from __future__ import annotations
--- a/gullyoke/peer_transport/codec.py
+++ b/gullyoke/peer_transport/codec.py
@@ -1,13 +1,14 @@
-"""Messages as bytes: MessagePack arrays with the version first. docs/members-wire.md has the
-layout.
+"""Messages of membership as bytes: MessagePack arrays with the version first.
 
-A later release may append to any array; what is appended is passed over, so that two releases live
-in one fleet. Whatever does not have this form is a `MalformedDatagramError`, and nothing of it
-is used.
+docs/members-wire.md has the layout. A later release may append to any array; what is appended is
+passed over, so that two releases can be in one fleet. Whatever does not have this form is a
+`MalformedDatagramError`, and nothing of it is used.
 """
 
 from __future__ import annotations
 
+from typing import Final
+
 import msgspec
 
 from gullyoke.membership.row import TURNS, Entry, Kind, Mark, News, Report, Row, Status
@@ -31,16 +32,24 @@
     malformed_on_error,
 )
 
-VERSION = 1
-MAX_DATAGRAM_BYTES = 1200  # bytes of a datagram, its seal included
-NAME, ADDRESS, ZONE = 64, 64, 32  # characters at the most
+VERSION: Final = 1
+MAX_DATAGRAM_BYTES: Final = 1200  # the seal included
+MAX_NAME_CHARS: Final = 64
+MAX_ADDRESS_CHARS: Final = 64
+MAX_ZONE_CHARS: Final = 32
+ROW_KIND, MARK_KIND, REPORT_KIND = range(3)  # of news
+MARK_NUMBERS: Final = 6
+REPORT_HEAD_NUMBERS: Final = 4  # before the entries
+ENTRY_NUMBERS: Final = 3
 
 
-class Array(msgspec.Struct, array_like=True, frozen=True, gc=False):
+class GrowableArray(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """An array whose length may grow in later versions."""
 
 
-class RowWire(Array, frozen=True):
+class WireRow(GrowableArray, frozen=True):
+    """A member's row; see `Row`."""
+
     name: str
     number: int
     status: int
@@ -49,105 +58,123 @@
     life: int
 
 
-class NewsWire(Array, frozen=True):
-    """`kind` 0: a row; 1: a mark, as id, number, status, by, accusing, standing; 2.
+class WireNews(GrowableArray, frozen=True):
+    """One piece of news.
 
-    A report, as observer, number, seq, unsure, and its entries in threes.
+    Attributes:
+        kind: `ROW_KIND`, `MARK_KIND` or `REPORT_KIND`.
+        row: The row, for news of that kind.
+        figures: For a mark its fields; for a report the observer, its number, the sequence, whether
+            it is unsure, and its entries with three numbers each.
     """
 
     kind: int
-    row: RowWire | None = None
+    row: WireRow | None = None
     figures: list[int] = []
 
 
-class Wire(Array, frozen=True):
-    """Every message: what its `kind` does not use is empty."""
+class WireMessage(GrowableArray, frozen=True):
+    """Any message; `kind` is its position in KINDS, and what it does not use is empty."""
 
     version: int
     kind: int
-    sender: RowWire
+    sender: WireRow
     seq: int = 0
     digest: int = 0
     lost: int = 0
     about: int = 0
-    target: RowWire | None = None
-    news: list[NewsWire] = []
+    target: WireRow | None = None
+    news: list[WireNews] = []
     figures: list[int] = []
-    rows: list[RowWire] = []
+    rows: list[WireRow] = []
     signal: int = 0
     body: bytes = b""
 
 
 KINDS = (Ping, Ack, Ask, Gossip, Hello, Compare, Rows, Letter)
-decode = msgspec.msgpack.Decoder(Wire).decode
+decode = msgspec.msgpack.Decoder(WireMessage).decode
 encode = msgspec.msgpack.Encoder().encode
 
 
-def row_out(row: Row) -> RowWire:
-    return RowWire(row.name, row.number, int(row.status), row.address, row.zone, row.life)
+def encode_row(row: Row) -> WireRow:
+    """Return a row as it is sent."""
+    return WireRow(row.name, row.number, int(row.status), row.address, row.zone, row.life)
 
 
-def row_in(wire: RowWire) -> Row:
-    check_text("a name", wire.name, NAME, shortest=1)
-    check_text("an address", wire.address, ADDRESS, shortest=1)
-    check_text("a zone", wire.zone, ZONE)
+def decode_row(wire: WireRow) -> Row:
+    """Return the row that was received.
+
+    Raises:
+        MalformedDatagramError: For texts or numbers out of bounds.
+    """
+    check_text("a name", wire.name, MAX_NAME_CHARS, shortest=1)
+    check_text("an address", wire.address, MAX_ADDRESS_CHARS, shortest=1)
+    check_text("a zone", wire.zone, MAX_ZONE_CHARS)
     check_numbers((wire.number, wire.life, wire.status))
     if wire.number >= U64_END - TURNS or wire.status > Status.DEAD:
         raise MalformedDatagramError(f"a row of number {wire.number}, status {wire.status}")
     return Row(wire.name, wire.number, Status(wire.status), wire.address, wire.zone, wire.life)
 
 
-def news_out(item: News) -> NewsWire:
+def encode_news(item: News) -> WireNews:
+    """Return a piece of news as it is sent."""
     if isinstance(item, Row):
-        return NewsWire(0, row_out(item))
+        return WireNews(ROW_KIND, encode_row(item))
     if isinstance(item, Mark):
-        return NewsWire(1, None, [int(figure) for figure in item])
+        return WireNews(MARK_KIND, None, [int(figure) for figure in item])
     figures = [item.observer, item.number, item.seq, int(item.unsure)]
     for entry in item.entries:
         figures += entry
-    return NewsWire(2, None, figures)
+    return WireNews(REPORT_KIND, None, figures)
 
 
-def news_in(wire: NewsWire) -> News | None:
-    """None for a kind that a later release has."""
+def decode_news(wire: WireNews) -> News | None:
+    """Return a piece of news that was received; None for a kind of a later release.
+
+    Raises:
+        MalformedDatagramError: For news of a known kind that can't be right.
+    """
     figures = wire.figures
     check_numbers(figures)
-    if wire.kind == 0 and wire.row is not None:
-        return row_in(wire.row)
-    if wire.kind == 1 and len(figures) >= 6 and figures[2] <= Status.DEAD:
-        return Mark(figures[0], figures[1], Status(figures[2]), *figures[3:6])
-    if wire.kind == 2 and len(figures) >= 4 and (len(figures) - 4) % 3 == 0:
+    if wire.kind == ROW_KIND and wire.row is not None:
+        return decode_row(wire.row)
+    if wire.kind == MARK_KIND and len(figures) >= MARK_NUMBERS and figures[2] <= Status.DEAD:
+        return Mark(figures[0], figures[1], Status(figures[2]), *figures[3:MARK_NUMBERS])
+    entry_numbers = len(figures) - REPORT_HEAD_NUMBERS
+    if wire.kind == REPORT_KIND and entry_numbers >= 0 and entry_numbers % ENTRY_NUMBERS == 0:
         threes = zip(figures[4::3], figures[5::3], figures[6::3], strict=True)
         entries = tuple(Entry(a, b, Kind(c)) for a, b, c in threes if c in (1, 2))
         return Report(figures[0], figures[1], figures[2], bool(figures[3]), entries)
-    if wire.kind > 2:
+    if wire.kind > REPORT_KIND:
         return None
-    raise MalformedDatagramError("news")
+    raise MalformedDatagramError(f"news of kind {wire.kind} with {len(figures)} numbers")
 
 
 def pack(message: Message) -> bytes:
-    """A message as bytes, without its seal."""
-    head = VERSION, KINDS.index(type(message)), row_out(message.row)
+    """Return a message as bytes, without its seal."""
+    head = VERSION, KINDS.index(type(message)), encode_row(message.row)
     if isinstance(message, Hello):
-        return encode(Wire(*head))
+        return encode(WireMessage(*head))
     if isinstance(message, Letter):
-        return encode(Wire(*head, about=message.topic, body=message.body))
+        return encode(WireMessage(*head, about=message.topic, body=message.body))
     if isinstance(message, Compare):
-        return encode(Wire(*head, figures=list(message.buckets)))
+        return encode(WireMessage(*head, figures=list(message.buckets)))
     if isinstance(message, Rows):
         figures = [int(message.asked), message.differ]
         for part in message.parts:
             figures += part
-        return encode(Wire(*head, figures=figures, rows=[row_out(row) for row in message.rows]))
-    news = [news_out(item) for item in message.news]
+        return encode(
+            WireMessage(*head, figures=figures, rows=[encode_row(row) for row in message.rows])
+        )
+    news = [encode_news(item) for item in message.news]
     if isinstance(message, Gossip):
         return encode(
-            Wire(*head, 0, message.digest, message.lost, news=news, signal=message.signal)
+            WireMessage(*head, 0, message.digest, message.lost, news=news, signal=message.signal)
         )
-    target = row_out(message.target) if isinstance(message, Ask) else None
+    target = encode_row(message.target) if isinstance(message, Ask) else None
     about = message.of if isinstance(message, Ack) else 0
     return encode(
-        Wire(
+        WireMessage(
             *head,
             message.seq,
             message.digest,
@@ -161,15 +188,14 @@
 
 
 def unpack(data: bytes) -> Message:
-    """The message that bytes hold. Raises `MalformedDatagramError`."""
-    with malformed_on_error():
-        wire = decode(data)
-    if wire.version < 1 or not 0 <= wire.kind < len(KINDS):
-        raise MalformedDatagramError(f"version {wire.version}, kind {wire.kind}")
-    check_numbers((wire.seq, wire.digest, wire.about, wire.signal, wire.lost, *wire.figures))
-    if wire.lost > WHOLE:
-        raise MalformedDatagramError(f"a lost share of {wire.lost}")
-    kind, sender = KINDS[wire.kind], row_in(wire.sender)
+    """Return the message of bytes without their seal.
+
+    Raises:
+        MalformedDatagramError: For bytes that are no message of membership.
+    """
+    wire = _decode_checked(data)
+    kind = KINDS[wire.kind]
+    sender = decode_row(wire.sender)
     if kind is Hello:
         return Hello(sender)
     if kind is Letter:
@@ -177,13 +203,33 @@
     if kind is Compare:
         return Compare(sender, tuple(wire.figures))
     if kind is Rows:
-        if len(wire.figures) < 2 or len(wire.figures) % 2:
-            raise MalformedDatagramError("rows")
-        parts = tuple(zip(wire.figures[2::2], wire.figures[3::2], strict=True))
-        return Rows(
-            sender, parts, tuple(map(row_in, wire.rows)), bool(wire.figures[0]), wire.figures[1]
-        )
-    news = tuple(item for item in map(news_in, wire.news) if item is not None)
+        return _rows_message(sender, wire)
+    return _message_with_news(kind, sender, wire)
+
+
+def _decode_checked(data: bytes) -> WireMessage:
+    """Return what was received, its kind known and its numbers within bounds."""
+    with malformed_on_error():
+        wire = decode(data)
+    if wire.version < 1 or not 0 <= wire.kind < len(KINDS):
+        raise MalformedDatagramError(f"version {wire.version}, kind {wire.kind}")
+    check_numbers((wire.seq, wire.digest, wire.about, wire.signal, wire.lost, *wire.figures))
+    if wire.lost > WHOLE:
+        raise MalformedDatagramError(f"a lost share of {wire.lost}")
+    return wire
+
+
+def _rows_message(sender: Row, wire: WireMessage) -> Rows:
+    figures = wire.figures
+    if len(figures) < 2 or len(figures) % 2:
+        raise MalformedDatagramError(f"rows with {len(figures)} numbers")
+    parts = tuple(zip(figures[2::2], figures[3::2], strict=True))
+    rows = tuple(decode_row(row) for row in wire.rows)
+    return Rows(sender, parts, rows, bool(figures[0]), figures[1])
+
+
+def _message_with_news(kind: type[Message], sender: Row, wire: WireMessage) -> Message:
+    news = tuple(item for item in map(decode_news, wire.news) if item is not None)
     if kind is Gossip:
         return Gossip(sender, wire.digest, wire.lost, news, wire.signal)
     if kind is Ack:
@@ -191,5 +237,6 @@
     if kind is Ping:
         return Ping(sender, wire.seq, wire.digest, wire.lost, news, wire.signal)
     if wire.target is None:
-        raise MalformedDatagramError("asked for nobody")
-    return Ask(sender, wire.seq, row_in(wire.target), wire.digest, wire.lost, news, wire.signal)
+        raise MalformedDatagramError("a probe request without a target")
+    target = decode_row(wire.target)
+    return Ask(sender, wire.seq, target, wire.digest, wire.lost, news, wire.signal)
