--- a/benchmarks/duty.py
+++ b/benchmarks/duty.py
@@ -21,7 +21,7 @@
 from gullyoke.fault_testing.script import read
 from gullyoke.leases.dependency_probe import FAILURES_TO_DEAD, DependencyProbe
 from gullyoke.leases.durations import LeaseDurations
-from gullyoke.model_checking import duty as walk
+from gullyoke.model_checking import leases as walk
 
 PLAIN = "members 5 zones 5 seed 4 load 8\nat 0 heal\nby 3 equal\nend 8"
 ROLL = """
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -31,7 +31,7 @@
 from gullyoke.experiments.compare import mean_of
 from gullyoke.fault_testing.play import Play
 from gullyoke.fault_testing.script import read
-from gullyoke.model_checking import shares as walk
+from gullyoke.model_checking import quota_leases as walk
 from gullyoke.peer_transport.quota_codec import pack
 
 SECOND = model.SECOND
--- a/gullyoke/model_checking/explore.py
+++ b/gullyoke/model_checking/explore.py
@@ -10,9 +10,9 @@
 import pickle
 from collections.abc import Callable, Hashable, Iterable, Sequence
 from hashlib import blake2b
-from typing import NamedTuple, Protocol
+from typing import Any, NamedTuple, Protocol
 
-Move = tuple
+Move = tuple[Any, ...]
 
 
 class World(Protocol):
--- /dev/null
+++ b/gullyoke/model_checking/lease_world.py
@@ -0,0 +1,397 @@
+"""A lease in small: three voters with disks, two candidates, one resource with a fence.
+
+Times are a few ticks; the clocks of two processes may be a tick apart in all. The world makes
+rounds that reach some voters only, late replies, stalls of any length in the middle of an act, a
+disk that fails a promise, and restarts of voters, with their promises or without, and of a
+candidate. It looks for two holders at once, an act taken after one of a newer epoch, two processes
+whose acts are taken under one epoch, and a voter's promise whose epoch goes back. The rules are
+those that run (gullyoke/leases).
+"""
+
+from __future__ import annotations
+
+import contextlib
+from collections.abc import Hashable, Mapping
+from enum import StrEnum
+from typing import Final, NamedTuple
+from unittest import mock
+
+from gullyoke.leases import candidate as candidate_module
+from gullyoke.leases import voter as voter_module
+from gullyoke.leases.candidate import AddressedMessage, Candidate, CandidateState
+from gullyoke.leases.durations import LeaseDurations
+from gullyoke.leases.fence import Fence
+from gullyoke.leases.messages import LeaseRelease, LeaseRequest, PreVote, VoteReply
+from gullyoke.leases.voter import Promise, PromiseWrite, Voter
+from gullyoke.model_checking.explore import Move
+
+DUTY: Final = "d"
+MAX_LATE_REPLIES: Final = 2
+VOTERS: Final = ("v0", "v1", "v2")
+CANDIDATES: Final = ("a", "b")
+MAJORITIES: Final = ("v0+v1", "v1+v2")  # whom a round reaches; they have one voter in common
+
+
+class Event(StrEnum):
+    """What can happen; the values are the words of scripts (lease_script.py)."""
+
+    TICK = "time"
+    CLOCK_AHEAD = "ahead"
+    REPLY_ARRIVES = "come"
+    REQUEST = "try"
+    REQUEST_LATE_REPLY = "try-late"
+    REQUEST_BAD_DISK = "try-ill"
+    RENEW = "renew"
+    RENEW_LATE_REPLY = "renew-late"
+    ACT_BEGINS = "act-begin"
+    ACT_ARRIVES = "act"
+    RELEASE = "leave"
+    RESTART = "restart"
+    WIPE = "wipe"
+    LEARN = "learn"
+
+
+class TickDurations(LeaseDurations):
+    """Durations in ticks, of which a clock may be one ahead."""
+
+    def renew_interval_us(self) -> int:
+        """Return one tick."""
+        return 1
+
+
+DURATIONS: Final = TickDurations(lease_us=3, drift_ppm=0, margin_us=0)
+
+
+class LateReply(NamedTuple):
+    """A voter's reply that is on its way."""
+
+    voter: str
+    candidate: str
+    reply: VoteReply
+
+
+def durations_in_ticks() -> contextlib.ExitStack:
+    """Return a context in which the durations of the rules are a few ticks."""
+    ticks = {
+        candidate_module: {
+            "REPLY_TIMEOUT_US": 1,
+            "FIRST_PAUSE_US": 1,
+            "LONGEST_PAUSE_US": 1,
+            "EAGER_INTERVAL_US": 1,
+            "EAGER_US": 2,
+        },
+        voter_module: {"LEARN_INTERVAL_US": 1, "SUCCESSOR_PREFERENCE_US": 1},
+    }
+    stack = contextlib.ExitStack()
+    for module, constants in ticks.items():
+        for name, value in constants.items():
+            stack.enter_context(mock.patch.object(module, name, value))
+    return stack
+
+
+class LeaseWorld:
+    """The state of the world.
+
+    Attributes:
+        clocks: Ticks by process.
+        disks: What each voter's disk has; None for an empty folder.
+        late_replies: Replies on their way.
+        acts: The epoch under which a candidate has begun an act that has not arrived yet.
+        actors: By epoch, the process whose acts were taken.
+        newest_epoch: Of the acts that were taken.
+        violation: What went wrong with an act, in words.
+
+    Args:
+        restarts: How many restarts and wiped folders.
+        faults: How many faults of disks.
+        fenced: Whether the resource has a fence.
+    """
+
+    def __init__(self, restarts: int = 1, faults: int = 1, fenced: bool = True) -> None:
+        self.clocks = dict.fromkeys((*VOTERS, *CANDIDATES), 0)
+        self.disks: dict[str, dict[str, Promise] | None] = {name: {} for name in VOTERS}
+        self.voters = {name: self._new_voter(name, {}) for name in VOTERS}
+        for voter in self.voters.values():
+            voter.silent_until_us = 0  # the first start of all: nothing was ever granted
+        self.last_incarnation = 10
+        self.candidates: dict[str, Candidate] = {}
+        for name in CANDIDATES:
+            self._start_candidate(name)
+        self.late_replies: list[LateReply] = []
+        self.acts: dict[str, int | None] = dict.fromkeys(CANDIDATES)
+        self.fence = Fence()
+        self.fenced = fenced
+        self.actors: dict[int, str] = {}
+        self.newest_epoch = 0
+        self.violation = ""
+        self.clock_steps = 1
+        self.restarts = restarts
+        self.faults = faults
+        self.highest_promises = dict.fromkeys(VOTERS, 0)
+
+    def _new_voter(self, name: str, promises: dict[str, Promise] | None) -> Voter:
+        others = [other for other in VOTERS if other != name]
+        return Voter(self.clocks[name], name, 1, others, DURATIONS, promises)
+
+    def _start_candidate(self, name: str) -> None:
+        self.last_incarnation += 1
+        candidate = Candidate(DUTY, name, self.last_incarnation, VOTERS, DURATIONS, float)
+        candidate.wants_lease = True
+        self.candidates[name] = candidate
+
+    # What can happen.
+
+    def moves(self) -> list[Move]:
+        """List all that can happen next."""
+        moves: list[Move] = [(Event.TICK,)]
+        moves += [(Event.REPLY_ARRIVES, i) for i in range(len(self.late_replies))]
+        for name in CANDIDATES:
+            moves += self._candidate_moves(name)
+        if self.clock_steps:
+            moves += [(Event.CLOCK_AHEAD, name) for name in ("v1", "a")]
+        if self.restarts:
+            moves += [(Event.RESTART, "v1"), (Event.WIPE, "v1"), (Event.RESTART, "a")]
+        if any(voter.fresh for voter in self.voters.values()):
+            moves.append((Event.LEARN,))
+        return moves
+
+    def _candidate_moves(self, name: str) -> list[Move]:
+        candidate = self.candidates[name]
+        now = self.clocks[name]
+        may_be_late = len(self.late_replies) < MAX_LATE_REPLIES
+        moves: list[Move] = []
+        if candidate.state is CandidateState.HOLDING and now < candidate.lease_end_us:
+            if now >= candidate.next_round_us:
+                moves += [(Event.RENEW, name, reached) for reached in MAJORITIES]
+                if may_be_late:
+                    moves.append((Event.RENEW_LATE_REPLY, name, MAJORITIES[1]))
+            idle = self.acts[name] is None
+            moves.append((Event.ACT_BEGINS if idle else Event.ACT_ARRIVES, name))
+            moves.append((Event.RELEASE, name))
+            return moves
+        if self.acts[name] is not None:
+            moves.append((Event.ACT_ARRIVES, name))
+        moves += [(Event.REQUEST, name, reached) for reached in MAJORITIES]
+        if may_be_late:
+            moves.append((Event.REQUEST_LATE_REPLY, name, MAJORITIES[1]))
+        if self.faults:
+            moves.append((Event.REQUEST_BAD_DISK, name, MAJORITIES[1]))
+        return moves
+
+    def make(self, move: Move) -> None:
+        """Let one thing happen."""
+        event = Event(move[0])
+        match event:
+            case Event.TICK:
+                for name in self.clocks:
+                    self.clocks[name] += 1
+            case Event.CLOCK_AHEAD:
+                self.clock_steps = 0
+                self.clocks[move[1]] += 1
+            case Event.REPLY_ARRIVES:
+                self._deliver(self.late_replies.pop(int(move[1])))
+            case Event.RESTART | Event.WIPE:
+                self._restart(move[1], event is Event.WIPE)
+            case Event.LEARN:
+                self._learn()
+            case Event.ACT_BEGINS:
+                self.acts[move[1]] = self.candidates[move[1]].held_epoch(self.clocks[move[1]])
+            case Event.ACT_ARRIVES:
+                self._act_arrives(move[1])
+            case Event.RELEASE:
+                self._send_releases(self.candidates[move[1]].leave(self.clocks[move[1]], "asked"))
+            case _:
+                self._round(move[1], move[2].split("+"), event)
+
+    def _restart(self, name: str, wiped: bool) -> None:
+        """Restart a process; a voter with what its disk has, or with a new folder."""
+        self.restarts -= 1
+        if name in CANDIDATES:
+            self.acts[name] = None
+            self._start_candidate(name)
+            return
+        if wiped:
+            self.disks[name] = None
+            self.highest_promises[name] = 0
+        disk = self.disks[name]
+        self.voters[name] = self._new_voter(name, None if disk is None else dict(disk))
+
+    def _round(self, name: str, reached: list[str], event: Event) -> None:
+        """Make a whole round at these voters: a pre-vote and a request, or a renewal.
+
+        The last voter's reply may stay on its way, or its disk fail the promise.
+        """
+        candidate = self.candidates[name]
+        if event in (Event.RENEW, Event.RENEW_LATE_REPLY):
+            messages = candidate._renew(self.clocks[name])
+        else:
+            messages = self._pre_vote(name, reached)
+        late = event in (Event.RENEW_LATE_REPLY, Event.REQUEST_LATE_REPLY)
+        for voter, message in messages:
+            if voter not in reached or not isinstance(message, LeaseRequest):
+                continue
+            last = voter == reached[-1]
+            disk_fails = last and event is Event.REQUEST_BAD_DISK
+            reply = self.answer_request(voter, message, disk_fails)
+            if reply is None:
+                continue
+            if late and last:
+                self.late_replies.append(LateReply(voter, name, reply))
+            else:
+                self._deliver(LateReply(voter, name, reply))
+
+    def _pre_vote(self, name: str, reached: list[str]) -> list[AddressedMessage]:
+        """Make a pre-vote round; return the requests that follow, if a majority would grant."""
+        candidate = self.candidates[name]
+        now = self.clocks[name]
+        candidate.state = CandidateState.IDLE
+        candidate.next_round_us = now
+        for voter, message in candidate._start_pre_vote(now):
+            if voter not in reached or not isinstance(message, PreVote):
+                continue
+            reply = self.voters[voter].answer_pre_vote(self.clocks[voter], message)
+            requests = candidate.handle_reply(now, reply)
+            if requests:
+                return requests
+        return []
+
+    def answer_request(
+        self, voter_name: str, request: LeaseRequest, disk_fails: bool
+    ) -> VoteReply | None:
+        """Return a voter's reply, after its disk has taken or failed the promise."""
+        voter = self.voters[voter_name]
+        now = self.clocks[voter_name]
+        answer = voter.answer_request(now, request)
+        if not isinstance(answer, PromiseWrite):
+            return answer
+        if disk_fails:
+            self.faults -= 1
+        else:
+            self._store(voter_name, answer)
+        return voter.write_finished(now, answer, not disk_fails)
+
+    def _store(self, voter_name: str, write: PromiseWrite) -> None:
+        self.disks[voter_name] = {**(self.disks[voter_name] or {}), write.duty: write.promise}
+
+    def _deliver(self, late: LateReply) -> None:
+        candidate = self.candidates[late.candidate]
+        if late.reply.recipient == candidate.incarnation:
+            now = self.clocks[late.candidate]
+            self._send_releases(candidate.handle_reply(now, late.reply))
+
+    def _send_releases(self, messages: list[AddressedMessage]) -> None:
+        for voter, message in messages:
+            if isinstance(message, LeaseRelease):
+                self.voters[voter].release(self.clocks[voter], message)
+
+    def _learn(self) -> None:
+        """Let fresh voters learn the promises of the others."""
+        for name, voter in self.voters.items():
+            query = voter.epoch_query(self.clocks[name]) if voter.fresh else None
+            if query is None:
+                continue
+            writes: list[PromiseWrite] = []
+            for other in voter.others:
+                reply = self.voters[other].answer_epoch_query(self.clocks[other], query)
+                if reply is not None:
+                    writes = voter.learn_epochs(self.clocks[name], reply) or writes
+            if not voter.fresh:
+                self.disks[name] = {}
+            for i, write in enumerate(writes):
+                self._store(name, write)
+                voter.promise_learned(write, i == len(writes) - 1)
+
+    def _act_arrives(self, name: str) -> None:
+        """Let an act come to the resource, however long it took."""
+        epoch = self.acts[name]
+        self.acts[name] = None
+        if epoch is None:
+            return
+        incarnation = self.candidates[name].incarnation
+        if self.fenced and not self.fence.admits(DUTY, epoch, incarnation):
+            return
+        actor = f"{name}{incarnation}"
+        if epoch < self.newest_epoch:
+            self.violation = f"an act of epoch {epoch} after one of {self.newest_epoch}"
+        elif self.actors.setdefault(epoch, actor) != actor:
+            self.violation = f"two acted under epoch {epoch}"
+        self.newest_epoch = max(self.newest_epoch, epoch)
+
+    # What is asked of it.
+
+    def key(self) -> Hashable:
+        """Return what tells two states apart; times as seen from each process' clock."""
+        clock_differences = tuple(clock - self.clocks["b"] for clock in self.clocks.values())
+        late_replies = [
+            (
+                late.voter,
+                late.candidate,
+                late.reply.round - self.candidates[late.candidate].round,
+                late.reply.recipient,
+                late.reply.granted,
+                late.reply.epoch,
+            )
+            for late in self.late_replies
+        ]
+        return (
+            [self._voter_key(name) for name in VOTERS],
+            [self._candidate_key(name) for name in CANDIDATES],
+            late_replies,
+            clock_differences,
+            sorted(self.acts.items()),
+            self.newest_epoch,
+            sorted(self.actors.items()),
+            sorted(self.fence.newest.items()),
+            self.clock_steps,
+            self.restarts,
+            self.faults,
+        )
+
+    def _ticks_until(self, name: str, time: int) -> int:
+        return max(-1, time - self.clocks[name])
+
+    def _voter_key(self, name: str) -> Hashable:
+        voter = self.voters[name]
+        disk: Mapping[str, Promise | None] = self.disks[name] or {"": None}
+        return (
+            name,
+            sorted(voter.promises.items()),
+            [(duty, self._ticks_until(name, end)) for duty, end in voter.lease_ends_us.items()],
+            self._ticks_until(name, voter.silent_until_us),
+            voter.fresh,
+            voter.disk_ok,
+            sorted(disk.items()),
+        )
+
+    def _candidate_key(self, name: str) -> Hashable:
+        candidate = self.candidates[name]
+        return (
+            name,
+            candidate.incarnation,
+            candidate.state.value,
+            candidate.epoch,
+            self._ticks_until(name, candidate.lease_end_us),
+            self._ticks_until(name, candidate.next_round_us),
+            sorted(candidate.granted_by),
+            sorted(candidate.rejected_by),
+            candidate.highest_epoch,
+            self._ticks_until(name, candidate.requested_at_us + DURATIONS.lease_us),
+        )
+
+    def wrong(self) -> str | None:
+        """Return what must not be so and is, in words."""
+        if self.violation:
+            return self.violation
+        holders = [
+            name
+            for name, candidate in self.candidates.items()
+            if candidate.held_epoch(self.clocks[name]) is not None
+        ]
+        if len(holders) > 1:
+            return "two hold it at once"
+        for name, voter in self.voters.items():
+            epoch = voter.promises[DUTY].epoch if DUTY in voter.promises else 0
+            if epoch < self.highest_promises[name] and not voter.fresh:
+                return f"{name}'s promise went back to {epoch}"
+            self.highest_promises[name] = max(self.highest_promises[name], epoch)
+        return None
--- a/tests/model_checking/test_walk.py
+++ b/tests/model_checking/test_walk.py
@@ -3,7 +3,7 @@
 import unittest
 
 from gullyoke.fault_testing.script import read
-from gullyoke.model_checking import duty, played, shares
+from gullyoke.model_checking import lease_script, leases, quota_leases
 from gullyoke.model_checking.explore import walked
 
 
@@ -43,24 +43,24 @@
         """No order of losses, late messages, restarts, double starts and clocks a tick apart brings
         more in force than there is; without one of the guards some does.
         """
-        states, wrong = shares.found(None, 4)
+        states, wrong = quota_leases.found(None, 4)
         self.assertIsNone(wrong)
         self.assertGreater(states, 15_000)
-        for guard in shares.MUTANTS:
+        for guard in quota_leases.MUTANTS:
             with self.subTest(guard):
-                self.assertIsNotNone(shares.found(guard, 4)[1])
+                self.assertIsNotNone(quota_leases.found(guard, 4)[1])
 
     def test_duty(self):
         """No order of losses, late words, stalls, restarts, wiped and failing disks and clocks a
         tick apart brings two holders at once, an act after one of a newer epoch, or an epoch that
         goes back; without one of the guards some does.
         """
-        states, wrong = duty.found(None, 3)
+        states, wrong = leases.found(None, 3)
         self.assertIsNone(wrong)
         self.assertGreater(states, 6_000)
-        for guard in duty.MUTANTS:
+        for guard in leases.MUTANTS:
             with self.subTest(guard):
-                self.assertIsNotNone(duty.found(guard, 3)[1])
+                self.assertIsNotNone(leases.found(guard, 3)[1])
 
     def test_played(self):
         """The way to each of the walk's starts is a script that the rig takes, with the faults in
@@ -72,8 +72,10 @@
             "in the middle of an act": "late x 2.1",
             "a voter starts anew": "kill m1",
         }
-        for name, way in duty.STARTS.items():
-            text = played.script(tuple(step.split()) for step in way.split(";") if step.strip())
+        for name, way in leases.STARTS.items():
+            text = lease_script.script(
+                tuple(step.split()) for step in way.split(";") if step.strip()
+            )
             script = read(text)
             self.assertEqual(
                 (script.voters, [c.what for c in script.checks]), (3, ["held", "held"])
