--- a/gullyoke/model_checking/lease_world.py
+++ b/gullyoke/model_checking/lease_world.py
@@ -11,7 +11,7 @@
 from __future__ import annotations
 
 import contextlib
-from collections.abc import Hashable, Mapping
+from collections.abc import Hashable
 from enum import StrEnum
 from typing import Final, NamedTuple
 from unittest import mock
@@ -24,6 +24,7 @@
 from gullyoke.leases.messages import LeaseRelease, LeaseRequest, PreVote, VoteReply
 from gullyoke.leases.voter import Promise, PromiseWrite, Voter
 from gullyoke.model_checking.explore import Move
+from gullyoke.model_checking.lease_state_key import state_key
 
 DUTY: Final = "d"
 MAX_LATE_REPLIES: Final = 2
@@ -320,63 +321,8 @@
     # What is asked of it.
 
     def key(self) -> Hashable:
-        """Return what tells two states apart; times as seen from each process' clock."""
-        clock_differences = tuple(clock - self.clocks["b"] for clock in self.clocks.values())
-        late_replies = [
-            (
-                late.voter,
-                late.candidate,
-                late.reply.round - self.candidates[late.candidate].round,
-                late.reply.recipient,
-                late.reply.granted,
-                late.reply.epoch,
-            )
-            for late in self.late_replies
-        ]
-        return (
-            [self._voter_key(name) for name in VOTERS],
-            [self._candidate_key(name) for name in CANDIDATES],
-            late_replies,
-            clock_differences,
-            sorted(self.acts.items()),
-            self.newest_epoch,
-            sorted(self.actors.items()),
-            sorted(self.fence.newest.items()),
-            self.clock_steps,
-            self.restarts,
-            self.faults,
-        )
-
-    def _ticks_until(self, name: str, time: int) -> int:
-        return max(-1, time - self.clocks[name])
-
-    def _voter_key(self, name: str) -> Hashable:
-        voter = self.voters[name]
-        disk: Mapping[str, Promise | None] = self.disks[name] or {"": None}
-        return (
-            name,
-            sorted(voter.promises.items()),
-            [(duty, self._ticks_until(name, end)) for duty, end in voter.lease_ends_us.items()],
-            self._ticks_until(name, voter.silent_until_us),
-            voter.fresh,
-            voter.disk_ok,
-            sorted(disk.items()),
-        )
-
-    def _candidate_key(self, name: str) -> Hashable:
-        candidate = self.candidates[name]
-        return (
-            name,
-            candidate.incarnation,
-            candidate.state.value,
-            candidate.epoch,
-            self._ticks_until(name, candidate.lease_end_us),
-            self._ticks_until(name, candidate.next_round_us),
-            sorted(candidate.granted_by),
-            sorted(candidate.rejected_by),
-            candidate.highest_epoch,
-            self._ticks_until(name, candidate.requested_at_us + DURATIONS.lease_us),
-        )
+        """Return what tells two states apart."""
+        return state_key(self)
 
     def wrong(self) -> str | None:
         """Return what must not be so and is, in words."""
