--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -679,7 +679,9 @@
                 if end in (CloseReason.REFUSED, CloseReason.UNREACHED)
                 else RequestEvent.CALL_REPLY_LOST,
             )
-            self.assertIn(event_for_closed(PeerKind.GATEWAY, end), (None, RequestEvent.CLIENT_DISCONNECTED))
+            self.assertIn(
+                event_for_closed(PeerKind.GATEWAY, end), (None, RequestEvent.CLIENT_DISCONNECTED)
+            )
             self.assertIsNone(
                 event_for_closed(PeerKind.ENGINE, end) or event_for_closed(PeerKind.NAMING, end)
             )
