--- a/gullyoke/codec/__init__.py
+++ b/gullyoke/codec/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes in, messages out, and back: HTTP/1.1 and lines of words. Nothing here knows a socket."""
+"""Bytes to messages and back: HTTP/1.1, SCGI and lines of words; nothing here knows a socket."""
--- a/gullyoke/daemon/composition.py
+++ b/gullyoke/daemon/composition.py
@@ -59,7 +59,6 @@
     executor = _create_executor(configuration, extensions, metrics)
     dispatcher = Dispatcher(
         configuration.facts,
-        configuration.seed,
         metrics,
         flush=executor.flush,
         duplicates=_create_duplicate_table(configuration, extensions),
--- a/gullyoke/daemon/daemon.py
+++ b/gullyoke/daemon/daemon.py
@@ -8,7 +8,6 @@
 
 import gc
 import signal
-import threading
 import time
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -88,9 +87,7 @@
     def start(self) -> None:
         """Start all threads and serve."""
         self.timer.start()
-        threading.Thread(
-            target=self.dispatcher.run_background_work, name="think", daemon=True
-        ).start()
+        self.dispatcher.background_work.start()
         for extension in self.extensions:
             extension.start()
         self.executor.start(self.event_relay)
--- a/gullyoke/daemon/service_discovery.py
+++ b/gullyoke/daemon/service_discovery.py
@@ -107,11 +107,12 @@
             raise ConnectionClosedError(CloseReason.GARBLED, str(error)) from None
         if answer is None:
             raise ConnectionClosedError(CloseReason.CLOSED)
-        status = answer.first[1]
+        status = answer.start_line[1]
         if status != ACCEPTED_STATUS:
             raise ConnectionClosedError(CloseReason.GARBLED, f"answered {status[:20]}")
         self.metrics.increment("naming.reports")
-        if answer.closes() or len(buffer):  # with more than one answer, the next is out of step
+        # With more than one answer, the next is out of step.
+        if answer.wants_close() or len(buffer):
             self.close()
         return CloseReason.DECLARED
 
--- a/gullyoke/frontends/__init__.py
+++ b/gullyoke/frontends/__init__.py
@@ -1,3 +1,1 @@
-"""The ways in: one table of connections for all, each protocol's exchange, what a message asks
-for.
-"""
+"""How requests come in: listeners, client connections, each protocol's exchange, and parsing."""
--- a/gullyoke/frontends/connection.py
+++ b/gullyoke/frontends/connection.py
@@ -1,8 +1,8 @@
 """One client connection: its state machine, and the one place that closes its socket.
 
 A connection belongs to the thread that serves it. Other threads never close the socket: they ask
-for the end by `close_idle` or `abort`, which act only in the states named there, under the
-connection's lock. The owner finds the end at its next step and closes.
+for its end by `close_idle` or `abort`, which act only in the states named there, under the
+connection's lock. The owning thread finds the end at its next step and closes.
 """
 
 from __future__ import annotations
@@ -11,15 +11,20 @@
 import threading
 from collections.abc import Collection
 from enum import Enum
+from typing import TYPE_CHECKING, Final
 
 from gullyoke.runtime import clock
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
 from gullyoke.runtime.pending_request import PendingRequest
 from gullyoke.runtime.sockets import discard_input, half_close, shutdown_both
 
-# Ends after which the peer may have sent something that we did not read, and is worth waiting for:
+if TYPE_CHECKING:
+    from gullyoke.frontends.connections import ConnectionTable
+    from gullyoke.frontends.listener import Listener
+
+# Reasons after which the peer may have sent something that was not read, and is worth waiting for:
 # closing over unread bytes resets the connection, and takes from the peer what it has yet to read.
-LINGERING = frozenset(
+LINGERING: Final = frozenset(
     {CloseReason.DECLARED, CloseReason.IDLE, CloseReason.LEAVING, CloseReason.GARBLED}
 )
 
@@ -29,40 +34,57 @@
 
     IDLE = "idle"  # between two messages
     READING = "reading"  # a message has begun
-    WAITING = "waiting"  # its request is in hand
+    WAITING = "waiting"  # its request is in flight
     WRITING = "writing"  # its answer is being written
     CLOSING = "closing"  # its end is decided: whatever still comes is dropped
 
 
 class Connection:
-    """One connection: its state, since when (microseconds), and the request on it.
-
-    `table` is told of what makes a connection fresh, idle or closing (`ConnectionTable`);
-    `listener` is where it came in. `end` is None until the end is decided here.
+    """One client connection.
+
+    Args:
+        sock: Its socket.
+        listener: The listener it came by.
+        table: The table it is in, which lists the new, the idle and the closing connections.
+
+    Attributes:
+        state: What it is doing.
+        state_since: Since when, in microseconds of the clock.
+        opened_at: When it was accepted, in microseconds of the clock.
+        request: The request on it; None between two.
+        answered: Whether an answer was written to it.
+        close_reason: Why it is closing; None until that is decided here.
     """
 
-    def __init__(self, sock: socket.socket, listener, table) -> None:
-        self.sock, self.listener, self.table = sock, listener, table
-        self.lock = threading.Lock()  # over `state`, `since` and `end`
+    def __init__(self, sock: socket.socket, listener: Listener, table: ConnectionTable) -> None:
+        self.sock = sock
+        self.listener = listener
+        self.table = table
+        self.lock = threading.Lock()  # over `state`, `state_since` and `close_reason`
         self.state = State.IDLE
-        self.opened = self.since = clock.now()
+        self.opened_at = self.state_since = clock.now()
         self.request: PendingRequest | None = None
-        self.served = False  # whether it has had an answer
-        self.end: CloseReason | None = None
+        self.answered = False
+        self.close_reason: CloseReason | None = None
 
-    # By its own thread.
+    # Called by the owning thread.
 
-    def rest(self) -> None:
-        """Wait for the next message. Raises `Ended` where the end has been decided."""
+    def become_idle(self) -> None:
+        """Note that the next message is waited for.
+
+        Raises:
+            ConnectionClosedError: The connection is closing.
+        """
         self._enter(State.IDLE)
-        if self.served:
+        if self.answered:
             self.table.idle[self] = None
 
     def begin_message(self) -> None:
-        """The first byte of a message has been read.
+        """Note that the first byte of a message was read.
 
-        Raises `Ended` where it came after our half-close: such a message can't be answered, so
-        nothing of it may be run.
+        Raises:
+            ConnectionClosedError: It came after our half-close. Such a message cannot be answered,
+                so nothing of it may be run.
         """
         self.table.idle.pop(self, None)
         try:
@@ -72,28 +94,33 @@
             raise
 
     def begin_request(self, request: PendingRequest) -> None:
-        """The message is whole and is about to be handed on.
+        """Note that the message is whole and its request is about to be submitted.
 
-        Raises `Ended` as `begin_message` does.
+        Raises:
+            ConnectionClosedError: As `begin_message` does.
         """
         self._enter(State.WAITING)
         self.request = request
 
-    def answer(self, data: bytes) -> None:
-        """Write a whole answer."""
+    def write_answer(self, data: bytes) -> None:
+        """Write a whole answer.
+
+        Raises:
+            ConnectionClosedError: The connection is closing.
+            OSError: The connection broke.
+        """
         self._enter(State.WRITING)
         self.sock.sendall(data)
-        self.request, self.served = None, True
-        self.table.fresh.pop(self, None)
+        self.request = None
+        self.answered = True
+        self.table.unanswered.pop(self, None)
 
-    def close(self, end: CloseReason) -> None:
-        """Close the socket, by the one thread that may.
-
-        Half-close, take what is on its way, close.
-        """
+    def close(self, reason: CloseReason) -> None:
+        """Half-close, read what still comes, close: by the owning thread, the only one that may."""
         with self.lock:
-            self.state, self.end = State.CLOSING, end
-        if end in LINGERING:
+            self.state = State.CLOSING
+            self.close_reason = reason
+        if reason in LINGERING:
             half_close(self.sock)
             discard_input(self.sock)
         shutdown_both(self.sock)
@@ -101,46 +128,51 @@
 
     def _enter(self, state: State) -> None:
         with self.lock:
-            if self.end is not None:
-                raise ConnectionClosedError(self.end)
-            self.state, self.since = state, clock.now()
+            if self.close_reason is not None:
+                raise ConnectionClosedError(self.close_reason)
+            self.state = state
+            self.state_since = clock.now()
 
-    # By other threads.
+    # Called by other threads.
 
-    def close_idle(self, end: CloseReason) -> bool:
+    def close_idle(self, reason: CloseReason) -> bool:
         """Half-close it if it is idle and nothing of a next message has come.
 
-        Whether that was so.
+        The peer sees the end and closes its side. A message that crosses the half-close on the way
+        is not run: by the end the peer knows that it was not taken.
 
-        The peer sees the end and closes its side. A message that crosses ours on the way is not
-        handed on: the peer knows by the end that it was not taken.
+        Returns:
+            Whether it was idle.
         """
         with self.lock:
             if self.state is not State.IDLE or self._readable():
                 return False
-            self._decide(end)
+            self._decide_to_close(reason)
             half_close(self.sock)
             return True
 
-    def abort(self, end: CloseReason, states: Collection[State], since: int) -> bool:
-        """End both directions at once if it is in one of these states since then.
+    def abort(self, reason: CloseReason, states: Collection[State], since: int) -> bool:
+        """Shut both directions down if it is in one of these states since then.
 
-        Whether it was.
+        Returns:
+            Whether it was.
         """
         with self.lock:
-            if self.state not in states or self.since != since:
+            if self.state not in states or self.state_since != since:
                 return False
             if self.state is not State.CLOSING:
-                self._decide(end)
+                self._decide_to_close(reason)
             shutdown_both(self.sock)
             return True
 
-    def _decide(self, end: CloseReason) -> None:
-        self.state, self.end, self.since = State.CLOSING, end, clock.now()
+    def _decide_to_close(self, reason: CloseReason) -> None:
+        self.state = State.CLOSING
+        self.close_reason = reason
+        self.state_since = clock.now()
         self.table.idle.pop(self, None)
 
     def _readable(self) -> bool:
-        """Whether something has come that its thread has not read yet, an end included."""
+        """Return whether something has come that its thread has not read yet, or its end."""
         try:
             self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
--- a/gullyoke/frontends/connection_limits.py
+++ b/gullyoke/frontends/connection_limits.py
@@ -1,38 +1,58 @@
-"""Who may have a place in the one table of connections. Pure: counts in, a verdict out."""
+"""How many connections each listener may have. Pure: counts in, a verdict out."""
 
 from __future__ import annotations
 
 from collections.abc import Hashable, Mapping
+from typing import TypeVar
+
+Key = TypeVar("Key", bound=Hashable)
 
 
 class ConnectionLimits:
-    """`most` places for several fronts together; each is assured an equal part of half of them.
+    """One limit for the connections of all listeners together.
+
+    Where there are several listeners, each is assured an equal part of half of the limit, so that
+    the clients of one cannot use all descriptors up while another must go on.
+
+    Args:
+        max_connections: The limit.
+        listener_count: How many listeners share it.
 
-    Guards against one front's clients that use all descriptors up while the other must go on. With
-    one front nothing is set aside. Table: one row a front, fixed at the start.
+    Attributes:
+        max_connections: The limit.
+        assured: How many connections each listener can have whatever the others have.
     """
 
-    def __init__(self, most: int, fronts: int = 1) -> None:
-        self.fronts = fronts
-        self.set_limit(most)
+    def __init__(self, max_connections: int, listener_count: int = 1) -> None:
+        self.listener_count = listener_count
+        self.set_limit(max_connections)
 
-    def set_listener_count(self, fronts: int) -> None:
-        """So many fronts share them from now on."""
-        self.fronts = fronts
-        self.set_limit(self.most)
+    def set_listener_count(self, listener_count: int) -> None:
+        """Share the limit between so many listeners from now on."""
+        self.listener_count = listener_count
+        self.set_limit(self.max_connections)
 
-    def set_limit(self, most: int) -> None:
-        """So many places from now on; who is over them stays until its end."""
-        self.most = most
-        self.assured = most // (2 * self.fronts) if self.fronts > 1 else 0
+    def set_limit(self, max_connections: int) -> None:
+        """Set the limit; connections beyond a lower one stay until they close."""
+        self.max_connections = max_connections
+        self.assured = 0
+        if self.listener_count > 1:
+            self.assured = max_connections // (2 * self.listener_count)
 
-    def fits(self, front: Hashable, open: Mapping[Hashable, int]) -> bool:
-        """Whether all that is open, a newcomer of `front` already counted, leaves others what is
-        theirs.
-        """
-        others = sum(max(n, self.assured) for other, n in open.items() if other is not front)
-        return open[front] + others <= self.most
+    def fits(self, newcomer: Key, counts: Mapping[Key, int]) -> bool:
+        """Return whether a new connection leaves the other listeners what they are assured.
 
-    def may_lose(self, loser: Hashable, front: Hashable, open: Mapping[Hashable, int]) -> bool:
-        """Whether a place taken from `loser` is one that a newcomer of `front` can have."""
-        return loser is front or open[loser] > self.assured
+        Args:
+            newcomer: The listener it came by.
+            counts: The connections of each listener, the new one included.
+        """
+        others = sum(
+            max(count, self.assured)
+            for listener, count in counts.items()
+            if listener is not newcomer
+        )
+        return counts[newcomer] + others <= self.max_connections
+
+    def may_evict(self, loser: Key, newcomer: Key, counts: Mapping[Key, int]) -> bool:
+        """Return whether a connection of `loser` may be closed for a new one of `newcomer`."""
+        return loser is newcomer or counts[loser] > self.assured
--- a/gullyoke/frontends/http1.py
+++ b/gullyoke/frontends/http1.py
@@ -1,46 +1,49 @@
-"""The HTTP/1.1 front: one message at a time on a connection, until a side ends it."""
+"""The HTTP/1.1 frontend: one message at a time on a connection, until a side closes it."""
 
 from __future__ import annotations
 
 from gullyoke.codec import http
 from gullyoke.codec.buffer import Buffer
 from gullyoke.frontends.connection import Connection
-from gullyoke.frontends.message_handler import MessageHandler
+from gullyoke.frontends.message_handler import HEALTH_PATH, MessageHandler
 from gullyoke.runtime.close_reasons import CloseReason
-from gullyoke.runtime.messages import Answer, BadRequestError, Message
-
-HEALTH = "/ping"
+from gullyoke.runtime.messages import BadRequestError, Message
 
 
 class Http1:
-    """`name` tells listeners apart in counters and logs."""
+    """A `Frontend` of keep-alive connections.
+
+    Args:
+        handler: Answers the messages.
+        name: Tells listeners apart in counters and logs.
+    """
 
-    buffer = http.BUFFER
+    max_message_bytes = http.BUFFER
 
     def __init__(self, handler: MessageHandler, name: str = "gateway") -> None:
-        self.handler, self.name = handler, name
+        self.handler = handler
+        self.name = name
 
-    def exchange(self, connection: Connection, buffer: Buffer) -> CloseReason:
+    def serve(self, connection: Connection, buffer: Buffer) -> CloseReason:
+        """Read messages and write their answers until a side closes; return why it closed."""
         while True:
-            connection.rest()
+            connection.become_idle()
             try:
                 message = http.read(buffer, connection.begin_message)
                 if message is None:
                     return CloseReason.CLOSED
-                answer, close = self.take(message, connection)
-            except BadRequestError as fault:
-                answer, close = connection.table.refused(connection, fault), True
-            connection.answer(http.answer(answer, close))
+                answer = self.handler.answer(message, connection)
+                close = self._closes_after(message)
+            except BadRequestError as error:
+                answer = connection.table.answer_bad_request(connection, error)
+                close = True
+            connection.write_answer(http.answer(answer, close))
             if close:
                 return CloseReason.DECLARED
 
-    def take(self, message: Message, connection: Connection) -> tuple[Answer, bool]:
-        """The answer, and whether the connection is closed after it."""
-        method, path, version = message.first
-        close = message.closes() or version == "HTTP/1.0"
-        if path == HEALTH:
-            if method not in ("GET", "HEAD"):
-                raise BadRequestError(405, "method")
-            return self.handler.health(), close
-        answer = self.handler.request(message, connection)
-        return answer, close or self.handler.lifecycle.closing
+    def _closes_after(self, message: Message) -> bool:
+        """Return whether the connection is closed after a message's answer."""
+        _, path, version = message.start_line
+        if message.wants_close() or version == "HTTP/1.0":
+            return True
+        return path != HEALTH_PATH and self.handler.lifecycle.closing
--- a/gullyoke/frontends/listening.py
+++ b/gullyoke/frontends/listening.py
@@ -5,30 +5,32 @@
 import os
 import socket
 import stat
+from typing import Final
 
-BACKLOG = 1024
+BACKLOG: Final = 1024  # connections that wait to be accepted
 
 
-def listening(address: tuple[str, int] | str) -> socket.socket:
-    """A socket that listens on a host and port, or on a path, where the file of a listener that is
-    no more is taken away. Raises `OSError` where that can't be.
+def open_listening_socket(address: tuple[str, int] | str) -> socket.socket:
+    """Return a socket that listens on a host and port, or on the path of a Unix socket.
+
+    The file that an earlier listener left on the path is removed.
+
+    Raises:
+        OSError: The address cannot be listened on.
     """
     if isinstance(address, tuple):
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     else:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        remove_stale(address)
+        remove_stale_socket(address)
     sock.bind(address)
     sock.listen(BACKLOG)
     return sock
 
 
-def remove_stale(path: str) -> None:
-    """Guards against a start that fails over what a killed server left.
-
-    A live one is not touched.
-    """
+def remove_stale_socket(path: str) -> None:
+    """Remove the socket file of a server that was killed; leave one that is listened on."""
     try:
         if not stat.S_ISSOCK(os.stat(path).st_mode):
             return
--- a/gullyoke/frontends/message_handler.py
+++ b/gullyoke/frontends/message_handler.py
@@ -1,61 +1,89 @@
-"""Take in: a req of whatever protocol is handed to the decisions, and the one answer to it is
-waited for.
-"""
+"""From a message to its answer, under the same rules for all frontends."""
 
 from __future__ import annotations
 
+from typing import Final
+
 from gullyoke.admission.interface import Reject
 from gullyoke.frontends import request_parsing
 from gullyoke.frontends.connection import Connection
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.lifecycle import Lifecycle
-from gullyoke.runtime.messages import Answer, Message
+from gullyoke.runtime.messages import Answer, BadRequestError, Message
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.pending_request import outcome_name
 
+HEALTH_PATH: Final = "/ping"
+HEALTH_METHODS: Final = ("GET", "HEAD")
+
+HeaderFields = tuple[tuple[str, str], ...]
+
 
 class MessageHandler:
-    """What the fronts share behind their codecs: both ways end here, under the same rules."""
+    """Answers health checks, and requests by way of the dispatcher.
+
+    Args:
+        dispatcher: Where requests are submitted.
+        lifecycle: Whether the server is ready, and its load signal.
+        metrics: The server's counters.
+    """
 
     def __init__(self, dispatcher: Dispatcher, lifecycle: Lifecycle, metrics: Metrics) -> None:
-        self.dispatcher, self.lifecycle, self.metrics = dispatcher, lifecycle, metrics
+        self.dispatcher = dispatcher
+        self.lifecycle = lifecycle
+        self.metrics = metrics
+
+    def answer(self, message: Message, connection: Connection) -> Answer:
+        """Return the answer to a message, waiting for it.
 
-    def health(self) -> Answer:
+        Raises:
+            BadRequestError: The message is no request.
+            ConnectionClosedError: The connection is closing; nothing was run.
+        """
+        method, path, _ = message.start_line
+        if path == HEALTH_PATH:
+            if method not in HEALTH_METHODS:
+                raise BadRequestError(405, "method")
+            return self._answer_health_check()
+        return self._answer_request(message, connection)
+
+    def _answer_health_check(self) -> Answer:
         self.metrics.increment("checks")
-        good = self.lifecycle.ready and self.dispatcher.server is not None
-        return Answer(200 if good else 503, fields=self.feedback())
-
-    def request(self, message: Message, connection: Connection) -> Answer:
-        """The one final answer to a request; raises `Unfit` where the message is none."""
-        request = request_parsing.parse_request(
-            self.dispatcher, message, connection.listener.front.name
-        )
+        ready = self.lifecycle.ready and self.dispatcher.server is not None
+        return Answer(200 if ready else 503, fields=self._load_signal_fields())
+
+    def _answer_request(self, message: Message, connection: Connection) -> Answer:
+        frontend_name = connection.listener.frontend.name
+        request = request_parsing.parse_request(self.dispatcher, message, frontend_name)
         connection.begin_request(request)
         if self.dispatcher.server is None:  # nothing runs before the engine is up
             self.metrics.increment("answers.early")
             return Answer(503)
         request_parsing.submit(self.dispatcher, request)
         self.metrics.increment("reqs.read")
-        if not request.answer_gate.acquire(
-            timeout=max(0.0, (request.deadline - clock.now()) / 1e6)
-        ):
+        remaining_s = max(0.0, (request.deadline - clock.now()) / 1e6)
+        if not request.answer_gate.acquire(timeout=remaining_s):
             self.dispatcher.fail_overdue(request)
-        self.metrics.increment(f"answers.{outcome_name(request.outcome)}")
-        if isinstance(request.outcome, Reject):
-            return Answer(503, b"", self.feedback() + advice(request.outcome))
-        made = request.answer or Answer(500)  # what the run made goes out unchanged
-        return (
-            made
-            if self.lifecycle.load_signal is None
-            else made._replace(fields=made.fields + self.feedback())
-        )
-
-    def feedback(self) -> tuple[tuple[str, str], ...]:
-        level = self.lifecycle.load_signal
-        return () if level is None else (("Feedback", str(level)),)
-
-
-def advice(shed: Reject) -> tuple[tuple[str, str], ...]:
-    wait = (("Hold-Off-Ms", str(max(1, shed.retry_after // 1000))),) if shed.retry_after else ()
-    return wait + ((("No-Other-Server", "1"),) if shed.stop_retrying else ())
+        outcome = request.outcome
+        self.metrics.increment(f"answers.{outcome_name(outcome)}")
+        if isinstance(outcome, Reject):
+            return Answer(503, b"", self._load_signal_fields() + retry_advice(outcome))
+        answer = request.answer or Answer(500)  # what the run answered goes out unchanged
+        if self.lifecycle.load_signal is None:
+            return answer
+        return answer._replace(fields=answer.fields + self._load_signal_fields())
+
+    def _load_signal_fields(self) -> HeaderFields:
+        load_signal = self.lifecycle.load_signal
+        return () if load_signal is None else (("Feedback", str(load_signal)),)
+
+
+def retry_advice(rejection: Reject) -> HeaderFields:
+    """Return the header fields that tell a rejected client when and where to retry."""
+    fields: HeaderFields = ()
+    if rejection.retry_after:
+        fields += (("Hold-Off-Ms", str(max(1, rejection.retry_after // 1000))),)
+    if rejection.stop_retrying:
+        fields += (("No-Other-Server", "1"),)
+    return fields
--- a/gullyoke/frontends/request_parsing.py
+++ b/gullyoke/frontends/request_parsing.py
@@ -1,102 +1,140 @@
-"""Admit: a message of a gateway becomes a req, is checked and handed to the decisions."""
+"""From a client's message to a request, checked and submitted to the controller."""
 
 from __future__ import annotations
 
 import re
+from typing import Final
 
+from gullyoke.admission.interface import RequestClass, Tenant
 from gullyoke.runtime import clock
 from gullyoke.runtime.dispatcher import Dispatcher
 from gullyoke.runtime.messages import BadRequestError, Message
 from gullyoke.runtime.pending_request import PendingRequest
 
-PATH = "/call/"
-LONGEST = 24 * 3600 * 1000  # ms; no caller waits longer, and no stamp is older
+CALL_PATH: Final = "/call/"
+MAX_WAIT_MS: Final = 24 * 3600 * 1000  # no client waits longer, and no timestamp is older
+MAX_MEMORY_KB: Final = 2000.0
+MIN_MEMORY_KB: Final = 1e-9  # a stated figure is positive
+MAX_TIMESTAMP_DIGITS: Final = 15
 
+REQUEST_ID: Final = re.compile(r"[0-9a-fA-F]{16}")
+NUMBER: Final = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 
-ID = re.compile(r"[0-9a-fA-F]{16}")
-FIGURE = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 
-
-def number(
-    fields: dict[str, str], name: str, default: float, most: float, least: float = 0.0
+def parse_number(
+    fields: dict[str, str], name: str, default: float, limit: float, least: float = 0.0
 ) -> float:
-    """A field's figure, from `least` on, under `most`; guards against what is none or can't be."""
+    """Return the number in a field.
+
+    Args:
+        fields: The message's fields.
+        name: The field.
+        default: What is returned where there is no such field.
+        limit: The number is less than this.
+        least: The number is at least this.
+
+    Raises:
+        BadRequestError: The field holds anything else.
+    """
     text = fields.get(name)
     if text is None:
         return default
-    if not FIGURE.fullmatch(text) or not least <= (value := float(text)) < most:
+    if not NUMBER.fullmatch(text) or not least <= (value := float(text)) < limit:
         raise BadRequestError(400, f"field {name}")
     return value
 
 
-def stamp(fields: dict[str, str], name: str) -> int:
-    """How long ago, in microseconds, the time was that a field tells in Unix ms."""
+def parse_age_us(fields: dict[str, str], name: str) -> int:
+    """Return how many microseconds ago the Unix time in ms was that a field states.
+
+    Raises:
+        BadRequestError: The field holds anything else.
+    """
     text = fields.get(name)
     if text is None:
         return 0
-    if not (text.isascii() and text.isdigit() and len(text) < 16):
+    if not (text.isascii() and text.isdigit() and len(text) <= MAX_TIMESTAMP_DIGITS):
         raise BadRequestError(400, f"field {name}")
-    return min(clock.age_of_unix_ms(int(text)), LONGEST * 1000)
+    return min(clock.age_of_unix_ms(int(text)), MAX_WAIT_MS * 1000)
 
 
-def parse_request(dispatcher: Dispatcher, message: Message, front: str) -> PendingRequest:
-    """The req that a message holds."""
-    method, path, _ = message.first
-    if not path.startswith(PATH):
-        raise BadRequestError(404, "path")
-    if method != "POST":
-        raise BadRequestError(405, "method")
-    request_class = dispatcher.request_classes.get(path[len(PATH) :])
-    if request_class is None:
-        raise BadRequestError(404, "handler")
+def parse_request(dispatcher: Dispatcher, message: Message, frontend_name: str) -> PendingRequest:
+    """Return the request that a message holds.
+
+    Raises:
+        BadRequestError: The message is no request of this site.
+    """
+    request_class = _request_class_of(dispatcher, message)
     fields = message.fields
     request_id = fields.get("trace-id", "")
-    if not ID.fullmatch(request_id):
+    if not REQUEST_ID.fullmatch(request_id):
         raise BadRequestError(400, "field trace-id")
-    tenant = fields.get("project")
-    if tenant is not None and tenant not in dispatcher.tenants:
-        raise BadRequestError(400, "field project")
-    arrived = clock.now() - stamp(fields, "accepted-at-ms")
-    wait = int(number(fields, "max-wait-ms", request_class.timeout / 1000, LONGEST) * 1000)
+    tenant = _tenant_of(dispatcher, fields)
+    arrived = clock.now() - parse_age_us(fields, "accepted-at-ms")
+    client_timeout_ms = request_class.timeout / 1000
+    wait_us = int(parse_number(fields, "max-wait-ms", client_timeout_ms, MAX_WAIT_MS) * 1000)
     key = fields.get("replay-key") or fields.get("lookup-key")
     request = PendingRequest(
-        request_class,
-        arrived,
-        arrived + wait,
-        number(fields, "reserve-kb", 0.0, 2000.0, 1e-9),
-        fields.get("is-retry") == "1",
-        None,
-        key is not None,
-        dispatcher.tenants.get(tenant),
-        int(number(fields, "expected-ms", 0.0, LONGEST) * 1000),
-        number(fields, "standing", 0.0, 1.0),
+        request_class=request_class,
+        arrived=arrived,
+        deadline=arrived + wait_us,
+        memory_kb=parse_number(fields, "reserve-kb", 0.0, MAX_MEMORY_KB, MIN_MEMORY_KB),
+        is_retry=fields.get("is-retry") == "1",
+        has_key=key is not None,
+        tenant=tenant,
+        cost_hint=int(parse_number(fields, "expected-ms", 0.0, MAX_WAIT_MS) * 1000),
+        rank=parse_number(fields, "standing", 0.0, 1.0),
     )
-    request.attach_message(request_id, key, message, front)
+    request.attach_message(request_id, key, message, frontend_name)
     return request
 
 
+def _request_class_of(dispatcher: Dispatcher, message: Message) -> RequestClass:
+    method, path, _ = message.start_line
+    if not path.startswith(CALL_PATH):
+        raise BadRequestError(404, "path")
+    if method != "POST":
+        raise BadRequestError(405, "method")
+    request_class = dispatcher.request_classes.get(path[len(CALL_PATH) :])
+    if request_class is None:
+        raise BadRequestError(404, "handler")
+    return request_class
+
+
+def _tenant_of(dispatcher: Dispatcher, fields: dict[str, str]) -> Tenant | None:
+    name = fields.get("project")
+    if name is None:
+        return None
+    tenant = dispatcher.tenants.get(name)
+    if tenant is None:
+        raise BadRequestError(400, "field project")
+    return tenant
+
+
 def submit(dispatcher: Dispatcher, request: PendingRequest) -> None:
-    """Hand it to the decisions.
+    """Submit a request to the controller.
 
-    Raises `Unfit` where it could be taken for another: then nothing runs.
+    Raises:
+        BadRequestError: It could be taken for another request; nothing of it is run.
     """
+    conflict: BadRequestError | None = None
 
-    def read() -> None:
-        nonlocal unfit
-        unfit = conflict_with(dispatcher, request)
-        if unfit is None:
+    def act() -> None:
+        nonlocal conflict
+        conflict = conflict_with(dispatcher, request)
+        if conflict is None:
+            assert dispatcher.server is not None
             dispatcher.requests[request.request_id] = request
             _, request.duplicate_of = dispatcher.duplicates.find(request, dispatcher.now)
             dispatcher.server.on_request(dispatcher.now, request)
 
-    unfit: BadRequestError | None = None
-    dispatcher.handle(read, request)
-    if unfit is not None:
-        raise unfit
+    dispatcher.handle(act, request)
+    if conflict is not None:
+        raise conflict
 
 
 def conflict_with(dispatcher: Dispatcher, request: PendingRequest) -> BadRequestError | None:
-    """What forbids to take it beside what is in hand or was answered."""
+    """Return how a request conflicts with one that is in flight or was answered; None if not."""
     if request.request_id in dispatcher.requests:
         return BadRequestError(409, "a request of this id is in hand already")
     if dispatcher.duplicates.conflicts(request):
--- a/gullyoke/runtime/__init__.py
+++ b/gullyoke/runtime/__init__.py
@@ -1,3 +1,1 @@
-"""What fronts share: the desk with the decisions, repeats, timer, clock, counters, ends,
-sockets.
-"""
+"""What all frontends share: dispatcher, duplicates, timer, clock, metrics, logs and sockets."""
--- a/gullyoke/runtime/clock.py
+++ b/gullyoke/runtime/clock.py
@@ -1,28 +1,30 @@
-"""Time in whole microseconds that never runs backwards, and stamps of the Unix clock turned into
-it.
-"""
+"""The process's clock, in whole microseconds that never run backwards, and Unix time."""
 
 from __future__ import annotations
 
 import time
+from typing import Final
+
+_START_UNIX_US: Final = time.time_ns() // 1000
+_START_MONOTONIC_NS: Final = time.monotonic_ns()
 
 
 def now() -> int:
-    """The Unix clock at the start of the process, carried on by a clock that can't be set."""
-    return START + (time.monotonic_ns() - BEGUN) // 1000
+    """Return the time in microseconds.
+
+    It is the Unix clock at the start of the process, carried on by a clock that nobody can set.
+    """
+    return _START_UNIX_US + (time.monotonic_ns() - _START_MONOTONIC_NS) // 1000
 
 
 def age_of_unix_ms(stamp_ms: int) -> int:
-    """How long ago the Unix clock showed `stamp_ms`.
+    """Return how many microseconds ago the Unix clock showed `stamp_ms`.
 
-    Never less than nothing, also if it was set back.
+    Never negative, even where the Unix clock was set back since.
     """
     return max(0, time.time_ns() // 1000 - stamp_ms * 1000)
 
 
 def unix_ms() -> int:
-    """What the Unix clock shows, in whole ms, for stamps that others read."""
+    """Return the Unix time in whole milliseconds, for timestamps that other machines read."""
     return time.time_ns() // 1_000_000
-
-
-START, BEGUN = time.time_ns() // 1000, time.monotonic_ns()
--- a/gullyoke/runtime/close_reasons.py
+++ b/gullyoke/runtime/close_reasons.py
@@ -1,84 +1,111 @@
-"""Every way a connection can end, and what the decisions hear of it: one type, one table."""
+"""Why a connection closed, and which event that is for the requests it carried."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from enum import Enum
+from typing import Final, NamedTuple
 
 from gullyoke.admission.interface import RequestEvent
 from gullyoke.errors import GullyokeError
 
 
 class CloseReason(Enum):
-    """How a connection ended. The value is what the log and the counters call it."""
+    """Why a connection closed; the value is its name in logs and counters."""
 
     CLOSED = "closed"  # the peer closed it between two messages
     CUT = "cut"  # the peer closed it within a message
-    RESET = "reset"  # it broke under reading or writing
-    REFUSED = "refused"  # it never came about, and the peer said so
-    UNREACHED = "unreached"  # it never came about, for any other cause
-    STALLED = "stalled"  # a message or its answer made no way for too long
-    GARBLED = "garbled"  # what came is not the protocol
-    SILENT = "silent"  # closed here: it came and said nothing, or half of something
-    IDLE = "idle"  # closed here: silent for long
-    CROWDED = "crowded"  # closed here: no descriptor is to spare, and no connection is idle
-    DECLARED = "declared"  # closed here, or by the peer, as an answer or a req had said
+    RESET = "reset"  # reading or writing failed
+    REFUSED = "refused"  # the peer refused the connection
+    UNREACHED = "unreached"  # it could not be opened for any other reason
+    STALLED = "stalled"  # a message or its answer made no progress for too long
+    GARBLED = "garbled"  # the peer violated the protocol
+    SILENT = "silent"  # closed here: no whole first message came in time
+    IDLE = "idle"  # closed here: no message came for a long time
+    CROWDED = "crowded"  # closed here: the connection limit is reached and none is idle
+    DECLARED = "declared"  # closed by either side as a message had announced
     LEAVING = "leaving"  # closed here at the end of the drain
-    FAULT = "fault"  # an error of our own
+    FAULT = "fault"  # an internal error
 
 
 class PeerKind(Enum):
+    """Who is on the other side of a connection."""
+
     GATEWAY = "gateway"
     ENGINE = "engine"
     DATABASE = "database"
-    NAMING = "naming"
+    SERVICE_DISCOVERY = "naming"
 
 
-# What the decisions hear of each req that the connection carried then. A gateway's end is no word
-# on its caller unless the connection is broken or gone. Runs outlive a link to the engine; the name
-# service has no part in a req.
-UNRUN = {CloseReason.REFUSED, CloseReason.UNREACHED}
-GONE = {CloseReason.CLOSED, CloseReason.CUT, CloseReason.RESET}
+class ConnectionClosed(NamedTuple):
+    """How a connection ended.
 
+    Args:
+        reason: Why it closed.
+        why: What went wrong, for the log; empty where nothing did.
+    """
 
-def event_for_closed(peer: PeerKind, end: CloseReason) -> RequestEvent | None:
-    if peer is PeerKind.DATABASE:
-        return RequestEvent.CALL_NOT_SENT if end in UNRUN else RequestEvent.CALL_REPLY_LOST
-    if peer is PeerKind.GATEWAY and end in GONE:
-        return RequestEvent.CLIENT_DISCONNECTED
-    return None
+    reason: CloseReason
+    why: str = ""
 
 
 class ConnectionClosedError(GullyokeError):
-    """Raised where a connection turns out to have ended."""
+    """Raised where a connection turns out to have closed.
+
+    Args:
+        reason: Why it closed.
+        why: What went wrong; the name of the reason where nothing is stated.
+    """
 
     def __init__(self, reason: CloseReason, why: str = "") -> None:
         super().__init__(why or reason.value)
         self.reason = reason
 
 
-def serve_connection(
-    serve: Callable[[], CloseReason], fault: Callable[[], None]
-) -> tuple[CloseReason, str]:
-    """Serve a connection to its end: how it ended, and why.
+NEVER_OPENED: Final = frozenset({CloseReason.REFUSED, CloseReason.UNREACHED})
+CLIENT_LEFT: Final = frozenset({CloseReason.CLOSED, CloseReason.CUT, CloseReason.RESET})
+
 
-    `fault` is told of an error of our own.
+def event_for_closed(peer: PeerKind, reason: CloseReason) -> RequestEvent | None:
+    """Return the event for each request that a connection carried as it closed; None for none.
+
+    A closed gateway connection says nothing about the client unless the gateway closed or broke
+    it. Runs outlive the link to the engine. The name service has no part in a request.
+    """
+    if peer is PeerKind.DATABASE:
+        if reason in NEVER_OPENED:
+            return RequestEvent.CALL_NOT_SENT
+        return RequestEvent.CALL_REPLY_LOST
+    if peer is PeerKind.GATEWAY and reason in CLIENT_LEFT:
+        return RequestEvent.CLIENT_DISCONNECTED
+    return None
+
+
+def serve_connection(
+    serve: Callable[[], CloseReason], on_internal_error: Callable[[], None]
+) -> ConnectionClosed:
+    """Serve a connection until it closes.
+
+    Args:
+        serve: Serves it; returns or raises why it closed.
+        on_internal_error: Called while an unexpected exception is being handled. Such an error
+            closes this connection and nothing else.
     """
     try:
-        return serve(), ""
-    except ConnectionClosedError as ended:
-        return ended.reason, str(ended)
-    except OSError as broken:
-        return close_reason_of(broken), str(broken)
-    except Exception as own:  # it ends this connection and nothing else
-        fault()
-        return CloseReason.FAULT, type(own).__name__
-
-
-def close_reason_of(fault: OSError) -> CloseReason:
-    """What an error of the operating system means for the connection it struck."""
-    if isinstance(fault, ConnectionRefusedError):
+        return ConnectionClosed(serve())
+    except ConnectionClosedError as closed:
+        return ConnectionClosed(closed.reason, str(closed))
+    except OSError as error:
+        return ConnectionClosed(close_reason_of(error), str(error))
+    except Exception as error:
+        on_internal_error()
+        return ConnectionClosed(CloseReason.FAULT, type(error).__name__)
+
+
+def close_reason_of(error: OSError) -> CloseReason:
+    """Return what an error of the operating system means for the connection it occurred on."""
+    if isinstance(error, ConnectionRefusedError):
         return CloseReason.REFUSED
-    if isinstance(fault, TimeoutError):
+    if isinstance(error, TimeoutError):
         return CloseReason.STALLED
     return CloseReason.RESET
--- a/gullyoke/runtime/duplicate_table.py
+++ b/gullyoke/runtime/duplicate_table.py
@@ -1,124 +1,166 @@
-"""The table of kept reqs: by which a repeat is known, and from whose results it is answered."""
+"""The table by which duplicates of a request are known and answered with its result."""
 
 from __future__ import annotations
 
-from gullyoke.admission.interface import PAST, Idempotency, RequestClass
+from typing import Final, NamedTuple
+
+from gullyoke.admission.interface import PAST, Idempotency, RememberedRequest, Request, RequestClass
 from gullyoke.runtime.messages import Answer
+from gullyoke.runtime.pending_request import PendingRequest
 
-RESULTS = 16 * 2**20  # bytes of results that are kept at most
+MAX_RESULT_BYTES: Final = 16 * 2**20  # of all results together
 
 
 class KeyEntry:
-    """A kept request.
-
-    `request` is the request while it is in hand; `body_digest` tells what it asked for from what
-    others ask for, None where that is not known; `result` is None if it didn't end well.
+    """A remembered request.
+
+    Attributes:
+        request: The request while it is in flight; None once its run has ended.
+        expires_at: Until when (microseconds of the clock) later requests count as duplicates of it.
+        body_digest: A hash of what it asked for; None where that is not known.
+        ended_at: When its run ended; 0 before that.
+        result: Its answer; None where the run did not complete or too many results are kept.
+        waiters: Duplicates that wait for its run.
     """
 
     __slots__ = ("body_digest", "ended_at", "expires_at", "request", "result", "waiters")
 
-    def __init__(self, request, expires_at: int, body_digest: int | None = None) -> None:
-        self.request, self.expires_at, self.body_digest, self.ended_at = (
-            request,
-            expires_at,
-            body_digest,
-            0,
-        )
+    def __init__(
+        self, request: PendingRequest | None, expires_at: int, body_digest: int | None = None
+    ) -> None:
+        self.request = request
+        self.expires_at = expires_at
+        self.body_digest = body_digest
+        self.ended_at = 0
         self.result: Answer | None = None
-        self.waiters: list = []  # repeats to be answered from it
+        self.waiters: list[PendingRequest] = []
+
+
+class DuplicateMatch(NamedTuple):
+    """What a request is a duplicate of.
+
+    Args:
+        entry: The entry of the request that it duplicates; None for none.
+        duplicate_of: That request while it is in flight, `PAST` once it has ended, None for none.
+    """
+
+    entry: KeyEntry | None
+    duplicate_of: Request | RememberedRequest | None
+
+
+NO_MATCH: Final = DuplicateMatch(None, None)
 
 
 class DuplicateTable:
-    """Table: one entry for each key that the decisions keep.
+    """One entry for each key that the controller remembers, until it expires or is forgotten.
+
+    All methods are called under the dispatcher's lock.
 
-    Gone after its time or when forgotten.
+    Args:
+        read_cache_ttl: For how many microseconds the result of an idempotent request is fresh.
     """
 
-    def __init__(self, fresh_for: int) -> None:
-        self.fresh_for, self.bytes = fresh_for, 0
+    def __init__(self, read_cache_ttl: int) -> None:
+        self.read_cache_ttl = read_cache_ttl
+        self.result_bytes = 0
         self.entries: dict[tuple[RequestClass, str], KeyEntry] = {}
 
-    def alive(self, request) -> KeyEntry | None:
-        """The entry under its key, if it came within that one's time or while that one is in
-        hand.
+    def live_entry(self, request: PendingRequest) -> KeyEntry | None:
+        """Return the entry under the request's key that it arrived in time for, if any.
+
+        That is while the first request is in flight, and until the entry expires.
         """
         entry = self.entries.get((request.request_class, request.key)) if request.key else None
         if entry is None or (entry.request is None and request.arrived > entry.expires_at):
             return None
         return entry
 
-    def conflicts(self, request) -> bool:
-        """Whether a keyed request asks for something else than the one that came under its key.
+    def conflicts(self, request: PendingRequest) -> bool:
+        """Return whether a keyed request asks for something else than the first under its key.
 
-        Guards against an answer that belongs to another, for a client that reuses a key or has seen
-        one.
-        """
-        entry = self.alive(request)
-        known = (
-            entry is not None
-            and entry.body_digest is not None
-            and request.request_class.idempotency is Idempotency.KEYED
-        )
-        return known and entry.body_digest != request.body_digest
-
-    def find(self, request, now: int):
-        """The entry it repeats, if it came while that was alive, and what the decisions hear of
-        it.
+        Guards against an answer that belongs to another client, where one reuses a key or has
+        seen one.
         """
-        entry = self.alive(request)
+        entry = self.live_entry(request)
+        if entry is None or entry.body_digest is None:
+            return False
+        if request.request_class.idempotency is not Idempotency.KEYED:
+            return False
+        return entry.body_digest != request.body_digest
+
+    def find(self, request: PendingRequest, now: int) -> DuplicateMatch:
+        """Return what the request is a duplicate of."""
+        entry = self.live_entry(request)
         if entry is None:
-            return None, None
+            return NO_MATCH
         if entry.request is not None:
-            return entry, entry.request
-        stale = entry.result is None or now > entry.ended_at + self.fresh_for
+            return DuplicateMatch(entry, entry.request)
+        stale = entry.result is None or now > entry.ended_at + self.read_cache_ttl
         if stale and request.request_class.idempotency is Idempotency.IDEMPOTENT:
-            return None, None
-        return entry, PAST
-
-    def remember(self, request, expires_at: int) -> None:
-        """Also refreshes: a newer try takes the place of its entry's request."""
-        if request.key:
-            self.forget(request)
-            old = self.entries.pop((request.request_class, request.key), None)
-            if old is not None:
-                self._drop(old)
-            request.key_entry = self.entries[request.request_class, request.key] = KeyEntry(
-                request, expires_at, request.body_digest
-            )
-
-    def forget(self, request) -> list:
-        """Take its entry out; who waited for it is handed back."""
-        entry, request.key_entry = request.key_entry, None
+            return NO_MATCH
+        return DuplicateMatch(entry, PAST)
+
+    def remember(self, request: PendingRequest, expires_at: int) -> None:
+        """Remember a request under its key, in the place of whatever was remembered there."""
+        if not request.key:
+            return
+        self.forget(request)
+        key = request.request_class, request.key
+        previous = self.entries.pop(key, None)
+        if previous is not None:
+            self._drop_result(previous)
+        entry = KeyEntry(request, expires_at, request.body_digest)
+        self.entries[key] = entry
+        request.key_entry = entry
+
+    def forget(self, request: PendingRequest) -> list[PendingRequest]:
+        """Remove the request's entry; return the duplicates that waited for it."""
+        entry = request.key_entry
+        request.key_entry = None
         if entry is None:
             return []
-        if self.entries.get((request.request_class, request.key)) is entry:
-            del self.entries[request.request_class, request.key]
-        self._drop(entry)
+        assert request.key is not None  # only a request with a key has an entry
+        key = request.request_class, request.key
+        if self.entries.get(key) is entry:
+            del self.entries[key]
+        self._drop_result(entry)
         return entry.waiters
 
-    def run_ended(self, request, result: Answer | None, now: int) -> list:
-        """Its run is over: note how; who waits for it is handed back."""
+    def run_ended(
+        self, request: PendingRequest, result: Answer | None, now: int
+    ) -> list[PendingRequest]:
+        """Note that the request's run has ended; return the duplicates that waited for it.
+
+        Args:
+            request: The request.
+            result: Its answer; None where the run did not complete.
+            now: Microseconds of the clock.
+        """
         entry = request.key_entry
         if entry is None or entry.request is None:
             return []
-        entry.request, entry.ended_at = None, now
-        if result is not None and self.bytes + result.size() <= RESULTS:
+        entry.request = None
+        entry.ended_at = now
+        if result is not None and self.result_bytes + result.size() <= MAX_RESULT_BYTES:
             entry.result = result
-            self.bytes += result.size()
-        waiting, entry.waiters = entry.waiters, []
-        return waiting
+            self.result_bytes += result.size()
+        waiters = entry.waiters
+        entry.waiters = []
+        return waiters
 
     def expire(self, now: int) -> None:
-        """An entry outlives its time by that of a caller.
+        """Remove expired entries.
 
-        Repeats that came within it may still be unread.
+        An entry outlives its expiry by its class's client timeout: duplicates that arrived before
+        may still be unread.
         """
         for key, entry in list(self.entries.items()):
-            if entry.request is None and entry.expires_at + key[0].timeout < now:
+            request_class, _ = key
+            if entry.request is None and entry.expires_at + request_class.timeout < now:
                 del self.entries[key]
-                self._drop(entry)
+                self._drop_result(entry)
 
-    def _drop(self, entry: KeyEntry) -> None:
+    def _drop_result(self, entry: KeyEntry) -> None:
         if entry.result is not None:
-            self.bytes -= entry.result.size()
+            self.result_bytes -= entry.result.size()
             entry.result = None
--- a/gullyoke/runtime/lifecycle.py
+++ b/gullyoke/runtime/lifecycle.py
@@ -1,17 +1,29 @@
-"""What the decisions have said of this server as a whole, for every front to read."""
+"""The server's state as a whole, as the controller decided it, for every frontend to read."""
 
 from __future__ import annotations
 
 
 class Lifecycle:
-    """`good`: what checks are told; `idle`.
+    """What frontends tell clients of this server.
 
-    Microseconds after which silent connections are closed, 0 for never; `level`: the free value
-    that goes out with every answer, or None; `closing`: near the stop.
+    Each attribute is replaced whole, so it is read without a lock.
+
+    Args:
+        default_idle_timeout_us: The idle timeout until the controller sets a shorter one.
+
+    Attributes:
+        ready: Whether health checks are answered with success.
+        load_signal: The value sent with every answer; None for none.
+        closing: Whether the end of the drain has come, and no new connection is served.
+        idle_timeout_us: After how many microseconds idle connections are closed; 0 for never.
+        default_idle_timeout_us: The idle timeout where the controller sets none.
     """
 
     __slots__ = ("closing", "default_idle_timeout_us", "idle_timeout_us", "load_signal", "ready")
 
     def __init__(self, default_idle_timeout_us: int) -> None:
-        self.ready, self.load_signal, self.closing = True, None, False
-        self.idle_timeout_us = self.default_idle_timeout_us = default_idle_timeout_us
+        self.ready = True
+        self.load_signal: float | None = None
+        self.closing = False
+        self.idle_timeout_us = default_idle_timeout_us
+        self.default_idle_timeout_us = default_idle_timeout_us
--- a/gullyoke/runtime/logs.py
+++ b/gullyoke/runtime/logs.py
@@ -1,4 +1,4 @@
-"""The server's log: one line an event, with fields; writing it never holds anybody up."""
+"""The server's log: one line an event, with fields; writing it never blocks the caller."""
 
 from __future__ import annotations
 
@@ -7,23 +7,30 @@
 import logging.handlers
 import queue
 import sys
+from dataclasses import dataclass
+from typing import Final
 
-log = logging.getLogger("gullyoke")
+log: Final = logging.getLogger("gullyoke")
 
+MAX_QUEUED_LINES: Final = 2000  # lines that wait to be written; later ones are dropped
+LINES_PER_WINDOW: Final = 10  # of one event
+WINDOW_S: Final = 10.0
 
-def log_fields(**given: object) -> dict[str, object]:
-    """The pairs of a log line, under one name of their own.
 
-    None of them can meet one that logging uses.
+def log_fields(**fields: object) -> dict[str, object]:
+    """Return the fields of a log line as the `extra` argument of a logging call.
+
+    They stand under one name of their own, so none can collide with one that logging uses.
     """
-    return {"pairs": given}
+    return {"pairs": fields}
 
 
 class KeyValueFormatter(logging.Formatter):
-    """time=... level=... thread=... event="..." and the line's own pairs."""
+    """Formats lines as time=... level=... thread=... event="..." and the line's own fields."""
 
     def format(self, record: logging.LogRecord) -> str:
-        row = {
+        """Return the line of a record."""
+        fields = {
             "time": f"{record.created:.3f}",
             "level": record.levelname.lower(),
             "thread": record.threadName,
@@ -31,61 +38,94 @@
             **getattr(record, "pairs", {}),
         }
         if record.exc_info:
-            row["trace"] = self.formatException(record.exc_info)
-        return " ".join(f"{key}={quoted(str(value))}" for key, value in row.items())
+            fields["trace"] = self.formatException(record.exc_info)
+        return " ".join(f"{key}={quoted(str(value))}" for key, value in fields.items())
 
 
 def quoted(text: str) -> str:
+    """Return a field's value, in quotes and with escapes where it would be ambiguous without."""
     if text and not any(c in text for c in ' "=\\') and text.isprintable():
         return text
     text = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
     return '"' + "".join(c if c.isprintable() else "?" for c in text) + '"'
 
 
+@dataclass(slots=True)
+class _EventWindow:
+    """How many lines of one event were written and left out since `started_at` (Unix seconds)."""
+
+    started_at: float
+    written: int = 0
+    left_out: int = 0
+
+
 class RateLimitedQueueHandler(logging.handlers.QueueHandler):
-    """Hands lines to the writing thread; a full queue drops them.
+    """Hands lines to the writing thread; drops them when the queue is full.
 
-    A log that is stuck must not stop reqs.
+    Neither a stuck log nor one event that repeats may hold requests up or fill the disk: of each
+    event only so many lines are written in a window, and the next line written says how many were
+    left out. Errors are always written. The events are fixed in the code, so the table is bounded.
 
-    Guards against a log that grows with what comes in: of one event so many lines a span are
-    written, and the next one says how many were left out. Table: one row an event; the events are
-    fixed in the code.
+    Args:
+        lines: The queue to the writing thread.
+        lines_per_window: How many lines of one event are written in a window.
+        window_s: The length of a window in seconds.
     """
 
-    def __init__(self, lines: queue.Queue, most: int = 10, span: float = 10.0) -> None:
+    def __init__(
+        self,
+        lines: queue.Queue[logging.LogRecord],
+        lines_per_window: int = LINES_PER_WINDOW,
+        window_s: float = WINDOW_S,
+    ) -> None:
         super().__init__(lines)
-        self.most, self.span, self.rows = most, span, {}
+        self.lines_per_window = lines_per_window
+        self.window_s = window_s
+        self.windows: dict[str, _EventWindow] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        began, written, left = self.rows.get(record.msg, (record.created, 0, 0))
-        if record.created - began >= self.span:
-            began, written = record.created, 0
-        if record.levelno < logging.ERROR and written >= self.most:
-            self.rows[record.msg] = began, written, left + 1
+        """Return whether a line is written; notes on it how many before it were left out."""
+        window = self.windows.setdefault(record.msg, _EventWindow(record.created))
+        if record.created - window.started_at >= self.window_s:
+            window.started_at = record.created
+            window.written = 0
+        if record.levelno < logging.ERROR and window.written >= self.lines_per_window:
+            window.left_out += 1
             return False
-        if left:
-            record.pairs = getattr(record, "pairs", {}) | {"left_out": left}
-        self.rows[record.msg] = began, written + 1, 0
+        if window.left_out:
+            record.pairs = getattr(record, "pairs", {}) | {"left_out": window.left_out}
+        window.written += 1
+        window.left_out = 0
         return True
 
     def enqueue(self, record: logging.LogRecord) -> None:
+        """Queue a line; drop it where the queue is full."""
         with contextlib.suppress(queue.Full):
             self.queue.put_nowait(record)
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        return record  # formatted by the writing thread, with its pairs
+        """Leave the record as it is: the writing thread formats it, with its fields."""
+        return record
 
 
 def start_logging(
-    level: str, form: logging.Formatter | None = None
+    level: str, formatter: logging.Formatter | None = None
 ) -> logging.handlers.QueueListener:
-    """The log, from now on; in key=value lines where no other `form` is given."""
-    out = logging.StreamHandler(sys.stderr)
-    out.setFormatter(form or KeyValueFormatter())
-    lines: queue.Queue = queue.Queue(2000)
+    """Write the log to standard error from now on, by a thread of its own.
+
+    Args:
+        level: The lowest level that is written.
+        formatter: The form of a line; key=value where none is given.
+
+    Returns:
+        The writing thread's owner, to be stopped at the end of the process.
+    """
+    stream = logging.StreamHandler(sys.stderr)
+    stream.setFormatter(formatter or KeyValueFormatter())
+    lines: queue.Queue[logging.LogRecord] = queue.Queue(MAX_QUEUED_LINES)
     log.addHandler(RateLimitedQueueHandler(lines))
     log.setLevel(level)
     log.propagate = False
-    writer = logging.handlers.QueueListener(lines, out)
+    writer = logging.handlers.QueueListener(lines, stream)
     writer.start()
     return writer
--- a/gullyoke/runtime/messages.py
+++ b/gullyoke/runtime/messages.py
@@ -1,12 +1,12 @@
-"""What a front reads and what it answers, whatever the protocol it came by."""
+"""Messages and answers as all frontends see them, whatever their protocol."""
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
 from gullyoke.errors import GullyokeError
 
-REASONS = {
+REASON_PHRASES: Final = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -25,7 +25,12 @@
 
 
 class BadRequestError(GullyokeError):
-    """A message that is answered with a plain status and a close."""
+    """A message that is answered with a plain status and a close.
+
+    Args:
+        status: The HTTP status of the answer.
+        why: What is wrong with the message.
+    """
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -33,34 +38,45 @@
 
 
 class Message(NamedTuple):
-    """A first line in its three parts, the fields by their names in lower case, and the body."""
+    """A whole message.
+
+    Args:
+        start_line: Its first line in three parts: method, path and version of a request; version,
+            status and reason phrase of a response.
+        fields: Its header fields, by their names in lower case.
+        body: Its body.
+    """
 
-    first: tuple[str, str, str]
+    start_line: tuple[str, str, str]
     fields: dict[str, str]
     body: bytes
 
-    def closes(self) -> bool:
-        """Whether the peer wants the connection closed after this."""
+    def wants_close(self) -> bool:
+        """Return whether the peer wants the connection closed after this message."""
         return "close" in self.fields.get("connection", "").lower()
 
 
 class Answer(NamedTuple):
     """A whole answer.
 
-    `fields` are those beside its length, in their order; a name may stand twice.
+    Args:
+        status: Its HTTP status.
+        body: Its body.
+        fields: Its header fields except its length, in their order; a name may occur twice.
     """
 
     status: int
     body: bytes = b""
     fields: tuple[tuple[str, str], ...] = ()
 
-    def line(self) -> str:
-        """The status and its usual reason."""
-        return f"{self.status} {REASONS.get(self.status, 'Other')}"
+    def status_line(self) -> str:
+        """Return the status and its usual reason phrase."""
+        return f"{self.status} {REASON_PHRASES.get(self.status, 'Other')}"
 
     def size(self) -> int:
-        """What it takes to keep, about, in bytes."""
+        """Return about how many bytes it takes to keep."""
         return len(self.body) + sum(len(name) + len(value) for name, value in self.fields)
 
-    def head(self) -> str:
+    def header_lines(self) -> str:
+        """Return the header fields as lines, each with its end."""
         return "".join(f"{name}: {value}\r\n" for name, value in self.fields)
--- a/gullyoke/runtime/pending_request.py
+++ b/gullyoke/runtime/pending_request.py
@@ -3,16 +3,37 @@
 from __future__ import annotations
 
 import threading
+from typing import TYPE_CHECKING, Literal, TypeAlias
 
-from gullyoke.admission.interface import Reject, Request, RequestEvent
-from gullyoke.runtime.messages import Message
+from gullyoke.admission.interface import Fail, Reject, Request, RequestEvent
+from gullyoke.runtime.messages import Answer, Message
+
+if TYPE_CHECKING:
+    from gullyoke.dependencies.call import DependencyCall
+    from gullyoke.runtime.duplicate_table import KeyEntry
+
+Outcome: TypeAlias = Literal[RequestEvent.COMPLETED] | Fail | Reject
+"""What a request's final answer says: completed, failed, or rejected without a run."""
 
 
 class PendingRequest(Request):
-    """A request with all that the sockets need of it.
+    """A request that has no final answer yet.
 
-    `gate` is let go when its answer is there; `content` is a hash of its body, keyed by this
-    process's own secret.
+    Attributes:
+        request_id: Its id, unique among the requests in flight.
+        key: Its idempotency key or its subject; None where it names neither.
+        message: The message it came in.
+        body_digest: A hash of its body, keyed by this process's own secret.
+        answer: What the run answered; None before that, and where there was no run.
+        outcome: Its final outcome; None until it has one.
+        answer_gate: Locked until the outcome is there; its thread waits for it.
+        key_entry: Its entry in the duplicate table; None where it has none.
+        dependency_call: Its dependency call in flight; None for none.
+        call_body: What its run wants to ask the dependency; None before it wants to.
+        call_notice: The number of the engine's notice of that call.
+        notices_read: How many notices of the engine about its run were read.
+        frontend_name: The frontend it came by, for the log.
+        backend_name: The backend it was last sent to, for the log; "-" for none.
     """
 
     __slots__ = (
@@ -32,12 +53,31 @@
         "request_id",
     )
 
+    request_id: str
+    key: str | None
+    message: Message
+    body_digest: int
+    answer: Answer | None
+    outcome: Outcome | None
+    answer_gate: threading.Lock
+    key_entry: KeyEntry | None
+    dependency_call: DependencyCall | None
+    call_body: bytes | None
+    call_notice: int
+    notices_read: int
+    frontend_name: str
+    backend_name: str
+
     def attach_message(
         self, request_id: str, key: str | None, message: Message, frontend_name: str
     ) -> None:
-        """Note what the message says of it.
+        """Note the message it came in and what that says of it; called once, at its creation.
 
-        `frontend_name` and `backend_name`, the back end it was last sent to, are for the log alone.
+        Args:
+            request_id: Its id.
+            key: Its idempotency key or its subject, if any.
+            message: The message.
+            frontend_name: The frontend it came by.
         """
         self.request_id = request_id
         self.key = key
@@ -52,19 +92,17 @@
         self.answer_gate.acquire()
 
 
-def outcome_name(outcome: object) -> str:
-    """What the counters call an outcome."""
-    return (
-        "done"
-        if outcome is RequestEvent.COMPLETED
-        else "shed"
-        if isinstance(outcome, Reject)
-        else "errored"
-    )
+def outcome_name(outcome: Outcome | None) -> str:
+    """Return what the counters call an outcome."""
+    if outcome is RequestEvent.COMPLETED:
+        return "done"
+    if isinstance(outcome, Reject):
+        return "shed"
+    return "errored"
 
 
 def log_identity(request: PendingRequest) -> dict[str, str]:
-    """What each log line of a req carries."""
+    """Return the fields of every log line about a request."""
     return {
         "req": request.request_id,
         "front": request.frontend_name,
--- a/gullyoke/runtime/signals.py
+++ b/gullyoke/runtime/signals.py
@@ -1,18 +1,18 @@
-"""The signals that a server takes, and when.
+"""The signals that a server handles, by its main thread alone and once it is up."""
 
-Its main thread alone, one after the other, once it is up.
-"""
+from __future__ import annotations
 
 import signal
+from typing import Final
 
-HANDLED = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
+HANDLED: Final = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 
 
 def block_signals() -> None:
-    """Keep the signals that come from now on until `House.run` asks for them.
+    """Block the handled signals until the server's main loop waits for them.
 
-    Called before anything else: a signal that comes while the server is being put together must
-    neither end it nor be lost, and each thread inherits the mask, so that none is handed to a
-    thread that does not look for it.
+    Called before anything else. A signal that comes while the server starts must neither end it
+    nor be lost, and every thread inherits the mask, so that none is delivered to a thread that
+    does not wait for it.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
--- a/gullyoke/runtime/sockets.py
+++ b/gullyoke/runtime/sockets.py
@@ -1,138 +1,173 @@
-"""Opening and ending connections: the few calls on sockets that more than one part needs."""
+"""Opening, reading, writing and ending connections: what more than one package needs of sockets."""
 
 from __future__ import annotations
 
 import contextlib
 import socket
 import time
+from typing import Final
 
 from gullyoke.runtime import clock
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError, close_reason_of
 
+DISCARD_TIMEOUT_S: Final = 0.5
+DISCARD_MAX_BYTES: Final = 2**18
+DISCARD_CHUNK_BYTES: Final = 65536
 
-def open_connection(address: tuple[str, int] | str | None, patience: float) -> socket.socket:
-    """A connection opened here, to a host and port or a path.
 
-    That none came about has two ends, told apart by whether the peer said so.
+class ConnectionBrokenError(ConnectionClosedError):
+    """A connection that closed after something was written to it."""
+
+
+def open_connection(address: tuple[str, int] | str | None, timeout_s: float) -> socket.socket:
+    """Open a connection to a host and port, or to the path of a Unix socket.
+
+    Raises:
+        ConnectionClosedError: It could not be opened: REFUSED where nobody listens there,
+            UNREACHED for any other reason.
     """
     if address is None:
         raise ConnectionClosedError(CloseReason.UNREACHED, "no address is stated")
     try:
         if isinstance(address, str):
-            sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            sock.settimeout(patience)
-            try:
-                sock.connect(address)
-            except OSError:
-                sock.close()
-                raise
+            sock = _connect_unix(address, timeout_s)
         else:
-            sock = socket.create_connection(address, patience)
+            sock = socket.create_connection(address, timeout_s)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    except (ConnectionRefusedError, FileNotFoundError) as fault:
-        raise ConnectionClosedError(CloseReason.REFUSED, str(fault)) from None
-    except OSError as fault:
-        raise ConnectionClosedError(CloseReason.UNREACHED, str(fault)) from None
+    except (ConnectionRefusedError, FileNotFoundError) as error:
+        raise ConnectionClosedError(CloseReason.REFUSED, str(error)) from None
+    except OSError as error:
+        raise ConnectionClosedError(CloseReason.UNREACHED, str(error)) from None
     sock.settimeout(None)
     return sock
 
 
+def _connect_unix(path: str, timeout_s: float) -> socket.socket:
+    sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    sock.settimeout(timeout_s)
+    try:
+        sock.connect(path)
+    except OSError:
+        sock.close()
+        raise
+    return sock
+
+
 class Receiver:
-    """What a buffer receives by, from a blocking socket.
+    """Fills a buffer from a blocking socket.
 
-    Where `piece` is set, the wait for more of a message that has begun ends after so many seconds.
+    Args:
+        sock: The socket.
+        piece_timeout_s: How many seconds to wait for more of a message that has begun; None for
+            ever.
     """
 
-    def __init__(self, sock: socket.socket, piece: float | None = None) -> None:
-        self.sock, self.piece = sock, piece
+    def __init__(self, sock: socket.socket, piece_timeout_s: float | None = None) -> None:
+        self.sock = sock
+        self.piece_timeout_s = piece_timeout_s
 
     def __call__(self, view: memoryview, begun: bool) -> int:
-        bounded = self.piece is not None and begun
+        """Receive into `view`; return how many bytes came, 0 at the peer's end.
+
+        Raises:
+            ConnectionClosedError: The connection broke, or the wait took too long.
+        """
+        bounded = self.piece_timeout_s is not None and begun
         try:
             if bounded:
-                self.sock.settimeout(self.piece)
-            got = self.sock.recv_into(view)
-        except OSError as fault:
-            raise ConnectionClosedError(close_reason_of(fault), str(fault)) from None
+                self.sock.settimeout(self.piece_timeout_s)
+            received = self.sock.recv_into(view)
+        except OSError as error:
+            raise ConnectionClosedError(close_reason_of(error), str(error)) from None
         if bounded:
             self.sock.settimeout(None)
-        return got
+        return received
 
 
 class DeadlineSocket:
-    """What a buffer receives by where all that comes must have come by a time of the clock."""
+    """A socket on which everything must have been sent and received by a deadline.
+
+    Guards against a peer that sends or takes a byte now and then for ever.
 
-    def __init__(self, sock: socket.socket, until: int) -> None:
-        self.sock, self.until = sock, until
+    Args:
+        sock: The socket.
+        deadline: Microseconds of the clock.
+    """
+
+    def __init__(self, sock: socket.socket, deadline: int) -> None:
+        self.sock = sock
+        self.deadline = deadline
 
     def __call__(self, view: memoryview, begun: bool) -> int:
+        """Receive into `view`; return how many bytes came, 0 at the peer's end.
+
+        Raises:
+            ConnectionClosedError: The connection broke, or the deadline has passed.
+        """
         try:
-            self.sock.settimeout(self.left())
+            self.sock.settimeout(self._remaining_s())
             return self.sock.recv_into(view)
-        except OSError as fault:
-            raise ConnectionClosedError(close_reason_of(fault), str(fault)) from None
-
-    def left(self) -> float:
-        """Seconds left; guards against a peer that sends a byte now and then for ever."""
-        left = (self.until - clock.now()) / 1e6
-        if left <= 0:
-            raise ConnectionClosedError(CloseReason.STALLED, "its time is over")
-        return left
+        except OSError as error:
+            raise ConnectionClosedError(close_reason_of(error), str(error)) from None
 
-    def send(self, data: bytes) -> bool:
-        """Send all of it; whether it was.
+    def send(self, data: bytes) -> None:
+        """Send all of `data`.
 
-        Raises before its first byte is on its way: `Ended`. Raises later: `Broken`, since what was
-        sent may have been read.
+        Raises:
+            ConnectionClosedError: It failed before the first byte was written.
+            ConnectionBrokenError: It failed later: the peer may have read what was written.
         """
         sent = 0
         try:
             with memoryview(data) as view:
                 while sent < len(data):
-                    self.sock.settimeout(self.left())
+                    self.sock.settimeout(self._remaining_s())
                     sent += self.sock.send(view[sent:])
-        except OSError as fault:
-            raise (ConnectionBrokenError if sent else ConnectionClosedError)(
-                close_reason_of(fault), str(fault)
-            ) from None
-        except ConnectionClosedError as fault:
-            raise (ConnectionBrokenError if sent else ConnectionClosedError)(
-                fault.reason, str(fault)
-            ) from None
-        return True
-
-
-class ConnectionBrokenError(ConnectionClosedError):
-    """A connection that ended after something was written to it."""
+        except OSError as error:
+            raise self._send_error(sent, close_reason_of(error), str(error)) from None
+        except ConnectionClosedError as error:
+            raise self._send_error(sent, error.reason, str(error)) from None
+
+    @staticmethod
+    def _send_error(sent: int, reason: CloseReason, why: str) -> ConnectionClosedError:
+        error_type = ConnectionBrokenError if sent else ConnectionClosedError
+        return error_type(reason, why)
+
+    def _remaining_s(self) -> float:
+        remaining = (self.deadline - clock.now()) / 1e6
+        if remaining <= 0:
+            raise ConnectionClosedError(CloseReason.STALLED, "its time is over")
+        return remaining
 
 
 def shutdown_both(sock: socket.socket) -> None:
-    """End both directions, which wakes whoever waits on it."""
+    """Shut both directions down, which wakes every thread that waits on the socket."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
 
 
 def half_close(sock: socket.socket) -> None:
-    """Say that no more comes from here."""
-    try:
+    """Tell the peer that nothing more is sent from here."""
+    with contextlib.suppress(OSError):  # the peer has closed it already
         sock.shutdown(socket.SHUT_WR)
-    except OSError:  # the peer has gone already
-        pass
 
 
-def discard_input(sock: socket.socket, patience: float = 0.5, most: int = 2**18) -> None:
-    """Take and drop what the peer still sends, to its end.
+def discard_input(
+    sock: socket.socket,
+    timeout_s: float = DISCARD_TIMEOUT_S,
+    max_bytes: int = DISCARD_MAX_BYTES,
+) -> None:
+    """Read and drop what the peer still sends, until it closes its side or a bound is reached.
 
-    Bounded in seconds and bytes, for peers that go on and on; one that keeps its side open has had
-    its answer.
+    A peer that keeps its side open, or goes on sending, has had its answer.
     """
-    until = time.monotonic() + patience
+    until = time.monotonic() + timeout_s
     try:
-        while most > 0 and (left := until - time.monotonic()) > 0:
-            sock.settimeout(left)
-            got = len(sock.recv(65536))
-            most -= got
-            if not got:
+        while max_bytes > 0 and (remaining := until - time.monotonic()) > 0:
+            sock.settimeout(remaining)
+            received = len(sock.recv(DISCARD_CHUNK_BYTES))
+            max_bytes -= received
+            if not received:
                 return
-    except OSError:  # the time is over, or the peer broke off
+    except OSError:  # the time is over, or the peer reset the connection
         return
--- a/tests/codec/test_codecs.py
+++ b/tests/codec/test_codecs.py
@@ -140,7 +140,7 @@
         two = scgi.read(reading(scgi.netstring(headers.items()) + body, cuts))
         del one.fields["content-length"]
         self.assertEqual(
-            (one.first[:2], one.fields, one.body), (two.first[:2], two.fields, two.body)
+            (one.start_line[:2], one.fields, one.body), (two.start_line[:2], two.fields, two.body)
         )
 
 
--- a/tests/crossing/test_connections.py
+++ b/tests/crossing/test_connections.py
@@ -14,7 +14,9 @@
 
 from crossing.live import REPEATS, Client, Live, apart, descriptors, eventually, unread
 from gullyoke.frontends import connection as connection_module
-from gullyoke.frontends import connections as connections_module
+from gullyoke.frontends import connection_sweep as connection_sweep_module
+from gullyoke.frontends import eviction as eviction_module
+from gullyoke.frontends import listener as listener_module
 from gullyoke.frontends.connection import Connection, State
 from gullyoke.frontends.connection_limits import ConnectionLimits
 from gullyoke.frontends.connections import ConnectionTable
@@ -90,7 +92,7 @@
 
                 # The owner has read nothing yet: it stands before its receive, the bytes lie in the
                 # socket.
-                with live.hook(Connection, "rest", wait):
+                with live.hook(Connection, "become_idle", wait):
                     live.served(client, f"a{i}")
                     self.assertTrue(held.wait(10))
                     client.send(f"b{i}")
@@ -190,7 +192,7 @@
                     real(sock)
 
                 with mock.patch.object(connection_module, "shutdown_both", late):
-                    decided = ours.abort(CloseReason.STALLED, {State.READING}, ours.since)
+                    decided = ours.abort(CloseReason.STALLED, {State.READING}, ours.state_since)
                 self.assertTrue(decided)
                 with self.subTest(i), contextlib.suppress(ConnectionResetError):
                     self.assertIsNone(client.answer())
@@ -223,7 +225,7 @@
                     complete.wait(10)  # the server's own sweep may be at it too
 
                 with live.hook(Connection, "abort", rest):
-                    ours.since -= 2 * connections_module.STALL_US
+                    ours.state_since -= 2 * connection_sweep_module.STALL_US
                     live.connections.sweep()
                     self.assertTrue(complete.wait(10))
                 live.done(f"x{i}")
@@ -238,8 +240,8 @@
 
         The client is told by the end of the connection at once.
         """
-        dispatcher = Dispatcher(parse_site_facts(flatten_settings(site())), 1, Metrics())
-        real = connections_module.shutdown_both
+        dispatcher = Dispatcher(parse_site_facts(flatten_settings(site())), Metrics())
+        real = listener_module.shutdown_both
         for _ in range(REPEATS):
             lifecycle, metrics = Lifecycle(0), Metrics()
             table = ConnectionTable(ConnectionLimits(10), dispatcher, lifecycle, metrics)
@@ -253,7 +255,7 @@
                     clients[0].send("late")
                 real(sock)
 
-            with mock.patch.object(connections_module, "shutdown_both", late):
+            with mock.patch.object(listener_module, "shutdown_both", late):
                 table.stop_accepting()
             try:
                 answer = clients[0].answer()
@@ -273,7 +275,7 @@
         aside.
         """
         with Live(sockets=64) as live:
-            table, most = live.connections, live.daemon.connection_limits.most
+            table, most = live.connections, live.daemon.connection_limits.max_connections
             clients, peak = [], [0]
 
             def look(sock, listener):
@@ -288,7 +290,7 @@
                         client.answer()
                     except OSError:
                         continue
-            self.assertLessEqual(peak[0], most + connections_module.CLOSING_MOST)
+            self.assertLessEqual(peak[0], most + eviction_module.MAX_CLOSING)
             self.assertEqual(live.count("accept.failed"), 0)
             for client in clients:
                 client.close()
@@ -297,8 +299,8 @@
 class LateBox:
     """A worker's box whose first wait ends without a task, just as one is put there."""
 
-    def __init__(self, crew, task):
-        self.crew, self.task, self.items, self.bell = crew, task, [], threading.Event()
+    def __init__(self, workers, task):
+        self.workers, self.task, self.items, self.bell = workers, task, [], threading.Event()
 
     def put(self, item):
         self.items.append(item)
@@ -308,7 +310,7 @@
         if timeout is not None:
             if self.task is not None:
                 task, self.task = self.task, None
-                assert self.crew.assign(task)
+                assert self.workers.assign(task)
             raise queue.Empty
         assert self.bell.wait(10)
         return self.items.pop(0)
@@ -322,15 +324,15 @@
         """
         for _ in range(REPEATS):
             acted = []
-            crew = WorkerPool(acted.append)
-            box = LateBox(crew, "second")
+            workers = WorkerPool(acted.append)
+            box = LateBox(workers, "second")
             with mock.patch.object(worker_pool_module.queue, "SimpleQueue", lambda box=box: box):
-                thread = threading.Thread(target=crew.run_worker, args=("first",))
+                thread = threading.Thread(target=workers.run_worker, args=("first",))
                 thread.start()
                 thread.join(10)
             self.assertFalse(thread.is_alive())
             self.assertEqual(acted, ["first", "second"])
-            self.assertEqual(crew.resting, [])
+            self.assertEqual(workers.idle_inboxes, [])
 
 
 class BadInput(unittest.TestCase):
--- a/tests/executors/test_writing.py
+++ b/tests/executors/test_writing.py
@@ -122,7 +122,7 @@
         Woken before, it would wait for the one that woke it.
         """
         facts = parse_site_facts(flatten_settings(site()))
-        dispatcher = Dispatcher(facts, 1, Metrics())
+        dispatcher = Dispatcher(facts, Metrics())
         dispatcher.executor = types.SimpleNamespace(finished=lambda _: None, execute=None)
         dispatcher.server = types.SimpleNamespace(dispatch=lambda _: None)
         one = PendingRequest(facts.request_classes[0], 0, 10**9, 1.0)
--- a/tests/frontends/test_fronts.py
+++ b/tests/frontends/test_fronts.py
@@ -73,7 +73,7 @@
                 clock, "age_of_unix_ms", lambda stamp: max(0, self.now - stamp * 1000)
             ),
         ):
-            self.dispatcher = Dispatcher(facts, 1, Metrics())
+            self.dispatcher = Dispatcher(facts, Metrics())
             self.executor = Recorded(self.dispatcher)
             self.dispatcher.open(self.executor, START - 20_000_000)
             for step in script:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -430,7 +430,7 @@
             buffer = Buffer(Pieces(ask[:at], ask[at:] + ask, b""), http.BUFFER)
             first, again = http.read(buffer), http.read(buffer)
             self.assertEqual(first, again)
-            self.assertEqual((first.first[1], first.fields["trace-id"]), ("/call/view", "0a"))
+            self.assertEqual((first.start_line[1], first.fields["trace-id"]), ("/call/view", "0a"))
             self.assertEqual(first.body, b"A\r\nB")
             self.assertIsNone(http.read(buffer))
         for at in range(1, len(load_configuration) + 1):
@@ -610,7 +610,7 @@
     def test_fault(self):
         """An error in the decisions costs its own req an errored answer; the desk goes on."""
         dispatcher, request = (
-            Dispatcher(parse_site_facts(flatten_settings(site())), 1, Metrics()),
+            Dispatcher(parse_site_facts(flatten_settings(site())), Metrics()),
             mock.Mock(outcome=None, key_entry=None, request_id="a"),
         )
         dispatcher.server, dispatcher.requests["a"] = mock.Mock(), request
@@ -637,7 +637,7 @@
         Between them the lock is free and the last policy stands.
         """
         dispatcher, learner = (
-            Dispatcher(parse_site_facts(flatten_settings(site())), 1, Metrics()),
+            Dispatcher(parse_site_facts(flatten_settings(site())), Metrics()),
             Learner(0, 40, 2, 1e5, 1e-6),
         )
         learner.bias_differences, last = [1.0] * 41, learner.policy
@@ -646,7 +646,7 @@
         self.assertEqual(
             learner.visits_before_episode, learner.visits
         )  # it began with that, not with its first piece
-        while dispatcher.run_background_step(work):
+        while dispatcher.background_work.run_step(work):
             pieces += 1
             self.assertIs(learner.policy, last)
             self.assertFalse(dispatcher.lock.locked())
@@ -658,7 +658,7 @@
 
         Errors all are.
         """
-        lines = RateLimitedQueueHandler(queue.Queue(), most=2, span=10.0)
+        lines = RateLimitedQueueHandler(queue.Queue(), lines_per_window=2, window_s=10.0)
         made = [
             logging.makeLogRecord({"msg": "x", "created": t, "levelno": level})
             for t, level in ((0, 30), (1, 30), (2, 30), (3, 30), (4, 40), (11, 30))
@@ -683,7 +683,8 @@
                 event_for_closed(PeerKind.GATEWAY, end), (None, RequestEvent.CLIENT_DISCONNECTED)
             )
             self.assertIsNone(
-                event_for_closed(PeerKind.ENGINE, end) or event_for_closed(PeerKind.NAMING, end)
+                event_for_closed(PeerKind.ENGINE, end)
+                or event_for_closed(PeerKind.SERVICE_DISCOVERY, end)
             )
 
     def test_scenarios(self):
