--- a/gullyoke/runtime/close_reasons.py
+++ b/gullyoke/runtime/close_reasons.py
@@ -63,7 +63,9 @@
 
 
 NEVER_OPENED: Final = frozenset({CloseReason.REFUSED, CloseReason.UNREACHED})
-CLIENT_LEFT: Final = frozenset({CloseReason.CLOSED, CloseReason.CUT, CloseReason.RESET})
+CLIENT_DISCONNECTED_REASONS: Final = frozenset(
+    {CloseReason.CLOSED, CloseReason.CUT, CloseReason.RESET}
+)
 
 
 def event_for_closed(peer: PeerKind, reason: CloseReason) -> RequestEvent | None:
@@ -76,7 +78,7 @@
         if reason in NEVER_OPENED:
             return RequestEvent.CALL_NOT_SENT
         return RequestEvent.CALL_REPLY_LOST
-    if peer is PeerKind.GATEWAY and reason in CLIENT_LEFT:
+    if peer is PeerKind.GATEWAY and reason in CLIENT_DISCONNECTED_REASONS:
         return RequestEvent.CLIENT_DISCONNECTED
     return None
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -607,8 +607,8 @@
         route.schedule_tick(TICK)
         self.assertEqual(times[1], 1_000_000 + TICK)
 
-    def test_fault(self):
-        """An error in the decisions costs its own req an errored answer; the desk goes on."""
+    def test_internal_error_fails_its_own_request(self):
+        """An internal error in the controller fails its own request; the dispatcher goes on."""
         dispatcher, request = (
             Dispatcher(parse_site_facts(flatten_settings(site())), Metrics()),
             mock.Mock(outcome=None, key_entry=None, request_id="a"),
@@ -622,8 +622,8 @@
         self.assertTrue(request.answer_gate.release.called and dispatcher.server.dispatch.called)
         self.assertFalse(dispatcher.lock.locked() or dispatcher.requests)
 
-    def test_beat(self):
-        """An error in the decisions at a wake-up: the next wake-up comes all the same."""
+    def test_next_tick_after_an_internal_error(self):
+        """An internal error at a tick: the next tick comes all the same."""
         scene = Scene()
         for line in ("handler view timeout=300", "0 read a view", "0 trip fail a"):
             scene.play(line.split())
@@ -631,10 +631,10 @@
             scene.until(TICK * 3)
         self.assertEqual(scene.due, scene.now + TICK)
 
-    def test_pieces(self):
-        """An episode is solved in pieces.
+    def test_background_work_runs_in_steps(self):
+        """A learning episode runs in steps.
 
-        Between them the lock is free and the last policy stands.
+        Between them the lock is free and the last policy applies.
         """
         dispatcher, learner = (
             Dispatcher(parse_site_facts(flatten_settings(site())), Metrics()),
@@ -642,49 +642,53 @@
         )
         learner.bias_differences, last = [1.0] * 41, learner.policy
         learner.visits[0][6] += 9.0
-        work, pieces = learner.start_episode(), 0
+        work, steps = learner.start_episode(), 0
         self.assertEqual(
             learner.visits_before_episode, learner.visits
-        )  # it began with that, not with its first piece
+        )  # it began with that, not with its first step
         while dispatcher.background_work.run_step(work):
-            pieces += 1
+            steps += 1
             self.assertIs(learner.policy, last)
             self.assertFalse(dispatcher.lock.locked())
-        self.assertGreater(pieces, 1)
+        self.assertGreater(steps, 1)
         self.assertIsNot(learner.policy, last)
 
-    def test_log(self):
-        """Of one event few lines a span are written, the next says how many were left out.
+    def test_log_rate_limit(self):
+        """Of one event few lines a window are written; the next says how many were left out.
 
-        Errors all are.
+        Errors are all written.
         """
-        lines = RateLimitedQueueHandler(queue.Queue(), lines_per_window=2, window_s=10.0)
-        made = [
-            logging.makeLogRecord({"msg": "x", "created": t, "levelno": level})
-            for t, level in ((0, 30), (1, 30), (2, 30), (3, 30), (4, 40), (11, 30))
+        handler = RateLimitedQueueHandler(queue.Queue(), lines_per_window=2, window_s=10.0)
+        records = [
+            logging.makeLogRecord({"msg": "x", "created": created, "levelno": level})
+            for created, level in ((0, 30), (1, 30), (2, 30), (3, 30), (4, 40), (11, 30))
         ]
-        self.assertEqual([lines.filter(r) for r in made], [True, True, False, False, True, True])
-        self.assertEqual([getattr(r, "pairs", None) for r in made[4:]], [{"left_out": 2}, None])
+        self.assertEqual(
+            [handler.filter(record) for record in records], [True, True, False, False, True, True]
+        )
+        self.assertEqual(
+            [getattr(record, "pairs", None) for record in records[4:]], [{"left_out": 2}, None]
+        )
 
-    def test_ends(self):
-        """Every end has its outcome for each peer.
+    def test_events_for_closed_connections(self):
+        """Every reason a connection closes for has its event for each peer.
 
-        Only one that never came about proves that no call ran.
+        Only one that was never opened proves that no call ran.
         """
-        for end in CloseReason:
-            word = event_for_closed(PeerKind.DATABASE, end)
+        for reason in CloseReason:
+            event = event_for_closed(PeerKind.DATABASE, reason)
             self.assertIs(
-                word,
+                event,
                 RequestEvent.CALL_NOT_SENT
-                if end in (CloseReason.REFUSED, CloseReason.UNREACHED)
+                if reason in (CloseReason.REFUSED, CloseReason.UNREACHED)
                 else RequestEvent.CALL_REPLY_LOST,
             )
             self.assertIn(
-                event_for_closed(PeerKind.GATEWAY, end), (None, RequestEvent.CLIENT_DISCONNECTED)
+                event_for_closed(PeerKind.GATEWAY, reason), (None, RequestEvent.CLIENT_DISCONNECTED)
             )
             self.assertIsNone(
-                event_for_closed(PeerKind.ENGINE, end)
-                or event_for_closed(PeerKind.SERVICE_DISCOVERY, end)
+                event_for_closed(PeerKind.ENGINE, reason)
+                or event_for_closed(PeerKind.SERVICE_DISCOVERY, reason)
             )
 
     def test_scenarios(self):
