--- a/gullyoke/cli/fleet.py
+++ b/gullyoke/cli/fleet.py
@@ -407,7 +407,7 @@
     import os
 
     from gullyoke.extensions.duties import FOLDER, OURS
-    from gullyoke.leases.voter import Promise
+    from gullyoke.leases.promises import Promise
     from gullyoke.peer_transport.lease_codec import decode_rows, encode_promise
     from gullyoke.storage import SlotFile, StorageFolder
 
--- a/gullyoke/coordination/signals.py
+++ b/gullyoke/coordination/signals.py
@@ -18,7 +18,7 @@
 from gullyoke.admission.load_snapshot import LoadSnapshot
 
 SHARE_STEPS = 15  # a share is sent in so many steps
-LATENCY_STEPS_A_UNIT = 5  # a latency ratio is sent in fifths
+LATENCY_STEPS_PER_ONE = 5  # a latency ratio is sent in fifths
 LATENCY_STEP = 0.2
 REPORT_VALID_US = 3_000_000  # for which a report counts
 MAX_SENDERS = 64  # of which reports are kept
@@ -28,7 +28,7 @@
 SLOW_RATIO = 2.0  # from this multiple of its peers' latency ratio a server alone is slow
 RECOVERED_RATIO = 1.3  # and up to this it is well again
 LEAST_LATENCY_RATIO = 0.2  # of the peers, for the comparison
-STATE_HOLD_US = 3_000_000  # a server withdraws, or returns, after so long
+STATE_DWELL_US = 3_000_000  # a server withdraws, or returns, after so long
 MAX_WITHDRAWN_SHARE = 0.1  # of the peers may have withdrawn before one more does not
 FULL_PEERS_SHARE = 0.3  # of the peers full, from which a retry elsewhere is not worth its cost
 WAIT_SPREAD = 0.5  # a wait is drawn within this share of its length, to both sides
@@ -67,7 +67,7 @@
 
     def pack(self) -> int:
         """Return the report in 14 bits; the latency ratio in fifths, up to 3."""
-        latency_step = max(0, round(self.latency_ratio * LATENCY_STEPS_A_UNIT))
+        latency_step = max(0, round(self.latency_ratio * LATENCY_STEPS_PER_ONE))
         return (
             to_step(self.free_capacity)
             | to_step(self.rejected_share) << 4
@@ -86,7 +86,7 @@
     return LoadReport(
         (packed & 15) / SHARE_STEPS,
         (packed >> 4 & 15) / SHARE_STEPS,
-        (packed >> 8 & 15) / LATENCY_STEPS_A_UNIT,
+        (packed >> 8 & 15) / LATENCY_STEPS_PER_ONE,
         ServingStage(packed >> 12 & 3),
     )
 
@@ -251,7 +251,7 @@
             self._change_since_us = None
         elif self._change_since_us is None:
             self._change_since_us = now
-        elif now - self._change_since_us >= STATE_HOLD_US:
+        elif now - self._change_since_us >= STATE_DWELL_US:
             self.withdrawn = not self.withdrawn
             self._change_since_us = None
 
--- a/gullyoke/emulator/duty.py
+++ b/gullyoke/emulator/duty.py
@@ -26,7 +26,8 @@
     PreVote,
     VoteReply,
 )
-from gullyoke.leases.voter import Promise, PromiseWrite, Voter
+from gullyoke.leases.promises import Promise
+from gullyoke.leases.voter import PromiseWrite, Voter
 
 SECOND, TURN, ACT, SYNC = 1_000_000, 50_000, 100_000, 5_000
 DUTY = "d"
--- a/gullyoke/leases/voter.py
+++ b/gullyoke/leases/voter.py
@@ -17,7 +17,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from typing import Final, NamedTuple
+from typing import NamedTuple
 
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.messages import (
@@ -29,26 +29,19 @@
     PreVote,
     VoteReply,
 )
+from gullyoke.leases.promises import (
+    MAX_LEASES,
+    NO_PROMISE,
+    Promise,
+    ReportedPromises,
+    newest_promises,
+    replies_needed,
+)
 
-MAX_LEASES: Final = 64  # leases of which a voter keeps promises; there are a few
 LEARN_INTERVAL_US = 500_000  # between two queries for the promises of the other voters
 SUCCESSOR_PREFERENCE_US = 1_000_000  # a handed-over lease goes to its successor alone for so long
 
 
-class Promise(NamedTuple):
-    """What a voter has promised of one lease.
-
-    It is stored as an array of its fields in this order. `incarnation` and `holder` say to whom.
-    """
-
-    epoch: int
-    incarnation: int
-    holder: str
-
-
-NO_PROMISE: Final = Promise(0, NOBODY, "")
-
-
 class PromiseWrite(NamedTuple):
     """A promise to be made durable; `reply` goes out afterwards, if there is one."""
 
@@ -116,7 +109,7 @@
         self._preferred_successors: dict[str, PreferredSuccessor] = {}
         self._round = 0
         self._next_query_us = 0
-        self._learned: dict[str, tuple[tuple[str, int, int, str], ...]] = {}
+        self._learned: dict[str, ReportedPromises] = {}
         self._other_fresh_voters: set[str] = set()
 
     def set_others(self, others: Iterable[str], voter_set: int) -> None:
@@ -135,12 +128,6 @@
 
     # Learning lost promises.
 
-    def replies_needed(self) -> int:
-        """Return how many others have a member in every majority that included this voter."""
-        voters = len(self.others) + 1
-        majority = voters // 2 + 1
-        return len(self.others) - (majority - 1) + 1
-
     def epoch_query(self, now: int) -> EpochQuery | None:
         """Return the query that a fresh voter sends to all others, if one is due."""
         if not self.fresh or now < max(self.silent_until_us, self._next_query_us):
@@ -174,29 +161,15 @@
         else:
             self._learned[reply.voter] = reply.promises
         all_answered = self._learned.keys() | self._other_fresh_voters == self.others
-        if len(self._learned) < self.replies_needed() and not all_answered:
+        if len(self._learned) < replies_needed(len(self.others)) and not all_answered:
             return []
-        newest = self._newest_promises()
+        newest = newest_promises(self._learned.values())
         self._learned.clear()
         self._round += 1  # a reply that comes later counts no more; a failed write starts anew
         if not newest:
             self.fresh = False
         return [PromiseWrite(duty, promise, None) for duty, promise in newest.items()]
 
-    def _newest_promises(self) -> dict[str, Promise]:
-        """Return the newest promise of each lease among all that was learned."""
-        newest: dict[str, Promise] = {}
-        for entries in self._learned.values():
-            for duty, epoch, incarnation, holder in entries[:MAX_LEASES]:
-                promise = Promise(epoch, incarnation, holder)
-                known = newest.get(duty, NO_PROMISE)
-                if promise.epoch > known.epoch or duty not in newest:
-                    newest[duty] = promise
-                elif promise.epoch == known.epoch and promise.incarnation != known.incarnation:
-                    # Voters that differ on the holder of the newest epoch: nobody gets it again.
-                    newest[duty] = Promise(promise.epoch, NOBODY, "")
-        return newest
-
     def promise_learned(self, write: PromiseWrite, last: bool) -> None:
         """Take over a learned promise that is durable; after the `last` one this voter votes."""
         self.promises[write.duty] = write.promise
@@ -240,7 +213,7 @@
         self.pending_writes[duty] = write
         return write
 
-    def write_finished(self, now: int, write: PromiseWrite, durable: bool) -> VoteReply | None:
+    def write_finished(self, now: int, write: PromiseWrite, written: bool) -> VoteReply | None:
         """Return the reply to send once the disk has stored a promise or failed to.
 
         After a failure it is unknown what the disk has: the epoch counts as promised to nobody, and
@@ -249,8 +222,8 @@
         if self.pending_writes.get(write.duty) is not write:
             return None
         del self.pending_writes[write.duty]
-        self.disk_ok = durable
-        if durable:
+        self.disk_ok = written
+        if written:
             self.promises[write.duty] = write.promise
             self._start_lease(now, write.duty)
             return write.reply
--- a/gullyoke/model_checking/explore.py
+++ b/gullyoke/model_checking/explore.py
@@ -21,7 +21,8 @@
     def moves(self) -> Sequence[Move]:
         """All that can happen next."""
 
-    def make(self, move: Move) -> None: ...
+    def make(self, move: Move) -> None:
+        """Let one thing happen."""
 
     def key(self) -> Hashable:
         """What tells two states apart; equal keys go on alike."""
@@ -99,10 +100,12 @@
 
 
 def digest(key: Hashable) -> bytes:
+    """Return what a state is remembered by."""
     return blake2b(repr(key).encode(), digest_size=12).digest()
 
 
 def way(seen: dict[bytes, tuple[bytes, Move] | None], name: bytes) -> tuple[Move, ...]:
+    """Return the moves from the start to a state, by the digests of those before it."""
     moves: list[Move] = []
     while (step := seen[name]) is not None:
         name = step[0]
--- a/gullyoke/model_checking/lease_state_key.py
+++ b/gullyoke/model_checking/lease_state_key.py
@@ -5,7 +5,7 @@
 from collections.abc import Hashable, Mapping
 from typing import TYPE_CHECKING
 
-from gullyoke.leases.voter import Promise
+from gullyoke.leases.promises import Promise
 
 if TYPE_CHECKING:
     from gullyoke.model_checking.lease_world import LeaseWorld
--- a/gullyoke/model_checking/lease_world.py
+++ b/gullyoke/model_checking/lease_world.py
@@ -22,7 +22,8 @@
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.fence import Fence
 from gullyoke.leases.messages import LeaseRelease, LeaseRequest, PreVote, VoteReply
-from gullyoke.leases.voter import Promise, PromiseWrite, Voter
+from gullyoke.leases.promises import Promise
+from gullyoke.leases.voter import PromiseWrite, Voter
 from gullyoke.model_checking.explore import Move
 from gullyoke.model_checking.lease_state_key import state_key
 
--- a/gullyoke/model_checking/leases.py
+++ b/gullyoke/model_checking/leases.py
@@ -15,7 +15,8 @@
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.fence import Fence
 from gullyoke.leases.messages import LeaseRequest, VoteReply
-from gullyoke.leases.voter import Promise, Voter
+from gullyoke.leases.promises import Promise
+from gullyoke.leases.voter import Voter
 from gullyoke.model_checking.explore import from_all
 from gullyoke.model_checking.lease_world import LeaseWorld, durations_in_ticks
 
--- a/gullyoke/peer_transport/lease_codec.py
+++ b/gullyoke/peer_transport/lease_codec.py
@@ -22,6 +22,7 @@
     PreVote,
     VoteReply,
 )
+from gullyoke.leases.promises import Promise
 from gullyoke.leases.replicated_record import (
     ReadRecord,
     RecordRead,
@@ -29,7 +30,6 @@
     StoredRecord,
     WriteRecord,
 )
-from gullyoke.leases.voter import Promise
 from gullyoke.peer_transport.field_readers import MessageKinds, malformed_on_error
 
 PROMISE_KEY_PREFIX: Final = "promise "  # of keys in a voter's folder; the lease's name follows
--- a/gullyoke/peer_transport/lease_voter_requests.py
+++ b/gullyoke/peer_transport/lease_voter_requests.py
@@ -42,8 +42,11 @@
 class WriteDurably(Protocol):
     """Writes a value under a key to the voter's folder."""
 
-    def __call__(self, key: str, data: bytes, told: Callable[[bool], None], /) -> bool:
-        """Queue the write; `told` is called with whether it succeeded. False if not queued."""
+    def __call__(self, key: str, data: bytes, on_written: Callable[[bool], None], /) -> bool:
+        """Queue the write and return True, or return False.
+
+        `on_written` is called with whether the write succeeded.
+        """
 
 
 class VoterRequests:
@@ -100,33 +103,33 @@
         return None
 
     def _write_promise(self, voter: Voter, write: PromiseWrite, requester: str) -> None:
-        def told(durable: bool) -> None:
+        def on_written(written: bool) -> None:
             with self._lock:
-                reply = voter.write_finished(clock.now(), write, durable)
-            self._metrics.increment("duty.promised" if durable else "duty.unpromised")
+                reply = voter.write_finished(clock.now(), write, written)
+            self._metrics.increment("duty.promised" if written else "duty.unpromised")
             if reply is not None:
                 self._send([AddressedBody(requester, pack(reply))])
 
         key = PROMISE_KEY_PREFIX + write.duty
-        if not self._write_durably(key, encode_promise(write.promise), told):
+        if not self._write_durably(key, encode_promise(write.promise), on_written):
             voter.write_finished(clock.now(), write, False)
 
     def _learn(self, voter: Voter, now: int, message: EpochReply) -> None:
         writes = voter.learn_epochs(now, message)
         remaining = len(writes)
 
-        def told(write: PromiseWrite, durable: bool) -> None:
+        def on_written(write: PromiseWrite, written: bool) -> None:
             nonlocal remaining
             with self._lock:
-                remaining -= durable
-                if durable:
+                remaining -= written
+                if written:
                     voter.promise_learned(write, remaining == 0)
 
         for write in writes:
             self._write_durably(
                 PROMISE_KEY_PREFIX + write.duty,
                 encode_promise(write.promise),
-                partial(told, write),
+                partial(on_written, write),
             )
 
     def _write_record(
@@ -140,12 +143,12 @@
             return records.acknowledge(request, voter.name)
         record = StoredRecord(request.epoch, request.write_number, request.body)
 
-        def told(durable: bool) -> None:
+        def on_written(written: bool) -> None:
             with self._lock:
-                if durable:
+                if written:
                     records.store(request.duty, record)
                 answer = records.acknowledge(request, voter.name)
             self._send([AddressedBody(requester, pack(answer))])
 
-        self._write_durably(RECORD_KEY_PREFIX + request.duty, encode_record(record), told)
+        self._write_durably(RECORD_KEY_PREFIX + request.duty, encode_record(record), on_written)
         return None
--- a/gullyoke/peer_transport/start_number.py
+++ b/gullyoke/peer_transport/start_number.py
@@ -71,8 +71,8 @@
             data = number.to_bytes(NUMBER_BYTES, "big")
             self._committer.put(KEY, data, self._count_outcome)
 
-    def _count_outcome(self, durable: bool) -> None:
-        self.metrics.increment("fleet.kept" if durable else "fleet.unkept")
+    def _count_outcome(self, written: bool) -> None:
+        self.metrics.increment("fleet.kept" if written else "fleet.unkept")
 
     def close(self) -> None:
         """Store what is queued, for `CLOSE_TIMEOUT_S` at the most, and close the folder."""
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -7,6 +7,7 @@
 from gullyoke.extensions.duties import FOLDER, OURS, ours
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.messages import EpochQuery, EpochReply, LeaseRequest
+from gullyoke.leases.promises import Promise
 from gullyoke.leases.replicated_record import (
     ReadRecord,
     RecordRead,
@@ -17,7 +18,7 @@
 )
 from gullyoke.leases.rolling_restart import RestartPlan
 from gullyoke.leases.rolling_restart import unpack_plan as unpacked_plan
-from gullyoke.leases.voter import Promise, Voter
+from gullyoke.leases.voter import Voter
 from gullyoke.membership import Row as Member
 from gullyoke.membership import Status
 from gullyoke.peer_transport.lease_codec import decode_rows, encode_promise, pack, unpack
--- a/tests/coordination/test_signals.py
+++ b/tests/coordination/test_signals.py
@@ -15,7 +15,7 @@
     LEAST_SENDERS,
     MAX_SENDERS,
     REPORT_VALID_US,
-    STATE_HOLD_US,
+    STATE_DWELL_US,
     LoadAssessment,
     LoadReport,
     ReceivedReports,
@@ -106,12 +106,12 @@
         self.assertEqual(
             (judged.full(True), judged.full(False), judged.withdrawn), (True, False, False)
         )
-        judged.update(STATE_HOLD_US, slow, [WELL] * 10)
+        judged.update(STATE_DWELL_US, slow, [WELL] * 10)
         self.assertTrue(judged.withdrawn)
-        judged.update(STATE_HOLD_US + 1, WELL, [WELL] * 10)
-        judged.update(2 * STATE_HOLD_US + 1, WELL, [WELL] * 10)
+        judged.update(STATE_DWELL_US + 1, WELL, [WELL] * 10)
+        judged.update(2 * STATE_DWELL_US + 1, WELL, [WELL] * 10)
         self.assertFalse(judged.withdrawn)
-        for now in (0, STATE_HOLD_US, 3 * STATE_HOLD_US):
+        for now in (0, STATE_DWELL_US, 3 * STATE_DWELL_US):
             judged.update(now, slow, [FULL._replace(latency_ratio=2.4)] * 10)
         self.assertEqual((judged.full(False), judged.withdrawn), (True, False))
 
@@ -152,7 +152,7 @@
         self.assertLessEqual(sum(back), 4)
         self.assertFalse(any(back[10:]))
         beside_liar = LoadAssessment(lambda: 0.5)
-        for now in range(0, 10 * STATE_HOLD_US, STATE_HOLD_US // 3):
+        for now in range(0, 10 * STATE_DWELL_US, STATE_DWELL_US // 3):
             beside_liar.update(
                 now, WELL, [WELL] * 8 + [LoadReport(1.0, 0.0, 0.0, ServingStage.WARM)]
             )
