--- a/gullyoke/extensions/listeners.py
+++ b/gullyoke/extensions/listeners.py
@@ -4,8 +4,8 @@
 
 from gullyoke.daemon.extension import DaemonParts
 from gullyoke.extensions.base import BaseExtension
-from gullyoke.frontends.connections import Front
 from gullyoke.frontends.http1 import Http1
+from gullyoke.frontends.listener import Frontend
 from gullyoke.frontends.scgi import Scgi
 from gullyoke.operator_config.wanted import Way
 
@@ -30,7 +30,7 @@
             daemon.connections.listen(listener.address, _create_front_end(daemon, listener))
 
 
-def _create_front_end(daemon: DaemonParts, listener: Way) -> Front:
+def _create_front_end(daemon: DaemonParts, listener: Way) -> Frontend:
     if listener.protocol == "SCGI":
         return Scgi(daemon.message_handler, listener.name)
     return Http1(daemon.message_handler, listener.name)
