--- a/gullyoke/emulator/duty.py
+++ b/gullyoke/emulator/duty.py
@@ -12,8 +12,9 @@
 from collections.abc import Callable
 
 from gullyoke.fault_testing.standins import Act
-from gullyoke.leases.candidate import AddressedMessage, Candidate
+from gullyoke.leases.candidate import Candidate
 from gullyoke.leases.candidate_rank import CandidatePlacement, candidate_delay_us
+from gullyoke.leases.candidate_state import AddressedMessage
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.fence import Fence
 from gullyoke.leases.messages import (
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -16,8 +16,9 @@
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.leases.announcements import Announcement, ForwardedCommand, Instruction
-from gullyoke.leases.candidate import Candidate, LeaseChange
+from gullyoke.leases.candidate import Candidate
 from gullyoke.leases.candidate_rank import CandidatePlacement, candidate_delay_us, rank_candidates
+from gullyoke.leases.candidate_state import LeaseChange
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.replicated_record import RecordStore
 from gullyoke.leases.voter import Voter
--- a/gullyoke/leases/candidate.py
+++ b/gullyoke/leases/candidate.py
@@ -10,9 +10,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from enum import Enum
-from typing import NamedTuple
 
+from gullyoke.leases.candidate_state import AddressedMessage, CandidateState, LeaseChange
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.messages import (
     HandoverAccept,
@@ -32,40 +31,6 @@
 FAILED_PAUSE_US = 30_000_000  # a process at which the work failed does not compete for so long
 
 
-class AddressedMessage(NamedTuple):
-    """A message and the name of the voter or member that it goes to."""
-
-    to: str
-    message: LeaseMessage
-
-
-class CandidateState(Enum):
-    """What a candidate is doing; the values are shown by `gullyoke fleet`."""
-
-    IDLE = "idle"
-    PRE_VOTING = "sounding"
-    REQUESTING = "asking"
-    HOLDING = "holding"
-
-
-class LeaseChange(NamedTuple):
-    """A change of the lease at this process.
-
-    The field names are keys of the answer to `gullyoke fleet duties`, so they stay.
-
-    Attributes:
-        at: Microseconds of the monotonic clock.
-        what: `held`, `lost`, `left` or `passed`.
-        epoch: The epoch that began or ended.
-        why: The cause as text.
-    """
-
-    at: int
-    what: str
-    epoch: int
-    why: str
-
-
 class Candidate:
     """A candidate for one lease, and its holder while `held_epoch` returns an epoch.
 
--- a/gullyoke/model_checking/lease_world.py
+++ b/gullyoke/model_checking/lease_world.py
@@ -18,7 +18,8 @@
 
 from gullyoke.leases import candidate as candidate_module
 from gullyoke.leases import voter as voter_module
-from gullyoke.leases.candidate import AddressedMessage, Candidate, CandidateState
+from gullyoke.leases.candidate import Candidate
+from gullyoke.leases.candidate_state import AddressedMessage, CandidateState
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.fence import Fence
 from gullyoke.leases.messages import LeaseRelease, LeaseRequest, PreVote, VoteReply
--- a/gullyoke/model_checking/leases.py
+++ b/gullyoke/model_checking/leases.py
@@ -11,7 +11,8 @@
 from typing import Final
 from unittest import mock
 
-from gullyoke.leases.candidate import AddressedMessage, Candidate
+from gullyoke.leases.candidate import Candidate
+from gullyoke.leases.candidate_state import AddressedMessage
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.fence import Fence
 from gullyoke.leases.messages import LeaseRequest, VoteReply
--- a/gullyoke/peer_transport/lease_service.py
+++ b/gullyoke/peer_transport/lease_service.py
@@ -12,7 +12,8 @@
 from typing import Any, Final, NamedTuple
 
 from gullyoke.leases.announcements import Announcement, ForwardedCommand, Instruction, KnownHolders
-from gullyoke.leases.candidate import AddressedMessage, Candidate, LeaseChange
+from gullyoke.leases.candidate import Candidate
+from gullyoke.leases.candidate_state import AddressedMessage, LeaseChange
 from gullyoke.leases.fence import Fence
 from gullyoke.leases.messages import (
     EpochQuery,
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -13,8 +13,9 @@
 from gullyoke.durability.disk_health import DiskState
 from gullyoke.extensions.charges import Roll
 from gullyoke.extensions.duties import Duty
-from gullyoke.leases.candidate import Candidate, LeaseChange
-from gullyoke.leases.candidate import CandidateState as DutyState
+from gullyoke.leases.candidate import Candidate
+from gullyoke.leases.candidate_state import CandidateState as DutyState
+from gullyoke.leases.candidate_state import LeaseChange
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.replicated_record import RecordStore
 from gullyoke.leases.rolling_restart import RestartPlan
