--- a/benchmarks/duty.py
+++ b/benchmarks/duty.py
@@ -111,7 +111,7 @@
     for one in all_:
         for _ in range(FAILURES_TO_DEAD + 1):
             one.record_call(SECOND, False)
-    all_[0].hold(duty)
+    all_[0].set_lease_held(duty)
     tries = 0
     for now in range(2 * SECOND, 62 * SECOND, 50_000):
         if duty and now % (2 * SECOND) == 0:
