--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -63,7 +63,7 @@
     if pauses:
         again()
     net.run(until)
-    return len({s.change.row.id for s in net.seen if s.change.what == "removed"})
+    return len({s.change.record.id for s in net.seen if s.change.kind == "removed"})
 
 
 def flaps(size: int, seed: int, span: int, make: str = "ours") -> tuple[int, int]:
@@ -75,7 +75,7 @@
     bad = {f"m{i}" for i in range(10)}
     net.cut = lambda now, a, b: 0.8 if b.name in bad else 0.0
     net.run(net.now + span)
-    well = {s.change.row.name for s in net.seen if s.change.what == "removed"} - bad
+    well = {s.change.record.name for s in net.seen if s.change.kind == "removed"} - bad
     counted = [sum(s.by == "m20" for s in net.removed(name)) for name in bad] if size > 20 else []
     return len(well), sum(max(0, n - 1) for n in counted)
 
--- a/gullyoke/coordination/lender.py
+++ b/gullyoke/coordination/lender.py
@@ -14,7 +14,7 @@
 from gullyoke.coordination.lender_tenure import LenderTenure
 from gullyoke.coordination.max_min_fairness import Demand, fill_level
 from gullyoke.coordination.quota_messages import QuotaGrant, QuotaRequest, QuotaReturn
-from gullyoke.membership.row import whole
+from gullyoke.membership.member_record import stable_hash
 
 LEAST_WEIGHT = 1e-6
 
@@ -130,7 +130,7 @@
             self._update_level(now)
         share = demand.part(self.level)
         interval = now // durations.ROUNDING_INTERVAL_US
-        draw = whole(f"{self.tenure.name} {borrower} {interval}") / 2**64
+        draw = stable_hash(f"{self.tenure.name} {borrower} {interval}") / 2**64
         return min(demand.want, int(share + draw))
 
     def _update_level(self, now: int) -> None:
--- a/gullyoke/coordination/subsets.py
+++ b/gullyoke/coordination/subsets.py
@@ -12,7 +12,7 @@
 from collections.abc import Collection, Mapping, Sequence
 from typing import Final
 
-from gullyoke.membership.row import whole
+from gullyoke.membership.member_record import stable_hash
 
 SubsetsByServer = dict[str, tuple[str, ...]]
 
@@ -23,8 +23,8 @@
 
 def apertures(servers: Sequence[str], back_ends: Sequence[str], k: int) -> SubsetsByServer:
     """Return `k` back ends for each server; all back ends are in as many subsets, within one."""
-    order = sorted(servers, key=whole)
-    ring = sorted(back_ends, key=whole)
+    order = sorted(servers, key=stable_hash)
+    ring = sorted(back_ends, key=stable_hash)
     taken = min(k, len(ring))
     return {
         server: tuple(ring[(i * len(ring) // len(order) + j) % len(ring)] for j in range(taken))
@@ -61,8 +61,8 @@
 
     Each server begins at a place of its own, so that many that know nobody do not take the same.
     """
-    ring = sorted(back_ends, key=whole)
-    start = whole(server) % max(1, len(ring))
+    ring = sorted(back_ends, key=stable_hash)
+    start = stable_hash(server) % max(1, len(ring))
     return tuple(ring[start:] + ring[:start])
 
 
--- a/gullyoke/coordination/turns.py
+++ b/gullyoke/coordination/turns.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from typing import Final, NamedTuple
 
-from gullyoke.membership.row import whole
+from gullyoke.membership.member_record import stable_hash
 
 GAP_DIVISOR: Final = 8  # a gap is this part of its slot
 
@@ -57,7 +57,7 @@
 
     def order(self, round_: int, members: Iterable[str]) -> list[str]:
         """Return the members in the order of a round."""
-        return sorted(members, key=lambda name: whole(f"{self.subject} {round_} {name}"))
+        return sorted(members, key=lambda name: stable_hash(f"{self.subject} {round_} {name}"))
 
     def position(self, wall_us: int, count: int) -> SlotPosition:
         """Return where a moment is in the turns of `count` members."""
--- a/gullyoke/emulator/peers.py
+++ b/gullyoke/emulator/peers.py
@@ -12,12 +12,12 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from gullyoke.membership import TICK, Change, Member, Row, Status, began
-from gullyoke.membership.entry import Stage
-from gullyoke.membership.news import size
-from gullyoke.membership.row import identity
+from gullyoke.membership import TICK, Change, Member, MemberRecord, Status, start_version
+from gullyoke.membership.gossip_queue import size
+from gullyoke.membership.join_state import JoinStage
+from gullyoke.membership.member_record import member_id
+from gullyoke.membership.messages import Message
 from gullyoke.membership.view import View
-from gullyoke.membership.words import Message
 
 SECOND = 1_000_000
 HEAD = 130  # bytes of a datagram beside its news, about
@@ -96,14 +96,16 @@
         at = self.hosts.get(key) or Host(name, zone, address or key)
         self.hosts[key] = self.at[at.address] = at
         at.starts += 1
-        number = began(self.clock + self.now // SECOND - behind, kept)
-        row = Row(name, number, Status.JOINING, at.address, zone, self.chance.getrandbits(60))
+        number = start_version(self.clock + self.now // SECOND - behind, kept)
+        row = MemberRecord(
+            name, number, Status.JOINING, at.address, zone, self.chance.getrandbits(60)
+        )
         at.member = self.make(
             self.now, row, tuple(seeds), random.Random(self.chance.getrandbits(60))
         )
         at.up, at.paused, at.inbox = True, 0, []
-        if hasattr(at.member, "heed"):
-            at.member.heed.append(
+        if hasattr(at.member, "listeners"):
+            at.member.listeners.append(
                 lambda change, key=key: self.seen.append(Seen(self.now, key, change))
             )
         self.after(self.chance.randrange(TICK), self._tick, at, at.starts)
@@ -126,7 +128,7 @@
         def last() -> None:
             if host.up and host.starts == starts:
                 for _ in range(2):
-                    host.member.left(self.now)
+                    host.member.announce_left(self.now)
                     self._out(host)
                 self.kill(host.name)
 
@@ -159,12 +161,12 @@
         inbox, host.inbox = host.inbox, []
         host.member.tick(self.now)
         for message in inbox:
-            host.member.hear(self.now, message)
+            host.member.receive(self.now, message)
         self._out(host)
         self.after(TICK, self._tick, host, starts)
 
     def _out(self, host: Host) -> None:
-        for address, message, to in host.member.take():
+        for address, message, to in host.member.take_outgoing():
             host.sent += 1
             if self.weighed:
                 host.bytes += HEAD + weight(message)
@@ -188,12 +190,12 @@
         elif b.paused > self.now:
             b.inbox.append(message)
         else:
-            b.member.hear(self.now, message)
+            b.member.receive(self.now, message)
             self._out(b)
 
     def _refused(self, host: Host, member: int) -> None:
         if host.up and host.paused <= self.now:
-            host.member.refused(self.now, member)
+            host.member.connection_refused(self.now, member)
 
     # What is asked of the whole.
 
@@ -205,23 +207,23 @@
         up = self.up()
         return (
             len({h.member.view.digest for h in up}) == 1
-            and all(h.member.entry.stage is Stage.IN for h in up)
+            and all(h.member.join_state.stage is JoinStage.IN for h in up)
             and len(up[0].member.view) == len({h.name for h in up})
         )
 
     def removed(self, name: str, since: int = 0) -> list[Seen]:
         """Who saw a member removed, and when."""
-        member = identity(name)
+        member = member_id(name)
         return [
             s
             for s in self.seen
-            if s.at >= since and s.change.what == "removed" and s.change.row.id == member
+            if s.at >= since and s.change.kind == "removed" and s.change.record.id == member
         ]
 
 
 def weight(message: Message) -> int:
     """Bytes of what a message carries, about."""
-    carried = getattr(message, "news", ()) or getattr(message, "rows", ())
+    carried = getattr(message, "updates", ()) or getattr(message, "records", ())
     return sum(map(size, carried)) + 6 * len(getattr(message, "buckets", ()))
 
 
@@ -252,14 +254,14 @@
     """All of them are in, and know all."""
     if not isinstance(hosts[0].member, Member):  # a detector to weigh ours against
         for host in hosts:
-            host.member.acquaint([other.member.row for other in hosts], net.now)
+            host.member.acquaint([other.member.record for other in hosts], net.now)
         return
     whole = View(hosts[0].member.view.rings.k)
     for host in hosts:
-        entry = host.member.entry
-        entry.stage, entry.next = Stage.IN, net.now + 10 * SECOND
-        entry.row = entry.row.now(Status.ALIVE)
-        whole.merge(net.now, entry.row)
+        entry = host.member.join_state
+        entry.stage, entry.next = JoinStage.IN, net.now + 10 * SECOND
+        entry.record = entry.record.with_status(Status.ALIVE)
+        whole.merge(net.now, entry.record)
     for host in hosts:
         host.member.view = copied(whole)
 
@@ -267,8 +269,8 @@
 def copied(view: View) -> View:
     """The same view for another member: made once, since making it takes long for a thousand."""
     other, rings = View(view.rings.k), view.rings
-    other.rows, other.order, other.at = dict(view.rows), list(view.order), dict(view.at)
-    other.buckets, other.digest, other.number = list(view.buckets), view.digest, view.number
+    other.records, other.order, other.at = dict(view.records), list(view.order), dict(view.at)
+    other.buckets, other.digest, other.version = list(view.buckets), view.digest, view.version
     other.rings.rings = [list(ring) for ring in rings.rings]
     other.rings.members, other.rings.version = set(rings.members), rings.version
     return other
--- a/gullyoke/emulator/swim.py
+++ b/gullyoke/emulator/swim.py
@@ -11,7 +11,7 @@
 import random
 from typing import NamedTuple
 
-from gullyoke.membership.row import Row
+from gullyoke.membership.member_record import MemberRecord
 from gullyoke.membership.view import Change
 
 PERIOD, TIMEOUT, GOSSIP = 1_000_000, 500_000, 200_000
@@ -30,14 +30,14 @@
 
 
 class Probe(NamedTuple):
-    row: Row
+    record: MemberRecord
     seq: int
     target: int  # whom to ask for another, 0 where it is the receiver itself
     news: tuple[Said, ...]
 
 
 class Echo(NamedTuple):
-    row: Row
+    record: MemberRecord
     seq: int
     news: tuple[Said, ...]
 
@@ -51,18 +51,24 @@
 
     lifeguard = False
 
-    def __init__(self, now: int, row: Row, seeds: tuple[str, ...], chance: random.Random) -> None:
-        self.row, self.chance, self.out, self.heed = row, chance, [], []
+    def __init__(
+        self, now: int, record: MemberRecord, seeds: tuple[str, ...], chance: random.Random
+    ) -> None:
+        self.record, self.chance, self.out, self.listeners = record, chance, [], []
         self.states: dict[int, list] = {}  # row, number, state, since, who confirmed
         self.news: dict[int, list] = {}
         self.number = self.seq = self.health = 0
         self.next = now + chance.randrange(PERIOD)
         self.gossip, self.asked, self.relays, self.order = now, None, {}, []
 
-    def acquaint(self, rows: list[Row], now: int) -> None:
-        self.states = {row.id: [row, 0, ALIVE, now, set()] for row in rows if row.id != self.row.id}
+    def acquaint(self, records: list[MemberRecord], now: int) -> None:
+        self.states = {
+            record.id: [record, 0, ALIVE, now, set()]
+            for record in records
+            if record.id != self.record.id
+        }
 
-    def take(self) -> list:
+    def take_outgoing(self) -> list:
         out, self.out = self.out, []
         return out
 
@@ -74,15 +80,15 @@
             self._probe(now)
         if now >= self.gossip and self.news:
             self.gossip = now + GOSSIP
-            for row in self._some(FANOUT, 0):
-                self._send(row, Echo(self.row, 0, self._pick(row.id)))
+            for record in self._some(FANOUT, 0):
+                self._send(record, Echo(self.record, 0, self._pick(record.id)))
 
     def _scale(self) -> int:
         return 1 + self.health if self.lifeguard else 1
 
     def _probe(self, now: int) -> None:
         if self.asked is not None:  # the last one never answered
-            self._suspect(now, self.asked[0], self.row.id)
+            self._suspect(now, self.asked[0], self.record.id)
             self.health = min(WORST, self.health + 1)
         self.next = now + PERIOD * self._scale()
         if not self.order:
@@ -94,21 +100,21 @@
             if member in self.states and self.states[member][2] != DEAD:
                 self.seq += 1
                 self.asked = [member, self.seq, now, False]
-                row = self.states[member][0]
-                self._send(row, Probe(self.row, self.seq, 0, self._pick(member)))
+                record = self.states[member][0]
+                self._send(record, Probe(self.record, self.seq, 0, self._pick(member)))
                 return
 
     def _follow(self, now: int) -> None:
         member, seq, at, indirect = self.asked
         if not indirect and now - at >= TIMEOUT * self._scale():
             self.asked[3] = True
-            for row in self._some(INDIRECT, member):
-                self._send(row, Probe(self.row, seq, member, self._pick(row.id)))
+            for record in self._some(INDIRECT, member):
+                self._send(record, Probe(self.record, seq, member, self._pick(record.id)))
 
     def _expire(self, now: int) -> None:
         for member, state in self.states.items():
             if state[2] == SUSPECTED and now - state[3] >= self._patience(len(state[4])):
-                self._learn(now, Said(member, state[1], DEAD, self.row.id))
+                self._learn(now, Said(member, state[1], DEAD, self.record.id))
 
     def _patience(self, confirmed: int) -> float:
         least = SUSPECT * max(1.0, math.log10(max(1, len(self.states)))) * PERIOD
@@ -122,35 +128,37 @@
         if state is not None and state[2] == ALIVE:
             self._learn(now, Said(member, state[1], SUSPECTED, by))
 
-    def hear(self, now: int, message) -> None:
+    def receive(self, now: int, message) -> None:
         for said in message.news:
             self._learn(now, said)
         if isinstance(message, Probe):
             if message.target == 0:
-                self._send(message.row, Echo(self.row, message.seq, self._pick(message.row.id)))
+                self._send(
+                    message.record, Echo(self.record, message.seq, self._pick(message.record.id))
+                )
             elif message.target in self.states:
                 self.seq += 1
-                self.relays[self.seq] = message.row, message.seq
+                self.relays[self.seq] = message.record, message.seq
                 if len(self.relays) > 256:
                     del self.relays[next(iter(self.relays))]
-                self._send(self.states[message.target][0], Probe(self.row, self.seq, 0, ()))
+                self._send(self.states[message.target][0], Probe(self.record, self.seq, 0, ()))
         elif message.seq:
             relayed = self.relays.pop(message.seq, None)
             if relayed is not None:
-                self._send(relayed[0], Echo(self.row, relayed[1], ()))
+                self._send(relayed[0], Echo(self.record, relayed[1], ()))
             if self.asked is not None and self.asked[1] == message.seq:
                 self.asked = None
                 self.health = max(0, self.health - 1)
 
-    def refused(self, now: int, member: int) -> None:
+    def connection_refused(self, now: int, member: int) -> None:
         """Neither paper goes by refusals."""
 
     def _learn(self, now: int, said: Said) -> None:
-        if said.id == self.row.id:
+        if said.id == self.record.id:
             if said.state != ALIVE and said.number >= self.number:
                 self.number = said.number + 1
                 self.health = min(WORST, self.health + 1)
-                self._tell(Said(self.row.id, self.number, ALIVE, self.row.id))
+                self._tell(Said(self.record.id, self.number, ALIVE, self.record.id))
             return
         state = self.states.get(said.id)
         if state is None:
@@ -169,8 +177,8 @@
         self._tell(said)
         if (said.state == DEAD) != (was == DEAD):
             what = "removed" if said.state == DEAD else "joined"
-            for heed in self.heed:
-                heed(Change(0, what, state[0], None))
+            for listener in self.listeners:
+                listener(Change(0, what, state[0], None))
 
     def _tell(self, said: Said) -> None:
         self.news[said.id] = [said, ROUNDS * math.ceil(math.log10(len(self.states) + 2))]
@@ -186,17 +194,17 @@
         if (
             self.lifeguard and state is not None and state[2] == SUSPECTED
         ):  # the suspect is told first
-            found.append(Said(to, state[1], SUSPECTED, self.row.id))
+            found.append(Said(to, state[1], SUSPECTED, self.record.id))
         return tuple(found)
 
-    def _some(self, most: int, but: int) -> list[Row]:
-        rows = [
+    def _some(self, most: int, but: int) -> list[MemberRecord]:
+        records = [
             state[0] for member, state in self.states.items() if member != but and state[2] != DEAD
         ]
-        return self.chance.sample(rows, min(most, len(rows)))
+        return self.chance.sample(records, min(most, len(records)))
 
-    def _send(self, row: Row, message) -> None:
-        self.out.append((row.address, message, row.id))
+    def _send(self, record: MemberRecord, message) -> None:
+        self.out.append((record.address, message, record.id))
 
 
 class Lifeguard(Swim):
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -25,7 +25,7 @@
 from gullyoke.leases.announcements import Announcement, Instruction
 from gullyoke.leases.dependency_probe import DependencyProbe
 from gullyoke.membership import Status
-from gullyoke.membership.row import TURNS
+from gullyoke.membership.member_record import REFUTATIONS_PER_START
 from gullyoke.operator_config.wanted import OwnDuty
 from gullyoke.peer_transport.lease_service import LeaseService
 from gullyoke.peer_transport.quota_service import Substitutes
@@ -165,7 +165,7 @@
 
     def act(self, now: int, epoch: int) -> None:
         with self.fleet.link.lock:
-            there = {row.name for row in self.fleet.member.view.rows.values()}
+            there = {row.name for row in self.fleet.member.view.records.values()}
             sure = self.fleet.member.size(now).usable()
         gone = tuple(sorted(home for home in self.homes if home not in there)) if sure else ()
         self.lend(gone)
@@ -274,7 +274,7 @@
         It names the start that is meant, so that a word that comes late drains nobody a second
         time.
         """
-        own = self.fleet.member.row.number // TURNS
+        own = self.fleet.member.record.version // REFUTATIONS_PER_START
         meant = order.what == "drain" and order.body == str(own).encode()
         if meant and self.fleet.daemon.dispatcher.stop_at is None:
             self.drain(now, order.epoch)
@@ -286,7 +286,7 @@
                 fleet.member,
                 fleet.link.signals.rows if fleet.link.signals is not None else {},
             )
-            rows = list(one.view.rows.values())
+            rows = list(one.view.records.values())
             states = {row.id: one.state(now, row) for row in rows}
             readings = {who: reading for who, (_, _, reading) in told.items()}
         members, sheds = [], []
@@ -303,7 +303,7 @@
                 rolls.MemberState(
                     row.name,
                     row.zone,
-                    row.number // TURNS,
+                    row.version // REFUTATIONS_PER_START,
                     there and row.status is Status.ALIVE,
                     self.since[row.name],
                     calm,
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -22,9 +22,9 @@
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.replicated_record import RecordStore
 from gullyoke.leases.voter import Voter
-from gullyoke.membership import Row, Status
-from gullyoke.membership.entry import Stage
-from gullyoke.membership.row import TURNS
+from gullyoke.membership import MemberRecord, Status
+from gullyoke.membership.join_state import JoinStage
+from gullyoke.membership.member_record import REFUTATIONS_PER_START
 from gullyoke.operator_config.wanted import Dutied, Wanted
 from gullyoke.peer_transport.lease_codec import decode_rows
 from gullyoke.peer_transport.lease_service import TOPIC, LeaseService
@@ -69,7 +69,7 @@
 
     def start(self, fleet: Fleet) -> None:
         wanted, told = self.wanted, fleet.daemon.configuration
-        self.fleet, row = fleet, fleet.member.row
+        self.fleet, row = fleet, fleet.member.record
         self.spans = spans = LeaseDurations(
             wanted.lease, wanted.drift, min(200_000, wanted.lease // 10)
         )
@@ -94,7 +94,7 @@
             name: Candidate(
                 name,
                 told.name,
-                row.life,
+                row.incarnation,
                 wanted.voters,
                 spans,
                 chance.random,
@@ -105,7 +105,7 @@
         }
         self.duties = LeaseService(
             told.name,
-            row.life,
+            row.incarnation,
             voter,
             shelf,
             candidates,
@@ -158,7 +158,9 @@
 
     # The voter and its disk.
 
-    def voter(self, name: str, row: Row, spans: LeaseDurations) -> tuple[Voter, RecordStore]:
+    def voter(
+        self, name: str, row: MemberRecord, spans: LeaseDurations
+    ) -> tuple[Voter, RecordStore]:
         """With what its folder has.
 
         A folder that is new, another's or can't be used makes it begin anew.
@@ -186,7 +188,7 @@
                 "promises can't be kept", extra=log_fields(folder=self.wanted.folder, why=fault)
             )
         others = [other for other in self.wanted.voters if other != name]
-        voter = Voter(clock.now(), name, row.life, others, spans, rows, number)
+        voter = Voter(clock.now(), name, row.incarnation, others, spans, rows, number)
         return voter, RecordStore(kept)
 
     def disk(self, key: str, data: bytes, told) -> bool:
@@ -210,7 +212,7 @@
             clock.now(),
         )
         if votes and duties.voter is None:
-            voter, shelf = self.voter(name, self.fleet.member.row, self.spans)
+            voter, shelf = self.voter(name, self.fleet.member.record, self.spans)
         with duties.lock:
             duties.voters = dict(wanted.voters)
             if votes and duties.voter is None:
@@ -259,9 +261,12 @@
         fleet, me = self.fleet, self.fleet.daemon.configuration.name
         with fleet.link.lock:
             one = fleet.member
-            inside, leaving = one.entry.stage is Stage.IN, one.row.status is not Status.ALIVE
-            unsure = one.trust.unsure(now)
-            rows = [(row, one.state(now, row)) for row in one.view.rows.values()]
+            inside, leaving = (
+                one.join_state.stage is JoinStage.IN,
+                one.record.status is not Status.ALIVE,
+            )
+            unsure = one.local_health.unsure(now)
+            rows = [(row, one.state(now, row)) for row in one.view.records.values()]
             told = fleet.link.signals.rows if fleet.link.signals is not None else {}
             rooms = {who: reading.free_capacity for who, (_, _, reading) in told.items()}
         placed = [
@@ -319,7 +324,7 @@
                 self.noticed[name] = now
                 with self.fleet.link.lock:
                     one = self.fleet.member
-                    others = [row.address for row in one.view.rows.values() if row.id != one.id]
+                    others = [row.address for row in one.view.records.values() if row.id != one.id]
                 self.duties.announce(name, epoch, charge.notice(), others)
 
     def heard(self, now: int, notice: Announcement) -> None:
@@ -427,7 +432,7 @@
             "votes": vote,
             "turns": turns,
             "stale_refused": self.duties.fence.rejected,
-            "started": self.fleet.member.row.number // TURNS,
+            "started": self.fleet.member.record.version // REFUTATIONS_PER_START,
         }
 
     def asked_hand_over(self, words: list[str]) -> dict:
--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -18,8 +18,8 @@
 from gullyoke.extensions.base import BaseExtension
 from gullyoke.extensions.data_folders import DataFolders
 from gullyoke.extensions.fleet_extension import FleetExtension
-from gullyoke.membership import Change, Member, Row, Status, began
-from gullyoke.membership.row import identity
+from gullyoke.membership import Change, Member, MemberRecord, Status, start_version
+from gullyoke.membership.member_record import member_id
 from gullyoke.operator_config.wanted import Kept, Together, Wanted
 from gullyoke.peer_transport.link import PeerLink
 from gullyoke.peer_transport.seal import Seal, UnusableKeyError, parse_keys
@@ -98,17 +98,17 @@
             self.kept.folder if self.kept else None, daemon.metrics, files
         )
         chance = random.Random(daemon.configuration.seed ^ 0x5EED)
-        row = Row(
+        row = MemberRecord(
             daemon.configuration.name,
-            began(int(time.time()), self.number.known()),
+            start_version(int(time.time()), self.number.known()),
             Status.JOINING,
             wanted.advertise,
             wanted.zone,
             chance.getrandbits(63),
         )
-        self.number.keep(row.number)
+        self.number.keep(row.version)
         self.member = Member(clock.now(), row, wanted.seeds, chance)
-        self.member.heed.append(self.changed)
+        self.member.listeners.append(self.changed)
         self.link.status_sections["disks"] = lambda now: self.folders.states()
         for part in self.parts:
             part.start(self)
@@ -122,28 +122,28 @@
                 name=wanted.name,
                 listen=":".join(map(str, wanted.listen)),
                 zone=wanted.zone,
-                number=row.number,
+                number=row.version,
                 seeds=len(wanted.seeds),
             ),
         )
 
     def changed(self, change: Change) -> None:
         """A line a change; called by the link's thread."""
-        row, mark = change.row, change.mark
-        self.daemon.metrics.increment(f"fleet.{change.what}")
+        row, mark = change.record, change.update
+        self.daemon.metrics.increment(f"fleet.{change.kind}")
         log.info(
             "member",
             extra=log_fields(
-                what=change.what,
+                what=change.kind,
                 name=row.name,
                 status=row.status.name.lower(),
                 zone=row.zone,
-                view=change.number,
-                evidence=f"{mark.accusing}/{mark.standing}" if mark else "own",
+                view=change.view_version,
+                evidence=f"{mark.accusing}/{mark.eligible}" if mark else "own",
             ),
         )
-        if row.id == self.member.id and row.number > self.number.latest:
-            self.number.keep(row.number)
+        if row.id == self.member.id and row.version > self.number.latest:
+            self.number.keep(row.version)
 
     def look(self) -> None:
         """The size in force, given to the decisions where that is wanted."""
@@ -167,7 +167,7 @@
                 size=in_force,
                 told=self.told,
                 seen=size.seen,
-                age_ms=size.age // 1000,
+                age_ms=size.age_us // 1000,
                 confidence=f"{size.confidence:.2f}",
             ),
         )
@@ -175,7 +175,7 @@
     def log_status(self) -> None:
         with self.link.lock:
             one, size = self.member, self.member.size(clock.now())
-            stage, view, digest = one.entry.stage.value, one.view.number, one.view.digest
+            stage, view, digest = one.join_state.stage.value, one.view.version, one.view.digest
         log.info(
             "fleet",
             extra=log_fields(
@@ -192,7 +192,7 @@
 
     def taken(self, name: str) -> str | None:
         """The address of whom the view takes for a name; under the link's lock."""
-        row = self.member.view.rows.get(identity(name))
+        row = self.member.view.records.get(member_id(name))
         return row.address if row is not None else None
 
     def begin_drain(self) -> None:
@@ -204,7 +204,7 @@
         for part in self.parts:
             part.close()
         for _ in range(LAST_WORDS):
-            self.link.act(lambda: self.member.left(clock.now()))
+            self.link.act(lambda: self.member.announce_left(clock.now()))
             time.sleep(BETWEEN)
         if self.answers:
             self.answers.end()
@@ -226,7 +226,7 @@
             return {}
         self.link.seal.keys = self.read
         with self.link.lock:
-            self.member.entry.seeds = new.fleet.seeds
+            self.member.join_state.seeds = new.fleet.seeds
         self.wanted = self.wanted._replace(seeds=new.fleet.seeds, key_file=new.fleet.key_file)
         taken: dict[str, object] = {"seeds": len(new.fleet.seeds), "keys": len(self.link.seal.keys)}
         for part in self.parts:
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -38,7 +38,7 @@
 from gullyoke.extensions.base import BaseExtension
 from gullyoke.extensions.data_folders import DataFolders
 from gullyoke.extensions.promised import NOTE, Promised, digest, encode, packed, unpacked
-from gullyoke.membership.row import TURNS
+from gullyoke.membership.member_record import REFUTATIONS_PER_START
 from gullyoke.operator_config.wanted import Kept, Wanted
 from gullyoke.runtime import clock
 from gullyoke.runtime.duplicate_table import DuplicateTable, KeyEntry
@@ -208,7 +208,10 @@
         if self.fleet is None or self.mark is None or self.committer is None:
             return
         member = self.fleet.member
-        known, own = member.entry.known // TURNS, member.row.number // TURNS
+        known, own = (
+            member.join_state.known // REFUTATIONS_PER_START,
+            member.record.version // REFUTATIONS_PER_START,
+        )
         if self.trust.believed and is_older_copy(self.last, known):
             self.trust = FolderTrust(
                 False, True, True, f"an older copy: start {self.last}, others know {known}"
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -171,7 +171,7 @@
         votes = home is not None and wanted.homes[home] == self.fleet.wanted.advertise
         participant = QuotaParticipant(
             clock.now(),
-            self.fleet.member.row.life,
+            self.fleet.member.record.incarnation,
             wanted.homes,
             lent_tokens,
             floor,
--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -51,7 +51,7 @@
         configuration = fleet.daemon.configuration
         self.received = ReceivedReports()
         fleet.link.signals = self.received
-        fleet.member.signalled = self.received.take
+        fleet.member.on_signal = self.received.take
         self.judgement = LoadAssessment(random.Random(configuration.seed ^ ADVICE_SEED).random)
         if self.acts:
             configuration.facts.fleet.feedback = self.judgement
@@ -80,7 +80,7 @@
     def _judge(self, reading: LoadReport) -> LoadReport:
         """Judge a reading against the peers' and return what is sent of it; under the link's lock."""
         now = clock.now()
-        pauses = self.fleet.member.trust.woke
+        pauses = self.fleet.member.local_health.woke
         if pauses != self.seen_pauses:  # this process was stopped: what it had received is old
             self.seen_pauses = pauses
             self.received.clear()
--- a/gullyoke/extensions/subsets.py
+++ b/gullyoke/extensions/subsets.py
@@ -14,7 +14,7 @@
 from gullyoke.extensions.back_ends import BackEnds
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.fleet_extension import FleetExtension
-from gullyoke.membership.row import LIVE, Row, Status
+from gullyoke.membership.member_record import LIVE_STATUSES, MemberRecord, Status
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 
@@ -98,13 +98,13 @@
             ),
         )
 
-    def _sharing_members(self) -> list[Row]:
+    def _sharing_members(self) -> list[MemberRecord]:
         """Return the members that take requests, as this server sees them."""
         with self.fleet.link.lock:
             return [
                 row
-                for row in self.fleet.member.view.rows.values()
-                if row.status in LIVE and row.status is not Status.JOINING
+                for row in self.fleet.member.view.records.values()
+                if row.status in LIVE_STATUSES and row.status is not Status.JOINING
             ]
 
     def _preference(self, zone_by_member: dict[str, str]) -> tuple[str, ...]:
--- a/gullyoke/leases/candidate_rank.py
+++ b/gullyoke/leases/candidate_rank.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import Final, NamedTuple
 
-from gullyoke.membership.row import whole
+from gullyoke.membership.member_record import stable_hash
 
 DELAY_STEP_US: Final = 200_000  # head start of each member over the one that ranks after it
 MAX_DELAY_STEPS: Final = 4  # all members that rank lower compete at the same time
@@ -46,7 +46,7 @@
             not member.reached,
             not member.settled,
             -round(CAPACITY_STEPS * member.free_capacity),
-            whole(f"{duty} {member.name}"),
+            stable_hash(f"{duty} {member.name}"),
         )
 
     return [member.name for member in sorted(members, key=key)]
--- a/gullyoke/membership/__init__.py
+++ b/gullyoke/membership/__init__.py
@@ -1,11 +1,13 @@
-"""Who is there: membership among servers.
+"""Group membership: which servers are in the fleet, and which of them are reachable.
 
-Decisions and state alone; no I/O, no clock, no chance but what is handed in. docs/members-design.md
-says what was chosen and why; gullyoke/peer_transport puts it on sockets.
+A SWIM-style protocol (Das, Gupta and Motivala 2002) with the observer rings of Rapid (Suresh et al.
+2018) and the local health of Lifeguard (Dadgar et al. 2018). The package holds decisions and state
+alone: it does no I/O, reads no clock and draws no randomness but what its caller hands in.
+docs/members-design.md says what was chosen and why; gullyoke/peer_transport puts it on sockets.
 """
 
 from gullyoke.membership.member import TICK, Member
-from gullyoke.membership.row import Row, Status, began, identity
+from gullyoke.membership.member_record import MemberRecord, Status, member_id, start_version
 from gullyoke.membership.view import Change
 
-__all__ = ["TICK", "Change", "Member", "Row", "Status", "began", "identity"]
+__all__ = ["TICK", "Change", "Member", "MemberRecord", "Status", "member_id", "start_version"]
--- a/gullyoke/membership/news.py
+++ b/gullyoke/membership/gossip_queue.py
@@ -9,39 +9,39 @@
 from collections import OrderedDict
 from collections.abc import Hashable
 
-from gullyoke.membership.row import Mark, News, Report, Row
+from gullyoke.membership.member_record import MemberRecord, StatusUpdate, SuspicionReport, Update
 
 ROUNDS = 3  # each item is carried so often, times log2 of the fleet's size
 BUDGET = 900  # bytes of news in one datagram
 MOST = 64 * 1024  # bytes that wait at the most; the oldest goes first
 
 
-def size(item: News) -> int:
+def size(item: Update) -> int:
     """Bytes it takes in a datagram, about and not too little."""
-    if isinstance(item, Row):
+    if isinstance(item, MemberRecord):
         return 44 + len(item.name) + len(item.address) + len(item.zone)
-    if isinstance(item, Mark):
+    if isinstance(item, StatusUpdate):
         return 36
-    return 30 + 21 * len(item.entries)
+    return 30 + 21 * len(item.suspicions)
 
 
-def about(item: News) -> Hashable:
+def about(item: Update) -> Hashable:
     """What it is on: a newer item takes the place of an older one on the same."""
-    if isinstance(item, Report):
+    if isinstance(item, SuspicionReport):
         return "report", item.observer
     return item.id
 
 
-class Queue:
+class GossipQueue:
     """Table: `items`, one a member and one an observer at the most, with how often it was carried;
     one leaves when it was carried often enough, or when the bytes run out.
     """
 
     def __init__(self) -> None:
-        self.items: OrderedDict[Hashable, tuple[News, int, int]] = OrderedDict()
+        self.items: OrderedDict[Hashable, tuple[Update, int, int]] = OrderedDict()
         self.bytes = self.dropped = 0
 
-    def add(self, item: News) -> None:
+    def add(self, item: Update) -> None:
         key, n = about(item), size(item)
         self.discard(key)
         self.items[key] = item, n, 0
@@ -56,7 +56,7 @@
         if old is not None:
             self.bytes -= old[1]
 
-    def pick(self, members: int, budget: int = BUDGET) -> tuple[News, ...]:
+    def pick(self, members: int, budget: int = BUDGET) -> tuple[Update, ...]:
         """As many as fit, and they have been carried once more."""
         if not self.items:
             return ()
--- a/gullyoke/membership/trust.py
+++ b/gullyoke/membership/local_health.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable
 from statistics import median
 
-from gullyoke.membership.edge import Edge
-from gullyoke.membership.row import Kind
-from gullyoke.membership.words import WHOLE
+from gullyoke.membership.member_record import SuspicionKind
+from gullyoke.membership.messages import LOST_SCALE
+from gullyoke.membership.monitor_edge import MonitorEdge
 
 PAUSE = 700_000  # microseconds without a turn that are a pause
 CALM = 1_000_000  # after one, nobody is accused for so long
@@ -23,7 +23,7 @@
 HEARD = 64  # so many of them at the most
 
 
-class Trust:
+class LocalHealth:
     """Table: `said`, what others lately said of the share lost, one a sender; gone after WINDOW."""
 
     def __init__(self, now: int) -> None:
@@ -47,7 +47,7 @@
         if len(self.said) > HEARD:
             del self.said[next(iter(self.said))]
 
-    def weigh(self, now: int, edges: Iterable[Edge]) -> None:
+    def weigh(self, now: int, edges: Iterable[MonitorEdge]) -> None:
         """The share of one's own askings that fail, and the share of the fleet lost as all around
         see it: one's own share averaged with theirs, who have averaged it with others' before.
         """
@@ -55,17 +55,17 @@
         verdicts = [e.verdict(now) for e in edges]
         # A refusal is an answer of the machine there: neither one's own fault nor unseen.
         failing = sum(
-            v is not Kind.REFUSED and e.first is not None and now - e.first > FAILING
+            v is not SuspicionKind.REFUSED and e.first is not None and now - e.first > FAILING
             for e, v in zip(edges, verdicts, strict=True)
         )
-        silent = sum(v is Kind.SILENT for v in verdicts)
+        silent = sum(v is SuspicionKind.SILENT for v in verdicts)
         self.failing = failing / len(edges) if edges else 0.0
         mine = silent / (len(edges) + 1)  # one sees oneself
         for member in [m for m, (at, *_) in self.said.items() if at < now - WINDOW]:
             del self.said[member]
         # The median, so that a few who hear nobody and take all for lost have no weight.
         self.lost = 0.3 * mine + 0.7 * median(
-            [mine, *(lost / WHOLE for _, lost, _ in self.said.values())]
+            [mine, *(lost / LOST_SCALE for _, lost, _ in self.said.values())]
         )
         self.deaf = bool(edges) and failing == len(edges) and now - self.heard > FAILING
 
@@ -79,7 +79,7 @@
 
     def word(self) -> int:
         """The share lost, as messages carry it."""
-        return min(WHOLE, round(self.lost * WHOLE))
+        return min(LOST_SCALE, round(self.lost * LOST_SCALE))
 
     def sees_most(self, several: int, removed: int, members: int) -> bool:
         """Whether SEEN of the fleet is seen, by the averaged share and by who is accused.
--- a/gullyoke/membership/words.py
+++ b/gullyoke/membership/messages.py
@@ -10,99 +10,99 @@
 
 from typing import NamedTuple
 
-from gullyoke.membership.row import News, Row
+from gullyoke.membership.member_record import MemberRecord, Update
 
-WHOLE = 255  # `lost` is a share in 255ths
-SIGNAL = 14  # bits of a signal below the turn in which it was told
+LOST_SCALE = 255  # `lost` is a share in 255ths
+SIGNAL_BITS = 14  # bits of a signal below the turn in which it was told
 
 
 class Ping(NamedTuple):
     """Are you there? `seq` comes back."""
 
-    row: Row
+    sender: MemberRecord
     seq: int
     digest: int
     lost: int
-    news: tuple[News, ...] = ()
+    updates: tuple[Update, ...] = ()
     signal: int = 0
 
 
 class Ack(NamedTuple):
     """`of` is there: the sender itself, or one whom it asked for another."""
 
-    row: Row
+    sender: MemberRecord
     seq: int
-    of: int
+    subject: int
     digest: int
     lost: int
-    news: tuple[News, ...] = ()
+    updates: tuple[Update, ...] = ()
     signal: int = 0
 
 
-class Ask(NamedTuple):
+class PingRequest(NamedTuple):
     """Ask `target` for me; its answer comes back under `seq`."""
 
-    row: Row
+    sender: MemberRecord
     seq: int
-    target: Row
+    target: MemberRecord
     digest: int
     lost: int
-    news: tuple[News, ...] = ()
+    updates: tuple[Update, ...] = ()
     signal: int = 0
 
 
 class Gossip(NamedTuple):
     """News that can't wait."""
 
-    row: Row
+    sender: MemberRecord
     digest: int
     lost: int
-    news: tuple[News, ...]
+    updates: tuple[Update, ...]
     signal: int = 0
 
 
 class Hello(NamedTuple):
     """From one who wants to join, or who looks for others than it knows."""
 
-    row: Row
+    sender: MemberRecord
 
 
-class Compare(NamedTuple):
+class ViewDigests(NamedTuple):
     """The digests of a view's parts: tell me where yours differs."""
 
-    row: Row
+    sender: MemberRecord
     buckets: tuple[int, ...]
 
 
-class Rows(NamedTuple):
+class ViewRecords(NamedTuple):
     """Rows of one's view.
 
     `parts`, the number and the digest of each part that is told whole; `asked` is whether this
     answers; `differ`, in how many parts the views differ altogether.
     """
 
-    row: Row
+    sender: MemberRecord
     parts: tuple[tuple[int, int], ...]
-    rows: tuple[Row, ...]
-    asked: bool
-    differ: int = 0
+    records: tuple[MemberRecord, ...]
+    is_reply: bool
+    differing: int = 0
 
 
-class Letter(NamedTuple):
+class TopicMessage(NamedTuple):
     """What is no affair of membership.
 
     `topic` says whose it is, `body` is in that one's own form.
     """
 
-    row: Row
+    sender: MemberRecord
     topic: int
     body: bytes
 
 
-Message = Ping | Ack | Ask | Gossip | Hello | Compare | Rows | Letter
+Message = Ping | Ack | PingRequest | Gossip | Hello | ViewDigests | ViewRecords | TopicMessage
 
 
-class Send(NamedTuple):
+class OutgoingMessage(NamedTuple):
     """One datagram to be sent, and to whom.
 
     An address, and who should be there if that is known.
--- a/gullyoke/membership/edge.py
+++ b/gullyoke/membership/monitor_edge.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from gullyoke.membership.row import Kind
+from gullyoke.membership.member_record import SuspicionKind
 
 PERIOD = 800_000  # microseconds between askings while all is well
 PATIENCE = 200_000  # for an answer, or four usual round trips if more
@@ -19,7 +19,7 @@
 MOST = 16  # askings that are remembered
 
 
-class Edge:
+class MonitorEdge:
     """Table: `asked`, askings without an answer and when they went out.
 
     Emptied by any answer, and the oldest goes when there are MOST.
@@ -34,7 +34,7 @@
         "next",
         "refusals",
         "refused_at",
-        "rtt",
+        "round_trip_us",
         "tries",
     )
 
@@ -43,7 +43,7 @@
         self.asked: dict[int, int] = {}
         self.first: int | None = None  # the first asking since the last answer
         self.direct = first_at  # when it last answered by itself, not by others
-        self.tries = self.refusals = self.refused_at = self.rtt = 0
+        self.tries = self.refusals = self.refused_at = self.round_trip_us = 0
 
     def due(self, now: int) -> bool:
         return now >= self.next
@@ -61,7 +61,7 @@
 
     def look(self, now: int) -> bool:
         """Whether it is in doubt, an answer being overdue; it is asked again soon then."""
-        if self.first is None or now - self.first <= max(PATIENCE, 4 * self.rtt):
+        if self.first is None or now - self.first <= max(PATIENCE, 4 * self.round_trip_us):
             return False
         if now - self.first <= LONG:
             self.next = min(self.next, max(now, self.last + DOUBT))
@@ -73,7 +73,11 @@
             self.direct = now
         if (sent := self.asked.get(seq)) is not None:
             took = now - sent
-            self.rtt = took if not self.rtt else self.rtt + (took - self.rtt) // 8
+            self.round_trip_us = (
+                took
+                if not self.round_trip_us
+                else self.round_trip_us + (took - self.round_trip_us) // 8
+            )
         self.well(max(now, self.last + PERIOD))
 
     def anew(self, now: int) -> None:
@@ -98,9 +102,9 @@
         """Whether it answers others and not this one."""
         return now - self.direct > PERIOD + SILENT
 
-    def verdict(self, now: int) -> Kind | None:
+    def verdict(self, now: int) -> SuspicionKind | None:
         if self.refusals >= REFUSALS and now - self.refused_at >= REFUSED:
-            return Kind.REFUSED
+            return SuspicionKind.REFUSED
         if self.first is not None and now - self.first >= SILENT and self.tries >= TRIES:
-            return Kind.SILENT
+            return SuspicionKind.SILENT
         return None
--- a/gullyoke/membership/rings.py
+++ b/gullyoke/membership/observer_rings.py
@@ -10,17 +10,17 @@
 from bisect import bisect_left, insort
 from functools import lru_cache
 
-from gullyoke.membership.row import whole
+from gullyoke.membership.member_record import stable_hash
 
 Place = tuple[int, int]  # where on a ring, and who
 
 
 @lru_cache(maxsize=1 << 17)
 def place(ring: int, member: int) -> Place:
-    return whole(f"{ring} {member}"), member
+    return stable_hash(f"{ring} {member}"), member
 
 
-class Rings:
+class ObserverRings:
     """Table: each member once on each ring; left when it leaves the view.
 
     `version` grows with each change.
--- a/gullyoke/membership/compare.py
+++ b/gullyoke/membership/reconciliation.py
@@ -6,10 +6,10 @@
 
 from collections.abc import Callable, Sequence
 
-from gullyoke.membership.news import size
-from gullyoke.membership.row import Row
+from gullyoke.membership.gossip_queue import size
+from gullyoke.membership.member_record import MemberRecord
+from gullyoke.membership.messages import ViewRecords
 from gullyoke.membership.view import BUCKETS, View
-from gullyoke.membership.words import Rows
 
 ROOM = 950  # bytes of rows in one datagram
 DATAGRAMS = 6  # for one asking
@@ -17,7 +17,7 @@
 GRACE = 700_000  # news is given so long to make them equal without
 
 
-class Comparing:
+class ReconciliationTimer:
     """When to ask whom. A digest that differs is usually news on its way."""
 
     def __init__(self) -> None:
@@ -46,18 +46,20 @@
     return [b for b, digest in enumerate(buckets[:BUCKETS]) if digest != view.buckets[b]]
 
 
-def answer(me: Row, view: View, buckets: Sequence[int], draw: Callable[[int], int]) -> list[Rows]:
+def answer(
+    me: MemberRecord, view: View, buckets: Sequence[int], draw: Callable[[int], int]
+) -> list[ViewRecords]:
     """What another is told whose view has these parts, from a part drawn by chance on, so that
     those who ask several are told different parts.
     """
     parts = differing(view, buckets)
     if not parts:
-        return [Rows(me, (), (), True, 0)]
+        return [ViewRecords(me, (), (), True, 0)]
     at = draw(len(parts))
     return packed(me, view, parts[at:] + parts[:at], True)
 
 
-def missing(me: Row, view: View, parts: Sequence[tuple[int, int]]) -> list[Rows]:
+def missing(me: MemberRecord, view: View, parts: Sequence[tuple[int, int]]) -> list[ViewRecords]:
     """What the one who answered does not have.
 
     The parts that differ still, after all it told is merged.
@@ -66,28 +68,28 @@
     return packed(me, view, own, False) if own else []
 
 
-def packed(me: Row, view: View, parts: Sequence[int], asked: bool) -> list[Rows]:
+def packed(me: MemberRecord, view: View, parts: Sequence[int], asked: bool) -> list[ViewRecords]:
     """Rows of these parts in as few datagrams as they fill, DATAGRAMS at the most.
 
     A part that needs more than one names itself in the last.
     """
-    out: list[Rows] = []
+    out: list[ViewRecords] = []
     told: list[tuple[int, int]] = []
     differ = len(parts)
-    rows: list[Row] = []
+    records: list[MemberRecord] = []
     room = ROOM
     for b in parts:
-        for row in view.bucket(b):
-            need = size(row)
+        for record in view.bucket(b):
+            need = size(record)
             if need > room:
-                out.append(Rows(me, tuple(told), tuple(rows), asked, differ))
-                told, rows, room = [], [], ROOM
+                out.append(ViewRecords(me, tuple(told), tuple(records), asked, differ))
+                told, records, room = [], [], ROOM
                 if len(out) >= DATAGRAMS:
                     return out
-            rows.append(row)
+            records.append(record)
             room -= need
         told.append((b, view.buckets[b]))
         room -= 8
-    if told or rows:
-        out.append(Rows(me, tuple(told), tuple(rows), asked, differ))
+    if told or records:
+        out.append(ViewRecords(me, tuple(told), tuple(records), asked, differ))
     return out
--- a/gullyoke/membership/tally.py
+++ b/gullyoke/membership/suspicion_tally.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from gullyoke.membership.row import Entry, Kind, Report
+from gullyoke.membership.member_record import Suspicion, SuspicionKind, SuspicionReport
 
 SHARE, LEAST = 0.6, 2  # of the standing observers, and how many at the least
 DOUBTED = 3  # held silent by one in so many of its observers it does not stand
@@ -28,7 +28,7 @@
 
     accusing: int
     refused: int
-    standing: int
+    eligible: int
     need: int
 
     def enough(self) -> bool:
@@ -38,7 +38,7 @@
         return self.refused >= self.need
 
 
-class Tally:
+class SuspicionTally:
     """Tables: `reports`, one an observer in the view.
 
     `against`, by subject who accuses it, made of these. `several` is how many subjects two or more
@@ -46,18 +46,18 @@
     """
 
     def __init__(self) -> None:
-        self.reports: dict[int, Report] = {}
-        self.against: dict[int, dict[int, Entry]] = {}
+        self.reports: dict[int, SuspicionReport] = {}
+        self.against: dict[int, dict[int, Suspicion]] = {}
         self.several = 0
 
-    def take(self, report: Report) -> bool:
+    def take(self, report: SuspicionReport) -> bool:
         """Take a report in, if it is newer than what is known of its observer."""
         old = self.reports.get(report.observer)
-        if not report.newer(old):
+        if not report.is_newer_than(old):
             return False
         self.reports[report.observer] = report
-        self._out(report.observer, old.entries if old else ())
-        for entry in report.entries:
+        self._out(report.observer, old.suspicions if old else ())
+        for entry in report.suspicions:
             row = self.against.setdefault(entry.id, {})
             row[report.observer] = entry
             self.several += len(row) == 2
@@ -69,11 +69,11 @@
         """
         old = self.reports.pop(member, None)
         if old is not None:
-            self._out(member, old.entries)
+            self._out(member, old.suspicions)
         row = self.against.pop(member, None)
         self.several -= row is not None and len(row) >= 2
 
-    def _out(self, observer: int, entries: Iterable[Entry]) -> None:
+    def _out(self, observer: int, entries: Iterable[Suspicion]) -> None:
         for entry in entries:
             row = self.against.get(entry.id)
             if row is not None and row.pop(observer, None) is not None:
@@ -81,12 +81,12 @@
                 if not row:
                     del self.against[entry.id]
 
-    def accusers(self, member: int, number: int) -> dict[int, Kind]:
+    def accusers(self, member: int, version: int) -> dict[int, SuspicionKind]:
         """Who accuses it under that number: a refutation voids what was said before."""
         return {
             who: entry.kind
             for who, entry in self.against.get(member, {}).items()
-            if entry.number >= number and not self.unsure(who)
+            if entry.version >= version and not self.unsure(who)
         }
 
     def doubted(self, member: int, observers: int) -> bool:
@@ -98,18 +98,20 @@
         report = self.reports.get(member)
         return report is not None and report.unsure
 
-    def count(self, member: int, number: int, observers: set[int]) -> Count:
+    def count(self, member: int, version: int, observers: set[int]) -> Count:
         """How a subject stands among its observers."""
-        accusers = self.accusers(member, number)
+        accusers = self.accusers(member, version)
         standing = [
             o for o in observers if not self.unsure(o) and not self.doubted(o, len(observers))
         ]
         kinds = [accusers[o] for o in standing if o in accusers]
         need = max(min(LEAST, len(observers)), math.ceil(SHARE * len(standing)))
-        return Count(len(kinds), sum(kind is Kind.REFUSED for kind in kinds), len(standing), need)
+        return Count(
+            len(kinds), sum(kind is SuspicionKind.REFUSED for kind in kinds), len(standing), need
+        )
 
 
-class Holding:
+class SuspicionTimer:
     """Since when what is held against a subject has been enough.
 
     Table: one row a subject that is accused enough; it leaves with that.
--- a/gullyoke/membership/view.py
+++ b/gullyoke/membership/view.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from gullyoke.membership.rings import Rings
-from gullyoke.membership.row import LIVE, Mark, Row, Status
+from gullyoke.membership.member_record import LIVE_STATUSES, MemberRecord, Status, StatusUpdate
+from gullyoke.membership.observer_rings import ObserverRings
 
 BUCKETS = 64  # parts that two views are compared by
 REMEMBER = 120_000_000  # microseconds that one who is gone is known to be
@@ -24,11 +24,11 @@
     evidence where there is one.
     """
 
-    number: int
-    what: str
-    row: Row
-    was: Row | None
-    mark: Mark | None = None
+    view_version: int
+    kind: str
+    record: MemberRecord
+    previous: MemberRecord | None
+    update: StatusUpdate | None = None
 
 
 class View:
@@ -39,61 +39,63 @@
     """
 
     def __init__(self, k: int) -> None:
-        self.rows: dict[int, Row] = {}
-        self.gone: OrderedDict[int, tuple[Row, int]] = OrderedDict()
-        self.rings, self.number, self.digest = Rings(k), 0, 0
+        self.records: dict[int, MemberRecord] = {}
+        self.gone: OrderedDict[int, tuple[MemberRecord, int]] = OrderedDict()
+        self.rings, self.version, self.digest = ObserverRings(k), 0, 0
         self.buckets = [0] * BUCKETS
         self.order: list[int] = []  # those of `rows`, to draw from
         self.at: dict[int, int] = {}
         self.removals: deque[int] = deque(maxlen=MOST_GONE)  # when somebody was removed, for LATELY
 
     def __len__(self) -> int:
-        return len(self.rows)
+        return len(self.records)
 
-    def known(self, member: int) -> Row | None:
-        row = self.rows.get(member)
-        if row is None and member in self.gone:
-            row = self.gone[member][0]
-        return row
+    def known(self, member: int) -> MemberRecord | None:
+        record = self.records.get(member)
+        if record is None and member in self.gone:
+            record = self.gone[member][0]
+        return record
 
-    def merge(self, now: int, row: Row, mark: Mark | None = None) -> Change | None:
+    def merge(
+        self, now: int, record: MemberRecord, mark: StatusUpdate | None = None
+    ) -> Change | None:
         """Take a row in if it is further on than what is known."""
-        was = self.known(row.id)
-        if was is not None and row.rank() <= was.rank():
+        was = self.known(record.id)
+        if was is not None and record.rank() <= was.rank():
             return None
-        there = self._out(row.id)
-        self.gone.pop(row.id, None)
-        if row.status in LIVE:
-            self.rows[row.id] = row
-            self.at[row.id] = len(self.order)
-            self.order.append(row.id)
-            self._sum(row)
-            if row.status is not Status.JOINING:
-                self.rings.add(row.id)
+        there = self._out(record.id)
+        self.gone.pop(record.id, None)
+        if record.status in LIVE_STATUSES:
+            self.records[record.id] = record
+            self.at[record.id] = len(self.order)
+            self.order.append(record.id)
+            self._sum(record)
+            if record.status is not Status.JOINING:
+                self.rings.add(record.id)
             elif there is not None:
-                self.rings.remove(row.id)  # a later start that is not ready yet
+                self.rings.remove(record.id)  # a later start that is not ready yet
         else:
-            self.gone[row.id] = row, now
-            self.rings.remove(row.id)
+            self.gone[record.id] = record, now
+            self.rings.remove(record.id)
             while len(self.gone) > MOST_GONE:
                 self.gone.popitem(last=False)
-        what = named(there, row)
+        what = named(there, record)
         if what == "removed":
             self.removals.append(now)
         if what is None:  # gone under another number than before: nothing changed
             return None
-        self.number += 1
-        return Change(self.number, what, row, there, mark)
+        self.version += 1
+        return Change(self.version, what, record, there, mark)
 
-    def mark(self, now: int, mark: Mark) -> Change | None:
+    def mark(self, now: int, mark: StatusUpdate) -> Change | None:
         """A new status of a row that is known.
 
         What is not known can't be marked: its row will come.
         """
         was = self.known(mark.id)
-        if was is None or (mark.number, mark.status) <= (was.number, was.status):
+        if was is None or (mark.version, mark.status) <= (was.version, was.status):
             return None
-        return self.merge(now, was.now(mark.status, mark.number), mark)
+        return self.merge(now, was.with_status(mark.status, mark.version), mark)
 
     def forget(self, now: int) -> None:
         while self.gone and next(iter(self.gone.values()))[1] < now - REMEMBER:
@@ -106,34 +108,34 @@
 
     def clear(self, keep: int) -> None:
         """All but one: who was removed takes the others' view, his own is void."""
-        for member in [m for m in self.rows if m != keep]:
+        for member in [m for m in self.records if m != keep]:
             self._out(member)
             self.rings.remove(member)
         self.gone.clear()
-        self.number += 1
+        self.version += 1
 
-    def bucket(self, number: int) -> Iterator[Row]:
-        return (row for row in self.rows.values() if row.id % BUCKETS == number)
+    def bucket(self, index: int) -> Iterator[MemberRecord]:
+        return (record for record in self.records.values() if record.id % BUCKETS == index)
 
-    def _out(self, member: int) -> Row | None:
-        row = self.rows.pop(member, None)
-        if row is not None:
-            self._sum(row)
+    def _out(self, member: int) -> MemberRecord | None:
+        record = self.records.pop(member, None)
+        if record is not None:
+            self._sum(record)
             at, last = self.at.pop(member), self.order.pop()
             if last != member:  # the last takes the place that is free
                 self.order[at], self.at[last] = last, at
-        return row
+        return record
 
-    def _sum(self, row: Row) -> None:
-        self.digest ^= row.digest
-        self.buckets[row.id % BUCKETS] ^= row.digest & 0xFFFFFFFF
+    def _sum(self, record: MemberRecord) -> None:
+        self.digest ^= record.digest
+        self.buckets[record.id % BUCKETS] ^= record.digest & 0xFFFFFFFF
 
 
-def named(there: Row | None, row: Row) -> str | None:
+def named(there: MemberRecord | None, record: MemberRecord) -> str | None:
     """What the step from one row to the next is called."""
-    if row.status not in LIVE:
-        gone = "removed" if row.status is Status.DEAD else "left"
+    if record.status not in LIVE_STATUSES:
+        gone = "removed" if record.status is Status.DEAD else "left"
         return gone if there is not None else None
     if there is None:
         return "joined"
-    return "restarted" if there.life != row.life else "changed"
+    return "restarted" if there.incarnation != record.incarnation else "changed"
--- a/gullyoke/membership/history.py
+++ b/gullyoke/membership/view_history.py
@@ -10,33 +10,39 @@
 MOST = 256
 
 
-class Event(NamedTuple):
+class ViewEvent(NamedTuple):
     """One change as it was seen here. `by` is the name of who saw to it, where that is known."""
 
-    at: int
-    number: int
-    what: str
+    at_us: int
+    view_version: int
+    kind: str
     name: str
     status: str
     by: str
     evidence: str
 
 
-class History:
+class ViewHistory:
     """Table: the last MOST events; the oldest leaves."""
 
     def __init__(self) -> None:
-        self.events: deque[Event] = deque(maxlen=MOST)
+        self.events: deque[ViewEvent] = deque(maxlen=MOST)
 
-    def add(self, now: int, change: Change, by: str) -> Event:
-        mark, row = change.mark, change.row
+    def add(self, now: int, change: Change, by: str) -> ViewEvent:
+        mark, record = change.update, change.record
         evidence = (
-            f"{mark.accusing} of {mark.standing} observers"
-            if mark and mark.standing
+            f"{mark.accusing} of {mark.eligible} observers"
+            if mark and mark.eligible
             else "own word"
         )
-        event = Event(
-            now, change.number, change.what, row.name, row.status.name.lower(), by, evidence
+        event = ViewEvent(
+            now,
+            change.view_version,
+            change.kind,
+            record.name,
+            record.status.name.lower(),
+            by,
+            evidence,
         )
         self.events.append(event)
         return event
--- a/gullyoke/peer_transport/codec.py
+++ b/gullyoke/peer_transport/codec.py
@@ -11,18 +11,27 @@
 
 import msgspec
 
-from gullyoke.membership.row import TURNS, Entry, Kind, Mark, News, Report, Row, Status
-from gullyoke.membership.words import (
-    WHOLE,
+from gullyoke.membership.member_record import (
+    REFUTATIONS_PER_START,
+    MemberRecord,
+    Status,
+    StatusUpdate,
+    Suspicion,
+    SuspicionKind,
+    SuspicionReport,
+    Update,
+)
+from gullyoke.membership.messages import (
+    LOST_SCALE,
     Ack,
-    Ask,
-    Compare,
     Gossip,
     Hello,
-    Letter,
     Message,
     Ping,
-    Rows,
+    PingRequest,
+    TopicMessage,
+    ViewDigests,
+    ViewRecords,
 )
 from gullyoke.peer_transport.field_readers import (
     U64_END,
@@ -48,7 +57,7 @@
 
 
 class WireRow(GrowableArray, frozen=True):
-    """A member's row; see `Row`."""
+    """A member's row; see `MemberRecord`."""
 
     name: str
     number: int
@@ -91,17 +100,17 @@
     body: bytes = b""
 
 
-KINDS = (Ping, Ack, Ask, Gossip, Hello, Compare, Rows, Letter)
+KINDS = (Ping, Ack, PingRequest, Gossip, Hello, ViewDigests, ViewRecords, TopicMessage)
 decode = msgspec.msgpack.Decoder(WireMessage).decode
 encode = msgspec.msgpack.Encoder().encode
 
 
-def encode_row(row: Row) -> WireRow:
+def encode_row(row: MemberRecord) -> WireRow:
     """Return a row as it is sent."""
-    return WireRow(row.name, row.number, int(row.status), row.address, row.zone, row.life)
+    return WireRow(row.name, row.version, int(row.status), row.address, row.zone, row.incarnation)
 
 
-def decode_row(wire: WireRow) -> Row:
+def decode_row(wire: WireRow) -> MemberRecord:
     """Return the row that was received.
 
     Raises:
@@ -111,24 +120,26 @@
     check_text("an address", wire.address, MAX_ADDRESS_CHARS, shortest=1)
     check_text("a zone", wire.zone, MAX_ZONE_CHARS)
     check_numbers((wire.number, wire.life, wire.status))
-    if wire.number >= U64_END - TURNS or wire.status > Status.DEAD:
+    if wire.number >= U64_END - REFUTATIONS_PER_START or wire.status > Status.DEAD:
         raise MalformedDatagramError(f"a row of number {wire.number}, status {wire.status}")
-    return Row(wire.name, wire.number, Status(wire.status), wire.address, wire.zone, wire.life)
+    return MemberRecord(
+        wire.name, wire.number, Status(wire.status), wire.address, wire.zone, wire.life
+    )
 
 
-def encode_news(item: News) -> WireNews:
+def encode_news(item: Update) -> WireNews:
     """Return a piece of news as it is sent."""
-    if isinstance(item, Row):
+    if isinstance(item, MemberRecord):
         return WireNews(ROW_KIND, encode_row(item))
-    if isinstance(item, Mark):
+    if isinstance(item, StatusUpdate):
         return WireNews(MARK_KIND, None, [int(figure) for figure in item])
-    figures = [item.observer, item.number, item.seq, int(item.unsure)]
-    for entry in item.entries:
+    figures = [item.observer, item.version, item.seq, int(item.unsure)]
+    for entry in item.suspicions:
         figures += entry
     return WireNews(REPORT_KIND, None, figures)
 
 
-def decode_news(wire: WireNews) -> News | None:
+def decode_news(wire: WireNews) -> Update | None:
     """Return a piece of news that was received; None for a kind of a later release.
 
     Raises:
@@ -139,12 +150,12 @@
     if wire.kind == ROW_KIND and wire.row is not None:
         return decode_row(wire.row)
     if wire.kind == MARK_KIND and len(figures) >= MARK_NUMBERS and figures[2] <= Status.DEAD:
-        return Mark(figures[0], figures[1], Status(figures[2]), *figures[3:MARK_NUMBERS])
+        return StatusUpdate(figures[0], figures[1], Status(figures[2]), *figures[3:MARK_NUMBERS])
     entry_numbers = len(figures) - REPORT_HEAD_NUMBERS
     if wire.kind == REPORT_KIND and entry_numbers >= 0 and entry_numbers % ENTRY_NUMBERS == 0:
         threes = zip(figures[4::3], figures[5::3], figures[6::3], strict=True)
-        entries = tuple(Entry(a, b, Kind(c)) for a, b, c in threes if c in (1, 2))
-        return Report(figures[0], figures[1], figures[2], bool(figures[3]), entries)
+        entries = tuple(Suspicion(a, b, SuspicionKind(c)) for a, b, c in threes if c in (1, 2))
+        return SuspicionReport(figures[0], figures[1], figures[2], bool(figures[3]), entries)
     if wire.kind > REPORT_KIND:
         return None
     raise MalformedDatagramError(f"news of kind {wire.kind} with {len(figures)} numbers")
@@ -152,27 +163,27 @@
 
 def pack(message: Message) -> bytes:
     """Return a message as bytes, without its seal."""
-    head = VERSION, KINDS.index(type(message)), encode_row(message.row)
+    head = VERSION, KINDS.index(type(message)), encode_row(message.sender)
     if isinstance(message, Hello):
         return encode(WireMessage(*head))
-    if isinstance(message, Letter):
+    if isinstance(message, TopicMessage):
         return encode(WireMessage(*head, about=message.topic, body=message.body))
-    if isinstance(message, Compare):
+    if isinstance(message, ViewDigests):
         return encode(WireMessage(*head, figures=list(message.buckets)))
-    if isinstance(message, Rows):
-        figures = [int(message.asked), message.differ]
+    if isinstance(message, ViewRecords):
+        figures = [int(message.is_reply), message.differing]
         for part in message.parts:
             figures += part
         return encode(
-            WireMessage(*head, figures=figures, rows=[encode_row(row) for row in message.rows])
+            WireMessage(*head, figures=figures, rows=[encode_row(row) for row in message.records])
         )
-    news = [encode_news(item) for item in message.news]
+    news = [encode_news(item) for item in message.updates]
     if isinstance(message, Gossip):
         return encode(
             WireMessage(*head, 0, message.digest, message.lost, news=news, signal=message.signal)
         )
-    target = encode_row(message.target) if isinstance(message, Ask) else None
-    about = message.of if isinstance(message, Ack) else 0
+    target = encode_row(message.target) if isinstance(message, PingRequest) else None
+    about = message.subject if isinstance(message, Ack) else 0
     return encode(
         WireMessage(
             *head,
@@ -198,11 +209,11 @@
     sender = decode_row(wire.sender)
     if kind is Hello:
         return Hello(sender)
-    if kind is Letter:
-        return Letter(sender, wire.about, wire.body)
-    if kind is Compare:
-        return Compare(sender, tuple(wire.figures))
-    if kind is Rows:
+    if kind is TopicMessage:
+        return TopicMessage(sender, wire.about, wire.body)
+    if kind is ViewDigests:
+        return ViewDigests(sender, tuple(wire.figures))
+    if kind is ViewRecords:
         return _rows_message(sender, wire)
     return _message_with_news(kind, sender, wire)
 
@@ -214,21 +225,21 @@
     if wire.version < 1 or not 0 <= wire.kind < len(KINDS):
         raise MalformedDatagramError(f"version {wire.version}, kind {wire.kind}")
     check_numbers((wire.seq, wire.digest, wire.about, wire.signal, wire.lost, *wire.figures))
-    if wire.lost > WHOLE:
+    if wire.lost > LOST_SCALE:
         raise MalformedDatagramError(f"a lost share of {wire.lost}")
     return wire
 
 
-def _rows_message(sender: Row, wire: WireMessage) -> Rows:
+def _rows_message(sender: MemberRecord, wire: WireMessage) -> ViewRecords:
     figures = wire.figures
     if len(figures) < 2 or len(figures) % 2:
         raise MalformedDatagramError(f"rows with {len(figures)} numbers")
     parts = tuple(zip(figures[2::2], figures[3::2], strict=True))
     rows = tuple(decode_row(row) for row in wire.rows)
-    return Rows(sender, parts, rows, bool(figures[0]), figures[1])
+    return ViewRecords(sender, parts, rows, bool(figures[0]), figures[1])
 
 
-def _message_with_news(kind: type[Message], sender: Row, wire: WireMessage) -> Message:
+def _message_with_news(kind: type[Message], sender: MemberRecord, wire: WireMessage) -> Message:
     news = tuple(item for item in map(decode_news, wire.news) if item is not None)
     if kind is Gossip:
         return Gossip(sender, wire.digest, wire.lost, news, wire.signal)
@@ -239,4 +250,4 @@
     if wire.target is None:
         raise MalformedDatagramError("a probe request without a target")
     target = decode_row(wire.target)
-    return Ask(sender, wire.seq, target, wire.digest, wire.lost, news, wire.signal)
+    return PingRequest(sender, wire.seq, target, wire.digest, wire.lost, news, wire.signal)
--- a/gullyoke/peer_transport/lease_service.py
+++ b/gullyoke/peer_transport/lease_service.py
@@ -34,7 +34,7 @@
     WriteRecord,
 )
 from gullyoke.leases.voter import Voter
-from gullyoke.membership.row import Row as Member
+from gullyoke.membership.member_record import MemberRecord
 from gullyoke.peer_transport.lease_codec import pack, unpack
 from gullyoke.peer_transport.lease_voter_requests import VoterRequests, WriteDurably
 from gullyoke.peer_transport.link import AddressedBody
@@ -149,7 +149,7 @@
             self._announcements = self._announcements[ANNOUNCEMENTS_A_TICK:]
             return out
 
-    def handle(self, now: int, sender: Member, body: bytes) -> Iterable[AddressedBody]:
+    def handle(self, now: int, sender: MemberRecord, body: bytes) -> Iterable[AddressedBody]:
         """Take a message; return what is to be sent because of it.
 
         Raises:
@@ -171,7 +171,7 @@
             return [AddressedBody(sender.address, pack(answer))] if answer is not None else ()
 
     def _handle_as_candidate(
-        self, now: int, sender: Member, message: tuple[Any, ...]
+        self, now: int, sender: MemberRecord, message: tuple[Any, ...]
     ) -> list[AddressedMessage]:
         if isinstance(message, RecordWritten | RecordRead):
             self._handle_record_reply(message)
--- a/gullyoke/peer_transport/lease_voter_requests.py
+++ b/gullyoke/peer_transport/lease_voter_requests.py
@@ -26,7 +26,7 @@
     WriteRecord,
 )
 from gullyoke.leases.voter import PromiseWrite, Voter
-from gullyoke.membership.row import Row as Member
+from gullyoke.membership.member_record import MemberRecord
 from gullyoke.peer_transport.lease_codec import (
     PROMISE_KEY_PREFIX,
     RECORD_KEY_PREFIX,
@@ -77,7 +77,7 @@
         voter: Voter,
         records: RecordStore,
         now: int,
-        sender: Member,
+        sender: MemberRecord,
         message: tuple[Any, ...],
     ) -> tuple[Any, ...] | None:
         """Return the voter's answer; None where there is none, or it waits for the disk."""
--- a/gullyoke/peer_transport/link.py
+++ b/gullyoke/peer_transport/link.py
@@ -16,8 +16,8 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING, Any, Final, NamedTuple, Protocol
 
-from gullyoke.membership import TICK, Member, Row
-from gullyoke.membership.words import Letter, Send
+from gullyoke.membership import TICK, Member, MemberRecord
+from gullyoke.membership.messages import OutgoingMessage, TopicMessage
 from gullyoke.peer_transport import codec
 from gullyoke.peer_transport.field_readers import MalformedDatagramError
 from gullyoke.peer_transport.seal import ReplayWindow, Seal
@@ -53,7 +53,7 @@
     def tick(self, now: int) -> Iterable[AddressedBody]:
         """Return what is to be sent now."""
 
-    def handle(self, now: int, sender: Row, body: bytes) -> Iterable[AddressedBody]:
+    def handle(self, now: int, sender: MemberRecord, body: bytes) -> Iterable[AddressedBody]:
         """Take a message; return what is to be sent because of it.
 
         Raises:
@@ -119,17 +119,20 @@
         with contextlib.suppress(OSError):
             self.sock.close()
 
-    def act(self, action: Callable[[], list[Send] | None]) -> None:
+    def act(self, action: Callable[[], list[OutgoingMessage] | None]) -> None:
         """Call an action under the lock, and send what it and the member want sent."""
         with self.lock:
             more = action() or []
-            out = self.member.take() + more
+            out = self.member.take_outgoing() + more
         for send in out:
             self.send(send)
 
-    def posted(self, topic: int, bodies: Iterable[AddressedBody]) -> list[Send]:
+    def posted(self, topic: int, bodies: Iterable[AddressedBody]) -> list[OutgoingMessage]:
         """Return the datagrams of a handler's messages."""
-        return [Send(address, Letter(self.member.row, topic, body)) for address, body in bodies]
+        return [
+            OutgoingMessage(address, TopicMessage(self.member.record, topic, body))
+            for address, body in bodies
+        ]
 
     # The thread.
 
@@ -165,7 +168,7 @@
             if clock.now() >= self._next_tick_us:
                 return
 
-    def _tick(self, now: int) -> list[Send]:
+    def _tick(self, now: int) -> list[OutgoingMessage]:
         self.member.tick(now)
         return [
             send
@@ -184,29 +187,29 @@
         except MalformedDatagramError:
             self.metrics.increment("peers.dropped.malformed")
             return
-        if not self._replay_window.admits(message.row.life, opened.sender_count):
+        if not self._replay_window.admits(message.sender.incarnation, opened.sender_count):
             self.metrics.increment("peers.dropped.old")
             return
         now = clock.now()
-        if not isinstance(message, Letter):
-            self.act(lambda: self.member.hear(now, message))
+        if not isinstance(message, TopicMessage):
+            self.act(lambda: self.member.receive(now, message))
         elif message.topic in self.topics:
             self.act(lambda: self._handle(now, message))
         else:
             self.metrics.increment("peers.dropped.topic")
 
-    def _handle(self, now: int, letter: Letter) -> list[Send]:
+    def _handle(self, now: int, letter: TopicMessage) -> list[OutgoingMessage]:
         """Hand a message to the handler of its topic."""
         handler = self.topics[letter.topic]
         try:
-            return self.posted(letter.topic, handler.handle(now, letter.row, letter.body))
+            return self.posted(letter.topic, handler.handle(now, letter.sender, letter.body))
         except MalformedDatagramError:
             self.metrics.increment("peers.dropped.malformed")
             return []
 
     # Sending.
 
-    def send(self, send: Send) -> None:
+    def send(self, send: OutgoingMessage) -> None:
         """Send one datagram; one that can't be sent is counted and dropped."""
         data = self.seal.seal(codec.pack(send.message))
         if len(data) > codec.MAX_DATAGRAM_BYTES:
@@ -257,8 +260,8 @@
         now = clock.now()
 
         def note() -> None:
-            for row in list(self.member.view.rows.values()):
+            for row in list(self.member.view.records.values()):
                 if row.address == address and row.id != self.member.id:
-                    self.member.refused(now, row.id)
+                    self.member.connection_refused(now, row.id)
 
         self.act(note)
--- a/gullyoke/peer_transport/quota_codec.py
+++ b/gullyoke/peer_transport/quota_codec.py
@@ -20,7 +20,7 @@
     QuotaRequest,
     QuotaReturn,
 )
-from gullyoke.membership.row import whole
+from gullyoke.membership.member_record import stable_hash
 from gullyoke.peer_transport.field_readers import MessageKinds, malformed_on_error
 
 # The position of a message is its number on the wire; new ones go to the end.
@@ -42,7 +42,7 @@
         more: For a tenant's quota, the tenant and the rate.
     """
     lenders = [f"{name}@{address}" for name, address in sorted(homes.items())]
-    return whole(" ".join([*lenders, str(limit), str(floor), *more]))
+    return stable_hash(" ".join([*lenders, str(limit), str(floor), *more]))
 
 
 def pack(digest: int, message: QuotaMessage) -> bytes:
--- a/gullyoke/peer_transport/quota_service.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -14,7 +14,7 @@
 from gullyoke.coordination.quota_messages import LenderVote
 from gullyoke.coordination.quota_participant import AddressedQuotaMessage, Recipient
 from gullyoke.coordination.tenant_quotas import TenantQuotaPart
-from gullyoke.membership.row import Row
+from gullyoke.membership.member_record import MemberRecord
 from gullyoke.peer_transport.link import AddressedBody
 from gullyoke.peer_transport.quota_codec import digest_of, pack, unpack
 from gullyoke.runtime import clock
@@ -71,7 +71,7 @@
             messages = self.own.tick(now)
         return [body for message in messages for body in self._addressed(message, "")]
 
-    def handle(self, now: int, sender: Row, body: bytes) -> Iterable[AddressedBody]:
+    def handle(self, now: int, sender: MemberRecord, body: bytes) -> Iterable[AddressedBody]:
         """Take a message; return the answer, if there is one.
 
         Raises:
@@ -185,7 +185,7 @@
         """Return what is to be sent now."""
         return [body for limit in self.limits.values() for body in limit.tick(now)]
 
-    def handle(self, now: int, sender: Row, body: bytes) -> Iterable[AddressedBody]:
+    def handle(self, now: int, sender: MemberRecord, body: bytes) -> Iterable[AddressedBody]:
         """Take a message of any of the limits.
 
         Raises:
--- a/gullyoke/peer_transport/status_server.py
+++ b/gullyoke/peer_transport/status_server.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from gullyoke.membership.row import TURNS, Row
+from gullyoke.membership.member_record import REFUTATIONS_PER_START, MemberRecord
 from gullyoke.peer_transport.link import PeerLink
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
@@ -92,25 +92,25 @@
     member = link.member
     now = clock.now()
     size = member.size(now)
-    rows = sorted(member.view.rows.values(), key=lambda row: row.name)
+    rows = sorted(member.view.records.values(), key=lambda row: row.name)
     return {
-        "name": member.row.name,
-        "stage": member.entry.stage.value,
-        "view": member.view.number,
+        "name": member.record.name,
+        "stage": member.join_state.stage.value,
+        "view": member.view.version,
         "digest": f"{member.view.digest:016x}",
         "members": size.members,
         "seen": size.seen,
-        "age_ms": size.age // 1000,
+        "age_ms": size.age_us // 1000,
         "confidence": round(size.confidence, 2),
-        "unsure": member.trust.unsure(now),
-        "failing": round(member.trust.failing, 2),
-        "lost": round(member.trust.lost, 2),
+        "unsure": member.local_health.unsure(now),
+        "failing": round(member.local_health.failing, 2),
+        "lost": round(member.local_health.lost, 2),
         "rows": [_row_status(link, now, row) for row in rows],
         **{name: section(now) for name, section in link.status_sections.items()},
     }
 
 
-def _row_status(link: PeerLink, now: int, row: Row) -> dict[str, Any]:
+def _row_status(link: PeerLink, now: int, row: MemberRecord) -> dict[str, Any]:
     """Return how one member stands, as seen from here."""
     member = link.member
     edge = member.edges.get(row.id)
@@ -121,10 +121,12 @@
         "state": member.state(now, row),
         "zone": row.zone,
         "address": row.address,
-        "start": row.number // TURNS,
-        "refuted": row.number % TURNS,
-        "accused_by": len(member.tally.accusers(row.id, row.number)),
-        "round_trip_ms": round(edge.rtt / 1000, 2) if edge is not None and edge.rtt else None,
+        "start": row.version // REFUTATIONS_PER_START,
+        "refuted": row.version % REFUTATIONS_PER_START,
+        "accused_by": len(member.suspicions.accusers(row.id, row.version)),
+        "round_trip_ms": round(edge.round_trip_us / 1000, 2)
+        if edge is not None and edge.round_trip_us
+        else None,
         "room": None if reading is None else round(reading.free_capacity, 2),
         "shed": None if reading is None else round(reading.rejected_share, 2),
         "pace": None if reading is None else reading.latency_ratio,
@@ -139,12 +141,12 @@
     member = link.member
     now = clock.now()
     return {
-        "name": member.row.name,
+        "name": member.record.name,
         "events": [
             {
-                "ago_ms": (now - event.at) // 1000,
-                "view": event.number,
-                "what": event.what,
+                "ago_ms": (now - event.at_us) // 1000,
+                "view": event.view_version,
+                "what": event.kind,
                 "name": event.name,
                 "status": event.status,
                 "by": event.by,
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -7,41 +7,50 @@
 from compatibility.recorded import recorded_hex
 from gullyoke.coordination.signals import LoadReport, ServingStage
 from gullyoke.coordination.signals import unpack_report as unpack_reading
-from gullyoke.membership import Row, Status, began
-from gullyoke.membership.row import TURNS, Entry, Kind, Mark, Report, identity
-from gullyoke.membership.view import BUCKETS, View
-from gullyoke.membership.words import (
-    SIGNAL,
+from gullyoke.membership import MemberRecord, Status, start_version
+from gullyoke.membership.member_record import (
+    REFUTATIONS_PER_START,
+    StatusUpdate,
+    Suspicion,
+    SuspicionKind,
+    SuspicionReport,
+    member_id,
+)
+from gullyoke.membership.messages import (
+    SIGNAL_BITS,
     Ack,
-    Ask,
-    Compare,
     Gossip,
     Hello,
-    Letter,
     Ping,
-    Rows,
+    PingRequest,
+    TopicMessage,
+    ViewDigests,
+    ViewRecords,
 )
+from gullyoke.membership.view import BUCKETS, View
 from gullyoke.peer_transport.codec import MAX_DATAGRAM_BYTES, VERSION, pack, unpack
 from gullyoke.peer_transport.field_readers import MalformedDatagramError
 from gullyoke.peer_transport.seal import Seal, parse_keys
 
 NUMBER = 1_700_000_000 << 20
 U64_MOST = 2**64 - 1
-SENDER = Row("server-1", NUMBER, Status.ALIVE, "10.0.0.1:7900", "makati", 0x1122334455667788)
-TARGET = Row("server-2", NUMBER + 3, Status.JOINING, "10.0.0.2:7900", "-", 2)
-LEAVING = Row("server-3", NUMBER + 1, Status.LEAVING, "10.0.0.3:7900", "pasig", 3)
-GONE = Row("server-4", NUMBER + 2, Status.LEFT, "10.0.0.4:7900", "pasig", 4)
+SENDER = MemberRecord(
+    "server-1", NUMBER, Status.ALIVE, "10.0.0.1:7900", "makati", 0x1122334455667788
+)
+TARGET = MemberRecord("server-2", NUMBER + 3, Status.JOINING, "10.0.0.2:7900", "-", 2)
+LEAVING = MemberRecord("server-3", NUMBER + 1, Status.LEAVING, "10.0.0.3:7900", "pasig", 3)
+GONE = MemberRecord("server-4", NUMBER + 2, Status.LEFT, "10.0.0.4:7900", "pasig", 4)
 NEWS = (
     LEAVING,
-    Mark(identity("server-5"), NUMBER + 7, Status.DEAD, identity("server-1"), 5, 8),
-    Report(
-        identity("server-1"),
+    StatusUpdate(member_id("server-5"), NUMBER + 7, Status.DEAD, member_id("server-1"), 5, 8),
+    SuspicionReport(
+        member_id("server-1"),
         NUMBER,
         12,
         True,
         (
-            Entry(identity("server-5"), NUMBER + 7, Kind.SILENT),
-            Entry(identity("server-6"), NUMBER, Kind.REFUSED),
+            Suspicion(member_id("server-5"), NUMBER + 7, SuspicionKind.SILENT),
+            Suspicion(member_id("server-6"), NUMBER, SuspicionKind.REFUSED),
         ),
     ),
     GONE,
@@ -50,13 +59,13 @@
 MESSAGES = {
     "ping": Ping(SENDER, 7, 0xABCDEF, 0),
     "ping with news and signal": Ping(SENDER, 8, U64_MOST, 255, NEWS, 5 << 14 | 0x1234),
-    "ack": Ack(SENDER, 7, identity("server-2"), 0xABCDEF, 3, NEWS[:1], 1),
-    "ask": Ask(SENDER, 9, TARGET, 0xABCDEF, 3, NEWS[1:2], 0),
+    "ack": Ack(SENDER, 7, member_id("server-2"), 0xABCDEF, 3, NEWS[:1], 1),
+    "ask": PingRequest(SENDER, 9, TARGET, 0xABCDEF, 3, NEWS[1:2], 0),
     "gossip": Gossip(SENDER, 0xABCDEF, 3, NEWS, 77),
     "hello": Hello(SENDER),
-    "compare": Compare(SENDER, tuple(range(0, 64 * 1_000_003, 1_000_003))),
-    "rows": Rows(SENDER, ((3, 0xABC), (63, U64_MOST)), (TARGET, LEAVING, GONE), True, 5),
-    "letter": Letter(SENDER, 2, b"\x00body\xff"),
+    "compare": ViewDigests(SENDER, tuple(range(0, 64 * 1_000_003, 1_000_003))),
+    "rows": ViewRecords(SENDER, ((3, 0xABC), (63, U64_MOST)), (TARGET, LEAVING, GONE), True, 5),
+    "letter": TopicMessage(SENDER, 2, b"\x00body\xff"),
 }
 RECORDED = recorded_hex("membership.json")
 
@@ -72,10 +81,11 @@
 class Messages(unittest.TestCase):
     def test_constants(self):
         self.assertEqual(
-            (VERSION, MAX_DATAGRAM_BYTES, SIGNAL, TURNS, BUCKETS), (1, 1200, 14, 2**20, 64)
+            (VERSION, MAX_DATAGRAM_BYTES, SIGNAL_BITS, REFUTATIONS_PER_START, BUCKETS),
+            (1, 1200, 14, 2**20, 64),
         )
         self.assertEqual([int(one) for one in Status], [0, 1, 2, 3, 4])
-        self.assertEqual([int(one) for one in Kind], [1, 2])
+        self.assertEqual([int(one) for one in SuspicionKind], [1, 2])
 
     def test_each_message_is_recorded(self):
         self.assertEqual(list(RECORDED), list(MESSAGES))
@@ -110,7 +120,7 @@
 
 def members(count):
     return [
-        Row(f"other-{i}", NUMBER + i, Status.ALIVE, f"10.0.1.{i}:7900", "cavite", 100 + i)
+        MemberRecord(f"other-{i}", NUMBER + i, Status.ALIVE, f"10.0.1.{i}:7900", "cavite", 100 + i)
         for i in range(count)
     ]
 
@@ -119,13 +129,16 @@
     """Figures that two releases in one fleet have to agree on."""
 
     def test_identity_and_row_digest(self):
-        self.assertEqual(f"{identity('server-1'):016x}", "6a3707065ea30a2c")
+        self.assertEqual(f"{member_id('server-1'):016x}", "6a3707065ea30a2c")
         self.assertEqual(f"{SENDER.digest:016x}", "f1c79d4f8ac49715")
         self.assertEqual(f"{GONE.digest:016x}", "a6e60c4a15b523cd")
 
     def test_start_number(self):
-        self.assertEqual(began(1_700_000_000), NUMBER)
-        self.assertEqual(began(5, NUMBER, NUMBER + 2 * TURNS), NUMBER + 3 * TURNS)
+        self.assertEqual(start_version(1_700_000_000), NUMBER)
+        self.assertEqual(
+            start_version(5, NUMBER, NUMBER + 2 * REFUTATIONS_PER_START),
+            NUMBER + 3 * REFUTATIONS_PER_START,
+        )
 
     def test_view_digest_and_observers(self):
         view = View(2)
@@ -134,7 +147,7 @@
         self.assertEqual(f"{view.digest:016x}", "12cc9f6f70b5cba1")
         used = [i for i, digest in enumerate(view.buckets) if digest]
         self.assertEqual(used, [12, 14, 17, 33, 41, 44, 55, 56])
-        names = {row.id: row.name for row in view.rows.values()}
+        names = {row.id: row.name for row in view.records.values()}
         observers = sorted(names[one] for one in view.rings.observers(SENDER.id))
         self.assertEqual(observers, ["other-3", "other-4"])
 
--- a/tests/compatibility/test_duty_messages.py
+++ b/tests/compatibility/test_duty_messages.py
@@ -13,7 +13,7 @@
 from gullyoke.extensions.data_folders import DataFolder
 from gullyoke.leases.announcements import Announcement, Instruction
 from gullyoke.leases.rolling_restart import RestartPlan
-from gullyoke.membership import Row, Status
+from gullyoke.membership import MemberRecord, Status
 from gullyoke.operator_config.wanted import OwnDuty
 from gullyoke.runtime.metrics import Metrics as Counters
 
@@ -55,7 +55,9 @@
     def test_roll_order(self):
         """`roll`: the word to drain names the start that is meant, and a late one drains nobody."""
         fleet, duties = fleet_of("server-1"), mock.MagicMock()
-        fleet.member.view.rows = {1: Row("server-2", EPOCH << 20, Status.ALIVE, "a:1", "-", 2)}
+        fleet.member.view.records = {
+            1: MemberRecord("server-2", EPOCH << 20, Status.ALIVE, "a:1", "-", 2)
+        }
         duties.held_epoch.return_value = 9
         roll = Roll(fleet, duties)
         roll.plan = RestartPlan(1, "going", EPOCH + 1, 0.1, 0.5, (("server-2", 5, EPOCH),))
@@ -66,7 +68,7 @@
         self.assertEqual(
             roll.plan, RestartPlan(1, "going", EPOCH + 1, 0.1, 0.5, (("server-2", 5, EPOCH),))
         )
-        fleet.member.row.number, fleet.daemon.dispatcher.stop_at = EPOCH << 20, None
+        fleet.member.record.version, fleet.daemon.dispatcher.stop_at = EPOCH << 20, None
         with mock.patch.object(roll, "drain") as drain:
             roll.obey(6, Instruction("roll", 9, 7, "drain", b"1699999999"))
             drain.assert_not_called()
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -21,8 +21,8 @@
 from gullyoke.leases.rolling_restart import RestartPlan
 from gullyoke.leases.voter import Promise as Promise
 from gullyoke.leases.voter import Voter
-from gullyoke.membership import Member, Row, Status
-from gullyoke.membership.entry import Stage
+from gullyoke.membership import Member, MemberRecord, Status
+from gullyoke.membership.join_state import JoinStage
 from gullyoke.operator_config.wanted import Dutied
 from gullyoke.peer_transport.lease_service import LeaseService
 from gullyoke.peer_transport.link import PeerLink
@@ -45,7 +45,7 @@
         self.metrics = Metrics()
         self.link = PeerLink(("127.0.0.1", 0), Seal("orders", (b"k" * 32,)), self.metrics)
         self.addCleanup(self.link.end)
-        self.row = Row("server-1", NUMBER, Status.JOINING, "10.0.0.1:7900", "makati", 7)
+        self.row = MemberRecord("server-1", NUMBER, Status.JOINING, "10.0.0.1:7900", "makati", 7)
         self.member = Member(clock.now(), self.row, (), random.Random(1))
         self.link.member = self.member
         self.answers = StatusServer(("127.0.0.1", 0), self.link, self.metrics)
@@ -68,7 +68,7 @@
     def test_stages(self):
         """The texts by which an answer names a member's stage, a disk's and a duty's state."""
         self.assertEqual(
-            [stage.value for stage in Stage], ["alone", "joining", "in", "out", "displaced"]
+            [stage.value for stage in JoinStage], ["alone", "joining", "in", "out", "displaced"]
         )
         self.assertEqual(
             [state.value for state in DiskState],
@@ -79,7 +79,9 @@
         )
 
     def test_status(self):
-        other = Row("server-2", NUMBER + (1 << 20) + 3, Status.ALIVE, "10.0.0.2:7900", "-", 8)
+        other = MemberRecord(
+            "server-2", NUMBER + (1 << 20) + 3, Status.ALIVE, "10.0.0.2:7900", "-", 8
+        )
         self.member.view.merge(clock.now(), other)
         self.link.signals = ReceivedReports()
         self.link.signals.take(
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -19,7 +19,7 @@
 from gullyoke.leases.rolling_restart import RestartPlan
 from gullyoke.leases.rolling_restart import unpack_plan as unpacked_plan
 from gullyoke.leases.voter import Voter
-from gullyoke.membership import Row as Member
+from gullyoke.membership import MemberRecord as Member
 from gullyoke.membership import Status
 from gullyoke.peer_transport.lease_codec import decode_rows, encode_promise, pack, unpack
 from gullyoke.peer_transport.lease_service import LeaseService
--- a/tests/coordination/test_quotas.py
+++ b/tests/coordination/test_quotas.py
@@ -11,7 +11,7 @@
 from gullyoke.coordination.quota_participant import QuotaParticipant
 from gullyoke.coordination.tenant_quotas import BIN_US, ArrivalRate, TenantQuotaPart, tokens
 from gullyoke.emulator.quotas import asked
-from gullyoke.membership import Member, Row, Status, began
+from gullyoke.membership import Member, MemberRecord, Status, start_version
 from gullyoke.peer_transport.field_readers import MalformedDatagramError
 from gullyoke.peer_transport.link import PeerLink
 from gullyoke.peer_transport.quota_codec import configuration_digest, encode
@@ -81,7 +81,9 @@
                 )
             link.topics[QUOTAS] = TenantQuotaService(limits)
             topics.append(link.topics[QUOTAS])
-            row = Row(f"p{i}", began(int(time.time())), Status.JOINING, at[i], "z", 100 + i)
+            row = MemberRecord(
+                f"p{i}", start_version(int(time.time())), Status.JOINING, at[i], "z", 100 + i
+            )
             link.begin(Member(clock.now(), row, (at[0],), random.Random(i)))
         big, small = topics[0].limits.values()
         until, part = time.monotonic() + PATIENCE, 0.0
--- a/tests/coordination/test_wire.py
+++ b/tests/coordination/test_wire.py
@@ -20,7 +20,7 @@
     QuotaReturn,
 )
 from gullyoke.coordination.quota_participant import QuotaParticipant
-from gullyoke.membership import Member, Row, Status, began
+from gullyoke.membership import Member, MemberRecord, Status, start_version
 from gullyoke.peer_transport.field_readers import MalformedDatagramError
 from gullyoke.peer_transport.link import PeerLink
 from gullyoke.peer_transport.quota_codec import configuration_digest, encode, pack, unpack
@@ -88,7 +88,9 @@
             )
             link.topics[TOPIC] = part
             parts.append(part)
-            row = Row(f"p{i}", began(int(time.time())), Status.JOINING, at[i], "z", life)
+            row = MemberRecord(
+                f"p{i}", start_version(int(time.time())), Status.JOINING, at[i], "z", life
+            )
             link.begin(Member(clock.now(), row, (at[0],), random.Random(i)))
 
         def eventually(ask, what):
@@ -113,7 +115,7 @@
         self.assertEqual(wants(parts[3], 100), 1)
         before = parts[2].own.participant.tenure.until_us
         forged = LenderVote("p2", 102, parts[2].own.participant.tenure.round, "p0", True)
-        elsewhere = Row("p3", 1, Status.ALIVE, at[3], "z", 103)
+        elsewhere = MemberRecord("p3", 1, Status.ALIVE, at[3], "z", 103)
         parts[2].own.participant.tenure.until_us = 0
         self.assertEqual(parts[2].handle(clock.now(), elsewhere, pack(parts[2].digest, forged)), ())
         self.assertLess(parts[2].own.participant.tenure.until_us, before + 1)
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -10,8 +10,8 @@
 from unittest import mock
 
 from gullyoke.emulator.peers import SECOND, fleet
-from gullyoke.membership import edge, member, tally, trust
-from gullyoke.membership.row import identity
+from gullyoke.membership import local_health, member, monitor_edge, suspicion_tally
+from gullyoke.membership.member_record import member_id
 
 HERE = pathlib.Path(__file__).parent
 
@@ -129,37 +129,40 @@
         assert ok, f"not within {span} s: {verb} {' '.join(rest)}"
 
     def gone(self, who):
-        gone = {identity(name) for name in names(self.net, who)}
+        gone = {member_id(name) for name in names(self.net, who)}
         return not any(
-            gone & h.member.view.rows.keys() for h in self.net.up() if identity(h.name) not in gone
+            gone & h.member.view.records.keys()
+            for h in self.net.up()
+            if member_id(h.name) not in gone
         )
 
     def stage(self, who, wanted):
         return all(
-            self.net.hosts[name].member.entry.stage.value == wanted for name in names(self.net, who)
+            self.net.hosts[name].member.join_state.stage.value == wanted
+            for name in names(self.net, who)
         )
 
     def sees(self, by, who, state):
         one = self.net.hosts[by].member
         found = [
-            one.state(self.net.now, one.view.rows[identity(name)]) == state
+            one.state(self.net.now, one.view.records[member_id(name)]) == state
             for name in names(self.net, who)
         ]
         return sum(found) >= 0.75 * len(found)  # of some it has not been told
 
     def holds(self, by, who):
         """Whether this process is the one that all others hold under a name."""
-        life = self.net.hosts[by].member.row.life
+        life = self.net.hosts[by].member.record.incarnation
         return all(
-            h.member.view.rows.get(identity(who)) is not None
-            and h.member.view.rows[identity(who)].life == life
+            h.member.view.records.get(member_id(who)) is not None
+            and h.member.view.records[member_id(who)].incarnation == life
             for h in self.net.up()
             if h.name != who
         )
 
     def at_removed(self, *who):
         """Exactly these were ever removed by anybody; `removed none`."""
-        found = {s.change.row.name for s in self.net.seen if s.change.what == "removed"}
+        found = {s.change.record.name for s in self.net.seen if s.change.kind == "removed"}
         wanted = set() if who == ("none",) else {name for x in who for name in names(self.net, x)}
         assert found == wanted, f"removed {sorted(found)}"
 
@@ -183,8 +186,10 @@
     def at_numbers(self, who):
         """A member's number is above all that was ever known under its name."""
         for name in names(self.net, who):
-            most = max(s.change.row.number for s in self.net.seen if s.change.row.name == name)
-            assert self.net.hosts[name].member.row.number >= most
+            most = max(
+                s.change.record.version for s in self.net.seen if s.change.record.name == name
+            )
+            assert self.net.hosts[name].member.record.version >= most
 
 
 def play(path, seed):
@@ -224,17 +229,28 @@
 
         nothing = mock.Mock(return_value=False)
         for name, guard, covering in (
-            ("pauses", without(tally, HOLD=0), ()),
-            ("pair", without(tally, SHARE=0.1, LEAST=1), (without(member, HELPERS=0),)),
-            ("halves", without(trust.Trust, sees_most=mock.Mock(return_value=True)), ()),
+            ("pauses", without(suspicion_tally, HOLD=0), ()),
+            ("pair", without(suspicion_tally, SHARE=0.1, LEAST=1), (without(member, HELPERS=0),)),
+            (
+                "halves",
+                without(local_health.LocalHealth, sees_most=mock.Mock(return_value=True)),
+                (),
+            ),
             (
                 "clock-back",
-                without("gullyoke.membership.entry", began=lambda _, kept=0, known=0: kept),
+                without(
+                    "gullyoke.membership.join_state",
+                    start_version=lambda _, persisted=0, known=0: persisted,
+                ),
                 (),
             ),
-            ("deaf3", without(trust.Trust, unsure=nothing), ()),
-            ("half-deaf", without("gullyoke.membership.entry", WELL=1.1), ()),
-            ("loss", without(edge, SILENT=100_000, TRIES=1), (without(tally, HOLD=0),)),
+            ("deaf3", without(local_health.LocalHealth, unsure=nothing), ()),
+            ("half-deaf", without("gullyoke.membership.join_state", WELL=1.1), ()),
+            (
+                "loss",
+                without(monitor_edge, SILENT=100_000, TRIES=1),
+                (without(suspicion_tally, HOLD=0),),
+            ),
         ):
             with self.subTest(name), contextlib.ExitStack() as stack:
                 for one in covering:
@@ -255,14 +271,16 @@
         def accused(guard):
             with contextlib.ExitStack() as stack:
                 if not guard:
-                    stack.enter_context(mock.patch.object(trust.Trust, "paused", lambda *_: False))
+                    stack.enter_context(
+                        mock.patch.object(local_health.LocalHealth, "paused", lambda *_: False)
+                    )
                 net = fleet(3, 4, joined=True)
                 net.cut = lambda now, a, b: 1.0
                 net.run(net.now + 1_450_000)
                 net.pause("m0", SECOND)
                 net.cut = None
                 net.run(net.now + SECOND + 50_000)
-                return len(net.hosts["m0"].member.report.entries)
+                return len(net.hosts["m0"].member.report.suspicions)
 
         self.assertEqual((accused(True), accused(False) > 0), (0, True))
 
@@ -276,14 +294,16 @@
             with contextlib.ExitStack() as stack:
                 if not refutes:
                     stack.enter_context(
-                        mock.patch("gullyoke.membership.entry.Entry.refutes", lambda *_: False)
+                        mock.patch(
+                            "gullyoke.membership.join_state.JoinState.refutes", lambda *_: False
+                        )
                     )
                 net = fleet(5, 1)
                 accused = net.hosts["m1"].member
-                before = accused.row.number
+                before = accused.record.version
                 net.pause("m1", 2 * SECOND)
                 net.run(net.now + 6 * SECOND)
-                return accused.row.number - before, len(net.removed("m1"))
+                return accused.record.version - before, len(net.removed("m1"))
 
         refuted, removed = told(True)
         self.assertEqual((refuted >= 1, removed), (True, 0))
@@ -298,7 +318,7 @@
         net.start("lone", ["nowhere1", "nowhere2", "nowhere3"])
         net.run(net.now + 60 * SECOND)
         lone = net.hosts["lone"]
-        self.assertEqual((lone.member.entry.stage.value, len(lone.member.view)), ("alone", 1))
+        self.assertEqual((lone.member.join_state.stage.value, len(lone.member.view)), ("alone", 1))
         self.assertLess(lone.sent, 100)
         self.assertEqual(lone.member.size(net.now).in_force(12), 12)
 
@@ -310,7 +330,7 @@
             net.pause("m3", 2 * SECOND)
             net.kill("m5")
             net.run(net.now + 8 * SECOND)
-            return [(s.at, s.by, s.change.what, s.change.row.digest) for s in net.seen], [
+            return [(s.at, s.by, s.change.kind, s.change.record.digest) for s in net.seen], [
                 h.sent for h in net.hosts.values()
             ]
 
@@ -328,7 +348,7 @@
 
         def weighed(host):
             nonlocal worst
-            for send in host.member.out:
+            for send in host.member.outgoing:
                 worst = max(worst, HEAD + weight(send.message))
             plain(host)
 
@@ -344,7 +364,7 @@
             one = host.member
             self.assertLessEqual(len(one.relays), member.RELAYS)
             self.assertLessEqual(len(one.askings), member.RELAYS)
-            self.assertLessEqual(one.news.bytes, 64 * 1024)
+            self.assertLessEqual(one.gossip.bytes, 64 * 1024)
 
 
 if __name__ == "__main__":
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -19,9 +19,9 @@
 from gullyoke.coordination.signals import LoadReport, ReceivedReports, ServingStage
 from gullyoke.errors import ConfigurationError
 from gullyoke.extensions.fleet import Fleet
-from gullyoke.membership import Member, Row, Status, began
-from gullyoke.membership.size import Size
-from gullyoke.membership.words import Letter, Send
+from gullyoke.membership import Member, MemberRecord, Status, start_version
+from gullyoke.membership.messages import OutgoingMessage, TopicMessage
+from gullyoke.membership.size_estimate import SizeEstimate
 from gullyoke.operator_config.read import read
 from gullyoke.operator_config.wanted import OperatorFileError, Together
 from gullyoke.peer_transport.link import PeerLink
@@ -48,8 +48,13 @@
 
     def begin(self, links, seeds):
         for i, link in enumerate(links):
-            row = Row(
-                f"p{i}", began(int(time.time())), Status.JOINING, text(link.address), "z", i + 1
+            row = MemberRecord(
+                f"p{i}",
+                start_version(int(time.time())),
+                Status.JOINING,
+                text(link.address),
+                "z",
+                i + 1,
             )
             link.begin(Member(clock.now(), row, seeds, random.Random(i)))
 
@@ -73,10 +78,10 @@
         address = text(gone.getsockname())
         gone.close()
         heard = links[1].metrics.counters.get("peers.dropped.topic", 0)
-        row = links[0].member.row
+        row = links[0].member.record
         for _ in range(40):
-            links[0].send(Send(address, Letter(row, 99, b"to nobody")))
-            links[0].send(Send(text(links[1].address), Letter(row, 99, b"to one")))
+            links[0].send(OutgoingMessage(address, TopicMessage(row, 99, b"to nobody")))
+            links[0].send(OutgoingMessage(text(links[1].address), TopicMessage(row, 99, b"to one")))
         self.eventually(
             lambda: links[1].metrics.counters.get("peers.dropped.topic", 0) == heard + 40, "all 40"
         )
@@ -106,7 +111,9 @@
             self.eventually(lambda: metrics.counters["peers.dropped.malformed"] == 1, "malformed")
         links[2].end()
         began_at, gone = time.monotonic(), links[2].member.id
-        self.eventually(lambda: all(gone not in k.member.view.rows for k in links[:2]), "removed")
+        self.eventually(
+            lambda: all(gone not in k.member.view.records for k in links[:2]), "removed"
+        )
         self.assertLess(time.monotonic() - began_at, 3.5)
         self.assertGreater(
             links[0].metrics.counters["peers.refused"] + metrics.counters["peers.refused"], 0
@@ -116,7 +123,7 @@
         """Closing it is no fault: guards against one that is counted at each drain."""
         (link,) = self.links(1)
         link.begin(
-            types.SimpleNamespace(tick=lambda now: link.end(), take=list)
+            types.SimpleNamespace(tick=lambda now: link.end(), take_outgoing=list)
         )  # closed within a turn
         link.join(5)
         self.assertFalse(link.is_alive())
@@ -127,9 +134,9 @@
         (one,) = self.links(1)
         (other,) = self.links(1, b"q" * 32)
         self.begin([one, other], (text(one.address),))
-        other.member.entry.seeds = (text(one.address),)
+        other.member.join_state.seeds = (text(one.address),)
         self.eventually(lambda: one.metrics.counters["peers.dropped.seal"] >= 2, "its hellos")
-        self.assertEqual((len(one.member.view), other.member.entry.stage.value), (1, "alone"))
+        self.assertEqual((len(one.member.view), other.member.join_state.stage.value), (1, "alone"))
         self.assertEqual(one.metrics.counters["peers.sent"], 0)
 
     def test_a_fault_of_our_own(self):
@@ -141,7 +148,7 @@
             turns.append(now)
             raise ValueError("ours")
 
-        link.member = types.SimpleNamespace(tick=tick, take=list, view=None)
+        link.member = types.SimpleNamespace(tick=tick, take_outgoing=list, view=None)
         link.start()
         self.eventually(lambda: len(turns) >= 3, "three turns")
         self.assertGreaterEqual(link.metrics.counters["faults.peers"], 2)
@@ -176,7 +183,7 @@
             link.signals = ReceivedReports()
         self.begin(links, (text(links[0].address),))
         for link in links:
-            link.member.signalled = link.signals.take
+            link.member.on_signal = link.signals.take
         links[1].member.signal = LoadReport(0.4, 0.2, 1.4, ServingStage.WARM).pack()
         self.eventually(lambda: links[0].signals.rows, "a signal")
         row = next(r for r in status(links[0])["rows"] if r["name"] == "p1")
@@ -189,13 +196,13 @@
         A folder that can't be used is counted and nothing waits for it.
         """
         with tempfile.TemporaryDirectory() as folder:
-            metrics, first = Metrics(), began(1_000_000)
+            metrics, first = Metrics(), start_version(1_000_000)
             number = StoredStartNumber(folder, metrics)
             number.keep(first)
             number.close()
             self.assertEqual(metrics.counters["fleet.kept"], 1)
             again = StoredStartNumber(folder, Metrics())
-            self.assertGreater(began(5, again.known()), first)
+            self.assertGreater(start_version(5, again.known()), first)
             again.close()
             file = pathlib.Path(folder, "file")
             file.touch()
@@ -220,16 +227,16 @@
         sizes = []
         unit.member = types.SimpleNamespace(size=lambda now: sizes[-1])
         for size, expected in (
-            (Size(7, 7, 0, 1.0), 7),
-            (Size(7, 3, 0, 0.4), 12),
-            (Size(9, 9, 0, 0.9), 9),
-            (Size(9, 9, 40_000_000, 0.9), 12),
+            (SizeEstimate(7, 7, 0, 1.0), 7),
+            (SizeEstimate(7, 3, 0, 0.4), 12),
+            (SizeEstimate(9, 9, 0, 0.9), 9),
+            (SizeEstimate(9, 9, 40_000_000, 0.9), 12),
         ):
             sizes.append(size)
             unit.look()
             self.assertEqual(given.size, expected)
         unit.wanted = wanted._replace(size=False)
-        sizes.append(Size(5, 5, 0, 1.0))
+        sizes.append(SizeEstimate(5, 5, 0, 1.0))
         unit.look()
         self.assertEqual(given.size, 12)
 
--- a/tests/membership/test_properties.py
+++ b/tests/membership/test_properties.py
@@ -14,34 +14,58 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from gullyoke.emulator.peers import SECOND, fleet
-from gullyoke.membership.row import Entry, Kind, Mark, Report, Row, Status, began, identity
+from gullyoke.membership.member_record import (
+    MemberRecord,
+    Status,
+    StatusUpdate,
+    Suspicion,
+    SuspicionKind,
+    SuspicionReport,
+    member_id,
+    start_version,
+)
+from gullyoke.membership.messages import (
+    Ack,
+    Gossip,
+    Hello,
+    Ping,
+    PingRequest,
+    ViewDigests,
+    ViewRecords,
+)
 from gullyoke.membership.view import View
-from gullyoke.membership.words import Ack, Ask, Compare, Gossip, Hello, Ping, Rows
 from gullyoke.peer_transport import codec
 from gullyoke.peer_transport.field_readers import MalformedDatagramError
 from gullyoke.peer_transport.seal import ReplayWindow, Seal, UnusableKeyError, parse_keys
 
 TEXT = st.text("abcdefghij0123456789.:-", min_size=1, max_size=20)
 FIGURE, LOST = st.integers(0, 2**63), st.integers(0, 255)
-ROW = st.builds(Row, TEXT, st.integers(0, 2**62), st.sampled_from(Status), TEXT, TEXT, FIGURE)
-ENTRY = st.builds(Entry, FIGURE, FIGURE, st.sampled_from(Kind))
+ROW = st.builds(
+    MemberRecord, TEXT, st.integers(0, 2**62), st.sampled_from(Status), TEXT, TEXT, FIGURE
+)
+ENTRY = st.builds(Suspicion, FIGURE, FIGURE, st.sampled_from(SuspicionKind))
 NEWS = st.one_of(
     ROW,
-    st.builds(Mark, FIGURE, FIGURE, st.sampled_from(Status), FIGURE, LOST, LOST),
+    st.builds(StatusUpdate, FIGURE, FIGURE, st.sampled_from(Status), FIGURE, LOST, LOST),
     st.builds(
-        Report, FIGURE, FIGURE, FIGURE, st.booleans(), st.lists(ENTRY, max_size=3).map(tuple)
+        SuspicionReport,
+        FIGURE,
+        FIGURE,
+        FIGURE,
+        st.booleans(),
+        st.lists(ENTRY, max_size=3).map(tuple),
     ),
 )
 MANY = st.lists(NEWS, max_size=4).map(tuple)
 MESSAGE = st.one_of(
     st.builds(Ping, ROW, FIGURE, FIGURE, LOST, MANY, FIGURE),
     st.builds(Ack, ROW, FIGURE, FIGURE, FIGURE, LOST, MANY, FIGURE),
-    st.builds(Ask, ROW, FIGURE, ROW, FIGURE, LOST, MANY, FIGURE),
+    st.builds(PingRequest, ROW, FIGURE, ROW, FIGURE, LOST, MANY, FIGURE),
     st.builds(Gossip, ROW, FIGURE, LOST, MANY, FIGURE),
     st.builds(Hello, ROW),
-    st.builds(Compare, ROW, st.lists(FIGURE, max_size=64).map(tuple)),
+    st.builds(ViewDigests, ROW, st.lists(FIGURE, max_size=64).map(tuple)),
     st.builds(
-        Rows,
+        ViewRecords,
         ROW,
         st.lists(st.tuples(FIGURE, FIGURE), max_size=4).map(tuple),
         st.lists(ROW, max_size=4).map(tuple),
@@ -118,9 +142,9 @@
             view, seen = host.member.view, self.numbers.setdefault((host.name, host.starts), {})
             if len(view) == 1:
                 seen.clear()  # its own view was void after a removal
-            for row in view.rows.values():
-                assert row.number >= seen.get(row.id, 0)
-                seen[row.id] = row.number
+            for row in view.records.values():
+                assert row.version >= seen.get(row.id, 0)
+                seen[row.id] = row.version
 
     def teardown(self):
         if self.net is None:
@@ -130,7 +154,9 @@
             if not host.up:
                 self.net.start(host.name, ["m0", "m1", "m2"])
         healed = self.net.run(self.net.now + self.HEALED, self.net.equal)
-        assert healed, {h.name: (h.member.entry.stage, len(h.member.view)) for h in self.net.up()}
+        assert healed, {
+            h.name: (h.member.join_state.stage, len(h.member.view)) for h in self.net.up()
+        }
 
 
 class Properties(unittest.TestCase):
@@ -190,7 +216,10 @@
     )
     def test_merging_in_any_order(self, given, chance):
         """The same rows in any order, some of them twice, come to the same view."""
-        rows = [Row(f"m{a}", number, status, "x", "z", life) for a, number, status, life in given]
+        rows = [
+            MemberRecord(f"m{a}", number, status, "x", "z", life)
+            for a, number, status, life in given
+        ]
         views = []
         for _ in range(3):
             view = View(8)
@@ -247,7 +276,7 @@
         ]
         found = codec.unpack(msgspec.msgpack.encode(data))
         self.assertEqual((found.seq, found.digest, found.lost), (7, 8, 9))
-        self.assertEqual([x.name for x in found.news], ["m1"])
+        self.assertEqual([x.name for x in found.updates], ["m1"])
 
     def test_seal(self):
         """Another key, another fleet, a changed byte: none verifies.
@@ -285,9 +314,9 @@
 
     def test_numbers(self):
         """A start's number is above what was kept and what is known, whatever the clock says."""
-        self.assertGreater(began(0, kept=began(1000)), began(1000))
-        self.assertGreater(began(5, 0, began(1000) + 7), began(1000) + 7)
-        self.assertEqual(identity("m1"), identity("m1"))
+        self.assertGreater(start_version(0, persisted=start_version(1000)), start_version(1000))
+        self.assertGreater(start_version(5, 0, start_version(1000) + 7), start_version(1000) + 7)
+        self.assertEqual(member_id("m1"), member_id("m1"))
 
 
 if __name__ == "__main__":
