--- a/gullyoke/emulator/peers.py
+++ b/gullyoke/emulator/peers.py
@@ -13,8 +13,7 @@
 from typing import NamedTuple
 
 from gullyoke.membership import TICK, Change, Member, MemberRecord, Status, start_version
-from gullyoke.membership.gossip_queue import size
-from gullyoke.membership.join_state import JoinStage
+from gullyoke.membership.gossip_queue import wire_size
 from gullyoke.membership.member_record import member_id
 from gullyoke.membership.messages import Message
 from gullyoke.membership.view import View
@@ -207,7 +206,7 @@
         up = self.up()
         return (
             len({h.member.view.digest for h in up}) == 1
-            and all(h.member.join_state.stage is JoinStage.IN for h in up)
+            and all(h.member.join_state.has_joined() for h in up)
             and len(up[0].member.view) == len({h.name for h in up})
         )
 
@@ -224,7 +223,7 @@
 def weight(message: Message) -> int:
     """Bytes of what a message carries, about."""
     carried = getattr(message, "updates", ()) or getattr(message, "records", ())
-    return sum(map(size, carried)) + 6 * len(getattr(message, "buckets", ()))
+    return sum(map(wire_size, carried)) + 6 * len(getattr(message, "buckets", ()))
 
 
 def fleet(
@@ -256,21 +255,8 @@
         for host in hosts:
             host.member.acquaint([other.member.record for other in hosts], net.now)
         return
-    whole = View(hosts[0].member.view.rings.k)
+    view = View(hosts[0].member.view.rings.ring_count)
     for host in hosts:
-        entry = host.member.join_state
-        entry.stage, entry.next = JoinStage.IN, net.now + 10 * SECOND
-        entry.record = entry.record.with_status(Status.ALIVE)
-        whole.merge(net.now, entry.record)
+        view.merge(net.now, host.member.join_state.join(net.now))
     for host in hosts:
-        host.member.view = copied(whole)
-
-
-def copied(view: View) -> View:
-    """The same view for another member: made once, since making it takes long for a thousand."""
-    other, rings = View(view.rings.k), view.rings
-    other.records, other.order, other.at = dict(view.records), list(view.order), dict(view.at)
-    other.buckets, other.digest, other.version = list(view.buckets), view.digest, view.version
-    other.rings.rings = [list(ring) for ring in rings.rings]
-    other.rings.members, other.rings.version = set(rings.members), rings.version
-    return other
+        host.member.adopt_view(view.copy_live())  # copied, as a thousand merges take long
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -209,7 +209,7 @@
             return
         member = self.fleet.member
         known, own = (
-            member.join_state.known // REFUTATIONS_PER_START,
+            member.join_state.known_version // REFUTATIONS_PER_START,
             member.record.version // REFUTATIONS_PER_START,
         )
         if self.trust.believed and is_older_copy(self.last, known):
--- a/gullyoke/membership/gossip_queue.py
+++ b/gullyoke/membership/gossip_queue.py
@@ -1,6 +1,7 @@
-"""What is yet to be told to the others, carried on whatever is sent anyway.
+"""Updates that are still to be disseminated, piggybacked on whatever is sent anyway.
 
-The newest first, the rest in turn.
+As in SWIM (Das, Gupta and Motivala 2002, section 4.1) an update is carried a number of times that
+grows with the logarithm of the fleet's size, and those carried least often go first.
 """
 
 from __future__ import annotations
@@ -8,72 +9,111 @@
 import math
 from collections import OrderedDict
 from collections.abc import Hashable
+from typing import Final, NamedTuple
 
 from gullyoke.membership.member_record import MemberRecord, StatusUpdate, SuspicionReport, Update
 
-ROUNDS = 3  # each item is carried so often, times log2 of the fleet's size
-BUDGET = 900  # bytes of news in one datagram
-MOST = 64 * 1024  # bytes that wait at the most; the oldest goes first
+ROUNDS_PER_LOG2: Final = 3  # an update is carried so often, times log2 of the fleet's size
+DATAGRAM_BUDGET_BYTES: Final = 900  # updates in one datagram
+MAX_QUEUED_BYTES: Final = 64 * 1024  # beyond these the update carried most often is dropped
 
+RECORD_OVERHEAD_BYTES: Final = 44
+STATUS_UPDATE_BYTES: Final = 36
+REPORT_OVERHEAD_BYTES: Final = 30
+SUSPICION_BYTES: Final = 21
 
-def size(item: Update) -> int:
-    """Bytes it takes in a datagram, about and not too little."""
-    if isinstance(item, MemberRecord):
-        return 44 + len(item.name) + len(item.address) + len(item.zone)
-    if isinstance(item, StatusUpdate):
-        return 36
-    return 30 + 21 * len(item.suspicions)
 
+def wire_size(update: Update) -> int:
+    """Return the bytes that an update takes in a datagram, rounded up."""
+    if isinstance(update, MemberRecord):
+        texts = len(update.name) + len(update.address) + len(update.zone)
+        return RECORD_OVERHEAD_BYTES + texts
+    if isinstance(update, StatusUpdate):
+        return STATUS_UPDATE_BYTES
+    return REPORT_OVERHEAD_BYTES + SUSPICION_BYTES * len(update.suspicions)
 
-def about(item: Update) -> Hashable:
-    """What it is on: a newer item takes the place of an older one on the same."""
-    if isinstance(item, SuspicionReport):
-        return "report", item.observer
-    return item.id
+
+def report_key(observer: int) -> Hashable:
+    """Return the key under which the report of an observer is queued."""
+    return "report", observer
+
+
+def update_key(update: Update) -> Hashable:
+    """Return the key of an update; a newer update replaces an older one of the same key."""
+    if isinstance(update, SuspicionReport):
+        return report_key(update.observer)
+    return update.id
+
+
+class QueuedUpdate(NamedTuple):
+    """An update, its size in bytes, and how often it was carried."""
+
+    update: Update
+    size_bytes: int
+    carried: int
 
 
 class GossipQueue:
-    """Table: `items`, one a member and one an observer at the most, with how often it was carried;
-    one leaves when it was carried often enough, or when the bytes run out.
+    """The updates to be carried, the next one first.
+
+    Attributes:
+        items: At most one for each member and one for each observer.
+        queued_bytes: The sum of their sizes.
+        dropped: How many were dropped for lack of space.
     """
 
     def __init__(self) -> None:
-        self.items: OrderedDict[Hashable, tuple[Update, int, int]] = OrderedDict()
-        self.bytes = self.dropped = 0
+        self.items: OrderedDict[Hashable, QueuedUpdate] = OrderedDict()
+        self.queued_bytes = 0
+        self.dropped = 0
 
-    def add(self, item: Update) -> None:
-        key, n = about(item), size(item)
+    def add(self, update: Update) -> None:
+        """Put an update at the head of the queue, in place of an older one of its key."""
+        key = update_key(update)
+        size_bytes = wire_size(update)
         self.discard(key)
-        self.items[key] = item, n, 0
+        self.items[key] = QueuedUpdate(update, size_bytes, 0)
         self.items.move_to_end(key, last=False)
-        self.bytes += n
-        while self.bytes > MOST:
+        self.queued_bytes += size_bytes
+        while self.queued_bytes > MAX_QUEUED_BYTES:
             self.discard(next(reversed(self.items)))
             self.dropped += 1
 
     def discard(self, key: Hashable) -> None:
+        """Drop the update of a key, if there is one."""
         old = self.items.pop(key, None)
         if old is not None:
-            self.bytes -= old[1]
+            self.queued_bytes -= old.size_bytes
+
+    def next_batch(
+        self, members: int, budget_bytes: int = DATAGRAM_BUDGET_BYTES
+    ) -> tuple[Update, ...]:
+        """Return the updates for one datagram; they count as carried once more.
 
-    def pick(self, members: int, budget: int = BUDGET) -> tuple[Update, ...]:
-        """As many as fit, and they have been carried once more."""
+        Args:
+            members: The fleet's size, on which it depends how often an update is carried.
+            budget_bytes: The bytes that the updates may take.
+        """
         if not self.items:
             return ()
-        rounds = ROUNDS * math.ceil(math.log2(members + 2))
-        picked, again = [], []
-        for key, (item, n, carried) in self.items.items():
-            if n > budget:
-                if picked:
-                    break
-                continue  # too long beside others: another datagram's
-            budget -= n
-            picked.append(item)
-            again.append((key, item, n, carried + 1))
-        for key, item, n, carried in again:
+        batch = self._fitting(budget_bytes)
+        rounds = ROUNDS_PER_LOG2 * math.ceil(math.log2(members + 2))
+        for key, queued in batch:
+            carried = queued.carried + 1
             if carried >= rounds:
                 self.discard(key)
             else:
-                self.items[key] = item, n, carried
+                self.items[key] = queued._replace(carried=carried)
                 self.items.move_to_end(key)
-        return tuple(picked)
+        return tuple(queued.update for _, queued in batch)
+
+    def _fitting(self, budget_bytes: int) -> list[tuple[Hashable, QueuedUpdate]]:
+        batch: list[tuple[Hashable, QueuedUpdate]] = []
+        for key, queued in self.items.items():
+            if queued.size_bytes > budget_bytes:
+                if batch:
+                    break
+                continue  # larger than a whole datagram's budget: it must not block the others
+            budget_bytes -= queued.size_bytes
+            batch.append((key, queued))
+        return batch
--- /dev/null
+++ b/gullyoke/membership/joining.py
@@ -0,0 +1,136 @@
+"""Joining: contacts with seeds, the reading of the fleet's view, and two processes of one name."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from gullyoke.membership import reconciliation
+from gullyoke.membership.dissemination import Dissemination
+from gullyoke.membership.join_state import JoinStage
+from gullyoke.membership.member_record import MemberRecord, Status
+from gullyoke.membership.member_state import MemberState
+from gullyoke.membership.messages import Gossip, Hello, ViewRecords
+from gullyoke.membership.update_processing import UpdateProcessor
+from gullyoke.membership.view import BUCKETS
+
+MAX_HELLOS_PER_TICK: Final = 16  # answered; others that join at the same time try again
+RECORDS_PER_HELLO: Final = 6  # random members named in the answer to a hello
+READ_PERIOD_US: Final = 200_000  # between requests of a member that reads the fleet's view
+
+
+class Joining:
+    """Sends and answers the messages by which members find each other."""
+
+    def __init__(
+        self, state: MemberState, dissemination: Dissemination, updates: UpdateProcessor
+    ) -> None:
+        self._state = state
+        self._dissemination = dissemination
+        self._updates = updates
+        self._hellos_this_tick = 0
+        self._requested_at = 0
+
+    def start_alone(self, now: int) -> None:
+        """Join at once, as the first member of a fleet: no seed but this member is configured."""
+        join_state = self._state.join_state
+        join_state.seed_answered(now, None)
+        self._updates.adopt_own_record(now, join_state.record)
+        self._updates.adopt_own_record(now, join_state.join(now))
+
+    def tick_started(self) -> None:
+        """Allow `MAX_HELLOS_PER_TICK` answers again."""
+        self._hellos_this_tick = 0
+
+    def contact_seeds(self, now: int) -> None:
+        """Send the hellos that are due."""
+        state = self._state
+        live_addresses: set[str] = set()
+        if now >= state.join_state.next_contact_at:
+            live_addresses = {record.address for record in state.view.records.values()}
+        for address in state.join_state.contacts(now, live_addresses):
+            self._dissemination.send(address, Hello(state.record))
+
+    def read_view(self, now: int) -> None:
+        """Go on reading the fleet's view, or join when it has taken long enough."""
+        join_state = self._state.join_state
+        if join_state.stage is not JoinStage.JOINING:
+            return
+        record = join_state.finish_reading(now, BUCKETS)
+        if record is not None:
+            self._updates.adopt_own_record(now, record)
+        elif now - self._requested_at >= READ_PERIOD_US:
+            self._requested_at = now
+            for peer in self._dissemination.random_members(1):
+                self._dissemination.send_digests(peer)
+
+    def hello_received(self, now: int, sender: MemberRecord) -> None:
+        """Answer with what is known of the sender's name, and with members that it may ask."""
+        state = self._state
+        join_state = state.join_state
+        self._hellos_this_tick += 1
+        if self._hellos_this_tick > MAX_HELLOS_PER_TICK:
+            return
+        if join_state.stage in (JoinStage.OUT, JoinStage.DISPLACED):
+            return
+        if sender.status is Status.ALIVE:  # of a fleet that formed apart
+            self._updates.learn_sender(now, sender)
+        if join_state.stage is JoinStage.ALONE and join_state.contacted_by(sender.address):
+            join_state.next_contact_at = min(join_state.next_contact_at, now)
+        known = state.view.known(sender.id)
+        records = [
+            *([known] if known is not None else []),
+            state.record,
+            *self._dissemination.random_members(RECORDS_PER_HELLO, sender.id),
+        ]
+        answer = ViewRecords(state.record, (), tuple(records), True, BUCKETS)
+        self._dissemination.send(sender.address, answer, sender.id)
+
+    def records_received(self, now: int, message: ViewRecords) -> None:
+        """Take over a peer's records, and join when the view has been read with them."""
+        join_state = self._state.join_state
+        if join_state.stage is JoinStage.OUT:
+            return
+        alone = join_state.stage in (JoinStage.ALONE, JoinStage.DISPLACED)
+        if alone and message.is_reply and not self._seed_answered(now, message):
+            return
+        for record in message.records:
+            self._updates.learn(now, record)
+        if message.is_reply:
+            self._reply_received(now, message)
+
+    def namesake_received(self, now: int, other: MemberRecord) -> None:
+        """Handle a message of another process with this member's name.
+
+        A process that has joined keeps the name; of two that have, the one whose record ranks
+        higher.
+        """
+        state = self._state
+        wins = other.status is Status.JOINING or state.record.rank() > other.rank()
+        if state.join_state.is_inside() and wins:
+            message = Gossip(state.record, state.view.digest, 0, ())
+            self._dissemination.send(other.address, message, state.id)
+        elif state.join_state.stage is not JoinStage.OUT:
+            state.join_state.name_holder_answered()
+
+    def _seed_answered(self, now: int, message: ViewRecords) -> bool:
+        """Return whether to read the fleet's view from now on."""
+        state = self._state
+        known = next((record for record in message.records if record.id == state.id), None)
+        record = state.join_state.seed_answered(now, known)
+        if record is not None:
+            self._updates.adopt_own_record(now, record)
+            return True
+        if known is not None:  # another process may have the name: is it there?
+            self._dissemination.send_untracked_ping(known.address)
+        return False
+
+    def _reply_received(self, now: int, message: ViewRecords) -> None:
+        state = self._state
+        peer = message.sender
+        for records in reconciliation.missing_records(state.record, state.view, message.parts):
+            self._dissemination.send(peer.address, records, peer.id)
+        if state.join_state.has_joined() and message.differing:
+            state.reconciliation.peer_reported(now, peer.id, same_view=False)
+        record = state.join_state.finish_reading(now, message.differing)
+        if record is not None:
+            self._updates.adopt_own_record(now, record)
--- a/gullyoke/membership/messages.py
+++ b/gullyoke/membership/messages.py
@@ -1,23 +1,32 @@
-"""What members say to each other.
+"""The messages that members exchange.
 
-Each message bears its sender's row, so that nobody is spoken to unknown, and what it thinks of the
-whole: its view's digest, and the share of the fleet it takes for lost. `signal` is a word on how
-the sender stands, with its turn above it (SIGNAL bits), 0 where it tells none; members only carry
-it.
+Each message carries its sender's record, so that no member is addressed by one it does not know,
+and most carry what the sender thinks of the fleet: its view's digest, and the share of the fleet
+that it takes for lost. gullyoke/peer_transport/codec.py has their form in bytes.
 """
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
 from gullyoke.membership.member_record import MemberRecord, Update
 
-LOST_SCALE = 255  # `lost` is a share in 255ths
-SIGNAL_BITS = 14  # bits of a signal below the turn in which it was told
+LOST_SCALE: Final = 255  # `lost` is a share in 255ths
+SIGNAL_BITS: Final = 14  # bits of the load signal; the tick in which it was sent is above them
 
 
 class Ping(NamedTuple):
-    """Are you there? `seq` comes back."""
+    """A probe: are you there?
+
+    Attributes:
+        sender: The sender's record.
+        seq: The probe's sequence number, which the answer repeats; 0 where no answer is tracked.
+        digest: The digest of the sender's view.
+        lost: The share of the fleet that the sender takes for lost, in 255ths.
+        updates: Piggybacked updates.
+        signal: The sender's load signal with its tick above `SIGNAL_BITS`; 0 where it sends none.
+            Membership only carries it.
+    """
 
     sender: MemberRecord
     seq: int
@@ -28,7 +37,17 @@
 
 
 class Ack(NamedTuple):
-    """`of` is there: the sender itself, or one whom it asked for another."""
+    """The answer to a probe: `subject` is there.
+
+    Attributes:
+        sender: The sender's record.
+        seq: The sequence number of the probe.
+        subject: The id of the member that is there: the sender, or one that it probed for another.
+        digest: As in `Ping`.
+        lost: As in `Ping`.
+        updates: As in `Ping`.
+        signal: As in `Ping`.
+    """
 
     sender: MemberRecord
     seq: int
@@ -40,7 +59,17 @@
 
 
 class PingRequest(NamedTuple):
-    """Ask `target` for me; its answer comes back under `seq`."""
+    """A request to probe `target` for the sender (SWIM's ping-req).
+
+    Attributes:
+        sender: The sender's record.
+        seq: The sequence number under which the answer comes back.
+        target: The record of the member to probe.
+        digest: As in `Ping`.
+        lost: As in `Ping`.
+        updates: As in `Ping`.
+        signal: As in `Ping`.
+    """
 
     sender: MemberRecord
     seq: int
@@ -52,7 +81,7 @@
 
 
 class Gossip(NamedTuple):
-    """News that can't wait."""
+    """Updates that do not wait for the next probe; fields as in `Ping`."""
 
     sender: MemberRecord
     digest: int
@@ -62,23 +91,27 @@
 
 
 class Hello(NamedTuple):
-    """From one who wants to join, or who looks for others than it knows."""
+    """From a member that wants to join, or that looks for members it does not know."""
 
     sender: MemberRecord
 
 
 class ViewDigests(NamedTuple):
-    """The digests of a view's parts: tell me where yours differs."""
+    """The digests of the sender's view, one for each bucket: send me the buckets that differ."""
 
     sender: MemberRecord
     buckets: tuple[int, ...]
 
 
 class ViewRecords(NamedTuple):
-    """Rows of one's view.
-
-    `parts`, the number and the digest of each part that is told whole; `asked` is whether this
-    answers; `differ`, in how many parts the views differ altogether.
+    """Records of the sender's view.
+
+    Attributes:
+        sender: The sender's record.
+        parts: The index and the digest of each bucket whose records are complete with this message.
+        records: The records.
+        is_reply: Whether this answers a `ViewDigests` or a `Hello`.
+        differing: In how many buckets the two views differ altogether.
     """
 
     sender: MemberRecord
@@ -89,9 +122,12 @@
 
 
 class TopicMessage(NamedTuple):
-    """What is no affair of membership.
+    """A message of another service on the members' transport; membership never sees it.
 
-    `topic` says whose it is, `body` is in that one's own form.
+    Attributes:
+        sender: The sender's record.
+        topic: The number of the service.
+        body: The message, in that service's own form.
     """
 
     sender: MemberRecord
@@ -99,13 +135,18 @@
     body: bytes
 
 
-Message = Ping | Ack | PingRequest | Gossip | Hello | ViewDigests | ViewRecords | TopicMessage
+UpdateCarrier = Ping | Ack | PingRequest | Gossip
+MembershipMessage = UpdateCarrier | Hello | ViewDigests | ViewRecords
+Message = MembershipMessage | TopicMessage
 
 
 class OutgoingMessage(NamedTuple):
-    """One datagram to be sent, and to whom.
+    """One datagram to be sent.
 
-    An address, and who should be there if that is known.
+    Attributes:
+        address: Where to, as `host:port`.
+        message: The message.
+        to: The id of the member that is expected there; 0 where it is not known.
     """
 
     address: str
--- a/gullyoke/membership/observer_rings.py
+++ b/gullyoke/membership/observer_rings.py
@@ -1,66 +1,91 @@
-"""Who observes whom, by the view alone: `k` rings, each the members in an order of its own.
+"""Who observes whom, computed from the view alone.
 
-On each ring a member is observed by the one before it and observes the one after it (Rapid's
-expander of rings, Suresh et al. 2018). Same view, same observers, nothing asked; one that comes or
-goes changes `k` pairs and no others. In a fleet of `k` + 1 and less everybody observes everybody.
+There are `ring_count` rings, each with all members in a pseudo-random order of its own. On each
+ring a member is observed by its predecessor and observes its successor: the expander graph of Rapid
+(Suresh et al. 2018). Equal views give equal observers without any message, and a member that joins
+or leaves changes `ring_count` pairs and no others. In a fleet of at most `ring_count` + 1 members
+all observe each other.
 """
 
 from __future__ import annotations
 
 from bisect import bisect_left, insort
 from functools import lru_cache
+from typing import Final
 
 from gullyoke.membership.member_record import stable_hash
 
-Place = tuple[int, int]  # where on a ring, and who
+CACHED_POSITIONS: Final = 1 << 17
 
+RingPosition = tuple[int, int]  # the hash that orders a ring, and the member's id
 
-@lru_cache(maxsize=1 << 17)
-def place(ring: int, member: int) -> Place:
+
+@lru_cache(maxsize=CACHED_POSITIONS)
+def ring_position(ring: int, member: int) -> RingPosition:
+    """Return where a member stands on a ring."""
     return stable_hash(f"{ring} {member}"), member
 
 
 class ObserverRings:
-    """Table: each member once on each ring; left when it leaves the view.
+    """The rings over the members of a view.
 
-    `version` grows with each change.
+    Attributes:
+        ring_count: The number of rings.
+        version: Counts the changes, so that users see whether they have to look again.
+        rings: Each ring's positions in order.
+        members: The ids on the rings.
     """
 
-    def __init__(self, k: int) -> None:
-        self.k, self.version = k, 0
-        self.rings: list[list[Place]] = [[] for _ in range(k)]
+    def __init__(self, ring_count: int) -> None:
+        self.ring_count = ring_count
+        self.version = 0
+        self.rings: list[list[RingPosition]] = [[] for _ in range(ring_count)]
         self.members: set[int] = set()
 
     def __len__(self) -> int:
         return len(self.members)
 
+    def copy(self) -> ObserverRings:
+        """Return equal rings that change apart from these."""
+        other = ObserverRings(self.ring_count)
+        other.version = self.version
+        other.rings = [list(ring) for ring in self.rings]
+        other.members = set(self.members)
+        return other
+
     def add(self, member: int) -> None:
-        if member not in self.members:
-            self.members.add(member)
-            self.version += 1
-            for r, ring in enumerate(self.rings):
-                insort(ring, place(r, member))
+        """Put a member on each ring, unless it is there already."""
+        if member in self.members:
+            return
+        self.members.add(member)
+        self.version += 1
+        for index, ring in enumerate(self.rings):
+            insort(ring, ring_position(index, member))
 
     def remove(self, member: int) -> None:
-        if member in self.members:
-            self.members.discard(member)
-            self.version += 1
-            for r, ring in enumerate(self.rings):
-                del ring[bisect_left(ring, place(r, member))]
+        """Take a member off each ring, if it is there."""
+        if member not in self.members:
+            return
+        self.members.discard(member)
+        self.version += 1
+        for index, ring in enumerate(self.rings):
+            del ring[bisect_left(ring, ring_position(index, member))]
 
     def observers(self, member: int) -> set[int]:
-        return self._beside(member, -1)
+        """Return the ids of those that observe a member; none where it is not on the rings."""
+        return self._neighbours(member, -1)
 
     def subjects(self, member: int) -> set[int]:
-        return self._beside(member, 1)
+        """Return the ids of those that a member observes; none where it is not on the rings."""
+        return self._neighbours(member, 1)
 
-    def _beside(self, member: int, step: int) -> set[int]:
+    def _neighbours(self, member: int, step: int) -> set[int]:
         if member not in self.members:
             return set()
-        if len(self.members) <= self.k + 1:
+        if len(self.members) <= self.ring_count + 1:
             return self.members - {member}
         found = set()
-        for r, ring in enumerate(self.rings):
-            at = bisect_left(ring, place(r, member)) + step
+        for index, ring in enumerate(self.rings):
+            at = bisect_left(ring, ring_position(index, member)) + step
             found.add(ring[at % len(ring)][1])
         return found
--- /dev/null
+++ b/gullyoke/membership/probing.py
@@ -0,0 +1,139 @@
+"""Probes: of this member's own subjects, and for other members.
+
+As in SWIM (Das, Gupta and Motivala 2002) a subject whose answer is overdue is probed by way of
+other members too. Whom a member probes is given by the observer rings.
+"""
+
+from __future__ import annotations
+
+from typing import Final, NamedTuple
+
+from gullyoke.membership.dissemination import Dissemination
+from gullyoke.membership.member_record import MemberRecord, StatusUpdate
+from gullyoke.membership.member_state import MemberState
+from gullyoke.membership.messages import Ack, PingRequest
+from gullyoke.membership.monitor_edge import PROBE_PERIOD_US, MonitorEdge
+
+HELPERS: Final = 2  # members asked to probe a subject whose answer is overdue
+MAX_RELAYS: Final = 128  # probes remembered, own and for others; the oldest is forgotten first
+NO_RING_VERSION: Final = -1
+
+
+class Relay(NamedTuple):
+    """A probe for another member.
+
+    Attributes:
+        requester: Who asked for it.
+        seq: The sequence number under which the requester expects the answer.
+        target: The id of the member that is probed.
+    """
+
+    requester: MemberRecord
+    seq: int
+    target: int
+
+
+class Probing:
+    """Sends probes and handles their answers.
+
+    Attributes:
+        relays: The probes for others that were not answered yet, by this member's sequence number.
+        targets: Whom each recent probe went to, by its sequence number.
+    """
+
+    def __init__(self, state: MemberState, dissemination: Dissemination) -> None:
+        self._state = state
+        self._dissemination = dissemination
+        self.relays: dict[int, Relay] = {}
+        self.targets: dict[int, int] = {}
+        self._last_seq = 0
+        self._matched_rings = 0
+
+    def process_resumed(self, now: int) -> None:
+        """Probe all subjects at once after a pause of this process.
+
+        What went unanswered during the pause is not held against them.
+        """
+        for edge in self._state.edges.values():
+            edge.reset(now)
+
+    def rings_reset(self) -> None:
+        """Match the subjects again at the next tick."""
+        self._matched_rings = NO_RING_VERSION
+
+    def match_subjects(self, now: int) -> None:
+        """Make the edges those that the rings give, if the rings changed."""
+        state = self._state
+        rings = state.view.rings
+        if self._matched_rings == rings.version or not state.join_state.has_joined():
+            return
+        self._matched_rings = rings.version
+        subjects = rings.subjects(state.id)
+        for member in state.edges.keys() - subjects:
+            del state.edges[member]
+        for member in sorted(subjects - state.edges.keys()):
+            first_probe_at = now + state.random.randrange(PROBE_PERIOD_US)
+            state.edges[member] = MonitorEdge(member, first_probe_at)
+
+    def probe_subjects(self, now: int) -> None:
+        """Probe the subjects whose time has come, those in doubt by way of helpers too."""
+        for edge in self._state.edges.values():
+            overdue = edge.check_overdue(now)
+            target = self._state.view.records.get(edge.id)
+            if not edge.should_probe(now) or target is None:
+                continue
+            seq = self._next_seq(edge.id)
+            edge.probe_sent(now, seq)
+            self._dissemination.send_ping(target, seq)
+            if overdue:
+                for helper in self._dissemination.random_members(HELPERS, target.id):
+                    self._dissemination.send_ping_request(helper, seq, target)
+
+    def relay_probe(self, sender: MemberRecord, request: PingRequest) -> None:
+        """Probe a member for another one."""
+        seq = self._next_seq(request.target.id)
+        self.relays[seq] = Relay(sender, request.seq, request.target.id)
+        if len(self.relays) > MAX_RELAYS:
+            del self.relays[next(iter(self.relays))]
+        self._dissemination.send_ping(request.target, seq)
+
+    def answer(self, to: MemberRecord, seq: int, subject: int) -> None:
+        """Answer a probe; a member that counts as departed is told so first."""
+        departed = self._state.view.departed.get(to.id)
+        first: tuple[StatusUpdate, ...] = ()
+        if departed is not None and departed.record.rank() >= to.rank():
+            record = departed.record
+            first = (StatusUpdate(to.id, record.version, record.status, self._state.id),)
+        self._dissemination.send_ack(to, seq, subject, first)
+
+    def ack_received(self, now: int, sender: MemberRecord, ack: Ack) -> None:
+        """Hand an answer on to who asked for it, and count it for this member's own subject."""
+        relay = self.relays.pop(ack.seq, None)
+        if relay is not None and relay.target == ack.subject:
+            self.answer(relay.requester, relay.seq, ack.subject)
+        target = self.targets.get(ack.seq)
+        edge = self._state.edges.get(target) if target is not None else None
+        if target is None or edge is None:
+            return
+        direct = ack.subject == sender.id
+        if target == ack.subject:
+            edge.ack_received(now, ack.seq, direct)
+        elif direct and self._has_address(target, sender.address):
+            edge.refusal_received(now)  # another member has that address now
+
+    def connection_refused(self, now: int, member: int) -> None:
+        """Record that a member's host reports that nobody listens at its address."""
+        edge = self._state.edges.get(member)
+        if edge is not None:
+            edge.refusal_received(now)
+
+    def _next_seq(self, target: int) -> int:
+        self._last_seq += 1
+        self.targets[self._last_seq] = target
+        if len(self.targets) > MAX_RELAYS:
+            del self.targets[next(iter(self.targets))]
+        return self._last_seq
+
+    def _has_address(self, member: int, address: str) -> bool:
+        record = self._state.view.records.get(member)
+        return record is not None and record.address == address
--- a/gullyoke/membership/reconciliation.py
+++ b/gullyoke/membership/reconciliation.py
@@ -1,95 +1,161 @@
-"""Two views made equal: only the parts that differ are told, in datagrams of few rows, a few at a
-time.
+"""Reconciliation of two views that differ: only the buckets that differ are sent.
+
+An anti-entropy exchange: one member sends the digests of its buckets, the other answers with the
+records of those that differ, and the first sends back what is missing there.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
+from random import Random
+from typing import Final
 
-from gullyoke.membership.gossip_queue import size
+from gullyoke.membership.gossip_queue import wire_size
 from gullyoke.membership.member_record import MemberRecord
 from gullyoke.membership.messages import ViewRecords
 from gullyoke.membership.view import BUCKETS, View
 
-ROOM = 950  # bytes of rows in one datagram
-DATAGRAMS = 6  # for one asking
-EVERY = 1_000_000  # microseconds between askings of one's own while views differ
-GRACE = 700_000  # news is given so long to make them equal without
+DATAGRAM_BUDGET_BYTES: Final = 950  # records in one datagram
+PART_BYTES: Final = 8  # a bucket's index and digest in a datagram
+MAX_DATAGRAMS: Final = 6  # in answer to one message
+MIN_INTERVAL_US: Final = 1_000_000  # between two exchanges that this member begins
+GRACE_US: Final = 700_000  # views may differ for so long: gossip usually makes them equal
+
 
+class ReconciliationSchedule:
+    """When to begin an exchange, and with which peer. All times are in microseconds.
 
-class ReconciliationTimer:
-    """When to ask whom. A digest that differs is usually news on its way."""
+    Attributes:
+        differs_since: Since when peers' views differ from this member's; None where the last one
+            was the same.
+        last_at: When the last exchange was begun.
+        peer: The id of the last peer whose view differed.
+    """
 
     def __init__(self) -> None:
-        self.differs: int | None = None
-        self.last = 0
+        self.differs_since: int | None = None
+        self.last_at = 0
         self.peer = 0
 
-    def hear(self, now: int, member: int, equal: bool) -> None:
-        if equal:
-            self.differs = None
-        else:
-            self.peer = member
-            if self.differs is None:
-                self.differs = now
-
-    def due(self, now: int) -> bool:
-        """Whether to ask `peer` now; it counts as asked."""
-        if self.differs is None or now - self.differs < GRACE or now - self.last < EVERY:
+    def peer_reported(self, now: int, peer: int, same_view: bool) -> None:
+        """Record whether a peer's view is the same as this member's."""
+        if same_view:
+            self.differs_since = None
+            return
+        self.peer = peer
+        if self.differs_since is None:
+            self.differs_since = now
+
+    def begin_if_needed(self, now: int) -> bool:
+        """Return whether to begin an exchange with `peer` now, and count it as begun."""
+        if (
+            self.differs_since is None
+            or now - self.differs_since < GRACE_US
+            or now - self.last_at < MIN_INTERVAL_US
+        ):
             return False
-        self.last = now
+        self.last_at = now
         return True
 
 
-def differing(view: View, buckets: Sequence[int]) -> list[int]:
-    """The parts in which another's view is not this one."""
-    return [b for b, digest in enumerate(buckets[:BUCKETS]) if digest != view.buckets[b]]
+def differing_buckets(view: View, digests: Sequence[int]) -> list[int]:
+    """Return the indexes of the buckets whose digests differ from the view's."""
+    return [
+        index for index, digest in enumerate(digests[:BUCKETS]) if digest != view.buckets[index]
+    ]
 
 
-def answer(
-    me: MemberRecord, view: View, buckets: Sequence[int], draw: Callable[[int], int]
+def answer_digests(
+    sender: MemberRecord, view: View, digests: Sequence[int], random: Random
 ) -> list[ViewRecords]:
-    """What another is told whose view has these parts, from a part drawn by chance on, so that
-    those who ask several are told different parts.
+    """Return the answer to a peer whose view has these digests.
+
+    It begins at a random one of the buckets that differ, so that a member which asks several peers
+    receives different buckets from each.
     """
-    parts = differing(view, buckets)
-    if not parts:
-        return [ViewRecords(me, (), (), True, 0)]
-    at = draw(len(parts))
-    return packed(me, view, parts[at:] + parts[:at], True)
+    differing = differing_buckets(view, digests)
+    if not differing:
+        return [ViewRecords(sender, (), (), True, 0)]
+    first = random.randrange(len(differing))
+    return pack_buckets(sender, view, differing[first:] + differing[:first], is_reply=True)
 
 
-def missing(me: MemberRecord, view: View, parts: Sequence[tuple[int, int]]) -> list[ViewRecords]:
-    """What the one who answered does not have.
+def missing_records(
+    sender: MemberRecord, view: View, parts: Sequence[tuple[int, int]]
+) -> list[ViewRecords]:
+    """Return what the peer that sent these buckets does not have.
 
-    The parts that differ still, after all it told is merged.
+    These are the buckets that still differ after its records were merged.
+
+    Args:
+        sender: This member's record.
+        view: This member's view, with the peer's records merged.
+        parts: The index and the digest of each bucket that the peer sent completely.
     """
-    own = [b for b, digest in parts if 0 <= b < BUCKETS and view.buckets[b] != digest]
-    return packed(me, view, own, False) if own else []
+    differing = [
+        index for index, digest in parts if 0 <= index < BUCKETS and view.buckets[index] != digest
+    ]
+    return pack_buckets(sender, view, differing, is_reply=False) if differing else []
 
 
-def packed(me: MemberRecord, view: View, parts: Sequence[int], asked: bool) -> list[ViewRecords]:
-    """Rows of these parts in as few datagrams as they fill, DATAGRAMS at the most.
+def pack_buckets(
+    sender: MemberRecord, view: View, buckets: Sequence[int], is_reply: bool
+) -> list[ViewRecords]:
+    """Return the records of these buckets in as few messages as they need.
 
-    A part that needs more than one names itself in the last.
+    At most `MAX_DATAGRAMS`; what does not fit is left to the next exchange. A bucket that needs
+    several messages is named in the last of them.
     """
-    out: list[ViewRecords] = []
-    told: list[tuple[int, int]] = []
-    differ = len(parts)
-    records: list[MemberRecord] = []
-    room = ROOM
-    for b in parts:
-        for record in view.bucket(b):
-            need = size(record)
-            if need > room:
-                out.append(ViewRecords(me, tuple(told), tuple(records), asked, differ))
-                told, records, room = [], [], ROOM
-                if len(out) >= DATAGRAMS:
-                    return out
-            records.append(record)
-            room -= need
-        told.append((b, view.buckets[b]))
-        room -= 8
-    if told or records:
-        out.append(ViewRecords(me, tuple(told), tuple(records), asked, differ))
-    return out
+    packer = _Packer(sender, is_reply, len(buckets))
+    for index in buckets:
+        for record in view.bucket(index):
+            if not packer.add_record(record):
+                return packer.messages
+        packer.complete_bucket(index, view.buckets[index])
+    return packer.finish()
+
+
+class _Packer:
+    """Fills messages with records, each up to the budget of a datagram."""
+
+    def __init__(self, sender: MemberRecord, is_reply: bool, differing: int) -> None:
+        self.sender = sender
+        self.is_reply = is_reply
+        self.differing = differing
+        self.messages: list[ViewRecords] = []
+        self._start_message()
+
+    def add_record(self, record: MemberRecord) -> bool:
+        """Add a record; return False where the messages are full without it."""
+        size_bytes = wire_size(record)
+        if size_bytes > self.left_bytes:
+            self._end_message()
+            if len(self.messages) >= MAX_DATAGRAMS:
+                return False
+            self._start_message()
+        self.records.append(record)
+        self.left_bytes -= size_bytes
+        return True
+
+    def complete_bucket(self, index: int, digest: int) -> None:
+        """Name a bucket whose records were all added."""
+        self.parts.append((index, digest))
+        self.left_bytes -= PART_BYTES
+
+    def finish(self) -> list[ViewRecords]:
+        """Return all messages."""
+        if self.parts or self.records:
+            self._end_message()
+        return self.messages
+
+    def _start_message(self) -> None:
+        self.parts: list[tuple[int, int]] = []
+        self.records: list[MemberRecord] = []
+        self.left_bytes = DATAGRAM_BUDGET_BYTES
+
+    def _end_message(self) -> None:
+        self.messages.append(
+            ViewRecords(
+                self.sender, tuple(self.parts), tuple(self.records), self.is_reply, self.differing
+            )
+        )
--- a/gullyoke/membership/size_estimate.py
+++ b/gullyoke/membership/size_estimate.py
@@ -1,20 +1,21 @@
-"""How large the fleet is, for decisions.
-
-Never smaller than what all agreed on, and how far to trust it.
-"""
+"""How many members the fleet has, and how far that figure can be trusted."""
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
-OLD = 30_000_000  # microseconds after which what was last heard is too old to go by
+MAX_AGE_US: Final = 30_000_000  # an estimate on messages older than this is not used
+MIN_CONFIDENCE: Final = 0.5  # an estimate of less confidence is not used
 
 
 class SizeEstimate(NamedTuple):
-    """`members`, those who are there, seen from here or not.
+    """The fleet's size as one member knows it.
 
-    `seen`, how many of them answer, as all around see it; `age`, microseconds since anything was
-    last heard from another; `confidence`, from 0 to 1.
+    Attributes:
+        members: Members of the view, reachable from here or not.
+        seen: How many of them are reachable, as this member and its peers see it.
+        age_us: Microseconds since a message of another member was last received.
+        confidence: From 0 to 1.
     """
 
     members: int
@@ -23,20 +24,33 @@
     confidence: float
 
     def usable(self) -> bool:
-        return self.age_us < OLD and self.confidence >= 0.5
+        """Return whether the estimate is recent and sure enough to act on."""
+        return self.age_us < MAX_AGE_US and self.confidence >= MIN_CONFIDENCE
+
+    def in_force(self, configured: int) -> int:
+        """Return the size that decisions go by: the view's, or the configured one.
 
-    def in_force(self, told: int) -> int:
-        """What decisions go by: the agreed size where it can be trusted, what was told at the start
-        elsewhere.
+        The view's size is never reduced by members that are merely unreachable: each side of a
+        partition would otherwise take over the other one's part.
 
-        Guards against a side of a cut that takes the part of those it does not see: both sides
-        would.
+        Args:
+            configured: The size to use where the estimate is not usable.
         """
-        return max(1, self.members) if self.usable() else told
+        return max(1, self.members) if self.usable() else configured
 
 
-def estimate_size(members: int, lost: float, age: int, equal: float, inside: bool) -> SizeEstimate:
-    """`equal` is the share of those lately heard whose view was the same."""
+def estimate_size(
+    members: int, lost: float, age_us: int, same_view: float, joined: bool
+) -> SizeEstimate:
+    """Return the estimate for a view.
+
+    Args:
+        members: The number of members in the view.
+        lost: The share of them taken for unreachable, from 0 to 1.
+        age_us: Microseconds since a message of another member was last received.
+        same_view: The share of recent peers whose view is the same.
+        joined: Whether this member is part of the fleet; without it there is no confidence.
+    """
     seen = max(1, round(members * (1 - lost))) if members else 0
-    confidence = (1 - lost) * (0.5 + 0.5 * equal) if inside else 0.0
-    return SizeEstimate(members, seen, age, confidence)
+    confidence = (1 - lost) * (0.5 + 0.5 * same_view) if joined else 0.0
+    return SizeEstimate(members, seen, age_us, confidence)
--- a/gullyoke/membership/suspicion_tally.py
+++ b/gullyoke/membership/suspicion_tally.py
@@ -1,142 +1,185 @@
-"""What all observers hold against one subject, and the one rule by which a member is removed.
+"""What all observers report of each subject, and the one rule by which a member is removed.
 
-**The rule.** A member is removed when, for `HOLD` without a break (`HOLD_REFUSED` where they are
-refused), six in ten of its standing observers and two at the least (the one, in a fleet of two)
-hold it silent or refused, one of them says so, and that one still sees six in ten of the fleet
-(refusals need no such share). Observers who are themselves held silent by a third of theirs, and
-those who are unsure of themselves, do not stand. Nothing else removes anybody.
+The rule: a member is removed when at least 60% of its eligible observers, and at least two of them
+(one in a fleet of two), have suspected it for `REMOVAL_DELAY_US` without a break, one of these
+applies the rule, and that one still sees 60% of the fleet. Where the suspicions are refusals,
+`REFUSED_REMOVAL_DELAY_US` is enough and no share of the fleet has to be seen. An observer is not
+eligible when it is unsure of itself, or when a third of its own observers suspect it. Nothing else
+removes a member.
+
+Suspicion by several observers at once is from Rapid (Suresh et al. 2018); unlike there, members
+need not agree on the next view.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable, Iterable
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
 from gullyoke.membership.member_record import Suspicion, SuspicionKind, SuspicionReport
 
-SHARE, LEAST = 0.6, 2  # of the standing observers, and how many at the least
-DOUBTED = 3  # held silent by one in so many of its observers it does not stand
-HOLD = 2_000_000  # microseconds for which the accusations must stand
-HOLD_REFUSED = 300_000  # the same where they are refusals
+ACCUSING_SHARE: Final = 0.6  # of the eligible observers
+MIN_ACCUSERS: Final = 2
+DOUBTED_DIVISOR: Final = 3  # suspected by one in so many of its observers, it is not eligible
+REMOVAL_DELAY_US: Final = 2_000_000
+REFUSED_REMOVAL_DELAY_US: Final = 300_000
+
 
+class SuspicionCount(NamedTuple):
+    """The count for one subject.
 
-class Count(NamedTuple):
-    """How a subject stands: accusing observers of those standing, refused ones among them, and how
-    many it takes.
+    Attributes:
+        accusing: Eligible observers that suspect it.
+        refused: Those of them to which its host refused a datagram.
+        eligible: All eligible observers.
+        required: How many of them the rule requires.
     """
 
     accusing: int
     refused: int
     eligible: int
-    need: int
+    required: int
 
-    def enough(self) -> bool:
-        return self.accusing >= self.need
+    def is_enough(self) -> bool:
+        """Return whether enough observers suspect the subject."""
+        return self.accusing >= self.required
 
-    def refused_enough(self) -> bool:
-        return self.refused >= self.need
+    def is_enough_refused(self) -> bool:
+        """Return whether enough observers were refused."""
+        return self.refused >= self.required
 
 
 class SuspicionTally:
-    """Tables: `reports`, one an observer in the view.
+    """The newest report of each observer, and the same by subject.
 
-    `against`, by subject who accuses it, made of these. `several` is how many subjects two or more
-    accuse, those who are unsure too: in a cut most of them are.
+    Attributes:
+        reports: The newest report of each observer in the view, by the observer's id.
+        against: The suspicions of each subject, by the subject's and then the observer's id.
+        multiply_suspected: How many subjects two or more observers suspect, unsure observers
+            included: in a partition most of them are unsure.
     """
 
     def __init__(self) -> None:
         self.reports: dict[int, SuspicionReport] = {}
         self.against: dict[int, dict[int, Suspicion]] = {}
-        self.several = 0
+        self.multiply_suspected = 0
 
-    def take(self, report: SuspicionReport) -> bool:
-        """Take a report in, if it is newer than what is known of its observer."""
-        old = self.reports.get(report.observer)
-        if not report.is_newer_than(old):
+    def add(self, report: SuspicionReport) -> bool:
+        """Take a report in; return whether it is newer than the last one of its observer."""
+        previous = self.reports.get(report.observer)
+        if not report.is_newer_than(previous):
             return False
         self.reports[report.observer] = report
-        self._out(report.observer, old.suspicions if old else ())
-        for entry in report.suspicions:
-            row = self.against.setdefault(entry.id, {})
-            row[report.observer] = entry
-            self.several += len(row) == 2
+        self._withdraw(report.observer, previous.suspicions if previous else ())
+        for suspicion in report.suspicions:
+            accusers = self.against.setdefault(suspicion.id, {})
+            accusers[report.observer] = suspicion
+            self.multiply_suspected += len(accusers) == 2
         return True
 
-    def drop(self, member: int) -> None:
-        """It has left the view: what it held against others is void, and what was held against
-        it.
-        """
-        old = self.reports.pop(member, None)
-        if old is not None:
-            self._out(member, old.suspicions)
-        row = self.against.pop(member, None)
-        self.several -= row is not None and len(row) >= 2
-
-    def _out(self, observer: int, entries: Iterable[Suspicion]) -> None:
-        for entry in entries:
-            row = self.against.get(entry.id)
-            if row is not None and row.pop(observer, None) is not None:
-                self.several -= len(row) == 1
-                if not row:
-                    del self.against[entry.id]
+    def drop_member(self, member: int) -> None:
+        """Forget a member that left the view: its suspicions, and those against it."""
+        report = self.reports.pop(member, None)
+        if report is not None:
+            self._withdraw(member, report.suspicions)
+        accusers = self.against.pop(member, None)
+        self.multiply_suspected -= accusers is not None and len(accusers) >= 2
 
     def accusers(self, member: int, version: int) -> dict[int, SuspicionKind]:
-        """Who accuses it under that number: a refutation voids what was said before."""
+        """Return which eligible observers suspect a member under a version, and why.
+
+        Suspicions of an earlier version do not count: the member has refuted them.
+        """
         return {
-            who: entry.kind
-            for who, entry in self.against.get(member, {}).items()
-            if entry.version >= version and not self.unsure(who)
+            observer: suspicion.kind
+            for observer, suspicion in self.against.get(member, {}).items()
+            if suspicion.version >= version and not self.is_unsure(observer)
         }
 
-    def doubted(self, member: int, observers: int) -> bool:
-        """Whether a third of its observers hold something against it."""
-        accusers = sum(not self.unsure(who) for who in self.against.get(member, ()))
-        return accusers >= max(1, math.ceil(observers / DOUBTED))
+    def is_doubted(self, member: int, observer_count: int) -> bool:
+        """Return whether a third of a member's observers suspect it, under any version."""
+        accusing = sum(not self.is_unsure(observer) for observer in self.against.get(member, ()))
+        return accusing >= max(1, math.ceil(observer_count / DOUBTED_DIVISOR))
 
-    def unsure(self, member: int) -> bool:
+    def is_unsure(self, member: int) -> bool:
+        """Return whether a member reports that its own health is too poor to accuse."""
         report = self.reports.get(member)
         return report is not None and report.unsure
 
-    def count(self, member: int, version: int, observers: set[int]) -> Count:
-        """How a subject stands among its observers."""
+    def count(self, member: int, version: int, observers: set[int]) -> SuspicionCount:
+        """Return the count for a member under a version.
+
+        Args:
+            member: The subject's id.
+            version: The subject's version.
+            observers: The ids of its observers.
+        """
         accusers = self.accusers(member, version)
-        standing = [
-            o for o in observers if not self.unsure(o) and not self.doubted(o, len(observers))
+        eligible = [
+            observer
+            for observer in observers
+            if not self.is_unsure(observer) and not self.is_doubted(observer, len(observers))
         ]
-        kinds = [accusers[o] for o in standing if o in accusers]
-        need = max(min(LEAST, len(observers)), math.ceil(SHARE * len(standing)))
-        return Count(
-            len(kinds), sum(kind is SuspicionKind.REFUSED for kind in kinds), len(standing), need
-        )
+        kinds = [accusers[observer] for observer in eligible if observer in accusers]
+        refused = sum(kind is SuspicionKind.REFUSED for kind in kinds)
+        required = max(min(MIN_ACCUSERS, len(observers)), math.ceil(ACCUSING_SHARE * len(eligible)))
+        return SuspicionCount(len(kinds), refused, len(eligible), required)
+
+    def _withdraw(self, observer: int, suspicions: Iterable[Suspicion]) -> None:
+        for suspicion in suspicions:
+            accusers = self.against.get(suspicion.id)
+            if accusers is None or accusers.pop(observer, None) is None:
+                continue
+            self.multiply_suspected -= len(accusers) == 1
+            if not accusers:
+                del self.against[suspicion.id]
+
 
+class SuspectedSince(NamedTuple):
+    """Since when the count has been enough, and enough by refusals alone; 0 where it is not."""
 
-class SuspicionTimer:
-    """Since when what is held against a subject has been enough.
+    enough_at: int
+    refused_enough_at: int
 
-    Table: one row a subject that is accused enough; it leaves with that.
+
+class RemovalTimer:
+    """Since when the count against each subject has been enough, in microseconds.
+
+    Attributes:
+        since: One entry for each subject against which the count is enough at present.
     """
 
     def __init__(self) -> None:
-        self.since: dict[int, tuple[int, int]] = {}
-
-    def passed(self, now: int, member: int, count: Count, sees_most: Callable[[], bool]) -> bool:
-        """Whether the rule is met now."""
-        silent, refused = self.since.get(member, (0, 0))
-        silent = (silent or now) if count.enough() else 0
-        refused = (refused or now) if count.refused_enough() else 0
-        if not silent:
+        self.since: dict[int, SuspectedSince] = {}
+
+    def should_remove(
+        self, now: int, member: int, count: SuspicionCount, sees_most: Callable[[], bool]
+    ) -> bool:
+        """Return whether the rule is met now for a subject.
+
+        Args:
+            now: The time in microseconds.
+            member: The subject's id.
+            count: The present count against it.
+            sees_most: Tells whether this member sees most of the fleet; asked only if it matters.
+        """
+        before = self.since.get(member, SuspectedSince(0, 0))
+        if not count.is_enough():
             self.since.pop(member, None)
             return False
-        self.since[member] = silent, refused
-        if refused and now - refused >= HOLD_REFUSED:
+        enough_at = before.enough_at or now
+        refused_at = (before.refused_enough_at or now) if count.is_enough_refused() else 0
+        self.since[member] = SuspectedSince(enough_at, refused_at)
+        if refused_at and now - refused_at >= REFUSED_REMOVAL_DELAY_US:
             return True
-        return now - silent >= HOLD and sees_most()
+        return now - enough_at >= REMOVAL_DELAY_US and sees_most()
 
     def clear(self) -> None:
-        """After a pause of one's own: whatever stood may long have been answered."""
+        """Start over after a pause of this process: the subjects may have answered long ago."""
         self.since.clear()
 
-    def only(self, members: Iterable[int]) -> None:
-        for gone in self.since.keys() - set(members):
-            del self.since[gone]
+    def retain(self, members: Iterable[int]) -> None:
+        """Forget all subjects but these."""
+        for member in self.since.keys() - set(members):
+            del self.since[member]
--- a/gullyoke/membership/view_history.py
+++ b/gullyoke/membership/view_history.py
@@ -1,21 +1,31 @@
-"""The last changes of the view with their evidence, for whoever asks afterwards."""
+"""The most recent changes of the view with their evidence, for operators who ask afterwards."""
 
 from __future__ import annotations
 
 from collections import deque
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
-from gullyoke.membership.view import Change
+from gullyoke.membership.view import Change, ChangeKind
 
-MOST = 256
+MAX_EVENTS: Final = 256
 
 
 class ViewEvent(NamedTuple):
-    """One change as it was seen here. `by` is the name of who saw to it, where that is known."""
+    """One change of the view as this member saw it.
+
+    Attributes:
+        at_us: When it was seen, in microseconds of the caller's clock.
+        view_version: The view's version with the change.
+        kind: What happened.
+        name: The name of the member it happened to.
+        status: That member's status, in lower case.
+        by: The name of the member that decided it; `-` where there is none or it is not known.
+        evidence: What the decision rests on, for the operator to read.
+    """
 
     at_us: int
     view_version: int
-    kind: str
+    kind: ChangeKind
     name: str
     status: str
     by: str
@@ -23,26 +33,28 @@
 
 
 class ViewHistory:
-    """Table: the last MOST events; the oldest leaves."""
+    """The last `MAX_EVENTS` events, the oldest first."""
 
     def __init__(self) -> None:
-        self.events: deque[ViewEvent] = deque(maxlen=MOST)
+        self.events: deque[ViewEvent] = deque(maxlen=MAX_EVENTS)
 
     def add(self, now: int, change: Change, by: str) -> ViewEvent:
-        mark, record = change.update, change.record
-        evidence = (
-            f"{mark.accusing} of {mark.eligible} observers"
-            if mark and mark.eligible
-            else "own word"
-        )
+        """Append a change that is seen now, decided by the member of the name `by`."""
         event = ViewEvent(
             now,
             change.view_version,
             change.kind,
-            record.name,
-            record.status.name.lower(),
+            change.record.name,
+            change.record.status.name.lower(),
             by,
-            evidence,
+            _evidence(change),
         )
         self.events.append(event)
         return event
+
+
+def _evidence(change: Change) -> str:
+    update = change.update
+    if update is None or not update.eligible:
+        return "own word"
+    return f"{update.accusing} of {update.eligible} observers"
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from gullyoke.emulator.peers import SECOND, fleet
-from gullyoke.membership import local_health, member, monitor_edge, suspicion_tally
+from gullyoke.membership import local_health, monitor_edge, probing, suspicion_tally
 from gullyoke.membership.member_record import member_id
 
 HERE = pathlib.Path(__file__).parent
@@ -229,8 +229,12 @@
 
         nothing = mock.Mock(return_value=False)
         for name, guard, covering in (
-            ("pauses", without(suspicion_tally, HOLD=0), ()),
-            ("pair", without(suspicion_tally, SHARE=0.1, LEAST=1), (without(member, HELPERS=0),)),
+            ("pauses", without(suspicion_tally, REMOVAL_DELAY_US=0), ()),
+            (
+                "pair",
+                without(suspicion_tally, ACCUSING_SHARE=0.1, MIN_ACCUSERS=1),
+                (without(probing, HELPERS=0),),
+            ),
             (
                 "halves",
                 without(local_health.LocalHealth, sees_most=mock.Mock(return_value=True)),
@@ -245,11 +249,11 @@
                 (),
             ),
             ("deaf3", without(local_health.LocalHealth, unsure=nothing), ()),
-            ("half-deaf", without("gullyoke.membership.join_state", WELL=1.1), ()),
+            ("half-deaf", without("gullyoke.membership.join_state", MAX_FAILING_SHARE=1.1), ()),
             (
                 "loss",
-                without(monitor_edge, SILENT=100_000, TRIES=1),
-                (without(suspicion_tally, HOLD=0),),
+                without(monitor_edge, SILENT_AFTER_US=100_000, SILENT_AFTER_PROBES=1),
+                (without(suspicion_tally, REMOVAL_DELAY_US=0),),
             ),
         ):
             with self.subTest(name), contextlib.ExitStack() as stack:
@@ -280,7 +284,7 @@
                 net.pause("m0", SECOND)
                 net.cut = None
                 net.run(net.now + SECOND + 50_000)
-                return len(net.hosts["m0"].member.report.suspicions)
+                return len(net.hosts["m0"].member.removal.report.suspicions)
 
         self.assertEqual((accused(True), accused(False) > 0), (0, True))
 
@@ -295,7 +299,8 @@
                 if not refutes:
                     stack.enter_context(
                         mock.patch(
-                            "gullyoke.membership.join_state.JoinState.refutes", lambda *_: False
+                            "gullyoke.membership.join_state.JoinState.should_refute",
+                            lambda *_: False,
                         )
                     )
                 net = fleet(5, 1)
@@ -348,7 +353,7 @@
 
         def weighed(host):
             nonlocal worst
-            for send in host.member.outgoing:
+            for send in host.member.dissemination.outgoing:
                 worst = max(worst, HEAD + weight(send.message))
             plain(host)
 
@@ -362,9 +367,9 @@
         self.assertLess(worst, 1200)
         for host in net.up():
             one = host.member
-            self.assertLessEqual(len(one.relays), member.RELAYS)
-            self.assertLessEqual(len(one.askings), member.RELAYS)
-            self.assertLessEqual(one.gossip.bytes, 64 * 1024)
+            self.assertLessEqual(len(one.probing.relays), probing.MAX_RELAYS)
+            self.assertLessEqual(len(one.probing.targets), probing.MAX_RELAYS)
+            self.assertLessEqual(one.gossip.queued_bytes, 64 * 1024)
 
 
 if __name__ == "__main__":
