--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -33,7 +33,7 @@
     """Seconds from the end of one member in a hundred, one at the least, until all others have it
     removed.
     """
-    net = fleet(size, seed, joined=True, settle=3 * SECOND, make=MAKES[make])
+    net = fleet(size, seed, joined=True, settle_us=3 * SECOND, make_member=MAKES[make])
     gone = [f"m{i}" for i in range(3, 3 + max(1, size // 100))]
     began = net.now
     for name in gone:
@@ -41,8 +41,8 @@
     net.run(began + (7 if make == "ours" else 40) * SECOND)
     out = []
     for name in gone:
-        seen = {s.by: s.at - began for s in net.removed(name)}
-        others = [h.name for h in net.up()]
+        seen = {s.by: s.at_us - began for s in net.removals_of(name)}
+        others = [h.name for h in net.running()]
         out.append(
             max(seen[n] for n in others) / 1e6 if all(n in seen for n in others) else float("inf")
         )
@@ -51,19 +51,19 @@
 
 def wrongly(size: int, seed: int, loss: float, pauses: bool, span: int, make: str = "ours") -> int:
     """Members that were well, or paused for 3 s, and yet removed by anybody."""
-    net = fleet(size, seed, joined=True, settle=2 * SECOND, loss=loss, make=MAKES[make])
+    net = fleet(size, seed, joined=True, settle_us=2 * SECOND, loss=loss, make_member=MAKES[make])
     names, until = list(net.hosts), net.now + span
 
     def again() -> None:
-        for name in net.chance.sample(names, max(1, size // 10)):
+        for name in net.random.sample(names, max(1, size // 10)):
             net.pause(name, 3 * SECOND)
         if net.now + 9 * SECOND < until:
-            net.after(5 * SECOND, again)
+            net.schedule(5 * SECOND, again)
 
     if pauses:
         again()
     net.run(until)
-    return len({s.change.record.id for s in net.seen if s.change.kind == "removed"})
+    return len({s.change.record.id for s in net.changes if s.change.kind == "removed"})
 
 
 def flaps(size: int, seed: int, span: int, make: str = "ours") -> tuple[int, int]:
@@ -71,31 +71,35 @@
 
     Removals of the others, and of these beyond their first.
     """
-    net = fleet(size, seed, joined=True, settle=2 * SECOND, make=MAKES[make])
+    net = fleet(size, seed, joined=True, settle_us=2 * SECOND, make_member=MAKES[make])
     bad = {f"m{i}" for i in range(10)}
     net.cut = lambda now, a, b: 0.8 if b.name in bad else 0.0
     net.run(net.now + span)
-    well = {s.change.record.name for s in net.seen if s.change.kind == "removed"} - bad
-    counted = [sum(s.by == "m20" for s in net.removed(name)) for name in bad] if size > 20 else []
+    well = {s.change.record.name for s in net.changes if s.change.kind == "removed"} - bad
+    counted = (
+        [sum(s.by == "m20" for s in net.removals_of(name)) for name in bad] if size > 20 else []
+    )
     return len(well), sum(max(0, n - 1) for n in counted)
 
 
 def costs(size: int, seed: int) -> tuple[float, float]:
     """Messages and bytes a second that a member sends while nothing happens."""
-    net = fleet(size, seed, joined=True, settle=2 * SECOND, weighed=True)
+    net = fleet(size, seed, joined=True, settle_us=2 * SECOND, count_bytes=True)
     net.run(net.now + 4 * SECOND)
-    up = net.up()
-    return sum(h.sent for h in up) / len(up) / 4, sum(h.bytes for h in up) / len(up) / 4
+    up = net.running()
+    return sum(h.sent for h in up) / len(up) / 4, sum(h.sent_bytes for h in up) / len(up) / 4
 
 
 def heal(size: int, seed: int) -> float:
     """Seconds from the end of a cut in halves of 10 s until all views are one again."""
-    net = fleet(size, seed, joined=True, settle=2 * SECOND)
+    net = fleet(size, seed, joined=True, settle_us=2 * SECOND)
     left = set(list(net.hosts)[: size // 2])
     net.cut = lambda now, a, b: 1.0 if (a.name in left) != (b.name in left) else 0.0
     net.run(net.now + 10 * SECOND)
     net.cut, began = None, net.now
-    return (net.now - began) / 1e6 if net.run(began + 40 * SECOND, net.equal) else float("inf")
+    return (
+        (net.now - began) / 1e6 if net.run(began + 40 * SECOND, net.views_agree) else float("inf")
+    )
 
 
 def join(size: int, seed: int) -> float:
@@ -103,7 +107,7 @@
     net = Network(seed)
     for i in range(size):
         net.start(f"m{i}", ["m0", "m1", "m2"], f"z{i % 3}")
-    return net.now / 1e6 if net.run(60 * SECOND, net.equal, 250_000) else float("inf")
+    return net.now / 1e6 if net.run(60 * SECOND, net.views_agree, 250_000) else float("inf")
 
 
 def real() -> dict:
--- a/gullyoke/emulator/peers.py
+++ b/gullyoke/emulator/peers.py
@@ -1,7 +1,7 @@
-"""Members without sockets.
+"""A simulated network of members, without sockets.
 
-The decisions of gullyoke/membership in the model's clock, and a network between them that loses,
-delays, doubles and cuts. All figures from here are simulated.
+It runs the decisions of gullyoke/membership in simulated time, over a network that loses, delays
+and duplicates datagrams and that can be partitioned. All figures from here are simulated.
 """
 
 from __future__ import annotations
@@ -10,70 +10,123 @@
 import itertools
 import random
 from collections.abc import Callable, Iterable
-from typing import NamedTuple
-
-from gullyoke.membership import TICK, Change, Member, MemberRecord, Status, start_version
+from typing import Any, Final, NamedTuple
+
+from gullyoke.membership import (
+    TICK,
+    Change,
+    Member,
+    MemberRecord,
+    Status,
+    member_id,
+    start_version,
+)
 from gullyoke.membership.gossip_queue import wire_size
-from gullyoke.membership.member_record import member_id
 from gullyoke.membership.messages import Message
-from gullyoke.membership.view import View
+from gullyoke.membership.view import ChangeKind, View
+
+SECOND: Final = 1_000_000  # in the microseconds of simulated time
+DATAGRAM_OVERHEAD_BYTES: Final = 130  # of a datagram besides what it carries, about
+DIGEST_BYTES: Final = 6  # of one bucket's digest, about
+WALL_CLOCK_AT_START: Final = 1_800_000_000  # seconds
+INCARNATION_BITS: Final = 60
+SEED_COUNT: Final = 3  # of a simulated fleet's members
+LEFT_ANNOUNCEMENTS: Final = 2  # that a member sends before it ends
 
-SECOND = 1_000_000
-HEAD = 130  # bytes of a datagram beside its news, about
+LossBetween = Callable[[int, "Host", "Host"], float]
+"""The probability that a datagram between two hosts is lost now, besides the loss everywhere."""
 
 
-class Seen(NamedTuple):
-    """A change in the view of one member."""
+class ObservedChange(NamedTuple):
+    """A change in the view of one member.
 
-    at: int
+    Attributes:
+        at_us: When it happened, in simulated microseconds.
+        by: The key of the host in whose view it happened.
+        change: The change.
+    """
+
+    at_us: int
     by: str
     change: Change
 
 
 class Host:
-    """One process: its member, and whether it runs. `inbox` is what came while it was paused."""
+    """One process.
+
+    Attributes:
+        name: The member's name.
+        zone: The member's zone.
+        address: Where it receives datagrams.
+        member: A `Member`, or another detector with the same entry points.
+        up: Whether it runs.
+        refuses: Whether its machine reports that nobody listens while it does not run.
+        starts: How often it was started.
+        paused_until: Until when it stands still, in simulated microseconds.
+        inbox: What came while it stood still.
+        sent: Datagrams sent.
+        sent_bytes: Their bytes, where the network counts them.
+    """
 
     def __init__(self, name: str, zone: str, address: str) -> None:
-        self.name, self.zone, self.address = name, zone, address
-        self.member: Member | None = None
-        self.up, self.refuses, self.starts, self.paused = False, False, 0, 0
+        self.name = name
+        self.zone = zone
+        self.address = address
+        self.member: Any = None
+        self.up = False
+        self.refuses = False
+        self.starts = 0
+        self.paused_until = 0
         self.inbox: list[Message] = []
-        self.sent = self.bytes = 0
-
-
-# How likely a datagram from one host to another is lost now, beside the loss everywhere.
-Cut = Callable[[int, Host, Host], float]
+        self.sent = 0
+        self.sent_bytes = 0
 
 
 class Network:
-    """`loss`, `doubled`: shares of all datagrams; `delay`: from least to most, in microseconds.
-
-    `weighed` counts bytes, which takes time.
+    """Hosts, the network between them and the simulated clock.
+
+    Attributes:
+        random: The only source of randomness.
+        loss: The probability that a datagram is lost.
+        duplicated: The probability that one arrives twice.
+        cut: Further loss between pairs of hosts; None where there is none.
+        now: The simulated time in microseconds.
+        hosts: All hosts by their keys.
+        changes: All changes in the members' views, in the order in which they happened.
     """
 
     def __init__(
         self,
         seed: int,
         loss: float = 0.0,
-        delay: tuple[int, int] = (200, 2_000),
-        doubled: float = 0.0,
-        weighed: bool = False,
-        make: Callable[..., Member] = Member,
+        delay_us: tuple[int, int] = (200, 2_000),
+        duplicated: float = 0.0,
+        count_bytes: bool = False,
+        make_member: Callable[..., Any] = Member,
     ) -> None:
-        self.chance = random.Random(seed)
-        self.loss, self.delay, self.doubled, self.weighed, self.make = (
-            loss,
-            delay,
-            doubled,
-            weighed,
-            make,
-        )
-        self.now, self.count, self.cut = 0, itertools.count(), None
-        self.queue: list = []
+        """Make a network without hosts.
+
+        Args:
+            seed: The seed of all randomness; the same seed and calls give the same simulation.
+            loss: See the class.
+            delay_us: The shortest and the longest delay of a datagram, in microseconds.
+            duplicated: See the class.
+            count_bytes: Whether to count the bytes sent, which takes time.
+            make_member: Makes the member of a host; takes the arguments of `Member`.
+        """
+        self.random = random.Random(seed)
+        self.loss = loss
+        self.duplicated = duplicated
+        self.cut: LossBetween | None = None
+        self.now = 0
         self.hosts: dict[str, Host] = {}
-        self.at: dict[str, Host] = {}
-        self.seen: list[Seen] = []
-        self.clock = 1_800_000_000  # the wall's seconds when the model starts
+        self.changes: list[ObservedChange] = []
+        self._delay_us = delay_us
+        self._count_bytes = count_bytes
+        self._make_member = make_member
+        self._event_count = itertools.count()
+        self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._by_address: dict[str, Host] = {}
 
     # What happens to hosts.
 
@@ -82,176 +135,214 @@
         name: str,
         seeds: Iterable[str] = (),
         zone: str = "z",
-        kept: int = 0,
         behind: int = 0,
         address: str | None = None,
         host: str | None = None,
     ) -> Host:
-        """A process starts under a name, `behind` seconds on a clock that went back.
-
-        `host` tells two processes of one name apart.
+        """Start a process.
+
+        Args:
+            name: The member's name.
+            seeds: The addresses to join by.
+            zone: The member's zone, where the host is new.
+            behind: By how many seconds its clock has gone back.
+            address: The host's address, where the host is new and it is not the key.
+            host: The host's key, which tells two processes of one name apart; the name by default.
         """
         key = host or name
-        at = self.hosts.get(key) or Host(name, zone, address or key)
-        self.hosts[key] = self.at[at.address] = at
-        at.starts += 1
-        number = start_version(self.clock + self.now // SECOND - behind, kept)
-        row = MemberRecord(
-            name, number, Status.JOINING, at.address, zone, self.chance.getrandbits(60)
-        )
-        at.member = self.make(
-            self.now, row, tuple(seeds), random.Random(self.chance.getrandbits(60))
+        started = self.hosts.get(key) or Host(name, zone, address or key)
+        self.hosts[key] = started
+        self._by_address[started.address] = started
+        started.starts += 1
+        version = start_version(WALL_CLOCK_AT_START + self.now // SECOND - behind)
+        incarnation = self.random.getrandbits(INCARNATION_BITS)
+        record = MemberRecord(name, version, Status.JOINING, started.address, zone, incarnation)
+        member_random = random.Random(self.random.getrandbits(INCARNATION_BITS))
+        started.member = self._make_member(self.now, record, tuple(seeds), member_random)
+        started.up = True
+        started.paused_until = 0
+        started.inbox = []
+        started.member.listeners.append(
+            lambda change: self.changes.append(ObservedChange(self.now, key, change))
         )
-        at.up, at.paused, at.inbox = True, 0, []
-        if hasattr(at.member, "listeners"):
-            at.member.listeners.append(
-                lambda change, key=key: self.seen.append(Seen(self.now, key, change))
-            )
-        self.after(self.chance.randrange(TICK), self._tick, at, at.starts)
-        return at
-
-    def kill(self, name: str, refuses: bool = True) -> None:
-        """The process ends; `refuses`: its machine goes on and says that nobody is there."""
-        host = self.hosts[name]
-        host.up, host.refuses = False, refuses
-
-    def pause(self, name: str, span: int) -> None:
-        self.hosts[name].paused = self.now + span
-
-    def leave(self, name: str, span: int = 500_000) -> None:
-        """An orderly end: leaving, then left, then gone."""
-        host, starts = self.hosts[name], self.hosts[name].starts
+        self.schedule(self.random.randrange(TICK), self._tick, started, started.starts)
+        return started
+
+    def kill(self, key: str, refuses: bool = True) -> None:
+        """End a process; `refuses` is whether its machine goes on and reports that it is gone."""
+        host = self.hosts[key]
+        host.up = False
+        host.refuses = refuses
+
+    def pause(self, key: str, duration_us: int) -> None:
+        """Let a process stand still for so long."""
+        self.hosts[key].paused_until = self.now + duration_us
+
+    def leave(self, key: str, drain_us: int = 500_000) -> None:
+        """End a process in order: it leaves, and has left after so long."""
+        host = self.hosts[key]
+        starts = host.starts
         host.member.leave(self.now)
-        self._out(host)
+        self._send_outgoing(host)
 
-        def last() -> None:
+        def end() -> None:
             if host.up and host.starts == starts:
-                for _ in range(2):
+                for _ in range(LEFT_ANNOUNCEMENTS):
                     host.member.announce_left(self.now)
-                    self._out(host)
+                    self._send_outgoing(host)
                 self.kill(host.name)
 
-        self.after(span, last)
+        self.schedule(drain_us, end)
 
-    # The model's clock.
+    # The simulated clock.
 
-    def after(self, span: int, act: Callable, *given: object) -> None:
-        heapq.heappush(self.queue, (self.now + span, next(self.count), act, given))
+    def schedule(self, delay_us: int, action: Callable[..., None], *arguments: object) -> None:
+        """Call an action after so long."""
+        event = (self.now + delay_us, next(self._event_count), action, arguments)
+        heapq.heappush(self._events, event)
 
-    def run(self, until: int, done: Callable[[], bool] | None = None, every: int = 100_000) -> bool:
-        """Play until then, or until `done` is found true."""
-        queue, look = self.queue, self.now
-        while queue and queue[0][0] <= until:
-            self.now, _, act, given = heapq.heappop(queue)
-            act(*given)
-            if done is not None and self.now >= look:
-                look = self.now + every
+    def run(
+        self, until: int, done: Callable[[], bool] | None = None, check_every_us: int = 100_000
+    ) -> bool:
+        """Run until that time, or until `done` is found true.
+
+        Returns:
+            Whether `done` was true at last.
+        """
+        events = self._events
+        check_at = self.now
+        while events and events[0][0] <= until:
+            self.now, _, action, arguments = heapq.heappop(events)
+            action(*arguments)
+            if done is not None and self.now >= check_at:
+                check_at = self.now + check_every_us
                 if done():
                     return True
         self.now = until
         return done is not None and done()
 
+    # What is asked of the whole.
+
+    def running(self) -> list[Host]:
+        """Return the hosts that are up."""
+        return [host for host in self.hosts.values() if host.up]
+
+    def views_agree(self) -> bool:
+        """Return whether all running members have joined with one view, of exactly themselves."""
+        running = self.running()
+        return (
+            len({host.member.view.digest for host in running}) == 1
+            and all(host.member.join_state.has_joined() for host in running)
+            and len(running[0].member.view) == len({host.name for host in running})
+        )
+
+    def removals_of(self, name: str, since: int = 0) -> list[ObservedChange]:
+        """Return who saw a member removed since that time, and when."""
+        member = member_id(name)
+        return [
+            seen
+            for seen in self.changes
+            if seen.at_us >= since
+            and seen.change.kind is ChangeKind.REMOVED
+            and seen.change.record.id == member
+        ]
+
+    # Datagrams.
+
     def _tick(self, host: Host, starts: int) -> None:
         if not host.up or host.starts != starts:
             return
-        if host.paused > self.now:  # it stands still, and wakes with all that came meanwhile
-            self.after(host.paused - self.now, self._tick, host, starts)
+        if host.paused_until > self.now:  # it stands still, and wakes with all that came meanwhile
+            self.schedule(host.paused_until - self.now, self._tick, host, starts)
             return
-        inbox, host.inbox = host.inbox, []
+        inbox = host.inbox
+        host.inbox = []
         host.member.tick(self.now)
         for message in inbox:
             host.member.receive(self.now, message)
-        self._out(host)
-        self.after(TICK, self._tick, host, starts)
+        self._send_outgoing(host)
+        self.schedule(TICK, self._tick, host, starts)
 
-    def _out(self, host: Host) -> None:
+    def _send_outgoing(self, host: Host) -> None:
         for address, message, to in host.member.take_outgoing():
             host.sent += 1
-            if self.weighed:
-                host.bytes += HEAD + weight(message)
-            there = self.at.get(address)
-            if there is None or self._lost(host, there):
+            if self._count_bytes:
+                host.sent_bytes += datagram_bytes(message)
+            receiver = self._by_address.get(address)
+            if receiver is None or self._is_lost(host, receiver):
                 continue
-            copies = 2 if self.doubled and self.chance.random() < self.doubled else 1
-            for _ in range(copies):
-                self.after(self.chance.randint(*self.delay), self._come, host, there, message, to)
+            twice = self.duplicated and self.random.random() < self.duplicated
+            for _ in range(2 if twice else 1):
+                delay = self.random.randint(*self._delay_us)
+                self.schedule(delay, self._arrive, host, receiver, message, to)
 
-    def _lost(self, a: Host, b: Host) -> bool:
-        if self.loss and self.chance.random() < self.loss:
+    def _is_lost(self, sender: Host, receiver: Host) -> bool:
+        if self.loss and self.random.random() < self.loss:
             return True
-        share = self.cut(self.now, a, b) if self.cut is not None else 0.0
-        return share > 0 and self.chance.random() < share
-
-    def _come(self, a: Host, b: Host, message: Message, to: int) -> None:
-        if not b.up:
-            if b.refuses and to and not self._lost(b, a):
-                self.after(self.chance.randint(*self.delay), self._refused, a, to)
-        elif b.paused > self.now:
-            b.inbox.append(message)
+        loss = self.cut(self.now, sender, receiver) if self.cut is not None else 0.0
+        return loss > 0 and self.random.random() < loss
+
+    def _arrive(self, sender: Host, receiver: Host, message: Message, to: int) -> None:
+        if not receiver.up:
+            if receiver.refuses and to and not self._is_lost(receiver, sender):
+                delay = self.random.randint(*self._delay_us)
+                self.schedule(delay, self._refusal_arrives, sender, to)
+        elif receiver.paused_until > self.now:
+            receiver.inbox.append(message)
         else:
-            b.member.receive(self.now, message)
-            self._out(b)
+            receiver.member.receive(self.now, message)
+            self._send_outgoing(receiver)
 
-    def _refused(self, host: Host, member: int) -> None:
-        if host.up and host.paused <= self.now:
+    def _refusal_arrives(self, host: Host, member: int) -> None:
+        if host.up and host.paused_until <= self.now:
             host.member.connection_refused(self.now, member)
 
-    # What is asked of the whole.
-
-    def up(self) -> list[Host]:
-        return [h for h in self.hosts.values() if h.up]
 
-    def equal(self) -> bool:
-        """Whether all who are up hold one view, of all of them and nobody else."""
-        up = self.up()
-        return (
-            len({h.member.view.digest for h in up}) == 1
-            and all(h.member.join_state.has_joined() for h in up)
-            and len(up[0].member.view) == len({h.name for h in up})
-        )
-
-    def removed(self, name: str, since: int = 0) -> list[Seen]:
-        """Who saw a member removed, and when."""
-        member = member_id(name)
-        return [
-            s
-            for s in self.seen
-            if s.at >= since and s.change.kind == "removed" and s.change.record.id == member
-        ]
-
-
-def weight(message: Message) -> int:
-    """Bytes of what a message carries, about."""
+def datagram_bytes(message: Message) -> int:
+    """Return the bytes of a message's datagram, about."""
     carried = getattr(message, "updates", ()) or getattr(message, "records", ())
-    return sum(map(wire_size, carried)) + 6 * len(getattr(message, "buckets", ()))
+    digests = getattr(message, "buckets", ())
+    return DATAGRAM_OVERHEAD_BYTES + sum(map(wire_size, carried)) + DIGEST_BYTES * len(digests)
 
 
 def fleet(
-    size: int, seed: int, zones: int = 3, settle: int = 6 * SECOND, joined: bool = False, **network
+    size: int,
+    seed: int,
+    zones: int = 3,
+    settle_us: int = 6 * SECOND,
+    joined: bool = False,
+    **network: Any,
 ) -> Network:
-    """A fleet that has come together.
-
-    `joined`: its members are started knowing each other, which saves the time that joining takes in
-    the model.
+    """Return a network with a fleet that has come together.
+
+    Args:
+        size: The number of members, named `m0` and so on.
+        seed: The seed of all randomness.
+        zones: The number of zones, which take turns.
+        settle_us: For how long the fleet runs before it is returned, in simulated microseconds.
+        joined: Whether the members know each other from the start, which saves the time that it
+            takes to simulate how they join.
+        **network: Further arguments of `Network`.
     """
     net = Network(seed, **network)
-    seeds = [f"m{i}" for i in range(min(3, size))]
+    seeds = [f"m{i}" for i in range(min(SEED_COUNT, size))]
     hosts = [net.start(f"m{i}", seeds, f"z{i % zones}") for i in range(size)]
     if joined:
         acquaint(net, hosts)
     else:
-        net.run(30 * SECOND, net.equal)
-        settle += net.now
-    net.run(settle)
-    net.seen.clear()
+        net.run(30 * SECOND, net.views_agree)
+        settle_us += net.now
+    net.run(settle_us)
+    net.changes.clear()
     for host in hosts:
-        host.sent = host.bytes = 0
+        host.sent = 0
+        host.sent_bytes = 0
     return net
 
 
 def acquaint(net: Network, hosts: list[Host]) -> None:
-    """All of them are in, and know all."""
-    if not isinstance(hosts[0].member, Member):  # a detector to weigh ours against
+    """Let all hosts' members have joined with a view of all of them."""
+    if not isinstance(hosts[0].member, Member):  # a detector to compare with
         for host in hosts:
             host.member.acquaint([other.member.record for other in hosts], net.now)
         return
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -21,7 +21,7 @@
     found = []
     for part in text.split(","):
         if part == "all":
-            found += [h.name for h in net.up()]
+            found += [h.name for h in net.running()]
         elif part.startswith("z"):
             found += [h.name for h in net.hosts.values() if h.zone == part]
         elif span := re.fullmatch(r"m(\d+)\.\.m(\d+)", part):
@@ -43,16 +43,16 @@
 
     def at_fleet(self, size, *given):
         told = dict(x.split("=", 1) for x in given)
-        known = {"loss": float, "doubled": float}
-        network = {key: make(told[key]) for key, make in known.items() if key in told}
+        known = {"loss": "loss", "doubled": "duplicated"}
+        network = {name: float(told[key]) for key, name in known.items() if key in told}
         if "delay" in told:
-            network["delay"] = tuple(int(x) * 1000 for x in told["delay"].split(".."))
+            network["delay_us"] = tuple(int(x) * 1000 for x in told["delay"].split(".."))
         self.net = fleet(
             int(size), self.seed, int(told.get("zones", 3)), joined="joined" in told, **network
         )
         self.net.cut = self.lost
         if "joined" not in told:
-            assert self.net.equal(), "the fleet never came together"
+            assert self.net.views_agree(), "the fleet never came together"
 
     def lost(self, now, a, b):
         return max(
@@ -117,7 +117,7 @@
         """
         asks = {
             "gone": self.gone,
-            "equal": self.net.equal,
+            "equal": self.net.views_agree,
             "stage": self.stage,
             "sees": self.sees,
             "holds": self.holds,
@@ -132,7 +132,7 @@
         gone = {member_id(name) for name in names(self.net, who)}
         return not any(
             gone & h.member.view.records.keys()
-            for h in self.net.up()
+            for h in self.net.running()
             if member_id(h.name) not in gone
         )
 
@@ -156,20 +156,20 @@
         return all(
             h.member.view.records.get(member_id(who)) is not None
             and h.member.view.records[member_id(who)].incarnation == life
-            for h in self.net.up()
+            for h in self.net.running()
             if h.name != who
         )
 
     def at_removed(self, *who):
         """Exactly these were ever removed by anybody; `removed none`."""
-        found = {s.change.record.name for s in self.net.seen if s.change.kind == "removed"}
+        found = {s.change.record.name for s in self.net.changes if s.change.kind == "removed"}
         wanted = set() if who == ("none",) else {name for x in who for name in names(self.net, x)}
         assert found == wanted, f"removed {sorted(found)}"
 
     def at_once(self, who):
         """Nobody's view removed any of these more than once."""
         for name in names(self.net, who):
-            by = [s.by for s in self.net.removed(name)]
+            by = [s.by for s in self.net.removals_of(name)]
             assert len(by) == len(set(by)), f"{name} removed more than once"
 
     def at_size(self, by, members, *usable):
@@ -179,7 +179,7 @@
 
     def at_sent(self, most):
         """Messages a second that a member sent since the fleet came together, the mean."""
-        up = self.net.up()
+        up = self.net.running()
         rate = sum(h.sent for h in up) / len(up) / (self.net.now / 1e6)
         assert rate <= float(most), f"{rate:.1f} messages a second"
 
@@ -187,7 +187,7 @@
         """A member's number is above all that was ever known under its name."""
         for name in names(self.net, who):
             most = max(
-                s.change.record.version for s in self.net.seen if s.change.record.name == name
+                s.change.record.version for s in self.net.changes if s.change.record.name == name
             )
             assert self.net.hosts[name].member.record.version >= most
 
@@ -308,7 +308,7 @@
                 before = accused.record.version
                 net.pause("m1", 2 * SECOND)
                 net.run(net.now + 6 * SECOND)
-                return accused.record.version - before, len(net.removed("m1"))
+                return accused.record.version - before, len(net.removals_of("m1"))
 
         refuted, removed = told(True)
         self.assertEqual((refuted >= 1, removed), (True, 0))
@@ -335,7 +335,7 @@
             net.pause("m3", 2 * SECOND)
             net.kill("m5")
             net.run(net.now + 8 * SECOND)
-            return [(s.at, s.by, s.change.kind, s.change.record.digest) for s in net.seen], [
+            return [(s.at_us, s.by, s.change.kind, s.change.record.digest) for s in net.changes], [
                 h.sent for h in net.hosts.values()
             ]
 
@@ -345,27 +345,27 @@
         """Every datagram that a member sends in a fleet of 60 fits, joining, a third lost,
         healing.
         """
-        from gullyoke.emulator.peers import HEAD, weight
+        from gullyoke.emulator.peers import datagram_bytes
 
         net = fleet(60, 2, joined=True)
         worst = 0
-        plain = net._out
+        plain = net._send_outgoing
 
         def weighed(host):
             nonlocal worst
             for send in host.member.dissemination.outgoing:
-                worst = max(worst, HEAD + weight(send.message))
+                worst = max(worst, datagram_bytes(send.message))
             plain(host)
 
-        net._out = weighed
+        net._send_outgoing = weighed
         left = {f"m{i}" for i in range(20)}
         net.cut = lambda now, a, b: 1.0 if (a.name in left) != (b.name in left) else 0.0
         net.run(net.now + 12 * SECOND)
         net.cut = None
-        net.run(net.now + 20 * SECOND, net.equal)
-        self.assertTrue(net.equal())
+        net.run(net.now + 20 * SECOND, net.views_agree)
+        self.assertTrue(net.views_agree())
         self.assertLess(worst, 1200)
-        for host in net.up():
+        for host in net.running():
             one = host.member
             self.assertLessEqual(len(one.probing.relays), probing.MAX_RELAYS)
             self.assertLessEqual(len(one.probing.targets), probing.MAX_RELAYS)
--- a/tests/membership/test_properties.py
+++ b/tests/membership/test_properties.py
@@ -91,7 +91,7 @@
     @rule(size=st.integers(3, 6), seed=st.integers(0, 50))
     def begin(self, size, seed):
         if self.net is None:
-            self.net = fleet(size, seed, joined=True, settle=SECOND)
+            self.net = fleet(size, seed, joined=True, settle_us=SECOND)
             self.net.cut = lambda now, a, b: 1.0 if (a.name, b.name) in self.cuts else 0.0
 
     def named(self, number):
@@ -113,12 +113,12 @@
     def heal(self):
         self.cuts.clear()
         if self.net:
-            self.net.loss = self.net.doubled = 0.0
+            self.net.loss = self.net.duplicated = 0.0
 
-    @rule(loss=st.sampled_from((0.1, 0.3, 0.6)), doubled=st.sampled_from((0.0, 0.3)))
-    def lose(self, loss, doubled):
+    @rule(loss=st.sampled_from((0.1, 0.3, 0.6)), duplicated=st.sampled_from((0.0, 0.3)))
+    def lose(self, loss, duplicated):
         if self.net:
-            self.net.loss, self.net.doubled = loss, doubled
+            self.net.loss, self.net.duplicated = loss, duplicated
 
     @rule(one=MEMBER, span=st.integers(1, 50))
     def pause(self, one, span):
@@ -127,7 +127,7 @@
 
     @rule(one=MEMBER, refuses=st.booleans())
     def end(self, one, refuses):
-        if self.net and len(self.net.up()) > 2:
+        if self.net and len(self.net.running()) > 2:
             self.net.kill(self.named(one), refuses)
 
     @rule(one=MEMBER, behind=st.sampled_from((0, 5, 3600)))
@@ -138,7 +138,7 @@
     @invariant()
     def numbers_never_go_back(self):
         """What a view knows of a member is never taken back by what is older."""
-        for host in self.net.up() if self.net else ():
+        for host in self.net.running() if self.net else ():
             view, seen = host.member.view, self.numbers.setdefault((host.name, host.starts), {})
             if len(view) == 1:
                 seen.clear()  # its own view was void after a removal
@@ -153,9 +153,9 @@
         for host in list(self.net.hosts.values()):
             if not host.up:
                 self.net.start(host.name, ["m0", "m1", "m2"])
-        healed = self.net.run(self.net.now + self.HEALED, self.net.equal)
+        healed = self.net.run(self.net.now + self.HEALED, self.net.views_agree)
         assert healed, {
-            h.name: (h.member.join_state.stage, len(h.member.view)) for h in self.net.up()
+            h.name: (h.member.join_state.stage, len(h.member.view)) for h in self.net.running()
         }
 
 
@@ -190,7 +190,7 @@
             "pause",
         )
         for steps in itertools.product(range(len(faults)), repeat=4):
-            net = fleet(3, 1, joined=True, settle=SECOND)
+            net = fleet(3, 1, joined=True, settle_us=SECOND)
             for step in steps:
                 fault = faults[step]
                 net.cut = fault if callable(fault) else None
@@ -198,9 +198,9 @@
                     net.pause("m0", 1_500_000)
                 net.run(net.now + 1_600_000)
             net.cut = None
-            self.assertTrue(net.run(net.now + 12 * SECOND, net.equal), steps)
+            self.assertTrue(net.run(net.now + 12 * SECOND, net.views_agree), steps)
             for name in net.hosts:
-                by = [s.by for s in net.removed(name)]
+                by = [s.by for s in net.removals_of(name)]
                 self.assertEqual(len(by), len(set(by)), (steps, name))
 
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
