--- a/gullyoke/membership/join_state.py
+++ b/gullyoke/membership/join_state.py
@@ -39,7 +39,7 @@
 
 
 class NameChallenge(NamedTuple):
-    """Another process that is said to have this member's name, and since when it is probed."""
+    """Another process that may have this member's name, and since when it is probed."""
 
     holder: MemberRecord
     since_us: int
@@ -107,12 +107,12 @@
         ]
         return self.random.sample(addresses, min(SEEDS_PER_CONTACT, len(addresses)))
 
-    def contacted_by(self, address: str) -> bool:
-        """Remember the address of another member; return whether it is new."""
-        if address in self.recent_addresses:
-            return False
+    def contacted_by(self, now: int, address: str) -> None:
+        """Contact another member soon that this one, being alone, did not know."""
+        if self.stage is not JoinStage.ALONE or address in self.recent_addresses:
+            return
         self.recent_addresses = [*self.recent_addresses[-MAX_RECENT_ADDRESSES:], address]
-        return True
+        self.next_contact_at = min(self.next_contact_at, now)
 
     def seed_answered(self, now: int, known: MemberRecord | None) -> MemberRecord | None:
         """Begin to read the fleet's view, as a member has answered.
--- a/gullyoke/membership/joining.py
+++ b/gullyoke/membership/joining.py
@@ -74,8 +74,7 @@
             return
         if sender.status is Status.ALIVE:  # of a fleet that formed apart
             self._updates.learn_sender(now, sender)
-        if join_state.stage is JoinStage.ALONE and join_state.contacted_by(sender.address):
-            join_state.next_contact_at = min(join_state.next_contact_at, now)
+        join_state.contacted_by(now, sender.address)
         known = state.view.known(sender.id)
         records = [
             *([known] if known is not None else []),
--- a/gullyoke/membership/member.py
+++ b/gullyoke/membership/member.py
@@ -267,7 +267,6 @@
         """Take in what a message says of the fleet, as far as this member's stage allows."""
         state = self._state
         sender = message.sender
-        stage = state.join_state.stage
         if from_member and state.join_state.is_inside():
             same_view = message.digest == state.view.digest
             state.local_health.peer_reported(now, sender.id, message.lost, same_view)
@@ -277,10 +276,10 @@
                 self.on_signal(now, sender.id, tick, signal)
             for update in message.updates:
                 self._updates.learn(now, update)
-        elif stage is JoinStage.OUT:
+        elif state.join_state.stage is JoinStage.OUT:
             state.local_health.peer_reported(now, sender.id, message.lost, same_view=False)
-        elif stage is JoinStage.ALONE and state.join_state.contacted_by(sender.address):
-            state.join_state.next_contact_at = now
+        else:
+            state.join_state.contacted_by(now, sender.address)
 
     def _answer(self, now: int, message: UpdateCarrier) -> None:
         if isinstance(message, Ping):
--- a/gullyoke/membership/probing.py
+++ b/gullyoke/membership/probing.py
@@ -52,7 +52,7 @@
     def process_resumed(self, now: int) -> None:
         """Probe all subjects at once after a pause of this process.
 
-        What went unanswered during the pause is not held against them.
+        What went unanswered during the pause does not count.
         """
         for edge in self._state.edges.values():
             edge.reset(now)
@@ -98,7 +98,7 @@
         self._dissemination.send_ping(request.target, seq)
 
     def answer(self, to: MemberRecord, seq: int, subject: int) -> None:
-        """Answer a probe; a member that counts as departed is told so first."""
+        """Answer a probe; a member that counts as departed learns that first."""
         departed = self._state.view.departed.get(to.id)
         first: tuple[StatusUpdate, ...] = ()
         if departed is not None and departed.record.rank() >= to.rank():
--- a/gullyoke/membership/suspicion_tally.py
+++ b/gullyoke/membership/suspicion_tally.py
@@ -75,7 +75,8 @@
         for suspicion in report.suspicions:
             accusers = self.against.setdefault(suspicion.id, {})
             accusers[report.observer] = suspicion
-            self.multiply_suspected += len(accusers) == 2
+            if len(accusers) == 2:
+                self.multiply_suspected += 1
         return True
 
     def drop_member(self, member: int) -> None:
@@ -84,7 +85,8 @@
         if report is not None:
             self._withdraw(member, report.suspicions)
         accusers = self.against.pop(member, None)
-        self.multiply_suspected -= accusers is not None and len(accusers) >= 2
+        if accusers is not None and len(accusers) >= 2:
+            self.multiply_suspected -= 1
 
     def accusers(self, member: int, version: int) -> dict[int, SuspicionKind]:
         """Return which eligible observers suspect a member under a version, and why.
@@ -131,8 +133,9 @@
             accusers = self.against.get(suspicion.id)
             if accusers is None or accusers.pop(observer, None) is None:
                 continue
-            self.multiply_suspected -= len(accusers) == 1
-            if not accusers:
+            if len(accusers) == 1:
+                self.multiply_suspected -= 1
+            elif not accusers:
                 del self.against[suspicion.id]
 
 
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -1,6 +1,6 @@
-"""Plays the scenarios of membership in the emulator's clock.
+"""The scenarios of membership in simulated time.
 
-Each guard shown to matter by taking it out.
+Each safeguard is shown to matter by a scenario that fails without it.
 """
 
 import contextlib
@@ -35,23 +35,25 @@
     """One scenario under one seed; tests/README.md has the notation."""
 
     def __init__(self, seed):
-        self.seed, self.net, self.cuts, self.may = seed, None, [], set()
+        self.seed = seed
+        self.net = None
+        self.cuts = []
 
     def line(self, words):
         verb, rest = words[0], words[1:]
         getattr(self, f"at_{verb}")(*rest)
 
     def at_fleet(self, size, *given):
-        told = dict(x.split("=", 1) for x in given)
-        known = {"loss": "loss", "doubled": "duplicated"}
-        network = {name: float(told[key]) for key, name in known.items() if key in told}
-        if "delay" in told:
-            network["delay_us"] = tuple(int(x) * 1000 for x in told["delay"].split(".."))
-        self.net = fleet(
-            int(size), self.seed, int(told.get("zones", 3)), joined="joined" in told, **network
-        )
+        options = dict(option.split("=", 1) for option in given)
+        parameters = {"loss": "loss", "doubled": "duplicated"}
+        network = {name: float(options[key]) for key, name in parameters.items() if key in options}
+        if "delay" in options:
+            network["delay_us"] = tuple(int(ms) * 1000 for ms in options["delay"].split(".."))
+        joined = "joined" in options
+        zones = int(options.get("zones", 3))
+        self.net = fleet(int(size), self.seed, zones, joined=joined, **network)
         self.net.cut = self.lost
-        if "joined" not in told:
+        if not joined:
             assert self.net.views_agree(), "the fleet never came together"
 
     def lost(self, now, a, b):
@@ -77,7 +79,7 @@
             self.net.kill(name)
 
     def at_drop(self, who):
-        """The machine is gone: nobody says that nobody is there."""
+        """The machine fails too: nothing reports that nobody listens."""
         for name in names(self.net, who):
             self.net.kill(name, refuses=False)
 
@@ -94,14 +96,14 @@
 
         `seeds=`, `behind=` seconds of a clock that went back, `as=` a name.
         """
-        told = dict(x.split("=", 1) for x in given)
-        seeds = told.get("seeds", "m0,m1,m2").split(",")
+        options = dict(option.split("=", 1) for option in given)
+        seeds = options.get("seeds", "m0,m1,m2").split(",")
         for name in names(self.net, who):
             self.net.start(
-                told.get("as", name),
+                options.get("as", name),
                 seeds,
-                told.get("zone", "z0"),
-                behind=int(told.get("behind", 0)),
+                options.get("zone", "z0"),
+                behind=int(options.get("behind", 0)),
                 address=name,
                 host=name,
             )
@@ -116,24 +118,22 @@
         unreachable`.
         """
         asks = {
-            "gone": self.gone,
+            "gone": self.departed,
             "equal": self.net.views_agree,
             "stage": self.stage,
             "sees": self.sees,
             "holds": self.holds,
         }
-        if verb == "gone":
-            self.may |= set(names(self.net, rest[0]))
         began = self.net.now
         ok = self.net.run(began + int(float(span) * SECOND), lambda: asks[verb](*rest))
         assert ok, f"not within {span} s: {verb} {' '.join(rest)}"
 
-    def gone(self, who):
-        gone = {member_id(name) for name in names(self.net, who)}
+    def departed(self, who):
+        departed = {member_id(name) for name in names(self.net, who)}
         return not any(
-            gone & h.member.view.records.keys()
-            for h in self.net.running()
-            if member_id(h.name) not in gone
+            departed & host.member.view.records.keys()
+            for host in self.net.running()
+            if member_id(host.name) not in departed
         )
 
     def stage(self, who, wanted):
@@ -148,14 +148,14 @@
             one.state(self.net.now, one.view.records[member_id(name)]) == state
             for name in names(self.net, who)
         ]
-        return sum(found) >= 0.75 * len(found)  # of some it has not been told
+        return sum(found) >= 0.75 * len(found)  # it does not know of all of them yet
 
     def holds(self, by, who):
-        """Whether this process is the one that all others hold under a name."""
-        life = self.net.hosts[by].member.record.incarnation
+        """Whether this process is the one that all others have in their views under a name."""
+        incarnation = self.net.hosts[by].member.record.incarnation
         return all(
             h.member.view.records.get(member_id(who)) is not None
-            and h.member.view.records[member_id(who)].incarnation == life
+            and h.member.view.records[member_id(who)].incarnation == incarnation
             for h in self.net.running()
             if h.name != who
         )
@@ -173,7 +173,7 @@
             assert len(by) == len(set(by)), f"{name} removed more than once"
 
     def at_size(self, by, members, *usable):
-        """What the fleet's size in force is there, with 100 as it was told at the start."""
+        """What the fleet's size in force is there, where 100 is configured."""
         got = self.net.hosts[by].member.size(self.net.now)
         assert got.in_force(100) == int(members), f"{got}"
 
@@ -184,7 +184,7 @@
         assert rate <= float(most), f"{rate:.1f} messages a second"
 
     def at_numbers(self, who):
-        """A member's number is above all that was ever known under its name."""
+        """A member's version is not below any that was ever known under its name."""
         for name in names(self.net, who):
             most = max(
                 s.change.record.version for s in self.net.changes if s.change.record.name == name
@@ -266,10 +266,10 @@
                         play(HERE / f"{name}.txt", seed)
 
     def test_own_pause(self):
-        """A member that wakes asks before it accuses.
+        """A member that resumes after a pause probes before it accuses.
 
-        What went unanswered while it stood still says nothing. Here it was in doubt already,
-        through loss that ended while it stood still.
+        What went unanswered during the pause does not count. Here an answer was overdue before it,
+        through loss that ended during the pause.
         """
 
         def accused(guard):
@@ -289,12 +289,12 @@
         self.assertEqual((accused(True), accused(False) > 0), (0, True))
 
     def test_refutation(self):
-        """An accusation that outlives its cause is contradicted by the accused.
+        """A suspicion that outlives its cause is refuted by the suspect.
 
-        Without that, those who hear no withdrawal would go on counting it.
+        Without that, members that do not receive the later report would go on counting it.
         """
 
-        def told(refutes):
+        def play_with(refutes):
             with contextlib.ExitStack() as stack:
                 if not refutes:
                     stack.enter_context(
@@ -310,14 +310,14 @@
                 net.run(net.now + 6 * SECOND)
                 return accused.record.version - before, len(net.removals_of("m1"))
 
-        refuted, removed = told(True)
+        refuted, removed = play_with(True)
         self.assertEqual((refuted >= 1, removed), (True, 0))
-        self.assertEqual(told(False)[0], 0)
+        self.assertEqual(play_with(False)[0], 0)
 
     def test_no_seed_listens(self):
-        """One whose seeds are all strange goes on alone, and says so.
+        """A member whose seeds do not exist stays alone, and its stage shows it.
 
-        Nothing is sent without bound.
+        It sends a bounded number of messages.
         """
         net = fleet(1, 3)
         net.start("lone", ["nowhere1", "nowhere2", "nowhere3"])
@@ -328,7 +328,7 @@
         self.assertEqual(lone.member.size(net.now).in_force(12), 12)
 
     def test_same_events_same_actions(self):
-        """Two plays under one seed are the same to the message."""
+        """Two simulations with one seed send the same messages."""
 
         def once():
             net = fleet(9, 5, loss=0.2)
--- a/tests/membership/test_properties.py
+++ b/tests/membership/test_properties.py
@@ -238,7 +238,7 @@
     @settings(max_examples=300, deadline=None, derandomize=True, database=None)
     @given(st.binary(max_size=200))
     def test_any_bytes(self, data):
-        """Bytes are a message or `Malformed`, nothing else."""
+        """Any bytes give a message or a `MalformedDatagramError`, nothing else."""
         with contextlib.suppress(MalformedDatagramError):
             codec.unpack(data)
 
