--- a/gullyoke/emulator/peers.py
+++ b/gullyoke/emulator/peers.py
@@ -13,7 +13,7 @@
 from typing import Any, Final, NamedTuple
 
 from gullyoke.membership import (
-    TICK,
+    TICK_US,
     Change,
     Member,
     MemberRecord,
@@ -165,7 +165,7 @@
         started.member.listeners.append(
             lambda change: self.changes.append(ObservedChange(self.now, key, change))
         )
-        self.schedule(self.random.randrange(TICK), self._tick, started, started.starts)
+        self.schedule(self.random.randrange(TICK_US), self._tick, started, started.starts)
         return started
 
     def kill(self, key: str, refuses: bool = True) -> None:
@@ -261,7 +261,7 @@
         for message in inbox:
             host.member.receive(self.now, message)
         self._send_outgoing(host)
-        self.schedule(TICK, self._tick, host, starts)
+        self.schedule(TICK_US, self._tick, host, starts)
 
     def _send_outgoing(self, host: Host) -> None:
         for address, message, to in host.member.take_outgoing():
--- a/gullyoke/membership/__init__.py
+++ b/gullyoke/membership/__init__.py
@@ -6,8 +6,8 @@
 docs/members-design.md says what was chosen and why; gullyoke/peer_transport puts it on sockets.
 """
 
-from gullyoke.membership.member import TICK, Member
+from gullyoke.membership.member import TICK_US, Member
 from gullyoke.membership.member_record import MemberRecord, Status, member_id, start_version
 from gullyoke.membership.view import Change
 
-__all__ = ["TICK", "Change", "Member", "MemberRecord", "Status", "member_id", "start_version"]
+__all__ = ["TICK_US", "Change", "Member", "MemberRecord", "Status", "member_id", "start_version"]
--- a/gullyoke/membership/gossip_queue.py
+++ b/gullyoke/membership/gossip_queue.py
@@ -103,7 +103,7 @@
             if carried >= rounds:
                 self.discard(key)
             else:
-                self.items[key] = queued._replace(carried=carried)
+                self.items[key] = QueuedUpdate(queued.update, queued.size_bytes, carried)
                 self.items.move_to_end(key)
         return tuple(queued.update for _, queued in batch)
 
--- a/gullyoke/membership/member.py
+++ b/gullyoke/membership/member.py
@@ -40,7 +40,7 @@
 from gullyoke.membership.view import Change, View
 from gullyoke.membership.view_history import ViewHistory
 
-TICK: Final = 100_000  # microseconds between two ticks
+TICK_US: Final = 100_000  # microseconds between two ticks
 OBSERVERS_PER_MEMBER: Final = 8
 
 SignalListener = Callable[[int, int, int, int], None]
@@ -49,7 +49,7 @@
 class Member:
     """A member of the fleet, from its start to its end.
 
-    `tick` is called every `TICK` microseconds, `receive` for each authenticated message,
+    `tick` is called every `TICK_US` microseconds, `receive` for each authenticated message,
     `connection_refused` where a host reports that nobody listens, and `leave` and `announce_left`
     at the two ends of a drain.
 
--- a/gullyoke/membership/probing.py
+++ b/gullyoke/membership/probing.py
@@ -79,8 +79,10 @@
         """Probe the subjects whose time has come, those in doubt by way of helpers too."""
         for edge in self._state.edges.values():
             overdue = edge.check_overdue(now)
+            if not edge.should_probe(now):
+                continue
             target = self._state.view.records.get(edge.id)
-            if not edge.should_probe(now) or target is None:
+            if target is None:
                 continue
             seq = self._next_seq(edge.id)
             edge.probe_sent(now, seq)
--- a/gullyoke/peer_transport/link.py
+++ b/gullyoke/peer_transport/link.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING, Any, Final, NamedTuple, Protocol
 
-from gullyoke.membership import TICK, Member, MemberRecord
+from gullyoke.membership import TICK_US, Member, MemberRecord
 from gullyoke.membership.messages import OutgoingMessage, TopicMessage
 from gullyoke.peer_transport import codec
 from gullyoke.peer_transport.field_readers import MalformedDatagramError
@@ -151,7 +151,7 @@
         """Tick if that is due, and receive until the next tick is."""
         now = clock.now()
         if now >= self._next_tick_us:
-            self._next_tick_us = now + TICK
+            self._next_tick_us = now + TICK_US
             self.act(lambda: self._tick(now))
         wait_s = (self._next_tick_us - clock.now()) / 1e6
         self.sock.settimeout(max(SHORTEST_WAIT_S, wait_s))
