--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -130,12 +130,12 @@
     )
     began = time.perf_counter()
     for now in range(n):
-        mean.free(now, 0)
-        mean.until(now)
-        mean.began()
-        mean.ended(now, False, True)
-        judged.stay(50_000)
-        judged.full(False)
+        mean.has_free_slot(now, 0)
+        mean.secured_until(now)
+        mean.call_started()
+        mean.call_ended(now, False, True)
+        judged.retry_after(50_000)
+        judged.is_overloaded(False)
     return (time.perf_counter() - began) / n * 1e6
 
 
--- a/gullyoke/admission/client_feedback.py
+++ b/gullyoke/admission/client_feedback.py
@@ -60,9 +60,9 @@
             retry_after = longest
         else:
             own_advice = SHORTEST_RETRY_AFTER_US + int(backlog) // BACKLOG_PER_RETRY_AFTER
-            retry_after = min(longest, self.fleet.stay(own_advice))
+            retry_after = min(longest, self.fleet.retry_after(own_advice))
         is_overloaded = self.rejected_share > OVERLOADED_REJECTED_SHARE
-        return Reject(retry_after, hopeless or self.fleet.full(is_overloaded))
+        return Reject(retry_after, hopeless or self.fleet.is_overloaded(is_overloaded))
 
     def count_decision(self, rejected: bool) -> None:
         """Count one decision on a request; the share rejected shows whether rejections persist."""
--- a/gullyoke/admission/dependency_limiter.py
+++ b/gullyoke/admission/dependency_limiter.py
@@ -95,7 +95,7 @@
         A few times the recent call time, or a part of what is left of the quota if that is more;
         never past the request's deadline or the end of the slot.
         """
-        longest: float = min(request.deadline, self.slots.until(now) - self.linger) - now
+        longest: float = min(request.deadline, self.slots.secured_until(now) - self.linger) - now
         if self.quota is not None:
             longest = min(
                 longest,
@@ -112,7 +112,7 @@
         """Return whether one more call stays within the quota, however long it takes."""
         if now < self.paused_until or self.in_flight >= self.concurrency_limit:
             return False
-        if not self.slots.free(now, len(self.waiting)):
+        if not self.slots.has_free_slot(now, len(self.waiting)):
             return False
         return self.call_timeout(request, now) + self.linger <= self.remaining_call_time(now)
 
@@ -120,7 +120,7 @@
         """Count a call that is made now."""
         self.reserved_call_time += timeout + self.linger
         self.in_flight += 1
-        self.slots.began()
+        self.slots.call_started()
         self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
 
     def adjust(self, now: int) -> None:
@@ -129,7 +129,7 @@
         Fewer calls at once are made while they take far longer than usual: a crowded dependency
         does less (not from the paper).
         """
-        self.quota = self.slots.share(
+        self.quota = self.slots.mean_limit(
             now, self.quota, self.used_call_time + self.reserved_call_time
         )
         self.budget = self._window_budget()
@@ -160,7 +160,7 @@
         self.reserved_call_time -= timeout + self.linger
         self.last_ended_at = now
         self.in_flight -= 1
-        self.slots.ended(now, lost, succeeded)
+        self.slots.call_ended(now, lost, succeeded)
         lost_alone = lost and (
             self.last_success_started_at > now - took or (reply_lost and not self.last_reply_lost)
         )
@@ -198,7 +198,7 @@
         )
         call_time = 0.0 if is_stale else self.recent_call_time  # the next call shows how it is
         if self.quota is None:
-            return call_time * (1 + len(self.waiting) / self.slots.pace(now))
+            return call_time * (1 + len(self.waiting) / self.slots.concurrency(now))
         wanted = min(self.budget, self.linger + TIMEOUT_CALL_TIMES * call_time)
         missing = max(0.0, wanted - self.remaining_call_time(now))
         rate = min(self.quota, self.concurrency_limit)
--- a/gullyoke/admission/interface/fleet_feedback.py
+++ b/gullyoke/admission/interface/fleet_feedback.py
@@ -16,90 +16,94 @@
 class DependencySlots(Protocol):
     """This server's part of the dependency calls that all servers share."""
 
-    def share(self, now: int, told: float | None, spent: float) -> float | None:
+    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
         """Return the mean number of calls that may be in flight.
 
         Args:
             now: The time.
-            told: That number so far.
-            spent: Call time that counts against it.
+            stated: That number so far.
+            used_call_time: Call time that counts against it.
 
         Returns:
             The mean; None where none is bound.
         """
 
-    def free(self, now: int, waiting: int) -> bool:
+    def has_free_slot(self, now: int, waiting: int) -> bool:
         """Return whether one more call may be made now; `waiting` more requests want one."""
 
-    def until(self, now: int) -> float:
+    def secured_until(self, now: int) -> float:
         """Return by when the next call has to be over, its linger included."""
 
-    def pace(self, now: int) -> float:
+    def concurrency(self, now: int) -> float:
         """Return how many calls may be in flight at once, above 0; for estimates of waits."""
 
-    def began(self) -> None:
+    def call_started(self) -> None:
         """Count a call that is made now."""
 
-    def ended(self, now: int, lost: bool, well: bool) -> None:
+    def call_ended(self, now: int, lost: bool, succeeded: bool) -> None:
         """Count a call that has ended.
 
         Args:
             now: The time.
             lost: Whether it may stay in the dependency's hands for the stated linger.
-            well: Whether it was answered.
+            succeeded: Whether it was answered.
         """
 
 
 class FleetFeedback(Protocol):
     """What the reports of the other servers come to."""
 
-    def full(self, alone: bool) -> bool:
+    def is_overloaded(self, own: bool) -> bool:
         """Return whether so many servers reject requests that a retry is not worth it.
 
         Args:
-            alone: Whether this server by itself is so full.
+            own: Whether this server rejects so many itself.
         """
 
-    def stay(self, wait: int) -> int:
-        """Return for how long a client should stay away; `wait`, this server's own advice."""
+    def retry_after(self, own_advice: int) -> int:
+        """Return for how long a client should stay away.
+
+        Args:
+            own_advice: What this server would advise by itself.
+        """
 
 
 class UnsharedSlots:
     """No slots are shared: calls of other servers don't count here."""
 
-    def share(self, now: int, told: float | None, spent: float) -> float | None:
+    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
         """Return the stated mean."""
-        return told
+        return stated
 
-    def free(self, now: int, waiting: int) -> bool:
+    def has_free_slot(self, now: int, waiting: int) -> bool:
         """Return True: there is always a slot."""
         return True
 
-    def until(self, now: int) -> float:
+    def secured_until(self, now: int) -> float:
         """Return that calls may take for ever."""
         return math.inf
 
-    def pace(self, now: int) -> float:
+    def concurrency(self, now: int) -> float:
         """Return a fixed number of calls."""
         return UNSHARED_CALLS_AT_ONCE
 
-    def began(self) -> None:
+    def call_started(self) -> None:
         """Count nothing."""
 
-    def ended(self, now: int, lost: bool, well: bool) -> None:
+    def call_ended(self, now: int, lost: bool, succeeded: bool) -> None:
         """Count nothing."""
 
 
 class NoFleetFeedback:
     """No other server reports anything."""
 
-    def full(self, alone: bool) -> bool:
+    def is_overloaded(self, own: bool) -> bool:
         """Return what this server finds by itself."""
-        return alone
+        return own
 
-    def stay(self, wait: int) -> int:
+    def retry_after(self, own_advice: int) -> int:
         """Return this server's own advice."""
-        return wait
+        return own_advice
 
 
 UNSHARED: Final = UnsharedSlots()
--- a/gullyoke/coordination/limit_parts.py
+++ b/gullyoke/coordination/limit_parts.py
@@ -112,11 +112,11 @@
             self._lost_until_us.popleft()
         return self.out + len(self._lost_until_us)
 
-    def share(self, now: int, told: float | None, spent: float) -> float | None:
+    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
         """Return None: no mean is limited."""
         return None
 
-    def free(self, now: int, waiting: int) -> bool:
+    def has_free_slot(self, now: int, waiting: int) -> bool:
         """Tell whether a call may start now; `waiting` more would like to."""
         used = self.used(now)
         self.peak.record(now, used + waiting + 1)
@@ -125,19 +125,19 @@
         self.refused += not free
         return free
 
-    def until(self, now: int) -> float:
+    def secured_until(self, now: int) -> float:
         """Return when the next call has to be over, its linger included."""
         return self.participant.borrower.secured_until(now, self.used(now) + 1)
 
-    def pace(self, now: int) -> float:
+    def concurrency(self, now: int) -> float:
         """Return how many calls may be in flight at a time."""
         return max(LEAST_PACE, float(self.participant.in_force(now)))
 
-    def began(self) -> None:
+    def call_started(self) -> None:
         """Count a call that starts."""
         self.out += 1
 
-    def ended(self, now: int, lost: bool, well: bool) -> None:
+    def call_ended(self, now: int, lost: bool, succeeded: bool) -> None:
         """Count a call that ends; one that was `lost` may still be at the dependency."""
         self.out -= 1
         if lost and self.linger_us:
@@ -157,12 +157,12 @@
         """Return how many tokens the call time of the last window comes to."""
         return math.ceil(self._spent_us * TOKENS_PER_CALL / (USED_SHARE * self.window_us))
 
-    def share(self, now: int, told: float | None, spent: float) -> float | None:
+    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
         """Return the mean that is sure for a call's time.
 
-        `spent` is the call time of the last window, in microseconds.
+        `used_call_time` is the call time of the last window, in microseconds.
         """
-        self._spent_us = spent
+        self._spent_us = used_call_time
         self.peak.record(now, math.ceil(MEAN_GROWTH * self.used(now)) + 1)
         borrowed = sum(lease.tokens for lease in self._sure_leases(now))
         tokens = self.participant.borrower.guaranteed(now) + borrowed
@@ -177,7 +177,7 @@
             if lease.tokens and lease.until_us > call_end_us
         ]
 
-    def free(self, now: int, waiting: int) -> bool:
+    def has_free_slot(self, now: int, waiting: int) -> bool:
         """Return True: the mean limits the calls.
 
         While calls wait, twice the tokens in force are wanted, and those of one call at the least.
@@ -187,16 +187,16 @@
             self.peak.record(now, 2 * self.participant.in_force(now) + TOKENS_PER_CALL)
         return True
 
-    def until(self, now: int) -> float:
+    def secured_until(self, now: int) -> float:
         """Return when the next call has to be over, its linger included."""
         return min((lease.until_us for lease in self._sure_leases(now)), default=math.inf)
 
-    def pace(self, now: int) -> float:
+    def concurrency(self, now: int) -> float:
         """Return how many calls may be in flight at a time."""
         return max(LEAST_PACE, self.participant.in_force(now) / TOKENS_PER_CALL)
 
-    def began(self) -> None:
+    def call_started(self) -> None:
         """Do nothing: the call time counts."""
 
-    def ended(self, now: int, lost: bool, well: bool) -> None:
+    def call_ended(self, now: int, lost: bool, succeeded: bool) -> None:
         """Do nothing: the call time counts."""
--- a/gullyoke/coordination/signals.py
+++ b/gullyoke/coordination/signals.py
@@ -261,23 +261,23 @@
             return ratio <= RECOVERED_RATIO
         return ratio >= SLOW_RATIO and peers.withdrawn_share < MAX_WITHDRAWN_SHARE
 
-    def full(self, alone: bool) -> bool:
+    def is_overloaded(self, own: bool) -> bool:
         """Tell whether a rejected request should not be retried at another server.
 
-        So it is where this server says so by itself (`alone`), or where `FULL_PEERS_SHARE` of its
+        So it is where this server says so by itself (`own`), or where `FULL_PEERS_SHARE` of its
         peers are full. That peers are free does not overrule this server: a fleet half full as the
         only measure cost 0.010 of the value in a burst (docs/together-design.md).
         """
-        return alone or (self.peers is not None and self.peers.full_share >= FULL_PEERS_SHARE)
+        return own or (self.peers is not None and self.peers.full_share >= FULL_PEERS_SHARE)
 
-    def stay(self, wait: int) -> int:
+    def retry_after(self, own_advice: int) -> int:
         """Return how long a caller should wait, in microseconds.
 
         Longer where the peers have more free capacity than this server, and drawn around that, so
         that callers do not come back together.
         """
         if self.peers is None:
-            return wait
+            return own_advice
         surplus = self.peers.free_capacity - self._free_capacity
-        wait = int(wait * (1 + max(0.0, min(1.0, surplus))))
+        wait = int(own_advice * (1 + max(0.0, min(1.0, surplus))))
         return max(1, int(wait * (1 - WAIT_SPREAD + 2 * WAIT_SPREAD * self.draw())))
--- a/gullyoke/emulator/shares.py
+++ b/gullyoke/emulator/shares.py
@@ -72,12 +72,12 @@
         The dependency keeps that time as well: it is told of it, and a process that stands still
         can't give anything up.
         """
-        while len(self.out) < self.calls and self.own.free(
+        while len(self.out) < self.calls and self.own.has_free_slot(
             self.now(), self.calls - len(self.out) - 1
         ):
             now, call = self.now(), Call(self)
-            most = min(self.own.until(now) - now, 60 * SECOND) - LINGER
-            self.own.began()
+            most = min(self.own.secured_until(now) - now, 60 * SECOND) - LINGER
+            self.own.call_started()
             self.out.add(call)
             span = self.play.chance.randrange(10_000, 6 * SECOND)
             self.play.below += 1
@@ -135,7 +135,7 @@
             self.play.after(process.paused - self.play.now, lambda: self.read(lost))
         elif process.up and self in process.out:
             process.out.discard(self)
-            process.own.ended(process.now(), lost, not lost)
+            process.own.call_ended(process.now(), lost, not lost)
 
 
 class Play:
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -79,11 +79,11 @@
         self.slots, self.probe, self.holding = slots, probe, holding
         self.lock = threading.Lock()
 
-    def share(self, now: int, told: float | None, spent: float) -> float | None:
-        return self.slots.share(now, told, spent)
+    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
+        return self.slots.mean_limit(now, stated, used_call_time)
 
-    def free(self, now: int, waiting: int) -> bool:
-        if not self.slots.free(now, waiting):
+    def has_free_slot(self, now: int, waiting: int) -> bool:
+        if not self.slots.has_free_slot(now, waiting):
             return False
         if not self.probe.dead and self.probe.opened is None:
             return True  # the ordinary case costs no lock
@@ -92,19 +92,19 @@
             self.probe.set_lease_held(held)
             return self.probe.allows_call(now)
 
-    def until(self, now: int) -> float:
-        return self.slots.until(now)
+    def secured_until(self, now: int) -> float:
+        return self.slots.secured_until(now)
 
-    def pace(self, now: int) -> float:
-        return self.slots.pace(now)
+    def concurrency(self, now: int) -> float:
+        return self.slots.concurrency(now)
 
-    def began(self) -> None:
-        self.slots.began()
+    def call_started(self) -> None:
+        self.slots.call_started()
 
-    def ended(self, now: int, lost: bool, well: bool) -> None:
-        self.slots.ended(now, lost, well)
+    def call_ended(self, now: int, lost: bool, succeeded: bool) -> None:
+        self.slots.call_ended(now, lost, succeeded)
         with self.lock:
-            self.probe.record_call(now, well)
+            self.probe.record_call(now, succeeded)
 
 
 class Ask(Charge):
--- a/gullyoke/peer_transport/quota_service.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -128,35 +128,35 @@
 class SharedSlots(SharedLimit[ConcurrencyPart | MeanConcurrencyPart]):
     """A limit on calls; the `DependencySlots` of the decisions."""
 
-    def share(self, now: int, told: float | None, spent: float) -> float | None:
+    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
         """Return the mean number of calls that may be in flight; None where no mean is limited."""
         with self.lock:
-            return self.own.share(now, told, spent)
+            return self.own.mean_limit(now, stated, used_call_time)
 
-    def free(self, now: int, waiting: int) -> bool:
+    def has_free_slot(self, now: int, waiting: int) -> bool:
         """Tell whether a call may start now; `waiting` more would like to."""
         with self.lock:
-            return self.own.free(now, waiting)
+            return self.own.has_free_slot(now, waiting)
 
-    def until(self, now: int) -> float:
+    def secured_until(self, now: int) -> float:
         """Return when the next call has to be over, its linger included."""
         with self.lock:
-            return self.own.until(now)
+            return self.own.secured_until(now)
 
-    def pace(self, now: int) -> float:
+    def concurrency(self, now: int) -> float:
         """Return how many calls may be in flight at a time."""
         with self.lock:
-            return self.own.pace(now)
+            return self.own.concurrency(now)
 
-    def began(self) -> None:
+    def call_started(self) -> None:
         """Count a call that starts."""
         with self.lock:
-            self.own.began()
+            self.own.call_started()
 
-    def ended(self, now: int, lost: bool, well: bool) -> None:
+    def call_ended(self, now: int, lost: bool, succeeded: bool) -> None:
         """Count a call that ends; one that was `lost` may still be at the dependency."""
         with self.lock:
-            self.own.ended(now, lost, well)
+            self.own.call_ended(now, lost, succeeded)
 
 
 class SharedQuota(SharedLimit[TenantQuotaPart]):
--- a/tests/coordination/test_shares.py
+++ b/tests/coordination/test_shares.py
@@ -131,7 +131,7 @@
         back = Borrower._return
         for what, guard in (
             ("in use stays out", mock.patch.object(Borrower, "_return", told_at_once)),
-            ("ends with its loan", mock.patch.object(ConcurrencyPart, "until", any_time)),
+            ("ends with its loan", mock.patch.object(ConcurrencyPart, "secured_until", any_time)),
         ):
             for cut in (False, True):
                 self.assertLessEqual(max(self.passed_on(seed, cut) for seed in range(4)), TOKENS)
--- a/tests/coordination/test_signals.py
+++ b/tests/coordination/test_signals.py
@@ -100,11 +100,12 @@
         All full: they do not, and it stays. Nothing known: as without the others.
         """
         judged, slow = LoadAssessment(lambda: 0.5), WELL._replace(latency_ratio=2.5)
-        self.assertEqual((judged.full(True), judged.full(False)), (True, False))
-        self.assertEqual(judged.stay(1000), 1000)
+        self.assertEqual((judged.is_overloaded(True), judged.is_overloaded(False)), (True, False))
+        self.assertEqual(judged.retry_after(1000), 1000)
         judged.update(0, slow, [WELL] * 10)
         self.assertEqual(
-            (judged.full(True), judged.full(False), judged.withdrawn), (True, False, False)
+            (judged.is_overloaded(True), judged.is_overloaded(False), judged.withdrawn),
+            (True, False, False),
         )
         judged.update(STATE_DWELL_US, slow, [WELL] * 10)
         self.assertTrue(judged.withdrawn)
@@ -113,7 +114,7 @@
         self.assertFalse(judged.withdrawn)
         for now in (0, STATE_DWELL_US, 3 * STATE_DWELL_US):
             judged.update(now, slow, [FULL._replace(latency_ratio=2.4)] * 10)
-        self.assertEqual((judged.full(False), judged.withdrawn), (True, False))
+        self.assertEqual((judged.is_overloaded(False), judged.withdrawn), (True, False))
 
     def test_few_take_themselves_back(self):
         """A third of the fleet turns slow together.
@@ -164,12 +165,12 @@
         """
         judged = LoadAssessment(random.Random(3).random)
         judged.update(0, WELL._replace(free_capacity=0.0), [WELL] * 10)
-        told = [judged.stay(100_000) for _ in range(4000)]
+        told = [judged.retry_after(100_000) for _ in range(4000)]
         tenths = Counter((x - 80_000) * 10 // 160_001 for x in told)
         self.assertLess(max(tenths.values()), 2 * min(tenths.values()))
         self.assertGreater(min(told), 79_000)
         judged.update(0, WELL._replace(free_capacity=0.9), [WELL] * 10)
-        level = [judged.stay(100_000) for _ in range(1000)]
+        level = [judged.retry_after(100_000) for _ in range(1000)]
         self.assertLess(sum(level) / 1000, sum(told) / 4000)
 
 
--- a/tests/coordination/test_wire.py
+++ b/tests/coordination/test_wire.py
@@ -101,14 +101,16 @@
 
         def wants(part, count):
             """As many go out as are free, up to so many."""
-            while part.own.out < count and part.free(clock.now(), count - part.own.out - 1):
-                part.began()
+            while part.own.out < count and part.has_free_slot(
+                clock.now(), count - part.own.out - 1
+            ):
+                part.call_started()
             return part.own.out
 
         eventually(lambda: wants(parts[0], 100) == 3 * TOKENS + 1, "all of it at one")
         self.assertEqual(wants(parts[1], 100), 1)  # its floor alone
         for _ in range(parts[0].own.out - 1):
-            parts[0].ended(clock.now(), False, True)
+            parts[0].call_ended(clock.now(), False, True)
         eventually(lambda: wants(parts[1], 100) == 3 * TOKENS + 1, "passed on")
         self.assertEqual(wants(parts[3], 100), 1)  # stated otherwise: none of theirs
         eventually(lambda: max(part.others for part in parts[:3]) > 0, "letters of another limit")
