--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -100,11 +100,11 @@
             snapshot = self._exchange(server)
             if snapshot is None:
                 return
-            warm = server.safety.speed(dispatcher.now) >= 1.0
+            load = server.load_snapshot(dispatcher.now)
             draining = dispatcher.stop_at is not None
-            overloaded = server.state.running > server.safety.max_on_cores(dispatcher.now)
+            overloaded = load.running > server.safety.max_on_cores(dispatcher.now)
         if clock.now() - self.last_snapshot_us >= SNAPSHOT_INTERVAL_US or draining:
-            self._keep(snapshot, warm, draining, overloaded)
+            self._keep(snapshot, not load.warming_up, draining, overloaded)
 
     def _exchange(self, server: AdmissionController) -> RunTimeSnapshot | None:
         """Apply what was kept, the first time; return what has been learned by now."""
@@ -166,7 +166,7 @@
         with dispatcher.lock:
             server = dispatcher.server
             if server is not None:
-                if not server.safety.machine.needs_warmup:
+                if not self.daemon.configuration.facts.machine.needs_warmup:
                     return
                 self._follow_age(server)
         if server is None or self.bucket is not None:
