--- a/gullyoke/daemon/command_router.py
+++ b/gullyoke/daemon/command_router.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
+from typing import cast
 
 from gullyoke.admission.interface import (
     AwaitDuplicate,
@@ -13,6 +14,7 @@
     ForgetKey,
     Reject,
     RememberKey,
+    Request,
     RequestEvent,
     Run,
     SkipDependencyCall,
@@ -54,11 +56,11 @@
             AwaitDuplicate: self._await_duplicate,
         }
 
-    def execute(self, request: PendingRequest, command: Command) -> None:
+    def execute(self, request: Request, command: Command) -> None:
         """Carry out a command; those without a method ask for nothing."""
         method = self._methods.get(type(command))
         if method is not None:
-            method(request, command)
+            method(cast(PendingRequest, request), command)
 
     def _start_run(self, request: PendingRequest, command: Command) -> None:
         self._executor.start_run(request)
@@ -70,6 +72,7 @@
         self._executor.cancel_run(request)
 
     def _answer(self, request: PendingRequest, command: Command) -> None:
+        assert isinstance(command, Fail | Reject)
         self._dispatcher.answer(request, command)
 
     def _call_dependency(self, request: PendingRequest, command: Command) -> None:
@@ -96,11 +99,11 @@
         else:
             self._dispatcher.post_event(request, RequestEvent.FAILED)
 
-    def finished(self, request: PendingRequest) -> None:
+    def finished(self, request: Request) -> None:
         """The request is over: withdraw its call, and take it out of the tables."""
-        if request.dependency_call is not None:
-            self._dependency.abandon(request)
-        self._dispatcher.on_finished(request)
+        pending = cast(PendingRequest, request)
+        self._dependency.abandon(pending)
+        self._dispatcher.on_finished(pending)
 
     def schedule_tick(self, delay: int) -> None:
         """Let the decisions have their next tick after `delay` microseconds."""
--- a/gullyoke/daemon/event_relay.py
+++ b/gullyoke/daemon/event_relay.py
@@ -84,7 +84,7 @@
             dispatcher.answer(request, FAIL, answer if is_failure else None)
         if request.key_entry is not None and event not in NOT_RUN_EVENTS:
             self._answer_duplicates(request, event, answer)
-        dispatcher.server.on_event(dispatcher.now, request, event)
+        self._report(request, event)
 
     def _answer_duplicates(
         self, request: PendingRequest, event: RequestEvent, answer: Answer | None
@@ -95,7 +95,7 @@
         result = answer if completed else None
         for waiter in dispatcher.duplicates.run_ended(request, result, dispatcher.now):
             if completed:
-                dispatcher.answer(waiter, event, result)
+                dispatcher.answer(waiter, RequestEvent.COMPLETED, result)
             dispatcher.post_event(waiter, event if completed else RequestEvent.FAILED)
 
     def on_call_needed(self, request_id: str, notice: int, body: bytes) -> None:
@@ -140,7 +140,9 @@
         self._dispatcher.handle(act, request)
 
     def _report(self, request: PendingRequest, event: RequestEvent) -> None:
-        self._dispatcher.server.on_event(self._dispatcher.now, request, event)
+        server = self._dispatcher.server
+        assert server is not None  # nothing is handled before the decisions have begun
+        server.on_event(self._dispatcher.now, request, event)
 
     def _handle(self, request_id: str, act: Callable[[PendingRequest], None]) -> None:
         """Let `act` call the decisions, if a request of this id is in flight."""
--- a/gullyoke/dependencies/client.py
+++ b/gullyoke/dependencies/client.py
@@ -123,10 +123,11 @@
         connection.send(call)
 
     def abandon(self, request: PendingRequest) -> None:
-        """Withdraw the call of a request that is over."""
+        """Withdraw the call of a request that is over, if it has one."""
         call = request.dependency_call
-        request.dependency_call = None
-        self._withdraw(call)
+        if call is not None:
+            request.dependency_call = None
+            self._withdraw(call)
 
     # The pool. All of these are called under its lock.
 
