--- a/gullyoke/daemon/daemon.py
+++ b/gullyoke/daemon/daemon.py
@@ -141,10 +141,10 @@
             The exit code of the process.
         """
         log.info(
-            "leaving",
+            "draining",
             extra=log_fields(
                 stop_ms=self.configuration.stop_after_us // 1000,
-                in_hand=len(self.dispatcher.requests),
+                in_flight=len(self.dispatcher.requests),
             ),
         )
         stop_at_us = clock.now() + self.configuration.stop_after_us
@@ -154,9 +154,9 @@
         self._handle_signals_until(stop_at_us - LAST_ACCEPT_BEFORE_STOP_US)
         self._close_connections(stop_at_us - CLOSE_BEFORE_STOP_US)
         log.info(
-            "left",
+            "drained",
             extra=log_fields(
-                in_hand=len(self.dispatcher.requests), connections=len(self.connections.open)
+                in_flight=len(self.dispatcher.requests), connections=len(self.connections.open)
             ),
         )
         for extension in self.extensions:
--- a/gullyoke/daemon/event_relay.py
+++ b/gullyoke/daemon/event_relay.py
@@ -100,7 +100,7 @@
 
     def on_call_needed(self, request_id: str, notice: int, body: bytes) -> None:
         """A run waits for a call to the dependency."""
-        self._metrics.increment("runs.needs")
+        self._metrics.increment("runs.call_needed")
 
         def act(request: PendingRequest) -> None:
             request.notices_read += 1
@@ -112,7 +112,7 @@
 
     def on_command_refused(self, command: str, request_id: str) -> None:
         """The engine did not carry a command out. A run that never began is over."""
-        self._metrics.increment("engine.no")
+        self._metrics.increment("engine.rejected_commands")
         log.warning(
             "the engine did not carry out a command",
             extra=log_fields(command=command, request=request_id),
--- a/gullyoke/daemon/service_discovery.py
+++ b/gullyoke/daemon/service_discovery.py
@@ -110,7 +110,7 @@
         status = answer.start_line[1]
         if status != ACCEPTED_STATUS:
             raise ConnectionClosedError(CloseReason.GARBLED, f"answered {status[:20]}")
-        self.metrics.increment("naming.reports")
+        self.metrics.increment("service_discovery.reports")
         # With more than one answer, the next is out of step.
         if answer.wants_close() or len(buffer):
             self.close()
@@ -138,9 +138,9 @@
     def _note_failure(self, reason: CloseReason, why: str, repeated: bool) -> None:
         """Count a failed report, and log it; at the debug level where the last failed alike."""
         self.close()
-        self.metrics.increment(f"ends.naming.{reason.value}")
+        self.metrics.increment(f"ends.service_discovery.{reason.value}")
         log.log(
             DEBUG if repeated else WARNING,
-            "report to the name service failed",
+            "report to the service registry failed",
             extra=log_fields(end=reason.value, why=why),
         )
--- a/gullyoke/dependencies/client.py
+++ b/gullyoke/dependencies/client.py
@@ -260,7 +260,7 @@
             used = connection is not None and bool(connection.last_request_id)
             log.log(
                 DEBUG if reason is self._last_reason else WARNING,
-                "connection to the database ended",
+                "connection to the database closed",
                 extra=log_fields(end=reason.value, why=text, used=used),
             )
             self._last_reason = reason
--- a/gullyoke/executors/engine_link.py
+++ b/gullyoke/executors/engine_link.py
@@ -125,7 +125,7 @@
             # An engine that stays away must not fill the log; the counters go on counting.
             log.log(
                 DEBUG if reason is last_reason else WARNING,
-                "link to the engine ended",
+                "link to the engine closed",
                 extra=log_fields(end=reason.value, why=text),
             )
             last_reason = reason
--- a/gullyoke/executors/engine_writer.py
+++ b/gullyoke/executors/engine_writer.py
@@ -169,7 +169,7 @@
             self.unwritten = b""  # what the old link did not take is void
             self.condition.notify_all()
         if resent:
-            self._metrics.increment("engine.repeated", len(resent))
+            self._metrics.increment("engine.resent_commands", len(resent))
 
     def _may_be_lost(self, command: SentCommand) -> bool:
         request = command.request
--- a/gullyoke/executors/scgi_backends.py
+++ b/gullyoke/executors/scgi_backends.py
@@ -104,7 +104,7 @@
             }
         if change.added or change.draining:
             log.info(
-                "back ends stated",
+                "back ends configured",
                 extra=log_fields(
                     came=",".join(change.added) or "-", leaving=",".join(change.draining) or "-"
                 ),
@@ -240,7 +240,7 @@
         self._metrics.increment(f"backends.{result.outcome.value}")
         if result.outcome not in (AttemptOutcome.COMPLETED, AttemptOutcome.CANCELLED):
             log.warning(
-                "try at a back end failed",
+                "attempt at a back end failed",
                 extra=log_fields(
                     fate=result.outcome.value,
                     why=result.reason,
@@ -261,7 +261,7 @@
             elif isinstance(action, RunEnded):
                 self._report_end(action, result.answer)
             else:
-                self._metrics.increment("backends.again")
+                self._metrics.increment("backends.retried")
                 self._send(action)
 
     # Logging.
@@ -272,7 +272,7 @@
         probe = {"trial_in_ms": probe_in_us // 1000} if ejected else {}
         log.log(
             WARNING if ejected else INFO,
-            "back end stands otherwise",
+            "back end changed state",
             extra=log_fields(back_end=backend.settings.name, standing=state.value, **probe),
         )
 
@@ -295,7 +295,7 @@
         return {
             "back_end": name,
             "standing": backend.health.state.value,
-            "in_hand": backend.in_flight(now),
+            "in_flight": backend.in_flight(now),
             "limit": int(backend.limit.current),
             "response_ms": int(backend.response_time_us) // 1000,
             "sent": backend.sent,
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -29,7 +29,7 @@
 SNAPSHOT_INTERVAL_US: Final = 5_000_000
 WARMUP_INTERVAL_US: Final = 50_000
 #: The counters of errors of the daemon's own code begin with this.
-INTERNAL_ERRORS: Final = "faults."
+INTERNAL_ERRORS: Final = "internal_errors."
 
 
 class Memory(BaseExtension):
--- a/gullyoke/frontends/connection_sweep.py
+++ b/gullyoke/frontends/connection_sweep.py
@@ -76,5 +76,5 @@
             if connection.sock.fileno() != descriptor:  # it may be another connection's by now
                 continue
             if request is not None and not request.client_disconnected:
-                self.table.metrics.increment("reqs.gone")
+                self.table.metrics.increment("requests.client_disconnected")
                 self.table.dispatcher.notify(request, RequestEvent.CLIENT_DISCONNECTED)
--- a/gullyoke/frontends/connections.py
+++ b/gullyoke/frontends/connections.py
@@ -153,9 +153,9 @@
 
     def answer_bad_request(self, connection: Connection, error: BadRequestError) -> Answer:
         """Count and log a message that is no request; return its answer."""
-        self.metrics.increment(f"unfit.{error.status}")
+        self.metrics.increment(f"bad_requests.{error.status}")
         log.warning(
-            "message refused",
+            "bad request",
             extra=log_fields(
                 status=error.status, why=error, front=connection.listener.frontend.name
             ),
@@ -168,7 +168,7 @@
         self.metrics.increment(f"ends.{frontend}.{reason.value}")
         if reason in LOGGED_REASONS:
             log.warning(
-                "connection of a gateway ended",
+                "client connection closed",
                 extra=log_fields(end=reason.value, why=why, front=frontend),
             )
         event = event_for_closed(PeerKind.GATEWAY, reason)
--- a/gullyoke/frontends/message_handler.py
+++ b/gullyoke/frontends/message_handler.py
@@ -58,10 +58,10 @@
         request = request_parsing.parse_request(self.dispatcher, message, frontend_name)
         connection.begin_request(request)
         if self.dispatcher.server is None:  # nothing runs before the engine is up
-            self.metrics.increment("answers.early")
+            self.metrics.increment("answers.before_ready")
             return Answer(503)
         request_parsing.submit(self.dispatcher, request)
-        self.metrics.increment("reqs.read")
+        self.metrics.increment("requests.read")
         remaining_s = max(0.0, (request.deadline - clock.now()) / 1e6)
         if not request.answer_gate.acquire(timeout=remaining_s):
             self.dispatcher.fail_overdue(request)
--- a/gullyoke/runtime/metrics.py
+++ b/gullyoke/runtime/metrics.py
@@ -32,8 +32,8 @@
             where: The part of the server it occurred in.
             request: The id of the request it occurred on, if any.
         """
-        self.increment(f"faults.{where}")
-        log.exception("fault", extra=log_fields(where=where, request=request))
+        self.increment(f"internal_errors.{where}")
+        log.exception("internal error", extra=log_fields(where=where, request=request))
 
     def run_forever(self, where: str, step: Callable[[], None]) -> None:
         """Run a thread's steps one after the other; an exception in one does not end the thread."""
--- a/gullyoke/runtime/pending_request.py
+++ b/gullyoke/runtime/pending_request.py
@@ -95,17 +95,17 @@
 def outcome_name(outcome: Outcome | None) -> str:
     """Return what the counters call an outcome."""
     if outcome is RequestEvent.COMPLETED:
-        return "done"
+        return "completed"
     if isinstance(outcome, Reject):
-        return "shed"
-    return "errored"
+        return "rejected"
+    return "failed"
 
 
 def log_identity(request: PendingRequest) -> dict[str, str]:
     """Return the fields of every log line about a request."""
     return {
-        "req": request.request_id,
-        "front": request.frontend_name,
-        "handler": request.request_class.name,
+        "request": request.request_id,
+        "frontend": request.frontend_name,
+        "request_class": request.request_class.name,
         "back_end": request.backend_name,
     }
