--- a/gullyoke/executors/backend_attempt.py
+++ b/gullyoke/executors/backend_attempt.py
@@ -5,7 +5,7 @@
 import socket
 from typing import Final, NamedTuple, Protocol, cast
 
-from gullyoke.codec import scgi
+from gullyoke.codec import scgi_client
 from gullyoke.codec.buffer import Buffer
 from gullyoke.routing import AttemptOutcome, RoutedRun, SendAttempt, outcome_of_close
 from gullyoke.runtime import clock
@@ -162,8 +162,10 @@
             "max-wait-ms": str(max(0, (self.run.deadline - clock.now()) // 1000)),
             "accepted-at-ms": str(clock.unix_ms()),
         }
-        return scgi.request(request_of(self.run).message, replaced_fields)
+        return scgi_client.request(request_of(self.run).message, replaced_fields)
 
     def _read_answer(self, connection: DeadlineSocket) -> Answer:
         max_bytes = self._settings.max_answer_bytes
-        return scgi.read_answer(Buffer(connection, scgi.ANSWER_HEAD + max_bytes + 1), max_bytes)
+        return scgi_client.read_answer(
+            Buffer(connection, scgi_client.ANSWER_HEAD + max_bytes + 1), max_bytes
+        )
--- a/tests/codec/test_codecs.py
+++ b/tests/codec/test_codecs.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from test_scenarios import Pieces
 
-from gullyoke.codec import http, scgi
+from gullyoke.codec import http, scgi, scgi_client
 from gullyoke.codec.buffer import Buffer
 from gullyoke.runtime.close_reasons import ConnectionClosedError
 from gullyoke.runtime.messages import Answer, BadRequestError, Message
@@ -33,7 +33,7 @@
     def test_reqs(self, fields, body, cuts):
         """A request written for a backend reads back as the same message, however it is cut."""
         message = Message(("POST", "/call/view", "HTTP/1.1"), fields, body)
-        got = scgi.read(reading(scgi.request(message, {}), cuts))
+        got = scgi.read(reading(scgi_client.request(message, {}), cuts))
         self.assertEqual(got, message)
 
     @QUICK
@@ -50,7 +50,7 @@
         data = scgi.answer(answer)
         if not with_length:
             data = data.replace(b"Content-Length: %d\r\n" % len(body), b"", 1)
-        self.assertEqual(scgi.read_answer(reading(data, cuts, 70_000)), answer)
+        self.assertEqual(scgi_client.read_answer(reading(data, cuts, 70_000)), answer)
 
     @QUICK
     @given(
@@ -70,14 +70,14 @@
         data = (
             scgi.answer(Answer(200, body, tuple(fields.items())))
             if answer
-            else scgi.request(message, {})
+            else scgi_client.request(message, {})
         )
         for at, new, gone in changes:
             at %= len(data) + 1
             data = data[:at] + new + data[at + gone :]
         buffer = reading(data, [cut])
         try:
-            got = scgi.read_answer(buffer, 4096) if answer else scgi.read(buffer)
+            got = scgi_client.read_answer(buffer, 4096) if answer else scgi.read(buffer)
             self.assertIsInstance(got, (Answer, Message, type(None)))
         except (BadRequestError, ConnectionClosedError) as fault:
             self.assertTrue(str(fault))
@@ -88,7 +88,7 @@
         message = Message(
             ("POST", "/call/view", "HTTP/1.1"), {"trace-id": "0a", "x-a": "1"}, b"A\r\nB"
         )
-        data = scgi.request(message, {})
+        data = scgi_client.request(message, {})
         for at in range(1, len(data)):
             self.assertEqual(scgi.read(reading(data, [at])), message)
             with self.assertRaises((ConnectionClosedError, BadRequestError)):
@@ -113,8 +113,8 @@
             (b"Status: 200 OK\r\n\r\n" + b"x" * 5000, "an answer of over"),
         ):
             with self.subTest(said), self.assertRaisesRegex(ConnectionClosedError, said):
-                scgi.read_answer(reading(data, (), 20_000), 4096)
-        got = scgi.read_answer(reading(b"Location: /a\n\nx"))
+                scgi_client.read_answer(reading(data, (), 20_000), 4096)
+        got = scgi_client.read_answer(reading(b"Location: /a\n\nx"))
         self.assertEqual((got.status, got.fields, got.body), (302, (("Location", "/a"),), b"x"))
 
     @QUICK
@@ -137,7 +137,7 @@
         headers |= {
             "HTTP_" + name.upper().replace("-", "_"): value for name, value in fields.items()
         }
-        two = scgi.read(reading(scgi.netstring(headers.items()) + body, cuts))
+        two = scgi.read(reading(scgi_client.netstring(headers.items()) + body, cuts))
         del one.fields["content-length"]
         self.assertEqual(
             (one.start_line[:2], one.fields, one.body), (two.start_line[:2], two.fields, two.body)
