--- a/gullyoke/daemon/composition.py
+++ b/gullyoke/daemon/composition.py
@@ -25,7 +25,6 @@
 from gullyoke.frontends.http1 import Http1
 from gullyoke.frontends.message_handler import MessageHandler
 from gullyoke.runtime.dispatcher import Dispatcher
-from gullyoke.runtime.duplicate_table import DuplicateTable
 from gullyoke.runtime.lifecycle import Lifecycle
 from gullyoke.runtime.logs import start_logging
 from gullyoke.runtime.metrics import Metrics
@@ -57,12 +56,7 @@
     extensions = operator_file.extensions if operator_file is not None else ()
     metrics = Metrics()
     executor = _create_executor(configuration, extensions, metrics)
-    dispatcher = Dispatcher(
-        configuration.facts,
-        metrics,
-        flush=executor.flush,
-        duplicates=_create_duplicate_table(configuration, extensions),
-    )
+    dispatcher = _create_dispatcher(configuration, extensions, metrics, executor)
     connection_limits = ConnectionLimits(max_connections(configuration, extensions))
     parts = _create_parts(configuration, metrics, dispatcher, connection_limits)
     for extension in extensions:
@@ -73,6 +67,7 @@
     command_router = CommandRouter(dispatcher, executor, database, parts.timer, parts.lifecycle)
     service_discovery = _create_service_discovery(configuration, parts.lifecycle, metrics)
     _open_listeners(parts, extensions, connection_limits)
+    clients = _addressed_clients(executor, database, service_discovery)
     return Daemon(
         configuration=configuration,
         extensions=extensions,
@@ -86,9 +81,7 @@
         connection_limits=connection_limits,
         connections=parts.connections,
         service_discovery=service_discovery,
-        reloader=ConfigurationReloader(
-            _addressed_clients(executor, database, service_discovery), operator_file, metrics
-        ),
+        reloader=ConfigurationReloader(clients, operator_file, metrics),
     )
 
 
@@ -111,12 +104,20 @@
     return EngineLink(configuration.engine, configuration.facts.machine.gauges, metrics)
 
 
-def _create_duplicate_table(
-    configuration: DaemonConfiguration, extensions: Sequence[Extension]
-) -> DuplicateTable | None:
-    """Create the table of the first extension that has one; None for the dispatcher's own."""
+def _create_dispatcher(
+    configuration: DaemonConfiguration,
+    extensions: Sequence[Extension],
+    metrics: Metrics,
+    executor: Executor,
+) -> Dispatcher:
+    """Create the dispatcher with the table of duplicates of the first extension that has one."""
     created = [extension.create_duplicate_table(configuration) for extension in extensions]
-    return next((table for table in created if table is not None), None)
+    return Dispatcher(
+        configuration.facts,
+        metrics,
+        flush=executor.flush,
+        duplicates=next((table for table in created if table is not None), None),
+    )
 
 
 def _create_parts(
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -1,7 +1,8 @@
 """This server's part of the limits that all servers share.
 
-These are the calls of the dependency that may be in flight at once (slots) and the quotas of tenants.
-Both are split into tokens, which members of the fleet lend to each other with their datagrams.
+These are the calls of the dependency that may be in flight at once (slots) and the quotas of
+tenants. Both are split into tokens, which members of the fleet lend to each other with their
+datagrams.
 """
 
 from __future__ import annotations
--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -1,7 +1,7 @@
 """Load signals: the members of a fleet tell each other how loaded they are.
 
-From the peers' signals a server sees whether it alone is slow or the whole fleet is loaded. Where the
-operator's file says so, retry advice and health answers follow from that.
+From the peers' signals a server sees whether it alone is slow or the whole fleet is loaded. Where
+the operator's file says so, retry advice and health answers follow from that.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
             return LoadReport.of(load, _stage(dispatcher, load))
 
     def _judge(self, reading: LoadReport) -> LoadReport:
-        """Judge a reading against the peers' and return what is sent of it; under the link's lock."""
+        """Judge a reading by the peers' and return what is sent of it; under the link's lock."""
         now = clock.now()
         pauses = self.fleet.member.local_health.woke_at
         if pauses != self.seen_pauses:  # this process was stopped: what it had received is old
