--- a/gullyoke/dependencies/client.py
+++ b/gullyoke/dependencies/client.py
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        address: tuple[str, int],
+        address: tuple[str, int] | None,
         max_connections: int,
         timer: Timer,
         metrics: Metrics,
@@ -60,7 +60,7 @@
         """Make a client without connections.
 
         Args:
-            address: Where the dependency listens.
+            address: Where the dependency listens; None where none is configured: no call succeeds.
             max_connections: The most connections.
             timer: Ends calls at their timeouts.
             metrics: Counters.
--- a/gullyoke/dependencies/connection.py
+++ b/gullyoke/dependencies/connection.py
@@ -23,7 +23,7 @@
 
     __slots__ = ("_is_open", "_lock", "address", "call", "idle_since", "last_request_id", "sock")
 
-    def __init__(self, sock: socket.socket, address: tuple[str, int]) -> None:
+    def __init__(self, sock: socket.socket, address: tuple[str, int] | None) -> None:
         self.sock = sock
         self.address = address
         self.call: DependencyCall | None = None
--- a/gullyoke/executors/engine_link.py
+++ b/gullyoke/executors/engine_link.py
@@ -39,11 +39,13 @@
     The writer's condition guards the address as well.
     """
 
-    def __init__(self, address: tuple[str, int], gauges: tuple[str, ...], metrics: Metrics) -> None:
+    def __init__(
+        self, address: tuple[str, int] | None, gauges: tuple[str, ...], metrics: Metrics
+    ) -> None:
         """Make a link that is not attached yet.
 
         Args:
-            address: Where the engine listens.
+            address: Where the engine listens; None where no address is configured.
             gauges: Names of the gauges that it reports, in their order.
             metrics: Counters.
         """
