--- a/gullyoke/coordination/__init__.py
+++ b/gullyoke/coordination/__init__.py
@@ -1,5 +1,5 @@
-"""Choices of many servers that add up: quota leases, load reports, turns and subsets.
+"""Coordination between servers: quota leases, load reports, time slots and back-end subsets.
 
-The package has decisions and state alone: no I/O, no clock and no randomness but what is handed in.
-docs/together-design.md says why each choice was made.
+The package holds decisions and state only. It does no I/O; times and random numbers are passed in.
+docs/together-design.md gives the reason for each choice.
 """
--- a/gullyoke/coordination/borrower.py
+++ b/gullyoke/coordination/borrower.py
@@ -1,7 +1,7 @@
-"""A process that borrows tokens of a fleet's limit from its lenders.
+"""A process that borrows tokens of a fleet's limit from the lenders.
 
-It has its floor without asking. It counts a quota lease from before its request, so that it ends
-here before it does at the lender.
+The process needs no lease for its floor. It counts a quota lease from before it sent the request,
+so a lease ends at the borrower before it ends at the lender.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class BorrowedQuota(NamedTuple):
-    """A quota lease as its borrower counts it; `sequence` is that of its request."""
+    """A quota lease as the borrower counts it; `sequence` is that of the request."""
 
     tokens: int
     until_us: int
@@ -23,23 +23,23 @@
 
 
 class PendingRequest(NamedTuple):
-    """The last request to a lender, and when it was sent, in microseconds."""
+    """The last request to a lender and the time when it was sent, in microseconds."""
 
     sequence: int
     sent_at_us: int
 
 
 class Borrower:
-    """One process' share of the limit. Times are microseconds of its monotonic clock.
+    """One process's share of the limit. Times are microseconds of its monotonic clock.
 
     Attributes:
-        floor: Tokens that it has without a lease, from `begins_us` on.
-        weight: Its part of what is scarce is proportional to this.
-        lenders: Names of the lenders in the order in which they are asked.
+        floor: Tokens that the process may use without a lease, from `begins_us` on.
+        weight: Scarce tokens are divided in proportion to the weights of the borrowers.
+        lenders: Names of the lenders in the order in which they receive requests.
         leases: Quota leases by lender.
         pending: Requests without an answer, by lender.
-        unreturned: Lenders to which more is in use than they grant now, with the sequence of their
-            leases.
+        unreturned: Lenders whose last grant was smaller than the tokens in use, with the sequence
+            of their leases; the excess is returned later.
     """
 
     def __init__(
@@ -53,11 +53,11 @@
         """Start without leases.
 
         Args:
-            incarnation: The random number drawn at the process' start.
-            floor: Tokens that the process has without a lease.
+            incarnation: The random number drawn when the process started.
+            floor: Tokens that the process may use without a lease.
             lenders: Names of all lenders.
-            own_lender: The lender that this process is, if any; it is asked first.
-            begins_us: From when the floor counts: until then an earlier process may use it.
+            own_lender: The lender in this process, if any; it receives requests first.
+            begins_us: When the floor begins to count; until then an earlier process may use it.
         """
         self.incarnation = incarnation
         self.floor = floor
@@ -73,18 +73,18 @@
         self._rounds = 0
 
     def in_force(self, now: int) -> int:
-        """Return how many tokens may be used now; to be called again after every wait."""
+        """Return how many tokens may be used now; call this again after every wait."""
         borrowed = sum(lease.tokens for lease in self.leases.values() if now < lease.until_us)
         return self.guaranteed(now) + borrowed
 
     def guaranteed(self, now: int) -> int:
-        """Return the floor; 0 while an earlier process may use it."""
+        """Return the floor; 0 while an earlier process may still use it."""
         return self.floor if now >= self.begins_us else 0
 
     def secured_until(self, now: int, count: int) -> float:
-        """Return until when `count` tokens are this process' own.
+        """Return the time until which this process may use `count` tokens.
 
-        Infinity within the floor; `now` where it has fewer.
+        Infinity where the floor covers them; `now` where the process has fewer.
         """
         count -= self.guaranteed(now)
         if count <= 0:
@@ -96,10 +96,10 @@
         return now
 
     def next_requests(self, now: int, needed: int) -> list[QuotaRequest]:
-        """Return the requests that are due, so that all tokens together come to `needed`.
+        """Return the requests that are due to bring the tokens in force to `needed`.
 
-        Leases are renewed. What is missing is asked of one lender more each time, in turn, and
-        sooner than a renewal is due.
+        All leases are renewed together. Missing tokens are requested from a single lender, the next
+        one each time, and at a shorter interval than renewals.
         """
         missing = max(0, needed - self.in_force(now))
         renews = now >= self.next_renewal_us
@@ -109,29 +109,30 @@
             self.next_renewal_us = now + durations.RENEW_US
         self.next_short_retry_us = now + durations.SHORT_RETRY_US
         surplus = max(0, self.in_force(now) - max(needed, self.guaranteed(now)))
-        in_turn = self.lenders[self._rounds % len(self.lenders)] if self.lenders else None
+        next_lender = self.lenders[self._rounds % len(self.lenders)] if self.lenders else None
         self._rounds += 1
         requests = []
         for lender in self.lenders:
             lease = self.leases.get(lender)
-            has = lease.tokens if lease and now < lease.until_us else 0
-            given_up = min(has, surplus)
-            surplus -= given_up
-            wanted = has - given_up + (missing if lender == in_turn else 0)
-            if (wanted and lender == in_turn) or (renews and has):
-                requests.append(self._request(now, lender, wanted, has))
+            current = lease.tokens if lease and now < lease.until_us else 0
+            given_back = min(current, surplus)
+            surplus -= given_back
+            wanted = current - given_back + (missing if lender == next_lender else 0)
+            if (wanted and lender == next_lender) or (renews and current):
+                requests.append(self._request(now, lender, wanted, current))
         return requests
 
-    def _request(self, now: int, lender: str, wanted: int, has: int) -> QuotaRequest:
+    def _request(self, now: int, lender: str, wanted: int, current: int) -> QuotaRequest:
         self.sequence += 1
         self.pending[lender] = PendingRequest(self.sequence, now)
-        elsewhere = self.in_force(now) - has
+        elsewhere = self.in_force(now) - current
         return QuotaRequest(lender, self.incarnation, self.sequence, wanted, self.weight, elsewhere)
 
     def handle_grant(self, now: int, grant: QuotaGrant, used: int = 0) -> QuotaReturn | None:
-        """Take a grant; return what is given back to its lender, less what is still in use.
+        """Apply a grant; return the message that gives unused tokens back to the lender.
 
-        A smaller grant takes effect at once. A grant to an older request is ignored.
+        A smaller grant takes effect at once, except for tokens that are still in use. A grant that
+        answers an older request or another process is ignored.
         """
         pending = self.pending.get(grant.lender)
         if grant.borrower != self.incarnation:
@@ -139,12 +140,12 @@
         if pending is None or grant.sequence != pending.sequence:
             return None
         del self.pending[grant.lender]
-        until_us = pending.sent_at_us + durations.QUOTA_LEASE_US  # from before the request
+        until_us = pending.sent_at_us + durations.QUOTA_LEASE_US  # counted from before the request
         self.leases[grant.lender] = BorrowedQuota(grant.tokens, until_us, grant.sequence)
         return self._return(now, grant.lender, used)
 
     def next_returns(self, now: int, used: int) -> list[QuotaReturn]:
-        """Return to their lenders what was in use when a grant was smaller, as far as it is not."""
+        """Return the messages that give back tokens which were in use when a grant shrank."""
         return [self._return(now, lender, used) for lender in list(self.unreturned)]
 
     def _return(self, now: int, lender: str, used: int) -> QuotaReturn:
--- a/gullyoke/coordination/lender.py
+++ b/gullyoke/coordination/lender.py
@@ -1,7 +1,7 @@
-"""The lender of a part of a fleet's limit: who gets how many of its tokens.
+"""The lender of a part of a fleet's limit: it divides its tokens between borrowers.
 
-A lender never has more tokens out than it has, whatever is lost or late. It counts a quota lease
-for longer than its borrower does, by all that two clocks may differ.
+A lender never has more tokens lent than it owns, even when messages are lost or late. It counts a
+quota lease for longer than the borrower does, by the most that two clocks can drift apart.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from gullyoke.coordination.quota_messages import QuotaGrant, QuotaRequest, QuotaReturn
 from gullyoke.membership.member_record import stable_hash
 
-LEAST_WEIGHT = 1e-6
+MIN_WEIGHT = 1e-6
 
 
 class QuotaLease:
-    """What a lender has granted one borrower.
+    """The tokens that a lender has granted to one borrower.
 
     Attributes:
         sequence: Number of the borrower's last request.
         tokens: Tokens that the borrower may have in use until `until_us`.
-        granted: Tokens last granted; what it uses at the most once it has the answer.
+        granted: Tokens of the last grant. The borrower starts to use no more once it has the grant.
         until_us: End of the lease, in microseconds.
     """
 
@@ -40,7 +40,7 @@
 
 
 class DemandAt(NamedTuple):
-    """A borrower's demand, and when it was stated, in microseconds."""
+    """A borrower's demand and the time when it was stated, in microseconds."""
 
     demand: Demand
     at_us: int
@@ -50,16 +50,16 @@
     """The lender of the tokens of one name. Times are microseconds of its monotonic clock.
 
     Attributes:
-        tenure: The process' right to the name.
-        total: Tokens that the name has to lend.
-        after_us: For how long use counts on after the end of a lease, where a mean is limited.
-        leases: By borrower; removed when they end.
-        demands: By borrower; removed after `DEMAND_VALID_US`.
+        tenure: The process's right to lend under the name.
+        total: Tokens to lend under the name.
+        after_us: How long use still counts after the end of a lease, where a mean is limited.
+        leases: Leases by borrower; removed when they end.
+        demands: Demands by borrower; removed after `DEMAND_VALID_US`.
         level: The fair level (gullyoke/coordination/max_min_fairness.py).
     """
 
     def __init__(self, tenure: LenderTenure, tokens: int, after_us: int = 0) -> None:
-        """Start with all tokens at home."""
+        """Start with no tokens lent."""
         self.tenure = tenure
         self.total = tokens
         self.after_us = after_us
@@ -69,14 +69,14 @@
         self._level_at_us: int | None = None
 
     def outstanding(self, now: int) -> int:
-        """Return how many tokens borrowers may have in use."""
+        """Return how many tokens borrowers may have in use; drops leases that have ended."""
         ended = [borrower for borrower, lease in self.leases.items() if now >= lease.until_us]
         for borrower in ended:
             del self.leases[borrower]
         return sum(lease.tokens for lease in self.leases.values())
 
     def answer_request(self, now: int, request: QuotaRequest) -> QuotaGrant | None:
-        """Return the grant; None for a request that is not newer than the borrower's last."""
+        """Return the grant; None for a request that is not newer than the borrower's last one."""
         lease = self.leases.get(request.borrower)
         if lease is not None and request.sequence <= lease.sequence:
             return None
@@ -85,7 +85,7 @@
         demand = Demand(
             max(0, request.wanted),
             max(0, request.elsewhere),
-            max(LEAST_WEIGHT, request.weight),
+            max(MIN_WEIGHT, request.weight),
         )
         self.demands[request.borrower] = DemandAt(demand, now)
         tokens = 0
@@ -98,7 +98,7 @@
     def _grantable(
         self, now: int, borrower: Hashable, demand: Demand, lease: QuotaLease | None, free: int
     ) -> int:
-        """Return how many tokens the borrower gets in all."""
+        """Return how many tokens the borrower is granted in total."""
         fair = self._fair_share(now, borrower, demand)
         granted = lease.granted if lease else 0
         grown = granted + max(1, self.total // durations.GROWTH_DIVISOR)
@@ -111,8 +111,8 @@
             lease = self.leases[request.borrower] = QuotaLease()
         lease.sequence = request.sequence
         lease.granted = tokens
-        # A smaller grant frees nothing yet: the borrower may use what it had until it returns it or
-        # the lease ends.
+        # A smaller grant frees nothing yet: the borrower may use its earlier tokens until it
+        # returns them or the lease ends.
         lease.tokens = max(lease.tokens, tokens)
         if tokens > 0:
             duration_us = durations.QUOTA_LEASE_US + self.after_us
@@ -121,8 +121,9 @@
     def _fair_share(self, now: int, borrower: Hashable, demand: Demand) -> int:
         """Return the borrower's fair share in whole tokens.
 
-        A hash decides who gets what rounding leaves, another borrower each `ROUNDING_INTERVAL_US`,
-        so that none goes without for ever where there are fewer tokens than borrowers.
+        A hash assigns the tokens that rounding leaves, to other borrowers each
+        `ROUNDING_INTERVAL_US`. So every borrower gets a token at times, even where there are fewer
+        tokens than borrowers.
         """
         last_us = self._level_at_us
         if last_us is None or now - last_us >= durations.FAIR_LEVEL_INTERVAL_US:
@@ -144,9 +145,9 @@
         self.level = fill_level(self.total, (stated.demand for stated in self.demands.values()))
 
     def handle_return(self, now: int, returned: QuotaReturn) -> None:
-        """Take tokens back that the borrower no longer uses.
+        """Take back tokens that the borrower no longer uses.
 
-        A return of an older lease is ignored: the answer to a newer request is on its way.
+        A return for an older request is ignored: the answer to a newer one is on its way.
         """
         lease = self.leases.get(returned.borrower)
         if lease is not None and returned.sequence == lease.sequence:
--- a/gullyoke/coordination/lender_tenure.py
+++ b/gullyoke/coordination/lender_tenure.py
@@ -1,8 +1,8 @@
-"""Which process lends under a lender's name: leases on names, by a majority of all lenders.
+"""Which process lends under a lender's name: leases on names, granted by a majority of lenders.
 
-Two processes of one name would lend the same tokens twice. A process therefore lends only while a
-majority of the lenders grants it the name (leases: Gray and Cheriton 1989). Nothing is stored: a
-voter that starts waits out all that it may have granted before.
+Two processes with the same name would lend the same tokens twice. A process therefore lends only
+while a majority of the lenders grants it the name (leases: Gray and Cheriton 1989). Grants are not
+stored: a voter that starts grants nothing until all grants that it may have made before have ended.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class GrantedName(NamedTuple):
-    """The process that a voter has granted a name, and until when, in microseconds."""
+    """The process to which a voter has granted a name, and the end of the grant in microseconds."""
 
     incarnation: int
     until_us: int
@@ -25,19 +25,20 @@
     """One lender's votes on all names. Times are microseconds of its monotonic clock.
 
     Attributes:
-        silent_until_us: End of what it may have granted before this start.
+        silent_until_us: End of the grants that it may have made before this start; until then it
+            grants nothing.
         granted: The last grant by name, at most one for each lender.
     """
 
     def __init__(self, now: int, name: str, lenders: Iterable[str]) -> None:
-        """Start the voter of the lender `name`; `lenders` are the names of all, this one's too."""
+        """Start the voter of the lender `name`; `lenders` are the names of all lenders."""
         self.name = name
         self.lenders = frozenset(lenders)
         self.silent_until_us = now + durations.longest_elsewhere_us(durations.TENURE_US)
         self.granted: dict[str, GrantedName] = {}
 
     def answer_claim(self, now: int, claim: LenderClaim) -> LenderVote | None:
-        """Return the vote on a claim; None for a name that is no lender's."""
+        """Return the vote on a claim; None if the name is not a lender's."""
         if claim.lender not in self.lenders:
             return None
         last = self.granted.get(claim.lender)
@@ -50,16 +51,16 @@
 
 
 class LenderTenure:
-    """One process' right to lend under a name. Times are microseconds of its monotonic clock.
+    """One process's right to lend under a name. Times are microseconds of its monotonic clock.
 
     Attributes:
         until_us: The end of the right.
-        since_us: When it began without a break since; None before it first did.
+        since_us: When the right began, uninterrupted since; None before it first began.
         granted_by: Voters that granted in the current round.
     """
 
     def __init__(self, name: str, incarnation: int, lenders: Iterable[str]) -> None:
-        """Start without the right to `name`; `lenders` are the names of all."""
+        """Start without the right to `name`; `lenders` are the names of all lenders."""
         self.name = name
         self.incarnation = incarnation
         self.lenders = frozenset(lenders)
@@ -71,7 +72,7 @@
         self.since_us: int | None = None
 
     def next_claim(self, now: int) -> LenderClaim | None:
-        """Return the claim to send to all lenders, if a round is due."""
+        """Return the claim to send to all lenders if a round is due, and start that round."""
         if now < self.next_claim_us:
             return None
         self.round += 1
@@ -81,7 +82,7 @@
         return LenderClaim(self.name, self.incarnation, self.round)
 
     def handle_vote(self, now: int, vote: LenderVote) -> None:
-        """Count a vote; those on another claim are ignored."""
+        """Count a vote; votes on other claims are ignored."""
         if (vote.lender, vote.incarnation) != (self.name, self.incarnation):
             return
         if vote.round != self.round or not vote.granted:
@@ -89,20 +90,20 @@
         self.granted_by.add(vote.voter)
         if 2 * len(self.granted_by & self.lenders) > len(self.lenders):
             if not self.is_valid(now):
-                self.since_us = now  # from the start, or after a break
-            # The right counts from before the claim.
+                self.since_us = now  # the first time, or after an interruption
+            # The right is counted from before the claim was sent.
             self.until_us = max(self.until_us, self.claimed_at_us + durations.TENURE_US)
 
     def is_valid(self, now: int) -> bool:
-        """Tell whether the name is this process' own."""
+        """Return whether this process has the right now."""
         return now < self.until_us
 
     def may_lend(self, now: int, after_us: int = 0) -> bool:
-        """Tell whether all quota leases of an earlier process of this name have ended.
+        """Return whether all quota leases of an earlier process with this name have ended.
 
         Args:
             now: The time.
-            after_us: For how long use counts on after the end of a quota lease.
+            after_us: How long use still counts after the end of a quota lease.
         """
         if not self.is_valid(now) or self.since_us is None:
             return False
--- a/gullyoke/coordination/limit_parts.py
+++ b/gullyoke/coordination/limit_parts.py
@@ -1,16 +1,16 @@
 """One server's part of a limit on the calls of all servers to a dependency.
 
-These classes answer what the decisions ask of the `DependencySlots` protocol
-(gullyoke/admission/interface/fleet_feedback.py).
+These classes implement the `DependencySlots` protocol
+(gullyoke/admission/interface/fleet_feedback.py) for admission control.
 
-There are two kinds of limit. `ConcurrencyPart` limits the calls in flight at every moment. A call
-takes a token from its start until its end; one that was lost takes it until its linger is over as
-well, because the dependency may still be working on it. `MeanConcurrencyPart` limits the mean
-number of calls in flight over a window. A token is then a part of that mean, and call time that was
-used counts for a whole window, so tokens that are passed on are free of it first.
+There are two kinds of limit. `ConcurrencyPart` limits the calls in flight at any moment. A call
+uses a token from its start to its end; a lost call also uses it for the linger time that follows,
+because the dependency may still be working on it. `MeanConcurrencyPart` limits the mean number of
+calls in flight over a window. A token is then a fraction of that mean, and used call time counts
+for a whole window, so a token is passed on only once no call time counts on it.
 
-A call never runs for longer than the tokens that it uses are surely this server's. The need is
-estimated from the most calls that were lately in flight and waiting.
+A call must end while the server is certain to have the tokens that it uses. The need for tokens is
+estimated from the recent peak of calls in flight and waiting.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from gullyoke.coordination.quota_messages import QuotaMessage
 from gullyoke.coordination.quota_participant import AddressedQuotaMessage, QuotaParticipant
 
-SHORTEST_CALL_US: Final = 100_000  # no call starts whose tokens are sure for less
-GROWTH_DIVISOR: Final = 8  # one token more is wanted for so many in use, so that growth finds some
-PEAK_WINDOW_US: Final = 2 * RENEW_US  # a need counts for one to two such windows
-CALL_US: Final = 600_000  # the tokens of a mean must be sure for so long, and for the linger
-TOKENS_PER_CALL: Final = 16  # tokens of a mean of one call in flight
-USED_SHARE: Final = 0.95  # of a mean, so much is used: the margin of the decisions
-MEAN_GROWTH: Final = 1.25  # so much of the mean in use is wanted
-LEAST_PACE: Final = 0.25  # calls at a time, for estimates of waits
-LEAST_MEAN: Final = 0.01  # calls; above 0, so that a wait can be estimated
+MIN_SECURED_US: Final = 100_000  # a call starts only if its token is secured for so long
+SPARE_DIVISOR: Final = 8  # for so many tokens needed, one more is requested to allow for growth
+PEAK_WINDOW_US: Final = 2 * RENEW_US  # a peak counts for one to two windows
+CALL_US: Final = 600_000  # tokens of a mean must be secured for this and the linger time
+TOKENS_PER_CALL: Final = 16  # tokens that allow a mean of one call in flight
+USED_SHARE: Final = 0.95  # share of the mean that admission control uses; the rest is its margin
+MEAN_GROWTH: Final = 1.25  # tokens requested, relative to those in use, to allow for growth
+MIN_CONCURRENCY: Final = 0.25  # calls in flight; lower bound for estimates of waits
+MIN_MEAN: Final = 0.01  # calls in flight; above 0, so that a wait can be estimated
 
 
 class RecentPeak:
@@ -45,16 +45,16 @@
         self._since_us = 0
 
     def record(self, now: int, value: int) -> None:
-        """Take a value."""
-        self._turn_window(now)
+        """Record a value."""
+        self._advance_window(now)
         self._current = max(self._current, value)
 
     def highest(self, now: int) -> int:
         """Return the highest value."""
-        self._turn_window(now)
+        self._advance_window(now)
         return max(self._current, self._before)
 
-    def _turn_window(self, now: int) -> None:
+    def _advance_window(self, now: int) -> None:
         age_us = now - self._since_us
         if age_us >= PEAK_WINDOW_US:
             self._before = self._current if age_us < 2 * PEAK_WINDOW_US else 0
@@ -63,14 +63,14 @@
 
 
 class LimitPart:
-    """What all parts of limits have in common: a participant, its need and its messages.
+    """The base of all parts of limits: a participant, its need of tokens and its messages.
 
     Attributes:
-        refused: How often no token was free; the key of the same name is shown to operators.
+        refused: How often no token was free; operators see it under the same name.
     """
 
     def __init__(self, participant: QuotaParticipant, linger_us: int) -> None:
-        """Take over a participant; a lost call may run on for `linger_us`."""
+        """Start with a participant; a lost call may run on for `linger_us`."""
         self.participant = participant
         self.linger_us = linger_us
         self.peak = RecentPeak()
@@ -81,14 +81,14 @@
         raise NotImplementedError
 
     def tick(self, now: int) -> list[AddressedQuotaMessage]:
-        """Return what is to be sent now; to be called a few times a second."""
+        """Return the messages to send now; to be called a few times a second."""
         highest = self.peak.highest(now)
-        self.participant.needed = highest + -(-highest // GROWTH_DIVISOR)
+        self.participant.needed = highest + -(-highest // SPARE_DIVISOR)
         self.participant.used = self.used(now)
         return self.participant.tick(now)
 
     def handle(self, now: int, message: QuotaMessage) -> AddressedQuotaMessage | None:
-        """Take a message; return the answer, if there is one."""
+        """Handle a message; return the answer, if there is one."""
         self.participant.used = self.used(now)
         return self.participant.handle(now, message)
 
@@ -104,41 +104,44 @@
         """Start without calls."""
         super().__init__(participant, linger_us)
         self.out = 0
-        self._lost_until_us: deque[int] = deque()  # when lost calls are over at the latest
+        self._lost_until_us: deque[int] = deque()  # latest possible ends of lost calls
 
     def used(self, now: int) -> int:
-        """Return how many calls are in flight here or may be at the dependency."""
+        """Return how many calls are in flight or, once lost, may still run at the dependency."""
         while self._lost_until_us and self._lost_until_us[0] <= now:
             self._lost_until_us.popleft()
         return self.out + len(self._lost_until_us)
 
     def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
-        """Return None: no mean is limited."""
+        """Return None: this part limits no mean."""
         return None
 
     def has_free_slot(self, now: int, waiting: int) -> bool:
-        """Tell whether a call may start now; `waiting` more would like to."""
+        """Return whether a call may start now, while `waiting` more calls wait.
+
+        Records the need for tokens, and counts in `refused` if no token is free.
+        """
         used = self.used(now)
         self.peak.record(now, used + waiting + 1)
         secured_until_us = self.participant.borrower.secured_until(now, used + 1)
-        free = secured_until_us - self.linger_us > now + SHORTEST_CALL_US
+        free = secured_until_us - self.linger_us > now + MIN_SECURED_US
         self.refused += not free
         return free
 
     def secured_until(self, now: int) -> float:
-        """Return when the next call has to be over, its linger included."""
+        """Return the time by which the next call and its linger time must have ended."""
         return self.participant.borrower.secured_until(now, self.used(now) + 1)
 
     def concurrency(self, now: int) -> float:
-        """Return how many calls may be in flight at a time."""
-        return max(LEAST_PACE, float(self.participant.in_force(now)))
+        """Return how many calls may be in flight at the same time."""
+        return max(MIN_CONCURRENCY, float(self.participant.in_force(now)))
 
     def call_started(self) -> None:
         """Count a call that starts."""
         self.out += 1
 
     def call_ended(self, now: int, lost: bool, succeeded: bool) -> None:
-        """Count a call that ends; one that was `lost` may still be at the dependency."""
+        """Count a call that ends; a `lost` one may still run at the dependency."""
         self.out -= 1
         if lost and self.linger_us:
             self._lost_until_us.append(now + self.linger_us)
@@ -154,22 +157,23 @@
         self._spent_us = 0.0
 
     def used(self, now: int) -> int:
-        """Return how many tokens the call time of the last window comes to."""
+        """Return how many tokens the call time of the last window uses."""
         return math.ceil(self._spent_us * TOKENS_PER_CALL / (USED_SHARE * self.window_us))
 
     def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
-        """Return the mean that is sure for a call's time.
+        """Return the mean that is secured for the duration of a call.
 
-        `used_call_time` is the call time of the last window, in microseconds.
+        Records the need for tokens. `used_call_time` is the call time of the last window, in
+        microseconds.
         """
         self._spent_us = used_call_time
         self.peak.record(now, math.ceil(MEAN_GROWTH * self.used(now)) + 1)
-        borrowed = sum(lease.tokens for lease in self._sure_leases(now))
+        borrowed = sum(lease.tokens for lease in self._secured_leases(now))
         tokens = self.participant.borrower.guaranteed(now) + borrowed
-        return max(LEAST_MEAN, tokens / TOKENS_PER_CALL)
+        return max(MIN_MEAN, tokens / TOKENS_PER_CALL)
 
-    def _sure_leases(self, now: int) -> list[BorrowedQuota]:
-        """Return the leases that last for a call, and so count."""
+    def _secured_leases(self, now: int) -> list[BorrowedQuota]:
+        """Return the leases that outlast a call and its linger time."""
         call_end_us = now + self.linger_us + CALL_US
         return [
             lease
@@ -180,7 +184,8 @@
     def has_free_slot(self, now: int, waiting: int) -> bool:
         """Return True: the mean limits the calls.
 
-        While calls wait, twice the tokens in force are wanted, and those of one call at the least.
+        While calls wait, records a need for twice the tokens in force and those of one call more,
+        and counts in `refused`.
         """
         if waiting:
             self.refused += 1
@@ -188,15 +193,15 @@
         return True
 
     def secured_until(self, now: int) -> float:
-        """Return when the next call has to be over, its linger included."""
-        return min((lease.until_us for lease in self._sure_leases(now)), default=math.inf)
+        """Return the time by which the next call and its linger time must have ended."""
+        return min((lease.until_us for lease in self._secured_leases(now)), default=math.inf)
 
     def concurrency(self, now: int) -> float:
-        """Return how many calls may be in flight at a time."""
-        return max(LEAST_PACE, self.participant.in_force(now) / TOKENS_PER_CALL)
+        """Return how many calls may be in flight at the same time."""
+        return max(MIN_CONCURRENCY, self.participant.in_force(now) / TOKENS_PER_CALL)
 
     def call_started(self) -> None:
-        """Do nothing: the call time counts."""
+        """Do nothing: the limit counts call time."""
 
     def call_ended(self, now: int, lost: bool, succeeded: bool) -> None:
-        """Do nothing: the call time counts."""
+        """Do nothing: the limit counts call time."""
--- a/gullyoke/coordination/max_min_fairness.py
+++ b/gullyoke/coordination/max_min_fairness.py
@@ -1,7 +1,7 @@
 """Weighted max-min fairness: how a total is divided between demands.
 
-Nobody gets more than it wants, and those that want more than their share divide what the others
-leave (Bertsekas and Gallager 1992).
+No borrower gets more than it wants; borrowers that want more than their share divide what the
+others leave (Bertsekas and Gallager 1992).
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 from collections.abc import Iterable
 from typing import Final, NamedTuple
 
-LEVEL_PRECISION: Final = 1e-6  # of the level
+LEVEL_PRECISION: Final = 1e-6  # relative to the level
 
 
 class Demand(NamedTuple):
-    """What one borrower wants.
+    """The tokens that one borrower wants.
 
     Attributes:
-        want: Tokens wanted here.
-        elsewhere: Tokens that it has besides; they count against its share.
-        weight: Its share of what is scarce is proportional to this; above 0.
+        want: Tokens wanted from this lender.
+        elsewhere: Tokens that the borrower has from elsewhere; they count against its share.
+        weight: Shares of scarce tokens are proportional to this; above 0.
     """
 
     want: int
@@ -27,14 +27,17 @@
     weight: float = 1.0
 
     def part(self, level: float) -> float:
-        """Return its share where everybody has `level` times its weight, if it wants as much."""
+        """Return this borrower's share at a level of tokens per weight.
+
+        The tokens that it has from elsewhere are subtracted, and it gets no more than it wants.
+        """
         return min(float(self.want), max(0.0, level * self.weight - self.elsewhere))
 
 
 def fill_level(total: int, demands: Iterable[Demand]) -> float:
-    """Return the level at which the shares of all demands come to `total`.
+    """Return the level at which the shares of all demands add up to `total`.
 
-    Infinity where there is enough for all.
+    Infinity where `total` covers all demands.
     """
     demands = list(demands)
     if sum(demand.want for demand in demands) <= total:
@@ -53,22 +56,24 @@
 def split_limit(
     limit: int, largest_fleet: int, lenders: Iterable[str], floor_share: float
 ) -> tuple[int, dict[str, int]]:
-    """Divide a fleet's limit into a floor of each process and the tokens of each lender.
+    """Divide a fleet's limit into a floor for each process and the tokens of each lender.
 
     Args:
         limit: The limit in tokens.
-        largest_fleet: The most processes that have the floor.
+        largest_fleet: The largest number of processes that have the floor.
         lenders: Names of the lenders.
-        floor_share: The part of the limit that goes into floors, from 0 to 1.
+        floor_share: The share of the limit that goes into floors, from 0 to 1.
 
     Returns:
-        The floor, and the tokens by lender; all floors and tokens together are the limit.
+        The floor, and the tokens by lender; all floors and tokens add up to the limit.
 
     Raises:
-        ValueError: For a negative limit, an empty fleet, or a share that is none.
+        ValueError: For a negative limit, an empty fleet, or a share outside 0 to 1.
     """
     if limit < 0 or largest_fleet < 1 or not 0 <= floor_share <= 1:
-        raise ValueError(f"a limit of {limit} for {largest_fleet} with a floor of {floor_share}")
+        raise ValueError(
+            f"cannot split limit {limit} for {largest_fleet} processes, floor share {floor_share}"
+        )
     floor = int(limit * floor_share / largest_fleet)
     names = sorted(lenders)
     tokens, remainder = divmod(limit - floor * largest_fleet, max(1, len(names)))
--- a/gullyoke/coordination/quota_messages.py
+++ b/gullyoke/coordination/quota_messages.py
@@ -1,7 +1,7 @@
 """Messages of quota leases, between borrowers, lenders and the voters on a lender's name.
 
-Each message travels as an array of its fields in the order in which they stand here; new fields go
-to the end. `lender` is a lender's name in the operator's file. An `incarnation` is a random number
+Each message is sent as an array of its fields in the order of their definition; new fields are
+appended. `lender` is a lender's name in the operator's file. An `incarnation` is a random number
 drawn when a process starts.
 """
 
@@ -11,7 +11,7 @@
 
 
 class LenderClaim(NamedTuple):
-    """A process asks all lenders for the right to lend under a name; it numbers its rounds."""
+    """Asks all lenders for the right to lend under a name; the process numbers its rounds."""
 
     lender: str
     incarnation: int
@@ -19,7 +19,7 @@
 
 
 class LenderVote(NamedTuple):
-    """Answer to a `LenderClaim` of the same round by the lender `voter`."""
+    """The answer of the lender `voter` to a `LenderClaim` of the same round."""
 
     lender: str
     incarnation: int
@@ -29,15 +29,15 @@
 
 
 class QuotaRequest(NamedTuple):
-    """A borrower asks a lender for tokens, or for those that it has for another while.
+    """Asks a lender for tokens, or to renew the lease on those that the borrower has.
 
     Attributes:
         lender: The lender's name.
         borrower: The borrower's incarnation.
-        sequence: Number of the request; a lender ignores those that are not above the last.
-        wanted: Tokens that the borrower wants of this lender in all.
-        weight: Its part of what is scarce is proportional to this.
-        elsewhere: Tokens that it has besides.
+        sequence: Number of the request; a lender ignores requests not above the last number.
+        wanted: Tokens that the borrower wants from this lender in total.
+        weight: Scarce tokens are divided in proportion to the weights of the borrowers.
+        elsewhere: Tokens that the borrower has from its floor and from other lenders.
     """
 
     lender: str
@@ -49,7 +49,7 @@
 
 
 class QuotaGrant(NamedTuple):
-    """Answer to a `QuotaRequest`: what is granted in all; 0 where the lender has nothing to lend.
+    """The answer to a `QuotaRequest`: all tokens granted now, 0 where there are none to lend.
 
     `sequence` is that of the request.
     """
@@ -61,7 +61,7 @@
 
 
 class QuotaReturn(NamedTuple):
-    """The borrower uses no more than `tokens` of the lease that was granted to `sequence`."""
+    """States that the borrower uses at most `tokens` of the lease granted to `sequence`."""
 
     lender: str
     borrower: int
--- a/gullyoke/coordination/quota_participant.py
+++ b/gullyoke/coordination/quota_participant.py
@@ -1,7 +1,6 @@
-"""One process' part in a fleet's limit: it borrows, and where it is a lender it lends and votes.
+"""One process's part in a fleet's limit: it borrows; a lender also lends and votes.
 
-Messages go in and come out; who carries them is decided elsewhere
-(gullyoke/peer_transport/quota_service.py).
+The class takes and returns messages; gullyoke/peer_transport/quota_service.py transports them.
 """
 
 from __future__ import annotations
@@ -24,7 +23,7 @@
 
 
 class Recipient(Enum):
-    """To whom a message goes."""
+    """The kind of process that a message is sent to."""
 
     VOTER = auto()  # the process at the configured address of the lender
     LENDER = auto()  # the process that lends under the lender's name
@@ -32,7 +31,7 @@
 
 
 class AddressedQuotaMessage(NamedTuple):
-    """A message, to whom it goes, and the name of the lender that it is about or goes to."""
+    """A message, its kind of recipient, and the name of the lender that it concerns."""
 
     to: Recipient
     lender: str
@@ -40,13 +39,13 @@
 
 
 class QuotaParticipant:
-    """One process' borrower, and its lender and voter where it has them.
+    """One process's borrower, and its lender and voter where it has them.
 
     Attributes:
-        needed: Tokens that the process would use; set by the owner.
-        used: Tokens that it has in use; set by the owner.
-        lender_name: The name under which it lends; None where it is no lender.
-        substitutes: Lenders of names whose processes ended, while this process lends for them.
+        needed: Tokens that the process could use; set by the owner.
+        used: Tokens that the process has in use; set by the owner.
+        lender_name: The name under which the process lends; None if it is not a lender.
+        substitutes: By name, lenders that this process runs for processes that have ended.
     """
 
     def __init__(
@@ -65,22 +64,22 @@
 
         Args:
             now: Microseconds of the monotonic clock.
-            incarnation: The random number drawn at the process' start.
+            incarnation: The random number drawn when the process started.
             lender_names: Names of all lenders.
             tokens: Tokens that this lender has to lend.
-            floor: Tokens that each process has without a lease.
-            lender_name: The name under which it lends, if any.
-            votes: Whether it is at the configured address of that lender.
-            linger_us: For how long after its end a process' calls may still run.
-            after_us: For how long use counts on after the end of a lease, where a mean is limited.
+            floor: Tokens that each process may use without a lease.
+            lender_name: The name under which the process lends, if any.
+            votes: Whether the process is at the configured address of that lender.
+            linger_us: How long calls of a process may still run after its end.
+            after_us: How long use still counts after the end of a lease, where a mean is limited.
 
         Raises:
-            ValueError: For a name that is no lender's.
+            ValueError: If `lender_name` is not among `lender_names`.
         """
         self.lender_names = tuple(lender_names)
         if lender_name is not None and lender_name not in self.lender_names:
             names = ", ".join(self.lender_names)
-            raise ValueError(f"{lender_name!r} is none of the homes {names}")
+            raise ValueError(f"{lender_name!r} is not one of the lenders {names}")
         self.lender_name = lender_name
         self.incarnation = incarnation
         self.after_us = after_us
@@ -99,11 +98,11 @@
         self.substitutes: dict[str, Lender] = {}
 
     def in_force(self, now: int) -> int:
-        """Return how many tokens may be used now; to be called again after every wait."""
+        """Return how many tokens may be used now; call this again after every wait."""
         return self.borrower.in_force(now)
 
     def tick(self, now: int) -> list[AddressedQuotaMessage]:
-        """Return what is to be sent now; to be called a few times a second."""
+        """Return the messages to send now; to be called a few times a second."""
         out: list[AddressedQuotaMessage] = []
         for lender in self.lenders():
             claim = lender.tenure.next_claim(now)
@@ -119,45 +118,45 @@
         return out
 
     def handle(self, now: int, message: QuotaMessage) -> AddressedQuotaMessage | None:
-        """Take a message; return the answer, if there is one."""
+        """Handle a message; return the answer, if there is one."""
         if isinstance(message, LenderVote):
             for lender in self.lenders():
                 lender.tenure.handle_vote(now, message)
             return None
         if isinstance(message, QuotaReturn):
-            lends = self._lender_of(message.lender)
-            if lends is not None:
-                lends.handle_return(now, message)
+            target = self._lender_named(message.lender)
+            if target is not None:
+                target.handle_return(now, message)
             return None
         answer: QuotaMessage | None = None
         to = Recipient.REQUESTER
         if isinstance(message, LenderClaim):
             answer = self.voter.answer_claim(now, message) if self.voter else None
         elif isinstance(message, QuotaRequest):
-            lends = self._lender_of(message.lender)
-            answer = lends.answer_request(now, message) if lends else None
+            target = self._lender_named(message.lender)
+            answer = target.answer_request(now, message) if target else None
         elif isinstance(message, QuotaGrant):
             answer = self.borrower.handle_grant(now, message, self.used)
             to = Recipient.LENDER
         return AddressedQuotaMessage(to, message.lender, answer) if answer is not None else None
 
     def lenders(self) -> list[Lender]:
-        """Return the lenders of all names that this process lends under."""
+        """Return the lenders for all names under which this process lends."""
         own = [self.lender] if self.lender else []
         return own + list(self.substitutes.values())
 
-    def _lender_of(self, name: str) -> Lender | None:
+    def _lender_named(self, name: str) -> Lender | None:
         return self.lender if name == self.lender_name else self.substitutes.get(name)
 
     def take_over(self, tokens: Mapping[str, int]) -> None:
-        """Lend under these names of lenders that ended, and under no others but one's own.
+        """Lend under these names of ended lenders, and under no others but this process's own.
 
-        It is safe whoever asks for it: a name's tokens are lent only once a majority of the lenders
-        has granted the name, which it does when no other process has it any more. A process that
-        comes back gets its name when this one stops to claim it.
+        Any caller may do this safely: the tokens of a name are lent only once a majority of the
+        lenders has granted the name, which it does only when no other process holds it. A process
+        that comes back gets its name once this one stops claiming it.
 
         Args:
-            tokens: By name, how many tokens it has to lend.
+            tokens: By name, how many tokens there are to lend.
         """
         self.substitutes = {
             name: self.substitutes.get(name) or self._substitute(name, count)
--- a/gullyoke/coordination/signals.py
+++ b/gullyoke/coordination/signals.py
@@ -1,11 +1,11 @@
-"""Load reports of the members of a fleet, and what each member concludes from them.
-
-The question is whether this server is slow or the fleet is full. A report has four values in a few
-steps each and travels on the messages of membership. A few a second reach each server from those it
-observes and those that observe it, a sample of the fleet drawn by hashes. All conclusions are
-medians over that sample, one report a sender, young ones only; a sender that lies or is stuck moves
-a median by one place at the most. The decisions go on to admit by what they learned themselves; the
-reports shape advice and health checks only.
+"""Load reports of the members of a fleet, and the conclusions that each member draws from them.
+
+The reports tell a slow server from a full fleet. A report has four values, each rounded to a few
+steps, and is sent with the messages of membership. Each server receives a few reports a second from
+the members that it observes and those that observe it, a sample of the fleet drawn by hashes. All
+conclusions are medians over the valid reports of that sample, one per sender. So a sender with
+false or stuck values moves a median by at most one place. Admission control still relies on its own
+estimates; the reports affect only retry advice and health checks.
 """
 
 from __future__ import annotations
@@ -17,42 +17,42 @@
 
 from gullyoke.admission.load_snapshot import LoadSnapshot
 
-SHARE_STEPS = 15  # a share is sent in so many steps
+SHARE_STEPS = 15  # a share is sent as a number of steps
 LATENCY_STEPS_PER_ONE = 5  # a latency ratio is sent in fifths
 LATENCY_STEP = 0.2
-REPORT_VALID_US = 3_000_000  # for which a report counts
-MAX_SENDERS = 64  # of which reports are kept
-LEAST_SENDERS = 5  # fewer valid reports allow no conclusion
-FULL_FREE_CAPACITY = 0.1  # a peer with no more than this free counts as full
-FULL_REJECTED_SHARE = 0.25  # and so does one that rejects this share of its requests
-SLOW_RATIO = 2.0  # from this multiple of its peers' latency ratio a server alone is slow
-RECOVERED_RATIO = 1.3  # and up to this it is well again
-LEAST_LATENCY_RATIO = 0.2  # of the peers, for the comparison
-STATE_DWELL_US = 3_000_000  # a server withdraws, or returns, after so long
-MAX_WITHDRAWN_SHARE = 0.1  # of the peers may have withdrawn before one more does not
-FULL_PEERS_SHARE = 0.3  # of the peers full, from which a retry elsewhere is not worth its cost
-WAIT_SPREAD = 0.5  # a wait is drawn within this share of its length, to both sides
-SMOOTHING_WEIGHT = 0.25  # of a new report
-STEP_HYSTERESIS = 0.9  # of a step, by which a value must differ from the one sent
+REPORT_VALID_US = 3_000_000  # how long a report counts
+MAX_SENDERS = 64  # senders whose reports are kept
+LEAST_SENDERS = 5  # with fewer valid reports no conclusion is drawn
+FULL_FREE_CAPACITY = 0.1  # a peer with at most this free capacity counts as full
+FULL_REJECTED_SHARE = 0.25  # as does a peer that rejects at least this share of its requests
+SLOW_RATIO = 2.0  # a server is slow from this multiple of its peers' latency ratio on
+RECOVERED_RATIO = 1.3  # a slow server has recovered at this multiple or below
+MIN_LATENCY_RATIO = 0.2  # lower bound of the peers' ratio in the comparison
+STATE_DWELL_US = 3_000_000  # how long the reason to withdraw or to return must last
+MAX_WITHDRAWN_SHARE = 0.1  # no server withdraws while this share of its peers has
+FULL_PEERS_SHARE = 0.3  # with this share of full peers, a retry elsewhere is not worth its cost
+WAIT_SPREAD = 0.5  # a wait is drawn within this share of its length, above and below
+SMOOTHING_WEIGHT = 0.25  # weight of a new report
+STEP_HYSTERESIS = 0.9  # share of a step by which a value must differ from the one sent
 
 
 class ServingStage(IntEnum):
-    """Whether a server is in service; the values travel on the wire."""
+    """Whether a server is in service; the values are sent on the wire."""
 
     COLD = 0
     WARM = 1
     DRAINING = 2
-    WITHDRAWN = 3  # it fails its health checks, being slow alone
+    WITHDRAWN = 3  # fails its health checks, because it is slow and its peers are not
 
 
 class LoadReport(NamedTuple):
     """The load of one server.
 
     Attributes:
-        free_capacity: The free share of what it could run.
-        rejected_share: The share of requests that it lately rejected.
-        latency_ratio: Its usual run time over that which its latency objective lets expect.
-        stage: Whether it is in service.
+        free_capacity: The free share of the server's capacity.
+        rejected_share: The share of recent requests that the server rejected.
+        latency_ratio: Recent run times divided by the expected ones; 1 where they are as expected.
+        stage: Whether the server is in service.
     """
 
     free_capacity: float
@@ -62,11 +62,11 @@
 
     @classmethod
     def of(cls, load: LoadSnapshot, stage: ServingStage) -> LoadReport:
-        """Return the report of a server that is loaded so."""
+        """Return the report of a server with this load."""
         return cls(load.free_share, load.rejected_share, load.pace, stage)
 
     def pack(self) -> int:
-        """Return the report in 14 bits; the latency ratio in fifths, up to 3."""
+        """Return the report in 14 bits, with the latency ratio in fifths, at most 3."""
         latency_step = max(0, round(self.latency_ratio * LATENCY_STEPS_PER_ONE))
         return (
             to_step(self.free_capacity)
@@ -77,12 +77,12 @@
 
 
 def to_step(share: float) -> int:
-    """Return the step that a share is sent as."""
+    """Return the number of the step nearest to a share."""
     return min(SHARE_STEPS, max(0, round(share * SHARE_STEPS)))
 
 
 def unpack_report(packed: int) -> LoadReport:
-    """Return the report of a packed number; any number has one, its higher bits are ignored."""
+    """Return the report in a packed number; any number is valid, higher bits are ignored."""
     return LoadReport(
         (packed & 15) / SHARE_STEPS,
         (packed >> 4 & 15) / SHARE_STEPS,
@@ -94,8 +94,8 @@
 class ReportSmoother:
     """A server's own reports as they are sent.
 
-    They are smoothed, and a step changes only when its value is well past it, so that a value at
-    the border of two steps does not flicker.
+    The values are smoothed, and a step changes only when the value is well past it. So a value at
+    the border between two steps does not alternate between them.
     """
 
     def __init__(self, weight: float = SMOOTHING_WEIGHT) -> None:
@@ -105,7 +105,7 @@
         self._sent = 0
 
     def pack(self, report: LoadReport) -> int:
-        """Take a new report; return the packed one to send."""
+        """Add a new report; return the packed one to send."""
         if self._smoothed is None:
             self._smoothed = report
             self._sent = report.pack()
@@ -132,12 +132,12 @@
 
 
 def _with_hysteresis(sent: float, value: float, step: float) -> float:
-    """Return the value where it is well past the step that was sent, and that step otherwise."""
+    """Return the value if it is well past the step that was sent, otherwise that step."""
     return value if abs(value - sent) > STEP_HYSTERESIS * step else sent
 
 
 class ReceivedReport(NamedTuple):
-    """A report, when it came, in microseconds, and its sender's number for it."""
+    """A report, when it was received, in microseconds, and the sender's number for it."""
 
     received_at_us: int
     sequence: int
@@ -148,7 +148,7 @@
     """The last report of each sender.
 
     Attributes:
-        rows: By sender, the one that came longest ago first; at most `MAX_SENDERS`.
+        rows: Reports by sender, oldest first; at most `MAX_SENDERS`.
     """
 
     def __init__(self) -> None:
@@ -156,7 +156,7 @@
         self.rows: dict[int, ReceivedReport] = {}
 
     def take(self, now: int, sender: int, sequence: int, packed: int) -> None:
-        """Take a report; one whose sequence is not above the sender's last is ignored."""
+        """Store a report; one whose sequence is not above the sender's last is ignored."""
         last = self.rows.get(sender)
         if last is not None and last.sequence >= sequence:
             return
@@ -166,11 +166,11 @@
             del self.rows[next(iter(self.rows))]
 
     def clear(self) -> None:
-        """Drop all reports, as after a pause of this process."""
+        """Drop all reports, for example after a pause of this process."""
         self.rows.clear()
 
     def valid(self, now: int) -> list[LoadReport]:
-        """Drop what is too old and return the other reports."""
+        """Drop reports that are too old and return the others."""
         outdated = [
             sender
             for sender, received in self.rows.items()
@@ -182,10 +182,10 @@
 
 
 class PeerSummary(NamedTuple):
-    """What the reports of the peers in service come to.
+    """Summary of the reports of the peers in service.
 
     Attributes:
-        free_capacity: That of the median peer, as the next two.
+        free_capacity: Median of the peers' values, as the next two.
         rejected_share: See `LoadReport`.
         latency_ratio: See `LoadReport`.
         full_share: The share of peers that are full.
@@ -200,7 +200,7 @@
 
 
 def summarize_peers(reports: list[LoadReport]) -> PeerSummary | None:
-    """Return the summary of the peers that are warm; None where they are too few."""
+    """Return the summary of the peers that are warm or withdrawn; None if they are too few."""
     warm = [r for r in reports if r.stage in (ServingStage.WARM, ServingStage.WITHDRAWN)]
     if len(warm) < LEAST_SENDERS:
         return None
@@ -219,11 +219,11 @@
 
 
 class LoadAssessment:
-    """One server's conclusions; the `FleetFeedback` that the decisions ask.
+    """One server's conclusions; implements `FleetFeedback` for admission control.
 
     Attributes:
-        withdrawn: Whether this server has withdrawn, being slow alone.
-        peers: The last summary; None while there is none, and all is as without reports.
+        withdrawn: Whether this server has withdrawn because it is slow and its peers are not.
+        peers: The last summary. While it is None, answers are as they would be without reports.
     """
 
     def __init__(self, draw: Callable[[], float]) -> None:
@@ -235,10 +235,10 @@
         self._change_since_us: int | None = None
 
     def update(self, now: int, own: LoadReport, reports: list[LoadReport]) -> None:
-        """Take the peers' reports, and withdraw or return where that is due.
+        """Evaluate the peers' reports; withdraw this server or return it to service when due.
 
-        A server withdraws when it is slow and its peers are not, and returns when it is well again
-        or its peers are as slow; both have to last for `STATE_HOLD_US`. Without a summary it is in
+        A server withdraws when it is slow and its peers are not, and returns when it has recovered
+        or its peers are as slow; either must last for `STATE_DWELL_US`. Without a summary it is in
         service: no server withdraws on its own report alone.
         """
         self._free_capacity = own.free_capacity
@@ -256,25 +256,25 @@
             self._change_since_us = None
 
     def _should_change(self, own: LoadReport, peers: PeerSummary) -> bool:
-        ratio = own.latency_ratio / max(peers.latency_ratio, LEAST_LATENCY_RATIO)
+        ratio = own.latency_ratio / max(peers.latency_ratio, MIN_LATENCY_RATIO)
         if self.withdrawn:
             return ratio <= RECOVERED_RATIO
         return ratio >= SLOW_RATIO and peers.withdrawn_share < MAX_WITHDRAWN_SHARE
 
     def is_overloaded(self, own: bool) -> bool:
-        """Tell whether a rejected request should not be retried at another server.
+        """Return whether a rejected request should not be retried at another server.
 
-        So it is where this server says so by itself (`own`), or where `FULL_PEERS_SHARE` of its
-        peers are full. That peers are free does not overrule this server: a fleet half full as the
-        only measure cost 0.010 of the value in a burst (docs/together-design.md).
+        True if this server concludes so by itself (`own`), or if `FULL_PEERS_SHARE` of its peers
+        are full. Free peers do not overrule this server: deciding only by whether half of the fleet
+        is full cost 0.010 of the value in a burst (docs/together-design.md).
         """
         return own or (self.peers is not None and self.peers.full_share >= FULL_PEERS_SHARE)
 
     def retry_after(self, own_advice: int) -> int:
-        """Return how long a caller should wait, in microseconds.
+        """Return how long a client should wait before it retries, in microseconds.
 
-        Longer where the peers have more free capacity than this server, and drawn around that, so
-        that callers do not come back together.
+        The wait is longer if the peers have more free capacity than this server, and is drawn
+        around that value, so that clients do not all return at the same time.
         """
         if self.peers is None:
             return own_advice
