--- a/gullyoke/leases/__init__.py
+++ b/gullyoke/leases/__init__.py
@@ -1,9 +1,10 @@
-"""Leases: what only one process of a fleet does at a time.
+"""Leases for work that only one process of a fleet may do at a time.
 
 A majority of voters grants a lease under an epoch that only grows; a fence at the resource rejects
-acts of older epochs. The package has decisions and state alone: no I/O, no clock and no randomness
-but what is handed in. It is safe by durable promises, majorities and a bound on how far the rates
-of clocks differ; membership only speeds it up. docs/duty-design.md names the sources of each part.
+operations of older epochs. The package holds decisions and state only. It does no I/O; times and
+random numbers are passed in. Safety depends on durable promises, majorities and a bound on how far
+the rates of clocks differ; membership only makes elections faster. docs/duty-design.md names the
+sources of each part.
 """
 
 from gullyoke.leases.candidate import Candidate
--- a/gullyoke/leases/announcements.py
+++ b/gullyoke/leases/announcements.py
@@ -1,19 +1,19 @@
-"""What a lease holder sends to the members of the fleet, and what operators send to a holder.
+"""Messages from a lease holder to the members of the fleet, and from operators to a holder.
 
-A receiver compares the epoch of an announcement or instruction with the newest that it has seen of
-the lease (gullyoke/leases/fence.py). The messages travel as arrays of their fields in the order in
-which they stand here.
+A receiver compares the epoch of an announcement or instruction with the newest epoch that it has
+seen for the lease (gullyoke/leases/fence.py). The messages are sent as arrays of their fields in
+the order of their definition.
 """
 
 from __future__ import annotations
 
 from typing import Final, NamedTuple
 
-MAX_LEASES: Final = 64  # leases of which a process remembers the holder
+MAX_LEASES: Final = 64  # leases whose holder a process remembers
 
 
 class Announcement(NamedTuple):
-    """From a holder to all members: it holds the lease `duty`; `body` is for its handler there."""
+    """Tells all members who holds the lease `duty`; `body` is for the lease's handler there."""
 
     duty: str
     epoch: int
@@ -23,7 +23,7 @@
 
 
 class Instruction(NamedTuple):
-    """From a holder to one member: do `what`, with `body` as its argument."""
+    """Tells one member, on behalf of the holder, to do `what` with the argument `body`."""
 
     duty: str
     epoch: int
@@ -33,21 +33,21 @@
 
 
 class ForwardedCommand(NamedTuple):
-    """An operator's command in `what`, forwarded to the holder by the server that was asked."""
+    """An operator's command `what`, forwarded to the holder by the server that received it."""
 
     duty: str
     what: str
 
 
 class KnownHolder(NamedTuple):
-    """The last announcement of a lease, and when it came, in microseconds."""
+    """The last announcement of a lease and the time when it was received, in microseconds."""
 
     announcement: Announcement
     received_at_us: int
 
 
 class KnownHolders:
-    """The last announcement of each lease that came to this process.
+    """The last announcement of each lease that this process received.
 
     Attributes:
         by_duty: Announcements by the name of the lease, at most `MAX_LEASES`.
@@ -58,7 +58,11 @@
         self.by_duty: dict[str, KnownHolder] = {}
 
     def take(self, now: int, announcement: Announcement) -> bool:
-        """Remember an announcement; False where it is of an older epoch than the last."""
+        """Store an announcement.
+
+        Returns:
+            False for an older epoch than the last one's, or a new lease above `MAX_LEASES`.
+        """
         known = self.by_duty.get(announcement.duty)
         if known is None:
             if len(self.by_duty) >= MAX_LEASES:
--- a/gullyoke/leases/candidate.py
+++ b/gullyoke/leases/candidate.py
@@ -1,10 +1,10 @@
-"""One process that competes for one lease: how it gets it, renews it and gives it up.
+"""One process that competes for one lease: how it acquires, renews and releases the lease.
 
-A candidate asks in two rounds. Only after a majority has answered a pre-vote that it would grant
-the lease does it request it under a new epoch, so a process that is cut off uses up no epochs. Its
-lease counts from before the request, and the holder stops by itself at the end. In the second half
-of its lease a holder no longer renews: a process that is heard but hears nothing would otherwise
-keep the lease from all others.
+A candidate sends two rounds of messages. It requests the lease under a new epoch only after a
+majority has answered a pre-vote that it would grant the lease, so a process that is cut off uses up
+no epochs. The lease counts from before the request, and the holder stops by itself when it ends. In
+the second half of its lease a holder no longer renews: otherwise a process that can send but not
+receive would keep the lease from all others.
 """
 
 from __future__ import annotations
@@ -23,25 +23,26 @@
     VoteReply,
 )
 
-REPLY_TIMEOUT_US = 300_000  # how long a request waits for the replies of a majority
-FIRST_PAUSE_US = 150_000  # between rounds that failed; doubled after each one
+REPLY_TIMEOUT_US = 300_000  # how long a request waits for a majority of replies
+FIRST_PAUSE_US = 150_000  # pause after a failed round; doubled after each further one
 LONGEST_PAUSE_US = 2_000_000
-EAGER_US = 1_500_000  # a successor tries to take over for so long
-EAGER_INTERVAL_US = 50_000  # between its rounds meanwhile
-FAILED_PAUSE_US = 30_000_000  # a process at which the work failed does not compete for so long
+EAGER_US = 1_500_000  # how long a successor tries to take over
+EAGER_INTERVAL_US = 50_000  # interval between the successor's rounds
+FAILED_PAUSE_US = 30_000_000  # how long a process does not compete after its work failed
 
 
 class Candidate:
     """A candidate for one lease, and its holder while `held_epoch` returns an epoch.
 
-    All times are microseconds of this process' monotonic clock.
+    All times are microseconds of this process's monotonic clock.
 
     Attributes:
         wants_lease: Whether it competes for the lease; set by the owner.
         delay_us: How long it leaves a free lease to candidates that rank higher; set by the owner.
-        not_before_us: Until when the owner should not let it compete, as the work failed here.
+        not_before_us: The owner should not let it compete before this time, since the work failed
+            here.
         highest_epoch: The highest epoch that it has seen.
-        holder: Name of the holder as far as it is known; empty where it is not.
+        holder: Name of the last known holder; empty if unknown.
         granted_by: Voters that granted in the current round.
         rejected_by: Voters that rejected in the current round.
         listeners: Called with each `LeaseChange`.
@@ -63,13 +64,13 @@
         Args:
             duty: Name of the lease.
             name: Name of this process.
-            incarnation: The random number drawn at its start.
+            incarnation: The random number drawn when this process started.
             voters: Names of all voters.
-            durations: The durations that all voters and candidates go by.
+            durations: The durations that all voters and candidates use.
             draw: Returns a random number from 0 to 1.
             voter_set: Number of the set of voters.
-            epoch_floor: Returns the least epoch to request. A number that only grows, such as the
-                wall clock's second, lets epochs grow even after all voters lost their promises.
+            epoch_floor: Returns the lowest epoch to request. With a number that only grows, such as
+                the wall clock's second, epochs grow even after all voters lost their promises.
         """
         self.duty = duty
         self.name = name
@@ -100,9 +101,9 @@
         self.listeners: list[Callable[[LeaseChange], None]] = []
 
     def held_epoch(self, now: int) -> int | None:
-        """Return the epoch under which this process may act now; None where it may not.
+        """Return the epoch under which this process may act now; None if it may not act.
 
-        To be called again after every wait.
+        Call this again after every wait.
         """
         safe_until_us = self.lease_end_us - self.durations.margin_us
         if self.state is CandidateState.HOLDING and now < safe_until_us:
@@ -110,15 +111,15 @@
         return None
 
     def remaining_us(self, now: int) -> int:
-        """Return for how long this process may still act without a renewal; 0 where it may not."""
+        """Return how long this process may still act without a renewal; 0 if it may not act."""
         if self.state is not CandidateState.HOLDING:
             return 0
         return max(0, self.lease_end_us - self.durations.margin_us - now)
 
     def set_voters(self, now: int, voters: Iterable[str], voter_set: int) -> None:
-        """Take over the next set of voters.
+        """Switch to the next set of voters.
 
-        A lease that was granted by the last set runs to its end and is renewed by the new one.
+        A lease that the previous set granted runs to its end and is renewed by the new set.
         """
         self.voters = frozenset(voters)
         self.voter_set = voter_set
@@ -130,9 +131,9 @@
     # Rounds.
 
     def tick(self, now: int) -> list[AddressedMessage]:
-        """Return what is to be sent now; to be called several times in `FIRST_PAUSE_US`."""
+        """Return the messages to send now; to be called several times per `FIRST_PAUSE_US`."""
         if self.state is CandidateState.HOLDING and now >= self.lease_end_us:
-            self._report(now, "lost", "its time ran out")
+            self._report(now, "lost", "the lease expired")
             self.state = CandidateState.IDLE
             self.next_round_us = now + int(FIRST_PAUSE_US * (1 + self.draw()))
         if self.state is CandidateState.HOLDING:
@@ -186,7 +187,7 @@
         return [AddressedMessage(voter, message) for voter in sorted(self.voters)]
 
     def _give_up(self, now: int) -> list[AddressedMessage]:
-        """End a request without a majority; release what some voters have granted."""
+        """End a request that got no majority; release the grants of some voters."""
         release = LeaseRelease(self.duty, self.incarnation, self.epoch, "", False)
         self.state = CandidateState.IDLE
         self.next_round_us = now + int(self.pause_us * (1 + self.draw()))
@@ -196,14 +197,14 @@
     # Replies.
 
     def handle_reply(self, now: int, reply: VoteReply) -> list[AddressedMessage]:
-        """Take a voter's reply; return what is to be sent because of it."""
+        """Handle a voter's reply; return the messages to send in response."""
         if (reply.duty, reply.recipient) != (self.duty, self.incarnation):
             return []
         if reply.voter not in self.voters:
             return []
         self.highest_epoch = max(self.highest_epoch, reply.epoch)
         if reply.holder_incarnation != self.incarnation:
-            self._note_holder(now, reply)
+            self._record_holder(now, reply)
         if reply.round != self.round or reply.voter_set != self.voter_set:
             return []
         # Sets of names: a voter counts once, however often its reply comes.
@@ -215,8 +216,8 @@
             return self._count_pre_votes(now)
         return []
 
-    def _note_holder(self, now: int, reply: VoteReply) -> None:
-        """Note who has the lease as one voter sees it."""
+    def _record_holder(self, now: int, reply: VoteReply) -> None:
+        """Record who holds the lease according to one voter."""
         if reply.remaining_us:
             self.holder = reply.holder
             self.free_since_us = None
@@ -232,15 +233,15 @@
                 return self._start_request(now)
             self.next_round_us = min(self.next_round_us, earliest_us)
         elif self.expected_end_us > now and now >= self.eager_until_us:
-            # Another has it: ask again about when its lease would end, and once a lease in any
-            # case.
+            # Another process holds the lease: retry when it would end, or after the duration of a
+            # lease if that is sooner.
             self.pause_us = FIRST_PAUSE_US
             end_us = min(now + self.durations.lease_us, self.expected_end_us)
             self.next_round_us = end_us + int(FIRST_PAUSE_US * self.draw())
         return []
 
     def _earliest_request_us(self, now: int) -> int:
-        """Return when candidates that rank higher have had their time."""
+        """Return when the delay in favour of higher-ranked candidates has passed."""
         if now < self.eager_until_us:
             return now
         if self.free_since_us is None:
@@ -255,7 +256,7 @@
         if self.state is CandidateState.REQUESTING and rejections >= len(self.voters):
             return self._give_up(now)
         if self.state is CandidateState.HOLDING and rejections > len(self.voters):
-            # A majority rejects the renewal: no other would succeed. The lease runs to its end.
+            # A majority rejects the renewal, so retries would fail too. The lease runs to its end.
             self.next_round_us = self.lease_end_us
         return []
 
@@ -263,7 +264,7 @@
         """Start or extend the lease once a majority has granted this round."""
         if 2 * len(self.granted_by) <= len(self.voters):
             return
-        end_us = self.requested_at_us + self.durations.lease_us  # from before the request
+        end_us = self.requested_at_us + self.durations.lease_us  # counted from before the request
         if now >= end_us:
             return
         if self.state is CandidateState.HOLDING:
@@ -286,13 +287,13 @@
     def leave(
         self, now: int, why: str, to: str = "", failed: bool = False
     ) -> list[AddressedMessage]:
-        """Release the lease at once; nothing more is done under its epoch.
+        """Release the lease at once; this process does nothing more under its epoch.
 
         Args:
             now: The time.
-            why: The cause, for the log.
-            to: Name of the process that should have the lease next; empty for any.
-            failed: Whether the work failed here, so that this process should not compete soon.
+            why: The reason, for the log.
+            to: Name of the process that should get the lease next; empty for any.
+            failed: Whether the work failed here; this process should then not compete for a while.
         """
         if self.state is not CandidateState.HOLDING:
             return []
@@ -308,7 +309,7 @@
         return self._to_all_voters(release)
 
     def offer_handover(self, now: int, name: str) -> list[AddressedMessage]:
-        """Offer the lease to another process; it stays here until that one accepts."""
+        """Offer the lease to another process; this one keeps it until the offer is accepted."""
         if self.held_epoch(now) is None:
             return []
         self.successor = name
@@ -317,7 +318,7 @@
     def accept_handover(
         self, now: int, sender: str, offer: HandoverOffer
     ) -> list[AddressedMessage]:
-        """Accept the holder's offer and compete eagerly for the lease."""
+        """Accept the holder's offer; compete for the lease without delays for a while."""
         self.eager_until_us = now + EAGER_US
         self.next_round_us = now
         self.highest_epoch = max(self.highest_epoch, offer.epoch)
@@ -327,7 +328,7 @@
     def handover_accepted(
         self, now: int, sender: str, accept: HandoverAccept
     ) -> list[AddressedMessage]:
-        """Release the lease to the process that accepted the offer."""
+        """Release the lease in favour of the process that accepted the offer."""
         if accept.epoch != self.epoch or sender != self.successor:
             return []
         if self.held_epoch(now) is None:
--- a/gullyoke/leases/candidate_rank.py
+++ b/gullyoke/leases/candidate_rank.py
@@ -1,6 +1,6 @@
-"""The order in which members should compete for a lease, by the membership view alone.
+"""The order in which members compete for a lease, computed from the membership view.
 
-All members that have the same view compute the same order. A hash spreads the leases over the
+All members that have the same view compute the same order. A hash distributes the leases over the
 members.
 """
 
@@ -11,21 +11,21 @@
 
 from gullyoke.membership.member_record import stable_hash
 
-DELAY_STEP_US: Final = 200_000  # head start of each member over the one that ranks after it
-MAX_DELAY_STEPS: Final = 4  # all members that rank lower compete at the same time
-CAPACITY_STEPS: Final = 2  # free capacity counts in halves, so that ranks do not flicker
+DELAY_STEP_US: Final = 200_000  # head start of each member over the next one in rank
+MAX_DELAY_STEPS: Final = 4  # members that rank lower still compete at the same time
+CAPACITY_STEPS: Final = 2  # free capacity is rounded to halves, so that ranks do not flicker
 
 
 class CandidatePlacement(NamedTuple):
-    """What the rank of a member is computed from.
+    """The properties of a member that determine its rank.
 
     Attributes:
         name: The member's name.
-        settled: Whether it is in the view for some time and its row has not changed lately.
+        settled: Whether it has been in the view for some time and its record is unchanged.
         reached: Whether no member suspects it.
         leaving: Whether it is about to leave.
         free_capacity: The free share of its cores, from 0 to 1.
-        failed: Whether the work under the lease failed there lately.
+        failed: Whether the work under the lease recently failed at this member.
     """
 
     name: str
@@ -37,7 +37,7 @@
 
 
 def rank_candidates(duty: str, members: Iterable[CandidatePlacement]) -> list[str]:
-    """Return the names of the members, best first; a hash decides among those alike."""
+    """Return the names of the members, best first; a hash orders members that are alike."""
 
     def key(member: CandidatePlacement) -> tuple[bool, bool, bool, bool, int, int]:
         return (
@@ -53,7 +53,7 @@
 
 
 def candidate_delay_us(duty: str, name: str, members: Iterable[CandidatePlacement]) -> int | None:
-    """Return how long a member waits while nobody holds the lease; None for no member."""
+    """Return how long a member leaves a free lease to others; None if `name` is no member."""
     ranked = rank_candidates(duty, members)
     if name not in ranked:
         return None
--- a/gullyoke/leases/candidate_state.py
+++ b/gullyoke/leases/candidate_state.py
@@ -9,14 +9,14 @@
 
 
 class AddressedMessage(NamedTuple):
-    """A message and the name of the voter or member that it goes to."""
+    """A message and the name of the voter or member that it is sent to."""
 
     to: str
     message: LeaseMessage
 
 
 class CandidateState(Enum):
-    """What a candidate is doing; the values are shown by `gullyoke fleet`."""
+    """The state of a candidate; `gullyoke fleet` shows the values."""
 
     IDLE = "idle"
     PRE_VOTING = "sounding"
@@ -25,7 +25,7 @@
 
 
 class LeaseChange(NamedTuple):
-    """A change of the lease at this process.
+    """A change of this process's hold on the lease.
 
     The field names are keys of the answer to `gullyoke fleet duties`, so they stay.
 
--- a/gullyoke/leases/dependency_probe.py
+++ b/gullyoke/leases/dependency_probe.py
@@ -1,9 +1,9 @@
-"""Probing of a dependency that is down: the lease holder probes it, all others wait for its word.
+"""Probing of a dependency that is down: the lease holder probes it on behalf of all servers.
 
-A server takes the dependency for dead after a row of failed calls. It then lets no call out while a
-young announcement of the holder says that the dependency is dead. Without such an announcement it
-probes by itself, seldom. When the dependency is back, calls are let out little by little, so that
-all servers together do not overload it again.
+A server considers the dependency dead after several failed calls in a row. It then sends no calls
+while a recent announcement of the holder says that the dependency is dead. Without such an
+announcement it sends probes itself, at a lower rate. When the dependency is back, each server
+increases its calls gradually (slow start), so that all servers together do not overload it again.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from collections.abc import Callable
 from typing import Final, NamedTuple
 
-FAILURES_TO_DEAD: Final = 5  # failed calls in a row from which a dependency may count as dead
-SILENCE_TO_DEAD_US: Final = 500_000  # and no successful call for so long
+FAILURES_TO_DEAD: Final = 5  # failed calls in a row until a dependency may count as dead
+SILENCE_TO_DEAD_US: Final = 500_000  # and the time without a successful call
 ANNOUNCEMENT_VALID_US: Final = 3_000_000
 HOLDER_PROBE_INTERVAL_US: Final = 500_000
-LONE_PROBE_INTERVAL_US: Final = 2_000_000  # without a holder's announcement, from half of it on
-SLOW_START_US: Final = 3_000_000  # after the dependency is back, until all calls are let out
-SLOW_START_LEAST_SHARE: Final = 0.1  # of the calls, at the beginning
+LONE_PROBE_INTERVAL_US: Final = 2_000_000  # without an announcement; drawn from 0.5 to 1.5 of it
+SLOW_START_US: Final = 3_000_000  # from the dependency's return until all calls are sent
+SLOW_START_MIN_SHARE: Final = 0.1  # share of the calls sent at the beginning
 
 
 class HolderReport(NamedTuple):
-    """The holder's last announcement: its epoch, when it came, and whether it says dead."""
+    """The holder's last announcement, when it was received, and whether it says dead."""
 
     epoch: int
     received_at_us: int
@@ -32,26 +32,26 @@
     """One server's view of its dependency. All times are in microseconds.
 
     Attributes:
-        dead: Whether the dependency is taken for dead.
-        opened: When it came back, while calls are let out little by little; None otherwise.
+        dead: Whether this server considers the dependency dead.
+        opened: When the dependency came back, during the slow start; None otherwise.
         announced: The holder's last announcement, if any.
-        probes_sent: How many calls were let out to a dependency that is taken for dead.
+        probes_sent: How many calls were sent while the dependency was considered dead.
     """
 
     def __init__(self, draw: Callable[[], float]) -> None:
-        """Start with a dependency that is up; `draw` returns a random number from 0 to 1."""
+        """Start with a dependency that works; `draw` returns a random number from 0 to 1."""
         self.draw = draw
         self.dead = False
         self.opened: int | None = None
         self.announced: HolderReport | None = None
         self.probes_sent = 0
-        self._lease_held = False
+        self._is_holder = False
         self._failures = 0
         self._last_success_us = 0
         self._next_probe_us = 0
 
     def record_call(self, now: int, succeeded: bool) -> None:
-        """Take the result of a call of this server."""
+        """Record the result of a call of this server."""
         if succeeded:
             self._failures = 0
             self._last_success_us = now
@@ -67,47 +67,50 @@
             self._next_probe_us = now + int(HOLDER_PROBE_INTERVAL_US * (0.5 + self.draw()))
 
     def record_announcement(self, now: int, epoch: int, dead: bool) -> None:
-        """Take the holder's announcement; one of an older epoch is ignored."""
+        """Record the holder's announcement; one with an older epoch is ignored."""
         last = self.announced
-        if self._lease_held or (last is not None and epoch < last.epoch):
+        if self._is_holder or (last is not None and epoch < last.epoch):
             return
         self.announced = HolderReport(epoch, now, dead)
-        is_news = last is None or last.dead or last.epoch < epoch
-        if not dead and self.dead and is_news:
+        newer = last is None or last.dead or last.epoch < epoch
+        if not dead and self.dead and newer:
             self.dead = False
             self.opened = now
             self._failures = 0
 
     def allows_call(self, now: int) -> bool:
-        """Tell whether a call may go out now; to be called once for each call."""
+        """Decide whether a call is sent now; to be called once for each call.
+
+        Counts a probe of a dead dependency and schedules the next one, and ends the slow start.
+        """
         if not self.dead:
-            return self._allows_in_slow_start(now)
-        if not self._lease_held and self._announced_dead(now):
+            return self._admit_in_slow_start(now)
+        if not self._is_holder and self._announced_dead(now):
             return False
         if now < self._next_probe_us:
             return False
-        if self._lease_held:
+        if self._is_holder:
             self._next_probe_us = now + HOLDER_PROBE_INTERVAL_US
         else:
             self._next_probe_us = now + int(LONE_PROBE_INTERVAL_US * (0.5 + self.draw()))
         self.probes_sent += 1
         return True
 
-    def set_lease_held(self, held: bool) -> None:
-        """Set whether this server holds the lease, and so probes for all."""
-        self._lease_held = held
-        if held:
+    def set_lease_held(self, is_holder: bool) -> None:
+        """Set whether this server holds the lease, and so probes on behalf of all servers."""
+        self._is_holder = is_holder
+        if is_holder:
             self.announced = None
 
     def _announced_dead(self, now: int) -> bool:
         last = self.announced
         return last is not None and last.dead and now - last.received_at_us < ANNOUNCEMENT_VALID_US
 
-    def _allows_in_slow_start(self, now: int) -> bool:
+    def _admit_in_slow_start(self, now: int) -> bool:
         if self.opened is None:
             return True
         share = (now - self.opened) / SLOW_START_US
         if share >= 1:
             self.opened = None
             return True
-        return self.draw() < max(SLOW_START_LEAST_SHARE, share)
+        return self.draw() < max(SLOW_START_MIN_SHARE, share)
--- a/gullyoke/leases/durations.py
+++ b/gullyoke/leases/durations.py
@@ -1,4 +1,4 @@
-"""How long a lease lasts, and how far two clocks may run apart."""
+"""How long a lease lasts, and how far the rates of two clocks may differ."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 
 class LeaseDurations(NamedTuple):
-    """The durations that candidates and voters of a lease go by.
+    """The durations that all candidates and voters of a lease use.
 
     Attributes:
-        lease_us: Microseconds that a grant lasts, by the holder's clock from before its request.
-        drift_ppm: By how many parts in a million the rates of two clocks differ at the most. Each
-            side counts on its monotonic clock, so steps of the wall clock do not matter.
+        lease_us: Microseconds that a grant lasts on the holder's clock, counted from before its
+            request.
+        drift_ppm: Upper bound on the difference between the rates of two clocks, in parts per
+            million. All use their monotonic clocks, so steps of the wall clock do not matter.
         margin_us: Microseconds before the end of its lease from which a holder no longer acts.
     """
 
@@ -20,12 +21,12 @@
     margin_us: int = 200_000
 
     def longest_elsewhere_us(self, duration_us: int) -> int:
-        """Return how long to wait here so that `duration_us` has passed on every other clock."""
+        """Return how long to wait so that `duration_us` has passed on the clocks of all others."""
         return duration_us + 2 * duration_us * self.drift_ppm // 1_000_000 + 1
 
     def renew_interval_us(self) -> int:
         """Return the time between renewals.
 
-        A holder renews in the first half of its lease alone, so it can lose three of four.
+        A holder renews only in the first half of its lease, so three of four renewals may get lost.
         """
         return max(1, self.lease_us // 8)
--- a/gullyoke/leases/fence.py
+++ b/gullyoke/leases/fence.py
@@ -1,19 +1,20 @@
-"""The check that a resource makes before it takes an act that is done under a lease.
+"""The check that a resource makes before it accepts an operation done under a lease.
 
-A fence keeps the newest epoch of each lease and rejects acts of older ones, as Chubby's sequencers
-do (Burrows 2006). It holds however long an act was on its way and whatever became of the lease.
-docs/duty-design.md names the resources that can't compare epochs and what bounds the harm there.
+A fence keeps the newest epoch of each lease and rejects operations of older epochs, as Chubby's
+sequencers do (Burrows 2006). The check holds however late an operation arrives and whatever has
+become of the lease. docs/duty-design.md names the resources that can't compare epochs, and what
+limits the harm there.
 """
 
 from __future__ import annotations
 
 from typing import Final, NamedTuple
 
-MAX_LEASES: Final = 64  # leases of which a fence keeps the newest epoch
+MAX_LEASES: Final = 64  # leases whose newest epoch a fence keeps
 
 
 class FencingToken(NamedTuple):
-    """An epoch and the incarnation of the process that it belongs to."""
+    """An epoch and the incarnation of the process that holds the lease under it."""
 
     epoch: int
     incarnation: int
@@ -24,18 +25,22 @@
 
     Attributes:
         newest: Tokens by the name of the lease.
-        rejected: How many acts were rejected.
+        rejected: How many operations were rejected.
     """
 
     def __init__(self) -> None:
-        """Start without any token: the first act of each lease is admitted."""
+        """Start without tokens: the first operation under each lease is admitted."""
         self.newest: dict[str, FencingToken] = {}
         self.rejected = 0
 
     def admits(self, duty: str, epoch: int, incarnation: int) -> bool:
-        """Tell whether an act is to be taken, and keep its token if so.
+        """Admit or reject an operation: store its token, or count it as rejected.
 
-        No act is taken of an epoch older than the newest, nor of a second process of one epoch.
+        Rejected are epochs older than the newest, a second process with the newest epoch, and a new
+        lease above `MAX_LEASES`.
+
+        Returns:
+            Whether the operation is admitted.
         """
         token = FencingToken(epoch, incarnation)
         known = self.newest.get(duty)
--- a/gullyoke/leases/messages.py
+++ b/gullyoke/leases/messages.py
@@ -1,22 +1,22 @@
 """Messages between the candidates and the voters of a lease.
 
-Each message travels as an array of its fields in the order in which they stand here, so fields may
-be renamed but neither reordered nor taken out; new ones go to the end. `duty` is the name of the
-lease in the operator's file. An `incarnation` is a random number drawn when a process starts and
-tells it apart from earlier processes of the same name. `round` is chosen by the sender of a request
-and comes back in the reply. `voter_set` is the number of the set of voters that the sender goes by;
-a reply under another number counts for nothing.
+Each message is sent as an array of its fields in the order of their definition, so fields may be
+renamed but neither reordered nor removed; new ones are appended. `duty` is the name of the lease in
+the operator's file. An `incarnation` is a random number drawn when a process starts; it identifies
+the process among earlier ones of the same name. `round` is chosen by the sender of a request and
+returned in the reply. `voter_set` is the number of the set of voters that the sender uses; replies
+with another number are ignored.
 """
 
 from __future__ import annotations
 
 from typing import Final, NamedTuple
 
-NOBODY: Final = 0  # the incarnation in a reply or a promise that names no holder
+NOBODY: Final = 0  # incarnation in a reply or a promise without a holder
 
 
 class PreVote(NamedTuple):
-    """Asks a voter whether it would grant the lease now. The voter promises nothing."""
+    """Asks a voter whether it would grant the lease now; the voter promises nothing."""
 
     duty: str
     incarnation: int
@@ -26,7 +26,7 @@
 
 
 class LeaseRequest(NamedTuple):
-    """Asks a voter to grant the lease under `epoch`, or to renew it where it is granted already."""
+    """Asks a voter to grant the lease under `epoch`, or to renew it if already granted."""
 
     duty: str
     incarnation: int
@@ -41,16 +41,16 @@
 
     Attributes:
         duty: Name of the lease.
-        recipient: Incarnation of the candidate that asked.
+        recipient: Incarnation of the candidate that sent the request.
         round: Round of the request.
         voter: Name of the voter.
         granted: Whether the lease is granted durably, or would be for a `PreVote`.
         to_request: Whether a `LeaseRequest` is answered, not a `PreVote`.
         epoch: The highest epoch that this voter has promised.
-        holder_incarnation: To whom it is promised; `NOBODY` where no lease runs.
-        holder: Name of that process; empty where no lease runs.
-        remaining_us: Microseconds that the lease still runs by the voter's clock.
-        voter_set: Number of the set of voters that the voter goes by.
+        holder_incarnation: Incarnation of the holder; `NOBODY` if no lease is running.
+        holder: Name of the holder; empty if no lease is running.
+        remaining_us: Microseconds until the lease ends by the voter's clock.
+        voter_set: Number of the set of voters that the voter uses.
     """
 
     duty: str
@@ -67,7 +67,7 @@
 
 
 class LeaseRelease(NamedTuple):
-    """The holder's word that it no longer has the lease and does nothing more under this epoch.
+    """States that the holder has given up the lease and does nothing more under this epoch.
 
     Attributes:
         duty: Name of the lease.
@@ -85,7 +85,7 @@
 
 
 class HandoverOffer(NamedTuple):
-    """From the holder to its chosen successor: request the lease as soon as it is released."""
+    """Asks the successor that the holder chose to request the lease once it is released."""
 
     duty: str
     incarnation: int
@@ -101,7 +101,7 @@
 
 
 class EpochQuery(NamedTuple):
-    """From a voter that lost its promises: asks another voter for all that it has promised."""
+    """Asks another voter for its promises, on behalf of a voter that lost its own."""
 
     voter: str
     incarnation: int
@@ -114,7 +114,7 @@
     Attributes:
         voter: Name of the voter that answers.
         round: Round of the query.
-        promises: One entry a lease: its name, and epoch, incarnation and name of its holder.
+        promises: For each lease its name, epoch, and the holder's incarnation and name.
         fresh: Whether this voter has no promises of its own either.
     """
 
--- a/gullyoke/leases/promises.py
+++ b/gullyoke/leases/promises.py
@@ -1,4 +1,4 @@
-"""What voters promise, and how one that lost its promises learns those of the others."""
+"""The promises of voters, and how a voter that lost its promises recovers them from others."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 from gullyoke.leases.messages import NOBODY
 
-MAX_LEASES: Final = 64  # leases of which a voter keeps promises; there are a few
+MAX_LEASES: Final = 64  # leases whose promises a voter keeps; a fleet has only a few
 
 ReportedPromises = tuple[tuple[str, int, int, str], ...]  # as in `EpochReply`
 
 
 class Promise(NamedTuple):
-    """What a voter has promised of one lease.
+    """A voter's promise for one lease, made to the process `holder` with this `incarnation`.
 
-    It is stored as an array of its fields in this order. `incarnation` and `holder` say to whom.
+    It is stored as an array of its fields in this order.
     """
 
     epoch: int
@@ -27,17 +27,17 @@
 
 
 def replies_needed(others: int) -> int:
-    """Return how many other voters have a member in every majority that included this voter."""
+    """Return how many other voters must reply to include one of any majority with this voter."""
     voters = others + 1
     majority = voters // 2 + 1
     return others - (majority - 1) + 1
 
 
 def newest_promises(reports: Iterable[ReportedPromises]) -> dict[str, Promise]:
-    """Return the newest promise of each lease among those that other voters reported.
+    """Return the newest promise for each lease among those that other voters reported.
 
-    Where they differ on the holder of the newest epoch, it counts as promised to nobody, so that
-    nobody gets it again.
+    If reports differ on the holder of the newest epoch, that epoch counts as promised to nobody, so
+    that no process is granted it again.
     """
     newest: dict[str, Promise] = {}
     for promises in reports:
--- a/gullyoke/leases/replicated_record.py
+++ b/gullyoke/leases/replicated_record.py
@@ -1,12 +1,11 @@
-"""The record that a lease holder leaves to the next one, kept by a majority of the voters.
+"""The record that a lease holder leaves to the next one, stored by a majority of the voters.
 
-Only the holder writes it, under its epoch and a number of its own; a voter acknowledges a write
-once its disk has it. A new holder first reads from a majority, takes the record with the highest
-epoch and number, and writes it again under its own epoch. From then on a majority rejects whatever
-an earlier holder still writes (Attiya, Bar-Noy and Dolev 1995, with the lease's epoch as the
-writer's number).
+Only the holder writes it, under its epoch and a write number; a voter acknowledges a write once it
+is on disk. A new holder first reads from a majority, takes the record with the highest epoch and
+write number, and writes it again under its own epoch. From then on a majority rejects all writes of
+earlier holders (Attiya, Bar-Noy and Dolev 1995, with the lease's epoch as the writer's number).
 
-The messages travel as arrays of their fields in the order in which they stand here.
+The messages are sent as arrays of their fields in the order of their definition.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 
 
 class StoredRecord(NamedTuple):
-    """A record as a voter has it: the epoch and the number it was written under, and its bytes."""
+    """A record as a voter stores it: the epoch and number of the write, and its bytes."""
 
     epoch: int
     write_number: int
@@ -29,7 +28,7 @@
 
 
 class WriteRecord(NamedTuple):
-    """The holder asks a voter to store `body` as the record of the lease `duty`."""
+    """Asks a voter to store `body` as the record of the lease `duty`."""
 
     duty: str
     incarnation: int
@@ -39,7 +38,7 @@
 
 
 class RecordWritten(NamedTuple):
-    """A voter's answer to a `WriteRecord`; `written` is False where it has a newer record."""
+    """A voter's answer to a `WriteRecord`; `written` is False if this write is not stored."""
 
     duty: str
     recipient: int
@@ -50,7 +49,7 @@
 
 
 class ReadRecord(NamedTuple):
-    """The holder asks a voter for the record that it has."""
+    """Asks a voter for its stored record."""
 
     duty: str
     incarnation: int
@@ -58,7 +57,7 @@
 
 
 class RecordRead(NamedTuple):
-    """A voter's answer to a `ReadRecord`; epoch and number 0 and no bytes where it has no record.
+    """A voter's answer to a `ReadRecord`; without a record, epoch and number are 0.
 
     `requested_epoch` is the epoch of the `ReadRecord`; `epoch` is that of the record.
     """
@@ -73,17 +72,17 @@
 
 
 class RecordStore:
-    """The records of one voter, by the name of the lease. They are never taken out."""
+    """The records of one voter, by the name of the lease; they are never removed."""
 
     def __init__(self, records: dict[str, StoredRecord] | None = None) -> None:
-        """`records` is what the voter's disk has."""
+        """Start with `records`, those on the voter's disk."""
         self.records: dict[str, StoredRecord] = dict(records or {})
 
     def accepts(self, request: WriteRecord, promised_epoch: int) -> bool:
-        """Tell whether a write is to be stored.
+        """Return whether a write should be stored.
 
-        It has to be newer than the record that is stored, of no older epoch than the one that this
-        voter has promised, and of at most `MAX_RECORD_BYTES`.
+        It must be newer than the stored record, have at least the epoch that this voter has
+        promised, and be at most `MAX_RECORD_BYTES` long.
         """
         stored = self.records.get(request.duty, NO_RECORD)
         newer = (request.epoch, request.write_number) > (stored.epoch, stored.write_number)
@@ -91,11 +90,11 @@
         return newer and fits and request.epoch >= promised_epoch
 
     def store(self, duty: str, record: StoredRecord) -> None:
-        """Take over a record that is on the disk, unless a newer one came first."""
+        """Keep a record that is now on disk, unless a newer one was stored before it."""
         self.records[duty] = max(record, self.records.get(duty, NO_RECORD))
 
     def acknowledge(self, request: WriteRecord, voter: str) -> RecordWritten:
-        """Return the answer to a write, after it is durable or at once where it is not accepted."""
+        """Return the answer to a write: once it is durable, or at once if it is not accepted."""
         stored = self.records.get(request.duty, NO_RECORD)
         written = (stored.epoch, stored.write_number) == (request.epoch, request.write_number)
         return RecordWritten(
@@ -109,15 +108,15 @@
 
 
 class ReplicatedRecord:
-    """The holder's side of the record, made anew for each epoch.
+    """The holder's side of the record, created anew for each epoch.
 
     Attributes:
-        body: The bytes in force; None until a majority has been read.
+        body: The current bytes; None until a majority has been read.
         committed: Whether a majority has stored `body`.
     """
 
     def __init__(self, duty: str, incarnation: int, epoch: int, voters: Iterable[str]) -> None:
-        """Start by reading what the last holder left, under the lease's new epoch."""
+        """Start by reading the last holder's record, under the lease's new epoch."""
         self.duty = duty
         self.incarnation = incarnation
         self.epoch = epoch
@@ -129,13 +128,13 @@
         self._written_by: set[str] = set()
 
     def next_message(self) -> ReadRecord | WriteRecord:
-        """Return what to send to all voters, repeatedly until `committed`."""
+        """Return the message to send to all voters, repeatedly until `committed`."""
         if self.body is None:
             return ReadRecord(self.duty, self.incarnation, self.epoch)
         return WriteRecord(self.duty, self.incarnation, self.epoch, self.write_number, self.body)
 
     def handle_read(self, reply: RecordRead) -> None:
-        """Take a voter's record; with those of a majority, write the newest under this epoch."""
+        """Add a voter's record; once a majority has replied, write the newest under this epoch."""
         if (reply.duty, reply.recipient) != (self.duty, self.incarnation):
             return
         if reply.requested_epoch != self.epoch or reply.voter not in self.voters:
@@ -147,14 +146,14 @@
             self.put(max(self._read.values()).body)
 
     def put(self, body: bytes) -> None:
-        """Set new bytes, at most `MAX_RECORD_BYTES`; `committed` tells when a majority has them."""
+        """Set a new body, at most `MAX_RECORD_BYTES`; it is `committed` once a majority has it."""
         self.write_number += 1
         self.body = body
         self.committed = False
         self._written_by = set()
 
     def handle_written(self, reply: RecordWritten) -> None:
-        """Take a voter's acknowledgement of the write under way; all others are ignored."""
+        """Count a voter's acknowledgement of the current write; others are ignored."""
         if (reply.duty, reply.recipient) != (self.duty, self.incarnation):
             return
         if (reply.epoch, reply.write_number) != (self.epoch, self.write_number):
--- a/gullyoke/leases/rolling_restart.py
+++ b/gullyoke/leases/rolling_restart.py
@@ -1,10 +1,11 @@
-"""The plan of a rolling restart: servers drain and start again in turns.
-
-One lease holder, the conductor, makes the plan's steps. Which servers are done follows from the
-membership view: those whose start is later than the plan's. A conductor that takes over half way so
-needs no list of them. The servers that were told to restart are in the plan, which a majority of
-voters stores before they are told; none is drained twice or forgotten. The restart stops when the
-fleet rejects more requests than at its beginning, or when a server does not come back in time.
+"""The plan of a rolling restart: a few servers at a time drain and start again.
+
+The holder of a lease, the coordinator, advances the plan. The membership view shows which servers
+are done: those that started after the plan was made. So a coordinator that takes over midway needs
+no list of them. The plan contains the servers that are instructed to restart, and a majority of
+voters stores the plan before they are instructed. So no server is drained twice or forgotten. The
+restart stops when the fleet rejects clearly more requests than at the beginning, or when a server
+does not come back in time.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 from enum import StrEnum
 from typing import Final, NamedTuple
 
-CALM_US: Final = 3_000_000  # a server must be back and calm for so long before the next goes
-RETURN_TIMEOUT_US: Final = 60_000_000  # for a server to come back; then the restart stops
-MAX_REJECTED_RISE: Final = 0.15  # of the share of rejected requests, since the beginning
+RETURN_DWELL_US: Final = 3_000_000  # how long a server must be back before the next one restarts
+RETURN_TIMEOUT_US: Final = 60_000_000  # time for a server to come back before the restart stops
+MAX_REJECTED_RISE: Final = 0.15  # rise of the share of rejected requests since the start
 MAX_REASON_CHARS: Final = 80
-MAX_STRAYS: Final = 8  # servers whose clocks are behind that a restart puts up with
+MAX_STRAYS: Final = 8  # servers with clocks behind that a restart tolerates
 
 
 class RestartState(StrEnum):
@@ -36,34 +37,36 @@
 
 
 class Restarting(NamedTuple):
-    """A server that was told to restart.
+    """A server that was instructed to restart.
 
     Attributes:
         name: The server.
-        told_at_us: When it was told, by the conductor's clock, or since when it is waited for.
-        start: The second of its start before.
+        instructed_at_us: When it was instructed or the restart was last resumed, by the
+            coordinator's clock.
+        start: The second of its start before the restart.
     """
 
     name: str
-    told_at_us: int
+    instructed_at_us: int
     start: int
 
 
 class RestartPlan(NamedTuple):
-    """A rolling restart; immutable, each step makes a new one.
+    """A rolling restart; immutable, each step returns a new one.
 
     The field names are the keys of the stored plan and of the answers to operators, so they stay.
 
     Attributes:
         number: Number of the restart.
         state: Its state.
-        before: Servers whose start is under this second are to be restarted.
-        at_once: The share of the fleet that may be away at a time; one server at the least.
-        a_zone: The same of each zone.
-        doing: Servers that were told to restart and are not back yet.
-        strays: Servers that are done though their start is under `before`: their clock is behind.
+        before: Servers that started before this second are to be restarted.
+        at_once: The share of the fleet that may be unavailable at a time; at least one server.
+        a_zone: The same share for each zone.
+        doing: Servers that were instructed to restart and are not back yet.
+        strays: Servers that are done although their start is before `before`, since their clock is
+            behind.
         shed: The share of requests that the fleet rejected when the restart began or was resumed.
-        why: Why it stopped or was paused or cancelled; at most `MAX_REASON_CHARS` characters.
+        why: Why it was stopped, paused or cancelled; at most `MAX_REASON_CHARS` characters.
     """
 
     number: int = 0
@@ -82,19 +85,19 @@
 
 
 def unpack_plan(body: bytes) -> RestartPlan:
-    """Return a stored plan; an idle one where none is stored.
+    """Return a stored plan; an idle one for empty bytes.
 
     Raises:
-        ValueError: For bytes that are no JSON, or a state that does not exist.
-        KeyError: For an object without servers.
-        TypeError: For an object with other fields.
+        ValueError: For bytes that are not JSON, or an unknown state.
+        KeyError: For an object without the lists of servers.
+        TypeError: For an object with unknown fields.
     """
     if not body:
         return RestartPlan()
     found = json.loads(body)
     found["doing"] = tuple(
-        Restarting(str(name), int(told_at_us), int(start))
-        for name, told_at_us, start in found["doing"]
+        Restarting(str(name), int(instructed_at_us), int(start))
+        for name, instructed_at_us, start in found["doing"]
     )
     found["strays"] = tuple(map(str, found["strays"]))
     if "state" in found:
@@ -103,15 +106,15 @@
 
 
 class MemberState(NamedTuple):
-    """A member as the conductor sees it.
+    """A member as the coordinator sees it.
 
     Attributes:
         name: The member's name.
         zone: Its zone.
         start: The second of its start.
         present: Whether it is in the view and answers.
-        present_since_us: Since when that is so.
-        calm: Whether it is warm and rejects few requests.
+        present_since_us: When it last became present.
+        healthy: Whether it rejects few requests.
     """
 
     name: str
@@ -119,11 +122,11 @@
     start: int
     present: bool
     present_since_us: int
-    calm: bool
+    healthy: bool
 
 
 class FleetState(NamedTuple):
-    """All members, and the median of the shares of requests that they reject."""
+    """All members, and the median of their shares of rejected requests."""
 
     members: tuple[MemberState, ...]
     rejected_share: float
@@ -133,10 +136,10 @@
     """Return the plan of a new restart of all members.
 
     Raises:
-        ValueError: While another one is not finished.
+        ValueError: If another restart is unfinished.
     """
     if plan.state in UNFINISHED:
-        raise ValueError(f"roll {plan.number} is {plan.state}; cancel it first")
+        raise ValueError(f"rolling restart {plan.number} is {plan.state}; cancel it first")
     before = max((member.start for member in fleet.members), default=0) + 1
     return RestartPlan(
         plan.number + 1, RestartState.GOING, before, at_once, a_zone, shed=fleet.rejected_share
@@ -144,41 +147,45 @@
 
 
 def pause(plan: RestartPlan, why: str) -> RestartPlan:
-    """Return the plan paused: no further server is told to restart.
+    """Return the plan paused: no further server is instructed to restart.
 
     Raises:
-        ValueError: For a restart that is not going.
+        ValueError: If the restart is not going.
     """
     if plan.state != RestartState.GOING:
-        raise ValueError(f"the roll is {plan.state}; only one that is going can be paused")
+        raise ValueError(
+            f"the rolling restart is {plan.state}; only one that is going can be paused"
+        )
     return plan._replace(state=RestartState.PAUSED, why=why[:MAX_REASON_CHARS])
 
 
 def resume(plan: RestartPlan, now: int, fleet: FleetState) -> RestartPlan:
-    """Return the plan going on, its timeouts and its measure of rejections counted from now.
+    """Return the plan resumed; timeouts and the rise of rejections are counted from now.
 
     Raises:
-        ValueError: For a restart that is neither paused nor stopped.
+        ValueError: If the restart is neither paused nor stopped.
     """
     if plan.state not in (RestartState.PAUSED, RestartState.STOPPED):
-        raise ValueError(f"the roll is {plan.state}; only one that is paused or stopped goes on")
-    doing = tuple(server._replace(told_at_us=now) for server in plan.doing)
+        raise ValueError(
+            f"the rolling restart is {plan.state}; only a paused or stopped one can be resumed"
+        )
+    doing = tuple(server._replace(instructed_at_us=now) for server in plan.doing)
     return plan._replace(state=RestartState.GOING, why="", shed=fleet.rejected_share, doing=doing)
 
 
 def cancel(plan: RestartPlan, why: str) -> RestartPlan:
-    """Return the plan cancelled; servers that were told to restart come back by themselves.
+    """Return the plan cancelled; servers that were instructed to restart come back by themselves.
 
     Raises:
-        ValueError: For a restart that is finished already.
+        ValueError: If the restart is finished.
     """
     if plan.state not in UNFINISHED:
-        raise ValueError(f"the roll is {plan.state}; there is nothing to cancel")
+        raise ValueError(f"the rolling restart is {plan.state}; there is nothing to cancel")
     return plan._replace(state=RestartState.CANCELLED, why=why[:MAX_REASON_CHARS], doing=())
 
 
 def members_to_restart(plan: RestartPlan, fleet: FleetState) -> list[MemberState]:
-    """Return the members that are not done, those included that were told to restart."""
+    """Return the members that are not done, including those that were instructed to restart."""
     return [
         member
         for member in fleet.members
@@ -186,11 +193,11 @@
     ]
 
 
-def step(plan: RestartPlan, now: int, fleet: FleetState, conductor: str) -> RestartPlan:
-    """Return the plan a moment later.
+def step(plan: RestartPlan, now: int, fleet: FleetState, coordinator: str) -> RestartPlan:
+    """Return the plan advanced to the present.
 
-    Servers that are new in `doing` are told to restart once the plan is stored. The conductor goes
-    last, and the next one waits for its return.
+    Servers that are new in `doing` are instructed to restart once the plan is stored. The
+    coordinator restarts last, and the next coordinator waits for its return.
     """
     if plan.state != RestartState.GOING:
         return plan
@@ -205,13 +212,13 @@
     ]
     if not remaining and not restarting:
         return plan._replace(state=RestartState.DONE, why="")
-    chosen = choose_members(plan, restarting, remaining, fleet, conductor)
-    told = tuple(Restarting(name, now, members[name].start) for name in chosen)
-    return plan._replace(doing=plan.doing + told)
+    chosen = choose_members(plan, restarting, remaining, fleet, coordinator)
+    added = tuple(Restarting(name, now, members[name].start) for name in chosen)
+    return plan._replace(doing=plan.doing + added)
 
 
 def _without_returned(plan: RestartPlan, now: int, members: dict[str, MemberState]) -> RestartPlan:
-    """Return the plan without the servers that are back."""
+    """Return the plan without the servers that are back; those with late clocks become strays."""
     back = {server.name for server in plan.doing if _is_back(server, now, members)}
     behind = tuple(name for name in back if members[name].start < plan.before)
     doing = tuple(server for server in plan.doing if server.name not in back)
@@ -219,22 +226,22 @@
 
 
 def _is_back(server: Restarting, now: int, members: dict[str, MemberState]) -> bool:
-    """Tell whether a server has started again, and has been present and calm for a while."""
+    """Return whether a server started again, is healthy and present for `RETURN_DWELL_US`."""
     member = members.get(server.name)
     if member is None or member.start <= server.start:
         return False
-    return member.present and member.calm and now - member.present_since_us >= CALM_US
+    return member.present and member.healthy and now - member.present_since_us >= RETURN_DWELL_US
 
 
 def _reason_to_stop(plan: RestartPlan, now: int, fleet: FleetState) -> str:
-    """Return why the restart has to stop; empty where it may go on."""
+    """Return why the restart has to stop; empty if it may continue."""
     for server in plan.doing:
-        if now - server.told_at_us > RETURN_TIMEOUT_US:
+        if now - server.instructed_at_us > RETURN_TIMEOUT_US:
             return f"{server.name} did not come back in time"[:MAX_REASON_CHARS]
     if len(plan.strays) > MAX_STRAYS:
         return "too many servers whose clocks are behind"
     if fleet.rejected_share > plan.shed + MAX_REJECTED_RISE:
-        return f"the fleet sheds {fleet.rejected_share:.2f}, {plan.shed:.2f} before"
+        return f"the fleet rejects {fleet.rejected_share:.2f} of requests, {plan.shed:.2f} before"
     return ""
 
 
@@ -243,26 +250,27 @@
     restarting: Collection[str],
     remaining: list[MemberState],
     fleet: FleetState,
-    conductor: str,
+    coordinator: str,
 ) -> list[str]:
     """Return the servers that restart next.
 
-    Together with all that are away they stay within the plan's share of the fleet and of each zone.
-    Only members that are present are chosen, and the conductor only when no other is left or away.
+    Together with all unavailable servers they stay within the plan's share of the fleet and of each
+    zone. Only present members are chosen, and the coordinator only when no other member is left to
+    restart or unavailable.
     """
-    away = {*restarting} | {member.name for member in fleet.members if not member.present}
+    unavailable = {*restarting} | {member.name for member in fleet.members if not member.present}
     zones: dict[str, set[str]] = {}
     for member in fleet.members:
         zones.setdefault(member.zone, set()).add(member.name)
-    most_away = max(1, int(plan.at_once * len(fleet.members)))
+    most_unavailable = max(1, int(plan.at_once * len(fleet.members)))
     chosen: list[str] = []
-    for member in sorted(remaining, key=lambda member: (member.name == conductor, member.name)):
-        if member.name == conductor and (len(remaining) > 1 or away or chosen):
+    for member in sorted(remaining, key=lambda member: (member.name == coordinator, member.name)):
+        if member.name == coordinator and (len(remaining) > 1 or unavailable or chosen):
             continue
         zone = zones[member.zone]
-        most_away_in_zone = max(1, int(plan.a_zone * len(zone)))
-        fits = len(away) < most_away and len(away & zone) < most_away_in_zone
-        if member.present and member.name not in away and fits:
+        most_in_zone = max(1, int(plan.a_zone * len(zone)))
+        fits = len(unavailable) < most_unavailable and len(unavailable & zone) < most_in_zone
+        if member.present and member.name not in unavailable and fits:
             chosen.append(member.name)
-            away.add(member.name)
+            unavailable.add(member.name)
     return chosen
--- a/gullyoke/leases/voter.py
+++ b/gullyoke/leases/voter.py
@@ -1,17 +1,18 @@
 """One voter: which process it has granted which lease, and under which epoch.
 
-A voter's promise is durable before it is sent: `Voter.answer_request` returns a `PromiseWrite`
-where a new promise has to be written first, and the reply follows from `Voter.write_finished`. A
-renewal under the same epoch writes nothing.
-
-A voter that starts with its promises waits out the leases that it may have granted. One that starts
-without them (a new folder, or one of an older copy) waits as well and then asks the other voters
-for their promises. It learns from so many that no majority can have been formed without one of
-them, and stores what it learned before it votes. A voter whose disk fails grants nothing new.
-
-Sources: leases are Gray's and Cheriton's (1989); epochs granted once by a majority are Paxos'
-(Lamport 1998); no grant to another candidate while a lease runs, and a pre-vote before the request,
-are Raft's (Ongaro 2014); epochs that acts carry are Chubby's sequencers (Burrows 2006).
+A voter's promise is durable before it is sent: `Voter.answer_request` returns a `PromiseWrite` if a
+new promise has to be written first, and `Voter.write_finished` then returns the reply. A renewal
+under the same epoch writes nothing.
+
+A voter that starts with its promises first waits until the leases that it may have granted have
+ended. A voter that starts without them (with a new folder, or a folder from an older copy) waits as
+well and then asks the other voters for their promises. It waits for enough replies to include a
+voter of every majority that it may have been part of, and stores the promises before it votes. A
+voter whose disk fails grants nothing new.
+
+Sources: leases are from Gray and Cheriton (1989); epochs granted once by a majority are from Paxos
+(Lamport 1998); no grant to another candidate while a lease runs, and the pre-vote before a request,
+are from Raft (Ongaro 2014); operations that carry epochs are Chubby's sequencers (Burrows 2006).
 """
 
 from __future__ import annotations
@@ -38,12 +39,12 @@
     replies_needed,
 )
 
-LEARN_INTERVAL_US = 500_000  # between two queries for the promises of the other voters
-SUCCESSOR_PREFERENCE_US = 1_000_000  # a handed-over lease goes to its successor alone for so long
+LEARN_INTERVAL_US = 500_000  # interval between queries for the other voters' promises
+SUCCESSOR_PREFERENCE_US = 1_000_000  # how long only the successor may get a handed-over lease
 
 
 class PromiseWrite(NamedTuple):
-    """A promise to be made durable; `reply` goes out afterwards, if there is one."""
+    """A promise to be made durable; `reply`, if any, is sent afterwards."""
 
     duty: str
     promise: Promise
@@ -51,7 +52,7 @@
 
 
 class PreferredSuccessor(NamedTuple):
-    """The process that a released lease was handed over to, and until when it alone gets it."""
+    """The successor named in a release, and the time until which only it gets the lease."""
 
     name: str
     until_us: int
@@ -60,14 +61,14 @@
 class Voter:
     """A voter for all leases of a fleet.
 
-    All times are microseconds of this process' monotonic clock.
+    All times are microseconds of this process's monotonic clock.
 
     Attributes:
-        promises: What has been promised, by the name of the lease; at most `MAX_LEASES` entries,
-            never taken out.
-        pending_writes: Promises on their way to the disk, one a lease.
-        fresh: Whether this voter has no promises of its own and still has to learn them.
-        silent_until_us: End of the leases that it may have granted before this start.
+        promises: Promises by the name of the lease; at most `MAX_LEASES`, never removed.
+        pending_writes: Promises that are being written to disk, at most one per lease.
+        fresh: Whether this voter has no promises of its own and still has to recover them.
+        silent_until_us: End of the leases that it may have granted before this start; until then it
+            grants no new ones.
         disk_ok: Whether the last write of a promise succeeded.
         failed_writes: How many writes of promises have failed.
     """
@@ -87,10 +88,10 @@
         Args:
             now: The time of the start.
             name: This voter's name.
-            incarnation: The random number drawn at this process' start.
+            incarnation: The random number drawn at this process's start.
             others: Names of the other voters.
-            durations: The durations that all voters and candidates go by.
-            promises: What the disk has; None for a folder that is not this voter's.
+            durations: The durations that all voters and candidates use.
+            promises: The promises on disk; None if the folder is not this voter's.
             voter_set: Number of the set of voters.
         """
         self.name = name
@@ -105,7 +106,7 @@
         self.pending_writes: dict[str, PromiseWrite] = {}
         self.disk_ok = True
         self.failed_writes = 0
-        self._disk_retried_us = now
+        self._last_disk_retry_us = now
         self._preferred_successors: dict[str, PreferredSuccessor] = {}
         self._round = 0
         self._next_query_us = 0
@@ -113,9 +114,9 @@
         self._other_fresh_voters: set[str] = set()
 
     def set_others(self, others: Iterable[str], voter_set: int) -> None:
-        """Take over the next set of voters, which differs by one voter.
+        """Switch to the next set of voters, which differs by one voter.
 
-        All promises stay. A voter that is still learning asks the new set from the start.
+        All promises stay. A voter that is still recovering promises starts over with the new set.
         """
         self.others = frozenset(others)
         self.voter_set = voter_set
@@ -123,13 +124,13 @@
         self._other_fresh_voters.clear()
 
     def may_vote(self, now: int) -> bool:
-        """Tell whether this voter's replies count yet."""
+        """Return whether this voter may grant new leases yet."""
         return now >= self.silent_until_us and not self.fresh
 
-    # Learning lost promises.
+    # Recovery of lost promises.
 
     def epoch_query(self, now: int) -> EpochQuery | None:
-        """Return the query that a fresh voter sends to all others, if one is due."""
+        """Return the query that a fresh voter sends to all others, if a new round is due."""
         if not self.fresh or now < max(self.silent_until_us, self._next_query_us):
             return None
         self._round += 1
@@ -139,7 +140,7 @@
         return EpochQuery(self.name, self.incarnation, self._round)
 
     def answer_epoch_query(self, now: int, query: EpochQuery) -> EpochReply | None:
-        """Return what this voter has promised; a fresh one answers that it has nothing."""
+        """Return this voter's promises; a fresh voter replies that it has none."""
         if query.voter not in self.others:
             return None
         known = {} if self.fresh else self.promises
@@ -147,12 +148,12 @@
         return EpochReply(self.name, query.round, entries, self.fresh)
 
     def learn_epochs(self, now: int, reply: EpochReply) -> list[PromiseWrite]:
-        """Take another voter's promises; return all that is to be stored once there are enough.
+        """Add another voter's promises; once there are enough, return the promises to store.
 
-        This voter stays fresh until `promise_learned` has reported all of them as durable. Where
-        all others have answered and some are fresh as well, the fleet is new or more is lost than
-        can be known: they start, and candidates take epochs above all that there can have been
-        (`epoch_floor` in `gullyoke/leases/candidate.py`).
+        This voter stays fresh until `promise_learned` has reported all of them as durable. If all
+        others have replied and some are fresh as well, either the fleet is new or promises are lost
+        for good. The voters then start with what there is, and candidates request epochs above any
+        earlier one (`epoch_floor` in `gullyoke/leases/candidate.py`).
         """
         if not self.fresh or reply.round != self._round or reply.voter not in self.others:
             return []
@@ -165,13 +166,13 @@
             return []
         newest = newest_promises(self._learned.values())
         self._learned.clear()
-        self._round += 1  # a reply that comes later counts no more; a failed write starts anew
+        self._round += 1  # later replies are ignored; after a failed write a new query follows
         if not newest:
             self.fresh = False
         return [PromiseWrite(duty, promise, None) for duty, promise in newest.items()]
 
     def promise_learned(self, write: PromiseWrite, last: bool) -> None:
-        """Take over a learned promise that is durable; after the `last` one this voter votes."""
+        """Apply a recovered promise that is durable; after the `last` one this voter votes."""
         self.promises[write.duty] = write.promise
         if last:
             self.fresh = False
@@ -180,13 +181,13 @@
 
     def answer_pre_vote(self, now: int, pre_vote: PreVote) -> VoteReply:
         """Return whether this voter would grant the lease; nothing is promised."""
-        granted = self._would_grant(now, pre_vote.duty, pre_vote.incarnation, pre_vote.name)
+        granted = self._decide_grant(now, pre_vote.duty, pre_vote.incarnation, pre_vote.name)
         return self._reply(now, pre_vote, granted, to_request=False)
 
     def answer_request(self, now: int, request: LeaseRequest) -> VoteReply | PromiseWrite | None:
-        """Return the reply, or the promise that has to be durable before it.
+        """Return the reply, or the promise that must be durable before the reply is sent.
 
-        None while another promise of that lease is on its way to the disk.
+        None while another promise for that lease is being written to disk.
         """
         duty = request.duty
         if duty in self.pending_writes:
@@ -201,7 +202,7 @@
         granted = (
             request.epoch > promise.epoch
             and same_set
-            and self._would_grant(now, duty, request.incarnation, request.name)
+            and self._decide_grant(now, duty, request.incarnation, request.name)
         )
         if not granted or (len(self.promises) >= MAX_LEASES and duty not in self.promises):
             return self._reply(now, request, granted=False, to_request=True)
@@ -214,10 +215,10 @@
         return write
 
     def write_finished(self, now: int, write: PromiseWrite, written: bool) -> VoteReply | None:
-        """Return the reply to send once the disk has stored a promise or failed to.
+        """Return the reply to send after the disk has stored a promise or failed to.
 
-        After a failure it is unknown what the disk has: the epoch counts as promised to nobody, and
-        the next request has to be above it.
+        After a failure it is unknown whether the promise is on disk. The epoch then counts as
+        promised to nobody, and the next request must have a higher one.
         """
         if self.pending_writes.get(write.duty) is not write:
             return None
@@ -246,10 +247,11 @@
             successor = PreferredSuccessor(release.successor, until_us)
             self._preferred_successors[release.duty] = successor
 
-    def _would_grant(self, now: int, duty: str, incarnation: int, name: str) -> bool:
+    def _decide_grant(self, now: int, duty: str, incarnation: int, name: str) -> bool:
+        """Return whether to grant a lease; after a failed write, uses up the retry of the disk."""
         if not self.may_vote(now):
             return False
-        if not self.disk_ok and not self._retries_disk(now):
+        if not self.disk_ok and not self._use_disk_retry(now):
             return False
         preferred = self._preferred_successors.get(duty)
         if preferred is not None and now < preferred.until_us and name not in ("", preferred.name):
@@ -258,11 +260,14 @@
             return True
         return self.promises.get(duty, NO_PROMISE).incarnation == incarnation
 
-    def _retries_disk(self, now: int) -> bool:
-        """Tell whether a failed disk is to be tried with the next promise: once a lease."""
-        if now - self._disk_retried_us < self.durations.lease_us:
+    def _use_disk_retry(self, now: int) -> bool:
+        """Return whether the next promise may be written to a failed disk: once per lease duration.
+
+        Starts the wait for the next retry if so.
+        """
+        if now - self._last_disk_retry_us < self.durations.lease_us:
             return False
-        self._disk_retried_us = now
+        self._last_disk_retry_us = now
         return True
 
     def _start_lease(self, now: int, duty: str) -> None:
@@ -272,7 +277,7 @@
     def _reply(
         self, now: int, message: PreVote | LeaseRequest, granted: bool, to_request: bool
     ) -> VoteReply:
-        """Return a reply that states who has the lease now."""
+        """Return a reply that states who holds the lease now."""
         promise = self.promises.get(message.duty, NO_PROMISE)
         remaining_us = max(0, self.lease_ends_us.get(message.duty, 0) - now)
         return VoteReply(
