--- a/tests/compatibility/test_duty_messages.py
+++ b/tests/compatibility/test_duty_messages.py
@@ -1,4 +1,4 @@
-"""What holders of duties say: notices, orders, lines of the record and to an application."""
+"""Messages of lease holders: announcements, instructions, the record and lines to applications."""
 
 import json
 import pathlib
@@ -18,7 +18,7 @@
 from gullyoke.runtime.metrics import Metrics as Counters
 
 EPOCH = 1_700_000_000
-PATIENCE = 10
+TIMEOUT_S = 10
 
 
 def fleet_of(name):
@@ -27,9 +27,9 @@
     return fleet
 
 
-class DutyMessages(unittest.TestCase):
-    def test_dependency_notice(self):
-        """`ask`: dead or well, as the holder sees it and as the others take it."""
+class LeaseHolderMessages(unittest.TestCase):
+    def test_dependency_announcement(self):
+        """`ask`: dead or well, as the holder announces it and other members read it."""
         holder, other = (Ask(fleet_of(name), mock.MagicMock()) for name in ("server-1", "server-2"))
         self.assertEqual(holder.notice(), b"well")
         for at in range(20):
@@ -39,8 +39,8 @@
             other.heard(5, Announcement("ask", EPOCH, 7, "server-1", body))
             self.assertEqual(other.probe.announced.dead, dead)
 
-    def test_book_notice(self):
-        """`book`: by home that ended, the address of who lends for it."""
+    def test_substitutes_announcement(self):
+        """`book`: by lender that ended, the address of the server that lends for it."""
         book = Book.__new__(Book)
         book.fleet, book.shares, book.gone = (
             fleet_of("server-1"),
@@ -52,8 +52,8 @@
         book.heard(5, Announcement("book", EPOCH, 7, "server-1", book.notice()))
         self.assertEqual(book.shares.shared.substitutes[0], {"server-3": "10.0.0.1:7900"})
 
-    def test_roll_order(self):
-        """`roll`: the word to drain names the start that is meant, and a late one drains nobody."""
+    def test_drain_instruction(self):
+        """`roll`: an instruction to drain names the start that it is for; a late one is ignored."""
         fleet, duties = fleet_of("server-1"), mock.MagicMock()
         fleet.member.view.records = {
             1: MemberRecord("server-2", EPOCH << 20, Status.ALIVE, "a:1", "-", 2)
@@ -63,8 +63,8 @@
         roll.plan = RestartPlan(1, "going", EPOCH + 1, 0.1, 0.5, (("server-2", 5, EPOCH),))
         roll.send(5_000_000, 9)
         duties.instruct.assert_called_once_with("roll", 9, "server-2", "drain", b"1700000000")
-        told = roll.notice()
-        roll.heard(5, Announcement("roll", EPOCH, 7, "server-1", told))
+        body = roll.notice()
+        roll.heard(5, Announcement("roll", EPOCH, 7, "server-1", body))
         self.assertEqual(
             roll.plan, RestartPlan(1, "going", EPOCH + 1, 0.1, 0.5, (("server-2", 5, EPOCH),))
         )
@@ -76,7 +76,7 @@
             drain.assert_called_once_with(6, 9)
 
     def test_record_line(self):
-        """`record`: a line of JSON in the holder's folder; the count goes on as text."""
+        """`record`: a line of JSON in the holder's folder; the count is passed on as text."""
         folder = temporary_folder(self)
         data_folder = DataFolder(str(folder), 2**20, Counters())
         self.addCleanup(data_folder.monitor.stop)
@@ -98,22 +98,22 @@
         )
 
     def line_of(self, path: pathlib.Path) -> str:
-        until = time.monotonic() + PATIENCE
+        deadline = time.monotonic() + TIMEOUT_S
         while not path.exists() or not path.read_text().endswith("\n"):
-            self.assertLess(time.monotonic(), until, "the line never came")
+            self.assertLess(time.monotonic(), deadline, "no line was written in time")
             time.sleep(0.01)
         return path.read_text()
 
     def test_application_line(self):
-        """An application is told of its duty in one line; its STALE lets the duty go."""
-        heard = []
+        """An application gets one line about its lease; the reply STALE releases the lease."""
+        received = []
         listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(listener.close)
 
         def serve():
             conn, _ = listener.accept()
             with conn:
-                heard.append(conn.recv(256))
+                received.append(conn.recv(256))
                 conn.sendall(b"STALE\n")
 
         server = threading.Thread(target=serve)
@@ -127,8 +127,8 @@
         )
         told.going.acquire()
         told.tell(EPOCH)
-        server.join(PATIENCE)
-        self.assertEqual(heard, [b"HOLD report 1700000000 4386 1500\n"])
+        server.join(TIMEOUT_S)
+        self.assertEqual(received, [b"HOLD report 1700000000 4386 1500\n"])
         self.assertEqual(told.stale, 1)
         duties.leave.assert_called_once()
 
--- a/tests/coordination/test_quotas.py
+++ b/tests/coordination/test_quotas.py
@@ -1,7 +1,4 @@
-"""Customers' quotas lent as rates.
-
-They follow who is asked, and never come to more than there is.
-"""
+"""Tenants' quotas leased as rates: they follow the requests and never exceed the quota."""
 
 import random
 import time
@@ -20,15 +17,15 @@
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
-PATIENCE = 25
+TIMEOUT_S = 25
 SECOND = 1_000_000
 
 
-class Quotaed(unittest.TestCase):
-    def test_follows(self):
-        """A customer that asks two of sixteen servers keeps what it is entitled to, and where it
-        moves too; by the fleet's size an eighth of it. With loss and without, the parts of all are
-        never over the quota.
+class TenantQuotas(unittest.TestCase):
+    def test_quota_follows_requests(self):
+        """A tenant that sends to two of sixteen servers gets most of its quota, also after it moves
+        to two others; if the quota were divided by the size of the fleet, it would get an eighth.
+        With and without message loss, the parts of all servers never exceed the quota.
         """
         for load, moves, loss, least in (
             (0.9, False, 0.0, 0.7),
@@ -37,65 +34,67 @@
         ):
             with self.subTest(load=load, moves=moves, loss=loss):
                 by_size = asked(2, 16, 2, load, False, span=16 * SECOND, moves=moves, loss=loss)
-                lent = asked(2, 16, 2, load, True, span=16 * SECOND, moves=moves, loss=loss)
+                leased = asked(2, 16, 2, load, True, span=16 * SECOND, moves=moves, loss=loss)
                 self.assertLess(by_size.within, 0.2)
-                self.assertGreater(lent.within, least)
-                self.assertLessEqual(lent.over, 1e-9)
-        flood = asked(2, 16, 2, 2.0, True, span=16 * SECOND)
-        self.assertLess(flood.rate, 1.05)  # twice the quota and more is not let in
-        self.assertLessEqual(flood.over, 1e-9)
+                self.assertGreater(leased.within, least)
+                self.assertLessEqual(leased.over, 1e-9)
+        overload = asked(2, 16, 2, 2.0, True, span=16 * SECOND)
+        self.assertLess(overload.rate, 1.05)  # requests at twice the quota are not all admitted
+        self.assertLessEqual(overload.over, 1e-9)
 
-    def test_rate(self):
-        """Reqs are counted by whole bins; after a pause nothing comes."""
+    def test_arrival_rate(self):
+        """Requests are counted in complete bins; after a pause the rate is 0."""
         rate = ArrivalRate()
         for i in range(100):
             rate.record(i * 10_000)
         self.assertEqual(rate.per_second(SECOND), 100.0)
         self.assertEqual(rate.per_second(SECOND + 3 * BIN_US), 0.0)
 
-    def test_not_lent(self):
+    def test_tenant_without_a_leased_quota(self):
         self.assertIsNone(Tenant("c", 5.0).leased_quota(0))
 
     def test_on_sockets(self):
-        """Three servers, two customers.
+        """Three servers share the quotas of two tenants, each with messages of its own.
 
-        Each quota goes by letters of its own, one server comes to have most of one, and what is
-        stated otherwise is counted and nothing else.
+        One server gets most of one quota; the other quota is unaffected. A message for an unknown
+        quota is counted and ignored, and a malformed one raises.
         """
         links = [PeerLink(("127.0.0.1", 0), Seal("f", (b"k" * 32,)), Metrics()) for _ in range(3)]
-        at = ["{}:{}".format(*link.address) for link in links]
-        homes, whole = {f"p{i}": at[i] for i in range(3)}, tokens(3)
-        topics = []
+        addresses = ["{}:{}".format(*link.address) for link in links]
+        lenders, total = {f"p{i}": addresses[i] for i in range(3)}, tokens(3)
+        services = []
         for i, link in enumerate(links):
             self.addCleanup(link.end)
             limits = []
             for name in ("big", "small"):
-                sharing = QuotaParticipant(clock.now(), 100 + i, homes, 12, 4, f"p{i}", True, 0, 0)
+                participant = QuotaParticipant(
+                    clock.now(), 100 + i, lenders, 12, 4, f"p{i}", True, 0, 0
+                )
                 limits.append(
                     SharedQuota(
-                        TenantQuotaPart(sharing, 300.0, whole),
-                        homes,
-                        configuration_digest(homes, whole, 4, name, "300"),
+                        TenantQuotaPart(participant, 300.0, total),
+                        lenders,
+                        configuration_digest(lenders, total, 4, name, "300"),
                         lambda name: None,
                     )
                 )
             link.topics[QUOTAS] = TenantQuotaService(limits)
-            topics.append(link.topics[QUOTAS])
-            row = MemberRecord(
-                f"p{i}", start_version(int(time.time())), Status.JOINING, at[i], "z", 100 + i
+            services.append(link.topics[QUOTAS])
+            record = MemberRecord(
+                f"p{i}", start_version(int(time.time())), Status.JOINING, addresses[i], "z", 100 + i
             )
-            link.begin(Member(clock.now(), row, (at[0],), random.Random(i)))
-        big, small = topics[0].limits.values()
-        until, part = time.monotonic() + PATIENCE, 0.0
-        while part < 240:
-            self.assertLess(time.monotonic(), until, part)
-            part = big.leased_quota(clock.now())
+            link.begin(Member(clock.now(), record, (addresses[0],), random.Random(i)))
+        big, small = services[0].limits.values()
+        deadline, rate = time.monotonic() + TIMEOUT_S, 0.0
+        while rate < 240:
+            self.assertLess(time.monotonic(), deadline, rate)
+            rate = big.leased_quota(clock.now())
             time.sleep(0.004)
         self.assertEqual(small.own.rate_in_force(clock.now()), 25.0)
-        self.assertEqual(topics[0].handle(0, None, encode((1, 0, []))), ())
-        self.assertEqual(topics[0].others, 1)
+        self.assertEqual(services[0].handle(0, None, encode((1, 0, []))), ())
+        self.assertEqual(services[0].others, 1)
         with self.assertRaises(MalformedDatagramError):
-            topics[0].handle(0, None, b"\xc1")
+            services[0].handle(0, None, b"\xc1")
 
 
 if __name__ == "__main__":
--- a/tests/coordination/test_shares.py
+++ b/tests/coordination/test_shares.py
@@ -1,7 +1,4 @@
-"""Shares: what is in force together is never above what there is, whatever happens.
-
-And they follow need.
-"""
+"""Quota leases: tokens in force never exceed the limit, whatever fails, and follow the need."""
 
 import random
 import unittest
@@ -21,11 +18,11 @@
 TOKENS = 24
 
 
-def troubled(seed, span=24):
-    """A play with everything at once.
+def run_with_faults(seed, span=24):
+    """Run with message loss, messages up to 3 s late, pauses up to 9 s, ends and starts of lenders
+    and borrowers, second processes under a lender's name, and broken links.
 
-    Loss, messages up to 3 s late, pauses up to 9 s, ends and starts of homes and borrowers, double
-    starts under a home's name, cuts. The most of one home's tokens that were in force.
+    Returns the most tokens of one lender that were in force.
     """
     chance = random.Random(seed)
     play = Play(
@@ -48,7 +45,7 @@
             process.paused = play.now + chance.randrange(9 * SECOND)
         elif what == 1:
             play.kill(key)
-            play.start(key, process.home).need = 100  # at once, with nothing remembered
+            play.start(key, process.home).need = 100  # at once, without any state
         elif what == 2 and doubles < 3:
             doubles += 1
             play.start(f"d{doubles}", chance.choice(play.homes)).need = 100
@@ -63,10 +60,10 @@
     return play.worst
 
 
-def used(seed, span=24):
-    """As above, with processes that make calls as their slots allow.
+def run_with_calls(seed, span=24):
+    """Run with faults and with processes that make as many calls as they have slots for.
 
-    The most that a dependency had in hand, and the limit.
+    Returns the most calls that ran at the dependency, and the limit.
     """
     chance = random.Random(seed)
     homes, floor = chance.choice((1, 3, 5)), chance.choice((0, 2))
@@ -103,35 +100,39 @@
     return play.worst_below, homes * TOKENS + floor * len(play.processes)
 
 
-class Shares(unittest.TestCase):
-    def test_conserved(self):
-        """Never more of one home's tokens than there are, at any event of any play.
-
-        And not since nothing was lent.
+class QuotaLeases(unittest.TestCase):
+    def test_tokens_are_never_lent_twice(self):
+        """At no event are more tokens of a lender in force than it has, although many runs reach
+        that number.
         """
-        worst = [troubled(seed) for seed in range(24)]
+        worst = [run_with_faults(seed) for seed in range(24)]
         self.assertLessEqual(max(worst), TOKENS)
         self.assertGreater(sum(one == TOKENS for one in worst), 12)
 
-    def test_in_hand_below(self):
-        """What the dependency has in hand never goes over the limit, through pauses, restarts, cuts
-        and needs that swing; and without one of these it does: what is in use when a loan shrinks
-        stays out, and a call ends with the loan it stands on.
+    def test_calls_at_the_dependency(self):
+        """Calls at the dependency never exceed the limit, through pauses, restarts, cut links and
+        changing needs.
+
+        Two guards see to it: tokens in use stay lent when a lease shrinks, and a call ends with the
+        lease that it uses. Without either guard the limit is exceeded.
         """
-        plays = [used(seed) for seed in range(16)]
+        plays = [run_with_calls(seed) for seed in range(16)]
         self.assertTrue(all(most <= limit for most, limit in plays), plays)
         self.assertGreater(sum(most > 0.8 * limit for most, limit in plays), 8)
 
-        def told_at_once(self, now, home, used):
-            return back(self, now, home, 0)
+        def return_all(self, now, lender, used):
+            return original_return(self, now, lender, 0)
 
         def any_time(self, now):
             return now + 60 * SECOND
 
-        back = Borrower._return
+        original_return = Borrower._return
         for what, guard in (
-            ("in use stays out", mock.patch.object(Borrower, "_return", told_at_once)),
-            ("ends with its loan", mock.patch.object(ConcurrencyPart, "secured_until", any_time)),
+            ("tokens in use stay lent", mock.patch.object(Borrower, "_return", return_all)),
+            (
+                "a call ends with its lease",
+                mock.patch.object(ConcurrencyPart, "secured_until", any_time),
+            ),
         ):
             for cut in (False, True):
                 self.assertLessEqual(max(self.passed_on(seed, cut) for seed in range(4)), TOKENS)
@@ -145,9 +146,8 @@
                 )
 
     def passed_on(self, seed, cut):
-        """All is lent to one who uses it.
-
-        Then another wants it, and the first wants less, or is cut off.
+        """Lend all tokens to one borrower that uses them; then another one needs them, and the
+        first needs fewer or, with `cut`, is cut off.
         """
         play = Play(seed, homes=1, others=2, tokens=TOKENS)
         play.processes["b0"].calls = 60
@@ -160,10 +160,11 @@
         play.run(play.now + 12 * SECOND)
         return play.worst_below
 
-    def twice(self, seed, restart=()):
-        """h0 has lent all; then half of the borrowers take another process for h0, and the first is
-        cut off from the voters, but not from its own borrowers; `restart` names voters that start
-        anew then.
+    def two_lenders_of_one_name(self, seed, restart=()):
+        """Let h0 lend all tokens; then half of the borrowers use another process as h0, and the
+        first is cut off from the voters, but not from its own borrowers.
+
+        `restart` names voters that then restart.
         """
         play = Play(seed, homes=3, others=4, tokens=TOKENS)
         play.processes["b0"].need = play.processes["b1"].need = 100
@@ -181,12 +182,12 @@
             play.start(name, name)
         play.run(play.now + 2_500_000)
         if restart:
-            play.cut |= {("b0", "h0"), ("b1", "h0")}  # they keep what they have to its end
+            play.cut |= {("b0", "h0"), ("b1", "h0")}  # they keep their leases to the end
         play.run(play.now + 12 * SECOND)
         return play.worst
 
-    def again(self, seed):
-        """h0 has lent to one, who is cut off then; h0 starts anew, and another asks."""
+    def restarted_lender(self, seed):
+        """Let h0 lend to a borrower that is then cut off; h0 restarts, another borrower asks."""
         play = Play(seed, homes=1, others=2, tokens=TOKENS)
         play.processes["b0"].need = 100
         play.run(16 * SECOND)
@@ -197,37 +198,42 @@
         play.run(play.now + 14 * SECOND)
         return play.worst
 
-    def test_names_and_starts(self):
-        """Two processes for one home, voters that forget, a home that forgets.
+    def test_double_names_and_restarts(self):
+        """No token is lent twice with two processes for one lender, or after a restart of voters or
+        of a lender.
 
-        Nothing is lent twice, and each of these would be without its guard.
+        Without the guard against each of these, some token is lent twice.
         """
 
-        def early(self, now, after=0):
+        def lend_at_once(self, now, after=0):
             return self.is_valid(now)
 
-        def forgetful(self, now, name, homes):
-            begun(self, now, name, homes)
+        def vote_at_once(self, now, name, lenders):
+            init(self, now, name, lenders)
             self.silent_until_us = now
 
-        def any_number(self, now, promise):
-            heard(self, now, promise)
-            if (promise.lender, promise.incarnation) == (self.name, self.incarnation):
+        def accept_any_vote(self, now, vote):
+            handle_vote(self, now, vote)
+            if (vote.lender, vote.incarnation) == (self.name, self.incarnation):
                 self.since_us = self.since_us or now
                 self.until_us = max(self.until_us, self.claimed_at_us + quota_durations.TENURE_US)
 
-        begun, heard = LenderVoter.__init__, LenderTenure.handle_vote
+        init, handle_vote = LenderVoter.__init__, LenderTenure.handle_vote
         for what, play, guard in (
             (
-                "waits out a loan",
-                self.again,
-                mock.patch.object(LenderTenure, "may_lend", early),
+                "a new lender waits until earlier leases have ended",
+                self.restarted_lender,
+                mock.patch.object(LenderTenure, "may_lend", lend_at_once),
+            ),
+            (
+                "a majority of votes",
+                self.two_lenders_of_one_name,
+                mock.patch.object(LenderTenure, "handle_vote", accept_any_vote),
             ),
-            ("a majority", self.twice, mock.patch.object(LenderTenure, "handle_vote", any_number)),
             (
-                "a voter is mute",
-                lambda seed: self.twice(seed, ("h1", "h2")),
-                mock.patch.object(LenderVoter, "__init__", forgetful),
+                "a restarted voter is silent",
+                lambda seed: self.two_lenders_of_one_name(seed, ("h1", "h2")),
+                mock.patch.object(LenderVoter, "__init__", vote_at_once),
             ),
         ):
             with self.subTest(what):
@@ -235,12 +241,12 @@
                 with guard:
                     self.assertTrue(any(play(seed) > TOKENS for seed in range(40)))
 
-    def test_follows_need(self):
-        """With no fault, what is wanted is lent within seconds, fairly where more is wanted than
-        there is, and follows when the need moves; nobody who wants some is left with none.
+    def test_leases_follow_the_need(self):
+        """Without faults, needed tokens are lent within seconds, fairly if there are too few, and
+        follow when the need moves.
         """
         play = Play(7, homes=3, others=3, tokens=40, floor=2)
-        play.run(12 * SECOND)  # names are held, old loans waited out
+        play.run(12 * SECOND)  # until the lenders hold their names and may lend
         for key, need in (("b0", 30), ("b1", 200), ("b2", 200)):
             play.processes[key].need = need
         play.run(play.now + 25 * SECOND)
@@ -255,11 +261,9 @@
         self.assertGreater(play.processes["h0"].lent(), 30)
         self.assertLessEqual(play.worst, 40)
 
-    def test_a_home_that_ends(self):
-        """Its tokens are nobody's for a while.
-
-        Once a process is back at its address they are lent again, and the others' are lent all
-        along.
+    def test_a_lender_that_ends(self):
+        """Tokens of a lender that ended are not lent until a process is back under its name; those
+        of the other lenders are lent all the time.
         """
         play = Play(3, homes=3, others=2, tokens=20)
         for process in play.processes.values():
@@ -274,13 +278,13 @@
         play.run(play.now + 25 * SECOND)
         self.assertGreaterEqual(play.lent(), 54)
 
-    def test_a_name_that_is_no_home(self):
+    def test_a_name_that_is_no_lender(self):
         with self.assertRaises(ValueError):
             QuotaParticipant(0, 1, ("h0", "h1"), 10, 1, "h2")
 
     def test_alone(self):
-        """One that reaches nobody falls back to its floor within a loan's time, by its own clock
-        alone.
+        """A borrower that reaches no lender falls back to its floor within the duration of a lease,
+        by its own clock.
         """
         play = Play(5, homes=3, others=1, tokens=20, floor=3)
         play.processes["b0"].need = 40
@@ -300,52 +304,56 @@
             max_size=8,
         ),
     )
-    def test_level(self, total, wishes):
-        """All that there is, or is wanted, is given out.
+    def test_max_min_fairness(self, total, demands):
+        """The whole total is divided, or as much as is wanted.
 
-        Who gets less than it wants has, for its weight and with what it holds elsewhere, as much as
-        anybody who gets some.
+        A borrower that gets less than it wants has in all, relative to its weight, at least as much
+        as any borrower that gets tokens.
         """
-        found = fill_level(total, wishes)
-        parts = [wish.part(found) for wish in wishes]
+        level = fill_level(total, demands)
+        shares = [demand.part(level) for demand in demands]
         self.assertTrue(
-            all(0 <= part <= wish.want for part, wish in zip(parts, wishes, strict=True))
+            all(0 <= share <= demand.want for share, demand in zip(shares, demands, strict=True))
+        )
+        self.assertAlmostEqual(
+            sum(shares), min(total, sum(demand.want for demand in demands)), delta=0.1
         )
-        self.assertAlmostEqual(sum(parts), min(total, sum(wish.want for wish in wishes)), delta=0.1)
-        has = [
-            (part + wish.elsewhere) / wish.weight for part, wish in zip(parts, wishes, strict=True)
+        levels = [
+            (share + demand.elsewhere) / demand.weight
+            for share, demand in zip(shares, demands, strict=True)
         ]
-        short = [
-            h for h, part, wish in zip(has, parts, wishes, strict=True) if part < wish.want - 1e-3
+        unsatisfied = [
+            own
+            for own, share, demand in zip(levels, shares, demands, strict=True)
+            if share < demand.want - 1e-3
         ]
-        some = [h for h, part in zip(has, parts, strict=True) if part > 1e-3]
-        if short and some:
-            self.assertGreaterEqual(min(short), max(some) - 0.01)
+        served = [own for own, share in zip(levels, shares, strict=True) if share > 1e-3]
+        if unsatisfied and served:
+            self.assertGreaterEqual(min(unsatisfied), max(served) - 0.01)
 
     def test_nobody_starves(self):
-        """More borrowers than tokens at the homes.
-
-        Each has one in turn, and who has some elsewhere does not get more before who has none.
+        """With more borrowers than tokens, each borrower gets one at times, and none has more than
+        two at once.
         """
         play = Play(9, homes=3, others=18, tokens=4)
         for process in play.processes.values():
             process.need = 3
         play.run(12 * SECOND)
-        had, most = set(), 0
+        served, most = set(), 0
         for _ in range(120):
             play.run(play.now + SECOND // 2)
             lent = {key: process.lent() for key, process in play.processes.items()}
-            had |= {key for key, n in lent.items() if n}
+            served |= {key for key, n in lent.items() if n}
             most = max(most, *lent.values())
-        self.assertEqual(had, set(play.processes))
+        self.assertEqual(served, set(play.processes))
         self.assertLessEqual(most, 2)
         self.assertGreaterEqual(play.lent(), 9)
 
     def test_split(self):
-        for limit, largest, homes in ((100, 12, "abc"), (7, 20, "abcde"), (1000, 200, "abcdefg")):
-            floor, lend = split_limit(limit, largest, homes, 0.5)
-            self.assertEqual(floor * largest + sum(lend.values()), limit)
-            self.assertLessEqual(max(lend.values()) - min(lend.values()), 1)
+        for limit, largest, lenders in ((100, 12, "abc"), (7, 20, "abcde"), (1000, 200, "abcdefg")):
+            floor, tokens = split_limit(limit, largest, lenders, 0.5)
+            self.assertEqual(floor * largest + sum(tokens.values()), limit)
+            self.assertLessEqual(max(tokens.values()) - min(tokens.values()), 1)
 
 
 if __name__ == "__main__":
--- a/tests/coordination/test_subsets.py
+++ b/tests/coordination/test_subsets.py
@@ -1,4 +1,4 @@
-"""Subsets: even, near first, little moved, nothing for one that flaps."""
+"""Subsets of back ends: even sizes, own zone first, few moves, none for a flapping back end."""
 
 import itertools
 import unittest
@@ -19,29 +19,28 @@
 COUNT = st.integers(1, 60)
 
 
-def named(letter, n):
-    return [f"{letter}{i}" for i in range(n)]
+def names(prefix, count):
+    return [f"{prefix}{i}" for i in range(count)]
 
 
 class Subsets(unittest.TestCase):
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(COUNT, COUNT, st.integers(1, 30))
-    def test_even(self, n, m, k):
-        """Each back end in as many subsets as any other within one.
+    def test_subsets_are_even(self, n, m, k):
+        """All back ends are in equally many subsets, within one.
 
-        Each subset whole and without repeats.
+        Each subset is complete and has no duplicates, and input order does not matter.
         """
-        found = apertures(named("s", n), named("b", m), k)
-        taken = Counter(b for subset in found.values() for b in subset)
-        counts = [taken[b] for b in named("b", m)]
+        found = apertures(names("s", n), names("b", m), k)
+        uses = Counter(b for subset in found.values() for b in subset)
+        counts = [uses[b] for b in names("b", m)]
         self.assertLessEqual(max(counts) - min(counts), 1)
         self.assertTrue(all(len(set(subset)) == min(k, m) for subset in found.values()))
-        self.assertEqual(found, apertures(named("s", n)[::-1], named("b", m)[::-1], k))
+        self.assertEqual(found, apertures(names("s", n)[::-1], names("b", m)[::-1], k))
 
-    def test_little_moves(self):
-        """One server or back end more or fewer.
-
-        At most so much is opened anew, at the worst one of all.
+    def test_few_connections_move(self):
+        """One server or back end less moves at most the stated share of the connections, for any of
+        those sampled.
         """
         for n, m, k, most in (
             (10, 10, 3, 0.34),
@@ -50,55 +49,58 @@
             (200, 40, 10, 0.10),
             (40, 200, 20, 0.18),
         ):
-            servers, back_ends = named("s", n), named("b", m)
-            whole = apertures(servers, back_ends, k)
+            servers, back_ends = names("s", n), names("b", m)
+            before = apertures(servers, back_ends, k)
             for i in range(0, n, max(1, n // 10)):
-                fewer = apertures(servers[:i] + servers[i + 1 :], back_ends, k)
-                self.assertLessEqual(moved_share(whole, fewer), most, (n, m, k))
+                after = apertures(servers[:i] + servers[i + 1 :], back_ends, k)
+                self.assertLessEqual(moved_share(before, after), most, (n, m, k))
             for i in range(0, m, max(1, m // 10)):
-                fewer = apertures(servers, back_ends[:i] + back_ends[i + 1 :], k)
-                self.assertLessEqual(moved_share(whole, fewer), most, (n, m, k))
+                after = apertures(servers, back_ends[:i] + back_ends[i + 1 :], k)
+                self.assertLessEqual(moved_share(before, after), most, (n, m, k))
 
     def test_zones(self):
-        """A zone's own back ends first; where they are short the rest is even over the others."""
+        """A server takes back ends of its own zone first, and the rest evenly from other zones."""
         servers = {f"s{i}": f"z{i % 3}" for i in range(30)}
         back_ends = {f"b{i}": "z0" if i < 2 else f"z{1 + i % 2}" for i in range(22)}
         found = choose_subsets(servers, back_ends, 6)
         for server, subset in found.items():
             near = sum(back_ends[b] == servers[server] for b in subset)
             self.assertEqual((len(set(subset)), near), (6, 2 if servers[server] == "z0" else 6))
-        spilled = Counter(
+        from_other_zones = Counter(
             b
             for s, subset in found.items()
             if servers[s] == "z0"
             for b in subset
             if b not in ("b0", "b1")
         )
-        self.assertLessEqual(max(spilled.values()) - min(spilled.values()), 1)
+        counts = from_other_zones.values()
+        self.assertLessEqual(max(counts) - min(counts), 1)
         self.assertEqual(choose_subsets(servers, {}, 3), dict.fromkeys(servers, ()))
 
     def test_two_views(self):
-        """Half of the servers have not heard yet that one server and one back end are gone."""
-        servers, back_ends = named("s", 200), named("b", 100)
+        """The subsets stay nearly even while half of the servers do not know yet that a server and
+        a back end have left.
+        """
+        servers, back_ends = names("s", 200), names("b", 100)
         old, new = apertures(servers, back_ends, 10), apertures(servers[1:], back_ends[1:], 10)
         mixed = [old[s] if i % 2 else new[s] for i, s in enumerate(servers) if s in new]
-        taken = Counter(b for subset in mixed for b in subset)
-        self.assertLessEqual(max(taken.values()), 1.3 * 20)
-        self.assertGreaterEqual(min(taken[b] for b in back_ends[1:]), 0.6 * 20)
+        uses = Counter(b for subset in mixed for b in subset)
+        self.assertLessEqual(max(uses.values()), 1.3 * 20)
+        self.assertGreaterEqual(min(uses[b] for b in back_ends[1:]), 0.6 * 20)
 
     def test_flapping(self):
-        """One that comes and goes moves nothing.
+        """A back end that comes and goes moves no connections.
 
-        One that is gone for good is replaced, one move at a time.
+        One that has left for good is replaced, one move at a time.
         """
-        one = Subset(0, ("a", "b", "c"))
+        subset = Subset(0, ("a", "b", "c"))
         for second in range(0, 60, 2):
             wanted = ("a", "b", "c") if second % 4 else ("a", "c", "d")
-            self.assertEqual(one.follow(second * 1_000_000, wanted), ("a", "b", "c"))
-        self.assertEqual(one.usable({"a", "c"}), ("a", "c"))
+            self.assertEqual(subset.follow(second * 1_000_000, wanted), ("a", "b", "c"))
+        self.assertEqual(subset.usable({"a", "c"}), ("a", "c"))
         now, seen = 60_000_000, []
         for step in range(100):
-            seen.append(one.follow(now + step * 100_000, ("a", "d", "e")))
+            seen.append(subset.follow(now + step * 100_000, ("a", "d", "e")))
         self.assertEqual(set(seen[-1]), {"a", "d", "e"})
         changes = [i for i in range(1, 100) if seen[i] != seen[i - 1]]
         self.assertGreaterEqual(changes[0] * 100_000, SETTLE_US)
--- a/tests/coordination/test_turns.py
+++ b/tests/coordination/test_turns.py
@@ -1,4 +1,4 @@
-"""Turns: at most so many at a time, nobody left out, and little more under two views."""
+"""Time slots: at most `k` members at a time, each within a round, with any view and clock."""
 
 import unittest
 
@@ -11,30 +11,30 @@
 NAMES = st.sets(st.sampled_from([f"m{i}" for i in range(40)]), min_size=1, max_size=40)
 
 
-class Taking(unittest.TestCase):
+class TimeSlots(unittest.TestCase):
     @settings(max_examples=80, deadline=None, derandomize=True, database=None)
     @given(NAMES, st.integers(1, 5), st.integers(0, 10**12))
-    def test_at_most_k_and_each_in_a_round(self, members, k, start):
+    def test_at_most_k_at_a_time_and_each_once_a_round(self, members, k, start):
         turns = Turns("warm", k, SLOT, GAP)
         slots = -(-len(members) // k)
         first = start // SLOT // slots * slots  # a round's first slot
-        had = []
+        served = []
         for number in range(first, first + slots):
             now = {m for m in members if turns.mine(number * SLOT + SLOT // 2, m, members)}
             self.assertLessEqual(len(now), k)
-            had += now
-        self.assertEqual(sorted(had), sorted(members))
+            served += now
+        self.assertEqual(sorted(served), sorted(members))
 
     @settings(max_examples=80, deadline=None, derandomize=True, database=None)
     @given(NAMES, NAMES, st.integers(1, 5), st.integers(0, 10**12))
     def test_two_views(self, one, other, k, wall):
-        """Half of the fleet goes by one view, half by another: at most k each."""
+        """If members have two different views, each view gives a slot to at most k members."""
         turns = Turns("warm", k, SLOT, GAP)
         for view in (one, other):
             self.assertLessEqual(sum(turns.mine(wall, m, view) for m in view), k)
 
     def test_gap(self):
-        """Clocks that differ by less than the gap: no two slots at once."""
+        """With clocks that differ by up to two gaps, no two slots overlap."""
         turns, members = Turns("x", 1, SLOT, GAP), ["a", "b", "c"]
         for wall in range(0, 30 * SLOT, 97_000):
             ahead = [m for m in members if turns.mine(wall + GAP, m, members)]
@@ -42,7 +42,7 @@
             if ahead and behind:
                 self.assertEqual(ahead, behind)
 
-    def test_what_does_not_fit(self):
+    def test_remaining_time_and_invalid_schedules(self):
         turns = Turns("x", 1, SLOT, GAP)
         self.assertEqual(turns.remaining_us(SLOT // 2), SLOT // 2 - GAP)
         self.assertEqual(turns.remaining_us(SLOT - 1), 0)
--- a/tests/coordination/test_wire.py
+++ b/tests/coordination/test_wire.py
@@ -1,7 +1,4 @@
-"""Shares between links on real sockets of one process.
-
-Lent, passed on, and whatever does not fit dropped.
-"""
+"""Quota messages between links on real sockets of one process: leased, passed on, and rejected."""
 
 import contextlib
 import random
@@ -29,31 +26,31 @@
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
-PATIENCE, TOKENS = 25, 8
-FIGURE = st.integers(0, 2**63)
-LETTER = st.one_of(
-    st.builds(LenderClaim, st.text(max_size=9), FIGURE, FIGURE),
-    st.builds(LenderVote, st.text(max_size=9), FIGURE, FIGURE, st.text(max_size=9), st.booleans()),
+TIMEOUT_S, TOKENS = 25, 8
+NUMBER = st.integers(0, 2**63)
+MESSAGE = st.one_of(
+    st.builds(LenderClaim, st.text(max_size=9), NUMBER, NUMBER),
+    st.builds(LenderVote, st.text(max_size=9), NUMBER, NUMBER, st.text(max_size=9), st.booleans()),
     st.builds(
-        QuotaRequest, st.text(max_size=9), FIGURE, FIGURE, FIGURE, st.floats(0.01, 100), FIGURE
+        QuotaRequest, st.text(max_size=9), NUMBER, NUMBER, NUMBER, st.floats(0.01, 100), NUMBER
     ),
-    st.builds(QuotaGrant, st.text(max_size=9), FIGURE, FIGURE, FIGURE),
-    st.builds(QuotaReturn, st.text(max_size=9), FIGURE, FIGURE, FIGURE),
+    st.builds(QuotaGrant, st.text(max_size=9), NUMBER, NUMBER, NUMBER),
+    st.builds(QuotaReturn, st.text(max_size=9), NUMBER, NUMBER, NUMBER),
 )
 
 
-class Wire(unittest.TestCase):
+class QuotaMessages(unittest.TestCase):
     @settings(max_examples=200, deadline=None, derandomize=True, database=None)
-    @given(LETTER, st.binary(max_size=60))
-    def test_letters(self, letter, noise):
-        """A letter comes back as it was, with what a later release appends passed over.
+    @given(MESSAGE, st.binary(max_size=60))
+    def test_packing(self, message, noise):
+        """A message is unpacked as it was packed; fields that a later release appends are ignored.
 
-        Of another limit none; noise is malformed or none, and never anything else.
+        Messages of another limit give None; noise gives None or MalformedDatagramError.
         """
-        self.assertEqual(unpack(5, pack(5, letter)), letter)
-        self.assertIsNone(unpack(6, pack(5, letter)))
-        kind = (LenderClaim, LenderVote, QuotaRequest, QuotaGrant, QuotaReturn).index(type(letter))
-        self.assertEqual(unpack(5, encode((5, kind, [*letter, "more"]))), letter)
+        self.assertEqual(unpack(5, pack(5, message)), message)
+        self.assertIsNone(unpack(6, pack(5, message)))
+        kind = (LenderClaim, LenderVote, QuotaRequest, QuotaGrant, QuotaReturn).index(type(message))
+        self.assertEqual(unpack(5, encode((5, kind, [*message, "more"]))), message)
         for body in (
             noise,
             encode((5, 9, [])),
@@ -64,60 +61,69 @@
                 self.assertIsNone(unpack(5, body))
 
     def test_on_sockets(self):
-        """Three share what two homes' majority lends; what one gives up another gets.
+        """Three processes share the tokens of three lenders; one's returned tokens go to another.
 
-        A sender stated otherwise is counted and gets nothing; a vote from elsewhere than its home's
-        address is none.
+        A process with a different configuration is counted and gets nothing; a vote that does not
+        come from the voter's configured address is ignored.
         """
         links = [PeerLink(("127.0.0.1", 0), Seal("f", (b"k" * 32,)), Metrics()) for _ in range(4)]
-        at = ["{}:{}".format(*link.address) for link in links]
-        homes = {f"p{i}": at[i] for i in range(3)}
+        addresses = ["{}:{}".format(*link.address) for link in links]
+        lenders = {f"p{i}": addresses[i] for i in range(3)}
         parts = []
         for i, link in enumerate(links):
             self.addCleanup(link.end)
-            life = 100 + i
+            incarnation = 100 + i
             limit = TOKENS if i < 3 else TOKENS + 1
-            sharing = QuotaParticipant(
-                clock.now(), life, homes, limit, 1, f"p{i}" if i < 3 else None, i < 3
+            participant = QuotaParticipant(
+                clock.now(), incarnation, lenders, limit, 1, f"p{i}" if i < 3 else None, i < 3
             )
             part = SharedSlots(
-                ConcurrencyPart(sharing, 0),
-                homes,
-                configuration_digest(homes, limit, 1),
+                ConcurrencyPart(participant, 0),
+                lenders,
+                configuration_digest(lenders, limit, 1),
                 lambda name: None,
             )
             link.topics[TOPIC] = part
             parts.append(part)
-            row = MemberRecord(
-                f"p{i}", start_version(int(time.time())), Status.JOINING, at[i], "z", life
+            record = MemberRecord(
+                f"p{i}",
+                start_version(int(time.time())),
+                Status.JOINING,
+                addresses[i],
+                "z",
+                incarnation,
             )
-            link.begin(Member(clock.now(), row, (at[0],), random.Random(i)))
+            link.begin(Member(clock.now(), record, (addresses[0],), random.Random(i)))
 
-        def eventually(ask, what):
-            until = time.monotonic() + PATIENCE
-            while not ask():
-                self.assertLess(time.monotonic(), until, f"never came: {what}")
+        def eventually(condition, what):
+            deadline = time.monotonic() + TIMEOUT_S
+            while not condition():
+                self.assertLess(time.monotonic(), deadline, f"did not happen in time: {what}")
                 time.sleep(0.05)
 
-        def wants(part, count):
-            """As many go out as are free, up to so many."""
+        def start_calls(part, count):
+            """Start calls while slots are free, up to `count` in flight; return how many are."""
             while part.own.out < count and part.has_free_slot(
                 clock.now(), count - part.own.out - 1
             ):
                 part.call_started()
             return part.own.out
 
-        eventually(lambda: wants(parts[0], 100) == 3 * TOKENS + 1, "all of it at one")
-        self.assertEqual(wants(parts[1], 100), 1)  # its floor alone
+        eventually(
+            lambda: start_calls(parts[0], 100) == 3 * TOKENS + 1, "all tokens at one process"
+        )
+        self.assertEqual(start_calls(parts[1], 100), 1)  # its floor only
         for _ in range(parts[0].own.out - 1):
             parts[0].call_ended(clock.now(), False, True)
-        eventually(lambda: wants(parts[1], 100) == 3 * TOKENS + 1, "passed on")
-        self.assertEqual(wants(parts[3], 100), 1)  # stated otherwise: none of theirs
-        eventually(lambda: max(part.others for part in parts[:3]) > 0, "letters of another limit")
-        self.assertEqual(wants(parts[3], 100), 1)
+        eventually(lambda: start_calls(parts[1], 100) == 3 * TOKENS + 1, "tokens passed on")
+        self.assertEqual(start_calls(parts[3], 100), 1)  # another configuration: only its floor
+        eventually(
+            lambda: max(part.others for part in parts[:3]) > 0, "messages of another limit counted"
+        )
+        self.assertEqual(start_calls(parts[3], 100), 1)
         before = parts[2].own.participant.tenure.until_us
         forged = LenderVote("p2", 102, parts[2].own.participant.tenure.round, "p0", True)
-        elsewhere = MemberRecord("p3", 1, Status.ALIVE, at[3], "z", 103)
+        elsewhere = MemberRecord("p3", 1, Status.ALIVE, addresses[3], "z", 103)
         parts[2].own.participant.tenure.until_us = 0
         self.assertEqual(parts[2].handle(clock.now(), elsewhere, pack(parts[2].digest, forged)), ())
         self.assertLess(parts[2].own.participant.tenure.until_us, before + 1)
--- a/tests/leases/test_duty.py
+++ b/tests/leases/test_duty.py
@@ -1,7 +1,7 @@
-"""Voters, candidates and what stands on them, without sockets.
+"""Leases without sockets: voters, candidates, fences and what holders do.
 
-Many seeds of loss, stalls, restarts and failing disks in the model's clock; the roll, the register
-and the asking each by itself.
+Runs with many seeds of message loss, pauses, restarts and failing disks in simulated time; rolling
+restarts, the replicated record and the probing of a dependency are each tested alone.
 """
 
 import random
@@ -40,9 +40,10 @@
 
 
 class Leases(unittest.TestCase):
-    def test_through_anything(self):
-        """At no event do two hold it, acts that the resource takes are one process's an epoch and
-        in order, and once faults end somebody holds it within a lease and two seconds.
+    def test_faults(self):
+        """At no event do two processes hold the lease, and the resource accepts operations of one
+        process per epoch, in the order of epochs. After the faults end, a process holds the lease
+        within its duration and seven seconds.
         """
         for seed in range(12):
             with self.subTest(seed):
@@ -57,42 +58,41 @@
                 self.assertEqual(len(play.holders()), 1)
 
     def test_one_sided(self):
-        """A holder that hears but is not heard, and one that is heard but hears nothing, loses it
-        within a lease and its margin, the next has it two seconds later, and epochs grow by two at
-        the most.
+        """A holder that can only receive or only send loses the lease within its duration; another
+        process holds it at most two seconds later, and the epoch grows by at most two.
         """
         for way in ("out", "in"):
             with self.subTest(way):
                 play = Play(3, voters=3, members=6)
                 play.run(6 * SECOND)
                 (old,) = play.holders()
-                epochs, began = play.epochs(), play.now
+                epochs, start = play.epochs(), play.now
                 play.deaf.add((old, way))
-                play.run(began + play.spans.lease_us)
+                play.run(start + play.spans.lease_us)
                 self.assertNotIn(old, play.holders())
-                play.run(began + play.spans.lease_us + 2 * SECOND)
+                play.run(start + play.spans.lease_us + 2 * SECOND)
                 self.assertEqual(len(play.holders()), 1)
-                play.run(began + 60 * SECOND)
+                play.run(start + 60 * SECOND)
                 self.assertLessEqual(play.epochs() - epochs, 2)
                 self.assertEqual(play.most, 1)
 
-    def test_handed_over(self):
-        """Asked for, it passes within 200 ms and never is with two."""
+    def test_handover(self):
+        """A requested handover takes less than 200 ms, and two processes never hold the lease."""
         play = Play(5, voters=5, members=6)
         play.run(6 * SECOND)
         (old,) = play.holders()
         to = next(name for name in play.members if name != old)
         play.pass_to(old, to)
-        began = play.now
-        while to not in play.holders() and play.now < began + SECOND:
+        start = play.now
+        while to not in play.holders() and play.now < start + SECOND:
             play.run(play.now + 10_000)
-        self.assertLess(play.now - began, 200_000)
+        self.assertLess(play.now - start, 200_000)
         self.assertEqual(play.most, 1)
 
     def test_no_majority(self):
-        """With two of three voters down nobody holds it after a lease.
+        """With two of three voters down, nobody holds the lease once its duration has passed.
 
-        With one back somebody does.
+        After one voter is back, some process holds it.
         """
         play = Play(6, voters=3, members=5)
         play.run(6 * SECOND)
@@ -104,11 +104,11 @@
         play.run(play.now + 2 * play.spans.lease_us + 3 * SECOND)
         self.assertEqual(len(play.holders()), 1)
 
-    def test_disks(self):
-        """A voter whose disk fails promises nothing new; the others go on.
+    def test_failed_and_lost_disks(self):
+        """A voter whose disk fails grants nothing new; the others continue.
 
-        One whose folder is lost speaks only once it has learned, and no epoch is given out a second
-        time.
+        A voter that lost its folder votes only after it has recovered the promises, and no epoch is
+        granted twice.
         """
         play = Play(7, voters=3, members=5)
         play.run(6 * SECOND)
@@ -128,8 +128,8 @@
         self.assertEqual((play.most, history.faults(play.acts)), (1, []))
 
     def test_voters_one_by_one(self):
-        """From three voters to five and back, one at a time, under a lease that is held all along
-        but for the moment of each change; never two.
+        """The set of voters changes from three to five and back, one voter at a time; the lease is
+        held after each change, and never by two processes.
         """
         play = Play(8, voters=3, members=7)
         play.run(6 * SECOND)
@@ -139,21 +139,21 @@
             self.assertEqual(len(play.holders()), 1, count)
         self.assertEqual((play.most, history.faults(play.acts)), (1, []))
 
-    def test_another_set(self):
-        """A word under another set of voters counts for nothing."""
+    def test_other_voter_set(self):
+        """A reply under another set of voters is not counted."""
         voter = Voter(0, "v", 1, ("w", "x"), LeaseDurations(), {}, 2)
         voter.silent_until_us = 0
         one = Candidate("d", "m", 5, ("v", "w", "x"), LeaseDurations(), float, 1)
         one.wants_lease = True
-        (post, *_) = one.tick(0)
-        said = voter.answer_pre_vote(0, post.message)
+        (addressed, *_) = one.tick(0)
+        reply = voter.answer_pre_vote(0, addressed.message)
         self.assertEqual(
-            (said.voter_set, one.handle_reply(0, said), one.granted_by), (2, [], set())
+            (reply.voter_set, one.handle_reply(0, reply), one.granted_by), (2, [], set())
         )
 
-    def test_next_set(self):
-        """A running server takes over the next set of voters, one more or fewer, and nothing
-        else.
+    def test_next_voter_set(self):
+        """A running server switches only to the next set of voters, with at most one voter added or
+        removed.
         """
         three = {"a": "1:1", "b": "1:2", "c": "1:3"}
         part = Duty(Dutied(three, 4, 10**6, 1000, "/f", False, False, False, False, ()))
@@ -176,7 +176,7 @@
         self.assertFalse(part.fits(part.wanted._replace(voters=three | {"d": "1:4"}, set=5)))
 
 
-class Placing(unittest.TestCase):
+class CandidateRanks(unittest.TestCase):
     @settings(max_examples=100, deadline=None, derandomize=True, database=None)
     @given(
         st.lists(
@@ -194,9 +194,8 @@
         )
     )
     def test_order(self, members):
-        """The same for all, whatever order they see; who leaves is last.
-
-        Who is first waits for nobody.
+        """The order does not depend on the order of the input, members that leave are last, and the
+        first member does not wait.
         """
         ranked = rank_candidates("d", members)
         self.assertEqual(ranked, rank_candidates("d", reversed(members)))
@@ -205,8 +204,8 @@
         self.assertEqual(candidate_delay_us("d", ranked[0], members), 0)
         self.assertIsNone(candidate_delay_us("d", "nobody", members))
 
-    def test_spread(self):
-        """Many duties are not all one member's."""
+    def test_leases_are_spread(self):
+        """Many leases do not all rank the same member first."""
         members = [CandidatePlacement(f"m{i}") for i in range(10)]
         first = Counter(rank_candidates(f"d{i}", members)[0] for i in range(60))
         self.assertGreaterEqual(len(first), 8)
@@ -221,18 +220,18 @@
         )
     )
     def test_fence(self, acts):
-        """What is taken never goes back, and each epoch is one process's."""
-        fence, taken = Fence(), []
-        for duty, epoch, life in acts:
-            if fence.admits(duty, epoch, life):
-                taken.append((duty, epoch, life))
+        """Epochs of admitted operations never decrease, and each epoch is of one process."""
+        fence, admitted = Fence(), []
+        for duty, epoch, incarnation in acts:
+            if fence.admits(duty, epoch, incarnation):
+                admitted.append((duty, epoch, incarnation))
         for duty in "ab":
-            rows = [(epoch, life) for d, epoch, life in taken if d == duty]
+            rows = [(epoch, incarnation) for d, epoch, incarnation in admitted if d == duty]
             self.assertEqual([e for e, _ in rows], sorted(e for e, _ in rows))
             self.assertEqual(len({e for e, _ in rows}), len(set(rows)))
 
     def test_bad_histories(self):
-        """The checker of histories finds what must not be, and nothing in what may."""
+        """The checker of histories reports violations, and nothing for a valid history."""
 
         def acts(*rows):
             return [Act(float(i), float(i), "d", *row) for i, row in enumerate(rows)]
@@ -248,57 +247,57 @@
         )
 
 
-class Left(unittest.TestCase):
+class ReplicatedRecords(unittest.TestCase):
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6))
-    def test_register(self, seed):
-        """Holders one after another, each cut off from some voters, and writes that come late.
+    def test_new_holder_reads_the_last_committed_record(self, seed):
+        """Holders follow one another, each cut off from some voters, with writes that arrive late.
 
-        What a new one reads is the last that any before it was told is safe, or a later one.
+        A new holder reads the last record that an earlier one saw committed, or a later one.
         """
         chance = random.Random(seed)
         voters = {f"v{i}": RecordStore() for i in range(3)}
-        late, safe, epoch = [], b"", 0
+        late, last_committed, epoch = [], b"", 0
 
-        def deliver(register, name, message):
-            shelf = voters[name]
+        def deliver(record, name, message):
+            store = voters[name]
             if isinstance(message, ReadRecord):
-                register.handle_read(shelf.read(message, name))
+                record.handle_read(store.read(message, name))
                 return
-            if shelf.accepts(message, promised.get(name, 0)):
-                shelf.store(
+            if store.accepts(message, promised.get(name, 0)):
+                store.store(
                     message.duty, StoredRecord(message.epoch, message.write_number, message.body)
                 )
-            register.handle_written(shelf.acknowledge(message, name))
+            record.handle_written(store.acknowledge(message, name))
 
         promised: dict[str, int] = {}
         for holder in range(5):
             epoch += 1
             majority = chance.sample(sorted(voters), 2)
-            promised.update(dict.fromkeys(majority, epoch))  # a lease was granted by these
-            register = ReplicatedRecord("d", holder, epoch, voters)
+            promised.update(dict.fromkeys(majority, epoch))  # the voters that granted the lease
+            record = ReplicatedRecord("d", holder, epoch, voters)
             for step in range(chance.randrange(2, 8)):
-                message = register.next_message()
+                message = record.next_message()
                 for name in voters:
                     if chance.random() < 0.7:
-                        deliver(register, name, message)
+                        deliver(record, name, message)
                     else:
-                        late.append((register, name, message))
+                        late.append((record, name, message))
                 if late and chance.random() < 0.5:
                     deliver(*late.pop(chance.randrange(len(late))))
-                if register.body is not None and step == 0 and holder:
-                    self.assertGreaterEqual(register.body, safe)
-                if register.committed:
-                    safe = max(safe, register.body)
-                    register.put(f"{holder:02}-{step:02}".encode())
-        self.assertTrue(safe or epoch)
+                if record.body is not None and step == 0 and holder:
+                    self.assertGreaterEqual(record.body, last_committed)
+                if record.committed:
+                    last_committed = max(last_committed, record.body)
+                    record.put(f"{holder:02}-{step:02}".encode())
+        self.assertTrue(last_committed or epoch)
 
 
-class Asks(unittest.TestCase):
+class DependencyProbes(unittest.TestCase):
     def test_a_dead_dependency(self):
-        """It is taken for dead after a row of failures, asked by the holder twice a second, by
-        others not while its word is young, and seldom by one that hears of none; when it is back
-        all come back little by little.
+        """After several failures in a row the dependency counts as dead. The holder probes it twice
+        a second; other servers send nothing while the holder's announcement is valid, and probe at
+        a lower rate without one. When the dependency is back, calls increase gradually.
         """
         one, chance = DependencyProbe(random.Random(1).random), random.Random(2)
         now = SILENCE_TO_DEAD_US
@@ -307,21 +306,20 @@
             one.record_call(now, False)
         self.assertTrue(one.dead)
         one.record_announcement(now, 7, True)
-        tries = sum(one.allows_call(now + t) for t in range(0, ANNOUNCEMENT_VALID_US, 50_000))
-        self.assertEqual(tries, 0)
+        probes = sum(one.allows_call(now + t) for t in range(0, ANNOUNCEMENT_VALID_US, 50_000))
+        self.assertEqual(probes, 0)
         begin = now + ANNOUNCEMENT_VALID_US
-        tries = sum(one.allows_call(begin + t) for t in range(0, 20 * SECOND, 50_000))
-        self.assertLessEqual(tries, 20 * SECOND // (LONE_PROBE_INTERVAL_US // 2))
-        self.assertGreaterEqual(tries, 20 * SECOND // (2 * LONE_PROBE_INTERVAL_US))
+        probes = sum(one.allows_call(begin + t) for t in range(0, 20 * SECOND, 50_000))
+        self.assertLessEqual(probes, 20 * SECOND // (LONE_PROBE_INTERVAL_US // 2))
+        self.assertGreaterEqual(probes, 20 * SECOND // (2 * LONE_PROBE_INTERVAL_US))
         begin += 20 * SECOND
         one.set_lease_held(True)
-        tries = sum(one.allows_call(begin + t) for t in range(0, 10 * SECOND, 50_000))
-        self.assertAlmostEqual(tries, 10 * SECOND / HOLDER_PROBE_INTERVAL_US, delta=2)
+        probes = sum(one.allows_call(begin + t) for t in range(0, 10 * SECOND, 50_000))
+        self.assertAlmostEqual(probes, 10 * SECOND / HOLDER_PROBE_INTERVAL_US, delta=2)
         one.set_lease_held(False)
         begin += 10 * SECOND
-        one.record_announcement(
-            begin, 6, False
-        )  # of an older epoch, or none since: 7 was before holding
+        # The announcement of epoch 7 was dropped when the server became the holder.
+        one.record_announcement(begin, 6, False)
         one.record_announcement(begin, 8, False)
         self.assertFalse(one.dead)
         first = sum(
@@ -330,7 +328,7 @@
         self.assertLess(first, 100)
         self.assertTrue(all(one.allows_call(begin + SLOW_START_US + 1) for _ in range(50)))
 
-    def test_an_old_word(self):
+    def test_an_outdated_announcement(self):
         one = DependencyProbe(random.Random(1).random)
         one.record_announcement(0, 5, True)
         one.dead = True
@@ -340,31 +338,30 @@
         self.assertFalse(one.dead)
 
 
-class Rolls(unittest.TestCase):
-    def fleet(self, rows, shed=0.0):
+class RollingRestarts(unittest.TestCase):
+    def fleet(self, rows, rejected_share=0.0):
         return roll.FleetState(
             tuple(
-                roll.MemberState(name, zone, start, there, since, True)
-                for name, (zone, start, there, since) in sorted(rows.items())
+                roll.MemberState(name, zone, start, present, since, True)
+                for name, (zone, start, present, since) in sorted(rows.items())
             ),
-            shed,
+            rejected_share,
         )
 
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6))
-    def test_all_once(self, seed):
-        """Whoever conducts, and however often that changes.
-
-        Each server is told to go once, never more at once than may be away, of the fleet and of a
-        zone; at the end all have started anew.
+    def test_each_server_restarts_once(self, seed):
+        """However often the coordinator changes, each server is instructed to restart once, and no
+        more servers of the fleet or of a zone are unavailable than allowed; in the end all have
+        restarted.
         """
         chance = random.Random(seed)
         n, zones = chance.randrange(3, 14), chance.randrange(1, 4)
         at_once, a_zone = chance.choice((0.1, 0.3)), chance.choice((0.3, 0.5))
         rows = {f"m{i}": (f"z{i % zones}", 100 + i % 3, True, 0) for i in range(n)}
-        behind = chance.choice(sorted(rows))  # its clock is behind: its new start is hardly later
+        behind = chance.choice(sorted(rows))  # its clock is behind: its new start is a second later
         plan = roll.start(roll.RestartPlan(), self.fleet(rows), at_once, a_zone)
-        now, gone, told, conductor = 0, {}, Counter(), "m0"
+        now, gone, instructed, coordinator = 0, {}, Counter(), "m0"
         for _ in range(4000):
             now += 300_000
             for name, until in list(gone.items()):
@@ -377,31 +374,34 @@
                         now,
                     )
                     del gone[name]
-            if chance.random() < 0.1 or not rows[conductor][2]:
-                conductor = chance.choice([name for name, row in rows.items() if row[2]])
-                plan = roll.unpack_plan(plan.pack())  # what the last one left
-            after = roll.step(plan, now, self.fleet(rows), conductor)
+            if chance.random() < 0.1 or not rows[coordinator][2]:
+                coordinator = chance.choice([name for name, row in rows.items() if row[2]])
+                plan = roll.unpack_plan(plan.pack())  # the plan as the last coordinator stored it
+            after = roll.step(plan, now, self.fleet(rows), coordinator)
             for name, _, start in after.doing:
                 if rows[name][1] == start and rows[name][2] and name not in gone:
-                    told[name, start] += 1
+                    instructed[name, start] += 1
                     gone[name] = now + chance.randrange(1, 5) * SECOND
                     rows[name] = (*rows[name][:2], False, now)
             plan = after
-            away = [name for name, row in rows.items() if not row[2]]
-            self.assertLessEqual(len(away), max(1, int(at_once * n)))
+            unavailable = [name for name, row in rows.items() if not row[2]]
+            self.assertLessEqual(len(unavailable), max(1, int(at_once * n)))
             for zone in {row[0] for row in rows.values()}:
                 count = sum(row[0] == zone for row in rows.values())
                 self.assertLessEqual(
-                    sum(rows[name][0] == zone for name in away), max(1, int(a_zone * count))
+                    sum(rows[name][0] == zone for name in unavailable),
+                    max(1, int(a_zone * count)),
                 )
             if plan.state == "done":
                 break
         self.assertEqual(plan.state, "done", plan)
-        self.assertEqual(sorted(name for name, _ in told), sorted(rows))
-        self.assertEqual(set(told.values()), {1})
+        self.assertEqual(sorted(name for name, _ in instructed), sorted(rows))
+        self.assertEqual(set(instructed.values()), {1})
 
     def test_stops_by_itself(self):
-        """When the fleet sheds more, or one does not come back; paused and taken back as asked."""
+        """A restart stops when the fleet rejects more or a server does not come back; operators may
+        pause, resume and cancel it.
+        """
         rows = {f"m{i}": ("z", 100, True, 0) for i in range(5)}
         plan = roll.start(roll.RestartPlan(), self.fleet(rows, 0.1), 0.4, 1.0)
         self.assertEqual(roll.step(plan, 1, self.fleet(rows, 0.3), "m0").state, "stopped")
