--- a/gullyoke/coordination/limit_parts.py
+++ b/gullyoke/coordination/limit_parts.py
@@ -24,8 +24,8 @@
 from gullyoke.coordination.quota_messages import QuotaMessage
 from gullyoke.coordination.quota_participant import AddressedQuotaMessage, QuotaParticipant
 
-MIN_SECURED_US: Final = 100_000  # a call starts only if its token is secured for so long
-SPARE_DIVISOR: Final = 8  # for so many tokens needed, one more is requested to allow for growth
+MIN_SECURED_US: Final = 100_000  # a call starts only if its token is secured for this long
+SPARE_DIVISOR: Final = 8  # one spare token is requested per this many needed, for growth
 PEAK_WINDOW_US: Final = 2 * RENEW_US  # a peak counts for one to two windows
 CALL_US: Final = 600_000  # tokens of a mean must be secured for this and the linger time
 TOKENS_PER_CALL: Final = 16  # tokens that allow a mean of one call in flight
