--- a/gullyoke/fault_testing/play.py
+++ b/gullyoke/fault_testing/play.py
@@ -84,8 +84,13 @@
 
 
 class Play:
-    def __init__(self, script: Script, say: Callable[[str], None] = lambda text: None) -> None:
-        self.script, self.say = script, say
+    def __init__(
+        self,
+        script: Script,
+        say: Callable[[str], None] = lambda text: None,
+        checkouts: tuple[pathlib.Path, ...] = (),
+    ) -> None:
+        self.script, self.say, self.checkouts = script, say, checkouts
         self.began = 0.0
         self.seen: list[Seen] = []
         self.views: dict[str, dict | None] = {}
@@ -116,6 +121,7 @@
             homes = {n: text(self.relay.advertised[n]) for n in script.homes()}
             voters = {n: text(self.relay.advertised[n]) for n in script.names()[: script.voters]}
             for n, process in self.processes.items():
+                process.checkouts = self.checkouts
                 process.voters = voters
                 process.advertised, process.seeds, process.homes = (
                     self.relay.advertised[n],
--- a/gullyoke/fault_testing/processes.py
+++ b/gullyoke/fault_testing/processes.py
@@ -77,6 +77,12 @@
         self.keyed: Counter[int] = Counter()  # runs by key; a play is short
         self.lines: list[dict] = []  # the log's, as they came; a play is short
         self.asked_to_end = False
+        self.checkouts: tuple[pathlib.Path, ...] = ()
+        """Checkouts of the program that its starts run, in turn; empty for the present one."""
+
+    def checkout(self) -> pathlib.Path | None:
+        """The checkout that the present start runs; the last one for all starts after it."""
+        return self.checkouts[min(self.starts, len(self.checkouts)) - 1] if self.checkouts else None
 
     def operator(self) -> pathlib.Path:
         """Its operator's file, written anew at each start."""
@@ -164,6 +170,7 @@
             [sys.executable, "-m", *command, "serve", "--operator", str(self.operator())],
             stderr=subprocess.PIPE,
             text=True,
+            cwd=self.checkout(),
             env=os.environ | {"NODE_CONFIG": str(path)},
         )
         threading.Thread(target=self.collect, args=(self.child,), daemon=True).start()
