--- a/tests/coordination/test_shares.py
+++ b/tests/coordination/test_shares.py
@@ -213,12 +213,12 @@
             self.silent_until_us = now
 
         def accept_any_vote(self, now, vote):
-            handle_vote(self, now, vote)
+            original_handle_vote(self, now, vote)
             if (vote.lender, vote.incarnation) == (self.name, self.incarnation):
                 self.since_us = self.since_us or now
                 self.until_us = max(self.until_us, self.claimed_at_us + quota_durations.TENURE_US)
 
-        init, handle_vote = LenderVoter.__init__, LenderTenure.handle_vote
+        init, original_handle_vote = LenderVoter.__init__, LenderTenure.handle_vote
         for what, play, guard in (
             (
                 "a new lender waits until earlier leases have ended",
--- a/tests/coordination/test_signals.py
+++ b/tests/coordination/test_signals.py
@@ -121,8 +121,8 @@
         """
         assessments = [LoadAssessment(lambda: 0.5) for _ in range(30)]
         ratios = [3.0 if i < 10 else 1.0 for i in range(30)]
-        for update in range(40):
-            now = update * 500_000 + 1
+        for cycle in range(40):
+            now = cycle * 500_000 + 1
             reports = [
                 LoadReport(
                     0.3,
@@ -147,9 +147,9 @@
                     ratios[i],
                     ServingStage.WITHDRAWN if one.withdrawn else ServingStage.WARM,
                 )
-        withdrawn = [one.withdrawn for one in assessments]
-        self.assertLessEqual(sum(withdrawn), 4)
-        self.assertFalse(any(withdrawn[10:]))
+        out_of_service = [one.withdrawn for one in assessments]
+        self.assertLessEqual(sum(out_of_service), 4)
+        self.assertFalse(any(out_of_service[10:]))
         deceived = LoadAssessment(lambda: 0.5)
         for now in range(0, 10 * STATE_DWELL_US, STATE_DWELL_US // 3):
             deceived.update(
--- a/tests/coordination/test_subsets.py
+++ b/tests/coordination/test_subsets.py
@@ -66,15 +66,14 @@
         for server, subset in found.items():
             near = sum(back_ends[b] == servers[server] for b in subset)
             self.assertEqual((len(set(subset)), near), (6, 2 if servers[server] == "z0" else 6))
-        from_other_zones = Counter(
+        uses = Counter(
             b
             for s, subset in found.items()
             if servers[s] == "z0"
             for b in subset
             if b not in ("b0", "b1")
         )
-        counts = from_other_zones.values()
-        self.assertLessEqual(max(counts) - min(counts), 1)
+        self.assertLessEqual(max(uses.values()) - min(uses.values()), 1)
         self.assertEqual(choose_subsets(servers, {}, 3), dict.fromkeys(servers, ()))
 
     def test_two_views(self):
--- a/tests/coordination/test_wire.py
+++ b/tests/coordination/test_wire.py
@@ -74,11 +74,11 @@
             self.addCleanup(link.end)
             incarnation = 100 + i
             limit = TOKENS if i < 3 else TOKENS + 1
-            participant = QuotaParticipant(
+            own_participant = QuotaParticipant(
                 clock.now(), incarnation, lenders, limit, 1, f"p{i}" if i < 3 else None, i < 3
             )
             part = SharedSlots(
-                ConcurrencyPart(participant, 0),
+                ConcurrencyPart(own_participant, 0),
                 lenders,
                 configuration_digest(lenders, limit, 1),
                 lambda name: None,
--- a/tests/leases/test_duty.py
+++ b/tests/leases/test_duty.py
@@ -260,15 +260,15 @@
         late, last_committed, epoch = [], b"", 0
 
         def deliver(record, name, message):
-            store = voters[name]
+            record_store = voters[name]
             if isinstance(message, ReadRecord):
-                record.handle_read(store.read(message, name))
+                record.handle_read(record_store.read(message, name))
                 return
-            if store.accepts(message, promised.get(name, 0)):
-                store.store(
+            if record_store.accepts(message, promised.get(name, 0)):
+                record_store.store(
                     message.duty, StoredRecord(message.epoch, message.write_number, message.body)
                 )
-            record.handle_written(store.acknowledge(message, name))
+            record.handle_written(record_store.acknowledge(message, name))
 
         promised: dict[str, int] = {}
         for holder in range(5):
