--- a/benchmarks/duty.py
+++ b/benchmarks/duty.py
@@ -111,14 +111,14 @@
     for one in all_:
         for _ in range(FAILURES_TO_DEAD + 1):
             one.record_call(SECOND, False)
-    all_[0].set_lease_held(duty)
+    all_[0].set_is_holder(duty)
     tries = 0
     for now in range(2 * SECOND, 62 * SECOND, 50_000):
         if duty and now % (2 * SECOND) == 0:
             for one in all_[1:]:
                 one.record_announcement(now, 1, True)
         for one in all_:
-            if one.allows_call(now):
+            if one.admit_call(now):
                 tries += 1
                 one.record_call(now, False)
     return tries
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -85,12 +85,12 @@
     def has_free_slot(self, now: int, waiting: int) -> bool:
         if not self.slots.has_free_slot(now, waiting):
             return False
-        if not self.probe.dead and self.probe.opened is None:
+        if not self.probe.dead and self.probe.recovered_at_us is None:
             return True  # the ordinary case costs no lock
         held = self.holding(now) if self.probe.dead else False
         with self.lock:
-            self.probe.set_lease_held(held)
-            return self.probe.allows_call(now)
+            self.probe.set_is_holder(held)
+            return self.probe.admit_call(now)
 
     def secured_until(self, now: int) -> float:
         return self.slots.secured_until(now)
--- a/gullyoke/leases/dependency_probe.py
+++ b/gullyoke/leases/dependency_probe.py
@@ -33,7 +33,7 @@
 
     Attributes:
         dead: Whether this server considers the dependency dead.
-        opened: When the dependency came back, during the slow start; None otherwise.
+        recovered_at_us: When the dependency came back, during the slow start; None otherwise.
         announced: The holder's last announcement, if any.
         probes_sent: How many calls were sent while the dependency was considered dead.
     """
@@ -42,7 +42,7 @@
         """Start with a dependency that works; `draw` returns a random number from 0 to 1."""
         self.draw = draw
         self.dead = False
-        self.opened: int | None = None
+        self.recovered_at_us: int | None = None
         self.announced: HolderReport | None = None
         self.probes_sent = 0
         self._is_holder = False
@@ -57,13 +57,13 @@
             self._last_success_us = now
             if self.dead:
                 self.dead = False
-                self.opened = now
+                self.recovered_at_us = now
             return
         self._failures += 1
         silent = now - self._last_success_us >= SILENCE_TO_DEAD_US
         if self._failures >= FAILURES_TO_DEAD and silent and not self.dead:
             self.dead = True
-            self.opened = None
+            self.recovered_at_us = None
             self._next_probe_us = now + int(HOLDER_PROBE_INTERVAL_US * (0.5 + self.draw()))
 
     def record_announcement(self, now: int, epoch: int, dead: bool) -> None:
@@ -75,10 +75,10 @@
         newer = last is None or last.dead or last.epoch < epoch
         if not dead and self.dead and newer:
             self.dead = False
-            self.opened = now
+            self.recovered_at_us = now
             self._failures = 0
 
-    def allows_call(self, now: int) -> bool:
+    def admit_call(self, now: int) -> bool:
         """Decide whether a call is sent now; to be called once for each call.
 
         Counts a probe of a dead dependency and schedules the next one, and ends the slow start.
@@ -96,7 +96,7 @@
         self.probes_sent += 1
         return True
 
-    def set_lease_held(self, is_holder: bool) -> None:
+    def set_is_holder(self, is_holder: bool) -> None:
         """Set whether this server holds the lease, and so probes on behalf of all servers."""
         self._is_holder = is_holder
         if is_holder:
@@ -107,10 +107,10 @@
         return last is not None and last.dead and now - last.received_at_us < ANNOUNCEMENT_VALID_US
 
     def _admit_in_slow_start(self, now: int) -> bool:
-        if self.opened is None:
+        if self.recovered_at_us is None:
             return True
-        share = (now - self.opened) / SLOW_START_US
+        share = (now - self.recovered_at_us) / SLOW_START_US
         if share >= 1:
-            self.opened = None
+            self.recovered_at_us = None
             return True
         return self.draw() < max(SLOW_START_MIN_SHARE, share)
--- a/tests/leases/test_duty.py
+++ b/tests/leases/test_duty.py
@@ -302,31 +302,31 @@
         one, chance = DependencyProbe(random.Random(1).random), random.Random(2)
         now = SILENCE_TO_DEAD_US
         for _ in range(5):
-            self.assertTrue(one.allows_call(now))
+            self.assertTrue(one.admit_call(now))
             one.record_call(now, False)
         self.assertTrue(one.dead)
         one.record_announcement(now, 7, True)
-        probes = sum(one.allows_call(now + t) for t in range(0, ANNOUNCEMENT_VALID_US, 50_000))
+        probes = sum(one.admit_call(now + t) for t in range(0, ANNOUNCEMENT_VALID_US, 50_000))
         self.assertEqual(probes, 0)
         begin = now + ANNOUNCEMENT_VALID_US
-        probes = sum(one.allows_call(begin + t) for t in range(0, 20 * SECOND, 50_000))
+        probes = sum(one.admit_call(begin + t) for t in range(0, 20 * SECOND, 50_000))
         self.assertLessEqual(probes, 20 * SECOND // (LONE_PROBE_INTERVAL_US // 2))
         self.assertGreaterEqual(probes, 20 * SECOND // (2 * LONE_PROBE_INTERVAL_US))
         begin += 20 * SECOND
-        one.set_lease_held(True)
-        probes = sum(one.allows_call(begin + t) for t in range(0, 10 * SECOND, 50_000))
+        one.set_is_holder(True)
+        probes = sum(one.admit_call(begin + t) for t in range(0, 10 * SECOND, 50_000))
         self.assertAlmostEqual(probes, 10 * SECOND / HOLDER_PROBE_INTERVAL_US, delta=2)
-        one.set_lease_held(False)
+        one.set_is_holder(False)
         begin += 10 * SECOND
         # The announcement of epoch 7 was dropped when the server became the holder.
         one.record_announcement(begin, 6, False)
         one.record_announcement(begin, 8, False)
         self.assertFalse(one.dead)
         first = sum(
-            one.allows_call(begin + chance.randrange(SLOW_START_US // 10)) for _ in range(400)
+            one.admit_call(begin + chance.randrange(SLOW_START_US // 10)) for _ in range(400)
         )
         self.assertLess(first, 100)
-        self.assertTrue(all(one.allows_call(begin + SLOW_START_US + 1) for _ in range(50)))
+        self.assertTrue(all(one.admit_call(begin + SLOW_START_US + 1) for _ in range(50)))
 
     def test_an_outdated_announcement(self):
         one = DependencyProbe(random.Random(1).random)
