--- a/gullyoke/emulator/duty.py
+++ b/gullyoke/emulator/duty.py
@@ -160,7 +160,7 @@
         self.after(TURN, self.turn, name, starts)
 
     def act(self, epoch: int, life: int, came: int) -> None:
-        taken = self.fence.admits(DUTY, epoch, life)
+        taken = self.fence.admit(DUTY, epoch, life)
         self.acts.append(Act(came / 1e6, self.now / 1e6, DUTY, epoch, str(life), taken))
 
     def post(self, from_: str, posts: list[AddressedMessage]) -> None:
--- a/gullyoke/leases/fence.py
+++ b/gullyoke/leases/fence.py
@@ -33,7 +33,7 @@
         self.newest: dict[str, FencingToken] = {}
         self.rejected = 0
 
-    def admits(self, duty: str, epoch: int, incarnation: int) -> bool:
+    def admit(self, duty: str, epoch: int, incarnation: int) -> bool:
         """Admit or reject an operation: store its token, or count it as rejected.
 
         Rejected are epochs older than the newest, a second process with the newest epoch, and a new
--- a/gullyoke/model_checking/lease_world.py
+++ b/gullyoke/model_checking/lease_world.py
@@ -311,7 +311,7 @@
         if epoch is None:
             return
         incarnation = self.candidates[name].incarnation
-        if self.fenced and not self.fence.admits(DUTY, epoch, incarnation):
+        if self.fenced and not self.fence.admit(DUTY, epoch, incarnation):
             return
         actor = f"{name}{incarnation}"
         if epoch < self.newest_epoch:
--- a/gullyoke/model_checking/leases.py
+++ b/gullyoke/model_checking/leases.py
@@ -92,7 +92,7 @@
     def admit_all(self: Fence, duty: str, epoch: int, incarnation: int) -> bool:
         return True
 
-    return mock.patch.object(Fence, "admits", admit_all)
+    return mock.patch.object(Fence, "admit", admit_all)
 
 
 def _votes_counted_twice() -> contextlib.AbstractContextManager[object]:
--- a/gullyoke/peer_transport/lease_service.py
+++ b/gullyoke/peer_transport/lease_service.py
@@ -273,7 +273,7 @@
 
     def _handle_holders_message(self, now: int, message: Announcement | Instruction) -> None:
         with self.lock:
-            if not self.fence.admits(message.duty, message.epoch, message.incarnation):
+            if not self.fence.admit(message.duty, message.epoch, message.incarnation):
                 self.metrics.increment("duty.stale_refused")
                 return
             is_news = isinstance(message, Instruction) or self.known_holders.take(now, message)
--- a/tests/leases/test_duty.py
+++ b/tests/leases/test_duty.py
@@ -223,7 +223,7 @@
         """Epochs of admitted operations never decrease, and each epoch is of one process."""
         fence, admitted = Fence(), []
         for duty, epoch, incarnation in acts:
-            if fence.admits(duty, epoch, incarnation):
+            if fence.admit(duty, epoch, incarnation):
                 admitted.append((duty, epoch, incarnation))
         for duty in "ab":
             rows = [(epoch, incarnation) for d, epoch, incarnation in admitted if d == duty]
