--- a/gullyoke/admission/__init__.py
+++ b/gullyoke/admission/__init__.py
@@ -1,1 +1,4 @@
-"""Admission control: which requests a server takes, runs and rejects; no I/O, clock or threads."""
+"""Admission control: which requests a server admits, runs and rejects.
+
+This package does no I/O, reads no clock and starts no threads.
+"""
--- a/gullyoke/admission/arrivals.py
+++ b/gullyoke/admission/arrivals.py
@@ -1,4 +1,4 @@
-"""Whether a request that was read is queued or rejected."""
+"""Decides whether a request that has arrived is queued or rejected."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from gullyoke.admission.server_state import ServerState
 from gullyoke.admission.timing import TICK_US
 
-LONG_QUEUE_SHARE: Final = 40
-"""Pools bind where the queue takes longer than the class's objective divided by this."""
+LONG_QUEUE_DIVISOR: Final = 40
+"""Pools may reject while the queue takes longer than the latency objective divided by this."""
 LARGEST_SPARE_MEMORY_SHARE: Final = 0.5
-"""Of the memory, queued requests leave so much at most for runs to grow."""
+"""Largest share of the memory that queued requests leave free for runs to grow."""
 POOL_WAIT_FACTOR: Final = 3
-"""A client that its class's pool rejects stays away for so many times the pool's wait."""
+"""Backlog for which a rejection by a pool advises, divided by the wait for the pool."""
 
 
 class ArrivalDecisions:
-    """Decides on arrivals, in the order of `accept_or_reject`.
+    """Decides on arrivals; the order of the checks is that of `accept_or_reject`.
 
     Args:
         state: The server's state.
@@ -34,20 +34,20 @@
         self.state = state
 
     def accept_or_reject(self, request: Request) -> Reject | None:
-        """Return the rejection of a request, or None once its state is queued."""
+        """Decide on a request: return its rejection, or move it to the queued state."""
         state = self.state
         request_class = request.request_class
         rejection = self._reject_hopeless(request)
         if rejection is not None:
             return rejection
         pools = state.pools
-        # Pools act where there is a queue: what is dispatched at once is not theirs to reject.
+        # Pools reject only while there is a queue, and not what could run at once.
         pools_bind = pools is not None and self._has_long_queue(request_class)
         if pools is not None and not pools.take(request_class) and pools_bind:
             self._count_rejection()
             pool_wait = pools.capacity_wait(request_class)
             return state.feedback.reject(False, backlog=POOL_WAIT_FACTOR * pool_wait)
-        if not self._make_room(request):
+        if not self._free_memory(request):
             self._count_rejection()
             return state.feedback.reject(False)
         reserved = 0
@@ -56,10 +56,10 @@
         return self._apply_threshold(request, reserved)
 
     def _reject_hopeless(self, request: Request) -> Reject | None:
-        """Reject what could not be answered in time."""
+        """Return the rejection of a request that can't be run, or not in time, or else None."""
         state = self.state
         accepting = request.request_class.accepting
-        # An answer at the next tick would come too late, or what runs need is not to be had.
+        # An answer at the next tick would be too late, or something that runs need is unavailable.
         if request.deadline <= state.now + TICK_US or not accepting:
             return state.feedback.reject(accepting, leaving=not accepting)
         backlog = state.queue.backlog(request.request_class) / state.machine.cores
@@ -74,17 +74,20 @@
         return None
 
     def _has_long_queue(self, request_class: RequestClass) -> bool:
-        """Return whether the threshold binds and the queue takes a while."""
+        """Return whether the threshold binds and the queue is long for the class's objective."""
         state = self.state
         assert state.learner is not None
         if not state.learner.is_binding():
             return False
-        return state.queue_time() > request_class.latency_objective / LONG_QUEUE_SHARE
+        return state.queue_time() > request_class.latency_objective / LONG_QUEUE_DIVISOR
 
-    def _make_room(self, request: Request) -> bool:
-        """Give up queued requests until the memory suffices; return False if it doesn't.
+    def _free_memory(self, request: Request) -> bool:
+        """Evict queued requests until there is memory for this one.
 
-        Queued requests leave memory for some to run.
+        Queued requests leave memory free for as many runs as there are free cores.
+
+        Returns:
+            Whether there is memory; False once the request itself would be the next to be evicted.
         """
         state = self.state
         machine = state.machine
@@ -102,14 +105,14 @@
         return True
 
     def _apply_threshold(self, request: Request, reserved: int) -> Reject | None:
-        """Queue the request if the learner admits it, or in the place of a worse one.
+        """Queue the request if the learner admits it, or else evict a worse one in its favor.
 
         Args:
             request: The request.
-            reserved: Requests for which the threshold keeps places.
+            reserved: Number of requests worth more for which capacity is reserved.
 
         Returns:
-            The rejection, where the request itself is the worst.
+            The rejection if no queued request is worse than this one, or else None.
         """
         state = self.state
         assert state.learner is not None
@@ -121,7 +124,7 @@
         if victim is request:
             return state.feedback.reject(False, backlog=state.queue_time())
         state.move(request, QUEUED, counted=False)
-        victim.displaced = True  # by the newcomer: the learner's state stays as it is
+        victim.displaced = True  # replaced one for one: the learner's state does not change
         state.resume(victim, RequestEvent.EVICTED)
         return None
 
@@ -132,5 +135,5 @@
 
 
 def key_ttl(request_class: RequestClass) -> int:
-    """Return for how many microseconds the key of such a request is remembered while it waits."""
+    """Return for how many microseconds a queued request's key is remembered; 0 for no key."""
     return request_class.key_ttl if request_class.idempotency is Idempotency.KEYED else 0
--- a/gullyoke/admission/class_pools.py
+++ b/gullyoke/admission/class_pools.py
@@ -1,7 +1,7 @@
 """Pools of core time by class, and a reserve for classes that are worth more.
 
-The threshold decides how many requests a server takes; pools decide which classes they are of. What
-is marked "not from the paper" was chosen by measurement, as were all constants of this module.
+The learner's threshold limits how many requests a server admits; the pools divide them among the
+classes.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 from gullyoke.admission.timing import first_run_time
 
 AVERAGING_US: Final = 1_000_000
-"""Microseconds over which demand, cost and completed work are averaged."""
+"""Microseconds over which demand and completed work are averaged."""
 MINIMUM_SHARE: Final = 0.02
-"""Share of the completed work that a class gets at least, if it asks for it."""
+"""Share of the completed work that a class gets at least, if its demand is that high."""
 COST_SMOOTHING: Final = 16
-"""A run moves its class's mean cost by one part in so many."""
+"""The weight of one run in the mean cost of its class is one divided by this."""
 RISING_DEMAND_FACTOR: Final = 3
-"""Demand that rises is seen so much sooner than demand that falls."""
+"""The averaged demand follows a rise this many times as fast as a fall."""
 DISTRIBUTED_SHARE: Final = 1.1
-"""Of the completed work, so much is distributed; the threshold takes what is too much."""
+"""Work distributed to the pools, divided by the completed work; the threshold sheds the excess."""
 NEGLIGIBLE_SHARE: Final = 0.01
-"""Demand under this share of the capacity counts as none."""
+"""Demand below this share of the capacity counts as none."""
 SAVED_RUNS: Final = 2
-"""A pool can save the core time of so many runs at least."""
+"""A pool can always save the core time of this many runs."""
 LARGEST_DEBT: Final = 3
-"""A pool can owe so many times what it can save."""
+"""The largest debt of a pool, divided by the most that it can save."""
 LONGEST_WAIT_US: Final = 10 * AVERAGING_US
-"""Microseconds that a class is expected to wait for its pool at most."""
+"""Upper bound, in microseconds, of the wait that is expected for a pool."""
 
 
 class ClassPool:
-    """The limit that one class's requests share; rates are core time by time.
+    """The limit that the requests of one pool share; rates are core time per time.
 
     Args:
-        value: What an answer is worth.
-        cost: Mean core time of a run, in microseconds; a first guess.
+        value: The value of an answer.
+        cost: First estimate of the mean core time of a run, in microseconds.
     """
 
     def __init__(self, value: float, cost: float) -> None:
@@ -46,29 +46,29 @@
         self.cost = cost
         self.value_per_cost = value / cost
         self.arrived_core_time = 0.0  # since the last tick
-        self.demand = 0.0  # rate that is asked for
-        self.limit = 0.0  # rate that is granted
-        self.balance = 0.0  # core time that is left; negative where some is owed
+        self.demand = 0.0  # averaged rate of the arriving work
+        self.limit = 0.0  # granted rate
+        self.balance = 0.0  # core time left; negative for a debt
         self.unlimited = True
 
 
 class ClassPools:
-    """Limits what each class may take in, by core time.
+    """Limits the core time of the requests that each class may bring in.
 
-    Limits are set at each tick. What is completed while requests wait is distributed in the order
-    of value for the work, to each class what it asked for of late; what one class leaves goes
-    at once to the next, and none gets less than its minimum, if it asks. Limits bind only where the
-    threshold does.
+    Limits are set at each tick. The capacity is the rate at which work is completed while requests
+    are queued. It is distributed to the pools in descending order of value per core time, to each
+    up to its recent demand; what a pool leaves goes to the next one at once. No pool gets less than
+    its minimum, if its demand is that high. Limits bind only while the learner's threshold does.
 
-    The reserve is trunk reservation (Miller 1969): a request meets the threshold as if the classes
-    worth more already had in the server what they usually bring in one run's time. The table has a
-    pool for each class.
+    The reserve is trunk reservation (Miller 1969): the threshold is applied to a request as if the
+    requests of classes worth more that usually arrive during one of its runs were already in the
+    server. The table has at most one pool for each class.
 
     Args:
         now: The time in microseconds.
         cores: Cores on which requests run.
-        classes: The pool of each request class, by any key; classes with the same key share one.
-        minimum_share: Share of the completed work that a class gets at least.
+        classes: The key of each request class; classes with equal keys share one pool.
+        minimum_share: Share of the completed work that a pool gets at least.
         uses_limits: Whether limits bind.
         uses_reserve: Whether there is a reserve.
     """
@@ -86,9 +86,9 @@
         self.minimum_share = minimum_share
         self.uses_limits = uses_limits
         self.uses_reserve = uses_reserve
-        self.capacity = float(cores)  # rate of the completed work
+        self.capacity = float(cores)  # averaged rate of the completed work
         self.completed_core_time = 0.0  # since the last tick
-        self.virtual_core_time = 0.0  # what a request that ran from the start would have had
+        self.virtual_core_time = 0.0  # core time of a request that had run since the start
         self.advanced_at = now
         pools: dict[Hashable, ClassPool] = {}
         self.by_class = {
@@ -100,19 +100,19 @@
         self.pools = list(pools.values())
 
     def advance(self, now: int, running: int) -> None:
-        """Count the core time that each of `running` requests had since the last call."""
+        """Count the core time that each of `running` requests has had since the last call."""
         elapsed = now - self.advanced_at
         self.virtual_core_time += elapsed * min(1.0, self.cores / max(1, running))
         self.advanced_at = now
 
     def run_finished(self, request_class: RequestClass, core_time: float) -> None:
-        """Count a run that took so much core time."""
+        """Count a run that ended after `core_time` microseconds on the cores."""
         pool = self.by_class[request_class]
         pool.cost += (core_time - pool.cost) / COST_SMOOTHING
         self.completed_core_time += core_time
 
     def take(self, request_class: RequestClass) -> bool:
-        """Count a request that arrived; return whether its pool has capacity, which is taken."""
+        """Count an arrival, take its cost from its pool, and return whether the pool allows it."""
         pool = self.by_class[request_class]
         pool.arrived_core_time += pool.cost
         if pool.unlimited or pool.balance >= pool.cost or pool.limit >= pool.demand:
@@ -125,7 +125,7 @@
 
         Args:
             elapsed: Microseconds since the last tick.
-            has_queue: Whether requests wait, so that what was completed is what can be.
+            has_queue: Whether requests are queued, so that the completed work shows the capacity.
         """
         weight = min(1.0, elapsed / AVERAGING_US)
         self._adjust_capacity(elapsed, weight, has_queue)
@@ -142,7 +142,7 @@
         self.completed_core_time = 0.0
 
     def _distribute(self, elapsed: int) -> None:
-        """Distribute the capacity in the order of value for the work."""
+        """Distribute the capacity in descending order of value per core time."""
         remaining = DISTRIBUTED_SHARE * self.capacity
         minimums = {
             pool: min(pool.demand, self.minimum_share * self.capacity) for pool in self.pools
@@ -150,8 +150,8 @@
         reserved_minimums = sum(minimums.values())
         demand_before = 0.0
         for pool in sorted(self.pools, key=lambda pool: -pool.value_per_cost):
-            # Where none that is worth more asks, there is nothing to keep the capacity for, and the
-            # threshold alone is the limit.
+            # Without demand from pools worth more, there is nothing to keep the capacity for, and
+            # only the threshold limits.
             pool.unlimited = (
                 not self.uses_limits or demand_before < NEGLIGIBLE_SHARE * self.capacity
             )
@@ -164,7 +164,10 @@
             pool.balance = max(-LARGEST_DEBT * most_saved, balance)
 
     def reserved_requests(self, request_class: RequestClass) -> int:
-        """Return how many requests of classes worth more come within one run's time of this one."""
+        """Return how many requests worth more usually arrive during one run of this class.
+
+        At most half of the cores are reserved.
+        """
         own = self.by_class[request_class]
         if not self.uses_reserve:
             return 0
@@ -176,14 +179,14 @@
         return math.ceil(min(arrival_rate * own.cost, self.cores / 2))
 
     def capacity_wait(self, request_class: RequestClass) -> int:
-        """Return after how many microseconds the class's pool is likely to have capacity again."""
+        """Return in how many microseconds the pool of the class should have capacity again."""
         pool = self.by_class[request_class]
         missing = max(0.0, pool.cost - pool.balance)
         return int(min(LONGEST_WAIT_US, missing / max(pool.limit, 1e-9)))
 
 
 def _adjust_demand(pool: ClassPool, elapsed: int, weight: float) -> None:
-    """Average the pool's demand; a rise is seen sooner than a fall."""
+    """Average the pool's demand; the average follows a rise faster than a fall."""
     pool.value_per_cost = pool.value / max(1.0, pool.cost)
     demand = pool.arrived_core_time / elapsed
     if demand >= pool.demand:
--- a/gullyoke/admission/client_feedback.py
+++ b/gullyoke/admission/client_feedback.py
@@ -1,4 +1,4 @@
-"""What clients and balancers are advised of: health, retry-after, load signal, idle timeout."""
+"""Feedback to clients and load balancers: health, retry-after, load signal and idle timeout."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 from gullyoke.admission.interface import CommandExecutor, FleetFeedback, Permissions, Reject
 
 SHORTEST_RETRY_AFTER_US: Final = 25_000
-"""Microseconds of the advice where nothing is queued."""
+"""Advised wait in microseconds while nothing is queued."""
 BACKLOG_PER_RETRY_AFTER: Final = 3
-"""The queue's wait is divided by this in the advice."""
+"""The advised wait grows by the time that the queue takes, divided by this."""
 OVERLOADED_REJECTED_SHARE: Final = 0.25
-"""Share of rejected requests from which this server counts as full."""
+"""Share of rejected requests above which this server counts as overloaded."""
 DECISION_SMOOTHING: Final = 64
-"""A decision moves the share of rejected requests by one part in so many."""
+"""The weight of one decision in the share of rejected requests is one divided by this."""
 LOAD_SIGNAL_STEP: Final = 0.05
-"""Smallest change of the speed that is signalled."""
+"""Smallest change of the server's speed for which a new load signal is sent."""
 IDLE_TIMEOUT_RANGE: Final = 10
-"""The longest idle timeout over the shortest."""
-CONNECTIONS_PER_CALLER: Final = 4
-"""Idle timeouts are long where more than one caller in so many has a connection."""
+"""The longest idle timeout divided by the shortest."""
+CALLERS_PER_CONNECTION: Final = 4
+"""The idle timeout is the longest while there are fewer callers per connection than this."""
 
 
 class ClientFeedback:
-    """Advises callers when to come back, and how long connections may be idle.
+    """Advises callers when to retry, and sets how long connections may be idle.
 
     Args:
-        executor: What carries out the decisions.
-        permissions: What the server may advise its callers of.
+        executor: Carries out the decisions.
+        permissions: What the server may send to its callers.
         fleet: What the other servers report.
     """
 
@@ -39,7 +39,7 @@
         self.permissions = permissions
         self.fleet = fleet
         self.sent_speed = 1.0
-        self.rejected_share = 0.0  # of the decisions of late
+        self.rejected_share = 0.0  # of recent decisions
         self.idle_timeout = permissions.max_idle / IDLE_TIMEOUT_RANGE
         self.sent_idle_timeout: float = permissions.max_idle
         executor.set_health(True, True)  # checks are answered from memory, at little cost
@@ -49,12 +49,13 @@
 
         Args:
             hopeless: Whether no other server could answer in time either.
-            leaving: Whether this server stops or accepts none of the class: stay away for long.
+            leaving: Whether this server stops or does not accept the class; the advised wait is
+                then the longest.
             backlog: Microseconds that the queue takes.
         """
         self.count_decision(True)
-        # The advice is short: callers that all stay away for long move in herds, and overrun one
-        # server after another.
+        # The advised wait is short: callers that all wait for long return in large groups, and
+        # overload one server after another.
         longest = self.permissions.max_retry_after if self.permissions.sends_retry_after else 0
         if leaving:
             retry_after = longest
@@ -65,25 +66,26 @@
         return Reject(retry_after, hopeless or self.fleet.is_overloaded(is_overloaded))
 
     def count_decision(self, rejected: bool) -> None:
-        """Count one decision on a request; the share rejected shows whether rejections persist."""
+        """Count one decision on a request in the share of rejected requests."""
         self.rejected_share += (rejected - self.rejected_share) / DECISION_SMOOTHING
 
     def adjust_idle_timeout(self, connections: float | None, callers: int) -> None:
-        """Adjust the idle timeout at a tick to how many callers have a connection.
+        """Adjust the idle timeout at a tick to the number of connections and callers.
 
-        A table full of connections that hardly speak costs work and turns other callers away
-        unheard, so where few of the callers can have one, idle ones are closed soon. While many
-        requests are rejected they stay, since a full table is the cheapest rejection; then it
-        opens little by little, not as a flood.
+        A connection table full of idle connections costs work and shuts out other callers before
+        their requests are read. So while only a small share of the callers has a connection, the
+        timeout is shortened step by step and idle connections are closed sooner. While at least
+        half of the requests are rejected the timeout grows instead, since shutting callers out is
+        the cheapest rejection; afterwards the table becomes free gradually, not all at once.
 
         Args:
-            connections: Open connections; None where they aren't counted.
-            callers: How many callers there are.
+            connections: Open connections; None if they are not counted.
+            callers: Number of callers.
         """
         longest = self.permissions.max_idle
         if connections is None or not longest:
             return
-        if connections * CONNECTIONS_PER_CALLER > callers:
+        if connections * CALLERS_PER_CONNECTION > callers:
             change = math.inf
         elif self.rejected_share < 0.5:
             change = 0.98
@@ -96,7 +98,7 @@
             self.executor.set_idle_timeout(int(self.idle_timeout))
 
     def signal_speed(self, speed: float) -> None:
-        """Send the server's speed as the load signal, where that is used and it has changed."""
+        """Send the server's speed as the load signal, if that is in use and the speed changed."""
         if self.permissions.load_signal != "weight":
             return
         if abs(speed - self.sent_speed) >= LOAD_SIGNAL_STEP:
--- a/gullyoke/admission/concurrency_limiter.py
+++ b/gullyoke/admission/concurrency_limiter.py
@@ -1,4 +1,4 @@
-"""How many requests may run on the cores at once."""
+"""Limits how many requests run on the cores at once."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from gullyoke.admission.interface import Gauges
 
 BUSY_SHARE: Final = 0.95
-"""Share of the cores from which they count as busy, where what wants a core is not measured."""
+"""Busy share from which no core counts as free, if the runnable requests are not measured."""
 SMALLEST_LIMIT: Final = 1.0
 
 
 class ConcurrencyLimiter:
-    """Raises the limit fast while cores are free and requests wait, and else lowers it.
+    """Raises the limit fast while cores are free and requests are queued.
 
-    The limit starts at the number of cores, and falls back towards it.
+    The limit starts at the number of cores, and otherwise moves back toward it.
 
     Args:
         cores: Cores on which requests run.
@@ -28,12 +28,12 @@
         """Adjust the limit at a tick.
 
         Args:
-            gauges: The server's gauges; the share of busy cores is known.
+            gauges: The server's gauges; `busy` is not None.
             queued: Requests that wait for the cores.
-            ceiling: The limit's upper bound.
+            ceiling: The upper bound of the limit.
         """
-        # The busy share is half a second old; what wants a core now tells whether one is free. A
-        # limit that ran ahead of its gauge would crowd the cores and never find out.
+        # The busy share is half a second old; the runnable requests show whether a core is free
+        # now. A limit raised on an outdated gauge would overload the cores without noticing.
         if gauges.runnable is not None:
             has_free_core = gauges.runnable < self.cores
         else:
--- a/gullyoke/admission/controller.py
+++ b/gullyoke/admission/controller.py
@@ -1,9 +1,8 @@
-"""The decisions of one server.
+"""The admission controller of one server.
 
-A server makes one `AdmissionController` and calls it with the clock in whole microseconds. The
-decisions go out through its `CommandExecutor`. A request's way through them is to be read in
-`request_path`; the other modules of this package decide one thing each. What is marked "not from
-the paper" there was chosen by measurement; the paper is cited in `learner`.
+A server creates one `AdmissionController` and passes the time, in whole microseconds, to each call.
+The controller's decisions go to the server's `CommandExecutor`. `request_path` shows how a request
+passes through them; each other module of this package makes one kind of decision.
 """
 
 from __future__ import annotations
@@ -28,23 +27,23 @@
 
 TICKS_PER_LOG_LINE: Final = 100
 BUSY_SHARE: Final = 0.9
-"""Share of the cores that is busy from which the threshold binds."""
+"""Busy share of the cores above which the threshold binds."""
 FEWEST_STATES: Final = 1.25
-"""The learner's states, over the running requests that a warm server survives, at least."""
+"""Least number of states of the learner per running request that a warm server survives."""
 MOST_STATES: Final = 2.5
-"""And at most, where memory holds so many running requests."""
+"""Largest such number; there are fewer states if memory holds fewer running requests."""
 SMALLEST_REQUEST_KB: Final = 0.1
-UNREAD_AGE_SHARE: Final = 4
-"""Reading is behind where a request was unread for the mean objective divided by this."""
+UNREAD_AGE_DIVISOR: Final = 4
+"""Reading is behind if the last request waited unread for the mean objective divided by this."""
 
 
 class AdmissionController:
-    """One server's decisions.
+    """Decides which requests one server admits, runs and rejects.
 
     Args:
         now: The time in microseconds.
-        executor: What carries the decisions out.
-        facts: What the site states.
+        executor: Carries out the decisions.
+        facts: What the settings of the site state.
         pools: Class pools; None for none.
     """
 
@@ -79,10 +78,10 @@
         """The learner; None before the first request."""
         return self.state.learner
 
-    # What the server calls.
+    # Called by the server.
 
     def on_request(self, now: int, request: Request) -> None:
-        """Begin the path of a request that was read now."""
+        """Start the path of a request that has just been read."""
         state = self.state
         state.now = now
         if state.learner is None:
@@ -94,7 +93,7 @@
         state.resume(request, None)
 
     def on_event(self, now: int, request: Request, event: RequestEvent) -> None:
-        """Continue the path of a request to which `event` has happened."""
+        """Resume the path of a request with an event."""
         state = self.state
         state.now = now
         request.client_disconnected |= event is RequestEvent.CLIENT_DISCONNECTED
@@ -102,7 +101,7 @@
             state.resume(request, event)
 
     def begin_drain(self, now: int, stop_at: int) -> None:
-        """Drain from now on; the server stops at `stop_at`."""
+        """Start the drain; the server stops at `stop_at`."""
         state = self.state
         state.now = now
         self.safety.drain_started_at = now
@@ -110,10 +109,10 @@
         self.executor.set_health(False, True)
 
     def on_tick(self, now: int, gauges: Gauges) -> None:
-        """Adjust all limits to the gauges, and give up the requests whose time is over."""
+        """Adjust all limits to the gauges, and give up the requests that would be too late."""
         state = self.state
         state.now = now
-        self.executor.schedule_tick(TICK_US)  # first: an error further on must not end the ticks
+        self.executor.schedule_tick(TICK_US)  # first, so that an error below does not end the ticks
         if gauges.busy is None:
             gauges = gauges._replace(busy=min(1.0, state.running / state.machine.cores))
         self._adjust_limits(now, gauges)
@@ -122,9 +121,9 @@
         self._give_up_late_requests(now)
 
     def dispatch(self, now: int) -> None:
-        """Start an episode if one is needed, then calls and runs for which there is capacity.
+        """Start an episode if one is due, then the calls and runs for which there is capacity.
 
-        To be called after each batch of the other calls.
+        The server calls this after each batch of other calls.
         """
         state = self.state
         state.now = now
@@ -139,7 +138,7 @@
         self._dispatch_queue(now)
 
     def load_snapshot(self, now: int) -> LoadSnapshot:
-        """Return how loaded the server is."""
+        """Return the current load of the server."""
         state = self.state
         return LoadSnapshot(
             running=state.running,
@@ -151,10 +150,14 @@
             draining=self.safety.drain_started_at is not None,
         )
 
-    # Steps of the calls.
+    # Steps of the calls above.
 
     def _make_learner(self, request: Request) -> Learner:
-        """Make the learner, with as many states as memory holds running requests, within bounds."""
+        """Create the learner, with a state for each running request that fits into memory.
+
+        `FEWEST_STATES` and `MOST_STATES` bound the number of states. The size of the first request
+        stands for all.
+        """
         state = self.state
         runs_in_memory = state.machine.memory_kb / (
             max(request.memory_kb, SMALLEST_REQUEST_KB) * state.machine.running_memory_factor
@@ -195,7 +198,7 @@
             state.pools.adjust(TICK_US, self.queue.size > 0)
 
     def _give_up_late_requests(self, now: int) -> None:
-        """Answer what would be too late at the next tick, and stop runs that earn nothing."""
+        """Answer requests that the next tick would answer too late, and stop worthless runs."""
         state = self.state
         stopping = self.safety.is_stopping(now)
         for request in list(state.open_requests):
@@ -209,7 +212,7 @@
                 state.resume(request, RequestEvent.EVICTED)
 
     def _dispatch_queue(self, now: int) -> None:
-        """Give the cores to queued requests, in their turns, while there is capacity."""
+        """Start queued requests in the order of the queue while there is capacity."""
         state = self.state
         max_on_cores = self.safety.max_on_cores(now)
         growth_factor = state.machine.running_memory_factor - 1
@@ -227,7 +230,7 @@
             state.resume(request, RequestEvent.ADMITTED)
 
     def _is_worthless(self, request: Request) -> bool:
-        """Return whether a run can be stopped whose answer, being late, would earn nothing."""
+        """Return whether the run can be stopped and its answer would be too late to earn value."""
         state = self.state
         return (
             request.state in ON_CORES
@@ -238,12 +241,12 @@
         )
 
     def _is_reading_behind(self, now: int) -> bool:
-        """Return whether requests have grown old before they were read.
+        """Return whether the last request waited for long before it was read.
 
-        The cores go to reading first then, so that what has to be rejected is rejected while its
-        client can still go elsewhere, and not all of it shortly before its deadline.
+        While reading is behind, it gets the cores first: a request that has to be rejected is then
+        rejected while its client can still try another server, and not shortly before its deadline.
         """
         return (
             now - self.last_read_at < 2 * TICK_US
-            and self.last_unread_age > self.mean_objective / UNREAD_AGE_SHARE
+            and self.last_unread_age > self.mean_objective / UNREAD_AGE_DIVISOR
         )
--- a/gullyoke/admission/fair_queue.py
+++ b/gullyoke/admission/fair_queue.py
@@ -1,4 +1,4 @@
-"""The queue for the cores: request classes take turns by weight."""
+"""The queue for the cores, which request classes share by priority weight."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 SMALLEST_WEIGHT: Final = 1e-9
 RUN_TIME_SMOOTHING: Final = 32
-"""A run's time moves the mean of its class by one part in so many."""
+"""The weight of one run in the mean run time of its class is one divided by this."""
 LONGEST_RUN_TIME_SHARE: Final = 0.75
-"""Share of the objective up to which a mean run time counts (not from the paper)."""
-JUST_ARRIVED_PARTS: Final = 10
+"""Share of the latency objective at which the mean run time is capped in lateness checks."""
+JUST_ARRIVED_DIVISOR: Final = 10
 """A request has just arrived while its age is under its timeout divided by this."""
 
 WITHIN_QUOTA: Final = False
@@ -29,13 +29,13 @@
 class FairQueue:
     """Start-time fair queueing (Goyal et al. 1996) over request classes.
 
-    Requests within their tenants' quotas go before all that are over them. The tables have a row
+    Requests within their tenants' quotas run before all requests over them. The tables have a row
     for each class; a request leaves its queue when it runs or is given up.
 
     Args:
         request_classes: All classes of the site.
-        weighs_by_work: Whether a turn costs the run's time, and not one run.
-        dependency: What estimates the wait for a dependency call.
+        weighs_by_work: Whether the share of a class is counted in run time, not in runs.
+        dependency: Estimates the wait for a dependency call.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self.dependency = dependency
         self.size = 0
         self.run_times = {each: first_run_time(each) for each in request_classes}
-        """Mean microseconds of a run, by class."""
+        """Mean run time in microseconds, by class."""
         self.queues: dict[RequestClass, ClassQueue] = {
             each: (deque(), deque()) for each in request_classes
         }
@@ -62,12 +62,12 @@
         return work / max(request_class.priority_weight, SMALLEST_WEIGHT)
 
     def run_finished(self, request_class: RequestClass, run_time: int) -> None:
-        """Learn from a run that took `run_time` microseconds."""
+        """Add a run that took `run_time` microseconds to the mean run time of its class."""
         mean = self.run_times[request_class]
         self.run_times[request_class] = mean + (run_time - mean) / RUN_TIME_SMOOTHING
 
     def pace(self) -> float:
-        """Return the classes' run times over the first guesses at them, in the mean."""
+        """Return the mean, over all classes, of the run time divided by its first estimate."""
         ratios = [mean / first_run_time(each) for each, mean in self.run_times.items()]
         return sum(ratios) / max(1, len(ratios))
 
@@ -81,7 +81,7 @@
         self.size += 1
 
     def remove(self, request: Request) -> None:
-        """Take a request out of the queue, whether it runs or is given up."""
+        """Remove a request that runs or is given up."""
         self.queues[request.request_class][request.over_quota].remove(request)
         self.size -= 1
 
@@ -90,7 +90,7 @@
         return request in self.queues[request.request_class][request.over_quota]
 
     def next_request(self) -> Request | None:
-        """Return the request whose turn is next, which stays queued."""
+        """Return the request that runs next; it stays queued."""
         for over_quota in (WITHIN_QUOTA, OVER_QUOTA):
             waiting = [each for each, queue in self.queues.items() if queue[over_quota]]
             if waiting:
@@ -99,7 +99,7 @@
         return None
 
     def advance_turn(self, request: Request) -> None:
-        """Advance the virtual time by the turn of a request that now runs."""
+        """Advance the virtual time, and the start tag of the class, by a request that now runs."""
         request_class = request.request_class
         self.virtual_time = self.start_tags[request_class]
         self.start_tags[request_class] += self.turn_cost(request_class)
@@ -107,8 +107,10 @@
     def choose_victim(self, now: int, newcomer: Request) -> Request:
         """Return the request to give up so that another one fits.
 
-        It is the youngest of the queue that is longest for its weight, if it has just arrived; the
-        newcomer counts as queued.
+        The youngest request of a queue is given up if it has just arrived. Queues of requests over
+        their quotas are tried first, and among them the longest for its priority weight. The
+        newcomer counts as queued in its class, and is itself given up if it is over its quota, or
+        if no request of a longer queue can be.
         """
         if newcomer.over_quota:
             return newcomer
@@ -129,7 +131,7 @@
         return newcomer
 
     def _weighted_lengths(self, over_quota: bool) -> dict[RequestClass, float]:
-        """Return the lengths of the queues that aren't empty, in units of their turns."""
+        """Return the lengths of the queues that aren't empty, each times its tag increment."""
         return {
             request_class: len(queue[over_quota]) * self.turn_cost(request_class)
             for request_class, queue in self.queues.items()
@@ -137,37 +139,37 @@
         }
 
     def requests_too_late(self, now: int) -> list[Request]:
-        """Return the queued requests whose run could no longer end in time."""
+        """Return the queued requests whose runs could no longer end in time."""
         return [
             request
             for queue in self.queues.values()
-            for line in queue
-            for request in line
+            for requests in queue
+            for request in requests
             if self.is_too_late(request, now)
         ]
 
     def backlog(self, request_class: RequestClass | None = None) -> float:
-        """Return how long one core would run all that is queued, in microseconds.
+        """Return how long one core would take for all queued requests, in microseconds.
 
         Args:
-            request_class: Where it is given, only what takes its turn before a newcomer of this
-                class counts.
+            request_class: If given, only the requests that run before a newcomer of this class
+                count.
         """
-        own_turns = math.inf
+        newcomer_tag = math.inf
         if request_class is not None:
             within_quota, over_quota = self.queues[request_class]
-            own_turns = (len(within_quota) + len(over_quota)) * self.turn_cost(request_class)
+            newcomer_tag = (len(within_quota) + len(over_quota)) * self.turn_cost(request_class)
         return sum(
             self.run_times[each]
-            * min(len(within_quota) + len(over_quota), own_turns / self.turn_cost(each))
+            * min(len(within_quota) + len(over_quota), newcomer_tag / self.turn_cost(each))
             for each, (within_quota, over_quota) in self.queues.items()
         )
 
     def is_too_late(self, request: Request, now: int) -> bool:
-        """Return whether a run begun at `now` would end too late to earn its full value.
+        """Return whether a run that starts at `now` would end too late to earn its full value.
 
-        The mean run time counts up to a part of the objective only: a server that was slow goes on
-        to run some fresh requests, and so learns when it is fast again.
+        The mean run time is capped at a share of the objective: a server that was slow still runs
+        some new requests, and so learns when it is fast again.
         """
         request_class = request.request_class
         run_time = min(
@@ -181,4 +183,4 @@
 
 
 def _has_just_arrived(request: Request, now: int) -> bool:
-    return (now - request.arrived) * JUST_ARRIVED_PARTS < request.request_class.timeout
+    return (now - request.arrived) * JUST_ARRIVED_DIVISOR < request.request_class.timeout
--- a/gullyoke/admission/interface/__init__.py
+++ b/gullyoke/admission/interface/__init__.py
@@ -1,8 +1,8 @@
-"""The interface between the decisions and whatever carries requests to them.
+"""The interface between the admission controller and the server or simulator that uses it.
 
-A server fills in the types of `facts`, carries out the `commands` that come through its
-`CommandExecutor`, and reports `events`. A request's path is a generator; `stepper` steps it.
-Nothing here decides anything or knows any protocol.
+The user fills in the types of `facts`, carries out the `commands` that its `CommandExecutor`
+receives, and reports `events`. The path of a request is a generator; `stepper` steps it. This
+package makes no decisions and knows no protocol.
 """
 
 from gullyoke.admission.interface.commands import (
--- a/gullyoke/admission/interface/commands.py
+++ b/gullyoke/admission/interface/commands.py
@@ -1,7 +1,7 @@
-"""The commands that a request's path yields for its server to carry out.
+"""The commands that the path of a request yields for its server to carry out.
 
-A command with `suspends` set leaves the path waiting until the next event. Commands without details
-are shared instances, so that none is made for a request.
+A command with `suspends` set suspends the path until the next event. Commands without details are
+shared instances, so that none is allocated for each request.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Enqueue(Command):
-    """Wait in the queue for a turn on the cores."""
+    """Wait in the queue for the cores."""
 
     suspends: ClassVar[bool] = True
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallDependency(Command):
-    """Make the call that the run waits for; it is given up after `timeout` microseconds."""
+    """Make the dependency call that the run waits for; abandon it after `timeout` microseconds."""
 
     timeout: int
     suspends: ClassVar[bool] = True
@@ -48,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SkipDependencyCall(Command):
-    """Let the run go on without the call that it waits for."""
+    """Resume the run without the dependency call that it waits for."""
 
     suspends: ClassVar[bool] = True
 
 
 @dataclass(frozen=True, slots=True)
 class AwaitDuplicate(Command):
-    """Answer from the request that this one duplicates, once that has ended."""
+    """Once the request that this one duplicates has ended, answer with its result."""
 
     suspends: ClassVar[bool] = True
 
@@ -79,10 +79,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject(Command):
-    """Answer finally that the request was not run.
+    """Send the final answer that the request was not run.
 
-    The client may be advised to come back after `retry_after` microseconds (0: no advice), or to
-    try no other server.
+    Args:
+        retry_after: Microseconds after which the client should retry; 0 for no advice.
+        stop_retrying: Whether the client should try no other server.
     """
 
     retry_after: int = 0
@@ -91,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail(Command):
-    """Answer finally that the request failed."""
+    """Send the final answer that the request failed."""
 
 
 ENQUEUE = Enqueue()
--- a/gullyoke/admission/interface/events.py
+++ b/gullyoke/admission/interface/events.py
@@ -1,4 +1,4 @@
-"""The events that resume a suspended request."""
+"""The events that resume the suspended path of a request."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 
 
 class RequestEvent(Enum):
-    """What has happened to a request whose path waits."""
+    """What has happened to a request whose path is suspended."""
 
     ADMITTED = auto()
-    """From the decisions: its turn for the cores, or for a dependency call, has come."""
+    """From the controller: the request may now run, or make its dependency call."""
     EVICTED = auto()
-    """From the decisions: it is given up in favour of others."""
+    """From the controller: the request is given up, or only its wait for a dependency call."""
     DEADLINE_NEAR = auto()
-    """From the decisions: its deadline comes before the next tick."""
+    """From the controller: the deadline comes before the next tick, or the server stops soon."""
     CLIENT_DISCONNECTED = auto()
-    """Its client no longer waits for an answer."""
+    """The client no longer waits for an answer."""
     COMPLETED = auto()
-    """Its run ended well and the result is the answer."""
+    """The run succeeded and its result is the answer."""
     FAILED = auto()
-    """Its run failed, and so has its answer."""
+    """The run failed, and its failure is the answer."""
     CANCELLED = auto()
-    """Its run was cancelled, or ended because nobody waits for it."""
+    """The run was cancelled, or ended because no client waits for its result."""
     NOT_STARTED = auto()
-    """Its run never began because the request was over already."""
+    """The run never began because the request had already ended."""
     NO_CAPACITY = auto()
-    """Its run never began because there is nowhere to run it now."""
+    """The run never began because there is no capacity for it now."""
     DEPENDENCY_CALL_NEEDED = auto()
-    """Its run waits for a call to the dependency."""
+    """The run waits for a call to the dependency."""
     CALL_SUCCEEDED = auto()
-    """The call succeeded, and the run goes on by itself."""
+    """The call succeeded, and the run resumes without a command."""
     CALL_NOT_SENT = auto()
-    """The call failed and is known not to have reached the dependency."""
+    """The call failed and certainly did not reach the dependency."""
     CALL_OUTCOME_UNKNOWN = auto()
-    """The call failed and may have had its effect."""
+    """The call failed, but may have taken effect at the dependency."""
     CALL_REPLY_LOST = auto()
-    """The connection broke under the call: it may have had its effect; load is not the cause."""
+    """The connection broke during the call, which may have taken effect; load is not the cause."""
--- a/gullyoke/admission/interface/facts.py
+++ b/gullyoke/admission/interface/facts.py
@@ -1,4 +1,4 @@
-"""What the decisions know of a site and of a request; times are whole microseconds."""
+"""What the controller knows of a site and of a request; times are whole microseconds."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class StopMode(Enum):
-    """What cancelling a run does: it is impossible, loses the progress, or pauses with it."""
+    """Whether a run can be cancelled, and whether that discards its progress or pauses it."""
 
     NEVER = "never"
     DISCARD = "discard"
@@ -36,20 +36,21 @@
 
 @dataclass(slots=True, eq=False)
 class RequestClass:
-    """A class of requests and what the site states of it.
+    """A class of requests, as the settings of the site describe it.
 
     Args:
-        name: The class's name, as it stands in requests.
+        name: The name of the class in requests.
         latency_objective: Microseconds within which an answer earns its full value.
-        timeout: Microseconds that a client waits in all.
-        priority_weight: What an answer is worth.
-        idempotency: Whether its requests may run more than once.
+        timeout: Microseconds that a client waits in total.
+        priority_weight: The value of an answer.
+        idempotency: Whether requests of the class may run more than once.
         late_value_share: Share of the value that a late answer still earns.
         key_ttl: Microseconds for which a key is remembered.
-        calls_dependency: Whether its runs may call the dependency.
-        degraded_value_share: Share of the value of an answer made without the call.
-        objective_stretch: How much the objective grows with a request's own cost hint.
-        accepting: False while what its runs need is not to be had; newcomers are then rejected.
+        calls_dependency: Whether runs of the class may call the dependency.
+        degraded_value_share: Share of the value that an answer without the dependency call earns.
+        objective_stretch: Multiple of a request's cost hint that is added to its objective.
+        accepting: Whether new requests are accepted; False while something that runs of the class
+            need is unavailable.
     """
 
     name: str
@@ -66,19 +67,19 @@
 
 
 def _no_lease(now: int) -> float | None:
-    """No part of the quota is known to be leased to this server."""
+    """Return None: no part of the quota is known to be leased to this server."""
     return None
 
 
 @dataclass(slots=True, eq=False)
 class Tenant:
-    """One of those who share the servers.
+    """A tenant that shares the servers with others.
 
     Args:
         name: The tenant's name.
-        quota: Requests a second, over all servers, that are within its share.
-        leased_quota: Called with the time for each of its requests; returns this server's part of
-            the quota now, in requests a second, or None where that is not known.
+        quota: Requests per second, over all servers, up to which the tenant is within its quota.
+        leased_quota: Called with the time for each request of the tenant; returns the part of the
+            quota that this server holds now, in requests per second, or None if that is unknown.
     """
 
     name: str
@@ -88,16 +89,16 @@
 
 @dataclass(slots=True)
 class Machine:
-    """The server's own machine and process.
+    """The machine and the process of the server.
 
     Args:
         cores: Cores on which requests run.
         memory_kb: Memory for requests and remembered keys, in kilobytes.
-        running_memory_factor: Memory of a running request over that of a waiting one.
-        key_kb: Kilobytes of a remembered key.
-        needs_warmup: Whether the process was just started and is warming up.
+        running_memory_factor: Memory of a running request divided by that of a queued one.
+        key_kb: Kilobytes that a remembered key takes.
+        needs_warmup: Whether the process has just started and has to warm up.
         stop_mode: What cancelling a run does.
-        gauges: Names of the machine's gauges, in their order.
+        gauges: Names of the machine's gauges, in the order of the settings.
     """
 
     cores: int
@@ -111,15 +112,15 @@
 
 @dataclass(slots=True)
 class Limits:
-    """The figures of the rules that each server keeps.
+    """The limits that every server of the site keeps to.
 
     Args:
-        answer_slack: Microseconds past its deadline in which an answer still counts.
-        drain_grace: Requests that arrive later than this after the drain began never run.
-        overload_multiple: Running requests for each core that a warm server survives.
+        answer_slack: Microseconds after the deadline during which an answer still counts.
+        drain_grace: Microseconds after the drain began; requests that arrive later never run.
+        overload_multiple: Mean number of running requests per core that a warm server survives.
         overload_window: Microseconds over which that mean is taken.
-        warmup_capacity: Share of its speed that a server has when its warm-up begins.
-        warmup_time: Microseconds after which it is warm at the latest.
+        warmup_capacity: Share of its full speed that a server has when its warm-up begins.
+        warmup_time: Microseconds after which the warm-up is over at the latest.
     """
 
     answer_slack: int
@@ -135,11 +136,11 @@
     """The dependency that requests call while they run.
 
     Args:
-        exists: Whether there is one.
-        call_quota: Mean number of calls in flight that is this server's; None for no bound.
+        exists: Whether the site has a dependency.
+        call_quota: Mean number of calls that this server may have in flight; None for no limit.
         quota_window: Microseconds over which that mean is taken.
-        linger: Microseconds for which an abandoned call stays in the dependency's hands at most.
-        slots: What this server has of the calls that all servers share.
+        linger: Microseconds for which the dependency works on an abandoned call at most.
+        slots: This server's part of the dependency calls that all servers share.
     """
 
     exists: bool
@@ -151,17 +152,17 @@
 
 @dataclass(slots=True)
 class Permissions:
-    """What the site lets a server send to its callers and learn of them.
+    """What a server may send to its callers, and what it learns from them.
 
     Args:
-        sends_retry_after: Whether advice when to come back is forwarded.
-        max_retry_after: The longest advice that is followed, in microseconds.
-        load_signal: Kind of the level that goes out with answers; None where it is unused.
-        load_signal_ttl: Microseconds for which callers remember the level.
+        sends_retry_after: Whether the advice when to retry reaches the callers.
+        max_retry_after: The longest advice that callers follow, in microseconds.
+        load_signal: Kind of the load signal that is sent with answers; None if there is none.
+        load_signal_ttl: Microseconds for which callers remember a load signal.
         reports_disconnected_clients: Whether the server learns when a client gives up.
         passes_deadline: Whether requests state how long their caller waits.
         deep_checks: Whether health checks do work of their own.
-        readiness: Whether the endpoint list follows the health answers.
+        readiness: Whether the list of endpoints follows the answers to health checks.
         max_idle: Microseconds after which callers close idle connections.
     """
 
@@ -181,11 +182,12 @@
     """The servers of the fleet and their callers.
 
     Args:
-        size: Servers of the fleet.
-        weighs_by_work: Whether value is counted by work, not by request.
-        over_quota_value: Share of the value that a request beyond its tenant's quota earns.
-        read_cache_ttl: Microseconds for which the answer to a read may serve others; 0 for never.
-        callers: How many callers there are; 0 where that is not known.
+        size: Number of servers in the fleet.
+        weighs_by_work: Whether value is counted for each unit of work, not for each request.
+        over_quota_value: Share of the value that a request over its tenant's quota earns.
+        read_cache_ttl: Microseconds for which the answer to an idempotent request may also answer
+            its duplicates; 0 for never.
+        callers: Number of callers; 0 if unknown.
         feedback: What the other servers report.
     """
 
@@ -199,7 +201,7 @@
 
 @dataclass(slots=True)
 class SiteFacts:
-    """All that the settings of a site state."""
+    """Everything that the settings of a site state."""
 
     request_classes: list[RequestClass]
     tenants: list[Tenant]
@@ -211,13 +213,14 @@
 
 
 class Gauges(NamedTuple):
-    """A server's own gauges; None for what is not measured.
+    """The gauges of one server; None for each value that is not measured.
 
     Args:
-        busy: Share of the cores that was busy lately.
-        runnable: What wants a core now.
-        connections: Open client connections.
-        capacity: Runs that can be had at once, where the cores are not the server's own.
+        busy: Share of the cores that was busy recently.
+        runnable: Number of runs that use a core or wait for one now.
+        connections: Number of open client connections.
+        capacity: Number of runs that the back ends can take at once; None where runs use the
+            server's own cores.
     """
 
     busy: float | None = None
@@ -227,7 +230,7 @@
 
 
 class RememberedRequest:
-    """Stands for a request that has ended and is remembered by its key alone."""
+    """The type of `PAST`, which stands for a request that has ended but whose key is remembered."""
 
 
 PAST: Final = RememberedRequest()
@@ -235,21 +238,21 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request that the decisions have not finished with.
+    """A request whose path through the controller has not ended.
 
     Args:
-        request_class: Its class.
-        arrived: When it reached the machine.
-        deadline: By when its answer has to be there.
-        memory_kb: Kilobytes that it takes while it waits.
-        is_retry: Whether its caller marked it as a retry or a hedged request.
-        duplicate_of: The request that it duplicates, `PAST` where that has ended, None for none.
-        has_key: Whether it names a key or a subject.
-        tenant: Whose it is; None where the site has no tenants.
-        cost_hint: Its caller's estimate of its work, in microseconds; 0 where there is none.
-        rank: Its place among requests, from 0 to under 1.
-
-    The other attributes are the decisions' own notes on it.
+        request_class: The class of the request.
+        arrived: When the request reached the machine.
+        deadline: The time by which the client needs the answer.
+        memory_kb: Kilobytes that the request takes while it is queued.
+        is_retry: Whether the caller marked it as a retry or a hedged request.
+        duplicate_of: The request that it duplicates, `PAST` if that has ended, None for none.
+        has_key: Whether the request states a key under which it can be remembered.
+        tenant: The tenant that sent it; None if it states none.
+        cost_hint: The caller's estimate of its work, in microseconds; 0 if there is none.
+        rank: Its place among requests, from 0 to under 1; no decision uses it.
+
+    The other attributes are set by the controller.
     """
 
     request_class: RequestClass
--- a/gullyoke/admission/interface/fleet_feedback.py
+++ b/gullyoke/admission/interface/fleet_feedback.py
@@ -1,7 +1,7 @@
-"""What other servers of a fleet report to the decisions, and what stands there where none does.
+"""What the controller learns from the other servers of its fleet, with defaults for a lone server.
 
-Each method is called under the lock that the decisions run under, and answers at once. Times are
-whole microseconds.
+Each method is called while the controller's lock is held, and must not block. Times are whole
+microseconds.
 """
 
 from __future__ import annotations
@@ -10,77 +10,86 @@
 from typing import Final, Protocol
 
 UNSHARED_CALLS_AT_ONCE: Final = 8.0
-"""Calls that are taken to be in flight at once where no slots are shared."""
+"""Calls assumed to be in flight at once, for estimates of waits, where no slots are shared."""
 
 
 class DependencySlots(Protocol):
     """This server's part of the dependency calls that all servers share."""
 
     def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
-        """Return the mean number of calls that may be in flight.
+        """Report the call time used so far, and return the mean number of calls allowed in flight.
+
+        Implementations may record the demand that the call time shows.
 
         Args:
             now: The time.
-            stated: That number so far.
-            used_call_time: Call time that counts against it.
+            stated: The limit so far; None for none.
+            used_call_time: Call time that counts against the limit.
 
         Returns:
-            The mean; None where none is bound.
+            The new limit; None if the mean is not limited.
         """
 
     def has_free_slot(self, now: int, waiting: int) -> bool:
-        """Return whether one more call may be made now; `waiting` more requests want one."""
+        """Request a slot for one more call, and return whether the call may be made now.
+
+        Implementations may record the demand and count a refusal; `call_started` takes the slot.
+
+        Args:
+            now: The time.
+            waiting: Number of requests that wait for a call.
+        """
 
     def secured_until(self, now: int) -> float:
-        """Return by when the next call has to be over, its linger included."""
+        """Return the time by which the next call has to be over, its linger included."""
 
     def concurrency(self, now: int) -> float:
-        """Return how many calls may be in flight at once, above 0; for estimates of waits."""
+        """Return how many calls may be in flight at once, above 0, to estimate waits."""
 
     def call_started(self) -> None:
-        """Count a call that is made now."""
+        """Count a call that starts now."""
 
     def call_ended(self, now: int, lost: bool, succeeded: bool) -> None:
         """Count a call that has ended.
 
         Args:
             now: The time.
-            lost: Whether it may stay in the dependency's hands for the stated linger.
-            succeeded: Whether it was answered.
+            lost: Whether the dependency may still work on the call for the stated linger.
+            succeeded: Whether the dependency answered.
         """
 
 
 class FleetFeedback(Protocol):
-    """What the reports of the other servers come to."""
+    """The conclusions from the reports of the other servers."""
 
     def is_overloaded(self, own: bool) -> bool:
         """Return whether so many servers reject requests that a retry is not worth it.
 
         Args:
-            own: Whether this server rejects so many itself.
+            own: Whether this server alone rejects that many of its requests.
         """
 
     def retry_after(self, own_advice: int) -> int:
-        """Return for how long a client should stay away.
+        """Return how long a client should wait before it retries.
 
         Args:
-            own_advice: What this server would advise by itself.
+            own_advice: The wait that this server would advise without the other servers' reports.
         """
 
 
 class UnsharedSlots:
-    """No slots are shared: calls of other servers don't count here."""
+    """No slots are shared: the calls of other servers do not count."""
 
     def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
-        """Return the stated mean."""
+        """Return the stated limit."""
         return stated
 
     def has_free_slot(self, now: int, waiting: int) -> bool:
-        """Return True: there is always a slot."""
+        """Return True: a slot is always free."""
         return True
 
     def secured_until(self, now: int) -> float:
-        """Return that calls may take for ever."""
+        """Return infinity: calls may take any time."""
         return math.inf
 
     def concurrency(self, now: int) -> float:
@@ -95,10 +104,10 @@
 
 
 class NoFleetFeedback:
-    """No other server reports anything."""
+    """There are no reports of other servers."""
 
     def is_overloaded(self, own: bool) -> bool:
-        """Return what this server finds by itself."""
+        """Return whether this server alone rejects that many of its requests."""
         return own
 
     def retry_after(self, own_advice: int) -> int:
--- a/gullyoke/admission/interface/request_state.py
+++ b/gullyoke/admission/interface/request_state.py
@@ -1,4 +1,4 @@
-"""Where a request stands within its server."""
+"""The states of a request within its server."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 
 class RequestState(Enum):
-    """The state of a request that the decisions have accepted for now."""
+    """The state of a request that the controller has accepted."""
 
     QUEUED = auto()
-    """It waits for the cores, or for the answer that it duplicates."""
+    """The request waits for the cores, or for the result of the request that it duplicates."""
     RUNNING = auto()
-    """It is on the cores."""
+    """The request runs on the cores."""
     CALLING_DEPENDENCY = auto()
-    """Its run waits for a dependency call."""
+    """The run of the request waits for a dependency call."""
     FINISHED = auto()
-    """It is in none of the decisions' tables any more."""
+    """The request is in none of the controller's tables any more."""
 
 
-# Read with every event; a look-up in an enumeration costs more than one of a module's name.
+# The states are read with every event; an enumeration lookup costs more than a module-level name.
 QUEUED: Final = RequestState.QUEUED
 RUNNING: Final = RequestState.RUNNING
 CALLING_DEPENDENCY: Final = RequestState.CALLING_DEPENDENCY
--- a/gullyoke/admission/interface/stepper.py
+++ b/gullyoke/admission/interface/stepper.py
@@ -1,4 +1,4 @@
-"""Stepping of request paths, and the protocol by which their commands are carried out."""
+"""Stepping of request paths, and the protocol that carries out their commands."""
 
 from __future__ import annotations
 
@@ -11,22 +11,27 @@
 
 
 class CommandExecutor(Protocol):
-    """What carries out the decisions of one server: the daemon, or a simulator."""
+    """Carries out the decisions of one server, for example in the daemon or in a simulator."""
 
     def execute(self, request: Request, command: Command) -> None:
-        """Carry out a command of this request's path."""
+        """Carry out a command that the path of this request yielded."""
 
     def finished(self, request: Request) -> None:
-        """The request's path has ended; it is in none of the decisions' tables any more."""
+        """Handle the end of the request's path; no table of the controller holds it any more."""
 
     def schedule_tick(self, delay: int) -> None:
-        """Ask for the next `tick` after `delay` microseconds."""
+        """Call the controller's `on_tick` once, after `delay` microseconds."""
 
     def set_health(self, ready: bool, cheap: bool) -> None:
-        """Answer health checks so from now on; `cheap`: without doing any work for them."""
+        """Set how health checks are answered from now on.
+
+        Args:
+            ready: Whether the server takes requests.
+            cheap: Whether checks are answered without doing any work for them.
+        """
 
     def set_load_signal(self, level: float) -> None:
-        """Send this level with every answer from now on."""
+        """Send this load signal with every answer from now on."""
 
     def set_idle_timeout(self, timeout: int) -> None:
         """Close client connections that have been idle for `timeout` microseconds; 0 for never."""
@@ -35,10 +40,9 @@
         """Write a line to the log."""
 
     def run_in_background(self, work: Iterator[None]) -> None:
-        """Carry on with `work` to its end, one step after the other.
+        """Iterate over `work` to its end, at once or between later calls of the controller.
 
-        At once, or between calls of the decisions; never two works at a time, and no step during
-        such a call.
+        No step may run during a call of the controller, nor while another work is unfinished.
         """
 
 
@@ -50,12 +54,13 @@
         self.finished = executor.finished
 
     def step(self, request: Request, event: RequestEvent | None = None) -> bool:
-        """Resume the request's path with `event` and carry out what it yields until it waits.
+        """Resume the request's path with `event` and carry out its commands until it suspends.
 
-        Returns False once the path has ended.
+        Returns:
+            Whether the path is suspended; False once it has ended.
         """
         assert request.path is not None
-        # A path starts, and goes on after a command that does not suspend it, with None.
+        # None starts a path, and resumes it after a command that does not suspend it.
         resume: Callable[[Any], Command] = request.path.send
         try:
             while True:
--- a/gullyoke/admission/learner.py
+++ b/gullyoke/admission/learner.py
@@ -1,10 +1,10 @@
-"""UCRL-M: learns from how many requests on it is better to reject the next one.
+"""UCRL-M: learns the number of requests in the server from which rejecting the next one is better.
 
 After "Learning Optimal Admission Control in Partially Observable Queueing Networks" (cited as "the
-paper"). The server is seen as one queue whose state is the number of its requests; the sections on
-the aggregated MDP justify that. Time is cut into steps with at most one arrival or departure each.
-An action in a state is a pair; pair `2 * state + action` has action 0 for rejecting and 1 for
-admitting an arrival. What is marked "not from the paper" was chosen by measurement.
+paper"). The server is modeled as one queue whose state is the number of its requests; the sections
+on the aggregated MDP justify that. Time is divided into steps with at most one arrival or departure
+each. A state and an action form a pair; in pair `2 * state + action`, action 0 is to reject an
+arrival and action 1 is to admit it. "Own addition" marks what the paper does not contain.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 from gullyoke.admission.value_iteration import PairModel, StateModel, sweep, uniformize
 
 MODULES: Final = 3
-"""Number of modules, the paper's tau_mix (section 4): step t belongs to module t modulo this."""
+"""Number of modules, the paper's tau_mix (section 4); step t is in module t modulo this number."""
 WIDTH_SCALE: Final = 0.02
-"""Factor on the confidence widths; with their full size nothing is learned in a server's time."""
+"""Factor on the confidence widths; at full width learning takes longer than a server runs."""
 PRIOR_VISITS: Final = 4.0
-"""Visits that each pair and module starts with, as of a full server at load 1."""
+"""Visits that each pair and module starts with, as if seen at a full server at load 1."""
 STEPS_PER_COMPLETION: Final = 12
-"""Time steps for each request that a full server completes (not from the paper)."""
+"""Time steps per request that a full server completes; own addition."""
 MAX_SWEEPS: Final = 30
-"""Sweeps of an extended value iteration at most (not from the paper)."""
+"""Largest number of sweeps of an extended value iteration; own addition."""
 SPAN_TOLERANCE: Final = 1 / 8
-"""Sweeps end when the spread of the gains is under this share of a request's cost for a step."""
+"""Sweeps end when the gains differ by less than this share of the cost of a request for a step."""
 
 
 class Learner:
-    """Counts what happens in each pair, and finds a new policy once the counts have doubled.
+    """Counts the events in each pair, and computes a new policy once a count has doubled.
 
-    The tables have a row for each module and a column for each pair; their size is fixed at the
-    start, and a restart empties them.
+    The tables have a row for each module and a column for each pair. Their size is fixed at the
+    start, and they do not survive a restart.
 
     Args:
         now: The time in microseconds.
-        max_requests: The largest state: with so many requests a newcomer is always rejected.
+        max_requests: The largest state; a binding policy always rejects in it.
         cores: Cores on which requests run.
-        run_time: Microseconds that a run is first taken to last.
-        holding_cost: Cost of a request for a microsecond in the server; a rejection costs 1.
+        run_time: First estimate of the run time, in microseconds.
+        holding_cost: Cost of a request per microsecond in the server; a rejection costs 1.
         modules: Number of modules.
         width_scale: Factor on the confidence widths.
         prior_visits: Visits that each pair and module starts with.
@@ -66,14 +66,14 @@
         self.steps = 0
         self.requests = 0
         self.cores_busy = False
-        self.run_capacity = math.inf  # concurrent runs, where the cores are not the server's own
-        self.step_cost = holding_cost * self.step_us  # of a request for a time step
+        self.run_capacity = math.inf  # runs that back ends can take at once; inf without back ends
+        self.step_cost = holding_cost * self.step_us  # of a request per time step
 
         self._count_prior(cores * self.step_us / run_time, prior_visits)
         self.visits_before_episode = [row[:] for row in self.visits]
-        # The difference of the bias between state s + 1 and state s, by s.
+        # For each state s, the bias of state s + 1 minus that of state s.
         self.bias_differences = [0.0] * (max_requests + 1)
-        self.policy = [True] * (max_requests + 1)  # by state: whether an arrival is admitted
+        self.policy = [True] * (max_requests + 1)  # for each state, whether an arrival is admitted
         self.episodes = 0
         self.rejected = 0
         self.needs_episode = True
@@ -83,7 +83,7 @@
         """Fill the tables as if a full server at load 1 had been seen for `prior_visits`.
 
         Args:
-            completion_rate: Completions of a full server in a time step.
+            completion_rate: Completions of a full server per time step.
             prior_visits: Visits of each pair and module.
         """
         pairs = 2 * (self.max_requests + 1)
@@ -105,29 +105,36 @@
         self.rejections = table(rejections)
 
     def admits(self, reserved: int = 0) -> bool:
-        """Decide on an arrival, as if `reserved` more requests were here; counts a rejection."""
+        """Decide whether to admit an arrival, and count a rejection.
+
+        Args:
+            reserved: Number of requests that the state counts in addition to those in the server.
+
+        Returns:
+            Whether the arrival is admitted.
+        """
         state = self.requests + reserved
         admitted = not self.is_binding() or (state < self.max_requests and self.policy[state])
         self.rejected += not admitted
         return admitted
 
     def is_binding(self) -> bool:
-        """Return whether the policy is applied, which it is only while the cores are busy.
+        """Return whether the policy is applied, which is the case only while the cores are busy.
 
-        The gauge reports the last half second; with fewer requests than cores a core is free now
-        (not from the paper).
+        The gauge reports the last half second, so there must also be as many requests as cores:
+        with fewer, a core is free now. This condition is an own addition.
         """
         return self.cores_busy and self.requests >= min(self.cores, self.run_capacity)
 
     def count(self, now: int, change: int = 0, rejections: int = 0) -> None:
         """Count one step with at most one arrival or departure.
 
-        The empty steps since the last one are counted first, in bulk.
+        The steps without events since the last call are counted first, in bulk.
 
         Args:
             now: The time in microseconds.
-            change: How the number of requests changed: 1, 0 or -1.
-            rejections: 1 for a request that was rejected or given up.
+            change: Change of the number of requests: 1, 0 or -1.
+            rejections: 1 for a request that was rejected or given up, or else 0.
         """
         steps_by_now = (now - self.started_at) // self.step_us
         if steps_by_now > self.steps:
@@ -137,13 +144,13 @@
             self.requests += change
 
     def _count_steps(self, steps: int, change: int, rejections: int) -> None:
-        """Count `steps` equal steps in the current state, and end the episode where they suffice.
+        """Count `steps` equal steps in the current state, and request a new episode if one is due.
 
-        The steps of the ramping phase (algorithm 1) are thrown away. An episode ends once some
-        module has visited a pair in it as often as ever before (18).
+        The steps of the ramping phase (algorithm 1) are discarded. An episode ends once some module
+        has visited a pair as often during the episode as before it (18).
         """
         state = min(self.requests, self.max_requests)
-        if rejections and not change:  # an arrival was rejected; one given up is a departure
+        if rejections and not change:  # a rejected arrival; a request given up is a departure
             pair = 2 * state
         else:
             pair = 2 * state + (self.policy[state] if self.is_binding() else 1)
@@ -164,10 +171,10 @@
                 self.needs_episode = True
 
     def start_episode(self) -> Iterator[None]:
-        """Begin an episode now, under the last policy until the work that is returned is done.
+        """Start an episode; the last policy stays in use until the returned work is done.
 
         Returns:
-            The extended value iteration, one sweep for each item; requests go on between them.
+            The extended value iteration, one sweep per item; requests are handled between sweeps.
         """
         self.needs_episode = False
         self.ramping_steps = self.modules
@@ -178,9 +185,9 @@
     def _extended_value_iteration(self) -> Iterator[None]:
         """Find the best policy of the most optimistic model in the confidence region.
 
-        Extended value iteration (appendix 10, for (12)) on bias differences, since each state
-        leads to its two neighbours alone. It starts from the differences of the last episode, and
-        ends once the gains of all states are nearly the same.
+        This is extended value iteration (appendix 10, for (12)). It works on bias differences,
+        since each state leads only to its two neighbors. It starts from the differences of the last
+        episode, and ends once the gains of all states are nearly equal.
         """
         models, scale = self._optimistic_models()
         differences = self.bias_differences
@@ -195,7 +202,7 @@
         self.policy = policy
 
     def _optimistic_models(self) -> tuple[list[StateModel], float]:
-        """Return the extremes of the confidence region (17) by state, and their time scale."""
+        """Return the extremes of the confidence region (17) of each state, and their time scale."""
         log_steps = math.log(4 * (self.steps + 2))
         models = [self._pair_model(pair, log_steps) for pair in range(2 * (self.max_requests + 1))]
         return uniformize(models)
@@ -203,10 +210,11 @@
     def _pair_model(self, pair: int, log_steps: float) -> PairModel:
         """Return the extremes of the confidence region of one pair.
 
-        The estimates are those (14, 15) of the module that visited the pair most (13). The widths
-        have UCRL2's form (Jaksch et al. 2010) with the constants of the birth-and-death case
-        (Anselmi et al. 2022), scaled by `width_scale` (not from the paper). The reward is the
-        paper's (1) without its constant: the cost of the requests here and of rejections.
+        The estimates (14, 15) are those of the module that visited the pair most often (13). The
+        widths have the form of UCRL2 (Jaksch et al. 2010) with the constants of the birth-and-death
+        case (Anselmi et al. 2022); their factor `width_scale` is an own addition. The reward is
+        (1) of the paper without its constant: the negated cost of the requests in the server and of
+        rejections.
         """
         state = pair // 2
         visits_by_module = [row[pair] for row in self.visits]
@@ -229,7 +237,7 @@
         return reward, most_departures, fewest_arrivals, fewest_departures, most_arrivals
 
     def log_line(self) -> str:
-        """Return the log's line on the threshold, which is the first state that rejects."""
+        """Return a line for the log; its threshold is the first state that rejects."""
         beyond_cores = self.policy[self.cores :]
         threshold = self.max_requests
         if False in beyond_cores:
--- a/gullyoke/admission/load_snapshot.py
+++ b/gullyoke/admission/load_snapshot.py
@@ -1,4 +1,4 @@
-"""How loaded a server is, in figures that others may read."""
+"""The load of a server, in figures that other servers and operators may read."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSnapshot:
-    """The figures of one moment.
+    """The load of a server at one time.
 
     Args:
-        running: Requests on the cores.
-        queued: Requests that wait for the cores.
-        concurrency_limit: How many may be on the cores.
-        rejected_share: Share of the decisions of late that were rejections.
-        pace: Run times over the first guesses at them, in the mean of the classes; 1 where they
-            are as planned. The same guesses are made on all servers.
-        warming_up: Whether the server has not reached its full speed.
+        running: Number of requests on the cores.
+        queued: Number of requests that wait for the cores.
+        concurrency_limit: Largest number of requests that may be on the cores.
+        rejected_share: Share of recent decisions that were rejections.
+        pace: Mean, over all classes, of the run time divided by its first estimate, which is the
+            same on all servers; 1 where run times are as estimated.
+        warming_up: Whether the server has not reached its full speed yet.
         draining: Whether its drain has begun.
     """
 
@@ -30,6 +30,6 @@
 
     @property
     def free_share(self) -> float:
-        """The share of what the server could run that is free, from 0 to 1."""
+        """The share of the concurrency limit that is free, from 0 to 1."""
         wanted = self.running + self.queued
         return max(0.0, 1 - wanted / max(1.0, self.concurrency_limit))
--- a/gullyoke/admission/request_path.py
+++ b/gullyoke/admission/request_path.py
@@ -1,4 +1,4 @@
-"""The path that each request takes through the decisions."""
+"""The path of each request through the admission controller."""
 
 from __future__ import annotations
 
@@ -53,11 +53,11 @@
 
 RequestPath = Generator[Command, RequestEvent, None]
 SubPath = Generator[Command, RequestEvent, RequestEvent]
-"""A part of a path, which returns the event that the path goes on with."""
+"""A part of a path; it returns the event with which the path continues."""
 
 
 class RequestPaths:
-    """Makes the paths of one server's requests; `request_path` is the place to begin to read.
+    """Creates the paths of one server's requests; start reading at `request_path`.
 
     Args:
         state: The server's state.
@@ -68,12 +68,12 @@
         self.arrivals = ArrivalDecisions(state)
 
     def request_path(self, request: Request) -> RequestPath:
-        """Take a request from its reading to its one final answer and its end."""
+        """Lead a request from its arrival to its one final answer and its end."""
         state = self.state
         request_class = request.request_class
-        self._note_quota(request)
+        self._count_against_quota(request)
         if not state.safety.may_run(request, state.now):
-            # A duplicate's first request may have run, so that "not run" could be wrong.
+            # The first request of a duplicate may have run, so a rejection could be wrong.
             yield FAIL if request.duplicate_of else state.feedback.reject(False, leaving=True)
             return
         is_keyed = request_class.idempotency is Idempotency.KEYED
@@ -101,11 +101,11 @@
             yield from self._leave_queue(request, event)
 
     def _run(self, request: Request, cache_ttl: int) -> RequestPath:
-        """Run a request whose turn has come, through its calls to its end.
+        """Run a request, with its dependency calls, to its end.
 
         Args:
             request: The request.
-            cache_ttl: Microseconds for which its answer may serve duplicates once it is there.
+            cache_ttl: Microseconds after the answer for which it may serve duplicates.
         """
         state = self.state
         state.queue.advance_turn(request)
@@ -133,7 +133,7 @@
         """End the path of a request that never ran."""
         state = self.state
         state.move(request, FINISHED, counted=not request.displaced, rejections=1)
-        if key_ttl(request.request_class):  # a later attempt may be the one that runs
+        if key_ttl(request.request_class):  # a later attempt may run instead
             state.safety.key_expiries.pop(request, None)
             yield FORGET_KEY
         if event is not RequestEvent.CLIENT_DISCONNECTED:
@@ -143,7 +143,7 @@
             yield state.feedback.reject(hopeless, backlog=state.queue_time())
 
     def _call_dependency(self, request: Request, event: RequestEvent) -> SubPath:
-        """Wait for a call's turn and make it, or go on without it, or give the run up."""
+        """Wait for capacity and make a call, or continue without the call, or abandon the run."""
         state = self.state
         request_class = request.request_class
         state.move(request, CALLING_DEPENDENCY)
@@ -156,7 +156,7 @@
             return (yield from self._skip_call(request))
         if late and not request_class.late_value_share and is_idempotent:
             return (yield from self._abandon(request, RequestEvent.EVICTED))
-        if event in LOST_CALLS and not is_idempotent:  # the call may have had its effect
+        if event in LOST_CALLS and not is_idempotent:  # the call may have taken effect
             return (yield from self._abandon(request, RequestEvent.DEADLINE_NEAR))
         if not state.dependency.has_capacity(request, state.now) or state.dependency.waiting:
             state.dependency.waiting.append(request)
@@ -169,13 +169,13 @@
         return (yield from self._make_call(request, is_idempotent))
 
     def _skip_call(self, request: Request) -> SubPath:
-        """Let the run go on without its call."""
+        """Resume the run without its call."""
         state = self.state
         state.move(request, RUNNING)
         return (yield SKIP_DEPENDENCY_CALL)
 
     def _make_call(self, request: Request, is_idempotent: bool) -> SubPath:
-        """Make the call; return its end, or that it is needed again."""
+        """Make the call; return the event that ended it, or the one that asks for another call."""
         state = self.state
         started_at = state.now
         timeout = state.dependency.call_timeout(request, state.now)
@@ -184,15 +184,15 @@
         while event in GIVEN_UP:
             event = yield from self._abandon(request, event)
         took = state.now - started_at
-        lost_alone = state.dependency.call_ended(state.now, event, took, timeout)
+        is_isolated_loss = state.dependency.call_ended(state.now, event, took, timeout)
         if event is RequestEvent.CALL_SUCCEEDED:
             state.move(request, RUNNING)
-        if lost_alone and event in LOST_CALLS and is_idempotent:
+        if is_isolated_loss and event in LOST_CALLS and is_idempotent:
             return RequestEvent.DEPENDENCY_CALL_NEEDED
         return event
 
     def _abandon(self, request: Request, event: RequestEvent) -> SubPath:
-        """Answer a run that nobody waits for, if it must be, and cancel it where that is safe."""
+        """Answer the request if that is still due, and cancel its run if that is safe."""
         state = self.state
         if not request.client_disconnected and not request.answered:
             request.answered = True
@@ -202,9 +202,10 @@
         return (yield AWAIT)
 
     def _answer_from_duplicate(self, request: Request) -> RequestPath:
-        """Answer a duplicate, which neither runs nor is rejected, from its first request."""
+        """Answer a duplicate from the first request; a duplicate neither runs nor is rejected."""
         state = self.state
-        # Too late for the next tick, or no memory. Its first request may have run: no rejection.
+        # It is too late, or memory is short. As the first request may have run, this is a failure
+        # and not a rejection.
         if request.deadline <= state.now + TICK_US or not state.safety.has_memory(
             request.memory_kb
         ):
@@ -217,16 +218,16 @@
             yield FAIL
 
     def _end_without_run(self, request: Request, event: RequestEvent) -> RequestPath:
-        """End the path of a request whose run was never begun."""
+        """End the path of a request whose run never began."""
         state = self.state
         if state.safety.key_expiries.pop(request, None):
-            yield FORGET_KEY  # a later attempt may be the one that runs
+            yield FORGET_KEY  # a later attempt may run instead
         has_client = not request.answered and not request.client_disconnected
         if event is RequestEvent.NO_CAPACITY and has_client:
             yield state.feedback.reject(False, backlog=state.queue_time())
 
     def _count_run(self, request: Request, event: RequestEvent) -> None:
-        """Learn from a run that has ended; one that broke off took at least so long."""
+        """Count a run that has ended; the time of one that did not complete is a lower bound."""
         state = self.state
         request_class = request.request_class
         run_time = state.now - request.started_at
@@ -236,8 +237,8 @@
         if completed or run_time > state.queue.run_times[request_class]:
             state.queue.run_finished(request_class, run_time)
 
-    def _note_quota(self, request: Request) -> None:
-        """Note whether the request is over its tenant's quota, by this server's part of it."""
+    def _count_against_quota(self, request: Request) -> None:
+        """Count the request in this server's part of its tenant's quota; mark it if it is over."""
         state = self.state
         tenant = request.tenant
         if tenant is None:
@@ -248,5 +249,5 @@
 
 
 def _has_begun(first: object) -> bool:
-    """Return whether the first request of a duplicate was begun."""
+    """Return whether the run of a duplicate's first request has begun."""
     return first is PAST or (isinstance(first, Request) and first.state in ON_CORES)
--- a/gullyoke/admission/safety_limits.py
+++ b/gullyoke/admission/safety_limits.py
@@ -1,4 +1,4 @@
-"""The rules that hold whatever the rest decides: memory, running requests, the drain."""
+"""Limits that no other decision may exceed: memory, running requests and the drain."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 from gullyoke.admission.timing import TICK_US
 
 USED_MEMORY_SHARE: Final = 0.92
-"""Share of the memory that is used at most."""
+"""Largest share of the memory that is used."""
 USED_OVERLOAD_SHARE: Final = 0.8
-"""Share of the running requests that the server survives that is used (not from the paper)."""
+"""Largest share of the running requests that the server survives that is used."""
 STOP_MARGIN_US: Final = 2 * TICK_US
 """Microseconds before the stop at which all requests are answered."""
 
 
 class SafetyLimits:
-    """Memory in use, the speed of a server that warms up, and the drain.
+    """Checks the limits on memory and running requests, and the rules of warm-up and drain.
 
     Args:
         now: The time in microseconds.
         machine: The server's machine.
-        limits: The figures of the rules.
+        limits: The limits.
     """
 
     def __init__(self, now: int, machine: Machine, limits: Limits) -> None:
         self.machine = machine
         self.limits = limits
         self.started_at = now
-        self.memory_kb = 0.0  # in use, remembered keys apart
+        self.memory_kb = 0.0  # in use, without remembered keys
         self.drain_started_at: int | None = None
         self.stop_at: int | None = None
         self.key_expiries: dict[Request, int] = {}
 
     def speed(self, now: int) -> float:
-        """Return the share of its full speed that the server has at the least."""
+        """Return the share of its full speed that the server has at least."""
         start = self.limits.warmup_capacity if self.machine.needs_warmup else 1.0
         age = now - self.started_at
         return min(1.0, start + (1 - start) * age / max(1, self.limits.warmup_time))
@@ -42,7 +42,7 @@
     def max_on_cores(self, now: int) -> float:
         """Return how many requests may be on the cores, with a margin.
 
-        Those that wait for a dependency call count too: they come back by themselves.
+        Those that wait for a dependency call count too, since they resume without being dispatched.
         """
         return (
             USED_OVERLOAD_SHARE
@@ -51,20 +51,21 @@
         )
 
     def expire_keys(self, now: int) -> None:
-        """Drop the remembered keys whose time is over."""
+        """Drop the remembered keys that have expired."""
         self.key_expiries = {
             request: expiry for request, expiry in self.key_expiries.items() if expiry > now
         }
 
     def has_memory(self, kilobytes: float) -> bool:
-        """Return whether so much more memory may be used."""
+        """Return whether `kilobytes` more memory may be used."""
         used = self.memory_kb + kilobytes + len(self.key_expiries) * self.machine.key_kb
         return used <= USED_MEMORY_SHARE * self.machine.memory_kb
 
     def may_run(self, request: Request, now: int) -> bool:
         """Return whether the drain allows the request to run.
 
-        What arrived after the drain's grace never runs, and near the stop nothing is started.
+        Requests that arrived after the grace period never run, and none starts shortly before the
+        stop.
         """
         in_grace = (
             self.drain_started_at is None
@@ -73,5 +74,5 @@
         return in_grace and not self.is_stopping(now)
 
     def is_stopping(self, now: int) -> bool:
-        """Return whether the stop is so near that all requests are to be answered now."""
+        """Return whether the stop is so near that all requests have to be answered now."""
         return self.stop_at is not None and now >= self.stop_at - STOP_MARGIN_US
--- a/gullyoke/admission/server_state.py
+++ b/gullyoke/admission/server_state.py
@@ -1,4 +1,4 @@
-"""The parts that decide for one server, and the counts of its requests."""
+"""The parts of one server's admission controller, and the counts of its requests."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 from gullyoke.admission.tenant_quotas import TokenBucket
 
 OPEN: Final = (QUEUED, RUNNING, CALLING_DEPENDENCY)
-"""States in which a request is in some table."""
+"""States in which a request is in a table of the controller."""
 COUNTED: Final = (QUEUED, RUNNING)
-"""States whose requests make up the learner's state."""
+"""States whose requests count in the learner's state."""
 
 
 class ServerState:
-    """What the controller and the paths of requests share.
+    """The state that the controller and the request paths share.
 
     Args:
         now: The time in microseconds.
-        executor: What carries the decisions out.
-        facts: What the site states.
+        executor: Carries out the decisions.
+        facts: What the settings of the site state.
         pools: Class pools; None for none.
     """
 
@@ -60,23 +60,24 @@
         )
         self.queue = FairQueue(facts.request_classes, facts.fleet.weighs_by_work, self.dependency)
         self.pools = pools
-        self.learner: Learner | None = None  # made with the first request
+        self.learner: Learner | None = None  # created at the first request
         self.tenant_buckets = {tenant: TokenBucket(now) for tenant in facts.tenants}
-        self.open_requests: dict[Request, None] = {}  # in their order; each leaves at its end
+        # In the order in which they were read; each leaves when its path ends.
+        self.open_requests: dict[Request, None] = {}
         self.running = 0
         self.calling_dependency = 0
 
     def resume(self, request: Request, event: RequestEvent | None) -> None:
-        """Continue a request's path; once it has ended, the request is in no table any more."""
-        waits = False
+        """Resume the path of a request; if the path ends, drop the request from all tables."""
+        suspended = False
         try:
-            waits = self.stepper.step(request, event)
+            suspended = self.stepper.step(request, event)
         finally:
-            if not waits:
+            if not suspended:
                 self._forget(request)
 
     def _forget(self, request: Request) -> None:
-        """Drop a request whose path has ended, or broken: then it is still in some tables."""
+        """Drop a request whose path has ended; after an error it is still in some tables."""
         was_open = self.open_requests.pop(request, request) is None
         if was_open and request.state in OPEN:
             if self.queue.contains(request):
@@ -89,13 +90,13 @@
     def move(
         self, request: Request, state: RequestState, counted: bool = True, rejections: int = 0
     ) -> None:
-        """Move a request into another state, in all counts.
+        """Move a request into another state, and update all counts.
 
         Args:
             request: The request.
             state: Its new state.
-            counted: Whether the learner's state changes with it.
-            rejections: 1 where the move is a rejection.
+            counted: Whether the learner counts the change.
+            rejections: 1 if the request is rejected by the move, or else 0.
         """
         old_state = request.state
         if old_state is state:
@@ -119,17 +120,17 @@
             self.learner.count(self.now, change, rejections)
 
     def _memory_factor(self, state: RequestState | None) -> float:
-        """Return a request's memory in this state over that of a queued one."""
+        """Return a request's memory in this state divided by that of a queued request."""
         if state is RUNNING or state is CALLING_DEPENDENCY:
             return self.machine.running_memory_factor
         return 1.0 if state is QUEUED else 0.0
 
     def queue_time(self) -> float:
-        """Return how many microseconds the cores would take for all that is queued."""
+        """Return how many microseconds the cores would take for all queued requests."""
         return self.queue.backlog() / self.machine.cores
 
     def can_cancel(self, request: Request) -> bool:
-        """Return whether the machine can stop the run, and no effect would be left half made."""
+        """Return whether the run can be stopped, without leaving an effect half done."""
         return (
             self.machine.stop_mode is not StopMode.NEVER
             and request.request_class.idempotency is Idempotency.IDEMPOTENT
--- a/gullyoke/admission/tenant_quotas.py
+++ b/gullyoke/admission/tenant_quotas.py
@@ -1,19 +1,19 @@
-"""Whether a tenant's requests are within its quota."""
+"""Decides whether the requests of a tenant are within its quota."""
 
 from __future__ import annotations
 
 from typing import Final
 
 BURST_US: Final = 2_000_000
-"""A bucket holds the tokens of so many microseconds."""
+"""Microseconds of the quota whose tokens a bucket holds."""
 SMALLEST_BURST: Final = 8.0
-"""Tokens that a bucket holds at least."""
+"""Least number of tokens that a bucket can hold."""
 FULL: Final = 1e9
-"""More tokens than any bucket holds: the first request finds it full."""
+"""More tokens than any bucket can hold, so that a new bucket is full."""
 
 
 class TokenBucket:
-    """One tenant's requests, a token each.
+    """A token bucket of one tenant; each request takes a token.
 
     Args:
         now: The time in microseconds.
@@ -30,7 +30,7 @@
 
         Args:
             now: The time in microseconds.
-            rate: Tokens that come back in a microsecond.
+            rate: Tokens added per microsecond.
 
         Returns:
             Whether the request is within the quota.
--- a/gullyoke/admission/timing.py
+++ b/gullyoke/admission/timing.py
@@ -1,4 +1,4 @@
-"""The time between ticks, and what is expected of a request's times; all in microseconds."""
+"""The time between ticks, and the expected times of requests; all in microseconds."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from gullyoke.admission.interface import Request, RequestClass
 
 TICK_US: Final = 100_000
-"""Microseconds between ticks; one tick is scheduled at a time (not from the paper)."""
+"""Microseconds between ticks; one tick is scheduled at a time."""
 RUN_TIMES_PER_OBJECTIVE: Final = 6
-"""A run is first taken to last the latency objective divided by this (not from the paper)."""
+"""The first estimate of a run time is the latency objective divided by this."""
 
 
 def first_run_time(request_class: RequestClass) -> float:
-    """Return how long a run of the class is taken to last before any has ended."""
+    """Return the estimated run time of a class before any of its runs has ended."""
     return request_class.latency_objective / RUN_TIMES_PER_OBJECTIVE
 
 
 def full_value_deadline(request: Request) -> int:
-    """Return the time by which an answer earns its full value, as far as this server can know.
+    """Return the time until which an answer earns its full value, as far as this server knows.
 
-    The times of earlier attempts are unknown here. The deadline counts too, less a tick: a client
-    that gives an attempt less time than the objective has left before that.
+    The server does not know when earlier attempts began. The deadline minus one tick also limits
+    the time, since a client may allow an attempt less time than the objective.
     """
     request_class = request.request_class
     return min(
--- a/gullyoke/admission/value_iteration.py
+++ b/gullyoke/admission/value_iteration.py
@@ -1,7 +1,7 @@
 """Extended value iteration on a birth-and-death model, one sweep at a time.
 
-Each state leads to itself and its two neighbours alone, so a sweep takes time in proportion to the
-number of states. The paper is cited as in `learner`.
+Each state leads only to itself and its two neighbors, so the time of a sweep is proportional to the
+number of states. `learner` cites the paper.
 """
 
 from __future__ import annotations
@@ -9,31 +9,32 @@
 from typing import Final
 
 UNIFORMIZATION_MARGIN: Final = 0.95
-"""Largest probability that a state is left in one step of the uniformized model."""
+"""Largest probability of leaving a state in one step of the uniformized model."""
 SMALLEST_RATE: Final = 1e-9
 
 PairModel = tuple[float, float, float, float, float]
 """The extremes that the confidence region of a pair allows, per time step.
 
-In this order: the largest reward (the negated cost, 0 at most), the largest probability of a
-departure, the smallest of an arrival together with it, the smallest probability of a departure, and
-the largest of an arrival. The most optimistic model of a pair is emptying, with the second and
-third, or filling, with the last two. A plain tuple, since sweeps unpack them often.
+They are, in order: the largest reward (the negated cost, at most 0); the largest probability of a
+departure, and the smallest one of an arrival that goes with it; the smallest probability of a
+departure that goes with the last one, the largest probability of an arrival. The most optimistic
+model of a pair either empties the server (the first two probabilities) or fills it (the last two).
+The type is a plain tuple because sweeps unpack it often.
 """
 StateModel = tuple[PairModel, PairModel]
-"""The models of the pairs of one state: rejecting, admitting."""
+"""The models of the two pairs of one state: rejecting, then admitting."""
 
 
 def uniformize(models: list[PairModel]) -> tuple[list[StateModel], float]:
-    """Scale the time step of a model to its own largest rate.
+    """Scale the time step of a model to the model's largest rate.
 
-    The best policy and the bias stay as they are, and are found in fewer sweeps.
+    The best policy and the bias stay the same, but take fewer sweeps to find.
 
     Args:
-        models: The extremes by pair: each state's rejecting pair, then its admitting one.
+        models: The extremes of the pairs: for each state the rejecting pair, then the admitting.
 
     Returns:
-        The scaled extremes by state, and the scale.
+        The scaled extremes of each state, and the scale.
     """
     largest_rate = SMALLEST_RATE
     for _, most_departures, fewest_arrivals, fewest_departures, most_arrivals in models:
@@ -54,15 +55,16 @@
     """Apply the optimality operator of the extended MDP once.
 
     Args:
-        models: The extremes that the confidence region allows, by state.
-        differences: The differences of the bias between state s + 1 and state s, by s.
+        models: The extremes of the confidence region, by state.
+        differences: For each state s, the bias of state s + 1 minus that of state s.
 
     Returns:
-        By state, the gain of the better action, and whether that is admitting. Admitting wins ties.
+        For each state, the gain of the better action, and whether that action is to admit, which
+        wins ties.
     """
     gains: list[float] = []
     policy: list[bool] = []
-    to_emptier = 0.0  # the bias difference between this state and the emptier one
+    to_emptier = 0.0  # the bias of this state minus that of the state with one request less
     for (
         (reject_reward, reject_out, reject_in, reject_few_out, reject_many_in),
         (admit_reward, admit_out, admit_in, admit_few_out, admit_many_in),
