--- a/gullyoke/settings/__init__.py
+++ b/gullyoke/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The settings of a site: typed reading of their texts, and the facts that they state."""
+"""The settings of a site: typed reading of their texts, and the site facts parsed from them."""
--- a/gullyoke/settings/reader.py
+++ b/gullyoke/settings/reader.py
@@ -1,7 +1,7 @@
 """Typed reading of settings, which are pairs of a dotted path and a text.
 
-The simulator's wire carries that form; `flatten_settings` gives it to the JSON of the daemon's
-file.
+The simulator sends settings in this form; `flatten_settings` converts the JSON of the daemon's
+configuration file to it.
 """
 
 from __future__ import annotations
@@ -19,31 +19,31 @@
 
 
 class SettingsReader:
-    """Reads settings below one path; each error names the whole path of the setting.
+    """Reads the settings below one path; each error names the full path of the setting.
 
     A setting without a default is required. The defaults of `choice`, `boolean` and `text` are
-    texts, as the setting itself would be.
+    given as the text of a setting.
     """
 
     def __init__(self, pairs: Mapping[str, str], prefix: str = "") -> None:
         """Create a reader.
 
         Args:
-            pairs: all settings, each text by its dotted path.
-            prefix: what stands before each key, with its dot.
+            pairs: the texts of all settings, by dotted path.
+            prefix: the path before each key, with a trailing dot.
         """
         self.pairs = pairs
         self.prefix = prefix
 
     def section(self, path: str) -> SettingsReader:
-        """Return a reader of the settings below a path."""
+        """Return a reader of the settings below `path`."""
         return SettingsReader(self.pairs, f"{self.prefix}{path}.")
 
     def text(self, key: str, default: str | None = None) -> str:
         """Return the text of a setting.
 
         Raises:
-            ConfigurationError: it is missing and there is no default.
+            ConfigurationError: the setting is missing and there is no default.
         """
         value = self.pairs.get(self.prefix + key, default)
         if value is None:
@@ -54,7 +54,7 @@
         """Return a finite number of `minimum` or more.
 
         Raises:
-            ConfigurationError: it is no such number, or missing without a default.
+            ConfigurationError: the text is not such a number, or is missing without a default.
         """
         if default is not None and not self._has(key):
             return default
@@ -66,10 +66,10 @@
         )
 
     def optional_number(self, key: str) -> float | None:
-        """Return a number of 0 or more; None where the setting is absent.
+        """Return a number of 0 or more, or None if the setting is absent.
 
         Raises:
-            ConfigurationError: it is no such number.
+            ConfigurationError: the text is not such a number.
         """
         return self.number(key) if self._has(key) else None
 
@@ -77,7 +77,7 @@
         """Return a whole number of `minimum` or more.
 
         Raises:
-            ConfigurationError: it is no such number, or missing without a default.
+            ConfigurationError: the text is not such a number, or is missing without a default.
         """
         if default is not None and not self._has(key):
             return default
@@ -92,30 +92,30 @@
         """Return whether a setting is on.
 
         Raises:
-            ConfigurationError: it is none of `BOOLEANS`, or missing without a default.
+            ConfigurationError: the text is not in `BOOLEANS`, or is missing without a default.
         """
         return self.choice(key, BOOLEANS, default)
 
     def choice(self, key: str, values: Mapping[str, Value], default: str | None = None) -> Value:
-        """Return what the text of a setting stands for.
+        """Return the value of `values` that the text of a setting selects.
 
         Raises:
-            ConfigurationError: it is none of the texts, or missing without a default.
+            ConfigurationError: the text is not in `values`, or is missing without a default.
         """
         expected = "one of " + ", ".join(values)
         return self._convert(key, self.text(key, default), values.__getitem__, expected)
 
     def list_of(self, key: str, convert: Callable[[str], Value]) -> list[Value]:
-        """Return the values of a list, separated by commas; none where the setting is absent.
+        """Return the values of a comma-separated list, or an empty list if the setting is absent.
 
         Raises:
-            ConfigurationError: a value can't be converted.
+            ConfigurationError: `convert` does not accept a value.
         """
         return self._convert(
             key,
             self.text(key, ""),
             lambda text: [convert(value) for value in text.split(",")] if text else [],
-            "a list of such values",
+            "a comma-separated list of valid values",
         )
 
     def _has(self, key: str) -> bool:
@@ -133,10 +133,10 @@
 
 
 def flatten_settings(value: object, path: str = "") -> dict[str, str]:
-    """Turn nested JSON into pairs of a dotted path and a text.
+    """Convert nested JSON to pairs of a dotted path and a text.
 
-    The values of a plain list are joined by commas. The members of a list of objects have their
-    index as a key, and `count` says how many they are. What is null is left out.
+    The values of a plain list are joined by commas. The items of a list of objects or lists have
+    their index as a key, and the key `count` holds their number. Null values are left out.
     """
     if value is None:
         return {}
@@ -166,7 +166,7 @@
 
 
 def _whole(text: str) -> int:
-    """Return a whole number, which may be written as 3.0 or 1e6."""
+    """Parse a whole number, which may be written as 3.0 or 1e6."""
     try:
         return int(text)
     except ValueError:
--- a/gullyoke/settings/site_settings.py
+++ b/gullyoke/settings/site_settings.py
@@ -1,7 +1,7 @@
-"""The facts of a site, read from its settings.
+"""Parsing of the facts of a site from its settings.
 
-Settings that are not known are ignored. One that is absent has the meaning that the protocol of the
-platform gives to its absence; one that is invalid raises an error with its path.
+Unknown settings are ignored. An absent setting has the default that the protocol of the platform
+defines; an invalid one raises an error that names its path.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
     "discard": StopMode.DISCARD,
     "freeze": StopMode.FREEZE,
 }
-#: Whether there is a dependency, by `DependsOn`.
+#: Whether there is a dependency, for each value of `DependsOn`.
 DEPENDENCY: Final = {"off": False, "one_for_all": True, "tier": True}
-#: All servers share one dependency and its quota of calls.
+#: The value of `DependsOn` if all servers share one dependency and its quota of calls.
 SHARED_DEPENDENCY: Final = "one_for_all"
 LOAD_SIGNALS: Final = {
     "off": None,
@@ -43,15 +43,15 @@
     "allowance": "allowance",
     "weight": "weight",
 }
-#: Whether value is counted for each unit of work, by `WorthBy`.
+#: Whether value is counted for each unit of work, for each value of `WorthBy`.
 WEIGHS_BY_WORK: Final = {"request": False, "work": True}
 
 
 def parse_site_facts(pairs: Mapping[str, str]) -> SiteFacts:
-    """Read the facts of a site.
+    """Parse the facts of a site.
 
     Args:
-        pairs: the settings, each text by its dotted path.
+        pairs: the texts of the settings, by dotted path.
 
     Raises:
         ConfigurationError: a setting is missing or invalid.
@@ -70,7 +70,7 @@
 
 
 def _request_classes(site: SettingsReader, family: SettingsReader) -> list[RequestClass]:
-    """Two settings list a value for each class; a list that is too short means the default."""
+    """Return the classes; two settings list values by class, with defaults past the list's end."""
     calls_dependency = family.list_of("CallsByClass", BOOLEANS.__getitem__)
     degraded_value_share = family.list_of("ClassSkipWorth", float)
     classes = []
@@ -97,7 +97,7 @@
         priority_weight=profile.number("Importance"),
         idempotency=idempotency,
         late_value_share=profile.number("LateWorth", 0.0),
-        # Without the time for which a key is remembered, no duplicate would be recognised.
+        # A keyed class needs the setting: without it no duplicate would be recognized.
         key_ttl=profile.whole_number("KeyTtlUs", minimum=1)
         if keyed
         else profile.whole_number("KeyTtlUs", 0),
--- a/gullyoke/simulator_adapter/__init__.py
+++ b/gullyoke/simulator_adapter/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter to the simulator: its wire on one side, the decisions' commands on the other.
+"""Adapts the simulator's wire protocol to the events and commands of the admission controller.
 
-The wire's names stand in this package alone.
+Only this package contains names of the wire protocol.
 """
--- a/gullyoke/simulator_adapter/__main__.py
+++ b/gullyoke/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Run the decisions on the simulator's wire, from standard input to standard output."""
+"""Run admission controllers for the simulator, over standard input and standard output."""
 
 import sys
 
--- a/gullyoke/simulator_adapter/batches.py
+++ b/gullyoke/simulator_adapter/batches.py
@@ -1,4 +1,4 @@
-"""Batches of messages read, and replies written."""
+"""Reading batches of messages, and writing the replies."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 class BatchReader:
-    """Reads lines; holds all servers of one adapter process.
+    """Reads batches line by line, and holds all simulated servers of the process.
 
-    A batch is a `frame` line, messages grouped by `on` lines that name their server, and `eob`.
+    A batch is a `frame` line, messages after `on` lines that name their server, and an `eob` line.
     """
 
     def __init__(self) -> None:
         self.servers: dict[str, SimulatedServer] = {}
-        self.servers_in_batch: dict[str, None] = {}  # in their order
+        self.servers_in_batch: dict[str, None] = {}  # in the order of their first messages
         self.now = -1
         self.sequence_number = -1
         self.in_batch = False
-        self.server_name = ""  # whose messages the next lines are
+        self.server_name = ""  # the server to which the next messages go
 
     def read_line(self, text: str) -> list[str] | None:
-        """Take one line.
+        """Process one line.
 
         Returns:
-            The reply's lines at a batch's end, and else None.
+            The lines of the reply if the line ends a batch, or else None.
 
         Raises:
             ValueError: If the line is malformed or out of order.
-            KeyError: If it lacks a field, or names what is unknown.
+            KeyError: If the line lacks a field, or contains an unknown name.
         """
         parts = text.split(" ")
         name = parts[0]
@@ -47,18 +47,18 @@
         if name == "on":
             self.server_name = fields["Who"]
             if not self.server_name:
-                raise ValueError("no instance named")
+                raise ValueError("'on' with an empty server name")
         elif not self.server_name:
             raise ValueError(f"'{name}' before any 'on'")
         else:
-            self._take_message(name, fields)
+            self._deliver_message(name, fields)
         return None
 
     def _begin_batch(self, fields: Fields) -> None:
         now = int(fields["TimeUs"])
         sequence_number = int(fields["seq"])
         if self.in_batch:
-            raise ValueError("a batch inside a batch")
+            raise ValueError("'frame' inside a batch")
         if sequence_number <= self.sequence_number or now < self.now:
             raise ValueError(
                 f"batch {sequence_number} at {now} out of order after "
@@ -69,10 +69,10 @@
         self.in_batch = True
         self.server_name = ""
 
-    def _take_message(self, name: str, fields: Fields) -> None:
-        """Take a message to the server that was named last."""
+    def _deliver_message(self, name: str, fields: Fields) -> None:
+        """Deliver a message to the server that the last `on` line named."""
         if name == "configure":
-            int(fields["Entropy"])  # unused: the decisions draw no random numbers
+            int(fields["Entropy"])  # checked only: the controller draws no random numbers
             server = SimulatedServer(self.now, parse_site_facts(fields))
             self.servers[self.server_name] = server
             self.servers_in_batch[self.server_name] = None
@@ -81,7 +81,7 @@
             self.servers_in_batch.pop(self.server_name, None)
         elif name in HANDLERS:
             if self.server_name not in self.servers:
-                raise ValueError(f"'{name}' for '{self.server_name}', which has not started")
+                raise ValueError(f"'{name}' for '{self.server_name}', which was not configured")
             self.servers_in_batch[self.server_name] = None
             HANDLERS[name](self.servers[self.server_name], self.now, fields)
         else:
@@ -101,14 +101,14 @@
 
 
 def answer_batches(source: Iterable[bytes], sink: TextIO) -> None:
-    """Answer batch after batch until the input ends.
+    """Answer batches until the input ends.
 
     Args:
-        source: Lines of the wire.
-        sink: Where the replies go; flushed after each.
+        source: The lines of the batches.
+        sink: Receives the replies, and is flushed after each.
 
     Raises:
-        MalformedMessageError: If what is read is not the wire.
+        MalformedMessageError: If the input does not follow the wire protocol.
     """
     reader = BatchReader()
     for number, raw_line in enumerate(source, 1):
@@ -116,7 +116,9 @@
             text = raw_line.decode("utf-8").rstrip("\r\n")
             reply = reader.read_line(text) if text else None
         except KeyError as error:
-            raise MalformedMessageError(f"line {number}: missing or unknown {error}") from None
+            raise MalformedMessageError(
+                f"line {number}: missing field or unknown name {error}"
+            ) from None
         except ValueError as error:
             raise MalformedMessageError(f"line {number}: {error}") from None
         if reply is not None:
--- a/gullyoke/simulator_adapter/wire.py
+++ b/gullyoke/simulator_adapter/wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: lines of `name field=value ...`, parsed and written."""
+"""Parsing and formatting of the simulator's wire protocol: lines of `name field=value ...`."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from gullyoke.errors import GullyokeError
 
 Fields = dict[str, str]
-"""The fields of a message by their names, as they stand on the wire."""
+"""The texts of a message's fields, by the names of the fields on the wire."""
 
 RUN_RESULTS: Final = {
     "200": RequestEvent.COMPLETED,
@@ -52,7 +52,7 @@
 
 
 class MalformedMessageError(GullyokeError):
-    """What was read is not the wire; the text names the line."""
+    """The input does not follow the wire protocol; the message names the line."""
 
 
 def parse_fields(parts: list[str]) -> Fields:
@@ -71,7 +71,7 @@
 
 
 def parse_gauges(text: str) -> Gauges:
-    """Parse `name:value,...`; a gauge that is absent is None, and unknown ones are ignored.
+    """Parse `name:value,...`; absent gauges are None, and unknown ones are ignored.
 
     Raises:
         ValueError: If a part is not `name:number`.
@@ -86,7 +86,7 @@
 
 
 def format_command(request_id: str, command: Command) -> str | None:
-    """Return the line for a command; None for one that asks nothing of the simulator."""
+    """Return the line for a command, or None if the simulator need not carry it out."""
     if isinstance(command, Reject):
         text = f"bounce Tid={request_id}"
         if command.stop_retrying:
@@ -103,7 +103,7 @@
 
 
 def format_internal_error(error: Exception) -> str:
-    """Return the line that reports an error in the decisions, with the place it came from."""
+    """Return the line that reports an error in the controller, and where it was raised."""
     place = traceback.extract_tb(error.__traceback__)[-1]
     message = " ".join(str(error).split())
     return f"bug Words={type(error).__name__}: {message} in {place.name}, line {place.lineno}"
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: recorded batches of three servers get the recorded replies."""
+"""The simulator's wire protocol: recorded batches for three servers get the recorded replies."""
 
 import io
 import itertools
@@ -56,7 +56,7 @@
 
 
 def replies_to(batches):
-    """The reply lines, one list for each batch."""
+    """Return the reply lines, one list for each batch."""
     sink = io.StringIO()
     answer_batches(io.BytesIO(batches), sink)
     return by_batch(sink.getvalue())
@@ -78,13 +78,13 @@
         self.assertEqual(first_words(REPLIES) - {"source", "eor"}, ACTIONS)
 
     def test_replies(self):
-        """The first batch whose reply differs is shown."""
+        """Each batch gets the recorded reply; a failure shows the first reply that differs."""
         recorded, found = by_batch(REPLIES), replies_to(BATCHES)
         for expected, lines in itertools.zip_longest(recorded, found):
             self.assertEqual(lines, expected)
 
     def test_command(self):
-        """The command that the simulator starts gives the same output."""
+        """The command that the simulator starts writes the recorded replies."""
         run = subprocess.run(
             [sys.executable, "-m", "gullyoke.simulator_adapter"],
             input=BATCHES,
@@ -97,7 +97,7 @@
         self.assertEqual(run.stderr, b"")
 
     def test_arrival_fields(self):
-        """Each field of an arrival, and what stands where it is absent."""
+        """Each field of an arrival sets its attribute, and an absent one leaves the default."""
         reader = BatchReader()
         for line in (
             "frame TimeUs=1000000 seq=1",
@@ -167,22 +167,22 @@
             self.assertIs(reader.servers["server_0"].requests[f"{request_id:016x}"].is_retry, value)
 
     def test_gauges(self):
-        """The server's own gauges by their names; one that is not told is None."""
+        """Gauges are read by their names; an absent one is None."""
         reader = BatchReader()
         for line in ("frame TimeUs=1000000 seq=1", "on Who=server_0", CONFIGURE):
             reader.read_line(line)
-        server = reader.servers["server_0"].controller = mock.MagicMock()
+        controller = reader.servers["server_0"].controller = mock.MagicMock()
         for text, gauges in (
             ("core_use:0.62,on_cores:3,heap_share:0.41,links:120", Gauges(0.62, 3.0, 120.0)),
             ("links:7", Gauges(None, None, 7.0)),
         ):
             reader.read_line(f"fired Token=1 Telemetry={text}")
-            server.on_tick.assert_called_with(1_000_000, gauges)
+            controller.on_tick.assert_called_with(1_000_000, gauges)
 
     def test_empty_batch(self):
         self.assertEqual(replies_to(b"frame TimeUs=5 seq=1\neob\n"), [["eor seq=1"]])
 
-    def test_broken_lines_are_refused(self):
+    def test_malformed_lines_are_refused(self):
         for text in (
             b"eob\n",
             b"frame TimeUs=5 seq=1\n",
