--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -130,7 +130,7 @@
     )
     began = time.perf_counter()
     for now in range(n):
-        mean.has_free_slot(now, 0)
+        mean.request_slot(now, 0)
         mean.secured_until(now)
         mean.call_started()
         mean.call_ended(now, False, True)
--- a/gullyoke/admission/controller.py
+++ b/gullyoke/admission/controller.py
@@ -131,7 +131,7 @@
             state.learner.count(now)
             self.executor.run_in_background(state.learner.start_episode())
         dependency = self.dependency
-        while dependency.waiting and dependency.has_capacity(
+        while dependency.waiting and dependency.request_capacity(
             request := dependency.next_request(), now
         ):
             state.resume(request, RequestEvent.ADMITTED)
--- a/gullyoke/admission/dependency_limiter.py
+++ b/gullyoke/admission/dependency_limiter.py
@@ -114,7 +114,7 @@
             )
         return max(1, int(longest))
 
-    def has_capacity(self, request: Request, now: int) -> bool:
+    def request_capacity(self, request: Request, now: int) -> bool:
         """Request capacity for one more call, and return whether the call may be made now.
 
         The request for a slot may be recorded as demand. A call that is allowed stays within the
@@ -122,7 +122,7 @@
         """
         if now < self.paused_until or self.in_flight >= self.concurrency_limit:
             return False
-        if not self.slots.has_free_slot(now, len(self.waiting)):
+        if not self.slots.request_slot(now, len(self.waiting)):
             return False
         return self.call_timeout(request, now) + self.linger <= self.remaining_call_time(now)
 
@@ -139,7 +139,7 @@
         The concurrency limit is lowered while calls take far longer than usual, since an overloaded
         dependency completes less.
         """
-        self.quota = self.slots.mean_limit(
+        self.quota = self.slots.update_mean_limit(
             now, self.quota, self.used_call_time + self.reserved_call_time
         )
         self.budget = self._window_budget()
--- a/gullyoke/admission/interface/fleet_feedback.py
+++ b/gullyoke/admission/interface/fleet_feedback.py
@@ -16,7 +16,9 @@
 class DependencySlots(Protocol):
     """This server's part of the dependency calls that all servers share."""
 
-    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
+    def update_mean_limit(
+        self, now: int, stated: float | None, used_call_time: float
+    ) -> float | None:
         """Report the call time used so far, and return the mean number of calls allowed in flight.
 
         Implementations may record the demand that the call time shows.
@@ -30,7 +32,7 @@
             The new limit; None if the mean is not limited.
         """
 
-    def has_free_slot(self, now: int, waiting: int) -> bool:
+    def request_slot(self, now: int, waiting: int) -> bool:
         """Request a slot for one more call, and return whether the call may be made now.
 
         Implementations may record the demand and count a refusal; `call_started` takes the slot.
@@ -80,11 +82,13 @@
 class UnsharedSlots:
     """No slots are shared: the calls of other servers do not count."""
 
-    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
+    def update_mean_limit(
+        self, now: int, stated: float | None, used_call_time: float
+    ) -> float | None:
         """Return the stated limit."""
         return stated
 
-    def has_free_slot(self, now: int, waiting: int) -> bool:
+    def request_slot(self, now: int, waiting: int) -> bool:
         """Return True: a slot is always free."""
         return True
 
--- a/gullyoke/admission/request_path.py
+++ b/gullyoke/admission/request_path.py
@@ -158,7 +158,7 @@
             return (yield from self._abandon(request, RequestEvent.EVICTED))
         if event in LOST_CALLS and not is_idempotent:  # the call may have taken effect
             return (yield from self._abandon(request, RequestEvent.DEADLINE_NEAR))
-        if not state.dependency.has_capacity(request, state.now) or state.dependency.waiting:
+        if not state.dependency.request_capacity(request, state.now) or state.dependency.waiting:
             state.dependency.waiting.append(request)
             event = yield AWAIT
             state.dependency.waiting.remove(request)
--- a/gullyoke/coordination/limit_parts.py
+++ b/gullyoke/coordination/limit_parts.py
@@ -112,11 +112,13 @@
             self._lost_until_us.popleft()
         return self.out + len(self._lost_until_us)
 
-    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
+    def update_mean_limit(
+        self, now: int, stated: float | None, used_call_time: float
+    ) -> float | None:
         """Return None: no mean is limited."""
         return None
 
-    def has_free_slot(self, now: int, waiting: int) -> bool:
+    def request_slot(self, now: int, waiting: int) -> bool:
         """Tell whether a call may start now; `waiting` more would like to."""
         used = self.used(now)
         self.peak.record(now, used + waiting + 1)
@@ -157,7 +159,9 @@
         """Return how many tokens the call time of the last window comes to."""
         return math.ceil(self._spent_us * TOKENS_PER_CALL / (USED_SHARE * self.window_us))
 
-    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
+    def update_mean_limit(
+        self, now: int, stated: float | None, used_call_time: float
+    ) -> float | None:
         """Return the mean that is sure for a call's time.
 
         `used_call_time` is the call time of the last window, in microseconds.
@@ -177,7 +181,7 @@
             if lease.tokens and lease.until_us > call_end_us
         ]
 
-    def has_free_slot(self, now: int, waiting: int) -> bool:
+    def request_slot(self, now: int, waiting: int) -> bool:
         """Return True: the mean limits the calls.
 
         While calls wait, twice the tokens in force are wanted, and those of one call at the least.
--- a/gullyoke/emulator/shares.py
+++ b/gullyoke/emulator/shares.py
@@ -72,7 +72,7 @@
         The dependency keeps that time as well: it is told of it, and a process that stands still
         can't give anything up.
         """
-        while len(self.out) < self.calls and self.own.has_free_slot(
+        while len(self.out) < self.calls and self.own.request_slot(
             self.now(), self.calls - len(self.out) - 1
         ):
             now, call = self.now(), Call(self)
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -79,11 +79,13 @@
         self.slots, self.probe, self.holding = slots, probe, holding
         self.lock = threading.Lock()
 
-    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
-        return self.slots.mean_limit(now, stated, used_call_time)
+    def update_mean_limit(
+        self, now: int, stated: float | None, used_call_time: float
+    ) -> float | None:
+        return self.slots.update_mean_limit(now, stated, used_call_time)
 
-    def has_free_slot(self, now: int, waiting: int) -> bool:
-        if not self.slots.has_free_slot(now, waiting):
+    def request_slot(self, now: int, waiting: int) -> bool:
+        if not self.slots.request_slot(now, waiting):
             return False
         if not self.probe.dead and self.probe.opened is None:
             return True  # the ordinary case costs no lock
--- a/gullyoke/peer_transport/quota_service.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -128,15 +128,17 @@
 class SharedSlots(SharedLimit[ConcurrencyPart | MeanConcurrencyPart]):
     """A limit on calls; the `DependencySlots` of the decisions."""
 
-    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
+    def update_mean_limit(
+        self, now: int, stated: float | None, used_call_time: float
+    ) -> float | None:
         """Return the mean number of calls that may be in flight; None where no mean is limited."""
         with self.lock:
-            return self.own.mean_limit(now, stated, used_call_time)
+            return self.own.update_mean_limit(now, stated, used_call_time)
 
-    def has_free_slot(self, now: int, waiting: int) -> bool:
+    def request_slot(self, now: int, waiting: int) -> bool:
         """Tell whether a call may start now; `waiting` more would like to."""
         with self.lock:
-            return self.own.has_free_slot(now, waiting)
+            return self.own.request_slot(now, waiting)
 
     def secured_until(self, now: int) -> float:
         """Return when the next call has to be over, its linger included."""
--- a/tests/coordination/test_wire.py
+++ b/tests/coordination/test_wire.py
@@ -101,9 +101,7 @@
 
         def wants(part, count):
             """As many go out as are free, up to so many."""
-            while part.own.out < count and part.has_free_slot(
-                clock.now(), count - part.own.out - 1
-            ):
+            while part.own.out < count and part.request_slot(clock.now(), count - part.own.out - 1):
                 part.call_started()
             return part.own.out
 
