--- a/gullyoke/admission/interface/facts.py
+++ b/gullyoke/admission/interface/facts.py
@@ -78,13 +78,13 @@
     Args:
         name: The tenant's name.
         quota: Requests per second, over all servers, up to which the tenant is within its quota.
-        leased_quota: Called with the time for each request of the tenant; returns the part of the
-            quota that this server holds now, in requests per second, or None if that is unknown.
+        count_request: Counts a request of the tenant that arrives at the given time; returns the
+            part of the quota that this server holds, in requests per second, or None if unknown.
     """
 
     name: str
     quota: float
-    leased_quota: Callable[[int], float | None] = _no_lease
+    count_request: Callable[[int], float | None] = _no_lease
 
 
 @dataclass(slots=True)
--- a/gullyoke/admission/request_path.py
+++ b/gullyoke/admission/request_path.py
@@ -243,7 +243,7 @@
         tenant = request.tenant
         if tenant is None:
             return
-        rate = tenant.leased_quota(state.now) or tenant.quota / max(1, state.fleet.size)
+        rate = tenant.count_request(state.now) or tenant.quota / max(1, state.fleet.size)
         within_quota = state.tenant_buckets[tenant].take(state.now, rate / 1e6)
         request.over_quota = not within_quota
 
--- a/gullyoke/coordination/tenant_quotas.py
+++ b/gullyoke/coordination/tenant_quotas.py
@@ -80,7 +80,7 @@
         arriving = self.arrivals.per_second(now)
         return -int(-growth * arriving * self.total_tokens // self.rate)
 
-    def leased_quota(self, now: int) -> float:
+    def count_request(self, now: int) -> float:
         """Count a request and return this server's part of the quota, in requests a second."""
         self.arrivals.record(now)
         return self.rate_in_force(now)
--- a/gullyoke/emulator/quotas.py
+++ b/gullyoke/emulator/quotas.py
@@ -69,7 +69,7 @@
     def ask(process: Process, until: int) -> None:
         if play.now >= until:
             return
-        rate = process.quota.leased_quota(process.now()) if lent else quota / servers
+        rate = process.quota.count_request(process.now()) if lent else quota / servers
         counts[0] += 1
         counts[1] += buckets[process.key].within(play.now, rate)
         play.after(
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -137,7 +137,7 @@
         for tenant in largest[: tenant_quotas.MAX_LEASED_TENANTS]:
             limit = self._share_quota(tenant)
             self.quotas[tenant.name] = limit
-            tenant.leased_quota = limit.leased_quota
+            tenant.count_request = limit.count_request
         self.fleet.link.topics[QUOTAS] = TenantQuotaService(self.quotas.values())
         self.fleet.link.status_sections["quotas"] = self._quota_status
 
--- a/gullyoke/peer_transport/quota_service.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -164,10 +164,10 @@
 class SharedQuota(SharedLimit[TenantQuotaPart]):
     """A tenant's quota of the whole fleet."""
 
-    def leased_quota(self, now: int) -> float:
+    def count_request(self, now: int) -> float:
         """Count a request and return this server's part of the quota, in requests a second."""
         with self.lock:
-            return self.own.leased_quota(now)
+            return self.own.count_request(now)
 
 
 class TenantQuotaService:
--- a/tests/coordination/test_quotas.py
+++ b/tests/coordination/test_quotas.py
@@ -54,7 +54,7 @@
         self.assertEqual(rate.per_second(SECOND + 3 * BIN_US), 0.0)
 
     def test_not_lent(self):
-        self.assertIsNone(Tenant("c", 5.0).leased_quota(0))
+        self.assertIsNone(Tenant("c", 5.0).count_request(0))
 
     def test_on_sockets(self):
         """Three servers, two customers.
@@ -89,7 +89,7 @@
         until, part = time.monotonic() + PATIENCE, 0.0
         while part < 240:
             self.assertLess(time.monotonic(), until, part)
-            part = big.leased_quota(clock.now())
+            part = big.count_request(clock.now())
             time.sleep(0.004)
         self.assertEqual(small.own.rate_in_force(clock.now()), 25.0)
         self.assertEqual(topics[0].handle(0, None, encode((1, 0, []))), ())
