--- a/gullyoke/admission/arrivals.py
+++ b/gullyoke/admission/arrivals.py
@@ -116,7 +116,7 @@
         """
         state = self.state
         assert state.learner is not None
-        if state.learner.admits(reserved):
+        if state.learner.decide_arrival(reserved):
             state.move(request, QUEUED)
             return None
         self._count_rejection()
--- a/gullyoke/admission/controller.py
+++ b/gullyoke/admission/controller.py
@@ -145,7 +145,7 @@
             queued=self.queue.size,
             concurrency_limit=self.concurrency.limit,
             rejected_share=state.feedback.rejected_share,
-            pace=self.queue.pace(),
+            run_time_ratio=self.queue.run_time_ratio(),
             warming_up=self.safety.speed(now) < 1,
             draining=self.safety.drain_started_at is not None,
         )
--- a/gullyoke/admission/fair_queue.py
+++ b/gullyoke/admission/fair_queue.py
@@ -56,7 +56,7 @@
         self.virtual_time = 0.0
         self.start_tags = dict.fromkeys(request_classes, 0.0)
 
-    def turn_cost(self, request_class: RequestClass) -> float:
+    def tag_increment(self, request_class: RequestClass) -> float:
         """Return by how much one run advances its class's start tag."""
         work = self.run_times[request_class] if self.weighs_by_work else 1.0
         return work / max(request_class.priority_weight, SMALLEST_WEIGHT)
@@ -66,7 +66,7 @@
         mean = self.run_times[request_class]
         self.run_times[request_class] = mean + (run_time - mean) / RUN_TIME_SMOOTHING
 
-    def pace(self) -> float:
+    def run_time_ratio(self) -> float:
         """Return the mean, over all classes, of the run time divided by its first estimate."""
         ratios = [mean / first_run_time(each) for each, mean in self.run_times.items()]
         return sum(ratios) / max(1, len(ratios))
@@ -98,11 +98,11 @@
                 return self.queues[first][over_quota][0]
         return None
 
-    def advance_turn(self, request: Request) -> None:
+    def advance_virtual_time(self, request: Request) -> None:
         """Advance the virtual time, and the start tag of the class, by a request that now runs."""
         request_class = request.request_class
         self.virtual_time = self.start_tags[request_class]
-        self.start_tags[request_class] += self.turn_cost(request_class)
+        self.start_tags[request_class] += self.tag_increment(request_class)
 
     def choose_victim(self, now: int, newcomer: Request) -> Request:
         """Return the request to give up so that another one fits.
@@ -121,7 +121,7 @@
                 return youngest
         lengths = self._weighted_lengths(WITHIN_QUOTA)
         own_class = newcomer.request_class
-        lengths[own_class] = lengths.get(own_class, 0.0) + self.turn_cost(own_class)
+        lengths[own_class] = lengths.get(own_class, 0.0) + self.tag_increment(own_class)
         for request_class in sorted(lengths, key=lengths.__getitem__, reverse=True):
             if request_class is own_class:
                 return newcomer
@@ -133,7 +133,7 @@
     def _weighted_lengths(self, over_quota: bool) -> dict[RequestClass, float]:
         """Return the lengths of the queues that aren't empty, each times its tag increment."""
         return {
-            request_class: len(queue[over_quota]) * self.turn_cost(request_class)
+            request_class: len(queue[over_quota]) * self.tag_increment(request_class)
             for request_class, queue in self.queues.items()
             if queue[over_quota]
         }
@@ -158,10 +158,10 @@
         newcomer_tag = math.inf
         if request_class is not None:
             within_quota, over_quota = self.queues[request_class]
-            newcomer_tag = (len(within_quota) + len(over_quota)) * self.turn_cost(request_class)
+            newcomer_tag = (len(within_quota) + len(over_quota)) * self.tag_increment(request_class)
         return sum(
             self.run_times[each]
-            * min(len(within_quota) + len(over_quota), newcomer_tag / self.turn_cost(each))
+            * min(len(within_quota) + len(over_quota), newcomer_tag / self.tag_increment(each))
             for each, (within_quota, over_quota) in self.queues.items()
         )
 
--- a/gullyoke/admission/learner.py
+++ b/gullyoke/admission/learner.py
@@ -104,7 +104,7 @@
         self.departures = table(departures)
         self.rejections = table(rejections)
 
-    def admits(self, reserved: int = 0) -> bool:
+    def decide_arrival(self, reserved: int = 0) -> bool:
         """Decide whether to admit an arrival, and count a rejection.
 
         Args:
--- a/gullyoke/admission/load_snapshot.py
+++ b/gullyoke/admission/load_snapshot.py
@@ -14,8 +14,8 @@
         queued: Number of requests that wait for the cores.
         concurrency_limit: Largest number of requests that may be on the cores.
         rejected_share: Share of recent decisions that were rejections.
-        pace: Mean, over all classes, of the run time divided by its first estimate, which is the
-            same on all servers; 1 where run times are as estimated.
+        run_time_ratio: Mean, over all classes, of the run time divided by its first estimate, which
+            is the same on all servers; 1 where run times are as estimated.
         warming_up: Whether the server has not reached its full speed yet.
         draining: Whether its drain has begun.
     """
@@ -24,7 +24,7 @@
     queued: int
     concurrency_limit: float
     rejected_share: float
-    pace: float
+    run_time_ratio: float
     warming_up: bool
     draining: bool
 
--- a/gullyoke/admission/request_path.py
+++ b/gullyoke/admission/request_path.py
@@ -108,7 +108,7 @@
             cache_ttl: Microseconds after the answer for which it may serve duplicates.
         """
         state = self.state
-        state.queue.advance_turn(request)
+        state.queue.advance_virtual_time(request)
         state.move(request, RUNNING)
         request.started_at = state.now
         if cache_ttl and request.has_key and state.safety.has_memory(state.machine.key_kb):
--- a/gullyoke/coordination/signals.py
+++ b/gullyoke/coordination/signals.py
@@ -63,7 +63,7 @@
     @classmethod
     def of(cls, load: LoadSnapshot, stage: ServingStage) -> LoadReport:
         """Return the report of a server that is loaded so."""
-        return cls(load.free_share, load.rejected_share, load.pace, stage)
+        return cls(load.free_share, load.rejected_share, load.run_time_ratio, stage)
 
     def pack(self) -> int:
         """Return the report in 14 bits; the latency ratio in fifths, up to 3."""
