--- a/gullyoke/admission/interface/__init__.py
+++ b/gullyoke/admission/interface/__init__.py
@@ -29,7 +29,7 @@
 )
 from gullyoke.admission.interface.events import RequestEvent
 from gullyoke.admission.interface.facts import (
-    PAST,
+    REMEMBERED_REQUEST,
     DependencyFacts,
     Fleet,
     Gauges,
@@ -45,8 +45,8 @@
     Tenant,
 )
 from gullyoke.admission.interface.fleet_feedback import (
-    ALONE,
-    UNSHARED,
+    NO_FLEET_FEEDBACK,
+    UNSHARED_SLOTS,
     DependencySlots,
     FleetFeedback,
 )
@@ -60,7 +60,6 @@
 from gullyoke.admission.interface.stepper import CommandExecutor, RequestStepper
 
 __all__ = [
-    "ALONE",
     "AWAIT",
     "AWAIT_DUPLICATE",
     "CALLING_DEPENDENCY",
@@ -69,12 +68,13 @@
     "FAIL",
     "FINISHED",
     "FORGET_KEY",
-    "PAST",
+    "NO_FLEET_FEEDBACK",
     "QUEUED",
+    "REMEMBERED_REQUEST",
     "RUN",
     "RUNNING",
     "SKIP_DEPENDENCY_CALL",
-    "UNSHARED",
+    "UNSHARED_SLOTS",
     "Await",
     "AwaitDuplicate",
     "CallDependency",
--- a/gullyoke/admission/interface/facts.py
+++ b/gullyoke/admission/interface/facts.py
@@ -10,8 +10,8 @@
 from gullyoke.admission.interface.commands import Command
 from gullyoke.admission.interface.events import RequestEvent
 from gullyoke.admission.interface.fleet_feedback import (
-    ALONE,
-    UNSHARED,
+    NO_FLEET_FEEDBACK,
+    UNSHARED_SLOTS,
     DependencySlots,
     FleetFeedback,
 )
@@ -147,7 +147,7 @@
     call_quota: float | None
     quota_window: int
     linger: int
-    slots: DependencySlots = UNSHARED
+    slots: DependencySlots = UNSHARED_SLOTS
 
 
 @dataclass(slots=True)
@@ -196,7 +196,7 @@
     over_quota_value: float
     read_cache_ttl: int
     callers: int = 0
-    feedback: FleetFeedback = ALONE
+    feedback: FleetFeedback = NO_FLEET_FEEDBACK
 
 
 @dataclass(slots=True)
@@ -230,10 +230,10 @@
 
 
 class RememberedRequest:
-    """The type of `PAST`, which stands for a request that has ended but whose key is remembered."""
+    """Stands for a request that has ended, but whose key is remembered."""
 
 
-PAST: Final = RememberedRequest()
+REMEMBERED_REQUEST: Final = RememberedRequest()
 
 
 @dataclass(slots=True, eq=False)
@@ -246,7 +246,8 @@
         deadline: The time by which the client needs the answer.
         memory_kb: Kilobytes that the request takes while it is queued.
         is_retry: Whether the caller marked it as a retry or a hedged request.
-        duplicate_of: The request that it duplicates, `PAST` if that has ended, None for none.
+        duplicate_of: The request that it duplicates, `REMEMBERED_REQUEST` if that has ended, None
+            for none.
         has_key: Whether the request states a key under which it can be remembered.
         tenant: The tenant that sent it; None if it states none.
         cost_hint: The caller's estimate of its work, in microseconds; 0 if there is none.
--- a/gullyoke/admission/interface/fleet_feedback.py
+++ b/gullyoke/admission/interface/fleet_feedback.py
@@ -119,5 +119,5 @@
         return own_advice
 
 
-UNSHARED: Final = UnsharedSlots()
-ALONE: Final = NoFleetFeedback()
+UNSHARED_SLOTS: Final = UnsharedSlots()
+NO_FLEET_FEEDBACK: Final = NoFleetFeedback()
--- a/gullyoke/admission/request_path.py
+++ b/gullyoke/admission/request_path.py
@@ -15,8 +15,8 @@
     FAIL,
     FINISHED,
     FORGET_KEY,
-    PAST,
     QUEUED,
+    REMEMBERED_REQUEST,
     RUN,
     RUNNING,
     SKIP_DEPENDENCY_CALL,
@@ -250,4 +250,4 @@
 
 def _has_begun(first: object) -> bool:
     """Return whether the run of a duplicate's first request has begun."""
-    return first is PAST or (isinstance(first, Request) and first.state in ON_CORES)
+    return first is REMEMBERED_REQUEST or (isinstance(first, Request) and first.state in ON_CORES)
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from gullyoke.admission.interface import PAST, Idempotency
+from gullyoke.admission.interface import REMEMBERED_REQUEST, Idempotency
 from gullyoke.daemon.configuration import DaemonConfiguration
 from gullyoke.daemon.extension import DaemonParts
 from gullyoke.durability import (
@@ -89,9 +89,9 @@
             entry = KeyEntry(None, note.window_end_us)
             if note.phase is RunPhase.ENDED and note.status:
                 entry.result = Answer(note.status, note.body, note.fields)
-            return entry, PAST
+            return entry, REMEMBERED_REQUEST
         if request.is_retry and self.doubts(now):
-            return KeyEntry(None, now), PAST
+            return KeyEntry(None, now), REMEMBERED_REQUEST
         return None, None
 
 
--- a/gullyoke/runtime/duplicate_table.py
+++ b/gullyoke/runtime/duplicate_table.py
@@ -4,7 +4,13 @@
 
 from typing import Final, NamedTuple
 
-from gullyoke.admission.interface import PAST, Idempotency, RememberedRequest, Request, RequestClass
+from gullyoke.admission.interface import (
+    REMEMBERED_REQUEST,
+    Idempotency,
+    RememberedRequest,
+    Request,
+    RequestClass,
+)
 from gullyoke.runtime.messages import Answer
 from gullyoke.runtime.pending_request import PendingRequest
 
@@ -41,7 +47,8 @@
 
     Args:
         entry: The entry of the request that it duplicates; None for none.
-        duplicate_of: That request while it is in flight, `PAST` once it has ended, None for none.
+        duplicate_of: That request while it is in flight, `REMEMBERED_REQUEST` once it has ended,
+            None for none.
     """
 
     entry: KeyEntry | None
@@ -98,7 +105,7 @@
         stale = entry.result is None or now > entry.ended_at + self.read_cache_ttl
         if stale and request.request_class.idempotency is Idempotency.IDEMPOTENT:
             return NO_MATCH
-        return DuplicateMatch(entry, PAST)
+        return DuplicateMatch(entry, REMEMBERED_REQUEST)
 
     def remember(self, request: PendingRequest, expires_at: int) -> None:
         """Remember a request under its key, in the place of whatever was remembered there."""
--- a/gullyoke/simulator_adapter/simulated_server.py
+++ b/gullyoke/simulator_adapter/simulated_server.py
@@ -6,7 +6,13 @@
 from typing import Final
 
 from gullyoke.admission.controller import AdmissionController
-from gullyoke.admission.interface import PAST, Command, Request, RequestEvent, SiteFacts
+from gullyoke.admission.interface import (
+    REMEMBERED_REQUEST,
+    Command,
+    Request,
+    RequestEvent,
+    SiteFacts,
+)
 from gullyoke.errors import GullyokeError
 from gullyoke.simulator_adapter.wire import (
     CALL_RESULTS,
@@ -118,7 +124,9 @@
             deadline=int(fields.get("NotAfterUs", 0)) or arrived + request_class.timeout,
             memory_kb=float(fields.get("Footprint", 0)),
             is_retry=FLAGS[fields.get("Resent", "0")],
-            duplicate_of=None if first_id == ABSENT_NAME else self.requests.get(first_id, PAST),
+            duplicate_of=None
+            if first_id == ABSENT_NAME
+            else self.requests.get(first_id, REMEMBERED_REQUEST),
             has_key="NameKey" in fields,
             tenant=None if tenant == ABSENT_NAME else self.tenants[tenant],
             cost_hint=int(fields.get("CostUs", 0)),
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -12,7 +12,7 @@
 from standins import PATIENCE, request_id
 
 from crossing.live import REPEATS, Live, apart, eventually
-from gullyoke.admission.interface import PAST, Idempotency, RequestClass, RequestEvent
+from gullyoke.admission.interface import REMEMBERED_REQUEST, Idempotency, RequestClass, RequestEvent
 from gullyoke.daemon.event_relay import EventRelay
 from gullyoke.dependencies import client as dependency_module
 from gullyoke.executors.engine_link import EngineLink
@@ -184,7 +184,7 @@
             duplicates.remember(first, kept + 1000)
             self.assertIs(duplicates.find(request(kept + 1001), kept)[1], first)
             duplicates.run_ended(first, None, kept)
-            self.assertIs(duplicates.find(request(kept + 1000), kept)[1], PAST)
+            self.assertIs(duplicates.find(request(kept + 1000), kept)[1], REMEMBERED_REQUEST)
             self.assertIsNone(duplicates.find(request(kept + 1001), kept)[1])
             self.assertTrue(duplicates.conflicts(request(kept + 1000, content=2)))
             self.assertFalse(duplicates.conflicts(request(kept + 1001, content=2)))
