--- a/gullyoke/admission/arrivals.py
+++ b/gullyoke/admission/arrivals.py
@@ -37,7 +37,7 @@
         """Decide on a request: return its rejection, or move it to the queued state."""
         state = self.state
         request_class = request.request_class
-        rejection = self._reject_hopeless(request)
+        rejection = self._reject_unanswerable(request)
         if rejection is not None:
             return rejection
         pools = state.pools
@@ -55,13 +55,13 @@
             reserved = pools.reserved_requests(request_class)
         return self._apply_threshold(request, reserved)
 
-    def _reject_hopeless(self, request: Request) -> Reject | None:
+    def _reject_unanswerable(self, request: Request) -> Reject | None:
         """Return the rejection of a request that can't be run, or not in time, or else None."""
         state = self.state
         accepting = request.request_class.accepting
         # An answer at the next tick would be too late, or something that runs need is unavailable.
         if request.deadline <= state.now + TICK_US or not accepting:
-            return state.feedback.reject(accepting, leaving=not accepting)
+            return state.feedback.reject(accepting, unavailable=not accepting)
         backlog = state.queue.backlog(request.request_class) / state.machine.cores
         assert state.learner is not None
         if state.learner.is_binding() and state.queue.is_too_late(
--- a/gullyoke/admission/class_pools.py
+++ b/gullyoke/admission/class_pools.py
@@ -112,7 +112,7 @@
         self.completed_core_time += core_time
 
     def take(self, request_class: RequestClass) -> bool:
-        """Count an arrival, take its cost from its pool, and return whether the pool allows it."""
+        """Count an arrival; take its cost from its pool if possible, and return whether it was."""
         pool = self.by_class[request_class]
         pool.arrived_core_time += pool.cost
         if pool.unlimited or pool.balance >= pool.cost or pool.limit >= pool.demand:
--- a/gullyoke/admission/client_feedback.py
+++ b/gullyoke/admission/client_feedback.py
@@ -44,12 +44,12 @@
         self.sent_idle_timeout: float = permissions.max_idle
         executor.set_health(True, True)  # checks are answered from memory, at little cost
 
-    def reject(self, hopeless: bool, leaving: bool = False, backlog: float = 0.0) -> Reject:
+    def reject(self, too_late: bool, unavailable: bool = False, backlog: float = 0.0) -> Reject:
         """Count a rejection and return its command.
 
         Args:
-            hopeless: Whether no other server could answer in time either.
-            leaving: Whether this server stops or does not accept the class; the advised wait is
+            too_late: Whether no other server could answer in time either.
+            unavailable: Whether this server stops or does not accept the class; the advised wait is
                 then the longest.
             backlog: Microseconds that the queue takes.
         """
@@ -57,13 +57,13 @@
         # The advised wait is short: callers that all wait for long return in large groups, and
         # overload one server after another.
         longest = self.permissions.max_retry_after if self.permissions.sends_retry_after else 0
-        if leaving:
+        if unavailable:
             retry_after = longest
         else:
             own_advice = SHORTEST_RETRY_AFTER_US + int(backlog) // BACKLOG_PER_RETRY_AFTER
             retry_after = min(longest, self.fleet.retry_after(own_advice))
         is_overloaded = self.rejected_share > OVERLOADED_REJECTED_SHARE
-        return Reject(retry_after, hopeless or self.fleet.is_overloaded(is_overloaded))
+        return Reject(retry_after, too_late or self.fleet.is_overloaded(is_overloaded))
 
     def count_decision(self, rejected: bool) -> None:
         """Count one decision on a request in the share of rejected requests."""
--- a/gullyoke/admission/request_path.py
+++ b/gullyoke/admission/request_path.py
@@ -74,7 +74,7 @@
         self._count_against_quota(request)
         if not state.safety.may_run(request, state.now):
             # The first request of a duplicate may have run, so a rejection could be wrong.
-            yield FAIL if request.duplicate_of else state.feedback.reject(False, leaving=True)
+            yield FAIL if request.duplicate_of else state.feedback.reject(False, unavailable=True)
             return
         is_keyed = request_class.idempotency is Idempotency.KEYED
         is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
@@ -137,10 +137,10 @@
             state.safety.key_expiries.pop(request, None)
             yield FORGET_KEY
         if event is not RequestEvent.CLIENT_DISCONNECTED:
-            hopeless = event is RequestEvent.DEADLINE_NEAR or state.queue.is_too_late(
+            too_late = event is RequestEvent.DEADLINE_NEAR or state.queue.is_too_late(
                 request, state.now
             )
-            yield state.feedback.reject(hopeless, backlog=state.queue_time())
+            yield state.feedback.reject(too_late, backlog=state.queue_time())
 
     def _call_dependency(self, request: Request, event: RequestEvent) -> SubPath:
         """Wait for capacity and make a call, or continue without the call, or abandon the run."""
