--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -171,13 +171,13 @@
         reader = BatchReader()
         for line in ("frame TimeUs=1000000 seq=1", "on Who=server_0", CONFIGURE):
             reader.read_line(line)
-        controller = reader.servers["server_0"].controller = mock.MagicMock()
+        stub = reader.servers["server_0"].controller = mock.MagicMock()
         for text, gauges in (
             ("core_use:0.62,on_cores:3,heap_share:0.41,links:120", Gauges(0.62, 3.0, 120.0)),
             ("links:7", Gauges(None, None, 7.0)),
         ):
             reader.read_line(f"fired Token=1 Telemetry={text}")
-            controller.on_tick.assert_called_with(1_000_000, gauges)
+            stub.on_tick.assert_called_with(1_000_000, gauges)
 
     def test_empty_batch(self):
         self.assertEqual(replies_to(b"frame TimeUs=5 seq=1\neob\n"), [["eor seq=1"]])
