--- a/gullyoke/coordination/limit_parts.py
+++ b/gullyoke/coordination/limit_parts.py
@@ -112,11 +112,13 @@
             self._lost_until_us.popleft()
         return self.out + len(self._lost_until_us)
 
-    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
+    def update_mean_limit(
+        self, now: int, stated: float | None, used_call_time: float
+    ) -> float | None:
         """Return None: this part limits no mean."""
         return None
 
-    def has_free_slot(self, now: int, waiting: int) -> bool:
+    def request_slot(self, now: int, waiting: int) -> bool:
         """Return whether a call may start now, while `waiting` more calls wait.
 
         Records the need for tokens, and counts in `refused` if no token is free.
@@ -160,11 +162,13 @@
         """Return how many tokens the call time of the last window uses."""
         return math.ceil(self._spent_us * TOKENS_PER_CALL / (USED_SHARE * self.window_us))
 
-    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
+    def update_mean_limit(
+        self, now: int, stated: float | None, used_call_time: float
+    ) -> float | None:
         """Return the mean that is secured for the duration of a call.
 
-        Records the need for tokens. `used_call_time` is the call time of the last window, in
-        microseconds.
+        Records `used_call_time`, the call time of the last window in microseconds, and the need for
+        tokens that follows from it.
         """
         self._spent_us = used_call_time
         self.peak.record(now, math.ceil(MEAN_GROWTH * self.used(now)) + 1)
@@ -181,7 +185,7 @@
             if lease.tokens and lease.until_us > call_end_us
         ]
 
-    def has_free_slot(self, now: int, waiting: int) -> bool:
+    def request_slot(self, now: int, waiting: int) -> bool:
         """Return True: the mean limits the calls.
 
         While calls wait, records a need for twice the tokens in force and those of one call more,
--- a/tests/coordination/test_quotas.py
+++ b/tests/coordination/test_quotas.py
@@ -51,7 +51,7 @@
         self.assertEqual(rate.per_second(SECOND + 3 * BIN_US), 0.0)
 
     def test_tenant_without_a_leased_quota(self):
-        self.assertIsNone(Tenant("c", 5.0).leased_quota(0))
+        self.assertIsNone(Tenant("c", 5.0).count_request(0))
 
     def test_on_sockets(self):
         """Three servers share the quotas of two tenants, each with messages of its own.
@@ -88,7 +88,7 @@
         deadline, rate = time.monotonic() + TIMEOUT_S, 0.0
         while rate < 240:
             self.assertLess(time.monotonic(), deadline, rate)
-            rate = big.leased_quota(clock.now())
+            rate = big.count_request(clock.now())
             time.sleep(0.004)
         self.assertEqual(small.own.rate_in_force(clock.now()), 25.0)
         self.assertEqual(services[0].handle(0, None, encode((1, 0, []))), ())
--- a/tests/coordination/test_wire.py
+++ b/tests/coordination/test_wire.py
@@ -103,9 +103,7 @@
 
         def start_calls(part, count):
             """Start calls while slots are free, up to `count` in flight; return how many are."""
-            while part.own.out < count and part.has_free_slot(
-                clock.now(), count - part.own.out - 1
-            ):
+            while part.own.out < count and part.request_slot(clock.now(), count - part.own.out - 1):
                 part.call_started()
             return part.own.out
 
