--- a/gullyoke/coordination/turns.py
+++ b/gullyoke/coordination/turns.py
@@ -17,10 +17,10 @@
 GAP_DIVISOR: Final = 8  # the gap is the slot's length divided by this
 
 
-def turns_within(subject: str, count: int, slot_us: int, slots: int) -> Turns:
+def schedule_within(subject: str, count: int, slot_us: int, slots: int) -> TimeSlotSchedule:
     """Return a schedule in which each of `count` members has a slot within `slots` slots."""
-    members_a_slot = max(1, -(-count // slots))
-    return Turns(subject, members_a_slot, slot_us, slot_us // GAP_DIVISOR)
+    members_per_slot = max(1, -(-count // slots))
+    return TimeSlotSchedule(subject, members_per_slot, slot_us, slot_us // GAP_DIVISOR)
 
 
 class SlotPosition(NamedTuple):
@@ -31,27 +31,27 @@
     inside: bool
 
 
-class Turns:
+class TimeSlotSchedule:
     """The slots for one subject. Times are microseconds of the wall clock."""
 
-    def __init__(self, subject: str, members_a_slot: int, slot_us: int, gap_us: int) -> None:
+    def __init__(self, subject: str, members_per_slot: int, slot_us: int, gap_us: int) -> None:
         """Create a schedule.
 
         Args:
             subject: The purpose of the slots; each subject has an order of its own.
-            members_a_slot: How many members have the same slot.
+            members_per_slot: How many members have the same slot.
             slot_us: The length of a slot.
             gap_us: The length of the gap at either end; clocks may differ by as much.
 
         Raises:
             ValueError: For fewer than one member per slot, or gaps that fill the slot.
         """
-        if members_a_slot < 1 or not 0 <= 2 * gap_us < slot_us:
+        if members_per_slot < 1 or not 0 <= 2 * gap_us < slot_us:
             raise ValueError(
-                f"invalid slots: {members_a_slot} members, {slot_us} us long, gaps of {gap_us} us"
+                f"invalid slots: {members_per_slot} members, {slot_us} us long, gaps of {gap_us} us"
             )
         self.subject = subject
-        self.members_a_slot = members_a_slot
+        self.members_per_slot = members_per_slot
         self.slot_us = slot_us
         self.gap_us = gap_us
 
@@ -61,12 +61,12 @@
 
     def position(self, wall_us: int, count: int) -> SlotPosition:
         """Return the position of a time in the schedule of `count` members."""
-        slots = max(1, -(-count // self.members_a_slot))
+        slots = max(1, -(-count // self.members_per_slot))
         number, into_us = divmod(wall_us, self.slot_us)
         inside = self.gap_us <= into_us < self.slot_us - self.gap_us
         return SlotPosition(number // slots, number % slots, inside)
 
-    def mine(self, wall_us: int, name: str, members: Iterable[str]) -> bool:
+    def has_slot(self, wall_us: int, name: str, members: Iterable[str]) -> bool:
         """Return whether a member has the current slot."""
         members = set(members)
         if name not in members:
@@ -74,8 +74,8 @@
         position = self.position(wall_us, len(members))
         if not position.inside:
             return False
-        first = position.slot * self.members_a_slot
-        return name in self.order(position.round, members)[first : first + self.members_a_slot]
+        first = position.slot * self.members_per_slot
+        return name in self.order(position.round, members)[first : first + self.members_per_slot]
 
     def remaining_us(self, wall_us: int) -> int:
         """Return the time until the gap at the slot's end; a longer action should not begin."""
--- a/gullyoke/extensions/subsets.py
+++ b/gullyoke/extensions/subsets.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from gullyoke.coordination.subsets import Subset, choose_subsets, order_without_peers
-from gullyoke.coordination.turns import turns_within
+from gullyoke.coordination.turns import schedule_within
 from gullyoke.extensions.back_ends import BackEnds
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.fleet_extension import FleetExtension
@@ -85,8 +85,8 @@
         name = self.fleet.daemon.configuration.name
         if name not in members:
             return True
-        turns = turns_within(f"trial {back_end}", len(members), PROBE_TURN_US, PROBE_TURNS)
-        return turns.mine(int(time.time() * 1e6), name, members)
+        turns = schedule_within(f"trial {back_end}", len(members), PROBE_TURN_US, PROBE_TURNS)
+        return turns.has_slot(int(time.time() * 1e6), name, members)
 
     def log_status(self) -> None:
         """Log the back ends in use."""
