--- a/gullyoke/coordination/lender.py
+++ b/gullyoke/coordination/lender.py
@@ -129,7 +129,7 @@
         if last_us is None or now - last_us >= durations.FAIR_LEVEL_INTERVAL_US:
             self._level_at_us = now
             self._update_level(now)
-        share = demand.part(self.level)
+        share = demand.share_at(self.level)
         interval = now // durations.ROUNDING_INTERVAL_US
         draw = stable_hash(f"{self.tenure.name} {borrower} {interval}") / 2**64
         return min(demand.want, int(share + draw))
--- a/gullyoke/coordination/limit_parts.py
+++ b/gullyoke/coordination/limit_parts.py
@@ -97,20 +97,20 @@
     """A part of a limit on the calls in flight; a token is a call.
 
     Attributes:
-        out: Calls in flight.
+        calls_in_flight: Number of calls that have started here and not ended.
     """
 
     def __init__(self, participant: QuotaParticipant, linger_us: int) -> None:
         """Start without calls."""
         super().__init__(participant, linger_us)
-        self.out = 0
+        self.calls_in_flight = 0
         self._lost_until_us: deque[int] = deque()  # latest possible ends of lost calls
 
     def used(self, now: int) -> int:
         """Return how many calls are in flight or, once lost, may still run at the dependency."""
         while self._lost_until_us and self._lost_until_us[0] <= now:
             self._lost_until_us.popleft()
-        return self.out + len(self._lost_until_us)
+        return self.calls_in_flight + len(self._lost_until_us)
 
     def update_mean_limit(
         self, now: int, stated: float | None, used_call_time: float
@@ -140,11 +140,11 @@
 
     def call_started(self) -> None:
         """Count a call that starts."""
-        self.out += 1
+        self.calls_in_flight += 1
 
     def call_ended(self, now: int, lost: bool, succeeded: bool) -> None:
         """Count a call that ends; a `lost` one may still run at the dependency."""
-        self.out -= 1
+        self.calls_in_flight -= 1
         if lost and self.linger_us:
             self._lost_until_us.append(now + self.linger_us)
 
--- a/gullyoke/coordination/max_min_fairness.py
+++ b/gullyoke/coordination/max_min_fairness.py
@@ -26,7 +26,7 @@
     elsewhere: int = 0
     weight: float = 1.0
 
-    def part(self, level: float) -> float:
+    def share_at(self, level: float) -> float:
         """Return this borrower's share at a level of tokens per weight.
 
         The tokens that it has from elsewhere are subtracted, and it gets no more than it wants.
@@ -46,7 +46,7 @@
     high = max((demand.want + demand.elsewhere) / demand.weight for demand in demands)
     while high - low > LEVEL_PRECISION * max(1.0, high):
         middle = (low + high) / 2
-        if sum(demand.part(middle) for demand in demands) > total:
+        if sum(demand.share_at(middle) for demand in demands) > total:
             high = middle
         else:
             low = middle
--- a/gullyoke/coordination/signals.py
+++ b/gullyoke/coordination/signals.py
@@ -22,7 +22,7 @@
 LATENCY_STEP = 0.2
 REPORT_VALID_US = 3_000_000  # how long a report counts
 MAX_SENDERS = 64  # senders whose reports are kept
-LEAST_SENDERS = 5  # with fewer valid reports no conclusion is drawn
+MIN_SENDERS = 5  # with fewer valid reports no conclusion is drawn
 FULL_FREE_CAPACITY = 0.1  # a peer with at most this free capacity counts as full
 FULL_REJECTED_SHARE = 0.25  # as does a peer that rejects at least this share of its requests
 SLOW_RATIO = 2.0  # a server is slow from this multiple of its peers' latency ratio on
@@ -61,7 +61,7 @@
     stage: ServingStage
 
     @classmethod
-    def of(cls, load: LoadSnapshot, stage: ServingStage) -> LoadReport:
+    def from_snapshot(cls, load: LoadSnapshot, stage: ServingStage) -> LoadReport:
         """Return the report of a server with this load."""
         return cls(load.free_share, load.rejected_share, load.run_time_ratio, stage)
 
@@ -202,7 +202,7 @@
 def summarize_peers(reports: list[LoadReport]) -> PeerSummary | None:
     """Return the summary of the peers that are warm or withdrawn; None if they are too few."""
     warm = [r for r in reports if r.stage in (ServingStage.WARM, ServingStage.WITHDRAWN)]
-    if len(warm) < LEAST_SENDERS:
+    if len(warm) < MIN_SENDERS:
         return None
     full = sum(
         report.free_capacity <= FULL_FREE_CAPACITY or report.rejected_share >= FULL_REJECTED_SHARE
--- a/gullyoke/emulator/beside.py
+++ b/gullyoke/emulator/beside.py
@@ -89,7 +89,7 @@
             if load.warming_up
             else ServingStage.WARM
         )
-        reading = LoadReport.of(load, stage)
+        reading = LoadReport.from_snapshot(load, stage)
         judged, was = self.judgement, self.judgement.withdrawn
         judged.update(now, reading, self.heard.valid(now))
         if judged.withdrawn and stage is ServingStage.WARM:
--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -75,7 +75,7 @@
             if dispatcher.server is None:
                 return None
             load = dispatcher.server.load_snapshot(dispatcher.now)
-            return LoadReport.of(load, _stage(dispatcher, load))
+            return LoadReport.from_snapshot(load, _stage(dispatcher, load))
 
     def _judge(self, reading: LoadReport) -> LoadReport:
         """Judge a reading by the peers' and return what is sent of it; under the link's lock."""
--- a/tests/coordination/test_shares.py
+++ b/tests/coordination/test_shares.py
@@ -311,7 +311,7 @@
         as any borrower that gets tokens.
         """
         level = fill_level(total, demands)
-        shares = [demand.part(level) for demand in demands]
+        shares = [demand.share_at(level) for demand in demands]
         self.assertTrue(
             all(0 <= share <= demand.want for share, demand in zip(shares, demands, strict=True))
         )
--- a/tests/coordination/test_signals.py
+++ b/tests/coordination/test_signals.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from gullyoke.coordination.signals import (
-    LEAST_SENDERS,
     MAX_SENDERS,
+    MIN_SENDERS,
     REPORT_VALID_US,
     STATE_DWELL_US,
     LoadAssessment,
@@ -76,7 +76,7 @@
         reports or none of warm servers give no summary.
         """
         received = ReceivedReports()
-        for sender in range(LEAST_SENDERS):
+        for sender in range(MIN_SENDERS):
             received.take(0, sender, 5, HEALTHY.pack())
         received.take(10, 0, 4, FULL.pack())  # out of order: older than that sender's last report
         self.assertIsNotNone(summarize_peers(received.valid(REPORT_VALID_US)))
--- a/tests/coordination/test_wire.py
+++ b/tests/coordination/test_wire.py
@@ -103,15 +103,17 @@
 
         def start_calls(part, count):
             """Start calls while slots are free, up to `count` in flight; return how many are."""
-            while part.own.out < count and part.request_slot(clock.now(), count - part.own.out - 1):
+            while part.own.calls_in_flight < count and part.request_slot(
+                clock.now(), count - part.own.calls_in_flight - 1
+            ):
                 part.call_started()
-            return part.own.out
+            return part.own.calls_in_flight
 
         eventually(
             lambda: start_calls(parts[0], 100) == 3 * TOKENS + 1, "all tokens at one process"
         )
         self.assertEqual(start_calls(parts[1], 100), 1)  # its floor only
-        for _ in range(parts[0].own.out - 1):
+        for _ in range(parts[0].own.calls_in_flight - 1):
             parts[0].call_ended(clock.now(), False, True)
         eventually(lambda: start_calls(parts[1], 100) == 3 * TOKENS + 1, "tokens passed on")
         self.assertEqual(start_calls(parts[3], 100), 1)  # another configuration: only its floor
