--- a/gullyoke/coordination/lender.py
+++ b/gullyoke/coordination/lender.py
@@ -116,7 +116,7 @@
         lease.tokens = max(lease.tokens, tokens)
         if tokens > 0:
             duration_us = durations.QUOTA_LEASE_US + self.after_us
-            lease.until_us = now + durations.longest_elsewhere_us(duration_us)
+            lease.until_us = now + durations.with_clock_drift_us(duration_us)
 
     def _fair_share(self, now: int, borrower: Hashable, demand: Demand) -> int:
         """Return the borrower's fair share in whole tokens.
--- a/gullyoke/coordination/lender_tenure.py
+++ b/gullyoke/coordination/lender_tenure.py
@@ -34,7 +34,7 @@
         """Start the voter of the lender `name`; `lenders` are the names of all lenders."""
         self.name = name
         self.lenders = frozenset(lenders)
-        self.silent_until_us = now + durations.longest_elsewhere_us(durations.TENURE_US)
+        self.silent_until_us = now + durations.with_clock_drift_us(durations.TENURE_US)
         self.granted: dict[str, GrantedName] = {}
 
     def answer_claim(self, now: int, claim: LenderClaim) -> LenderVote | None:
@@ -45,7 +45,7 @@
         free = last is None or last.incarnation == claim.incarnation or now >= last.until_us
         granted = free and now >= self.silent_until_us
         if granted:
-            until_us = now + durations.longest_elsewhere_us(durations.TENURE_US)
+            until_us = now + durations.with_clock_drift_us(durations.TENURE_US)
             self.granted[claim.lender] = GrantedName(claim.incarnation, until_us)
         return LenderVote(claim.lender, claim.incarnation, claim.round, self.name, granted)
 
@@ -108,4 +108,4 @@
         if not self.is_valid(now) or self.since_us is None:
             return False
         waited_us = now - self.since_us
-        return waited_us >= durations.longest_elsewhere_us(durations.QUOTA_LEASE_US + after_us)
+        return waited_us >= durations.with_clock_drift_us(durations.QUOTA_LEASE_US + after_us)
--- a/gullyoke/coordination/quota_durations.py
+++ b/gullyoke/coordination/quota_durations.py
@@ -17,6 +17,6 @@
 DRIFT_DIVISOR = 1000
 
 
-def longest_elsewhere_us(duration_us: int) -> int:
+def with_clock_drift_us(duration_us: int) -> int:
     """Return how long to wait so that `duration_us` has passed on the clocks of all others."""
     return duration_us + 2 * duration_us // DRIFT_DIVISOR + 1
--- a/gullyoke/leases/durations.py
+++ b/gullyoke/leases/durations.py
@@ -20,7 +20,7 @@
     drift_ppm: int = 1000
     margin_us: int = 200_000
 
-    def longest_elsewhere_us(self, duration_us: int) -> int:
+    def with_clock_drift_us(self, duration_us: int) -> int:
         """Return how long to wait so that `duration_us` has passed on the clocks of all others."""
         return duration_us + 2 * duration_us * self.drift_ppm // 1_000_000 + 1
 
--- a/gullyoke/leases/voter.py
+++ b/gullyoke/leases/voter.py
@@ -101,7 +101,7 @@
         self.voter_set = voter_set
         self.promises: dict[str, Promise] = dict(promises or {})
         self.fresh = promises is None
-        self.silent_until_us = now + durations.longest_elsewhere_us(durations.lease_us)
+        self.silent_until_us = now + durations.with_clock_drift_us(durations.lease_us)
         self.lease_ends_us: dict[str, int] = {}
         self.pending_writes: dict[str, PromiseWrite] = {}
         self.disk_ok = True
@@ -271,7 +271,7 @@
         return True
 
     def _start_lease(self, now: int, duty: str) -> None:
-        lease_us = self.durations.longest_elsewhere_us(self.durations.lease_us)
+        lease_us = self.durations.with_clock_drift_us(self.durations.lease_us)
         self.lease_ends_us[duty] = now + lease_us
 
     def _reply(
--- a/gullyoke/model_checking/leases.py
+++ b/gullyoke/model_checking/leases.py
@@ -73,7 +73,7 @@
     def same(self: LeaseDurations, duration_us: int) -> int:
         return duration_us
 
-    return mock.patch.object(LeaseDurations, "longest_elsewhere_us", same)
+    return mock.patch.object(LeaseDurations, "with_clock_drift_us", same)
 
 
 def _lease_from_the_reply() -> contextlib.AbstractContextManager[object]:
--- a/gullyoke/model_checking/quota_leases.py
+++ b/gullyoke/model_checking/quota_leases.py
@@ -124,7 +124,7 @@
     def same(duration_us: int) -> int:
         return duration_us
 
-    return mock.patch.object(quota_durations, "longest_elsewhere_us", same)
+    return mock.patch.object(quota_durations, "with_clock_drift_us", same)
 
 
 def _lends_at_once() -> contextlib.AbstractContextManager[object]:
