--- a/gullyoke/emulator/duty.py
+++ b/gullyoke/emulator/duty.py
@@ -142,7 +142,7 @@
         there = [CandidatePlacement(n) for n in self.members if n in self.up]
         one.delay_us = candidate_delay_us(DUTY, name, there) or 0
         voter = self.voters.get(name)
-        learn = voter.epoch_query(now) if voter is not None else None
+        learn = voter.next_epoch_query(now) if voter is not None else None
         if learn is not None:
             self.post(name, [AddressedMessage(other, learn) for other in sorted(voter.others)])
         self.post(name, one.tick(now))
@@ -187,7 +187,7 @@
         elif isinstance(message, HandoverOffer):
             answer = one.accept_handover(now, from_, message)
         elif isinstance(message, HandoverAccept):
-            answer = one.handover_accepted(now, from_, message)
+            answer = one.handle_handover_accept(now, from_, message)
         elif voter is not None:
             answer = self.voted(now, from_, to, voter, message)
         self.post(to, answer)
--- a/gullyoke/leases/candidate.py
+++ b/gullyoke/leases/candidate.py
@@ -284,7 +284,7 @@
 
     # Release and handover.
 
-    def leave(
+    def release_lease(
         self, now: int, why: str, to: str = "", failed: bool = False
     ) -> list[AddressedMessage]:
         """Release the lease at once; this process does nothing more under its epoch.
@@ -325,7 +325,7 @@
         accept = HandoverAccept(self.duty, self.incarnation, offer.epoch)
         return [AddressedMessage(sender, accept)]
 
-    def handover_accepted(
+    def handle_handover_accept(
         self, now: int, sender: str, accept: HandoverAccept
     ) -> list[AddressedMessage]:
         """Release the lease in favour of the process that accepted the offer."""
@@ -333,7 +333,7 @@
             return []
         if self.held_epoch(now) is None:
             return []
-        return self.leave(now, f"handed over to {sender}", sender)
+        return self.release_lease(now, f"handed over to {sender}", sender)
 
     def _report(self, now: int, what: str, why: str) -> None:
         for listener in self.listeners:
--- a/gullyoke/leases/voter.py
+++ b/gullyoke/leases/voter.py
@@ -129,7 +129,7 @@
 
     # Recovery of lost promises.
 
-    def epoch_query(self, now: int) -> EpochQuery | None:
+    def next_epoch_query(self, now: int) -> EpochQuery | None:
         """Return the query that a fresh voter sends to all others, if a new round is due."""
         if not self.fresh or now < max(self.silent_until_us, self._next_query_us):
             return None
--- a/gullyoke/model_checking/lease_world.py
+++ b/gullyoke/model_checking/lease_world.py
@@ -202,7 +202,9 @@
             case Event.ACT_ARRIVES:
                 self._act_arrives(move[1])
             case Event.RELEASE:
-                self._send_releases(self.candidates[move[1]].leave(self.clocks[move[1]], "asked"))
+                self._send_releases(
+                    self.candidates[move[1]].release_lease(self.clocks[move[1]], "asked")
+                )
             case _:
                 self._round(move[1], move[2].split("+"), event)
 
@@ -290,7 +292,7 @@
     def _learn(self) -> None:
         """Let fresh voters learn the promises of the others."""
         for name, voter in self.voters.items():
-            query = voter.epoch_query(self.clocks[name]) if voter.fresh else None
+            query = voter.next_epoch_query(self.clocks[name]) if voter.fresh else None
             if query is None:
                 continue
             writes: list[PromiseWrite] = []
--- a/gullyoke/peer_transport/lease_service.py
+++ b/gullyoke/peer_transport/lease_service.py
@@ -138,7 +138,7 @@
         """Return what is to be sent now."""
         with self.lock:
             out: list[AddressedBody] = []
-            query = self.voter.epoch_query(now) if self.voter is not None else None
+            query = self.voter.next_epoch_query(now) if self.voter is not None else None
             if self.voter is not None and query is not None:
                 others = sorted(self.voter.others)
                 out += self._addressed(AddressedMessage(name, query) for name in others)
@@ -188,7 +188,7 @@
             return candidate.handle_reply(now, message)
         if isinstance(message, HandoverOffer):
             return candidate.accept_handover(now, sender.name, message)
-        return candidate.handover_accepted(now, sender.name, message)
+        return candidate.handle_handover_accept(now, sender.name, message)
 
     def _handle_record_reply(self, message: RecordWritten | RecordRead) -> None:
         held = self._held_records.get(message.duty)
@@ -234,9 +234,9 @@
             return candidate.held_epoch(now) if candidate else None
 
     def leave(self, duty: str, why: str, to: str = "", failed: bool = False) -> None:
-        """Release a lease; see `Candidate.leave` for the arguments."""
+        """Release a lease; see `Candidate.release_lease` for the arguments."""
         with self.lock:
-            messages = self.candidates[duty].leave(clock.now(), why, to, failed)
+            messages = self.candidates[duty].release_lease(clock.now(), why, to, failed)
             bodies = self._addressed(messages)
         self.send(bodies)
 
