--- a/gullyoke/codec/__init__.py
+++ b/gullyoke/codec/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes to messages and back: HTTP/1.1, SCGI and lines of words; nothing here knows a socket."""
+"""Codecs that parse and encode HTTP/1.1, SCGI and line-based messages, without using sockets."""
--- a/gullyoke/codec/buffer.py
+++ b/gullyoke/codec/buffer.py
@@ -1,4 +1,4 @@
-"""The one receive buffer of a connection: grows as needed, up to its limit."""
+"""The receive buffer of a connection, which grows as needed up to a limit."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
 
 INITIAL_BYTES: Final = 2048
-MAX_RETAINED_BYTES: Final = 4 * INITIAL_BYTES  # an empty buffer that is larger is given back
+MAX_RETAINED_BYTES: Final = 4 * INITIAL_BYTES  # a larger buffer is freed once it is empty
 
 
 class Buffer:
-    """Bytes received and not yet taken, at `data[start:end]`.
+    """Bytes that were received and not yet consumed, at `data[start:end]`.
 
     Args:
-        receive: Fills a view and returns how many bytes it put there, 0 at the peer's end; its
-            second argument says whether a message has begun. Raises `ConnectionClosedError` where
-            the connection closes in any other way.
-        limit: The most bytes that may be there at once.
+        receive: Receives into a view and returns the number of bytes, 0 if the peer has closed its
+            side. Its second argument says whether a message has begun. It raises
+            `ConnectionClosedError` if the connection fails.
+        limit: The maximum number of unconsumed bytes.
     """
 
     def __init__(self, receive: Callable[[memoryview, bool], int], limit: int) -> None:
@@ -32,16 +32,16 @@
         return self.end - self.start
 
     def fill(self, begun: bool = False) -> bool:
-        """Receive once, waiting for it.
+        """Receive once, blocking until bytes arrive.
 
         Args:
-            begun: Whether a message has begun although nothing of it is left in the buffer.
+            begun: Whether a message has begun although its first bytes are consumed already.
 
         Returns:
-            False when the peer has closed its side.
+            False if the peer has closed its side.
 
         Raises:
-            ConnectionClosedError: The buffer is full, or the connection closed in another way.
+            ConnectionClosedError: The buffer is full, or the connection failed.
         """
         begun = begun or len(self) > 0
         if self.end == len(self.data):
@@ -52,7 +52,7 @@
         return received > 0
 
     def _make_space(self) -> None:
-        """Compact the buffer, or grow it where it is compact."""
+        """Move the unconsumed bytes to the front, or grow the buffer if they are there already."""
         if self.start:
             size = len(self)
             self.data[:size] = self.data[self.start : self.end]
@@ -61,22 +61,20 @@
         elif len(self.data) < self.limit:
             self.data.extend(bytes(min(len(self.data), self.limit - len(self.data))))
         else:
-            raise ConnectionClosedError(
-                CloseReason.GARBLED, f"over {self.limit} bytes in one message"
-            )
+            raise ConnectionClosedError(CloseReason.GARBLED, f"message exceeds {self.limit} bytes")
 
     def line(self, max_bytes: int) -> bytes | None:
-        """Take the next line, without its end; a bare LF ends one too.
+        """Consume the next line and return it without its line end, CR LF or a bare LF.
 
         Returns:
-            None while the line is incomplete.
+            The line; None while it is incomplete.
 
         Raises:
             ConnectionClosedError: The line is longer than `max_bytes`.
         """
         at = self.data.find(b"\n", self.start, self.end)
         if (at < 0 and len(self) > max_bytes) or at - self.start > max_bytes:
-            raise ConnectionClosedError(CloseReason.GARBLED, f"a line of over {max_bytes} bytes")
+            raise ConnectionClosedError(CloseReason.GARBLED, f"line exceeds {max_bytes} bytes")
         if at < 0:
             return None
         text = bytes(self.data[self.start : at]).removesuffix(b"\r")
@@ -84,20 +82,20 @@
         return text
 
     def until(self, mark: bytes) -> bytes | None:
-        """Take everything up to and with `mark`; return None while that has not come."""
+        """Consume everything up to the end of `mark`; return None while `mark` is missing."""
         at = self.data.find(mark, self.start, self.end)
         return None if at < 0 else self.take(at + len(mark) - self.start)
 
     def take(self, size: int) -> bytes | None:
-        """Take exactly `size` bytes; return None while they are incomplete."""
+        """Consume exactly `size` bytes and return them; return None while there are fewer."""
         if len(self) < size:
             return None
-        taken = bytes(self.data[self.start : self.start + size])
+        data = bytes(self.data[self.start : self.start + size])
         self._consume(size)
-        return taken
+        return data
 
     def peek(self, max_bytes: int) -> bytes:
-        """Return what is there, up to `max_bytes`, and leave it there."""
+        """Return up to `max_bytes` unconsumed bytes without consuming them."""
         return bytes(self.data[self.start : min(self.end, self.start + max_bytes)])
 
     def _consume(self, size: int) -> None:
--- a/gullyoke/codec/lines.py
+++ b/gullyoke/codec/lines.py
@@ -1,4 +1,7 @@
-"""Messages in lines of words that end in CR LF, as the engine and the database use them."""
+"""The line protocol of the engine and the database: words separated by spaces, ended by CR LF.
+
+A message may have a body of bytes; then the last word of its line is the length of the body.
+"""
 
 from __future__ import annotations
 
@@ -11,14 +14,14 @@
 MAX_CONTENT_BYTES: Final = 65536
 MAX_NUMBER_DIGITS: Final = 18
 LINE_END: Final = b"\r\n"
-BUFFER: Final = MAX_LINE_BYTES + MAX_CONTENT_BYTES + len(LINE_END)  # what one message takes at most
+BUFFER: Final = MAX_LINE_BYTES + MAX_CONTENT_BYTES + len(LINE_END)  # the maximum size of a message
 
 
 def read(buffer: Buffer) -> list[str] | None:
-    """Read the words of the next line, waiting for it.
+    """Read the words of the next line, blocking until it is complete.
 
     Returns:
-        None if the peer closes its side between two messages.
+        The words; None if the peer closes its side between two messages.
 
     Raises:
         ConnectionClosedError: The connection closed within the line, or the line is too long.
@@ -32,35 +35,41 @@
 
 
 def content(buffer: Buffer, size: str) -> bytes:
-    """Read the bytes that follow a line, whose last word is their number.
+    """Read the body that follows a line.
+
+    Args:
+        buffer: The connection's receive buffer.
+        size: The last word of the line, the length of the body in bytes.
 
     Raises:
-        ConnectionClosedError: The connection closed within them, they are too many, or no line
-            end follows them.
+        ConnectionClosedError: The connection closed within the body, the length is invalid or too
+            large, or no CR LF follows the body.
     """
     if whole(size) > MAX_CONTENT_BYTES:
-        raise ConnectionClosedError(CloseReason.GARBLED, f"a content of {size} bytes")
+        raise ConnectionClosedError(
+            CloseReason.GARBLED, f"body of {size} bytes exceeds {MAX_CONTENT_BYTES} bytes"
+        )
     while (received := buffer.take(int(size) + len(LINE_END))) is None:
         if not buffer.fill(True):
             raise ConnectionClosedError(CloseReason.CUT)
     if not received.endswith(LINE_END):
-        raise ConnectionClosedError(CloseReason.GARBLED, "no line end after a content")
+        raise ConnectionClosedError(CloseReason.GARBLED, f"no CR LF after a body of {size} bytes")
     return received[: -len(LINE_END)]
 
 
 def whole(text: str) -> int:
-    """Return the whole number that a word states.
+    """Return the whole number that a word of a message holds.
 
     Raises:
-        ConnectionClosedError: It states none.
+        ConnectionClosedError: The word is not a whole number, or it is too long.
     """
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS):
-        raise ConnectionClosedError(CloseReason.GARBLED, f"{text[:20]!r} is no number")
+        raise ConnectionClosedError(CloseReason.GARBLED, f"{text[:20]!r} is not a whole number")
     return int(text)
 
 
 def command(*words: object, body: bytes | None = None) -> bytes:
-    """Return a message's bytes; with a body, its length becomes the last word."""
+    """Encode a message; if it has a body, the length of the body is added as the last word."""
     text = " ".join(str(word) for word in words)
     if body is None:
         return f"{text}\r\n".encode("latin-1")
--- a/gullyoke/codec/scgi.py
+++ b/gullyoke/codec/scgi.py
@@ -1,9 +1,10 @@
-"""SCGI, from its published specification (python.ca/scgi/protocol.txt).
+"""The server side of SCGI, by its published specification (python.ca/scgi/protocol.txt).
 
-Here requests are read from gateways and their answers written; `scgi_client` is the side towards
-backends. A request is a netstring of headers, name NUL value NUL each, `CONTENT_LENGTH` first and
-`SCGI` with the value 1, then the body; an answer is headers, `Status` among them, a blank line and
-a body up to its length or the close (RFC 3875, section 6). One request a connection.
+This module parses requests from gateways and encodes their answers; `scgi_client` is the side
+towards back ends. A request is a netstring of headers, each as name NUL value NUL, followed by the
+body; `CONTENT_LENGTH` is the first header, and `SCGI` must be 1. An answer has headers, with
+`Status` among them, a blank line, and a body that ends at its stated length or when the connection
+closes (RFC 3875, section 6). A connection carries one request.
 """
 
 from __future__ import annotations
@@ -19,27 +20,28 @@
 MAX_BODY_BYTES: Final = 8192
 MAX_HEADERS: Final = 128
 MAX_LENGTH_DIGITS: Final = 9  # of a netstring's length or a body's
-BUFFER: Final = MAX_LENGTH_DIGITS + 1 + MAX_HEAD_BYTES + 1 + MAX_BODY_BYTES + 1  # one request
+#: The maximum size of a request: length, colon, headers, comma, body, and one byte too many.
+BUFFER: Final = MAX_LENGTH_DIGITS + 1 + MAX_HEAD_BYTES + 1 + MAX_BODY_BYTES + 1
 TOKEN: Final = frozenset(
     "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
-)  # the characters of a field's name (RFC 9110, 5.6.2)
+)  # the characters that a field name may have (RFC 9110, 5.6.2)
 
 
 def read(buffer: Buffer, begun: Callable[[], None] = lambda: None) -> Message | None:
-    """Read the message of a connection, waiting for it.
+    """Read the message of a connection, blocking until it is complete.
 
-    Guards against heads without end, lengths that lie and names that two readers could take for
-    different things.
+    Guards against endless headers, wrong lengths, and names that two parsers could read
+    differently.
 
     Args:
-        buffer: Where it comes in.
-        begun: Called at its first byte.
+        buffer: The connection's receive buffer.
+        begun: Called when the first byte of the message is there.
 
     Returns:
-        None if the peer closes its side before the first byte.
+        The message; None if the peer closes its side before the first byte.
 
     Raises:
-        BadRequestError: What came is no message, or one beyond the limits.
+        BadRequestError: The message is malformed or exceeds a limit.
         ConnectionClosedError: The connection closed within the message.
     """
     if not len(buffer) and not buffer.fill():
@@ -49,97 +51,97 @@
     while (block := buffer.take(size + 1)) is None:
         _fill(buffer)
     if block[-1:] != b",":
-        raise BadRequestError(400, "no comma after the headers")
+        raise BadRequestError(400, f"no comma after headers of {size} bytes")
     headers = _parse_headers(block[:-1])
     length = _body_length(headers)
     while (body := buffer.take(length)) is None:
         _fill(buffer)
     if len(buffer):
-        raise BadRequestError(400, "bytes after the body")
+        raise BadRequestError(400, f"{len(buffer)} bytes or more after a body of {length} bytes")
     return _to_message(headers, body)
 
 
 def _fill(buffer: Buffer) -> None:
-    """Receive more of a message that has begun."""
+    """Receive more bytes of a message that has begun."""
     if not buffer.fill():
         raise ConnectionClosedError(CloseReason.CUT)
 
 
 def _read_head_size(buffer: Buffer) -> int:
-    """Read the netstring's length: digits without padding, then a colon."""
+    """Read the length of the headers' netstring: digits without leading zeros, then a colon."""
     while True:
         digits, colon, _ = buffer.peek(MAX_LENGTH_DIGITS + 1).partition(b":")
         if not digits.isdigit() or digits[:1] == b"0" or len(digits) > MAX_LENGTH_DIGITS:
-            raise BadRequestError(400, "no netstring")
+            raise BadRequestError(400, f"netstring length {digits!r} is malformed")
         if colon:
             break
         _fill(buffer)
     if int(digits) > MAX_HEAD_BYTES:
-        raise BadRequestError(431, "headers too long")
+        raise BadRequestError(431, f"headers of {int(digits)} bytes exceed {MAX_HEAD_BYTES} bytes")
     buffer.take(len(digits) + 1)
     return int(digits)
 
 
 def _parse_headers(block: bytes) -> dict[str, str]:
-    """Return the headers by their names as they came, `CONTENT_LENGTH` first."""
+    """Return the headers in the order received; `CONTENT_LENGTH` must be the first."""
     if not block.endswith(b"\0"):
-        raise BadRequestError(400, "a header without its end")
+        raise BadRequestError(400, f"last header {block[-20:]!r} does not end with a NUL")
     parts = block[:-1].decode("latin-1").split("\0")
     if len(parts) % 2:
-        raise BadRequestError(400, "a name without a value")
+        raise BadRequestError(400, f"last header {parts[-1][:20]!r} has no value")
     if len(parts) > 2 * MAX_HEADERS:
-        raise BadRequestError(431, "too many headers")
+        raise BadRequestError(431, f"{len(parts) // 2} headers exceed the limit of {MAX_HEADERS}")
     headers: dict[str, str] = {}
     for name, value in zip(parts[::2], parts[1::2], strict=True):
         if not name or not TOKEN.issuperset(name):
-            raise BadRequestError(400, "a name that is none")
+            raise BadRequestError(400, f"header name {name[:20]!r} is not a token")
         if name in headers:
-            raise BadRequestError(400, f"two values of {name}")
-        if "\r" in value or "\n" in value:  # could become a field of its own at a backend
-            raise BadRequestError(400, f"a line end in {name}")
+            raise BadRequestError(400, f"header {name[:20]} occurs twice")
+        if "\r" in value or "\n" in value:  # a back end could parse the rest as another field
+            raise BadRequestError(400, f"value of header {name[:20]} contains a CR or LF")
         headers[name] = value
     if parts[0] != "CONTENT_LENGTH":
-        raise BadRequestError(400, "CONTENT_LENGTH is not the first header")
+        raise BadRequestError(400, f"first header is {parts[0][:20]}, not CONTENT_LENGTH")
     if headers.get("SCGI") != "1":
-        raise BadRequestError(400, "SCGI is not 1")
+        raise BadRequestError(400, f"header SCGI is {headers.get('SCGI', '')[:20]!r}, not 1")
     return headers
 
 
 def _body_length(headers: dict[str, str]) -> int:
     text = headers["CONTENT_LENGTH"]
     if not (text.isascii() and text.isdigit()) or (len(text) > 1 and text[0] == "0"):
-        raise BadRequestError(400, "CONTENT_LENGTH")
+        raise BadRequestError(400, f"CONTENT_LENGTH {text[:20]!r} is not a whole number")
     if len(text) > MAX_LENGTH_DIGITS or int(text) > MAX_BODY_BYTES:
-        raise BadRequestError(413, "body too long")
+        raise BadRequestError(413, f"CONTENT_LENGTH {text[:20]} exceeds {MAX_BODY_BYTES} bytes")
     return int(text)
 
 
 def _to_message(headers: dict[str, str], body: bytes) -> Message:
-    """Return the message as HTTP would have brought it: the path without its query.
+    """Return the message in the form in which it comes by HTTP.
 
-    `HTTP_X_Y` becomes the field `x-y`.
+    The path is stripped of its query, and the header `HTTP_X_Y` becomes the field `x-y`.
     """
     path = headers.get("PATH_INFO") or headers.get("REQUEST_URI", "").partition("?")[0]
     method = headers.get("REQUEST_METHOD", "")
     if not method or not path:
-        raise BadRequestError(400, "no method or path")
+        raise BadRequestError(400, f"method {method[:20]!r} or path {path[:20]!r} is empty")
     fields: dict[str, str] = {}
     for name, value in headers.items():
         if name.startswith("HTTP_"):
             field = name[5:].replace("_", "-").lower()
             if field in fields:
-                raise BadRequestError(400, f"two values of {field}")
+                raise BadRequestError(400, f"header field {field[:20]} has two values")
             fields[field] = value.strip()
     length = str(len(body))
     if "transfer-encoding" in fields or fields.get("content-length", length) != length:
-        raise BadRequestError(400, "another length than CONTENT_LENGTH")
+        raise BadRequestError(400, f"HTTP length fields do not agree with CONTENT_LENGTH {length}")
     if "CONTENT_TYPE" in headers:
         fields["content-type"] = headers["CONTENT_TYPE"]
     return Message((method, path, headers.get("SERVER_PROTOCOL", "SCGI/1")), fields, body)
 
 
 def answer(given: Answer) -> bytes:
-    """Return an answer's bytes."""
+    """Encode an answer."""
     length = len(given.body)
     head = (
         f"Status: {given.status_line()}\r\nContent-Length: {length}\r\n{given.header_lines()}\r\n"
--- a/gullyoke/codec/scgi_client.py
+++ b/gullyoke/codec/scgi_client.py
@@ -1,4 +1,4 @@
-"""The client's side of SCGI: requests written to a backend, and its answers (see `scgi`)."""
+"""The client side of SCGI: encodes requests to a back end and parses its answers (see `scgi`)."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
 from gullyoke.runtime.messages import Answer, Message
 
-ANSWER_HEAD: Final = 8192  # the most bytes of a backend's answer before its body
-ANSWER_BODY: Final = 2**20  # the most bytes of its body
+ANSWER_HEAD: Final = 8192  # the maximum size of a back end's answer before its body, in bytes
+ANSWER_BODY: Final = 2**20  # the maximum size of the body of a back end's answer, in bytes
 MAX_ANSWER_LENGTH_DIGITS: Final = 12
-# Fields about one connection or one message's framing (RFC 9110, 7.6.1), which are not passed on.
+# Fields that concern one connection or the framing of one message (RFC 9110, 7.6.1). They are not
+# forwarded.
 HOP_BY_HOP: Final = frozenset(
     {
         "content-length",
@@ -28,17 +29,17 @@
 
 
 def netstring(headers: Iterable[tuple[str, str]]) -> bytes:
-    """Return headers, name NUL value NUL each, with their length before and a comma after them."""
+    """Encode headers as a netstring, each header as name NUL value NUL."""
     block = "".join(f"{name}\0{value}\0" for name, value in headers).encode("latin-1")
     return b"%d:%b," % (len(block), block)
 
 
 def request(message: Message, overrides: dict[str, str]) -> bytes:
-    """Return a request's bytes.
+    """Encode a request.
 
     Args:
         message: The request.
-        overrides: Fields that take the place of the message's own; an empty one is left out.
+        overrides: Fields that replace those of the message; an empty value removes the field.
     """
     method, path, _ = message.start_line
     fields = {
@@ -63,15 +64,18 @@
 
 
 def read_answer(buffer: Buffer, max_body_bytes: int = ANSWER_BODY) -> Answer:
-    """Read a backend's answer, waiting for it.
+    """Read a back end's answer, blocking until it is complete.
 
     Raises:
-        ConnectionClosedError: CLOSED where nothing came, CUT where the connection closed within
-            the answer, GARBLED where it is no answer, is too long, or is followed by anything.
+        ConnectionClosedError: CLOSED if the connection closed before the first byte, CUT if it
+            closed within the answer, GARBLED if the answer is malformed, too long, or followed by
+            more bytes.
     """
     while (head_bytes := _take_answer_head(buffer)) is None:
         if len(buffer) > ANSWER_HEAD:
-            raise ConnectionClosedError(CloseReason.GARBLED, "an answer's head too long")
+            raise ConnectionClosedError(
+                CloseReason.GARBLED, f"answer head too long, over {ANSWER_HEAD} bytes"
+            )
         if not buffer.fill(True):
             raise ConnectionClosedError(CloseReason.CUT if len(buffer) else CloseReason.CLOSED)
     head = _parse_answer_head(head_bytes)
@@ -102,23 +106,25 @@
 
 
 def _answer_too_long(max_body_bytes: int) -> ConnectionClosedError:
-    return ConnectionClosedError(CloseReason.GARBLED, f"an answer of over {max_body_bytes} bytes")
+    return ConnectionClosedError(
+        CloseReason.GARBLED, f"body of the answer exceeds {max_body_bytes} bytes"
+    )
 
 
 def _take_answer_head(buffer: Buffer) -> bytes | None:
-    """Take everything up to and with the blank line, whose line ends may be bare."""
-    seen = buffer.peek(ANSWER_HEAD)
-    found = [at + len(mark) for mark in (b"\r\n\r\n", b"\n\n") if (at := seen.find(mark)) >= 0]
-    return buffer.take(min(found)) if found else None
+    """Consume everything up to the end of the blank line, whose line ends may be bare LF."""
+    received = buffer.peek(ANSWER_HEAD)
+    ends = [at + len(mark) for mark in (b"\r\n\r\n", b"\n\n") if (at := received.find(mark)) >= 0]
+    return buffer.take(min(ends)) if ends else None
 
 
 class AnswerHead(NamedTuple):
-    """The head of a backend's answer.
+    """The head of a back end's answer.
 
     Args:
         status: The HTTP status.
-        fields: The fields that are passed on, in their order.
-        length: The body's length in bytes; None where it ends with the connection.
+        fields: The fields that are forwarded, in the order received.
+        length: The length of the body in bytes; None if the body ends when the connection closes.
     """
 
     status: int
@@ -135,7 +141,7 @@
         name, value = _parse_answer_field(line)
         lower = name.lower()
         if lower in ("status", "content-length") and lower in seen:
-            raise ConnectionClosedError(CloseReason.GARBLED, f"two values of {lower}")
+            raise ConnectionClosedError(CloseReason.GARBLED, f"answer has two values of {lower}")
         seen.add(lower)
         if lower == "status":
             status = _parse_answer_status(value)
@@ -144,7 +150,9 @@
         elif lower not in HOP_BY_HOP:
             fields.append((name, value))
     if not seen & {"status", "content-type", "location"}:
-        raise ConnectionClosedError(CloseReason.GARBLED, "neither status nor type nor location")
+        raise ConnectionClosedError(
+            CloseReason.GARBLED, "answer has neither status nor content-type nor location"
+        )
     if status is None:
         status = 302 if "location" in seen else 200
     return AnswerHead(status, tuple(fields), length)
@@ -154,7 +162,9 @@
     name, colon, value = line.removesuffix("\r").partition(":")
     value = value.strip(" \t")
     if not colon or not name or not TOKEN.issuperset(name) or not _is_plain(value):
-        raise ConnectionClosedError(CloseReason.GARBLED, f"a field {name[:20]!r}")
+        raise ConnectionClosedError(
+            CloseReason.GARBLED, f"answer has a malformed field {name[:20]!r}"
+        )
     return name, value
 
 
@@ -162,16 +172,20 @@
     digits = value[:3]
     ends = value[3:4] in ("", " ")
     if not (digits.isascii() and digits.isdigit() and ends and digits >= "200"):
-        raise ConnectionClosedError(CloseReason.GARBLED, "status")
+        raise ConnectionClosedError(
+            CloseReason.GARBLED, f"answer has an invalid status {value[:20]!r}"
+        )
     return int(digits)
 
 
 def _parse_answer_length(value: str) -> int:
     if not (value.isascii() and value.isdigit()) or len(value) > MAX_ANSWER_LENGTH_DIGITS:
-        raise ConnectionClosedError(CloseReason.GARBLED, "length")
+        raise ConnectionClosedError(
+            CloseReason.GARBLED, f"answer has an invalid content-length {value[:20]!r}"
+        )
     return int(value)
 
 
 def _is_plain(value: str) -> bool:
-    """Return whether nothing in a value ends the field for some readers."""
+    """Return whether a value has no NUL, CR or LF, which some parsers take for its end."""
     return not any(character in value for character in "\0\r\n")
--- a/tests/codec/test_codecs.py
+++ b/tests/codec/test_codecs.py
@@ -1,6 +1,7 @@
 """Property tests of the codecs.
 
-What is written reads back, cuts change nothing, what is malformed is named.
+Encoded messages parse back unchanged however their bytes are split, and malformed ones raise an
+error that names what is wrong.
 """
 
 import itertools
@@ -21,20 +22,20 @@
 QUICK = settings(max_examples=120, deadline=None, derandomize=True)
 
 
-def reading(data, cuts=(), most=scgi.BUFFER):
-    """A buffer that gets the data in pieces that end at the cuts, then its end."""
+def buffer_of(data, cuts=(), limit=scgi.BUFFER):
+    """Return a buffer that receives the data split at the cuts, and then the peer's close."""
     edges = [0, *sorted(c % (len(data) + 1) for c in cuts), len(data)]
-    return Buffer(Pieces(*[data[a:b] for a, b in itertools.pairwise(edges)], b""), most)
+    return Buffer(Pieces(*[data[a:b] for a, b in itertools.pairwise(edges)], b""), limit)
 
 
 class Codecs(unittest.TestCase):
     @QUICK
     @given(FIELDS, st.binary(max_size=300), st.lists(st.integers(0, 2000), max_size=5))
-    def test_reqs(self, fields, body, cuts):
-        """A request written for a backend reads back as the same message, however it is cut."""
+    def test_requests(self, fields, body, cuts):
+        """A request encoded for a back end parses back as the same message, however it is split."""
         message = Message(("POST", "/call/view", "HTTP/1.1"), fields, body)
-        got = scgi.read(reading(scgi_client.request(message, {}), cuts))
-        self.assertEqual(got, message)
+        parsed = scgi.read(buffer_of(scgi_client.request(message, {}), cuts))
+        self.assertEqual(parsed, message)
 
     @QUICK
     @given(
@@ -45,12 +46,12 @@
         st.booleans(),
     )
     def test_answers(self, fields, body, cuts, status, with_length):
-        """An answer reads back unchanged, with its length told or to the close."""
+        """An answer parses back unchanged, whether its length or the close ends its body."""
         answer = Answer(status, body, tuple(fields.items()))
         data = scgi.answer(answer)
         if not with_length:
             data = data.replace(b"Content-Length: %d\r\n" % len(body), b"", 1)
-        self.assertEqual(scgi_client.read_answer(reading(data, cuts, 70_000)), answer)
+        self.assertEqual(scgi_client.read_answer(buffer_of(data, cuts, 70_000)), answer)
 
     @QUICK
     @given(
@@ -62,9 +63,9 @@
         ),
         st.booleans(),
     )
-    def test_spoilt(self, fields, body, cut, changes, answer):
-        """Whatever bytes come: a message or a named fault, and nothing is kept beyond the
-        bounds.
+    def test_corrupted(self, fields, body, cut, changes, answer):
+        """Corrupted bytes give a message or an error with a text; the buffer stays within its
+        limit.
         """
         message = Message(("POST", "/call/view", "HTTP/1.1"), fields, body)
         data = (
@@ -72,62 +73,62 @@
             if answer
             else scgi_client.request(message, {})
         )
-        for at, new, gone in changes:
+        for at, inserted, removed in changes:
             at %= len(data) + 1
-            data = data[:at] + new + data[at + gone :]
-        buffer = reading(data, [cut])
+            data = data[:at] + inserted + data[at + removed :]
+        buffer = buffer_of(data, [cut])
         try:
-            got = scgi_client.read_answer(buffer, 4096) if answer else scgi.read(buffer)
-            self.assertIsInstance(got, (Answer, Message, type(None)))
-        except (BadRequestError, ConnectionClosedError) as fault:
-            self.assertTrue(str(fault))
+            parsed = scgi_client.read_answer(buffer, 4096) if answer else scgi.read(buffer)
+            self.assertIsInstance(parsed, (Answer, Message, type(None)))
+        except (BadRequestError, ConnectionClosedError) as error:
+            self.assertTrue(str(error))
         self.assertLessEqual(len(buffer.data), scgi.BUFFER)
 
     def test_every_cut(self):
-        """Cut at each byte a req is the same; ended at each byte it is none."""
+        """A request split at any byte parses the same; one that ends early at any byte is refused."""
         message = Message(
             ("POST", "/call/view", "HTTP/1.1"), {"trace-id": "0a", "x-a": "1"}, b"A\r\nB"
         )
         data = scgi_client.request(message, {})
         for at in range(1, len(data)):
-            self.assertEqual(scgi.read(reading(data, [at])), message)
+            self.assertEqual(scgi.read(buffer_of(data, [at])), message)
             with self.assertRaises((ConnectionClosedError, BadRequestError)):
-                scgi.read(reading(data[:at]))
-        self.assertIsNone(scgi.read(reading(b"")))
+                scgi.read(buffer_of(data[:at]))
+        self.assertIsNone(scgi.read(buffer_of(b"")))
 
-    def test_answers_that_are_none(self):
-        """Each is spoilt, by name.
+    def test_malformed_answers(self):
+        """Each malformed answer raises an error that names what is wrong.
 
-        Guards against an answer that another reader would take for two.
+        Guards against an answer that another parser would take for two.
         """
-        for data, said in (
+        for data, text in (
             (b"Status: 200 OK\r\nContent-Length: 3\r\n\r\nabcd", "more than one answer"),
             (b"Status: 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", "two values"),
-            (b"Status: 200 OK\r\nContent-Length: 99999999\r\n\r\n", "an answer of over"),
-            (b"Status: 999x\r\n\r\n", "status"),
-            (b"Status: 100 Go\r\n\r\n", "status"),
+            (b"Status: 200 OK\r\nContent-Length: 99999999\r\n\r\n", "exceeds 4096 bytes"),
+            (b"Status: 999x\r\n\r\n", "invalid status '999x'"),
+            (b"Status: 100 Go\r\n\r\n", "invalid status '100 Go'"),
             (b"X-A: 1\r\n\r\n", "neither status"),
-            (b"no field\r\n\r\n", "a field"),
-            (b"Status: 200 OK\r\nX: a\rb\r\n\r\n", "a field"),
+            (b"no field\r\n\r\n", "malformed field 'no field'"),
+            (b"Status: 200 OK\r\nX: a\rb\r\n\r\n", "malformed field 'X'"),
             (b"x" * 9000, "head too long"),
-            (b"Status: 200 OK\r\n\r\n" + b"x" * 5000, "an answer of over"),
+            (b"Status: 200 OK\r\n\r\n" + b"x" * 5000, "exceeds 4096 bytes"),
         ):
-            with self.subTest(said), self.assertRaisesRegex(ConnectionClosedError, said):
-                scgi_client.read_answer(reading(data, (), 20_000), 4096)
-        got = scgi_client.read_answer(reading(b"Location: /a\n\nx"))
-        self.assertEqual((got.status, got.fields, got.body), (302, (("Location", "/a"),), b"x"))
+            with self.subTest(text), self.assertRaisesRegex(ConnectionClosedError, text):
+                scgi_client.read_answer(buffer_of(data, (), 20_000), 4096)
+        answer = scgi_client.read_answer(buffer_of(b"Location: /a\n\nx"))
+        self.assertEqual(
+            (answer.status, answer.fields, answer.body), (302, (("Location", "/a"),), b"x")
+        )
 
     @QUICK
     @given(FIELDS, st.binary(max_size=300), st.lists(st.integers(0, 2000), max_size=5))
-    def test_both(self, fields, body, cuts):
-        """The same req through both protocols is the same message, but for the version it came
-        by.
-        """
+    def test_both_protocols(self, fields, body, cuts):
+        """A request gives the same message by HTTP and by SCGI, except for the protocol version."""
         head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
         data = (
             f"POST /call/view HTTP/1.1\r\n{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
         )
-        one = http.read(reading(data, cuts, http.BUFFER))
+        by_http = http.read(buffer_of(data, cuts, http.BUFFER))
         headers = {
             "CONTENT_LENGTH": str(len(body)),
             "SCGI": "1",
@@ -137,10 +138,11 @@
         headers |= {
             "HTTP_" + name.upper().replace("-", "_"): value for name, value in fields.items()
         }
-        two = scgi.read(reading(scgi_client.netstring(headers.items()) + body, cuts))
-        del one.fields["content-length"]
+        by_scgi = scgi.read(buffer_of(scgi_client.netstring(headers.items()) + body, cuts))
+        del by_http.fields["content-length"]
         self.assertEqual(
-            (one.start_line[:2], one.fields, one.body), (two.start_line[:2], two.fields, two.body)
+            (by_http.start_line[:2], by_http.fields, by_http.body),
+            (by_scgi.start_line[:2], by_scgi.fields, by_scgi.body),
         )
 
 
