--- a/gullyoke/__init__.py
+++ b/gullyoke/__init__.py
@@ -1,3 +1,3 @@
-"""Admission and scheduling for servers behind other people's balancers."""
+"""Admission control and scheduling for servers behind load balancers."""
 
 __version__ = "0.2.0"
--- a/gullyoke/__main__.py
+++ b/gullyoke/__main__.py
@@ -1,6 +1,6 @@
-"""The daemon: `python -m gullyoke`.
+"""Entry point of the daemon: `python -m gullyoke`.
 
-Its configuration is in the environment and in the file that NODE_CONFIG names.
+The configuration is read from the environment and from the file that NODE_CONFIG names.
 """
 
 import sys
@@ -8,7 +8,7 @@
 from gullyoke.runtime import signals
 
 if __name__ == "__main__":
-    # Before the imports, which take a while: no signal may end it meanwhile.
+    # Called before the imports, which take a while: no signal may end the process meanwhile.
     signals.block_signals()
     from gullyoke.daemon.serve import serve
 
--- a/gullyoke/errors.py
+++ b/gullyoke/errors.py
@@ -1,9 +1,9 @@
-"""The base of the errors that gullyoke raises on purpose, and the one of its configuration."""
+"""The base class of gullyoke's own exceptions, and the exception for invalid configurations."""
 
 
 class GullyokeError(Exception):
-    """Base of all errors that gullyoke raises for a stated reason, which its text says."""
+    """Base class of all exceptions that gullyoke raises on purpose; the text states the reason."""
 
 
 class ConfigurationError(GullyokeError, ValueError):
-    """A configuration that is missing or invalid; the text names the key or the file."""
+    """The configuration is missing or invalid; the text names the key or the file."""
--- a/gullyoke/runtime/__init__.py
+++ b/gullyoke/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What all frontends share: dispatcher, duplicates, timer, clock, metrics, logs and sockets."""
+"""Parts that all front ends share: dispatcher, duplicates, timer, clock, metrics, logs, sockets."""
--- a/gullyoke/runtime/background_worker.py
+++ b/gullyoke/runtime/background_worker.py
@@ -1,4 +1,7 @@
-"""A thread for the controller's long computations, which lets requests in between their steps."""
+"""A thread for the admission controller's long computations.
+
+Each computation is split into steps, and requests are handled between two steps.
+"""
 
 from __future__ import annotations
 
@@ -10,19 +13,19 @@
 
 from gullyoke.runtime.metrics import Metrics
 
-PAUSE_S: Final = 0.002  # between two steps: other threads come first where processor time is short
+PAUSE_S: Final = 0.002  # between two steps, so that other threads run first when the CPU is busy
 
 
 class BackgroundWorker:
     """Runs computations one after the other, each step under the dispatcher's lock.
 
-    A computation run whole would hold the lock for 10 ms, often while a server is young, and every
-    request, answer and dependency call would wait behind it. The queue holds one new learning
-    episode at most for each that began.
+    A computation run in one piece would hold the lock for 10 ms, which happens often shortly after
+    a start, and delay every request, answer and dependency call. The queue holds at most one
+    computation for each learning episode that began.
 
     Args:
-        lock: The lock over what the computations read and change.
-        metrics: Where an internal error of a computation is counted.
+        lock: Guards the state that the computations read and change.
+        metrics: Counts internal errors of the computations.
     """
 
     def __init__(self, lock: threading.Lock, metrics: Metrics) -> None:
@@ -31,15 +34,15 @@
         self.queue: queue.SimpleQueue[Iterator[None]] = queue.SimpleQueue()
 
     def start(self) -> None:
-        """Start the thread, which runs for as long as the process lives."""
+        """Start the thread, which runs until the process ends."""
         threading.Thread(target=self._run, name="think", daemon=True).start()
 
     def put(self, work: Iterator[None]) -> None:
-        """Queue a computation; callable from any thread, also under the lock."""
+        """Queue a computation; may be called from any thread, also while the lock is held."""
         self.queue.put(work)
 
     def run_step(self, work: Iterator[None]) -> bool:
-        """Run one step of a computation; return whether it has more."""
+        """Run one step of a computation; return whether there are further steps."""
         with self.lock:
             try:
                 next(work)
--- a/gullyoke/runtime/clock.py
+++ b/gullyoke/runtime/clock.py
@@ -1,4 +1,4 @@
-"""The process's clock, in whole microseconds that never run backwards, and Unix time."""
+"""The clock of the process, in whole microseconds that never run backwards, and Unix time."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 def now() -> int:
     """Return the time in microseconds.
 
-    It is the Unix clock at the start of the process, carried on by a clock that nobody can set.
+    It is the Unix time at the start of the process plus the monotonic time since then, so a change
+    of the system clock does not affect it.
     """
     return _START_UNIX_US + (time.monotonic_ns() - _START_MONOTONIC_NS) // 1000
 
 
 def age_of_unix_ms(stamp_ms: int) -> int:
-    """Return how many microseconds ago the Unix clock showed `stamp_ms`.
+    """Return how many microseconds ago the Unix time was `stamp_ms`.
 
-    Never negative, even where the Unix clock was set back since.
+    The result is never negative, even if the system clock was set back since then.
     """
     return max(0, time.time_ns() // 1000 - stamp_ms * 1000)
 
--- a/gullyoke/runtime/close_reasons.py
+++ b/gullyoke/runtime/close_reasons.py
@@ -1,4 +1,4 @@
-"""Why a connection closed, and which event that is for the requests it carried."""
+"""The reasons why a connection closes, and the events that result for the requests on it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CloseReason(Enum):
-    """Why a connection closed; the value is its name in logs and counters."""
+    """Why a connection closed; the value is used in logs and counters."""
 
     CLOSED = "closed"  # the peer closed it between two messages
     CUT = "cut"  # the peer closed it within a message
@@ -20,16 +20,16 @@
     UNREACHED = "unreached"  # it could not be opened for any other reason
     STALLED = "stalled"  # a message or its answer made no progress for too long
     GARBLED = "garbled"  # the peer violated the protocol
-    SILENT = "silent"  # closed here: no whole first message came in time
-    IDLE = "idle"  # closed here: no message came for a long time
-    CROWDED = "crowded"  # closed here: the connection limit is reached and none is idle
+    SILENT = "silent"  # closed by this server: the first message did not arrive in time
+    IDLE = "idle"  # closed by this server: no message arrived for a long time
+    CROWDED = "crowded"  # closed by this server: the connection limit is reached and none is idle
     DECLARED = "declared"  # closed by either side as a message had announced
-    LEAVING = "leaving"  # closed here at the end of the drain
+    LEAVING = "leaving"  # closed by this server at the end of the drain
     FAULT = "fault"  # an internal error
 
 
 class PeerKind(Enum):
-    """Who is on the other side of a connection."""
+    """The kind of peer at the other end of a connection."""
 
     GATEWAY = "gateway"
     ENGINE = "engine"
@@ -42,7 +42,7 @@
 
     Args:
         reason: Why it closed.
-        why: What went wrong, for the log; empty where nothing did.
+        why: The error text for the log; empty if there was no error.
     """
 
     reason: CloseReason
@@ -50,11 +50,11 @@
 
 
 class ConnectionClosedError(GullyokeError):
-    """Raised where a connection turns out to have closed.
+    """The connection is closed or has to be closed.
 
     Args:
         reason: Why it closed.
-        why: What went wrong; the name of the reason where nothing is stated.
+        why: The error text for the log; empty for the value of `reason`.
     """
 
     def __init__(self, reason: CloseReason, why: str = "") -> None:
@@ -69,10 +69,14 @@
 
 
 def event_for_closed(peer: PeerKind, reason: CloseReason) -> RequestEvent | None:
-    """Return the event for each request that a connection carried as it closed; None for none.
+    """Return the event for each request that was in flight on a connection when it closed.
 
     A closed gateway connection says nothing about the client unless the gateway closed or broke
-    it. Runs outlive the link to the engine. The name service has no part in a request.
+    it. Runs continue when the connection to the engine closes. The service registry takes no part
+    in requests.
+
+    Returns:
+        The event; None if the requests are not affected.
     """
     if peer is PeerKind.DATABASE:
         if reason in NEVER_OPENED:
@@ -86,12 +90,12 @@
 def serve_connection(
     serve: Callable[[], CloseReason], on_internal_error: Callable[[], None]
 ) -> ConnectionClosed:
-    """Serve a connection until it closes.
+    """Serve a connection until it closes, and return why it closed.
 
     Args:
-        serve: Serves it; returns or raises why it closed.
-        on_internal_error: Called while an unexpected exception is being handled. Such an error
-            closes this connection and nothing else.
+        serve: Serves the connection; returns the reason for the close, or raises an exception.
+        on_internal_error: Called while an unexpected exception is handled. Such an exception
+            closes this connection only.
     """
     try:
         return ConnectionClosed(serve())
@@ -105,7 +109,7 @@
 
 
 def close_reason_of(error: OSError) -> CloseReason:
-    """Return what an error of the operating system means for the connection it occurred on."""
+    """Return the close reason for an operating system error on a connection."""
     if isinstance(error, ConnectionRefusedError):
         return CloseReason.REFUSED
     if isinstance(error, TimeoutError):
--- a/gullyoke/runtime/dispatcher.py
+++ b/gullyoke/runtime/dispatcher.py
@@ -1,4 +1,4 @@
-"""The admission controller behind its one lock, and the requests in flight."""
+"""The dispatcher serializes access to the admission controller and keeps the requests in flight."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.pending_request import Outcome, PendingRequest
 
-OVERDUE_LOCK_TIMEOUT_S: Final = 0.02  # how long an overdue request waits for the controller
+OVERDUE_LOCK_TIMEOUT_S: Final = 0.02  # how long an overdue request waits for the lock
 MAX_PENDING_LOG_LINES: Final = 100
 
 
 class ClassPoolSettings(NamedTuple):
-    """Class pools as the operator stated them.
+    """The class pools of the operator's file.
 
     Args:
-        minimum: The share of what is completed that each pool gets at least, if it asks for it.
-        classes: The pool of each request class that is named, by the class's name.
+        minimum: The share of the completed work that each pool is guaranteed while it has demand.
+        classes: The name of the pool of each listed request class, by the name of the class.
     """
 
     minimum: float
@@ -36,31 +36,31 @@
 
 
 def _nothing_to_flush() -> None:
-    """Stand in for the flush of an executor that writes its commands at once."""
+    """Do nothing: the default for executors that write their commands at once."""
 
 
 class Dispatcher:
-    """Serializes everything that the controller is told, and delivers each request's answer.
+    """Serializes all calls of the admission controller, and delivers the answer of each request.
 
-    `handle` is the only way to the controller. Nothing blocks under its lock: what a call brings
-    about (answers, written commands, log lines) goes out after the lock is released.
+    The controller is called through `handle` only. Nothing blocks under the lock: the results of a
+    call (answers, commands, log lines) are written after the lock is released.
 
     Args:
-        facts: What is known of the site.
+        facts: The site's settings.
         metrics: The server's counters.
-        flush: Writes the commands that were carried out in a call, after it; must not block.
-        duplicates: The table of remembered requests; one in memory where none is given.
+        flush: Writes the commands of a call of the controller after it ended; must not block.
+        duplicates: The duplicate table; None for one in memory.
 
     Attributes:
-        server: The controller; None until `open`.
-        requests: The requests in flight by id; each leaves when its path has ended.
-        duplicates: The table of remembered requests.
-        background_work: The controller's long computations.
+        server: The admission controller; None until `open`.
+        requests: The requests in flight by id; each is removed when it is finished.
+        duplicates: The duplicate table.
+        background_work: Runs the controller's long computations.
         now: When the last call of the controller began, in microseconds of the clock.
         stop_at: When the process stops; None until the drain begins.
-        handling: Whether a thread is inside `handle` with the lock.
-        deferred_events: Events that a call brought about, delivered before the lock is released.
-        answer_gates: Gates of the requests answered in a call, opened after the lock is released.
+        handling: Whether a thread is inside `handle` and holds the lock.
+        deferred_events: Events caused by a call, delivered before the lock is released.
+        answer_gates: The gates of the requests answered in a call, released after the lock is.
         pending_log_lines: The controller's log lines, written after the lock is released.
     """
 
@@ -75,8 +75,8 @@
         self.metrics = metrics
         self.request_classes = {each.name: each for each in facts.request_classes}
         self.tenants = {each.name: each for each in facts.tenants}
-        self.lock = threading.Lock()  # over the controller and all that its calls change
-        self.answering = threading.Lock()  # over the outcome of every request
+        self.lock = threading.Lock()  # guards the controller and all state that its calls change
+        self.answering = threading.Lock()  # guards the outcome of every request
         self.server: AdmissionController | None = None
         self.executor: CommandExecutor | None = None
         self.requests: dict[str, PendingRequest] = {}
@@ -94,7 +94,7 @@
         self._class_pools: ClassPoolSettings | None = None
 
     def set_class_pools(self, minimum: float, classes: Mapping[str, str]) -> None:
-        """Divide core time between pools of request classes, from `open` on.
+        """Divide core time between pools of request classes; to be called before `open`.
 
         Args:
             minimum: As in `ClassPoolSettings`.
@@ -106,18 +106,18 @@
         """Create the controller; called once, when the engine is known to be up.
 
         Args:
-            executor: What carries out the controller's commands.
+            executor: Carries out the controller's commands.
             started_at: When the engine started, in microseconds of the clock.
         """
         with self.lock:
             self.executor = executor
             self.now = clock.now()
-            pools = self._pools(started_at)
+            pools = self._create_class_pools(started_at)
             self.server = AdmissionController(started_at, executor, self.facts, pools)
             if self.stop_at is not None:
                 self.server.begin_drain(self.now, self.stop_at)
 
-    def _pools(self, started_at: int) -> ClassPools | None:
+    def _create_class_pools(self, started_at: int) -> ClassPools | None:
         if self._class_pools is None:
             return None
         minimum, classes = self._class_pools
@@ -127,14 +127,14 @@
     def handle(
         self, act: Callable[[], None], request: PendingRequest | None = None, patience: float = -1
     ) -> None:
-        """Let `act` call the controller, then deliver what that brings about.
+        """Run `act`, which calls the controller, under the lock, and deliver the results.
 
-        Does nothing before `open`, or where the lock is not free in time.
+        Does nothing before `open`, or if the lock is not acquired in time.
 
         Args:
-            act: Calls the controller; run under the lock.
-            request: The request it is about, which fails if `act` raises.
-            patience: How many seconds to wait for the lock; -1 for ever.
+            act: Calls the controller.
+            request: The request that the call concerns; it fails if `act` raises.
+            patience: How many seconds to wait for the lock; -1 for no limit.
         """
         if not self.lock.acquire(timeout=patience):
             return
@@ -142,25 +142,25 @@
             if self.server is not None:
                 self.now = clock.now()
                 self.handling = True
-                self._guarded(act, request)
-                self._guarded(self._dispatch, None)
+                self._run_guarded(act, request)
+                self._run_guarded(self._dispatch, None)
                 while self.deferred_events:
-                    late, event = self.deferred_events.popleft()
-                    self._guarded(functools.partial(self._on_event, late, event), late)
-                    self._guarded(self._dispatch, None)
+                    affected, event = self.deferred_events.popleft()
+                    self._run_guarded(functools.partial(self._on_event, affected, event), affected)
+                    self._run_guarded(self._dispatch, None)
         finally:
             answer_gates = self.answer_gates
             self.answer_gates = []
             self.handling = False
             self.lock.release()
-        for gate in answer_gates:  # opened under the lock, their threads would only wait for it
+        for gate in answer_gates:  # if released under the lock, their threads would wait for it
             gate.release()
         self._flush()
         while self.pending_log_lines:
             log.info(self.pending_log_lines.popleft())
 
-    def _guarded(self, act: Callable[[], None], request: PendingRequest | None) -> None:
-        """Run `act`; an internal error in it costs the request it is about a failed answer."""
+    def _run_guarded(self, act: Callable[[], None], request: PendingRequest | None) -> None:
+        """Run `act`; if it raises, count the internal error and finish the request it concerns."""
         try:
             act()
         except Exception:
@@ -169,7 +169,7 @@
                 assert self.executor is not None
                 self.executor.finished(request)
 
-    # Run under the lock, through `handle`, and so only once the controller is there.
+    # Called under the lock, through `handle`, and therefore only after `open`.
 
     def _dispatch(self) -> None:
         assert self.server is not None
@@ -180,14 +180,14 @@
         self.server.on_event(self.now, request, event)
 
     def post_event(self, request: PendingRequest, event: RequestEvent) -> None:
-        """Deliver an event that came up under the lock, before the lock is released."""
+        """Queue an event that was caused under the lock; `handle` delivers it before releasing."""
         self.deferred_events.append((request, event))
 
     def on_finished(self, request: PendingRequest) -> None:
-        """Take out a request whose path has ended; one without an answer has failed.
+        """Remove a finished request; a request that has no answer yet gets a failure.
 
-        Called under the lock. Another request may have come under its id, and was rejected: only
-        the one in flight is taken out.
+        Called under the lock. A second request with the same id may have been rejected: only the
+        request in flight is removed.
         """
         if self.requests.get(request.request_id) is not request:
             return
@@ -197,17 +197,17 @@
             for waiter in self.duplicates.run_ended(request, None, self.now):
                 self.deferred_events.append((waiter, RequestEvent.FAILED))
 
-    # From any thread.
+    # Called from any thread.
 
     def notify(self, request: PendingRequest, event: RequestEvent) -> None:
-        """Tell the controller of an event on a request in flight."""
+        """Report an event on a request in flight to the controller."""
         self.handle(functools.partial(self._on_event, request, event), request)
 
     def on_tick(self, gauges: Mapping[str, float]) -> None:
-        """Tell the controller the gauges at a tick.
+        """Run a tick of the controller.
 
         Args:
-            gauges: By the names in which the engine reports them; what is missing is not measured.
+            gauges: The engine's gauges by the names that it uses; a missing one is not measured.
         """
 
         def act() -> None:
@@ -225,7 +225,7 @@
         self.handle(act)
 
     def begin_drain(self, stop_after: int) -> None:
-        """Begin the drain: the process stops `stop_after` microseconds from now."""
+        """Begin the drain; the process stops `stop_after` microseconds from now."""
         stop_at = clock.now() + stop_after
         self.stop_at = stop_at
 
@@ -238,12 +238,12 @@
     def answer(
         self, request: PendingRequest, outcome: Outcome, answer: Answer | None = None
     ) -> None:
-        """Give a request its one final answer; whatever comes after the first is ignored.
+        """Set the final answer of a request; any later answer is ignored.
 
         Args:
             request: The request.
-            outcome: What the answer says.
-            answer: What the run answered, if it did.
+            outcome: The outcome of the request.
+            answer: The answer of the run; None if there is none.
         """
         with self.answering:
             if request.outcome is not None:
@@ -256,7 +256,7 @@
             request.answer_gate.release()
 
     def fail_overdue(self, request: PendingRequest) -> None:
-        """Answer an overdue request: the controller may once more, else it fails."""
+        """Give the controller a last chance to answer an overdue request, then fail the request."""
         self.handle(
             functools.partial(self._on_event, request, RequestEvent.DEADLINE_NEAR),
             request,
--- a/gullyoke/runtime/duplicate_table.py
+++ b/gullyoke/runtime/duplicate_table.py
@@ -1,4 +1,4 @@
-"""The table by which duplicates of a request are known and answered with its result."""
+"""The duplicate table, which finds duplicates of a request and keeps the result for them."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from gullyoke.runtime.messages import Answer
 from gullyoke.runtime.pending_request import PendingRequest
 
-MAX_RESULT_BYTES: Final = 16 * 2**20  # of all results together
+MAX_RESULT_BYTES: Final = 16 * 2**20  # total size of all results that are kept
 
 
 class KeyEntry:
     """A remembered request.
 
     Attributes:
-        request: The request while it is in flight; None once its run has ended.
-        expires_at: Until when (microseconds of the clock) later requests count as duplicates of it.
-        body_digest: A hash of what it asked for; None where that is not known.
-        ended_at: When its run ended; 0 before that.
-        result: Its answer; None where the run did not complete or too many results are kept.
-        waiters: Duplicates that wait for its run.
+        request: The request while it is in flight; None after its run has ended.
+        expires_at: Until when later requests are duplicates, in microseconds of the clock.
+        body_digest: A hash of the request body; None if unknown.
+        ended_at: When the run ended, in microseconds of the clock; 0 before that.
+        result: The answer; None if the run did not complete or the kept results are too large.
+        waiters: Duplicates that wait for the end of the run.
     """
 
     __slots__ = ("body_digest", "ended_at", "expires_at", "request", "result", "waiters")
@@ -37,11 +37,12 @@
 
 
 class DuplicateMatch(NamedTuple):
-    """What a request is a duplicate of.
+    """The result of a search for the original of a request.
 
     Args:
-        entry: The entry of the request that it duplicates; None for none.
-        duplicate_of: That request while it is in flight, `PAST` once it has ended, None for none.
+        entry: The entry of the original; None if the request is not a duplicate.
+        duplicate_of: The original while it is in flight, `PAST` after its run has ended, None if
+            the request is not a duplicate.
     """
 
     entry: KeyEntry | None
@@ -52,12 +53,13 @@
 
 
 class DuplicateTable:
-    """One entry for each key that the controller remembers, until it expires or is forgotten.
+    """The entries of all remembered requests, by request class and key.
 
-    All methods are called under the dispatcher's lock.
+    An entry stays until it expires or the controller forgets the request. All methods are called
+    under the dispatcher's lock.
 
     Args:
-        read_cache_ttl: For how many microseconds the result of an idempotent request is fresh.
+        read_cache_ttl: How many microseconds the result of an idempotent request may be reused.
     """
 
     def __init__(self, read_cache_ttl: int) -> None:
@@ -66,9 +68,10 @@
         self.entries: dict[tuple[RequestClass, str], KeyEntry] = {}
 
     def live_entry(self, request: PendingRequest) -> KeyEntry | None:
-        """Return the entry under the request's key that it arrived in time for, if any.
+        """Return the entry of the request's key; None if there is none that applies.
 
-        That is while the first request is in flight, and until the entry expires.
+        An entry applies while its request is in flight, and after that to requests that arrived
+        before it expired.
         """
         entry = self.entries.get((request.request_class, request.key)) if request.key else None
         if entry is None or (entry.request is None and request.arrived > entry.expires_at):
@@ -76,10 +79,10 @@
         return entry
 
     def conflicts(self, request: PendingRequest) -> bool:
-        """Return whether a keyed request asks for something else than the first under its key.
+        """Return whether a keyed request has another body than the first request with its key.
 
-        Guards against an answer that belongs to another client, where one reuses a key or has
-        seen one.
+        Guards against an answer to the wrong client, if a client reuses a key or has seen the key
+        of another client.
         """
         entry = self.live_entry(request)
         if entry is None or entry.body_digest is None:
@@ -89,7 +92,7 @@
         return entry.body_digest != request.body_digest
 
     def find(self, request: PendingRequest, now: int) -> DuplicateMatch:
-        """Return what the request is a duplicate of."""
+        """Return the original of which the request is a duplicate, or `NO_MATCH`."""
         entry = self.live_entry(request)
         if entry is None:
             return NO_MATCH
@@ -101,7 +104,7 @@
         return DuplicateMatch(entry, PAST)
 
     def remember(self, request: PendingRequest, expires_at: int) -> None:
-        """Remember a request under its key, in the place of whatever was remembered there."""
+        """Remember a request under its key; an earlier entry of the key is replaced."""
         if not request.key:
             return
         self.forget(request)
@@ -129,12 +132,12 @@
     def run_ended(
         self, request: PendingRequest, result: Answer | None, now: int
     ) -> list[PendingRequest]:
-        """Note that the request's run has ended; return the duplicates that waited for it.
+        """Record the end of the request's run; remove and return the duplicates that wait for it.
 
         Args:
             request: The request.
-            result: Its answer; None where the run did not complete.
-            now: Microseconds of the clock.
+            result: The answer; None if the run did not complete.
+            now: The time in microseconds of the clock.
         """
         entry = request.key_entry
         if entry is None or entry.request is None:
@@ -151,8 +154,8 @@
     def expire(self, now: int) -> None:
         """Remove expired entries.
 
-        An entry outlives its expiry by its class's client timeout: duplicates that arrived before
-        may still be unread.
+        An entry is kept for the client timeout of its class beyond its expiry, since duplicates
+        that arrived before the expiry may not have been read yet.
         """
         for key, entry in list(self.entries.items()):
             request_class, _ = key
--- a/gullyoke/runtime/lifecycle.py
+++ b/gullyoke/runtime/lifecycle.py
@@ -1,22 +1,23 @@
-"""The server's state as a whole, as the controller decided it, for every frontend to read."""
+"""The state of the server as a whole, which the controller sets and all front ends read."""
 
 from __future__ import annotations
 
 
 class Lifecycle:
-    """What frontends tell clients of this server.
+    """The state of the server that front ends show to clients.
 
-    Each attribute is replaced whole, so it is read without a lock.
+    Attributes are read without a lock, since each is replaced as a whole.
 
     Args:
-        default_idle_timeout_us: The idle timeout until the controller sets a shorter one.
+        default_idle_timeout_us: The idle timeout that applies while the controller sets none.
 
     Attributes:
         ready: Whether health checks are answered with success.
         load_signal: The value sent with every answer; None for none.
-        closing: Whether the end of the drain has come, and no new connection is served.
+        closing: Whether the last part of the drain has begun, in which connections are closed and
+            none is accepted.
         idle_timeout_us: After how many microseconds idle connections are closed; 0 for never.
-        default_idle_timeout_us: The idle timeout where the controller sets none.
+        default_idle_timeout_us: The idle timeout that applies while the controller sets none.
     """
 
     __slots__ = ("closing", "default_idle_timeout_us", "idle_timeout_us", "load_signal", "ready")
--- a/gullyoke/runtime/logs.py
+++ b/gullyoke/runtime/logs.py
@@ -1,4 +1,4 @@
-"""The server's log: one line an event, with fields; writing it never blocks the caller."""
+"""The server's log: one line with fields for each event; logging never blocks the caller."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 log: Final = logging.getLogger("gullyoke")
 
-MAX_QUEUED_LINES: Final = 2000  # lines that wait to be written; later ones are dropped
-LINES_PER_WINDOW: Final = 10  # of one event
+MAX_QUEUED_LINES: Final = 2000  # further lines are dropped
+LINES_PER_WINDOW: Final = 10  # for each event
 WINDOW_S: Final = 10.0
 
 
 def log_fields(**fields: object) -> dict[str, object]:
     """Return the fields of a log line as the `extra` argument of a logging call.
 
-    They stand under one name of their own, so none can collide with one that logging uses.
+    They are grouped under one key, so that none collides with an attribute of the log record.
     """
     return {"pairs": fields}
 
 
 class KeyValueFormatter(logging.Formatter):
-    """Formats lines as time=... level=... thread=... event="..." and the line's own fields."""
+    """Formats a line as time=... level=... thread=... event="..." followed by its fields."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line of a record."""
+        """Format a record as a line."""
         fields = {
             "time": f"{record.created:.3f}",
             "level": record.levelname.lower(),
@@ -43,7 +43,7 @@
 
 
 def quoted(text: str) -> str:
-    """Return a field's value, in quotes and with escapes where it would be ambiguous without."""
+    """Return the value of a field, quoted and escaped if it would be ambiguous otherwise."""
     if text and not any(c in text for c in ' "=\\') and text.isprintable():
         return text
     text = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class _EventWindow:
-    """How many lines of one event were written and left out since `started_at` (Unix seconds)."""
+    """How many lines of one event were written and dropped since `started_at` (Unix seconds)."""
 
     started_at: float
     written: int = 0
@@ -60,15 +60,16 @@
 
 
 class RateLimitedQueueHandler(logging.handlers.QueueHandler):
-    """Hands lines to the writing thread; drops them when the queue is full.
+    """Queues lines for the writing thread, with a limit on repeated events.
 
-    Neither a stuck log nor one event that repeats may hold requests up or fill the disk: of each
-    event only so many lines are written in a window, and the next line written says how many were
-    left out. Errors are always written. The events are fixed in the code, so the table is bounded.
+    Neither a blocked log nor a repeated event may delay requests or fill the disk. Lines are
+    dropped while the queue is full. The number of lines of an event in a time window is limited,
+    and the next line written says how many were dropped. Errors are not limited. The events are
+    fixed in the code, so the table is bounded.
 
     Args:
         lines: The queue to the writing thread.
-        lines_per_window: How many lines of one event are written in a window.
+        lines_per_window: The maximum number of lines of an event in a window.
         window_s: The length of a window in seconds.
     """
 
@@ -84,7 +85,7 @@
         self.windows: dict[str, _EventWindow] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether a line is written; notes on it how many before it were left out."""
+        """Count a line, add the number of dropped lines to it, and return whether it is written."""
         window = self.windows.setdefault(record.msg, _EventWindow(record.created))
         if record.created - window.started_at >= self.window_s:
             window.started_at = record.created
@@ -99,26 +100,26 @@
         return True
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Queue a line; drop it where the queue is full."""
+        """Queue a line; drop it if the queue is full."""
         with contextlib.suppress(queue.Full):
             self.queue.put_nowait(record)
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        """Leave the record as it is: the writing thread formats it, with its fields."""
+        """Return the record unchanged; the writing thread formats it."""
         return record
 
 
 def start_logging(
     level: str, formatter: logging.Formatter | None = None
 ) -> logging.handlers.QueueListener:
-    """Write the log to standard error from now on, by a thread of its own.
+    """Start the thread that writes the log to standard error.
 
     Args:
         level: The lowest level that is written.
-        formatter: The form of a line; key=value where none is given.
+        formatter: Formats the lines; None for key=value lines.
 
     Returns:
-        The writing thread's owner, to be stopped at the end of the process.
+        The owner of the writing thread, to be stopped at the end of the process.
     """
     stream = logging.StreamHandler(sys.stderr)
     stream.setFormatter(formatter or KeyValueFormatter())
--- a/gullyoke/runtime/messages.py
+++ b/gullyoke/runtime/messages.py
@@ -1,4 +1,4 @@
-"""Messages and answers as all frontends see them, whatever their protocol."""
+"""Messages and answers, in a form that does not depend on the protocol of the front end."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class BadRequestError(GullyokeError):
-    """A message that is answered with a plain status and a close.
+    """An invalid message; it is answered with a status and an empty body.
 
     Args:
         status: The HTTP status of the answer.
-        why: What is wrong with the message.
+        why: What is wrong with the message, for the log.
     """
 
     def __init__(self, status: int, why: str) -> None:
@@ -38,13 +38,13 @@
 
 
 class Message(NamedTuple):
-    """A whole message.
+    """A complete message.
 
     Args:
-        start_line: Its first line in three parts: method, path and version of a request; version,
-            status and reason phrase of a response.
-        fields: Its header fields, by their names in lower case.
-        body: Its body.
+        start_line: Method, path and version of a request; version, status and reason phrase of a
+            response.
+        fields: The header fields by their names in lower case.
+        body: The body.
     """
 
     start_line: tuple[str, str, str]
@@ -57,12 +57,12 @@
 
 
 class Answer(NamedTuple):
-    """A whole answer.
+    """A complete answer.
 
     Args:
-        status: Its HTTP status.
-        body: Its body.
-        fields: Its header fields except its length, in their order; a name may occur twice.
+        status: The HTTP status.
+        body: The body.
+        fields: The header fields in order, without the content length; a name may occur twice.
     """
 
     status: int
@@ -70,13 +70,13 @@
     fields: tuple[tuple[str, str], ...] = ()
 
     def status_line(self) -> str:
-        """Return the status and its usual reason phrase."""
+        """Return the status and its standard reason phrase."""
         return f"{self.status} {REASON_PHRASES.get(self.status, 'Other')}"
 
     def size(self) -> int:
-        """Return about how many bytes it takes to keep."""
+        """Return the approximate size in memory, in bytes."""
         return len(self.body) + sum(len(name) + len(value) for name, value in self.fields)
 
     def header_lines(self) -> str:
-        """Return the header fields as lines, each with its end."""
+        """Return the header fields as lines that end in CR LF."""
         return "".join(f"{name}: {value}\r\n" for name, value in self.fields)
--- a/gullyoke/runtime/metrics.py
+++ b/gullyoke/runtime/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of what the server read, sent and answered, and of its internal errors."""
+"""Counters of the server's messages, events and internal errors."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from gullyoke.runtime.logs import log, log_fields
 
-RETRY_AFTER_ERROR_S: Final = 0.05  # before the next step of a thread whose last one failed
+RETRY_AFTER_ERROR_S: Final = 0.05  # pause of a thread after a step that raised an exception
 
 
 class Metrics:
@@ -26,17 +26,17 @@
             self.counters[name] += amount
 
     def record_internal_error(self, where: str, request: str = "-") -> None:
-        """Count and log an unexpected exception; called while it is being handled.
+        """Count and log an unexpected exception; called while the exception is handled.
 
         Args:
-            where: The part of the server it occurred in.
-            request: The id of the request it occurred on, if any.
+            where: The part of the server that raised it.
+            request: The id of the request it concerns; "-" for none.
         """
         self.increment(f"internal_errors.{where}")
         log.exception("internal error", extra=log_fields(where=where, request=request))
 
     def run_forever(self, where: str, step: Callable[[], None]) -> None:
-        """Run a thread's steps one after the other; an exception in one does not end the thread."""
+        """Run the step of a thread in an endless loop; an exception does not end the thread."""
         while True:
             try:
                 step()
@@ -45,7 +45,7 @@
                 time.sleep(RETRY_AFTER_ERROR_S)
 
     def print(self, why: str) -> None:
-        """Log all counters, and why they are logged now."""
+        """Log all counters and the reason why they are logged now."""
         with self.lock:
             counters = sorted(self.counters.items())
         fields = {name.replace(".", "_"): count for name, count in counters}
--- a/gullyoke/runtime/pending_request.py
+++ b/gullyoke/runtime/pending_request.py
@@ -1,4 +1,4 @@
-"""A request with all that the sockets need of it, from its message to its answer."""
+"""A request in flight, with the state that front ends, executors and dependency calls need."""
 
 from __future__ import annotations
 
@@ -13,27 +13,28 @@
     from gullyoke.runtime.duplicate_table import KeyEntry
 
 Outcome: TypeAlias = Literal[RequestEvent.COMPLETED] | Fail | Reject
-"""What a request's final answer says: completed, failed, or rejected without a run."""
+"""The outcome of a request: completed, failed, or rejected without a run."""
 
 
 class PendingRequest(Request):
-    """A request that has no final answer yet.
+    """A request in flight.
 
     Attributes:
-        request_id: Its id, unique among the requests in flight.
-        key: Its idempotency key or its subject; None where it names neither.
-        message: The message it came in.
-        body_digest: A hash of its body, keyed by this process's own secret.
-        answer: What the run answered; None before that, and where there was no run.
-        outcome: Its final outcome; None until it has one.
-        answer_gate: Locked until the outcome is there; its thread waits for it.
-        key_entry: Its entry in the duplicate table; None where it has none.
-        dependency_call: Its dependency call in flight; None for none.
-        call_body: What its run wants to ask the dependency; None before it wants to.
-        call_notice: The number of the engine's notice of that call.
-        notices_read: How many notices of the engine about its run were read.
-        frontend_name: The frontend it came by, for the log.
-        backend_name: The backend it was last sent to, for the log; "-" for none.
+        request_id: The id, unique among the requests in flight.
+        key: The idempotency key or the lookup key; None if the request has neither.
+        message: The message of the request.
+        body_digest: A hash of the body; it depends on a random key of this process.
+        answer: The answer of the run; None before it, and if there was no run.
+        outcome: The final outcome; None until it is decided.
+        answer_gate: A lock that is held until the outcome is set; the thread that serves the
+            connection waits for it.
+        key_entry: The entry in the duplicate table; None for none.
+        dependency_call: The dependency call in flight; None for none.
+        call_body: The body of the dependency call; None until the run needs the call.
+        call_notice: The number of the engine's notice that asks for the call.
+        notices_read: How many of the engine's notices about the run were read.
+        frontend_name: The front end that read the request, for the log.
+        backend_name: The back end that the request was last sent to, for the log; "-" for none.
     """
 
     __slots__ = (
@@ -71,13 +72,13 @@
     def attach_message(
         self, request_id: str, key: str | None, message: Message, frontend_name: str
     ) -> None:
-        """Note the message it came in and what that says of it; called once, at its creation.
+        """Set the message of the request and initialize the other attributes; called once.
 
         Args:
-            request_id: Its id.
-            key: Its idempotency key or its subject, if any.
+            request_id: The id.
+            key: The idempotency key or the lookup key; None for neither.
             message: The message.
-            frontend_name: The frontend it came by.
+            frontend_name: The front end that read the request.
         """
         self.request_id = request_id
         self.key = key
@@ -93,7 +94,7 @@
 
 
 def outcome_name(outcome: Outcome | None) -> str:
-    """Return what the counters call an outcome."""
+    """Return the name of an outcome in counters."""
     if outcome is RequestEvent.COMPLETED:
         return "completed"
     if isinstance(outcome, Reject):
@@ -102,7 +103,7 @@
 
 
 def log_identity(request: PendingRequest) -> dict[str, str]:
-    """Return the fields of every log line about a request."""
+    """Return the fields that identify a request in log lines."""
     return {
         "request": request.request_id,
         "frontend": request.frontend_name,
--- a/gullyoke/runtime/signals.py
+++ b/gullyoke/runtime/signals.py
@@ -1,4 +1,4 @@
-"""The signals that a server handles, by its main thread alone and once it is up."""
+"""The signals that the server handles, in the main thread only and after the start."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def block_signals() -> None:
-    """Block the handled signals until the server's main loop waits for them.
+    """Block the handled signals until the main loop of the server waits for them.
 
-    Called before anything else. A signal that comes while the server starts must neither end it
-    nor be lost, and every thread inherits the mask, so that none is delivered to a thread that
-    does not wait for it.
+    Called before anything else. A signal that arrives during the start must neither end the server
+    nor be lost. Every thread inherits the mask, so no signal is delivered to a thread that does
+    not wait for signals.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
--- a/gullyoke/runtime/sockets.py
+++ b/gullyoke/runtime/sockets.py
@@ -1,4 +1,4 @@
-"""Opening, reading, writing and ending connections: what more than one package needs of sockets."""
+"""Socket helpers shared by several packages: opening, reading, writing and closing connections."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 class ConnectionBrokenError(ConnectionClosedError):
-    """A connection that closed after something was written to it."""
+    """A connection that closed after bytes were written to it; the peer may have read them."""
 
 
 def open_connection(address: tuple[str, int] | str | None, timeout_s: float) -> socket.socket:
     """Open a connection to a host and port, or to the path of a Unix socket.
 
     Raises:
-        ConnectionClosedError: It could not be opened: REFUSED where nobody listens there,
-            UNREACHED for any other reason.
+        ConnectionClosedError: The connection could not be opened: REFUSED if nothing listens on
+            the address, UNREACHED for any other reason.
     """
     if address is None:
-        raise ConnectionClosedError(CloseReason.UNREACHED, "no address is stated")
+        raise ConnectionClosedError(CloseReason.UNREACHED, "no address is configured")
     try:
         if isinstance(address, str):
             sock = _connect_unix(address, timeout_s)
@@ -54,12 +54,12 @@
 
 
 class Receiver:
-    """Fills a buffer from a blocking socket.
+    """Receives from a blocking socket into a buffer.
 
     Args:
         sock: The socket.
-        piece_timeout_s: How many seconds to wait for more of a message that has begun; None for
-            ever.
+        piece_timeout_s: How many seconds to wait for more bytes of a message that has begun; None
+            for no limit.
     """
 
     def __init__(self, sock: socket.socket, piece_timeout_s: float | None = None) -> None:
@@ -67,10 +67,10 @@
         self.piece_timeout_s = piece_timeout_s
 
     def __call__(self, view: memoryview, begun: bool) -> int:
-        """Receive into `view`; return how many bytes came, 0 at the peer's end.
+        """Receive into `view`; return the number of bytes, 0 if the peer has closed its side.
 
         Raises:
-            ConnectionClosedError: The connection broke, or the wait took too long.
+            ConnectionClosedError: The connection failed, or no bytes arrived in time.
         """
         bounded = self.piece_timeout_s is not None and begun
         try:
@@ -85,13 +85,13 @@
 
 
 class DeadlineSocket:
-    """A socket on which everything must have been sent and received by a deadline.
+    """A socket with one deadline for everything that is sent and received on it.
 
-    Guards against a peer that sends or takes a byte now and then for ever.
+    Guards against a peer that sends or accepts a byte now and then without end.
 
     Args:
         sock: The socket.
-        deadline: Microseconds of the clock.
+        deadline: In microseconds of the clock.
     """
 
     def __init__(self, sock: socket.socket, deadline: int) -> None:
@@ -99,10 +99,10 @@
         self.deadline = deadline
 
     def __call__(self, view: memoryview, begun: bool) -> int:
-        """Receive into `view`; return how many bytes came, 0 at the peer's end.
+        """Receive into `view`; return the number of bytes, 0 if the peer has closed its side.
 
         Raises:
-            ConnectionClosedError: The connection broke, or the deadline has passed.
+            ConnectionClosedError: The connection failed, or the deadline has passed.
         """
         try:
             self.sock.settimeout(self._remaining_s())
@@ -114,8 +114,8 @@
         """Send all of `data`.
 
         Raises:
-            ConnectionClosedError: It failed before the first byte was written.
-            ConnectionBrokenError: It failed later: the peer may have read what was written.
+            ConnectionClosedError: Sending failed before the first byte was written.
+            ConnectionBrokenError: Sending failed later; the peer may have read what was written.
         """
         sent = 0
         try:
@@ -136,19 +136,21 @@
     def _remaining_s(self) -> float:
         remaining = (self.deadline - clock.now()) / 1e6
         if remaining <= 0:
-            raise ConnectionClosedError(CloseReason.STALLED, "its time is over")
+            raise ConnectionClosedError(
+                CloseReason.STALLED, f"deadline passed {-remaining:.3f} s ago"
+            )
         return remaining
 
 
 def shutdown_both(sock: socket.socket) -> None:
-    """Shut both directions down, which wakes every thread that waits on the socket."""
+    """Shut down both directions, which wakes every thread that waits on the socket."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
 
 
 def half_close(sock: socket.socket) -> None:
-    """Tell the peer that nothing more is sent from here."""
-    with contextlib.suppress(OSError):  # the peer has closed it already
+    """Shut down the sending direction, which the peer sees as the end of the data."""
+    with contextlib.suppress(OSError):  # the peer has closed the connection already
         sock.shutdown(socket.SHUT_WR)
 
 
@@ -157,9 +159,9 @@
     timeout_s: float = DISCARD_TIMEOUT_S,
     max_bytes: int = DISCARD_MAX_BYTES,
 ) -> None:
-    """Read and drop what the peer still sends, until it closes its side or a bound is reached.
+    """Read and discard what the peer still sends, until it closes its side or a limit is reached.
 
-    A peer that keeps its side open, or goes on sending, has had its answer.
+    The limits apply to a peer that keeps its side open or goes on sending after its answer.
     """
     until = time.monotonic() + timeout_s
     try:
@@ -169,5 +171,5 @@
             max_bytes -= received
             if not received:
                 return
-    except OSError:  # the time is over, or the peer reset the connection
+    except OSError:  # the timeout has passed, or the peer reset the connection
         return
--- a/gullyoke/runtime/timer.py
+++ b/gullyoke/runtime/timer.py
@@ -1,4 +1,4 @@
-"""One thread for everything scheduled: controller ticks, limits of dependency calls, sweeps."""
+"""A thread that runs scheduled callbacks: controller ticks, dependency call timeouts, sweeps."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class _Scheduled(NamedTuple):
-    """A callback at its time; `number` orders those of one time as they were scheduled."""
+    """A callback and its time; `number` keeps callbacks of equal time in the order scheduled."""
 
     time: int
     number: int
@@ -23,21 +23,21 @@
 class Timer(threading.Thread):
     """Runs callbacks in the order of their times.
 
-    The heap holds a few that schedule themselves again and one for each dependency call of the
-    last seconds; each leaves when its time has come.
+    The heap holds a few callbacks that schedule themselves again, and one for each dependency call
+    of the last seconds; each is removed when its time has come.
     """
 
     def __init__(self, metrics: Metrics) -> None:
         super().__init__(name="timer", daemon=True)
         self.metrics = metrics
         self.heap: list[_Scheduled] = []
-        self.scheduled = threading.Condition(threading.Lock())  # an earlier callback has come
+        self.scheduled = threading.Condition(threading.Lock())  # a new first callback is scheduled
         self.numbers = itertools.count()
 
     def call_at(self, time: int, callback: Callable[[], None]) -> None:
-        """Call `callback` on the timer's thread at `time` (microseconds of the clock).
+        """Schedule `callback` on the timer's thread at `time`, in microseconds of the clock.
 
-        Callable from any thread. A callback must not block: all others wait for it.
+        May be called from any thread. A callback must not block, since it delays all others.
         """
         with self.scheduled:
             heapq.heappush(self.heap, _Scheduled(time, next(self.numbers), callback))
@@ -45,11 +45,11 @@
                 self.scheduled.notify()
 
     def run(self) -> None:
-        """Run callbacks for as long as the process lives."""
+        """Run callbacks until the process ends."""
         self.metrics.run_forever("timer", self.run_next)
 
     def run_next(self) -> None:
-        """Wait for the next callback's time and run it."""
+        """Wait for the time of the next callback and run it."""
         with self.scheduled:
             while not self.heap or self.heap[0].time > clock.now():
                 self.scheduled.wait(self._seconds_to_next())
--- a/gullyoke/runtime/worker_pool.py
+++ b/gullyoke/runtime/worker_pool.py
@@ -1,6 +1,6 @@
-"""Threads that do one task after the other and stay idle for a moment in between.
+"""A pool of threads that are reused for later tasks and end after a short idle time.
 
-Starting a thread costs as much as rejecting a request.
+Threads are reused because starting one costs as much as rejecting a request.
 """
 
 from __future__ import annotations
@@ -10,18 +10,19 @@
 from typing import Final, Generic, TypeVar
 
 MAX_IDLE_WORKERS: Final = 64
-IDLE_TIMEOUT_S: Final = 2.0  # how long a worker waits for its next task before it ends
+IDLE_TIMEOUT_S: Final = 2.0  # how long an idle worker waits for a task before it ends
 
 Task = TypeVar("Task")
 
 
 class WorkerPool(Generic[Task]):
-    """Idle workers, each with an inbox of its own.
+    """The idle workers, each with its own inbox.
 
-    The owner starts threads: where `assign` returns False, it starts one on `run_worker`.
+    The owner of the pool starts the threads: if `assign` returns False, it starts a thread that
+    runs `run_worker`.
 
     Args:
-        perform: What a worker does with a task.
+        perform: Carries out a task.
     """
 
     def __init__(self, perform: Callable[[Task], None]) -> None:
@@ -29,7 +30,7 @@
         self.idle_inboxes: list[queue.SimpleQueue[Task]] = []
 
     def assign(self, task: Task) -> bool:
-        """Hand a task to an idle worker; return False if there is none."""
+        """Assign a task to an idle worker; return False if there is none."""
         try:
             self.idle_inboxes.pop().put(task)
             return True
@@ -37,7 +38,7 @@
             return False
 
     def run_worker(self, first_task: Task) -> None:
-        """Perform tasks, beginning with the first, until none comes for a while."""
+        """Perform tasks, beginning with `first_task`, until none is assigned for a while."""
         inbox: queue.SimpleQueue[Task] = queue.SimpleQueue()
         task: Task | None = first_task
         while task is not None:
@@ -45,7 +46,7 @@
             task = self._next_task(inbox)
 
     def _next_task(self, inbox: queue.SimpleQueue[Task]) -> Task | None:
-        """Wait for the next task; return None if none comes soon or too many workers are idle."""
+        """Wait for the next task; return None after a timeout or if too many workers are idle."""
         if len(self.idle_inboxes) >= MAX_IDLE_WORKERS:
             return None
         self.idle_inboxes.append(inbox)
@@ -55,5 +56,5 @@
             try:
                 self.idle_inboxes.remove(inbox)
                 return None
-            except ValueError:  # another thread has just taken the inbox: its task is on its way
+            except ValueError:  # `assign` has just removed the inbox and is about to put a task in
                 return inbox.get()
