--- a/gullyoke/frontends/__init__.py
+++ b/gullyoke/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""How requests come in: listeners, client connections, each protocol's exchange, and parsing."""
+"""Front ends: listeners, client connections, the protocols on them, and request parsing."""
--- a/gullyoke/frontends/connection.py
+++ b/gullyoke/frontends/connection.py
@@ -1,8 +1,8 @@
-"""One client connection: its state machine, and the one place that closes its socket.
+"""A client connection: its state machine, and the only place where its socket is closed.
 
-A connection belongs to the thread that serves it. Other threads never close the socket: they ask
-for its end by `close_idle` or `abort`, which act only in the states named there, under the
-connection's lock. The owning thread finds the end at its next step and closes.
+A connection belongs to the thread that serves it. Other threads never close the socket. They call
+`close_idle` or `abort`, which shut the socket down, under the connection's lock and only in certain
+states. The owning thread notices this at its next read or write, and closes the socket.
 """
 
 from __future__ import annotations
@@ -22,45 +22,45 @@
     from gullyoke.frontends.connections import ConnectionTable
     from gullyoke.frontends.listener import Listener
 
-# Reasons after which the peer may have sent something that was not read, and is worth waiting for:
-# closing over unread bytes resets the connection, and takes from the peer what it has yet to read.
+# Reasons after which unread bytes of the peer are discarded before the close. Closing a socket with
+# unread bytes resets the connection, and the peer loses what it has not read yet.
 LINGERING: Final = frozenset(
     {CloseReason.DECLARED, CloseReason.IDLE, CloseReason.LEAVING, CloseReason.GARBLED}
 )
 
 
 class State(Enum):
-    """What a connection is doing."""
+    """The state of a connection."""
 
     IDLE = "idle"  # between two messages
     READING = "reading"  # a message has begun
-    WAITING = "waiting"  # its request is in flight
-    WRITING = "writing"  # its answer is being written
-    CLOSING = "closing"  # its end is decided: whatever still comes is dropped
+    WAITING = "waiting"  # the request is in flight
+    WRITING = "writing"  # the answer is being written
+    CLOSING = "closing"  # being closed; bytes that still arrive are discarded
 
 
 class Connection:
-    """One client connection.
+    """A client connection.
 
     Args:
-        sock: Its socket.
-        listener: The listener it came by.
-        table: The table it is in, which lists the new, the idle and the closing connections.
+        sock: The socket of the connection.
+        listener: The listener that accepted it.
+        table: The connection table, which lists the new, the idle and the closing connections.
 
     Attributes:
-        state: What it is doing.
-        state_since: Since when, in microseconds of the clock.
+        state: The current state.
+        state_since: When it entered the state, in microseconds of the clock.
         opened_at: When it was accepted, in microseconds of the clock.
-        request: The request on it; None between two.
-        answered: Whether an answer was written to it.
-        close_reason: Why it is closing; None until that is decided here.
+        request: The request in flight; None between two requests.
+        answered: Whether an answer was written.
+        close_reason: Why this server closes the connection; None until it has decided to.
     """
 
     def __init__(self, sock: socket.socket, listener: Listener, table: ConnectionTable) -> None:
         self.sock = sock
         self.listener = listener
         self.table = table
-        self.lock = threading.Lock()  # over `state`, `state_since` and `close_reason`
+        self.lock = threading.Lock()  # guards `state`, `state_since` and `close_reason`
         self.state = State.IDLE
         self.opened_at = self.state_since = clock.now()
         self.request: PendingRequest | None = None
@@ -70,7 +70,7 @@
     # Called by the owning thread.
 
     def become_idle(self) -> None:
-        """Note that the next message is waited for.
+        """Enter the idle state, in which the next message is awaited.
 
         Raises:
             ConnectionClosedError: The connection is closing.
@@ -80,11 +80,11 @@
             self.table.idle[self] = None
 
     def begin_message(self) -> None:
-        """Note that the first byte of a message was read.
+        """Enter the reading state after the first byte of a message was read.
 
         Raises:
-            ConnectionClosedError: It came after our half-close. Such a message cannot be answered,
-                so nothing of it may be run.
+            ConnectionClosedError: The message arrived after this server's half-close. It cannot be
+                answered, so it must not be run.
         """
         self.table.idle.pop(self, None)
         try:
@@ -94,20 +94,20 @@
             raise
 
     def begin_request(self, request: PendingRequest) -> None:
-        """Note that the message is whole and its request is about to be submitted.
+        """Enter the waiting state before the request of a complete message is submitted.
 
         Raises:
-            ConnectionClosedError: As `begin_message` does.
+            ConnectionClosedError: The connection is closing; the request must not be run.
         """
         self._enter(State.WAITING)
         self.request = request
 
     def write_answer(self, data: bytes) -> None:
-        """Write a whole answer.
+        """Write a complete answer.
 
         Raises:
             ConnectionClosedError: The connection is closing.
-            OSError: The connection broke.
+            OSError: The connection failed.
         """
         self._enter(State.WRITING)
         self.sock.sendall(data)
@@ -116,7 +116,11 @@
         self.table.unanswered.pop(self, None)
 
     def close(self, reason: CloseReason) -> None:
-        """Half-close, read what still comes, close: by the owning thread, the only one that may."""
+        """Close the connection; called by the owning thread only.
+
+        After the reasons in `LINGERING` the socket is half-closed first, and the peer's remaining
+        bytes are discarded.
+        """
         with self.lock:
             self.state = State.CLOSING
             self.close_reason = reason
@@ -136,43 +140,49 @@
     # Called by other threads.
 
     def close_idle(self, reason: CloseReason) -> bool:
-        """Half-close it if it is idle and nothing of a next message has come.
+        """Half-close the connection if it is idle and no byte of a next message has arrived.
 
-        The peer sees the end and closes its side. A message that crosses the half-close on the way
-        is not run: by the end the peer knows that it was not taken.
+        The peer then closes its side. A message that the peer sends before it sees the half-close
+        is not run; the peer can tell from the close that it was not.
 
         Returns:
-            Whether it was idle.
+            Whether the connection was idle and is now closing.
         """
         with self.lock:
             if self.state is not State.IDLE or self._readable():
                 return False
-            self._decide_to_close(reason)
+            self._begin_close(reason)
             half_close(self.sock)
             return True
 
     def abort(self, reason: CloseReason, states: Collection[State], since: int) -> bool:
-        """Shut both directions down if it is in one of these states since then.
+        """Shut down both directions if the connection is still in a given state.
+
+        Args:
+            reason: Why it is closed.
+            states: The states in which it may be closed.
+            since: The `state_since` that the caller has seen. If it differs, the connection has
+                made progress and is left open.
 
         Returns:
-            Whether it was.
+            Whether it was shut down.
         """
         with self.lock:
             if self.state not in states or self.state_since != since:
                 return False
             if self.state is not State.CLOSING:
-                self._decide_to_close(reason)
+                self._begin_close(reason)
             shutdown_both(self.sock)
             return True
 
-    def _decide_to_close(self, reason: CloseReason) -> None:
+    def _begin_close(self, reason: CloseReason) -> None:
         self.state = State.CLOSING
         self.close_reason = reason
         self.state_since = clock.now()
         self.table.idle.pop(self, None)
 
     def _readable(self) -> bool:
-        """Return whether something has come that its thread has not read yet, or its end."""
+        """Return whether there are unread bytes, or the connection has ended."""
         try:
             self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
--- a/gullyoke/frontends/connection_limits.py
+++ b/gullyoke/frontends/connection_limits.py
@@ -1,4 +1,4 @@
-"""How many connections each listener may have. Pure: counts in, a verdict out."""
+"""Rules for how many connections each listener may have; they depend on the counts alone."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class ConnectionLimits:
-    """One limit for the connections of all listeners together.
+    """A limit for the connections of all listeners together.
 
-    Where there are several listeners, each is assured an equal part of half of the limit, so that
-    the clients of one cannot use all descriptors up while another must go on.
+    If there are several listeners, half of the limit is reserved in equal parts for each of them,
+    so that the clients of one listener cannot use up the descriptors that another one needs.
 
     Args:
         max_connections: The limit.
-        listener_count: How many listeners share it.
+        listener_count: How many listeners share the limit.
 
     Attributes:
         max_connections: The limit.
-        assured: How many connections each listener can have whatever the others have.
+        assured: How many connections are reserved for each listener.
     """
 
     def __init__(self, max_connections: int, listener_count: int = 1) -> None:
@@ -28,23 +28,23 @@
         self.set_limit(max_connections)
 
     def set_listener_count(self, listener_count: int) -> None:
-        """Share the limit between so many listeners from now on."""
+        """Set how many listeners share the limit."""
         self.listener_count = listener_count
         self.set_limit(self.max_connections)
 
     def set_limit(self, max_connections: int) -> None:
-        """Set the limit; connections beyond a lower one stay until they close."""
+        """Set the limit; if it becomes lower, connections beyond it stay until they close."""
         self.max_connections = max_connections
         self.assured = 0
         if self.listener_count > 1:
             self.assured = max_connections // (2 * self.listener_count)
 
     def fits(self, newcomer: Key, counts: Mapping[Key, int]) -> bool:
-        """Return whether a new connection leaves the other listeners what they are assured.
+        """Return whether a new connection leaves the other listeners their reserved connections.
 
         Args:
-            newcomer: The listener it came by.
-            counts: The connections of each listener, the new one included.
+            newcomer: The listener of the new connection.
+            counts: The number of connections of each listener, including the new one.
         """
         others = sum(
             max(count, self.assured)
--- a/gullyoke/frontends/connection_sweep.py
+++ b/gullyoke/frontends/connection_sweep.py
@@ -1,4 +1,4 @@
-"""The regular look at all connections: silent, stalled and idle ones, and those that are broken."""
+"""The periodic sweep, which closes silent, stalled and idle connections and finds broken ones."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 if TYPE_CHECKING:
     from gullyoke.frontends.connections import ConnectionTable
 
-FIRST_MESSAGE_US: Final = 2_500_000  # from connecting to a whole first message
-STALL_US: Final = 5_000_000  # for a later message to come whole, or an answer to be taken
-LINGER_US: Final = 300_000  # for a peer to close its side after our half-close
+FIRST_MESSAGE_US: Final = 2_500_000  # from the accept to the complete first message
+STALL_US: Final = 5_000_000  # until a later message is complete, or an answer is written
+LINGER_US: Final = 300_000  # until the peer closes its side after this server's half-close
 HUNG_UP: Final = select.POLLERR | select.POLLHUP
 
 
 class ConnectionSweep:
-    """Ends what peers hold up, from the timer's thread.
+    """Closes connections that make no progress; runs on the timer's thread.
 
     Args:
-        table: The connections.
+        table: The connection table.
     """
 
     def __init__(self, table: ConnectionTable) -> None:
         self.table = table
 
     def run(self) -> None:
-        """Close overdue connections, and tell the controller of clients that are gone."""
+        """Close overdue connections, and report disconnected clients to the controller."""
         for connection in list(self.table.open):
             if self._close_overdue(connection, clock.now()):
                 self.table.on_closing(connection)
         self._notice_broken([c for c in list(self.table.open) if c.state is State.WAITING])
 
     def _close_overdue(self, connection: Connection, now: int) -> bool:
-        """Close a connection whose time is up; return whether that was decided here and now."""
+        """Close a connection that has passed a timeout; return whether it begins to close now."""
         since = connection.state_since
         state = connection.state
         spent = now - since
         if state is State.CLOSING:
             if connection in self.table.closing and spent > LINGER_US:
-                connection.abort(CloseReason.IDLE, {state}, since)  # its peer keeps its side open
+                connection.abort(CloseReason.IDLE, {state}, since)  # the peer keeps its side open
             return False
         if state in (State.READING, State.WRITING) and spent > STALL_US:
             return connection.abort(CloseReason.STALLED, {state}, since)
@@ -58,9 +58,9 @@
         return 0 < idle_timeout_us < spent and connection.close_idle(CloseReason.IDLE)
 
     def _notice_broken(self, waiting: list[Connection]) -> None:
-        """Tell the controller of requests whose connection is broken: no answer could be written.
+        """Report requests whose connection is broken, so that no answer could be written.
 
-        A peer that has closed its own direction only may still read, and keeps its answer.
+        A peer that has closed only its sending direction can still read, and gets its answer.
         """
         poller = select.poll()
         by_descriptor: dict[int, tuple[Connection, PendingRequest | None]] = {}
@@ -69,11 +69,12 @@
             if descriptor >= 0:
                 poller.register(descriptor, 0)
                 by_descriptor[descriptor] = connection, connection.request
-        for descriptor, seen in poller.poll(0):
+        for descriptor, flags in poller.poll(0):
             connection, request = by_descriptor[descriptor]
-            if not seen & HUNG_UP:
+            if not flags & HUNG_UP:
                 continue
-            if connection.sock.fileno() != descriptor:  # it may be another connection's by now
+            # Another connection may have the descriptor by now.
+            if connection.sock.fileno() != descriptor:
                 continue
             if request is not None and not request.client_disconnected:
                 self.table.metrics.increment("requests.client_disconnected")
--- a/gullyoke/frontends/connections.py
+++ b/gullyoke/frontends/connections.py
@@ -1,4 +1,4 @@
-"""The table of all client connections: accepted, served by a thread each, closed."""
+"""The connection table: accepts client connections, serves each on a thread, and closes them."""
 
 from __future__ import annotations
 
@@ -26,28 +26,28 @@
 from gullyoke.runtime.sockets import Receiver
 from gullyoke.runtime.worker_pool import WorkerPool
 
-DESCRIPTOR_POLL_S: Final = 0.1  # between looks at whether a descriptor has come free
+DESCRIPTOR_POLL_S: Final = 0.1  # between checks for a free descriptor
 LOGGED_REASONS: Final = frozenset({CloseReason.GARBLED, CloseReason.STALLED, CloseReason.CUT})
 
 
 class ConnectionTable:
-    """All client connections, of every listener.
+    """All client connections of all listeners.
 
-    The dictionaries keep their connections in the order they came in; each connection leaves
+    The dictionaries keep connections in the order of insertion. A connection is removed from all of
     them when it is closed, at the latest.
 
     Args:
-        limits: How many connections there may be.
-        dispatcher: Told of requests whose client is gone.
+        limits: The limits for the number of connections.
+        dispatcher: Receives the events of requests whose client disconnected.
         lifecycle: The server's idle timeout, and whether it is closing.
         metrics: The server's counters.
 
     Attributes:
         open: The connections that hold a descriptor.
-        unanswered: Those that have had no answer yet, the oldest first.
-        idle: Those that were answered and wait for a message, the one longest idle first.
-        closing: Those whose end is decided and whose peer has not closed yet.
-        listeners: Where they come in.
+        unanswered: The connections without an answer so far, oldest first.
+        idle: The connections that were answered and await a message, longest idle first.
+        closing: The connections that this server is closing and the peer has not closed yet.
+        listeners: The listeners that accept connections.
     """
 
     def __init__(
@@ -67,22 +67,22 @@
         self.closing: dict[Connection, None] = {}
         self.listeners: list[Listener] = []
         self.workers: WorkerPool[Connection] = WorkerPool(self._serve)
-        self.admission = threading.Lock()  # one new connection at a time, of all listeners
+        self.admission = threading.Lock()  # all listeners together add one connection at a time
         self.descriptor_freed = threading.Condition(threading.Lock())
         self._evictor = Evictor(self)
         self._sweep = ConnectionSweep(self)
 
     def listen(self, address: tuple[str, int] | str, frontend: Frontend) -> None:
-        """Listen on an address for a frontend; connections are accepted from `start` on."""
+        """Listen on an address for a front end; connections are accepted from `start` on."""
         self.listeners.append(Listener(address, frontend, self))
 
     def start(self) -> None:
-        """Accept connections from now on."""
+        """Start to accept connections."""
         for listener in self.listeners:
             listener.start()
 
     def stop_accepting(self) -> None:
-        """End the drain: take what waits in the backlogs, then nothing more, and close the idle."""
+        """Accept the connections in the backlogs and no others, and close the idle connections."""
         self.lifecycle.closing = True
         for listener in self.listeners:
             listener.stop()
@@ -91,17 +91,17 @@
         self.sweep()
 
     def sweep(self) -> None:
-        """Close silent, stalled and idle connections, and notice broken ones."""
+        """Close silent, stalled and idle connections, and report broken ones."""
         self._sweep.run()
 
-    # From the accepting threads.
+    # Called by the accepting threads.
 
     def wait_for_descriptor(self) -> None:
-        """Wait while closing connections hold more descriptors than are set aside for them.
+        """Wait while closing connections hold more descriptors than are reserved for them.
 
-        Guards against new connections that come faster than those evicted for them can close:
-        together they would take the descriptors that the engine, the database and the name service
-        need.
+        Guards against new connections that arrive faster than the connections evicted for them
+        close. Together they would use the descriptors that the engine, the database and the
+        service registry need.
         """
         with self.descriptor_freed:
             while (
@@ -111,7 +111,7 @@
                 self.descriptor_freed.wait(DESCRIPTOR_POLL_S)
 
     def take(self, sock: socket.socket, listener: Listener) -> None:
-        """Serve a connection that was accepted; close it where it is one too many."""
+        """Serve an accepted connection, or close it if the limit leaves no place for it."""
         with self.admission:
             connection = Connection(sock, listener, self)
             self.metrics.increment("connections.opened")
@@ -125,12 +125,12 @@
                     self._assign(connection)
                 else:
                     self._on_closed(connection, CloseReason.CROWDED, "")
-            except (OSError, RuntimeError) as error:  # no thread to be had, or closed already
-                log.warning("connection not served", extra=log_fields(why=error))
+            except (OSError, RuntimeError) as error:  # closed already, or no thread can be started
+                log.warning("accepted connection is not served", extra=log_fields(why=error))
                 self._on_closed(connection, CloseReason.FAULT, str(error))
 
     def _assign(self, connection: Connection) -> None:
-        """Hand a connection to an idle worker, or to a new one where none is idle."""
+        """Assign a connection to an idle worker, or to a new one if none is idle."""
         if self.workers.assign(connection):
             return
         threading.Thread(
@@ -138,7 +138,7 @@
         ).start()
         self.metrics.increment("threads.gateway")
 
-    # From the thread that serves a connection.
+    # Called by the thread that serves a connection.
 
     def _serve(self, connection: Connection) -> None:
         """Serve a connection until it closes."""
@@ -152,7 +152,7 @@
         self._on_closed(connection, connection.close_reason or closed.reason, closed.why)
 
     def answer_bad_request(self, connection: Connection, error: BadRequestError) -> Answer:
-        """Count and log a message that is no request; return its answer."""
+        """Count and log an invalid request; return the answer to it."""
         self.metrics.increment(f"bad_requests.{error.status}")
         log.warning(
             "bad request",
@@ -163,7 +163,7 @@
         return Answer(error.status)
 
     def _on_closed(self, connection: Connection, reason: CloseReason, why: str) -> None:
-        """Close a connection whose serving has ended: the one place where that happens."""
+        """Close a connection that is no longer served; all connections are closed here."""
         frontend = connection.listener.frontend.name
         self.metrics.increment(f"ends.{frontend}.{reason.value}")
         if reason in LOGGED_REASONS:
@@ -177,7 +177,7 @@
         self.unanswered.pop(connection, None)
         self.idle.pop(connection, None)
         try:
-            connection.close(reason)  # may take a moment, for which it counts towards the limit
+            connection.close(reason)  # may take a while; until then it counts towards the limit
         finally:
             connection.listener.connections.pop(connection, None)
             self.open.pop(connection, None)
@@ -185,11 +185,11 @@
             with self.descriptor_freed:
                 self.descriptor_freed.notify_all()
 
-    # From the thread that has decided to close a connection.
+    # Called by the thread that has decided to close a connection.
 
     def on_closing(self, connection: Connection) -> None:
-        """Note that a connection is closing: it counts no more, and frees its descriptor soon."""
+        """Move a connection to `closing`; it no longer counts towards its listener's limit."""
         connection.listener.connections.pop(connection, None)
         self.closing[connection] = None
-        if connection not in self.open:  # its thread was quicker
+        if connection not in self.open:  # its own thread has closed it meanwhile
             self.closing.pop(connection, None)
--- a/gullyoke/frontends/eviction.py
+++ b/gullyoke/frontends/eviction.py
@@ -1,4 +1,4 @@
-"""Which connection is closed for a new one where there are as many as there may be."""
+"""Chooses the connection that is closed for a new one when the connection limit is reached."""
 
 from __future__ import annotations
 
@@ -12,30 +12,32 @@
     from gullyoke.frontends.connections import ConnectionTable
     from gullyoke.frontends.listener import Listener
 
-FIRST_BYTE_US: Final = 50_000  # at the limit: for a new connection's first byte
-REST_OF_MESSAGE_US: Final = 500_000  # and for the rest of its first message
-MAX_CLOSING: Final = 8  # connections that hold a descriptor beyond the limit while they close
+# Grace periods of a new connection while the limit is reached.
+FIRST_BYTE_US: Final = 50_000  # for the first byte
+REST_OF_MESSAGE_US: Final = 500_000  # for the rest of the first message
+MAX_CLOSING: Final = 8  # closing connections that may hold a descriptor beyond the limit
 
 
 class Evictor:
-    """Makes place for new connections.
+    """Closes connections to make place for new ones.
 
-    Guards against clients that fill the table and send nothing, or half of something: they are
-    closed first, the oldest before the rest, then the connection longest idle. That may cost
-    gateways that connect well ahead of their first request.
+    Guards against clients that fill the table and send nothing or an incomplete message. Their
+    connections are closed first, the oldest before the others, and then the connection that is
+    longest idle. This can close connections of gateways that connect long before they send their
+    first request.
 
     Args:
-        table: The connections.
+        table: The connection table.
     """
 
     def __init__(self, table: ConnectionTable) -> None:
         self.table = table
 
     def make_place(self, listener: Listener) -> bool:
-        """Close a connection if there are too many with a listener's new one.
+        """Close a connection if a new connection of a listener exceeds the limit.
 
         Returns:
-            Whether there is place for the new one now.
+            Whether the new connection is within the limit now.
         """
         table = self.table
         if len(table.listeners) < 2 and len(listener.connections) <= table.limits.max_connections:
@@ -46,11 +48,11 @@
         return self._close_silent(listener, counts) or self._close_idle(listener, counts)
 
     def _close_silent(self, newcomer: Listener, counts: dict[Listener, int]) -> bool:
-        """Close the oldest that has sent nothing, or half of something; return if there was one."""
+        """Close the oldest connection without a complete message; return whether there was one."""
         now = clock.now()
         for connection in list(self.table.unanswered):
             if now - connection.opened_at <= FIRST_BYTE_US:
-                break  # later ones are younger: a burst costs no look at each
+                break  # the remaining ones are younger and need no check
             since = connection.state_since
             states = _overdue_states(now - since)
             if not self.table.limits.may_evict(connection.listener, newcomer, counts):
@@ -61,7 +63,7 @@
         return False
 
     def _close_idle(self, newcomer: Listener, counts: dict[Listener, int]) -> bool:
-        """Close the connection longest idle; return whether there was one."""
+        """Close the connection that is longest idle; return whether there was one."""
         for connection in list(self.table.idle):
             if not self.table.limits.may_evict(connection.listener, newcomer, counts):
                 continue
@@ -72,14 +74,14 @@
         return False
 
     def _abort_longest_closing(self) -> None:
-        """Where too many wait for their peers to close, abort the one that has waited longest."""
+        """If too many connections wait for their peers to close, abort the one waiting longest."""
         if len(self.table.closing) > MAX_CLOSING:
             oldest: Connection = next(iter(self.table.closing))
             oldest.abort(CloseReason.IDLE, {State.CLOSING}, oldest.state_since)
 
 
 def _overdue_states(spent_us: int) -> set[State]:
-    """Return the states in which an unanswered connection is overdue after so long in them."""
+    """Return the states in which an unanswered connection is overdue after `spent_us` in them."""
     states = set()
     if spent_us > FIRST_BYTE_US:
         states.add(State.IDLE)
--- a/gullyoke/frontends/http1.py
+++ b/gullyoke/frontends/http1.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 frontend: one message at a time on a connection, until a side closes it."""
+"""The HTTP/1.1 front end: one message at a time on a connection, until a side closes it."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class Http1:
-    """A `Frontend` of keep-alive connections.
+    """A `Frontend` with keep-alive connections.
 
     Args:
         handler: Answers the messages.
-        name: Tells listeners apart in counters and logs.
+        name: The name of the front end in counters and logs.
     """
 
     max_message_bytes = http.BUFFER
@@ -25,7 +25,7 @@
         self.name = name
 
     def serve(self, connection: Connection, buffer: Buffer) -> CloseReason:
-        """Read messages and write their answers until a side closes; return why it closed."""
+        """Read messages and write answers until a side closes; return why it closed."""
         while True:
             connection.become_idle()
             try:
@@ -42,7 +42,7 @@
                 return CloseReason.DECLARED
 
     def _closes_after(self, message: Message) -> bool:
-        """Return whether the connection is closed after a message's answer."""
+        """Return whether the connection is closed after the answer to a message."""
         _, path, version = message.start_line
         if message.wants_close() or version == "HTTP/1.0":
             return True
--- a/gullyoke/frontends/listener.py
+++ b/gullyoke/frontends/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket with its accepting thread."""
+"""A listening socket and the thread that accepts its connections."""
 
 from __future__ import annotations
 
@@ -19,37 +19,37 @@
 if TYPE_CHECKING:
     from gullyoke.frontends.connections import ConnectionTable
 
-ACCEPT_RETRY_S: Final = 0.02  # after an accept that failed
+ACCEPT_RETRY_S: Final = 0.02  # pause after a failed accept
 
 
 class Frontend(Protocol):
-    """A protocol's side of a connection.
+    """A protocol that serves client connections.
 
     Attributes:
-        name: Its name in counters and logs.
-        max_message_bytes: The most bytes that one message takes.
+        name: The name in counters and logs.
+        max_message_bytes: The maximum size of a message.
     """
 
     name: str
     max_message_bytes: int
 
     def serve(self, connection: Connection, buffer: Buffer) -> CloseReason:
-        """Read messages and write their answers until a side closes; return why it closed."""
+        """Read messages and write answers until a side closes; return why it closed."""
 
 
 class Listener:
-    """Where one frontend listens.
+    """Accepts the connections of one front end.
 
     Args:
         address: A host and port, or the path of a Unix socket.
-        frontend: The protocol spoken there.
-        table: Where the accepted connections go.
+        frontend: The front end that serves the connections.
+        table: The connection table.
 
     Attributes:
-        sock: The listening socket, which the accepting thread owns and closes once it is stopped.
-        stopped: Whether no connection is accepted any more.
-        connections: Its connections that count towards the limit; each leaves when it is decided
-            to close it.
+        sock: The listening socket; the accepting thread owns it and closes it after `stop`.
+        stopped: Whether the accepting thread has to end.
+        connections: The connections that count towards the limit; a connection is removed when the
+            server decides to close it.
     """
 
     def __init__(
@@ -66,9 +66,9 @@
         threading.Thread(target=self._accept_forever, name="accept", daemon=True).start()
 
     def _accept_forever(self) -> None:
-        """Accept connections until stopped, then close the socket.
+        """Accept connections until `stop`, then close the socket.
 
-        Not before: closing it resets whatever waits in the backlog.
+        The socket is not closed earlier, since that resets the connections in the backlog.
         """
         while not self.stopped:
             self.table.wait_for_descriptor()
@@ -81,23 +81,26 @@
         self.sock.close()
 
     def _accept_failed(self, error: OSError) -> None:
-        """Wait a moment after running out of descriptors or memory, or at the end of the drain."""
-        if not self.table.lifecycle.closing:  # what waits stays in the backlog
+        """Pause after a failed accept: out of descriptors or memory, or the drain has ended.
+
+        The connections stay in the backlog meanwhile.
+        """
+        if not self.table.lifecycle.closing:
             self.table.metrics.increment("accept.failed")
             log.warning("accept failed", extra=log_fields(why=error))
         time.sleep(ACCEPT_RETRY_S)
 
     def stop(self) -> None:
-        """Take what waits in the backlog, then accept nothing more."""
+        """Accept the connections in the backlog, then no others."""
         self.sock.setblocking(False)
         for sock in self._backlog():
             sock.setblocking(True)
             self.table.take(sock, self)
         self.stopped = True
-        shutdown_both(self.sock)  # wakes the accepting thread, which closes the socket
+        shutdown_both(self.sock)  # wakes the accepting thread, which then closes the socket
 
     def _backlog(self) -> Iterator[socket.socket]:
-        with contextlib.suppress(OSError):  # nothing waits any more
+        with contextlib.suppress(OSError):  # the backlog is empty
             while True:
                 sock, _ = self.sock.accept()
                 yield sock
--- a/gullyoke/frontends/listening.py
+++ b/gullyoke/frontends/listening.py
@@ -1,4 +1,4 @@
-"""Sockets that listen."""
+"""Opening of listening sockets."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import stat
 from typing import Final
 
-BACKLOG: Final = 1024  # connections that wait to be accepted
+BACKLOG: Final = 1024  # the maximum number of connections that are not accepted yet
 
 
 def open_listening_socket(address: tuple[str, int] | str) -> socket.socket:
     """Return a socket that listens on a host and port, or on the path of a Unix socket.
 
-    The file that an earlier listener left on the path is removed.
+    A socket file that an earlier listener left on the path is removed.
 
     Raises:
         OSError: The address cannot be listened on.
@@ -30,7 +30,7 @@
 
 
 def remove_stale_socket(path: str) -> None:
-    """Remove the socket file of a server that was killed; leave one that is listened on."""
+    """Remove the socket file of a killed server, but not one on which a process listens."""
     try:
         if not stat.S_ISSOCK(os.stat(path).st_mode):
             return
--- a/gullyoke/frontends/message_handler.py
+++ b/gullyoke/frontends/message_handler.py
@@ -1,4 +1,4 @@
-"""From a message to its answer, under the same rules for all frontends."""
+"""Answers messages by the same rules for all front ends."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class MessageHandler:
-    """Answers health checks, and requests by way of the dispatcher.
+    """Answers health checks itself, and requests through the dispatcher.
 
     Args:
-        dispatcher: Where requests are submitted.
+        dispatcher: Takes the requests.
         lifecycle: Whether the server is ready, and its load signal.
         metrics: The server's counters.
     """
@@ -35,16 +35,16 @@
         self.metrics = metrics
 
     def answer(self, message: Message, connection: Connection) -> Answer:
-        """Return the answer to a message, waiting for it.
+        """Return the answer to a message, blocking until it is there.
 
         Raises:
-            BadRequestError: The message is no request.
-            ConnectionClosedError: The connection is closing; nothing was run.
+            BadRequestError: The message is not a valid request.
+            ConnectionClosedError: The connection is closing; the request was not run.
         """
         method, path, _ = message.start_line
         if path == HEALTH_PATH:
             if method not in HEALTH_METHODS:
-                raise BadRequestError(405, "method")
+                raise BadRequestError(405, f"method {method[:20]!r} is not allowed on {path}")
             return self._answer_health_check()
         return self._answer_request(message, connection)
 
@@ -57,7 +57,7 @@
         frontend_name = connection.listener.frontend.name
         request = request_parsing.parse_request(self.dispatcher, message, frontend_name)
         connection.begin_request(request)
-        if self.dispatcher.server is None:  # nothing runs before the engine is up
+        if self.dispatcher.server is None:  # the engine is not up yet
             self.metrics.increment("answers.before_ready")
             return Answer(503)
         request_parsing.submit(self.dispatcher, request)
@@ -69,7 +69,7 @@
         self.metrics.increment(f"answers.{outcome_name(outcome)}")
         if isinstance(outcome, Reject):
             return Answer(503, b"", self._load_signal_fields() + retry_advice(outcome))
-        answer = request.answer or Answer(500)  # what the run answered goes out unchanged
+        answer = request.answer or Answer(500)  # the answer of the run is sent unchanged
         if self.lifecycle.load_signal is None:
             return answer
         return answer._replace(fields=answer.fields + self._load_signal_fields())
@@ -80,7 +80,7 @@
 
 
 def retry_advice(rejection: Reject) -> HeaderFields:
-    """Return the header fields that tell a rejected client when and where to retry."""
+    """Return the header fields that tell a rejected client when and whether to retry elsewhere."""
     fields: HeaderFields = ()
     if rejection.retry_after:
         fields += (("Hold-Off-Ms", str(max(1, rejection.retry_after // 1000))),)
--- a/gullyoke/frontends/request_parsing.py
+++ b/gullyoke/frontends/request_parsing.py
@@ -1,4 +1,4 @@
-"""From a client's message to a request, checked and submitted to the controller."""
+"""Parses and checks requests, and submits them to the admission controller."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from gullyoke.runtime.pending_request import PendingRequest
 
 CALL_PATH: Final = "/call/"
-MAX_WAIT_MS: Final = 24 * 3600 * 1000  # no client waits longer, and no timestamp is older
+MAX_WAIT_MS: Final = 24 * 3600 * 1000  # upper limit for timeouts and for the age of timestamps
 MAX_MEMORY_KB: Final = 2000.0
-MIN_MEMORY_KB: Final = 1e-9  # a stated figure is positive
+MIN_MEMORY_KB: Final = 1e-9  # the stated memory has to be positive
 MAX_TIMESTAMP_DIGITS: Final = 15
 
 REQUEST_ID: Final = re.compile(r"[0-9a-fA-F]{16}")
@@ -24,51 +24,61 @@
 def parse_number(
     fields: dict[str, str], name: str, default: float, limit: float, least: float = 0.0
 ) -> float:
-    """Return the number in a field.
+    """Return the number in a header field.
 
     Args:
-        fields: The message's fields.
-        name: The field.
-        default: What is returned where there is no such field.
-        limit: The number is less than this.
-        least: The number is at least this.
+        fields: The header fields of the message.
+        name: The name of the field.
+        default: The result if the field is missing.
+        limit: The number must be less than this.
+        least: The number must be at least this.
 
     Raises:
-        BadRequestError: The field holds anything else.
+        BadRequestError: The value of the field is not such a number.
     """
     text = fields.get(name)
     if text is None:
         return default
     if not NUMBER.fullmatch(text) or not least <= (value := float(text)) < limit:
-        raise BadRequestError(400, f"field {name}")
+        raise BadRequestError(
+            400,
+            f"header field {name} is {text[:20]!r}, not a number from {least:g} below {limit:g}",
+        )
     return value
 
 
 def parse_age_us(fields: dict[str, str], name: str) -> int:
-    """Return how many microseconds ago the Unix time in ms was that a field states.
+    """Return the age, in microseconds, of a header field with a Unix time in milliseconds.
+
+    Returns:
+        The age, at most `MAX_WAIT_MS`; 0 if the field is missing.
 
     Raises:
-        BadRequestError: The field holds anything else.
+        BadRequestError: The value of the field is not a whole number.
     """
     text = fields.get(name)
     if text is None:
         return 0
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_TIMESTAMP_DIGITS):
-        raise BadRequestError(400, f"field {name}")
+        raise BadRequestError(
+            400, f"header field {name} is {text[:20]!r}, not a Unix time in milliseconds"
+        )
     return min(clock.age_of_unix_ms(int(text)), MAX_WAIT_MS * 1000)
 
 
 def parse_request(dispatcher: Dispatcher, message: Message, frontend_name: str) -> PendingRequest:
-    """Return the request that a message holds.
+    """Return the request in a message.
 
     Raises:
-        BadRequestError: The message is no request of this site.
+        BadRequestError: The message is not a valid request of this site.
     """
     request_class = _request_class_of(dispatcher, message)
     fields = message.fields
     request_id = fields.get("trace-id", "")
     if not REQUEST_ID.fullmatch(request_id):
-        raise BadRequestError(400, "field trace-id")
+        raise BadRequestError(
+            400, f"header field trace-id is {request_id[:20]!r}, not 16 hex digits"
+        )
     tenant = _tenant_of(dispatcher, fields)
     arrived = clock.now() - parse_age_us(fields, "accepted-at-ms")
     client_timeout_ms = request_class.timeout / 1000
@@ -92,12 +102,12 @@
 def _request_class_of(dispatcher: Dispatcher, message: Message) -> RequestClass:
     method, path, _ = message.start_line
     if not path.startswith(CALL_PATH):
-        raise BadRequestError(404, "path")
+        raise BadRequestError(404, f"path {path[:40]!r} does not begin with {CALL_PATH}")
     if method != "POST":
-        raise BadRequestError(405, "method")
+        raise BadRequestError(405, f"method {method[:20]!r} is not POST")
     request_class = dispatcher.request_classes.get(path[len(CALL_PATH) :])
     if request_class is None:
-        raise BadRequestError(404, "handler")
+        raise BadRequestError(404, f"path {path[:40]!r} names no request class")
     return request_class
 
 
@@ -107,7 +117,7 @@
         return None
     tenant = dispatcher.tenants.get(name)
     if tenant is None:
-        raise BadRequestError(400, "field project")
+        raise BadRequestError(400, f"header field project is {name[:40]!r}, not a known tenant")
     return tenant
 
 
@@ -115,7 +125,7 @@
     """Submit a request to the controller.
 
     Raises:
-        BadRequestError: It could be taken for another request; nothing of it is run.
+        BadRequestError: The request conflicts with another one and is not run.
     """
     conflict: BadRequestError | None = None
 
@@ -134,9 +144,11 @@
 
 
 def conflict_with(dispatcher: Dispatcher, request: PendingRequest) -> BadRequestError | None:
-    """Return how a request conflicts with one that is in flight or was answered; None if not."""
+    """Return the error if a request conflicts with one in flight or answered; None if not."""
     if request.request_id in dispatcher.requests:
-        return BadRequestError(409, "a request of this id is in hand already")
+        return BadRequestError(409, f"a request with id {request.request_id} is in flight already")
     if dispatcher.duplicates.conflicts(request):
-        return BadRequestError(422, "another request came under this key")
+        return BadRequestError(
+            422, f"request {request.request_id} reuses the key of a request with another body"
+        )
     return None
--- a/gullyoke/frontends/scgi.py
+++ b/gullyoke/frontends/scgi.py
@@ -1,4 +1,4 @@
-"""The SCGI frontend: one request on a connection, its answer, and a close."""
+"""The SCGI front end: one request on each connection, which is closed after the answer."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class Scgi:
-    """A `Frontend` of connections with one request each.
+    """A `Frontend` with one request on each connection.
 
     Args:
         handler: Answers the messages.
-        name: Tells listeners apart in counters and logs.
+        name: The name of the front end in counters and logs.
     """
 
     max_message_bytes = scgi.BUFFER
@@ -25,7 +25,7 @@
         self.name = name
 
     def serve(self, connection: Connection, buffer: Buffer) -> CloseReason:
-        """Read the message and write its answer; return why the connection is closed."""
+        """Read the message and write the answer; return why the connection is closed."""
         connection.become_idle()
         try:
             message = scgi.read(buffer, connection.begin_message)
--- a/tests/frontends/test_fronts.py
+++ b/tests/frontends/test_fronts.py
@@ -1,6 +1,6 @@
-"""One script through both fronts' bytes, with a stated clock.
+"""Replays one script of requests through both protocols, with a simulated clock.
 
-The same decisions, action for action.
+The admission controller must take the same decisions, command for command.
 """
 
 import random
@@ -24,7 +24,7 @@
 
 
 class RecordingExecutor:
-    """A command executor that records what it is given and does no work."""
+    """A command executor that records the commands and runs nothing."""
 
     def __init__(self, dispatcher):
         self.dispatcher, self.recorded, self.next_tick_at = dispatcher, [], None
@@ -56,9 +56,10 @@
 
 
 class ReplayedScript:
-    """A script of arrivals, events and gauges, replayed with a stated clock.
+    """A script of arrivals, events and gauges that is replayed with a simulated clock.
 
-    `protocol_of(i)` is the codec by which the i-th request comes.
+    `protocol_of(i)` is the codec of the i-th request; `cut` is the offset at which its bytes are
+    split, by default the middle.
     """
 
     def __init__(self, script, protocol_of, cut=None):
@@ -77,9 +78,9 @@
             self.executor = RecordingExecutor(self.dispatcher)
             self.dispatcher.open(self.executor, START - 20_000_000)
             for step in script:
-                self.play(*step)
+                self.replay_step(*step)
 
-    def play(self, after, verb, *rest):
+    def replay_step(self, after, verb, *rest):
         until = self.now + after
         while self.executor.next_tick_at is not None and self.executor.next_tick_at <= until:
             self.now, self.executor.next_tick_at = self.executor.next_tick_at, None
@@ -103,9 +104,9 @@
             fields["Replay-Key"] = key
         data = message(name, request_class, scgi=by is scgi, of=key, **fields)
         at = len(data) // 2 if self.cut is None else self.cut % len(data)
-        got = by.read(Buffer(Pieces(data[:at], data[at:]), scgi.BUFFER))
+        parsed = by.read(Buffer(Pieces(data[:at], data[at:]), scgi.BUFFER))
         request_parsing.submit(
-            self.dispatcher, request_parsing.parse_request(self.dispatcher, got, by.__name__)
+            self.dispatcher, request_parsing.parse_request(self.dispatcher, parsed, by.__name__)
         )
 
     def notify(self, name, event):
@@ -118,8 +119,9 @@
 
 
 def random_script(seed, length=400):
-    """Twice what two cores do, in bursts, with ends at random, slow spells and a drain at the
-    end.
+    """Return a script with twice the load that two cores can serve.
+
+    Requests arrive in bursts and end at random; the gauges vary, and a drain begins near the end.
     """
     rng, script, names = random.Random(seed), [], []
     for i in range(length):
@@ -158,7 +160,7 @@
 
 class Fronts(unittest.TestCase):
     def test_same_decisions(self):
-        """Through HTTP/1.1, through SCGI, and mixed in any order: one sequence of decisions."""
+        """The decisions are the same by HTTP/1.1, by SCGI, and by both mixed in any order."""
         for seed in range(6):
             script, rng = random_script(seed), random.Random(seed)
             expected = ReplayedScript(script, lambda i: http).executor.recorded
@@ -176,7 +178,7 @@
                 )
 
     def test_cuts(self):
-        """Where the bytes are cut changes nothing, at any offset."""
+        """The decisions are the same wherever the bytes of the requests are split."""
         script = random_script(9, 40)
         expected = ReplayedScript(script, lambda i: http).executor.recorded
         for cut in range(1, 420):
