--- a/gullyoke/daemon/__init__.py
+++ b/gullyoke/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon: front ends, dispatcher, executor and dependency put together.
+"""The daemon, which connects front ends, dispatcher, executor and dependency.
 
-It takes no decisions about requests; gullyoke/admission does.
+The decisions about requests are taken in gullyoke/admission.
 """
--- a/gullyoke/daemon/command_router.py
+++ b/gullyoke/daemon/command_router.py
@@ -1,4 +1,4 @@
-"""Carries out the commands of the decisions. Nothing here blocks: only queues are touched."""
+"""Carries out the admission controller's commands. Nothing here blocks: commands are queued."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class CommandRouter:
-    """The executor of commands of one server. All of it is called under the dispatcher's lock."""
+    """The controller's command executor. All methods are called under the dispatcher's lock."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         }
 
     def execute(self, request: Request, command: Command) -> None:
-        """Carry out a command; those without a method ask for nothing."""
+        """Carry out a command; commands without a method need no action."""
         method = self._methods.get(type(command))
         if method is not None:
             method(cast(PendingRequest, request), command)
@@ -89,7 +89,7 @@
             self._dispatcher.post_event(waiter, RequestEvent.FAILED)
 
     def _await_duplicate(self, request: PendingRequest, command: Command) -> None:
-        """Answer from the request that this one repeats, now or once that has ended."""
+        """Answer a duplicate with the result of the original, now or when its run ends."""
         entry, _ = self._dispatcher.duplicates.find(request, self._dispatcher.now)
         if entry is not None and entry.request is not None:
             entry.waiters.append(request)
@@ -100,31 +100,31 @@
             self._dispatcher.post_event(request, RequestEvent.FAILED)
 
     def finished(self, request: Request) -> None:
-        """The request is over: withdraw its call, and take it out of the tables."""
+        """Clean up after a finished request: abandon its dependency call and remove the request."""
         pending = cast(PendingRequest, request)
         self._dependency.abandon(pending)
         self._dispatcher.on_finished(pending)
 
     def schedule_tick(self, delay: int) -> None:
-        """Let the decisions have their next tick after `delay` microseconds."""
+        """Schedule the controller's next tick after `delay` microseconds."""
         self.gauge_poller.schedule(delay)
 
     def set_health(self, ready: bool, cheap: bool) -> None:
-        """Answer health checks so from now on."""
+        """Set whether health checks are answered with success."""
         self._lifecycle.ready = ready
 
     def set_load_signal(self, level: float) -> None:
-        """Send this level with every answer from now on."""
+        """Set the load signal that is sent with every answer."""
         self._lifecycle.load_signal = level
 
     def set_idle_timeout(self, timeout: int) -> None:
-        """Close client connections that are idle for so many microseconds; 0: the longest."""
+        """Set after how many microseconds idle client connections are closed; 0 for the default."""
         self._lifecycle.idle_timeout_us = timeout or self._lifecycle.default_idle_timeout_us
 
     def log(self, text: str) -> None:
-        """Queue a line for the log, written after the lock is released."""
+        """Queue a log line, which is written after the lock is released."""
         self._dispatcher.pending_log_lines.append(text)
 
     def run_in_background(self, work: Iterator[None]) -> None:
-        """Queue work that the dispatcher's own thread carries on, step by step."""
+        """Queue a computation that the dispatcher's background thread runs step by step."""
         self._dispatcher.background_work.put(work)
--- a/gullyoke/daemon/composition.py
+++ b/gullyoke/daemon/composition.py
@@ -1,4 +1,4 @@
-"""The daemon put together: each part is made once, after those that it is given."""
+"""Creates the daemon and its parts; each part is created after the parts that it depends on."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from gullyoke.runtime.timer import Timer
 
 THREAD_STACK_BYTES: Final = 128 * 1024  # the deepest call path needs under 32 KiB
-#: A thread that computes keeps the interpreter from the others for this long at most.
+#: The longest time that a computing thread keeps the interpreter from the other threads.
 THREAD_SWITCH_INTERVAL_S: Final = 0.001
 
 
@@ -40,16 +40,16 @@
     operator_file: OperatorConfiguration | None = None,
     log_formatter: logging.Formatter | None = None,
 ) -> Daemon:
-    """Put a daemon together; nothing is served before it is started.
+    """Create a daemon; it serves nothing before it is started.
 
     Args:
-        configuration: the daemon's own configuration.
-        operator_file: what the operator adds; None for nothing.
-        log_formatter: the form of the log's lines; None for key=value lines.
+        configuration: the configuration of the daemon.
+        operator_file: the operator's file; None for none.
+        log_formatter: formats the lines of the log; None for key=value lines.
 
     Raises:
-        ConfigurationError: an extension can't meet its configuration.
-        OSError: an address can't be listened on.
+        ConfigurationError: the configuration of an extension is invalid.
+        OSError: the daemon can't listen on an address.
     """
     _configure_threads()
     log_writer = start_logging(configuration.log_level, log_formatter)
@@ -95,7 +95,7 @@
 ) -> Executor:
     """Create the executor of the first extension that has one, or the link to the engine.
 
-    All extensions are asked, since each checks its configuration then.
+    `create_executor` is called on all extensions, since it checks their configuration.
     """
     created = [extension.create_executor(configuration, metrics) for extension in extensions]
     for executor in created:
@@ -110,7 +110,7 @@
     metrics: Metrics,
     executor: Executor,
 ) -> Dispatcher:
-    """Create the dispatcher with the table of duplicates of the first extension that has one."""
+    """Create the dispatcher, with the duplicate table of the first extension that has one."""
     created = [extension.create_duplicate_table(configuration) for extension in extensions]
     return Dispatcher(
         configuration.facts,
@@ -158,7 +158,7 @@
 ) -> None:
     """Listen for the daemon's own front end and for those of the extensions.
 
-    The listeners then share the connections; nothing is accepted before the start.
+    The listeners share the limit on connections. None accepts connections before the start.
     """
     parts.connections.listen(parts.configuration.listen, Http1(parts.message_handler))
     for extension in extensions:
@@ -171,7 +171,7 @@
     database: DependencyClient,
     service_discovery: ServiceDiscoveryReporter | None,
 ) -> dict[str, AddressedClient]:
-    """Return the parts whose address a reload may change, by its field in the configuration."""
+    """Return the parts whose address a reload may change, by the configuration field."""
     clients: dict[str, AddressedClient] = {"engine": executor, "database": database}
     if service_discovery is not None:
         clients["name_service"] = service_discovery
--- a/gullyoke/daemon/configuration.py
+++ b/gullyoke/daemon/configuration.py
@@ -1,4 +1,4 @@
-"""The daemon's configuration: read from the environment and the JSON file that it names."""
+"""The daemon's configuration, read from the environment and from the JSON file that it names."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 MIN_DESCRIPTORS: Final = 20
 DEFAULT_DESCRIPTORS: Final = 1024
 LOG_LEVELS: Final = ("DEBUG", "INFO", "WARNING", "ERROR")
-#: Environment variables that replace a key of the file.
+#: The environment variables that override keys of the file.
 ENVIRONMENT_KEYS: Final = {"name": "NODE_NAME", "listen": "NODE_LISTEN"}
-#: Characters that a server's name can't have, since it is a segment of a URL's path.
+#: Characters not allowed in a server's name, which is used as a segment of a URL path.
 FORBIDDEN_IN_NAME: Final = frozenset(" /?#%")
-#: Left out where two configurations are compared: the platform draws a new seed for each file, and
-#: the facts follow from the settings.
+#: Fields that are ignored when two configurations are compared: the platform draws a new seed for
+#: each file, and the facts are derived from the settings.
 NOT_COMPARED: Final = ("facts", "seed")
 
 
@@ -34,16 +34,16 @@
 
     Attributes:
         name: the server's name, unique among the servers of the site.
-        listen: where its HTTP/1.1 front end listens.
-        engine: the engine's address; None where back ends of the operator's file run the requests.
-        name_service: the address of the name service; None for none.
+        listen: the address of the HTTP/1.1 front end.
+        engine: the engine's address; None if back ends of the operator's file run the requests.
+        name_service: the address of the service registry; None for none.
         database: the dependency's address; None for none.
         seed: the seed of all random draws.
         stop_after_us: microseconds from the stop signal to the end of the drain.
-        max_descriptors: the most file descriptors that the daemon may use.
-        facts: what the settings state of the site.
-        log_level: the least level that is logged, one of `LOG_LEVELS`.
-        settings: the settings of the site, each text by its dotted path.
+        max_descriptors: the maximum number of file descriptors that the daemon may use.
+        facts: the parsed settings of the site.
+        log_level: the lowest level that is logged, one of `LOG_LEVELS`.
+        settings: the settings of the site as texts, by dotted path.
     """
 
     name: str
@@ -59,14 +59,14 @@
     settings: dict[str, str]
 
     def mismatch_with(self, new: DaemonConfiguration) -> str | None:
-        """Return what shows that another configuration is for another server.
+        """Return the key that shows that another configuration belongs to another server.
 
-        Figures may differ: they are those of another start. The engine of another server would know
-        none of the requests that are in flight here.
+        A reload must not apply such a configuration, since the engine of another server does not
+        know the requests in flight here. Other values may differ between two starts.
 
         Returns:
-            The key of the server's name, of its request classes or of its tenants; None where
-            these agree.
+            The key of the server's name, the request classes or the tenants, whichever differs
+            first; None if all of them agree.
         """
         if new.name != self.name:
             return "name"
@@ -79,7 +79,7 @@
         return None
 
     def changed(self, old: DaemonConfiguration) -> list[str]:
-        """Return the fields that differ from another configuration, in their order."""
+        """Return the names of the fields that differ from another configuration, in order."""
         return [
             field.name
             for field in fields(self)
@@ -94,14 +94,14 @@
     """Read and check the configuration.
 
     Args:
-        environment: names the file (NODE_CONFIG), replaces some of its keys (NODE_NAME,
+        environment: names the file (NODE_CONFIG), overrides some of its keys (NODE_NAME,
             NODE_LISTEN) and sets the log level (GULLYOKE_LOG).
-        engine_optional: whether back ends of an operator's file run the requests; engine, name
-            service and database may then be absent. The database may also be absent where the
-            settings name no dependency.
+        engine_optional: whether back ends of an operator's file run the requests. The keys of the
+            engine, the service registry and the database may then be missing. The key of the
+            database may also be missing if the settings name no dependency.
 
     Raises:
-        ConfigurationError: something is missing or invalid.
+        ConfigurationError: a variable, the file, or a key is missing or invalid.
     """
     file = _read_file(environment)
     limits = _object(file, "limits", {})
@@ -109,7 +109,7 @@
     settings = flatten_settings(_object(file, "settings"))
     facts = parse_site_facts(settings)
     no_dependency = not facts.dependency.exists
-    # Checked in this order, so that a file with several faults always reports the same one.
+    # The order of the checks decides which of several errors in a file is reported.
     engine = _optional_address(file, "engine", engine_optional)
     name_service = _optional_address(file, "naming", engine_optional)
     database = _optional_address(file, "db", engine_optional or no_dependency)
@@ -140,7 +140,7 @@
     except (OSError, ValueError) as error:
         raise ConfigurationError(f"NODE_CONFIG: {path} can't be read: {error}") from None
     if not isinstance(found, dict):
-        raise ConfigurationError(f"NODE_CONFIG: {path} holds no object")
+        raise ConfigurationError(f"NODE_CONFIG: {path} does not contain a JSON object")
     replaced = {
         key: environment[variable]
         for key, variable in ENVIRONMENT_KEYS.items()
@@ -153,13 +153,13 @@
     level = environment.get("GULLYOKE_LOG", "INFO").upper()
     if level not in LOG_LEVELS:
         raise ConfigurationError(
-            f"environment variable 'GULLYOKE_LOG' is {level!r}, not a level of logging"
+            f"environment variable 'GULLYOKE_LOG' is {level!r}, not one of {', '.join(LOG_LEVELS)}"
         )
     return level
 
 
 def _value(found: Json, key: str, default: object = None) -> Any:
-    """Return the value of a key; of a dotted one, the last part is looked up."""
+    """Return the value of a key; for a dotted key, only the last part is looked up."""
     value = found.get(key.rsplit(".", 1)[-1], default)
     if value is None:
         raise ConfigurationError(f"missing key '{key}'")
@@ -169,7 +169,7 @@
 def _object(found: Json, key: str, default: Json | None = None) -> Json:
     value = _value(found, key, default)
     if not isinstance(value, dict):
-        raise ConfigurationError(f"key '{key}' is {value!r}, not an object")
+        raise ConfigurationError(f"key '{key}' is {value!r}, not a JSON object")
     return value
 
 
@@ -177,7 +177,9 @@
     value = _value(found, key)
     valid = isinstance(value, str) and value and value.isprintable()
     if not valid or FORBIDDEN_IN_NAME & set(value):
-        raise ConfigurationError(f"key '{key}' is {value!r}, not a name")
+        raise ConfigurationError(
+            f"key '{key}' is {value!r}, not a name of printable characters without any of ' /?#%'"
+        )
     return str(value)
 
 
@@ -185,17 +187,21 @@
     value = _value(found, key, default)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or value != int(value) or value < minimum:
-        raise ConfigurationError(f"key '{key}' is {value!r}, not a whole number from {minimum} on")
+        raise ConfigurationError(
+            f"key '{key}' is {value!r}, not a whole number of at least {minimum}"
+        )
     return int(value)
 
 
 def _seed(found: Json, key: str) -> int:
-    """Return the seed; where it is a text, its digits are hexadecimal."""
+    """Return the seed, which is a number or a text of hexadecimal digits."""
     value = _value(found, key)
     try:
         return value if isinstance(value, int) else int(str(value), 16)
     except ValueError:
-        raise ConfigurationError(f"key '{key}' is {value!r}, not hex digits") from None
+        raise ConfigurationError(
+            f"key '{key}' is {value!r}, not a whole number or a text of hex digits"
+        ) from None
 
 
 def _address(found: Json, key: str) -> Address:
--- a/gullyoke/daemon/daemon.py
+++ b/gullyoke/daemon/daemon.py
@@ -1,7 +1,7 @@
-"""The daemon: its start, its signals and its drain.
+"""The daemon: start, signal handling and drain.
 
-Each part owns its state, its locks and its threads; the daemon starts and stops them. All methods
-but `sweep` run on the main thread, which waits for signals while the others serve.
+Each part owns its state, its locks and its threads; the daemon starts and stops the parts. All
+methods except `sweep` run on the main thread, which waits for signals while other threads serve.
 """
 
 from __future__ import annotations
@@ -31,30 +31,30 @@
 from gullyoke.runtime.timer import Timer
 
 SWEEP_INTERVAL_US: Final = 100_000
-#: No connection is accepted in the last part of the drain.
+#: How long before the stop the daemon accepts no more connections.
 LAST_ACCEPT_BEFORE_STOP_US: Final = 200_000
-#: The connections still open this long before the stop are left as they are.
+#: How long before the stop the daemon no longer waits for connections to close.
 CLOSE_BEFORE_STOP_US: Final = 20_000
 CLOSE_POLL_S: Final = 0.005
 
 
 @dataclass(eq=False)
 class Daemon:
-    """A daemon whose parts are put together; `gullyoke.daemon.composition` makes it.
+    """A daemon with all its parts; `gullyoke.daemon.composition` creates it.
 
     Attributes:
-        configuration: the one in force; a reload replaces it.
-        extensions: what the operator's file adds, in the order in which they are called.
+        configuration: the configuration in force; a reload replaces it.
+        extensions: the extensions of the operator's file, in the order in which they are called.
         log_writer: the thread that writes the log.
         metrics: all counters.
-        timer: the thread for all that is due at a time.
-        dispatcher: the decisions, their lock and the requests in flight.
-        executor: what runs the requests.
-        database: the calls of the dependency.
-        event_relay: hears from executor and database.
-        connection_limits: how many client connections there may be.
+        timer: the thread that runs scheduled callbacks.
+        dispatcher: the admission controller, its lock and the requests in flight.
+        executor: runs the requests.
+        database: makes the dependency calls.
+        event_relay: receives the reports of `executor` and `database`.
+        connection_limits: the limits for the number of client connections.
         connections: the client connections and the threads that serve them.
-        service_discovery: reports to the name service; None where there is none.
+        service_discovery: reports to the service registry; None if there is no registry.
         reloader: reads the configuration again.
     """
 
@@ -73,19 +73,19 @@
     reloader: ConfigurationReloader
 
     def run(self) -> int:
-        """Serve until the stop signal and to the end of the drain.
+        """Serve until the stop signal, then drain.
 
         Returns:
             The exit code of the process.
         """
         self.start()
-        gc.freeze()  # what exists now lives to the end: later collections pass it over
+        gc.freeze()  # objects that exist now live until the end; later collections skip them
         while self.handle_signal(signal.sigwait(signals.HANDLED)):
             pass
         return self.drain()
 
     def start(self) -> None:
-        """Start all threads and serve."""
+        """Start all threads and accept connections."""
         self.timer.start()
         self.dispatcher.background_work.start()
         for extension in self.extensions:
@@ -104,16 +104,16 @@
         )
 
     def sweep(self) -> None:
-        """Close the connections whose time is up; runs on the timer's thread."""
+        """Close connections that have passed a timeout; runs on the timer's thread."""
         self.timer.call_at(clock.now() + SWEEP_INTERVAL_US, self.sweep)
         self.connections.sweep()
         self.database.close_idle()
 
     def handle_signal(self, number: int) -> bool:
-        """Act on a signal.
+        """Handle a signal.
 
         Returns:
-            False for a stop signal, on which the caller has to act.
+            False for a stop signal, which the caller has to handle.
         """
         if number == signal.SIGUSR1:
             self.print_counters("asked")
@@ -130,12 +130,12 @@
             extension.log_status()
 
     def apply_reload(self) -> None:
-        """Read the configuration again and take over what may change under requests in flight."""
+        """Read the configuration again and apply the values that may change while serving."""
         self.configuration = self.reloader.reload(self.configuration)
         self.connection_limits.set_limit(max_connections(self.configuration, self.extensions))
 
     def drain(self) -> int:
-        """Answer what still comes until shortly before the stop, then close everything.
+        """Answer requests until shortly before the stop, then close all connections.
 
         Returns:
             The exit code of the process.
--- a/gullyoke/daemon/descriptors.py
+++ b/gullyoke/daemon/descriptors.py
@@ -1,4 +1,4 @@
-"""How the daemon divides its file descriptors among calls, extensions and client connections."""
+"""Divides the daemon's file descriptors among calls, extensions and client connections."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from gullyoke.daemon.configuration import DaemonConfiguration
 from gullyoke.daemon.extension import Extension
 
-#: For the engine, the name service, the listeners, the log and what else there is one of.
+#: For the engine, the service registry, the listeners, the log and other single descriptors.
 RESERVED_DESCRIPTORS: Final = 16
-#: One descriptor in so many is for calls of the dependency.
+#: One descriptor out of this number is reserved for a dependency call.
 DESCRIPTORS_PER_CALL: Final = 6
 
 
@@ -20,7 +20,7 @@
 
 
 def max_connections(configuration: DaemonConfiguration, extensions: Iterable[Extension]) -> int:
-    """Return how many client connections may be open at once: what all other uses leave."""
+    """Return how many client connections may be open: the descriptors that nothing else needs."""
     return (
         configuration.max_descriptors
         - RESERVED_DESCRIPTORS
--- a/gullyoke/daemon/event_relay.py
+++ b/gullyoke/daemon/event_relay.py
@@ -1,4 +1,4 @@
-"""Turns what executors and the dependency report into events of the decisions."""
+"""Translates reports of executors and of the dependency into events of the admission controller."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class EventRelay:
-    """The listener of the executor and of the dependency, called on their reading threads."""
+    """Receives the reports of the executor and the dependency, on their reading threads."""
 
     def __init__(
         self, dispatcher: Dispatcher, router: CommandRouter, executor: Executor, metrics: Metrics
@@ -38,22 +38,22 @@
         self._metrics = metrics
 
     def is_in_flight(self, request: PendingRequest) -> bool:
-        """Whether a request of this id is not over yet."""
+        """Return whether a request with this id is in flight."""
         return request.request_id in self._dispatcher.requests
 
     def post_event(self, request: PendingRequest, event: RequestEvent) -> None:
-        """An event that comes while the dispatcher's lock is held."""
+        """Queue an event that occurs while the dispatcher's lock is held."""
         self._dispatcher.post_event(request, event)
 
     def on_engine_hello(self, state: EngineState, uptime_ms: int) -> None:
-        """The engine is up; the decisions begin with the first one, cold if it is."""
+        """Create the controller at the engine's first HELLO; a cold engine needs a warm-up."""
         if self._dispatcher.server is None:
             self._dispatcher.facts.machine.needs_warmup |= state is EngineState.COLD
             self._dispatcher.open(self._router, clock.now() - uptime_ms * US_PER_MS)
             log.info("serving", extra=log_fields(engine=state.value, up_ms=uptime_ms))
 
     def on_run_ended(self, request_id: str, outcome: RunOutcome, result: bytes) -> None:
-        """A run at the engine has ended."""
+        """Report the end of a run at the engine."""
         self._metrics.increment(f"runs.{outcome.value}")
         event = EVENT_OF_RUN_OUTCOME[outcome]
         answer = Answer(STATUS_OK, result)
@@ -62,7 +62,7 @@
     def on_backend_run_ended(
         self, request: PendingRequest, event: RequestEvent, answer: Answer | None
     ) -> None:
-        """A run at a back end is over, or no back end takes it."""
+        """Report the end of a run at a back end, or that no back end accepts the request."""
         self._metrics.increment(f"runs.{event.name.lower()}")
 
         def act() -> None:
@@ -74,7 +74,7 @@
     def finish_run(
         self, request: PendingRequest, event: RequestEvent, answer: Answer | None
     ) -> None:
-        """Answer the request and its duplicates, and report the event, under the lock."""
+        """Answer the request and its duplicates and report the event; called under the lock."""
         dispatcher = self._dispatcher
         request.notices_read += 1
         if event is RequestEvent.COMPLETED:
@@ -89,7 +89,7 @@
     def _answer_duplicates(
         self, request: PendingRequest, event: RequestEvent, answer: Answer | None
     ) -> None:
-        """Let the requests that wait for this one end as it did; all but a success fails them."""
+        """Complete the duplicates that wait for the run if it completed; fail them otherwise."""
         dispatcher = self._dispatcher
         completed = event is RequestEvent.COMPLETED
         result = answer if completed else None
@@ -99,7 +99,7 @@
             dispatcher.post_event(waiter, event if completed else RequestEvent.FAILED)
 
     def on_call_needed(self, request_id: str, notice: int, body: bytes) -> None:
-        """A run waits for a call to the dependency."""
+        """Report that a run needs a dependency call."""
         self._metrics.increment("runs.call_needed")
 
         def act(request: PendingRequest) -> None:
@@ -111,10 +111,10 @@
         self._handle(request_id, act)
 
     def on_command_refused(self, command: str, request_id: str) -> None:
-        """The engine did not carry a command out. A run that never began is over."""
+        """Log a command that the engine did not carry out; report a refused RUN as not started."""
         self._metrics.increment("engine.rejected_commands")
         log.warning(
-            "the engine did not carry out a command",
+            "engine did not carry out a command",
             extra=log_fields(command=command, request=request_id),
         )
         if command == "RUN":
@@ -123,12 +123,12 @@
             )
 
     def on_gauges(self, tag: str, gauges: Mapping[str, float]) -> None:
-        """The gauges of a poll; the tags of others are no numbers."""
+        """Pass the gauges of a poll on; other tags than those of polls are not numbers."""
         if tag.isdigit():
             self._router.gauge_poller.on_gauges(int(tag), gauges)
 
     def on_call_ended(self, request: PendingRequest, event: RequestEvent, reply: bytes) -> None:
-        """A call has ended, by its reply, its timeout or the end of its connection."""
+        """Report the end of a dependency call: a reply, a timeout or a closed connection."""
         self._metrics.increment(f"calls.{event.name.lower().removeprefix('call_')}")
 
         def act() -> None:
@@ -141,11 +141,11 @@
 
     def _report(self, request: PendingRequest, event: RequestEvent) -> None:
         server = self._dispatcher.server
-        assert server is not None  # nothing is handled before the decisions have begun
+        assert server is not None  # nothing is handled before the controller is created
         server.on_event(self._dispatcher.now, request, event)
 
     def _handle(self, request_id: str, act: Callable[[PendingRequest], None]) -> None:
-        """Let `act` call the decisions, if a request of this id is in flight."""
+        """Run `act` through the dispatcher if a request with this id is in flight."""
         request = self._dispatcher.requests.get(request_id)
         if request is not None:
             self._dispatcher.handle(lambda: act(request), request)
--- a/gullyoke/daemon/extension.py
+++ b/gullyoke/daemon/extension.py
@@ -1,7 +1,7 @@
-"""What the daemon asks of an extension, and what an extension gets of the daemon.
+"""The interface between the daemon and its extensions.
 
-The modules of gullyoke/extensions/ implement `Extension`. They are imported only where an
-operator's file asks for them, so a daemon without such a file starts without their dependencies.
+The modules of gullyoke/extensions/ implement `Extension`. They are imported only if an operator's
+file configures them, so a daemon without such a file does not need their dependencies.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
     """The parts of the daemon that an extension may use.
 
     Attributes:
-        configuration: as read at the start. A reload never changes what extensions read of it: the
-            name, the seed, the settings and the facts of the site.
+        configuration: the configuration read at the start. A reload never changes the fields that
+            extensions read: the name, the seed, the settings and the facts of the site.
         metrics: the daemon's counters.
-        timer: runs functions at a time, on its own thread.
-        dispatcher: the decisions behind their lock.
+        timer: runs scheduled callbacks on its own thread.
+        dispatcher: serializes the calls of the admission controller.
         lifecycle: the answer to health checks and the other state of the server as a whole.
         message_handler: answers the requests and health checks of every front end.
-        connections: all client connections; further listeners are added here.
+        connections: all client connections; extensions add their listeners here.
     """
 
     configuration: DaemonConfiguration
@@ -49,29 +49,30 @@
     """An optional part of the daemon that an operator's file adds.
 
     The daemon calls the methods in this order: `create_executor`, `create_duplicate_table` and
-    `wrap_executor` while it is built, then `attach`; `start` once the timer runs; `log_status` with
-    each print of the counters; `begin_drain` at the stop signal; `close` at the end of the drain.
+    `wrap_executor` while it is created, then `attach`; `start` after the timer has started;
+    `log_status` whenever the counters are logged; `begin_drain` at the stop signal; `close` at the
+    end of the drain.
     """
 
     def create_executor(
         self, configuration: DaemonConfiguration, metrics: Metrics
     ) -> Executor | None:
-        """Create the executor that replaces the engine; None where this does not replace it."""
+        """Create the executor that replaces the engine; None if the extension has none."""
 
     def create_duplicate_table(self, configuration: DaemonConfiguration) -> DuplicateTable | None:
-        """Create the table of idempotency keys; None where the table in memory is enough."""
+        """Create the duplicate table; None if the extension does not replace the one in memory."""
 
     def wrap_executor(self, daemon: DaemonParts, executor: Executor) -> Executor:
-        """Return what stands in front of the executor; the executor itself for nothing."""
+        """Return an executor that wraps the given one, or the given one itself."""
 
     def reserved_descriptors(self) -> int:
-        """Return the most file descriptors that this opens at once."""
+        """Return the maximum number of file descriptors that the extension opens at once."""
 
     def attach(self, daemon: DaemonParts) -> None:
-        """Connect to the parts of the daemon, before anything runs.
+        """Connect to the parts of the daemon, before any of them runs.
 
         Raises:
-            ConfigurationError: the configuration can't be met.
+            ConfigurationError: the configuration of the extension is invalid.
             OSError: an address or a file can't be used.
         """
 
@@ -79,25 +80,25 @@
         """Start threads and periodic work."""
 
     def log_status(self) -> None:
-        """Log the state of this extension, next to the counters."""
+        """Log the state of the extension; called when the counters are logged."""
 
     def begin_drain(self) -> None:
-        """Take note that the daemon has begun to drain."""
+        """Prepare for the stop, at the beginning of the drain."""
 
     def close(self) -> None:
-        """Release what is open; the daemon ends right after."""
+        """Release all resources; the daemon ends right after."""
 
 
 class OperatorConfiguration(Protocol):
-    """An operator's file: the extensions that it asks for, in the order in which they attach."""
+    """An operator's file: the extensions that it configures, in the order in which they attach."""
 
     @property
     def extensions(self) -> Sequence[Extension]:
-        """The extensions, made once at the start."""
+        """The extensions, created once at the start."""
 
     def reload(self) -> bool:
         """Read the file again and apply what may change while the daemon runs.
 
         Returns:
-            Whether the file is valid; if not, nothing has changed.
+            Whether the file is valid; nothing is applied from an invalid file.
         """
--- a/gullyoke/daemon/reload.py
+++ b/gullyoke/daemon/reload.py
@@ -1,4 +1,4 @@
-"""Reading the configuration again while the daemon serves."""
+"""Reload of the configuration while the daemon serves."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.metrics import Metrics
 
-#: The fields that may change under requests in flight; a change of any other needs a restart.
+#: The fields that a reload applies; changes of other fields need a restart.
 APPLIED_FIELDS: Final = ("engine", "database", "name_service", "stop_after_us")
-#: What the log calls a field, where that is not its name.
+#: The names in the log of fields that are logged under another name.
 LOGGED_NAMES: Final = {
     "name_service": "naming",
     "stop_after_us": "stop",
@@ -32,10 +32,10 @@
 
 
 class ConfigurationReloader:
-    """Replaces the configuration of a running daemon by the one that is on disk now.
+    """Replaces the configuration of a running daemon by the current one on disk.
 
-    Guards against a file that is missing, torn, invalid or another server's: the configuration in
-    force then stays, whole.
+    If the file is missing, incomplete, invalid or belongs to another server, nothing is applied and
+    the configuration in force is kept.
     """
 
     def __init__(
@@ -47,8 +47,8 @@
         """Create the reloader.
 
         Args:
-            clients: the parts whose address may change, by the field that has it.
-            operator_file: the operator's file, which is read again too; None where there is none.
+            clients: the parts whose address may change, by the field with the address.
+            operator_file: the operator's file, which is read again too; None for none.
             metrics: counts the reloads.
         """
         self.clients = clients
@@ -56,7 +56,7 @@
         self.metrics = metrics
 
     def reload(self, current: DaemonConfiguration) -> DaemonConfiguration:
-        """Read the configuration, and apply and log what differs.
+        """Read the configuration, and apply and log the changes.
 
         Args:
             current: the configuration in force.
--- a/gullyoke/daemon/serve.py
+++ b/gullyoke/daemon/serve.py
@@ -1,4 +1,4 @@
-"""One daemon from its start to its exit code, for `python -m gullyoke` and for the command line."""
+"""Runs a daemon and returns its exit code, for `python -m gullyoke` and for the command line."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
     engine_optional: bool = False,
     log_formatter: logging.Formatter | None = None,
 ) -> int:
-    """Serve until the stop signal and to the end of the drain.
+    """Serve until the stop signal and the end of the drain.
 
     Args:
-        operator_file: what the operator adds; None for nothing.
+        operator_file: the operator's file; None for none.
         engine_optional: whether back ends of the operator's file run the requests.
-        log_formatter: the form of the log's lines; None for key=value lines.
+        log_formatter: formats the lines of the log; None for key=value lines.
 
     Returns:
-        The exit code: 0, or 2 where the configuration is missing or invalid.
+        The exit code: 0, or 2 if the configuration is missing or invalid.
     """
-    signals.block_signals()  # the command line may not have done so
+    signals.block_signals()  # the command line may not have blocked them yet
     try:
         configuration = load_configuration(os.environ, engine_optional)
         daemon = build_daemon(configuration, operator_file, log_formatter)
--- a/gullyoke/daemon/service_discovery.py
+++ b/gullyoke/daemon/service_discovery.py
@@ -1,6 +1,6 @@
-"""Reports to the name service, which tells the gateways which servers are there.
+"""Reports to the service registry, from which the gateways learn which servers exist.
 
-Nothing else depends on it: while it can't be reached, requests are served as before.
+Nothing else depends on the registry: while it can't be reached, requests are served as before.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.sockets import DeadlineSocket, open_connection
 
-REPORT_INTERVAL_S: Final = 0.8  # the name service drops a server that is silent for 3 seconds
+REPORT_INTERVAL_S: Final = 0.8  # the registry removes a server after 3 seconds without a report
 REPORT_TIMEOUT_S: Final = 0.5
-FIRST_BACKOFF_S: Final = 0.1  # after a failed report; each further failure doubles it
+FIRST_BACKOFF_S: Final = 0.1  # after a failed report; doubled after each further failure
 MAX_BACKOFF_S: Final = 0.8
-#: Each wait is this share of itself at the least, so that servers do not report in step.
+#: The least factor by which a wait is shortened at random, so that servers don't report in step.
 MIN_JITTER: Final = 0.8
 ACCEPTED_STATUS: Final = "204"
 
@@ -34,7 +34,7 @@
 class ServiceDiscoveryReporter(threading.Thread):
     """The thread that reports whether this server accepts requests.
 
-    It owns the connection to the name service.
+    It owns the connection to the service registry.
     """
 
     def __init__(
@@ -48,10 +48,10 @@
         """Create the thread.
 
         Args:
-            address: the name service's.
-            name: this server's, under which it is registered.
-            healthy: whether this server accepts requests now.
-            jitter: draws the waits.
+            address: the address of the service registry.
+            name: the name under which this server is registered.
+            healthy: returns whether this server accepts requests now.
+            jitter: draws the random factors of the waits.
             metrics: counts the reports and their failures.
         """
         super().__init__(name="naming", daemon=True)
@@ -64,11 +64,11 @@
         self.connected_address = address
 
     def update_address(self, address: tuple[str, int]) -> None:
-        """Use another address from the next report on."""
+        """Set the address that is used from the next report on."""
         self.address = address
 
     def run(self) -> None:
-        """Report again and again, with a backoff after failures."""
+        """Report periodically, with an exponential backoff after failures."""
         backoff_s = FIRST_BACKOFF_S
         last_failure: CloseReason | None = None
         while True:
@@ -80,24 +80,24 @@
                 wait_s = REPORT_INTERVAL_S
                 backoff_s = FIRST_BACKOFF_S
             else:
-                self._note_failure(result, why, repeated=result is last_failure)
+                self._record_failure(result, why, repeated=result is last_failure)
                 last_failure = result
                 wait_s = backoff_s
                 backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
             time.sleep(wait_s * self.jitter.uniform(MIN_JITTER, 1.0))
 
     def report(self) -> CloseReason:
-        """Send one report and read its answer.
+        """Send one report and read the answer.
 
         Returns:
-            `DECLARED` where the name service has accepted it.
+            `DECLARED`: the service registry has accepted the report.
 
         Raises:
-            ConnectionClosedError: the connection broke, or the answer came late or is invalid.
-            OSError: no connection can be made.
+            ConnectionClosedError: the connection failed, or the answer is late or invalid.
+            OSError: no connection can be opened.
         """
         connection = self._connect()
-        # Guards against an answer that comes byte by byte: the timeout is for the whole of it.
+        # One deadline for the whole exchange guards against an answer that comes byte by byte.
         link = DeadlineSocket(connection, clock.now() + int(REPORT_TIMEOUT_S * 1e6))
         buffer = Buffer(link, http.BUFFER)
         link.send(self._request())
@@ -109,9 +109,12 @@
             raise ConnectionClosedError(CloseReason.CLOSED)
         status = answer.start_line[1]
         if status != ACCEPTED_STATUS:
-            raise ConnectionClosedError(CloseReason.GARBLED, f"answered {status[:20]}")
+            raise ConnectionClosedError(
+                CloseReason.GARBLED,
+                f"service registry answered status {status[:20]}, not {ACCEPTED_STATUS}",
+            )
         self.metrics.increment("service_discovery.reports")
-        # With more than one answer, the next is out of step.
+        # Bytes after the answer would be taken for the answer to the next report.
         if answer.wants_close() or len(buffer):
             self.close()
         return CloseReason.DECLARED
@@ -123,7 +126,7 @@
             self.connection = None
 
     def _connect(self) -> socket.socket:
-        """Return the open connection, or a new one where there is none to the address in force."""
+        """Return the connection to the current address; open a new one if there is none."""
         if self.connection is None or self.connected_address != self.address:
             self.close()
             self.connected_address = self.address
@@ -135,8 +138,8 @@
         head = f"PUT {self.path} HTTP/1.1\r\nHost: naming\r\nContent-Length: {len(body)}\r\n\r\n"
         return head.encode("latin-1") + body
 
-    def _note_failure(self, reason: CloseReason, why: str, repeated: bool) -> None:
-        """Count a failed report, and log it; at the debug level where the last failed alike."""
+    def _record_failure(self, reason: CloseReason, why: str, repeated: bool) -> None:
+        """Close the connection, count and log a failed report; a repeated failure at DEBUG."""
         self.close()
         self.metrics.increment(f"ends.service_discovery.{reason.value}")
         log.log(
--- a/tests/compatibility/test_configuration.py
+++ b/tests/compatibility/test_configuration.py
@@ -1,4 +1,4 @@
-"""The daemon's own configuration: the JSON file, the environment and the settings in it."""
+"""The daemon's configuration: the JSON file, the environment and the settings in the file."""
 
 import dataclasses
 import json
@@ -45,7 +45,7 @@
 
 
 def values(record):
-    """A record's fields in their order, with the records in it."""
+    """Return a record's fields in order; records in it are converted too."""
     if isinstance(record, list | tuple):
         return [values(one) for one in record]
     if dataclasses.is_dataclass(record):
@@ -54,7 +54,7 @@
 
 
 def fields(record):
-    """A record's fields in their order, as they are."""
+    """Return a record's fields in order, unconverted."""
     return tuple(getattr(record, field.name) for field in dataclasses.fields(record))
 
 
@@ -62,7 +62,7 @@
     maxDiff = None
 
     def load(self, apart=False, environment=None, **changes):
-        """What is read of the recorded file with these keys changed; None leaves one out."""
+        """Load the recorded file with these keys changed; None removes a key."""
         found = json.loads(FILE.read_text()) | changes
         found = {key: value for key, value in found.items() if value is not None}
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
@@ -109,7 +109,7 @@
                 load_configuration(environment)
 
     def test_another_configuration(self):
-        """What makes a file another server's: its name, its classes or its tenants."""
+        """A file with another name, other classes or other tenants belongs to another server."""
         found, settings = self.load(), json.loads(FILE.read_text())["settings"]
         fewer = {key: {**settings, key: settings[key][:1]} for key in ("Profiles", "Orgs")}
         for new, key in (
@@ -134,7 +134,7 @@
                 self.load(**{key: None})
 
     def test_settings_as_pairs(self):
-        """Nested settings become dotted paths, as the simulator's wire has them."""
+        """Nested settings become dotted paths, as in the simulator's messages."""
         pairs = flatten_settings(json.loads(FILE.read_text())["settings"])
         self.assertEqual(pairs["Profiles.count"], "3")
         self.assertEqual(pairs["Profiles.1.Name"], "book")
@@ -152,7 +152,7 @@
         return pairs | {key.replace("_", "."): text for key, text in changes.items()}
 
     def test_choices(self):
-        """Each word that a setting may be, and what it is read as."""
+        """Each value that a setting may have, and what it is parsed to."""
         for key, part, place, words in (
             (
                 "Profiles_0_Semantics",
@@ -191,7 +191,7 @@
         self.assertIsNone(values(parse_site_facts(self.pairs(FamilyInfo_DependsOn="tier")))[4][1])
 
     def test_defaults(self):
-        """What stands where a setting is absent."""
+        """The defaults of missing settings; a missing required setting is an error."""
         needed = {
             "Profiles.count": "1",
             "Profiles.0.Name": "view",
--- a/tests/daemon/test_lean.py
+++ b/tests/daemon/test_lean.py
@@ -1,6 +1,6 @@
-"""The deploy file's `run` as the platform starts it, looked at from outside.
+"""Checks the process that the deploy file's `run` starts, from outside.
 
-One lean process of ours.
+It must be one small process that imports only the standard library and the named packages.
 """
 
 import contextlib
@@ -20,13 +20,14 @@
 from gullyoke.experiments import usage
 
 FOREIGN = "site-packages"
-# Counted, not timed: the same each time on one version of the language, and some room for others.
+# The numbers of modules and bytes are the same in each run on one version of Python; the bounds
+# leave room for other versions.
 MODULES, RESIDENT_MB, CPU_S = 260, 40.0, 10.0
-OUR_CODE_BYTES = 445_000  # compiled, without docstrings; five in a hundred over what there is
+OUR_CODE_BYTES = 445_000  # compiled, without docstrings; set 5 % above the actual size
 
 
 def code_size(module):
-    """Bytes of a module's compiled code, without docstrings and whatever folder it lies in."""
+    """Return the size of a module's compiled code in bytes, without docstrings and its path."""
     source = pathlib.Path(importlib.util.find_spec(module).origin).read_text()
     return len(marshal.dumps(compile(source, "module", "exec", optimize=2)))
 
@@ -37,23 +38,23 @@
             return tomllib.load(file)
 
     def run_line(self):
-        """`run` with the interpreter at hand in the place of the one that `build` leaves."""
+        """Return `run` with the current interpreter instead of the one that `build` installs."""
         line = self.deploy()["run"]
         self.assertTrue(line.startswith("exec .venv/bin/python "), line)
         return line.replace(".venv/bin/python", shlex.quote(sys.executable), 1)
 
-    def test_build_is_whole_or_not_there(self):
-        """A build that was cut off is made anew.
+    def test_interrupted_build_is_repeated(self):
+        """A build that was interrupted is done again.
 
-        Guards against a first build whose folder alone is taken for the whole by the next one.
-        Played with stand-ins for the two commands that take long.
+        Guards against a build that takes the folder of an interrupted one for complete. Stand-ins
+        replace the two commands that take long.
         """
         build = self.deploy()["build"]
         with contextlib.ExitStack() as stack:
             scene = stack.enter_context(contextlib.closing(Sockets()))
             here = pathlib.Path(scene.folder.name)
             python = here / "python3"
-            # Makes a folder whose pip fails the first time, as a cut would leave it.
+            # Creates a folder whose pip fails the first time, like that of an interrupted build.
             python.write_text(
                 "#!/bin/sh\nmkdir -p .venv/bin\necho x >> made\n"
                 'printf "#!/bin/sh\\ntest -e ready" > .venv/bin/pip\nchmod +x .venv/bin/pip\n'
@@ -70,11 +71,11 @@
             self.assertEqual(once(), 0)
             self.assertEqual(
                 (here / "made").read_text(), "x\nx\n"
-            )  # twice: the third found it whole
+            )  # two builds: the third call found a complete one
 
     def test_run(self):
-        """One process by `exec`, linked dynamically, nothing foreign in it, no child, no Unix
-        socket.
+        """The shell becomes the server process, which is linked dynamically, maps no file of
+        another package, and has no child process and no Unix socket.
         """
         with contextlib.closing(Sockets()) as scene:
             scene.configure_file()
@@ -92,7 +93,7 @@
             scene.line("engine done a ok fine".split())
             scene.line("1< 200 fine".split())
             pid = pathlib.Path(f"/proc/{scene.process.pid}")
-            self.assertIn("python", os.readlink(pid / "exe"))  # the shell itself became it
+            self.assertIn("python", os.readlink(pid / "exe"))  # the shell has become the server
             children = "".join((task / "children").read_text() for task in (pid / "task").iterdir())
             self.assertEqual(children.split(), [])
             maps = (pid / "maps").read_text()
@@ -115,10 +116,7 @@
             self.assertLess(cpu, CPU_S)
 
     def test_imports(self):
-        """What the lean start imports.
-
-        The standard library and the packages that the deploy file names.
-        """
+        """The daemon imports only the standard library and the packages of the deploy file."""
         code = (
             "import sys, gullyoke.daemon.serve\n"
             "for name, one in sorted(sys.modules.items()):\n"
--- a/tests/daemon/test_naming.py
+++ b/tests/daemon/test_naming.py
@@ -1,4 +1,4 @@
-"""Reports to a name service that answers badly."""
+"""Reports to a service registry whose answers are slow or malformed."""
 
 import contextlib
 import random
@@ -15,10 +15,9 @@
 
 
 class Reports(unittest.TestCase):
-    def served(self, stack, pieces, pause):
-        """A name service that writes these pieces, `pause` seconds apart, for each report.
-
-        And its client.
+    def reporter(self, stack, pieces, pause):
+        """Return a reporter whose service registry answers each report with these pieces, sent
+        `pause` seconds apart.
         """
         listener = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
 
@@ -38,37 +37,36 @@
         )
 
     def test_byte_by_byte(self):
-        """Each byte comes in time, the answer does not.
-
-        It is given up when its own time is over.
+        """A report fails at its deadline although each byte of the answer comes soon after the
+        one before.
         """
         with contextlib.ExitStack() as stack:
-            naming = self.served(
+            reporter = self.reporter(
                 stack, [ANSWER[i : i + 1] for i in range(len(ANSWER))], REPORT_TIMEOUT_S / 10
             )
             began = time.monotonic()
             with self.assertRaises(ConnectionClosedError) as ended:
-                naming.report()
+                reporter.report()
             self.assertIs(ended.exception.reason, CloseReason.STALLED)
             self.assertLess(time.monotonic() - began, 3 * REPORT_TIMEOUT_S)
 
     def test_more_than_one_answer(self):
-        """A connection that is out of step is not used again.
+        """A connection is not used again after a second answer to one report.
 
-        Its next answer would be this report's.
+        Otherwise the second answer would be taken for the answer to the next report.
         """
         with contextlib.ExitStack() as stack:
-            naming = self.served(stack, [ANSWER + ANSWER], 0)
-            self.assertIs(naming.report(), CloseReason.DECLARED)
-            self.assertIsNone(naming.connection)
-            self.assertIs(naming.report(), CloseReason.DECLARED)
+            reporter = self.reporter(stack, [ANSWER + ANSWER], 0)
+            self.assertIs(reporter.report(), CloseReason.DECLARED)
+            self.assertIsNone(reporter.connection)
+            self.assertIs(reporter.report(), CloseReason.DECLARED)
 
     def test_pieces_in_time(self):
-        """Pieces are no fault while the whole comes in time."""
+        """An answer in pieces is accepted if it is complete before the deadline."""
         with contextlib.ExitStack() as stack:
-            naming = self.served(stack, [ANSWER[i : i + 1] for i in range(len(ANSWER))], 0)
+            reporter = self.reporter(stack, [ANSWER[i : i + 1] for i in range(len(ANSWER))], 0)
             for _ in range(3):
-                self.assertIs(naming.report(), CloseReason.DECLARED)
+                self.assertIs(reporter.report(), CloseReason.DECLARED)
 
 
 if __name__ == "__main__":
