--- a/gullyoke/codec/buffer.py
+++ b/gullyoke/codec/buffer.py
@@ -90,9 +90,9 @@
         """Consume exactly `size` bytes and return them; return None while there are fewer."""
         if len(self) < size:
             return None
-        data = bytes(self.data[self.start : self.start + size])
+        consumed = bytes(self.data[self.start : self.start + size])
         self._consume(size)
-        return data
+        return consumed
 
     def peek(self, max_bytes: int) -> bytes:
         """Return up to `max_bytes` unconsumed bytes without consuming them."""
--- a/tests/daemon/test_lean.py
+++ b/tests/daemon/test_lean.py
@@ -109,7 +109,7 @@
             resident = usage.resident(scene.process.pid) / 1024
             cpu = usage.cpu(scene.process.pid)
             print(
-                f"lean start and one req: {cpu:.2f} s of CPU, {resident:.1f} MB resident",
+                f"start and one request: {cpu:.2f} s of CPU, {resident:.1f} MB resident",
                 file=sys.stderr,
             )
             self.assertLess(resident, RESIDENT_MB)
