--- a/gullyoke/codec/buffer.py
+++ b/gullyoke/codec/buffer.py
@@ -63,7 +63,7 @@
         else:
             raise ConnectionClosedError(CloseReason.GARBLED, f"message exceeds {self.limit} bytes")
 
-    def line(self, max_bytes: int) -> bytes | None:
+    def take_line(self, max_bytes: int) -> bytes | None:
         """Consume the next line and return it without its line end, CR LF or a bare LF.
 
         Returns:
@@ -81,7 +81,7 @@
         self._consume(at + 1 - self.start)
         return text
 
-    def until(self, mark: bytes) -> bytes | None:
+    def take_until(self, mark: bytes) -> bytes | None:
         """Consume everything up to the end of `mark`; return None while `mark` is missing."""
         at = self.data.find(mark, self.start, self.end)
         return None if at < 0 else self.take(at + len(mark) - self.start)
--- a/gullyoke/codec/http.py
+++ b/gullyoke/codec/http.py
@@ -15,7 +15,7 @@
 MAX_HEAD_BYTES: Final = 4096
 MAX_BODY_BYTES: Final = 8192
 MAX_LENGTH_DIGITS: Final = 9
-BUFFER: Final = MAX_HEAD_BYTES + MAX_BODY_BYTES  # the maximum size of a message
+MAX_MESSAGE_BYTES: Final = MAX_HEAD_BYTES + MAX_BODY_BYTES  # the maximum size of a message
 RESPONSE_VERSIONS: Final = ("HTTP/1.0", "HTTP/1.1")  # the first part of a response's start line
 MAX_KNOWN_NAMES: Final = 128
 
@@ -40,7 +40,7 @@
     if not len(buffer) and not buffer.fill():
         return None
     begun()
-    while (head := buffer.until(b"\r\n\r\n")) is None:
+    while (head := buffer.take_until(b"\r\n\r\n")) is None:
         if len(buffer) > MAX_HEAD_BYTES:
             raise BadRequestError(431, f"message head exceeds {MAX_HEAD_BYTES} bytes")
         _fill(buffer)
@@ -113,14 +113,14 @@
         raise ConnectionClosedError(CloseReason.CUT)
 
 
-def answer(given: Answer, close: bool = False) -> bytes:
+def encode_answer(answer: Answer, close: bool = False) -> bytes:
     """Encode an answer.
 
     Args:
-        given: The answer.
+        answer: The answer.
         close: Whether the connection is closed after it.
     """
-    length = len(given.body)
-    head = f"HTTP/1.1 {given.status_line()}\r\nContent-Length: {length}\r\n{given.header_lines()}"
+    length = len(answer.body)
+    head = f"HTTP/1.1 {answer.status_line()}\r\nContent-Length: {length}\r\n{answer.header_lines()}"
     end_of_head = "Connection: close\r\n\r\n" if close else "\r\n"
-    return (head + end_of_head).encode("latin-1") + given.body
+    return (head + end_of_head).encode("latin-1") + answer.body
--- a/gullyoke/codec/lines.py
+++ b/gullyoke/codec/lines.py
@@ -11,10 +11,12 @@
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
 
 MAX_LINE_BYTES: Final = 4096
-MAX_CONTENT_BYTES: Final = 65536
+MAX_BODY_BYTES: Final = 65536
 MAX_NUMBER_DIGITS: Final = 18
 LINE_END: Final = b"\r\n"
-BUFFER: Final = MAX_LINE_BYTES + MAX_CONTENT_BYTES + len(LINE_END)  # the maximum size of a message
+MAX_MESSAGE_BYTES: Final = (
+    MAX_LINE_BYTES + MAX_BODY_BYTES + len(LINE_END)
+)  # the maximum size of a message
 
 
 def read(buffer: Buffer) -> list[str] | None:
@@ -26,7 +28,7 @@
     Raises:
         ConnectionClosedError: The connection closed within the line, or the line is too long.
     """
-    while (line := buffer.line(MAX_LINE_BYTES)) is None:
+    while (line := buffer.take_line(MAX_LINE_BYTES)) is None:
         if not buffer.fill():
             if len(buffer):
                 raise ConnectionClosedError(CloseReason.CUT)
@@ -34,7 +36,7 @@
     return line.decode("latin-1").split(" ")
 
 
-def content(buffer: Buffer, size: str) -> bytes:
+def read_body(buffer: Buffer, size: str) -> bytes:
     """Read the body that follows a line.
 
     Args:
@@ -45,9 +47,9 @@
         ConnectionClosedError: The connection closed within the body, the length is invalid or too
             large, or no CR LF follows the body.
     """
-    if whole(size) > MAX_CONTENT_BYTES:
+    if parse_whole_number(size) > MAX_BODY_BYTES:
         raise ConnectionClosedError(
-            CloseReason.GARBLED, f"body of {size} bytes exceeds {MAX_CONTENT_BYTES} bytes"
+            CloseReason.GARBLED, f"body of {size} bytes exceeds {MAX_BODY_BYTES} bytes"
         )
     while (received := buffer.take(int(size) + len(LINE_END))) is None:
         if not buffer.fill(True):
@@ -57,7 +59,7 @@
     return received[: -len(LINE_END)]
 
 
-def whole(text: str) -> int:
+def parse_whole_number(text: str) -> int:
     """Return the whole number that a word of a message holds.
 
     Raises:
@@ -68,7 +70,7 @@
     return int(text)
 
 
-def command(*words: object, body: bytes | None = None) -> bytes:
+def encode_message(*words: object, body: bytes | None = None) -> bytes:
     """Encode a message; if it has a body, the length of the body is added as the last word."""
     text = " ".join(str(word) for word in words)
     if body is None:
--- a/gullyoke/codec/scgi.py
+++ b/gullyoke/codec/scgi.py
@@ -21,8 +21,8 @@
 MAX_HEADERS: Final = 128
 MAX_LENGTH_DIGITS: Final = 9  # of a netstring's length or a body's
 #: The maximum size of a request: length, colon, headers, comma, body, and one byte too many.
-BUFFER: Final = MAX_LENGTH_DIGITS + 1 + MAX_HEAD_BYTES + 1 + MAX_BODY_BYTES + 1
-TOKEN: Final = frozenset(
+MAX_MESSAGE_BYTES: Final = MAX_LENGTH_DIGITS + 1 + MAX_HEAD_BYTES + 1 + MAX_BODY_BYTES + 1
+TOKEN_CHARACTERS: Final = frozenset(
     "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
 )  # the characters that a field name may have (RFC 9110, 5.6.2)
 
@@ -93,7 +93,7 @@
         raise BadRequestError(431, f"{len(parts) // 2} headers exceed the limit of {MAX_HEADERS}")
     headers: dict[str, str] = {}
     for name, value in zip(parts[::2], parts[1::2], strict=True):
-        if not name or not TOKEN.issuperset(name):
+        if not name or not TOKEN_CHARACTERS.issuperset(name):
             raise BadRequestError(400, f"header name {name[:20]!r} is not a token")
         if name in headers:
             raise BadRequestError(400, f"header {name[:20]} occurs twice")
@@ -140,10 +140,10 @@
     return Message((method, path, headers.get("SERVER_PROTOCOL", "SCGI/1")), fields, body)
 
 
-def answer(given: Answer) -> bytes:
+def encode_answer(answer: Answer) -> bytes:
     """Encode an answer."""
-    length = len(given.body)
+    length = len(answer.body)
     head = (
-        f"Status: {given.status_line()}\r\nContent-Length: {length}\r\n{given.header_lines()}\r\n"
+        f"Status: {answer.status_line()}\r\nContent-Length: {length}\r\n{answer.header_lines()}\r\n"
     )
-    return head.encode("latin-1") + given.body
+    return head.encode("latin-1") + answer.body
--- a/gullyoke/codec/scgi_client.py
+++ b/gullyoke/codec/scgi_client.py
@@ -6,12 +6,16 @@
 from typing import Final, NamedTuple
 
 from gullyoke.codec.buffer import Buffer
-from gullyoke.codec.scgi import TOKEN
+from gullyoke.codec.scgi import TOKEN_CHARACTERS
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
 from gullyoke.runtime.messages import Answer, Message
 
-ANSWER_HEAD: Final = 8192  # the maximum size of a back end's answer before its body, in bytes
-ANSWER_BODY: Final = 2**20  # the maximum size of the body of a back end's answer, in bytes
+MAX_ANSWER_HEAD_BYTES: Final = (
+    8192  # the maximum size of a back end's answer before its body, in bytes
+)
+MAX_ANSWER_BODY_BYTES: Final = (
+    2**20
+)  # the maximum size of the body of a back end's answer, in bytes
 MAX_ANSWER_LENGTH_DIGITS: Final = 12
 # Fields that concern one connection or the framing of one message (RFC 9110, 7.6.1). They are not
 # forwarded.
@@ -34,7 +38,7 @@
     return b"%d:%b," % (len(block), block)
 
 
-def request(message: Message, overrides: dict[str, str]) -> bytes:
+def encode_request(message: Message, overrides: dict[str, str]) -> bytes:
     """Encode a request.
 
     Args:
@@ -63,7 +67,7 @@
     return netstring(headers) + message.body
 
 
-def read_answer(buffer: Buffer, max_body_bytes: int = ANSWER_BODY) -> Answer:
+def read_answer(buffer: Buffer, max_body_bytes: int = MAX_ANSWER_BODY_BYTES) -> Answer:
     """Read a back end's answer, blocking until it is complete.
 
     Raises:
@@ -72,9 +76,9 @@
             more bytes.
     """
     while (head_bytes := _take_answer_head(buffer)) is None:
-        if len(buffer) > ANSWER_HEAD:
+        if len(buffer) > MAX_ANSWER_HEAD_BYTES:
             raise ConnectionClosedError(
-                CloseReason.GARBLED, f"answer head too long, over {ANSWER_HEAD} bytes"
+                CloseReason.GARBLED, f"answer head too long, over {MAX_ANSWER_HEAD_BYTES} bytes"
             )
         if not buffer.fill(True):
             raise ConnectionClosedError(CloseReason.CUT if len(buffer) else CloseReason.CLOSED)
@@ -113,7 +117,7 @@
 
 def _take_answer_head(buffer: Buffer) -> bytes | None:
     """Consume everything up to the end of the blank line, whose line ends may be bare LF."""
-    received = buffer.peek(ANSWER_HEAD)
+    received = buffer.peek(MAX_ANSWER_HEAD_BYTES)
     ends = [at + len(mark) for mark in (b"\r\n\r\n", b"\n\n") if (at := received.find(mark)) >= 0]
     return buffer.take(min(ends)) if ends else None
 
@@ -161,7 +165,7 @@
 def _parse_answer_field(line: str) -> tuple[str, str]:
     name, colon, value = line.removesuffix("\r").partition(":")
     value = value.strip(" \t")
-    if not colon or not name or not TOKEN.issuperset(name) or not _is_plain(value):
+    if not colon or not name or not TOKEN_CHARACTERS.issuperset(name) or not _is_plain(value):
         raise ConnectionClosedError(
             CloseReason.GARBLED, f"answer has a malformed field {name[:20]!r}"
         )
--- a/gullyoke/daemon/service_discovery.py
+++ b/gullyoke/daemon/service_discovery.py
@@ -99,7 +99,7 @@
         connection = self._connect()
         # One deadline for the whole exchange guards against an answer that comes byte by byte.
         link = DeadlineSocket(connection, clock.now() + int(REPORT_TIMEOUT_S * 1e6))
-        buffer = Buffer(link, http.BUFFER)
+        buffer = Buffer(link, http.MAX_MESSAGE_BYTES)
         link.send(self._request())
         try:
             answer = http.read(buffer)
--- a/gullyoke/dependencies/call.py
+++ b/gullyoke/dependencies/call.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from gullyoke.codec.lines import command
+from gullyoke.codec.lines import encode_message
 from gullyoke.runtime.pending_request import PendingRequest
 
 if TYPE_CHECKING:
@@ -28,6 +28,6 @@
     def __init__(self, request: PendingRequest, timeout_us: int) -> None:
         timeout_ms = max(1, timeout_us // US_PER_MS)
         self.request = request
-        self.data = command("Q", request.request_id, timeout_ms, body=request.call_body)
+        self.data = encode_message("Q", request.request_id, timeout_ms, body=request.call_body)
         self.connection: DependencyConnection | None = None
         self.is_over = False
--- a/gullyoke/dependencies/client.py
+++ b/gullyoke/dependencies/client.py
@@ -275,7 +275,7 @@
         The timeout and the buffer guard against lines without end and lengths that promise more
         than comes.
         """
-        buffer = Buffer(Receiver(connection.sock, REPLY_PIECE_TIMEOUT_S), lines.BUFFER)
+        buffer = Buffer(Receiver(connection.sock, REPLY_PIECE_TIMEOUT_S), lines.MAX_MESSAGE_BYTES)
         is_in_step = True
         while (reply := read_reply(buffer)) is not None:
             call = connection.call
--- a/gullyoke/dependencies/reply.py
+++ b/gullyoke/dependencies/reply.py
@@ -37,7 +37,7 @@
     if parts is None:
         return None
     if len(parts) == 3 and parts[1] == ROWS:
-        body = lines.content(buffer, parts[2])
+        body = lines.read_body(buffer, parts[2])
         return DependencyReply(parts[0], RequestEvent.CALL_SUCCEEDED, body)
     if len(parts) == 2 and parts[1] in EVENT_OF_STATUS:
         return DependencyReply(parts[0], EVENT_OF_STATUS[parts[1]], b"")
--- a/gullyoke/executors/backend_attempt.py
+++ b/gullyoke/executors/backend_attempt.py
@@ -162,10 +162,10 @@
             "max-wait-ms": str(max(0, (self.run.deadline - clock.now()) // 1000)),
             "accepted-at-ms": str(clock.unix_ms()),
         }
-        return scgi_client.request(request_of(self.run).message, replaced_fields)
+        return scgi_client.encode_request(request_of(self.run).message, replaced_fields)
 
     def _read_answer(self, connection: DeadlineSocket) -> Answer:
         max_bytes = self._settings.max_answer_bytes
         return scgi_client.read_answer(
-            Buffer(connection, scgi_client.ANSWER_HEAD + max_bytes + 1), max_bytes
+            Buffer(connection, scgi_client.MAX_ANSWER_HEAD_BYTES + max_bytes + 1), max_bytes
         )
--- a/gullyoke/executors/engine_link.py
+++ b/gullyoke/executors/engine_link.py
@@ -151,7 +151,7 @@
                     CloseReason.DECLARED, "the engine's address is another now"
                 )
         sock.sendall(engine_protocol.attach(self._last_notice))
-        buffer = Buffer(Receiver(sock), lines.BUFFER)
+        buffer = Buffer(Receiver(sock), lines.MAX_MESSAGE_BYTES)
         while (notice := engine_protocol.read_notice(buffer, len(self._gauges))) is not None:
             self._on_notice(notice)
         return CloseReason.CLOSED
--- a/gullyoke/executors/engine_protocol.py
+++ b/gullyoke/executors/engine_protocol.py
@@ -10,7 +10,7 @@
 
 from gullyoke.codec import lines
 from gullyoke.codec.buffer import Buffer
-from gullyoke.codec.lines import command
+from gullyoke.codec.lines import encode_message
 from gullyoke.executors import EngineState, RunOutcome
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
 
@@ -68,32 +68,32 @@
 
 def attach(last_notice: int) -> bytes:
     """The first message on a link: repeat the notices after this one."""
-    return command("ATTACH", last_notice)
+    return encode_message("ATTACH", last_notice)
 
 
 def run(request_id: str, request_class: str, body: bytes) -> bytes:
     """The command to begin a run."""
-    return command("RUN", request_id, request_class, body=body)
+    return encode_message("RUN", request_id, request_class, body=body)
 
 
 def call_reply(request_id: str, reply: bytes) -> bytes:
     """The command to hand a run the reply that it waits for."""
-    return command("FEED", request_id, body=reply)
+    return encode_message("FEED", request_id, body=reply)
 
 
 def skip_call(request_id: str, notice: int) -> bytes:
     """The command to go on without the call that this notice asked for."""
-    return command("SKIP", request_id, notice)
+    return encode_message("SKIP", request_id, notice)
 
 
 def cancel(request_id: str) -> bytes:
     """The command to end a run."""
-    return command("HALT", request_id)
+    return encode_message("HALT", request_id)
 
 
 def poll_gauges(tag: int | str) -> bytes:
     """The command to report the gauges under this tag."""
-    return command("STAT", tag)
+    return encode_message("STAT", tag)
 
 
 def read_notice(buffer: Buffer, gauge_count: int) -> Notice | None:
@@ -107,19 +107,21 @@
         return None
     match parts:
         case ["DONE", number, request_id, outcome, _, size] if outcome in RUN_OUTCOMES:
-            result = lines.content(buffer, size)
-            return RunEndedNotice(lines.whole(number), request_id, RUN_OUTCOMES[outcome], result)
+            result = lines.read_body(buffer, size)
+            return RunEndedNotice(
+                lines.parse_whole_number(number), request_id, RUN_OUTCOMES[outcome], result
+            )
         case ["NEED", number, request_id, size]:
-            body = lines.content(buffer, size)
-            return CallNeededNotice(lines.whole(number), request_id, body)
+            body = lines.read_body(buffer, size)
+            return CallNeededNotice(lines.parse_whole_number(number), request_id, body)
         case ["STATS", tag, *values] if len(values) == gauge_count:
             return GaugesNotice(tag, tuple(values))
         case ["NO", refused, request_id]:
             return CommandRefused(refused, request_id)
         case ["HELLO", state, uptime_ms] if state in ENGINE_STATES:
-            return Hello(ENGINE_STATES[state], lines.whole(uptime_ms))
+            return Hello(ENGINE_STATES[state], lines.parse_whole_number(uptime_ms))
         case ["NOTE", number, *_]:
-            return UnknownNotice(lines.whole(number))
+            return UnknownNotice(lines.parse_whole_number(number))
     raise ConnectionClosedError(CloseReason.GARBLED, " ".join(parts)[:LONGEST_REPORTED_LINE])
 
 
--- a/gullyoke/fault_testing/standins.py
+++ b/gullyoke/fault_testing/standins.py
@@ -142,13 +142,13 @@
 
     def serve(self, conn: socket.socket) -> None:
         with contextlib.suppress(OSError, ConnectionClosedError, BadRequestError), conn:
-            message = scgi.read(Buffer(Receiver(conn), scgi.BUFFER))
+            message = scgi.read(Buffer(Receiver(conn), scgi.MAX_MESSAGE_BYTES))
             if message is None:
                 return
             with self.pen:
                 self.begun[message.fields.get("trace-id", "")] += 1
             time.sleep(self.span)
-            conn.sendall(scgi.answer(Answer(200, b"done")))
+            conn.sendall(scgi.encode_answer(Answer(200, b"done")))
 
     def close(self) -> None:
         self.lame()
--- a/gullyoke/frontends/http1.py
+++ b/gullyoke/frontends/http1.py
@@ -18,7 +18,7 @@
         name: The name of the front end in counters and logs.
     """
 
-    max_message_bytes = http.BUFFER
+    max_message_bytes = http.MAX_MESSAGE_BYTES
 
     def __init__(self, handler: MessageHandler, name: str = "gateway") -> None:
         self.handler = handler
@@ -37,7 +37,7 @@
             except BadRequestError as error:
                 answer = connection.table.answer_bad_request(connection, error)
                 close = True
-            connection.write_answer(http.answer(answer, close))
+            connection.write_answer(http.encode_answer(answer, close))
             if close:
                 return CloseReason.DECLARED
 
--- a/gullyoke/frontends/scgi.py
+++ b/gullyoke/frontends/scgi.py
@@ -18,7 +18,7 @@
         name: The name of the front end in counters and logs.
     """
 
-    max_message_bytes = scgi.BUFFER
+    max_message_bytes = scgi.MAX_MESSAGE_BYTES
 
     def __init__(self, handler: MessageHandler, name: str = "scgi") -> None:
         self.handler = handler
@@ -34,5 +34,5 @@
             answer = self.handler.answer(message, connection)
         except BadRequestError as error:
             answer = connection.table.answer_bad_request(connection, error)
-        connection.write_answer(scgi.answer(answer))
+        connection.write_answer(scgi.encode_answer(answer))
         return CloseReason.DECLARED
--- a/tests/codec/test_codecs.py
+++ b/tests/codec/test_codecs.py
@@ -22,7 +22,7 @@
 QUICK = settings(max_examples=120, deadline=None, derandomize=True)
 
 
-def buffer_of(data, cuts=(), limit=scgi.BUFFER):
+def buffer_of(data, cuts=(), limit=scgi.MAX_MESSAGE_BYTES):
     """Return a buffer that receives the data split at the cuts, and then the peer's close."""
     edges = [0, *sorted(c % (len(data) + 1) for c in cuts), len(data)]
     return Buffer(Pieces(*[data[a:b] for a, b in itertools.pairwise(edges)], b""), limit)
@@ -34,7 +34,7 @@
     def test_requests(self, fields, body, cuts):
         """A request encoded for a back end parses back as the same message, however it is split."""
         message = Message(("POST", "/call/view", "HTTP/1.1"), fields, body)
-        parsed = scgi.read(buffer_of(scgi_client.request(message, {}), cuts))
+        parsed = scgi.read(buffer_of(scgi_client.encode_request(message, {}), cuts))
         self.assertEqual(parsed, message)
 
     @QUICK
@@ -48,7 +48,7 @@
     def test_answers(self, fields, body, cuts, status, with_length):
         """An answer parses back unchanged, whether its length or the close ends its body."""
         answer = Answer(status, body, tuple(fields.items()))
-        data = scgi.answer(answer)
+        data = scgi.encode_answer(answer)
         if not with_length:
             data = data.replace(b"Content-Length: %d\r\n" % len(body), b"", 1)
         self.assertEqual(scgi_client.read_answer(buffer_of(data, cuts, 70_000)), answer)
@@ -69,9 +69,9 @@
         """
         message = Message(("POST", "/call/view", "HTTP/1.1"), fields, body)
         data = (
-            scgi.answer(Answer(200, body, tuple(fields.items())))
+            scgi.encode_answer(Answer(200, body, tuple(fields.items())))
             if answer
-            else scgi_client.request(message, {})
+            else scgi_client.encode_request(message, {})
         )
         for at, inserted, removed in changes:
             at %= len(data) + 1
@@ -82,14 +82,14 @@
             self.assertIsInstance(parsed, (Answer, Message, type(None)))
         except (BadRequestError, ConnectionClosedError) as error:
             self.assertTrue(str(error))
-        self.assertLessEqual(len(buffer.data), scgi.BUFFER)
+        self.assertLessEqual(len(buffer.data), scgi.MAX_MESSAGE_BYTES)
 
     def test_every_cut(self):
         """A request split at any byte parses the same; one that ends early at any byte is refused."""
         message = Message(
             ("POST", "/call/view", "HTTP/1.1"), {"trace-id": "0a", "x-a": "1"}, b"A\r\nB"
         )
-        data = scgi_client.request(message, {})
+        data = scgi_client.encode_request(message, {})
         for at in range(1, len(data)):
             self.assertEqual(scgi.read(buffer_of(data, [at])), message)
             with self.assertRaises((ConnectionClosedError, BadRequestError)):
@@ -128,7 +128,7 @@
         data = (
             f"POST /call/view HTTP/1.1\r\n{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
         )
-        by_http = http.read(buffer_of(data, cuts, http.BUFFER))
+        by_http = http.read(buffer_of(data, cuts, http.MAX_MESSAGE_BYTES))
         headers = {
             "CONTENT_LENGTH": str(len(body)),
             "SCGI": "1",
--- a/tests/frontends/test_fronts.py
+++ b/tests/frontends/test_fronts.py
@@ -104,7 +104,7 @@
             fields["Replay-Key"] = key
         data = message(name, request_class, scgi=by is scgi, of=key, **fields)
         at = len(data) // 2 if self.cut is None else self.cut % len(data)
-        parsed = by.read(Buffer(Pieces(data[:at], data[at:]), scgi.BUFFER))
+        parsed = by.read(Buffer(Pieces(data[:at], data[at:]), scgi.MAX_MESSAGE_BYTES))
         request_parsing.submit(
             self.dispatcher, request_parsing.parse_request(self.dispatcher, parsed, by.__name__)
         )
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -427,7 +427,7 @@
         ask = b"POST /call/view HTTP/1.1\r\nTrace-Id: 0a\r\nContent-Length: 4\r\n\r\nA\r\nB"
         load_configuration = b"DONE 7 0a ok 12 3\r\n\n\r\n\r\n"
         for at in range(1, len(ask) + 1):
-            buffer = Buffer(Pieces(ask[:at], ask[at:] + ask, b""), http.BUFFER)
+            buffer = Buffer(Pieces(ask[:at], ask[at:] + ask, b""), http.MAX_MESSAGE_BYTES)
             first, again = http.read(buffer), http.read(buffer)
             self.assertEqual(first, again)
             self.assertEqual((first.start_line[1], first.fields["trace-id"]), ("/call/view", "0a"))
@@ -436,18 +436,18 @@
         for at in range(1, len(load_configuration) + 1):
             buffer = Buffer(
                 Pieces(load_configuration[:at], load_configuration[at:] + load_configuration, b""),
-                lines.BUFFER,
+                lines.MAX_MESSAGE_BYTES,
             )
             for _ in range(2):
                 self.assertEqual(lines.read(buffer), ["DONE", "7", "0a", "ok", "12", "3"])
-                self.assertEqual(lines.content(buffer, "3"), b"\n\r\n")
+                self.assertEqual(lines.read_body(buffer, "3"), b"\n\r\n")
             self.assertIsNone(lines.read(buffer))
             if at < len(load_configuration):
                 with self.assertRaises(ConnectionClosedError) as cut:
-                    buffer = Buffer(Pieces(load_configuration[:at], b""), lines.BUFFER)
-                    lines.content(buffer, lines.read(buffer)[-1])
+                    buffer = Buffer(Pieces(load_configuration[:at], b""), lines.MAX_MESSAGE_BYTES)
+                    lines.read_body(buffer, lines.read(buffer)[-1])
                 self.assertIs(cut.exception.reason, CloseReason.CUT)
-        long = Buffer(Pieces(*[b"x" * 4096] * 9), lines.BUFFER)
+        long = Buffer(Pieces(*[b"x" * 4096] * 9), lines.MAX_MESSAGE_BYTES)
         self.assertRaises(ConnectionClosedError, lines.read, long)
         self.assertLess(len(long.data), 9 * 4096)  # endless input does not grow it without end
 
