--- a/gullyoke/frontends/connection.py
+++ b/gullyoke/frontends/connection.py
@@ -1,8 +1,8 @@
 """A client connection: its state machine, and the only place where its socket is closed.
 
 A connection belongs to the thread that serves it. Other threads never close the socket. They call
-`close_idle` or `abort`, which shut the socket down, under the connection's lock and only in certain
-states. The owning thread notices this at its next read or write, and closes the socket.
+`close_if_idle` or `abort`, which shut the socket down, under the connection's lock and only in
+certain states. The owning thread notices this at its next read or write, and closes the socket.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 # Reasons after which unread bytes of the peer are discarded before the close. Closing a socket with
 # unread bytes resets the connection, and the peer loses what it has not read yet.
-LINGERING: Final = frozenset(
+LINGER_REASONS: Final = frozenset(
     {CloseReason.DECLARED, CloseReason.IDLE, CloseReason.LEAVING, CloseReason.GARBLED}
 )
 
@@ -75,7 +75,7 @@
         Raises:
             ConnectionClosedError: The connection is closing.
         """
-        self._enter(State.IDLE)
+        self._set_state(State.IDLE)
         if self.answered:
             self.table.idle[self] = None
 
@@ -88,7 +88,7 @@
         """
         self.table.idle.pop(self, None)
         try:
-            self._enter(State.READING)
+            self._set_state(State.READING)
         except ConnectionClosedError:
             self.table.metrics.increment("messages.crossed")
             raise
@@ -99,7 +99,7 @@
         Raises:
             ConnectionClosedError: The connection is closing; the request must not be run.
         """
-        self._enter(State.WAITING)
+        self._set_state(State.WAITING)
         self.request = request
 
     def write_answer(self, data: bytes) -> None:
@@ -109,7 +109,7 @@
             ConnectionClosedError: The connection is closing.
             OSError: The connection failed.
         """
-        self._enter(State.WRITING)
+        self._set_state(State.WRITING)
         self.sock.sendall(data)
         self.request = None
         self.answered = True
@@ -118,19 +118,19 @@
     def close(self, reason: CloseReason) -> None:
         """Close the connection; called by the owning thread only.
 
-        After the reasons in `LINGERING` the socket is half-closed first, and the peer's remaining
-        bytes are discarded.
+        After the reasons in `LINGER_REASONS` the socket is half-closed first, and the peer's
+        remaining bytes are discarded.
         """
         with self.lock:
             self.state = State.CLOSING
             self.close_reason = reason
-        if reason in LINGERING:
+        if reason in LINGER_REASONS:
             half_close(self.sock)
             discard_input(self.sock)
         shutdown_both(self.sock)
         self.sock.close()
 
-    def _enter(self, state: State) -> None:
+    def _set_state(self, state: State) -> None:
         with self.lock:
             if self.close_reason is not None:
                 raise ConnectionClosedError(self.close_reason)
@@ -139,7 +139,7 @@
 
     # Called by other threads.
 
-    def close_idle(self, reason: CloseReason) -> bool:
+    def close_if_idle(self, reason: CloseReason) -> bool:
         """Half-close the connection if it is idle and no byte of a next message has arrived.
 
         The peer then closes its side. A message that the peer sends before it sees the half-close
--- a/gullyoke/frontends/connection_limits.py
+++ b/gullyoke/frontends/connection_limits.py
@@ -20,7 +20,7 @@
 
     Attributes:
         max_connections: The limit.
-        assured: How many connections are reserved for each listener.
+        reserved: How many connections are reserved for each listener.
     """
 
     def __init__(self, max_connections: int, listener_count: int = 1) -> None:
@@ -35,9 +35,9 @@
     def set_limit(self, max_connections: int) -> None:
         """Set the limit; if it becomes lower, connections beyond it stay until they close."""
         self.max_connections = max_connections
-        self.assured = 0
+        self.reserved = 0
         if self.listener_count > 1:
-            self.assured = max_connections // (2 * self.listener_count)
+            self.reserved = max_connections // (2 * self.listener_count)
 
     def fits(self, newcomer: Key, counts: Mapping[Key, int]) -> bool:
         """Return whether a new connection leaves the other listeners their reserved connections.
@@ -47,12 +47,12 @@
             counts: The number of connections of each listener, including the new one.
         """
         others = sum(
-            max(count, self.assured)
+            max(count, self.reserved)
             for listener, count in counts.items()
             if listener is not newcomer
         )
         return counts[newcomer] + others <= self.max_connections
 
-    def may_evict(self, loser: Key, newcomer: Key, counts: Mapping[Key, int]) -> bool:
-        """Return whether a connection of `loser` may be closed for a new one of `newcomer`."""
-        return loser is newcomer or counts[loser] > self.assured
+    def may_evict(self, evicted: Key, newcomer: Key, counts: Mapping[Key, int]) -> bool:
+        """Return whether a connection of `evicted` may be closed for a new one of `newcomer`."""
+        return evicted is newcomer or counts[evicted] > self.reserved
--- a/gullyoke/frontends/connection_sweep.py
+++ b/gullyoke/frontends/connection_sweep.py
@@ -14,9 +14,9 @@
 if TYPE_CHECKING:
     from gullyoke.frontends.connections import ConnectionTable
 
-FIRST_MESSAGE_US: Final = 2_500_000  # from the accept to the complete first message
-STALL_US: Final = 5_000_000  # until a later message is complete, or an answer is written
-LINGER_US: Final = 300_000  # until the peer closes its side after this server's half-close
+FIRST_MESSAGE_TIMEOUT_US: Final = 2_500_000  # from the accept to the complete first message
+STALL_TIMEOUT_US: Final = 5_000_000  # until a later message is complete, or an answer is written
+LINGER_TIMEOUT_US: Final = 300_000  # until the peer closes its side after this server's half-close
 HUNG_UP: Final = select.POLLERR | select.POLLHUP
 
 
@@ -34,8 +34,8 @@
         """Close overdue connections, and report disconnected clients to the controller."""
         for connection in list(self.table.open):
             if self._close_overdue(connection, clock.now()):
-                self.table.on_closing(connection)
-        self._notice_broken([c for c in list(self.table.open) if c.state is State.WAITING])
+                self.table.mark_closing(connection)
+        self._report_broken([c for c in list(self.table.open) if c.state is State.WAITING])
 
     def _close_overdue(self, connection: Connection, now: int) -> bool:
         """Close a connection that has passed a timeout; return whether it begins to close now."""
@@ -43,21 +43,21 @@
         state = connection.state
         spent = now - since
         if state is State.CLOSING:
-            if connection in self.table.closing and spent > LINGER_US:
+            if connection in self.table.closing and spent > LINGER_TIMEOUT_US:
                 connection.abort(CloseReason.IDLE, {state}, since)  # the peer keeps its side open
             return False
-        if state in (State.READING, State.WRITING) and spent > STALL_US:
+        if state in (State.READING, State.WRITING) and spent > STALL_TIMEOUT_US:
             return connection.abort(CloseReason.STALLED, {state}, since)
         no_message_yet = state in (State.IDLE, State.READING) and not connection.answered
-        if no_message_yet and now - connection.opened_at > FIRST_MESSAGE_US:
+        if no_message_yet and now - connection.opened_at > FIRST_MESSAGE_TIMEOUT_US:
             reason = CloseReason.SILENT if state is State.IDLE else CloseReason.STALLED
             return connection.abort(reason, {state}, since)
         if self.table.lifecycle.closing:
-            return connection.close_idle(CloseReason.LEAVING)
+            return connection.close_if_idle(CloseReason.LEAVING)
         idle_timeout_us = self.table.lifecycle.idle_timeout_us
-        return 0 < idle_timeout_us < spent and connection.close_idle(CloseReason.IDLE)
+        return 0 < idle_timeout_us < spent and connection.close_if_idle(CloseReason.IDLE)
 
-    def _notice_broken(self, waiting: list[Connection]) -> None:
+    def _report_broken(self, waiting: list[Connection]) -> None:
         """Report requests whose connection is broken, so that no answer could be written.
 
         A peer that has closed only its sending direction can still read, and gets its answer.
--- a/gullyoke/frontends/connections.py
+++ b/gullyoke/frontends/connections.py
@@ -67,7 +67,7 @@
         self.closing: dict[Connection, None] = {}
         self.listeners: list[Listener] = []
         self.workers: WorkerPool[Connection] = WorkerPool(self._serve)
-        self.admission = threading.Lock()  # all listeners together add one connection at a time
+        self.add_lock = threading.Lock()  # all listeners together add one connection at a time
         self.descriptor_freed = threading.Condition(threading.Lock())
         self._evictor = Evictor(self)
         self._sweep = ConnectionSweep(self)
@@ -110,9 +110,9 @@
             ):
                 self.descriptor_freed.wait(DESCRIPTOR_POLL_S)
 
-    def take(self, sock: socket.socket, listener: Listener) -> None:
+    def add(self, sock: socket.socket, listener: Listener) -> None:
         """Serve an accepted connection, or close it if the limit leaves no place for it."""
-        with self.admission:
+        with self.add_lock:
             connection = Connection(sock, listener, self)
             self.metrics.increment("connections.opened")
             self.open[connection] = None
@@ -121,13 +121,13 @@
             try:
                 if sock.family != socket.AF_UNIX:
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                if self._evictor.make_place(listener):
+                if self._evictor.evict_if_full(listener):
                     self._assign(connection)
                 else:
-                    self._on_closed(connection, CloseReason.CROWDED, "")
+                    self._close(connection, CloseReason.CROWDED, "")
             except (OSError, RuntimeError) as error:  # closed already, or no thread can be started
                 log.warning("accepted connection is not served", extra=log_fields(why=error))
-                self._on_closed(connection, CloseReason.FAULT, str(error))
+                self._close(connection, CloseReason.FAULT, str(error))
 
     def _assign(self, connection: Connection) -> None:
         """Assign a connection to an idle worker, or to a new one if none is idle."""
@@ -149,7 +149,7 @@
             return frontend.serve(connection, buffer)
 
         closed = serve_connection(serve, lambda: self.metrics.record_internal_error(frontend.name))
-        self._on_closed(connection, connection.close_reason or closed.reason, closed.why)
+        self._close(connection, connection.close_reason or closed.reason, closed.why)
 
     def answer_bad_request(self, connection: Connection, error: BadRequestError) -> Answer:
         """Count and log an invalid request; return the answer to it."""
@@ -162,7 +162,7 @@
         )
         return Answer(error.status)
 
-    def _on_closed(self, connection: Connection, reason: CloseReason, why: str) -> None:
+    def _close(self, connection: Connection, reason: CloseReason, why: str) -> None:
         """Close a connection that is no longer served; all connections are closed here."""
         frontend = connection.listener.frontend.name
         self.metrics.increment(f"ends.{frontend}.{reason.value}")
@@ -187,7 +187,7 @@
 
     # Called by the thread that has decided to close a connection.
 
-    def on_closing(self, connection: Connection) -> None:
+    def mark_closing(self, connection: Connection) -> None:
         """Move a connection to `closing`; it no longer counts towards its listener's limit."""
         connection.listener.connections.pop(connection, None)
         self.closing[connection] = None
--- a/gullyoke/frontends/eviction.py
+++ b/gullyoke/frontends/eviction.py
@@ -13,8 +13,8 @@
     from gullyoke.frontends.listener import Listener
 
 # Grace periods of a new connection while the limit is reached.
-FIRST_BYTE_US: Final = 50_000  # for the first byte
-REST_OF_MESSAGE_US: Final = 500_000  # for the rest of the first message
+FIRST_BYTE_TIMEOUT_US: Final = 50_000  # for the first byte
+REST_OF_MESSAGE_TIMEOUT_US: Final = 500_000  # for the rest of the first message
 MAX_CLOSING: Final = 8  # closing connections that may hold a descriptor beyond the limit
 
 
@@ -33,7 +33,7 @@
     def __init__(self, table: ConnectionTable) -> None:
         self.table = table
 
-    def make_place(self, listener: Listener) -> bool:
+    def evict_if_full(self, listener: Listener) -> bool:
         """Close a connection if a new connection of a listener exceeds the limit.
 
         Returns:
@@ -51,14 +51,14 @@
         """Close the oldest connection without a complete message; return whether there was one."""
         now = clock.now()
         for connection in list(self.table.unanswered):
-            if now - connection.opened_at <= FIRST_BYTE_US:
+            if now - connection.opened_at <= FIRST_BYTE_TIMEOUT_US:
                 break  # the remaining ones are younger and need no check
             since = connection.state_since
             states = _overdue_states(now - since)
             if not self.table.limits.may_evict(connection.listener, newcomer, counts):
                 continue
             if connection.abort(CloseReason.SILENT, states, since):
-                self.table.on_closing(connection)
+                self.table.mark_closing(connection)
                 return True
         return False
 
@@ -67,8 +67,8 @@
         for connection in list(self.table.idle):
             if not self.table.limits.may_evict(connection.listener, newcomer, counts):
                 continue
-            if connection.close_idle(CloseReason.IDLE):
-                self.table.on_closing(connection)
+            if connection.close_if_idle(CloseReason.IDLE):
+                self.table.mark_closing(connection)
                 self._abort_longest_closing()
                 return True
         return False
@@ -83,8 +83,8 @@
 def _overdue_states(spent_us: int) -> set[State]:
     """Return the states in which an unanswered connection is overdue after `spent_us` in them."""
     states = set()
-    if spent_us > FIRST_BYTE_US:
+    if spent_us > FIRST_BYTE_TIMEOUT_US:
         states.add(State.IDLE)
-    if spent_us > REST_OF_MESSAGE_US:
+    if spent_us > REST_OF_MESSAGE_TIMEOUT_US:
         states.add(State.READING)
     return states
--- a/gullyoke/frontends/listener.py
+++ b/gullyoke/frontends/listener.py
@@ -75,12 +75,12 @@
             try:
                 sock, _ = self.sock.accept()
             except OSError as error:
-                self._accept_failed(error)
+                self._handle_accept_error(error)
                 continue
-            self.table.take(sock, self)
+            self.table.add(sock, self)
         self.sock.close()
 
-    def _accept_failed(self, error: OSError) -> None:
+    def _handle_accept_error(self, error: OSError) -> None:
         """Pause after a failed accept: out of descriptors or memory, or the drain has ended.
 
         The connections stay in the backlog meanwhile.
@@ -95,7 +95,7 @@
         self.sock.setblocking(False)
         for sock in self._backlog():
             sock.setblocking(True)
-            self.table.take(sock, self)
+            self.table.add(sock, self)
         self.stopped = True
         shutdown_both(self.sock)  # wakes the accepting thread, which then closes the socket
 
--- a/tests/crossing/test_connections.py
+++ b/tests/crossing/test_connections.py
@@ -57,7 +57,7 @@
                             client.send(name)
 
                 with mock.patch.object(connection_module, "half_close", close):
-                    self.assertTrue(ours.close_idle(CloseReason.IDLE))
+                    self.assertTrue(ours.close_if_idle(CloseReason.IDLE))
                 self.assertIsNone(client.answer())  # raises where the connection was reset
                 eventually(
                     lambda ended=ended: live.count("ends.gateway.idle") == ended + 1, "its end"
@@ -99,7 +99,7 @@
                     eventually(lambda: unread(ours.sock), "bytes in the socket")
                     with ours.lock:
                         ours.state = State.IDLE  # as it was a moment before
-                    self.assertFalse(ours.close_idle(CloseReason.IDLE))
+                    self.assertFalse(ours.close_if_idle(CloseReason.IDLE))
                     go.set()
                 live.run(f"b{i}")
                 live.done(f"b{i}")
@@ -120,9 +120,9 @@
 
                 def decide(connection, state, ours=ours):
                     if connection is ours and state is State.READING:
-                        self.assertTrue(ours.close_idle(CloseReason.IDLE))
+                        self.assertTrue(ours.close_if_idle(CloseReason.IDLE))
 
-                with live.hook(Connection, "_enter", decide):
+                with live.hook(Connection, "_set_state", decide):
                     client.send(f"x{i}")
                     self.assertIsNone(client.answer())
                 client.close()
@@ -143,8 +143,8 @@
                 cut = random.Random(i).randrange(1, len(data))
                 client.sock.sendall(data[:cut])
                 eventually(lambda: ours.state is State.READING, "reading")
-                self.assertFalse(ours.close_idle(CloseReason.IDLE))
-                self.assertFalse(ours.close_idle(CloseReason.LEAVING))
+                self.assertFalse(ours.close_if_idle(CloseReason.IDLE))
+                self.assertFalse(ours.close_if_idle(CloseReason.LEAVING))
                 client.sock.sendall(data[cut:])
                 live.run(f"h{i}")
                 live.done(f"h{i}")
@@ -163,8 +163,8 @@
                 for client in clients:
                     ours = live.connection(client)
                     eventually(lambda ours=ours: ours.state is State.IDLE, "idle")
-                    self.assertTrue(ours.close_idle(CloseReason.IDLE))
-                    live.connections.on_closing(ours)
+                    self.assertTrue(ours.close_if_idle(CloseReason.IDLE))
+                    live.connections.mark_closing(ours)
                 eventually(lambda: not live.connections.open, "all closed")
                 self.assertFalse(live.connections.closing or live.connections.idle)
                 for client in clients:
@@ -225,7 +225,7 @@
                     complete.wait(10)  # the server's own sweep may be at it too
 
                 with live.hook(Connection, "abort", rest):
-                    ours.state_since -= 2 * connection_sweep_module.STALL_US
+                    ours.state_since -= 2 * connection_sweep_module.STALL_TIMEOUT_US
                     live.connections.sweep()
                     self.assertTrue(complete.wait(10))
                 live.done(f"x{i}")
@@ -281,7 +281,7 @@
             def look(sock, listener):
                 peak[0] = max(peak[0], len(table.open))
 
-            with live.hook(table, "take", look):
+            with live.hook(table, "add", look):
                 for _ in range(3 * most + REPEATS):
                     client = live.client()
                     clients.append(client)
