--- a/gullyoke/admission/interface/__init__.py
+++ b/gullyoke/admission/interface/__init__.py
@@ -1,8 +1,8 @@
-"""The interface between the decisions and whatever carries requests to them.
+"""The interface between the admission controller and the server or simulator that uses it.
 
-A server fills in the types of `facts`, carries out the `commands` that come through its
-`CommandExecutor`, and reports `events`. A request's path is a generator; `stepper` steps it.
-Nothing here decides anything or knows any protocol.
+The user fills in the types of `facts`, carries out the `commands` that its `CommandExecutor`
+receives, and reports `events`. The path of a request is a generator; `stepper` steps it. This
+package makes no decisions and knows no protocol.
 """
 
 from gullyoke.admission.interface.commands import (
@@ -29,7 +29,7 @@
 )
 from gullyoke.admission.interface.events import RequestEvent
 from gullyoke.admission.interface.facts import (
-    PAST,
+    REMEMBERED_REQUEST,
     DependencyFacts,
     Fleet,
     Gauges,
@@ -45,8 +45,8 @@
     Tenant,
 )
 from gullyoke.admission.interface.fleet_feedback import (
-    ALONE,
-    UNSHARED,
+    NO_FLEET_FEEDBACK,
+    UNSHARED_SLOTS,
     DependencySlots,
     FleetFeedback,
 )
@@ -60,7 +60,6 @@
 from gullyoke.admission.interface.stepper import CommandExecutor, RequestStepper
 
 __all__ = [
-    "ALONE",
     "AWAIT",
     "AWAIT_DUPLICATE",
     "CALLING_DEPENDENCY",
@@ -69,12 +68,13 @@
     "FAIL",
     "FINISHED",
     "FORGET_KEY",
-    "PAST",
+    "NO_FLEET_FEEDBACK",
     "QUEUED",
+    "REMEMBERED_REQUEST",
     "RUN",
     "RUNNING",
     "SKIP_DEPENDENCY_CALL",
-    "UNSHARED",
+    "UNSHARED_SLOTS",
     "Await",
     "AwaitDuplicate",
     "CallDependency",
--- a/gullyoke/runtime/duplicate_table.py
+++ b/gullyoke/runtime/duplicate_table.py
@@ -4,7 +4,13 @@
 
 from typing import Final, NamedTuple
 
-from gullyoke.admission.interface import PAST, Idempotency, RememberedRequest, Request, RequestClass
+from gullyoke.admission.interface import (
+    REMEMBERED_REQUEST,
+    Idempotency,
+    RememberedRequest,
+    Request,
+    RequestClass,
+)
 from gullyoke.runtime.messages import Answer
 from gullyoke.runtime.pending_request import PendingRequest
 
@@ -41,8 +47,8 @@
 
     Args:
         entry: The entry of the original; None if the request is not a duplicate.
-        duplicate_of: The original while it is in flight, `PAST` after its run has ended, None if
-            the request is not a duplicate.
+        duplicate_of: The original while it is in flight, `REMEMBERED_REQUEST` after its run has
+            ended, None if the request is not a duplicate.
     """
 
     entry: KeyEntry | None
@@ -101,7 +107,7 @@
         stale = entry.result is None or now > entry.ended_at + self.read_cache_ttl
         if stale and request.request_class.idempotency is Idempotency.IDEMPOTENT:
             return NO_MATCH
-        return DuplicateMatch(entry, PAST)
+        return DuplicateMatch(entry, REMEMBERED_REQUEST)
 
     def remember(self, request: PendingRequest, expires_at: int) -> None:
         """Remember a request under its key; an earlier entry of the key is replaced."""
