--- a/gullyoke/daemon/configuration.py
+++ b/gullyoke/daemon/configuration.py
@@ -78,7 +78,7 @@
             return "settings.Orgs"
         return None
 
-    def changed(self, old: DaemonConfiguration) -> list[str]:
+    def changed_fields(self, old: DaemonConfiguration) -> list[str]:
         """Return the names of the fields that differ from another configuration, in order."""
         return [
             field.name
--- a/gullyoke/daemon/daemon.py
+++ b/gullyoke/daemon/daemon.py
@@ -116,16 +116,16 @@
             False for a stop signal, which the caller has to handle.
         """
         if number == signal.SIGUSR1:
-            self.print_counters("asked")
+            self.log_counters("asked")
         elif number == signal.SIGHUP:
             self.apply_reload()
         else:
             return False
         return True
 
-    def print_counters(self, reason: str) -> None:
+    def log_counters(self, reason: str) -> None:
         """Log the counters and the state of each extension."""
-        self.metrics.print(reason)
+        self.metrics.log_counters(reason)
         for extension in self.extensions:
             extension.log_status()
 
@@ -161,7 +161,7 @@
         )
         for extension in self.extensions:
             extension.close()
-        self.print_counters("exit")
+        self.log_counters("exit")
         self.log_writer.stop()
         return 0
 
--- a/gullyoke/daemon/event_relay.py
+++ b/gullyoke/daemon/event_relay.py
@@ -47,9 +47,9 @@
 
     def on_engine_hello(self, state: EngineState, uptime_ms: int) -> None:
         """Create the controller at the engine's first HELLO; a cold engine needs a warm-up."""
-        if self._dispatcher.server is None:
+        if self._dispatcher.controller is None:
             self._dispatcher.facts.machine.needs_warmup |= state is EngineState.COLD
-            self._dispatcher.open(self._router, clock.now() - uptime_ms * US_PER_MS)
+            self._dispatcher.create_controller(self._router, clock.now() - uptime_ms * US_PER_MS)
             log.info("serving", extra=log_fields(engine=state.value, up_ms=uptime_ms))
 
     def on_run_ended(self, request_id: str, outcome: RunOutcome, result: bytes) -> None:
@@ -93,7 +93,7 @@
         dispatcher = self._dispatcher
         completed = event is RequestEvent.COMPLETED
         result = answer if completed else None
-        for waiter in dispatcher.duplicates.run_ended(request, result, dispatcher.now):
+        for waiter in dispatcher.duplicates.record_run_end(request, result, dispatcher.now):
             if completed:
                 dispatcher.answer(waiter, RequestEvent.COMPLETED, result)
             dispatcher.post_event(waiter, event if completed else RequestEvent.FAILED)
@@ -140,9 +140,9 @@
         self._dispatcher.handle(act, request)
 
     def _report(self, request: PendingRequest, event: RequestEvent) -> None:
-        server = self._dispatcher.server
-        assert server is not None  # nothing is handled before the controller is created
-        server.on_event(self._dispatcher.now, request, event)
+        controller = self._dispatcher.controller
+        assert controller is not None  # nothing is handled before the controller is created
+        controller.on_event(self._dispatcher.now, request, event)
 
     def _handle(self, request_id: str, act: Callable[[PendingRequest], None]) -> None:
         """Run `act` through the dispatcher if a request with this id is in flight."""
--- a/gullyoke/daemon/reload.py
+++ b/gullyoke/daemon/reload.py
@@ -82,7 +82,7 @@
         return self._apply(current, new)
 
     def _apply(self, current: DaemonConfiguration, new: DaemonConfiguration) -> DaemonConfiguration:
-        changed = new.changed(current)
+        changed = new.changed_fields(current)
         for field, client in self.clients.items():
             address = getattr(new, field)
             if field in changed and address is not None:
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -94,7 +94,7 @@
         self.start()
         dispatcher = self.daemon.dispatcher
         with dispatcher.lock:  # what is copied is small
-            server = dispatcher.server
+            server = dispatcher.controller
             if server is None:
                 return
             snapshot = self._exchange(server)
@@ -164,7 +164,7 @@
     def _update(self) -> None:
         dispatcher = self.daemon.dispatcher
         with dispatcher.lock:
-            server = dispatcher.server
+            server = dispatcher.controller
             if server is not None:
                 if not self.daemon.configuration.facts.machine.needs_warmup:
                     return
--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -72,9 +72,9 @@
         """Return this server's load; None before there are decisions."""
         dispatcher = self.fleet.daemon.dispatcher
         with dispatcher.lock:  # a few figures are read
-            if dispatcher.server is None:
+            if dispatcher.controller is None:
                 return None
-            load = dispatcher.server.load_snapshot(dispatcher.now)
+            load = dispatcher.controller.load_snapshot(dispatcher.now)
             return LoadReport.of(load, _stage(dispatcher, load))
 
     def _judge(self, reading: LoadReport) -> LoadReport:
--- a/gullyoke/frontends/message_handler.py
+++ b/gullyoke/frontends/message_handler.py
@@ -50,14 +50,14 @@
 
     def _answer_health_check(self) -> Answer:
         self.metrics.increment("checks")
-        ready = self.lifecycle.ready and self.dispatcher.server is not None
+        ready = self.lifecycle.ready and self.dispatcher.controller is not None
         return Answer(200 if ready else 503, fields=self._load_signal_fields())
 
     def _answer_request(self, message: Message, connection: Connection) -> Answer:
         frontend_name = connection.listener.frontend.name
         request = request_parsing.parse_request(self.dispatcher, message, frontend_name)
         connection.begin_request(request)
-        if self.dispatcher.server is None:  # the engine is not up yet
+        if self.dispatcher.controller is None:  # the engine is not up yet
             self.metrics.increment("answers.before_ready")
             return Answer(503)
         request_parsing.submit(self.dispatcher, request)
--- a/gullyoke/frontends/request_parsing.py
+++ b/gullyoke/frontends/request_parsing.py
@@ -133,10 +133,10 @@
         nonlocal conflict
         conflict = conflict_with(dispatcher, request)
         if conflict is None:
-            assert dispatcher.server is not None
+            assert dispatcher.controller is not None
             dispatcher.requests[request.request_id] = request
             _, request.duplicate_of = dispatcher.duplicates.find(request, dispatcher.now)
-            dispatcher.server.on_request(dispatcher.now, request)
+            dispatcher.controller.on_request(dispatcher.now, request)
 
     dispatcher.handle(act, request)
     if conflict is not None:
--- a/gullyoke/runtime/dispatcher.py
+++ b/gullyoke/runtime/dispatcher.py
@@ -52,7 +52,7 @@
         duplicates: The duplicate table; None for one in memory.
 
     Attributes:
-        server: The admission controller; None until `open`.
+        controller: The admission controller; None until `create_controller`.
         requests: The requests in flight by id; each is removed when it is finished.
         duplicates: The duplicate table.
         background_work: Runs the controller's long computations.
@@ -76,8 +76,8 @@
         self.request_classes = {each.name: each for each in facts.request_classes}
         self.tenants = {each.name: each for each in facts.tenants}
         self.lock = threading.Lock()  # guards the controller and all state that its calls change
-        self.answering = threading.Lock()  # guards the outcome of every request
-        self.server: AdmissionController | None = None
+        self.outcome_lock = threading.Lock()  # guards the outcome of every request
+        self.controller: AdmissionController | None = None
         self.executor: CommandExecutor | None = None
         self.requests: dict[str, PendingRequest] = {}
         if duplicates is None:
@@ -94,7 +94,7 @@
         self._class_pools: ClassPoolSettings | None = None
 
     def set_class_pools(self, minimum: float, classes: Mapping[str, str]) -> None:
-        """Divide core time between pools of request classes; to be called before `open`.
+        """Divide core time between pools of request classes; called before `create_controller`.
 
         Args:
             minimum: As in `ClassPoolSettings`.
@@ -102,7 +102,7 @@
         """
         self._class_pools = ClassPoolSettings(minimum, classes)
 
-    def open(self, executor: CommandExecutor, started_at: int) -> None:
+    def create_controller(self, executor: CommandExecutor, started_at: int) -> None:
         """Create the controller; called once, when the engine is known to be up.
 
         Args:
@@ -113,9 +113,9 @@
             self.executor = executor
             self.now = clock.now()
             pools = self._create_class_pools(started_at)
-            self.server = AdmissionController(started_at, executor, self.facts, pools)
+            self.controller = AdmissionController(started_at, executor, self.facts, pools)
             if self.stop_at is not None:
-                self.server.begin_drain(self.now, self.stop_at)
+                self.controller.begin_drain(self.now, self.stop_at)
 
     def _create_class_pools(self, started_at: int) -> ClassPools | None:
         if self._class_pools is None:
@@ -125,21 +125,24 @@
         return ClassPools(started_at, self.facts.machine.cores, pool_of, minimum)
 
     def handle(
-        self, act: Callable[[], None], request: PendingRequest | None = None, patience: float = -1
+        self,
+        act: Callable[[], None],
+        request: PendingRequest | None = None,
+        lock_timeout_s: float = -1,
     ) -> None:
         """Run `act`, which calls the controller, under the lock, and deliver the results.
 
-        Does nothing before `open`, or if the lock is not acquired in time.
+        Does nothing before `create_controller`, or if the lock is not acquired in time.
 
         Args:
             act: Calls the controller.
             request: The request that the call concerns; it fails if `act` raises.
-            patience: How many seconds to wait for the lock; -1 for no limit.
+            lock_timeout_s: How many seconds to wait for the lock; -1 for no limit.
         """
-        if not self.lock.acquire(timeout=patience):
+        if not self.lock.acquire(timeout=lock_timeout_s):
             return
         try:
-            if self.server is not None:
+            if self.controller is not None:
                 self.now = clock.now()
                 self.handling = True
                 self._run_guarded(act, request)
@@ -169,15 +172,15 @@
                 assert self.executor is not None
                 self.executor.finished(request)
 
-    # Called under the lock, through `handle`, and therefore only after `open`.
+    # Called under the lock, through `handle`, and therefore only after `create_controller`.
 
     def _dispatch(self) -> None:
-        assert self.server is not None
-        self.server.dispatch(self.now)
+        assert self.controller is not None
+        self.controller.dispatch(self.now)
 
     def _on_event(self, request: PendingRequest, event: RequestEvent) -> None:
-        assert self.server is not None
-        self.server.on_event(self.now, request, event)
+        assert self.controller is not None
+        self.controller.on_event(self.now, request, event)
 
     def post_event(self, request: PendingRequest, event: RequestEvent) -> None:
         """Queue an event that was caused under the lock; `handle` delivers it before releasing."""
@@ -194,7 +197,7 @@
         del self.requests[request.request_id]
         self.answer(request, FAIL)
         if request.key_entry is not None:
-            for waiter in self.duplicates.run_ended(request, None, self.now):
+            for waiter in self.duplicates.record_run_end(request, None, self.now):
                 self.deferred_events.append((waiter, RequestEvent.FAILED))
 
     # Called from any thread.
@@ -211,8 +214,8 @@
         """
 
         def act() -> None:
-            assert self.server is not None
-            self.server.on_tick(
+            assert self.controller is not None
+            self.controller.on_tick(
                 self.now,
                 Gauges(
                     busy=gauges.get("core_use"),
@@ -230,8 +233,8 @@
         self.stop_at = stop_at
 
         def act() -> None:
-            assert self.server is not None
-            self.server.begin_drain(self.now, stop_at)
+            assert self.controller is not None
+            self.controller.begin_drain(self.now, stop_at)
 
         self.handle(act)
 
@@ -245,7 +248,7 @@
             outcome: The outcome of the request.
             answer: The answer of the run; None if there is none.
         """
-        with self.answering:
+        with self.outcome_lock:
             if request.outcome is not None:
                 return
             request.outcome = outcome
--- a/gullyoke/runtime/duplicate_table.py
+++ b/gullyoke/runtime/duplicate_table.py
@@ -135,7 +135,7 @@
         self._drop_result(entry)
         return entry.waiters
 
-    def run_ended(
+    def record_run_end(
         self, request: PendingRequest, result: Answer | None, now: int
     ) -> list[PendingRequest]:
         """Record the end of the request's run; remove and return the duplicates that wait for it.
--- a/gullyoke/runtime/metrics.py
+++ b/gullyoke/runtime/metrics.py
@@ -44,7 +44,7 @@
                 self.record_internal_error(where)
                 time.sleep(RETRY_AFTER_ERROR_S)
 
-    def print(self, why: str) -> None:
+    def log_counters(self, why: str) -> None:
         """Log all counters and the reason why they are logged now."""
         with self.lock:
             counters = sorted(self.counters.items())
--- a/tests/compatibility/test_configuration.py
+++ b/tests/compatibility/test_configuration.py
@@ -119,8 +119,8 @@
             (self.load(settings=fewer["Orgs"]), "settings.Orgs"),
         ):
             self.assertEqual(found.mismatch_with(new), key)
-        self.assertEqual(found.changed(found), [])
-        self.assertEqual(found.changed(self.load(seed=1)), [])
+        self.assertEqual(found.changed_fields(found), [])
+        self.assertEqual(found.changed_fields(self.load(seed=1)), [])
 
     def test_optional_keys(self):
         self.assertEqual(self.load(limits=None).max_descriptors, 1024)
--- a/tests/crossing/live.py
+++ b/tests/crossing/live.py
@@ -136,7 +136,7 @@
         log.addHandler(logging.NullHandler())
         self.daemon = build_daemon(load_configuration({"NODE_CONFIG": self.peers.config}))
         self.daemon.start()
-        eventually(lambda: self.daemon.dispatcher.server is not None, "the engine is up")
+        eventually(lambda: self.daemon.dispatcher.controller is not None, "the engine is up")
         self.engine, self.db, self.naming = self.peers.engine, self.peers.db, self.peers.naming
         self.dispatcher, self.connections, self.metrics = (
             self.daemon.dispatcher,
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -183,7 +183,7 @@
             duplicates, first = DuplicateTable(0), request(0)
             duplicates.remember(first, kept + 1000)
             self.assertIs(duplicates.find(request(kept + 1001), kept)[1], first)
-            duplicates.run_ended(first, None, kept)
+            duplicates.record_run_end(first, None, kept)
             self.assertIs(duplicates.find(request(kept + 1000), kept)[1], REMEMBERED_REQUEST)
             self.assertIsNone(duplicates.find(request(kept + 1001), kept)[1])
             self.assertTrue(duplicates.conflicts(request(kept + 1000, content=2)))
@@ -225,7 +225,9 @@
                 live.hook(dependency_module.DependencyClient, "claim_end", before_ended),
                 live.hook(EventRelay, "on_call_ended", called),
                 mock.patch.object(
-                    live.dispatcher.server.dependency, "call_timeout", lambda request, now: 50_000
+                    live.dispatcher.controller.dependency,
+                    "call_timeout",
+                    lambda request, now: 50_000,
                 ),
             ):
                 for i in range(REPEATS):
@@ -266,7 +268,7 @@
         with (
             Live() as live,
             mock.patch.object(
-                live.dispatcher.server.dependency, "call_timeout", lambda request, now: 60_000
+                live.dispatcher.controller.dependency, "call_timeout", lambda request, now: 60_000
             ),
         ):
             client = live.client()
--- a/tests/executors/test_writing.py
+++ b/tests/executors/test_writing.py
@@ -124,7 +124,7 @@
         facts = parse_site_facts(flatten_settings(site()))
         dispatcher = Dispatcher(facts, Metrics())
         dispatcher.executor = types.SimpleNamespace(finished=lambda _: None, execute=None)
-        dispatcher.server = types.SimpleNamespace(dispatch=lambda _: None)
+        dispatcher.controller = types.SimpleNamespace(dispatch=lambda _: None)
         one = PendingRequest(facts.request_classes[0], 0, 10**9, 1.0)
         one.attach_message("1" * 16, None, Message(("", "", ""), {}, b""), "gateway")
         locked = []
--- a/tests/frontends/test_fronts.py
+++ b/tests/frontends/test_fronts.py
@@ -76,7 +76,7 @@
         ):
             self.dispatcher = Dispatcher(site_facts, Metrics())
             self.executor = RecordingExecutor(self.dispatcher)
-            self.dispatcher.open(self.executor, START - 20_000_000)
+            self.dispatcher.create_controller(self.executor, START - 20_000_000)
             for step in script:
                 self.replay_step(*step)
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -613,13 +613,15 @@
             Dispatcher(parse_site_facts(flatten_settings(site())), Metrics()),
             mock.Mock(outcome=None, key_entry=None, request_id="a"),
         )
-        dispatcher.server, dispatcher.requests["a"] = mock.Mock(), request
+        dispatcher.controller, dispatcher.requests["a"] = mock.Mock(), request
         dispatcher.executor = mock.Mock(finished=dispatcher.on_finished)
-        dispatcher.server.on_event.side_effect = ZeroDivisionError
+        dispatcher.controller.on_event.side_effect = ZeroDivisionError
         with self.assertLogs("gullyoke", "ERROR"):
             dispatcher.notify(request, RequestEvent.DEPENDENCY_CALL_NEEDED)
         self.assertIs(request.outcome, FAIL)
-        self.assertTrue(request.answer_gate.release.called and dispatcher.server.dispatch.called)
+        self.assertTrue(
+            request.answer_gate.release.called and dispatcher.controller.dispatch.called
+        )
         self.assertFalse(dispatcher.lock.locked() or dispatcher.requests)
 
     def test_next_tick_after_an_internal_error(self):
