--- a/gullyoke/durability/__init__.py
+++ b/gullyoke/durability/__init__.py
@@ -1,10 +1,10 @@
-"""Rules for what has to survive a restart, and for what is done where the disk can't keep it.
+"""Rules for data that must survive a restart, and for when the disk can't store it.
 
-The health of a disk, what may be written to it, the records of requests that must not run again
-after a restart, and whose folder a server finds.
+They cover the health of a disk, which data may be written to it, the records of requests that must
+not run again after a restart, and whether a server trusts the data folder that it finds at start.
 
-Decisions and state alone; no I/O, no clock and no chance but what is handed in. docs/disk-design.md
-says what was weighed, docs/store.md what an operator sees.
+The package holds decisions and state only: no I/O, and the time and random numbers are passed in.
+docs/disk-design.md explains the design, docs/store.md what an operator sees.
 """
 
 from gullyoke.durability.disk_health import DiskHealth, DiskState, DiskStateChange
--- a/gullyoke/durability/disk_health.py
+++ b/gullyoke/durability/disk_health.py
@@ -1,14 +1,14 @@
-"""The health of a disk, from what calls on it return, how long they take and how full it is.
+"""The health of a disk, judged by the results and duration of calls on it and by its free space.
 
-It turns bad at once and healthy slowly: a probe has to succeed REQUIRED_PROBES times in a row over
-a time that doubles each time the disk turns bad again soon after, and then writes are accepted
-little by little. A call that does not return counts as it goes on: once it has taken longer than
-STALL_AFTER_US the disk is stalled, though nothing was returned.
+A disk becomes bad at the first failure and healthy only slowly. REQUIRED_PROBES probes in a row
+have to succeed, and the disk stays bad for a minimum time that doubles when it fails again soon
+after a recovery. After that, writes are accepted gradually. A call that has not returned counts
+too: once it has taken longer than STALL_AFTER_US, the disk is stalled.
 
-The time that grows with each relapse is flap damping (RFC 2439) with a doubling in the place of its
-penalty; the slow return is the slow start of load balancers.
+The doubling is flap damping (RFC 2439), with a doubled time in place of its penalty; the gradual
+return is the slow start of load balancers.
 
-No I/O, no clock and no chance but what is handed in. Times are microseconds of one clock.
+No I/O; the time and random numbers are passed in. Times are microseconds of one clock.
 """
 
 from __future__ import annotations
@@ -18,17 +18,18 @@
 from enum import Enum
 from typing import Final, NamedTuple
 
-STALL_AFTER_US: Final = 1_000_000  # that a call may take
-PROBE_INTERVAL_US: Final = 500_000  # between probes of a disk that is not healthy
+STALL_AFTER_US: Final = 1_000_000  # a call that takes longer makes the disk stalled
+PROBE_INTERVAL_US: Final = 500_000  # between probes of a bad disk; doubled up to the maximum
 MAX_PROBE_INTERVAL_US: Final = 4_000_000
-REQUIRED_PROBES: Final = 3  # in a row that must succeed
-MIN_BAD_US: Final = 1_000_000  # for which a disk is called bad at the least; doubled by relapses
-MAX_BAD_US: Final = 60_000_000
-RELAPSE_WITHIN_US: Final = 10_000_000  # of its return; or twice its last bad time if that is longer
-SLOW_START_US: Final = 4_000_000  # from its return until all writes are accepted again
-MIN_ACCEPTED_SHARE: Final = 0.1  # of the writes at the begin of the slow start
-
-# A disk is (near) full below the first share and until it is above the second.
+REQUIRED_PROBES: Final = 3  # successful probes in a row
+MIN_BAD_US: Final = 1_000_000  # shortest time in a bad state; doubled at each relapse
+MAX_BAD_US: Final = 60_000_000  # longest value of that shortest time
+# A failure this soon after a recovery is a relapse, or within twice the last bad time if longer.
+RELAPSE_WITHIN_US: Final = 10_000_000
+SLOW_START_US: Final = 4_000_000  # from the recovery until all writes are accepted again
+MIN_ACCEPTED_SHARE: Final = 0.1  # share of writes accepted at the beginning of the slow start
+
+# Shares of free space: a disk becomes (near) full below the first and stays so up to the second.
 NEAR_FULL_BELOW: Final = 0.10
 NEAR_FULL_UNTIL: Final = 0.15
 FULL_BELOW: Final = 0.02
@@ -36,7 +37,7 @@
 
 
 class DiskState(Enum):
-    """In the order of how bad they are: of two that are true the later one counts."""
+    """The states of a disk, from best to worst; where two apply, the worse one counts."""
 
     HEALTHY = "well"
     NEAR_FULL = "near full"
@@ -48,7 +49,7 @@
 
     @property
     def counter_name(self) -> str:
-        """The end of the name of the counter of changes to this state."""
+        """The last part of the name of the counter of changes to this state."""
         return self.value.replace(" ", "_").replace("-", "_")
 
 
@@ -60,7 +61,7 @@
     DiskState.READ_ONLY,
     DiskState.MISSING,
 )
-# Any other error of the system means FAILING.
+# Any other errno means FAILING.
 STATE_BY_ERROR: Final = {
     errno.ENOSPC: DiskState.FULL,
     errno.EDQUOT: DiskState.FULL,
@@ -77,7 +78,7 @@
 
 
 class DiskStateChange(NamedTuple):
-    """A change from one state to another, when, and why in words."""
+    """A change of state, its time, and its reason as text for the log."""
 
     at_us: int
     previous: DiskState
@@ -86,7 +87,7 @@
 
 
 class DiskCall(NamedTuple):
-    """A call on the disk that has not returned."""
+    """A call on the disk that is in flight."""
 
     started_us: int
     operation: str
@@ -96,13 +97,13 @@
     """The health of one folder's disk.
 
     Attributes:
-        listeners: Called with each change of state, by whichever method came to see it.
-        calls_in_flight: Calls that have not returned, by their numbers: as many as there are
-            threads that call.
+        listeners: Functions called with each change of state, by the method that notices it.
+        calls_in_flight: Calls that have not returned, by number; at most one for each thread that
+            uses the disk.
 
     Args:
-        now_us: The time.
-        draw: Gives a random number from 0 to 1.
+        now_us: The current time.
+        draw: Returns a random number from 0 to 1.
     """
 
     def __init__(self, now_us: int, draw: Callable[[], float]) -> None:
@@ -112,7 +113,7 @@
         self._calls = 0
         self._free_share = 1.0
         self._reported = DiskState.HEALTHY
-        self._error_state: DiskState | None = None  # by what calls returned
+        self._error_state: DiskState | None = None  # by the results of calls, without free space
         self._error = ""
         self._bad_since_us = now_us
         self._bad_at_least_us = MIN_BAD_US
@@ -122,7 +123,7 @@
         self._probe_interval_us = PROBE_INTERVAL_US
 
     def call_started(self, now_us: int, operation: str) -> int:
-        """Record that a call goes out; give its number, for `call_finished`."""
+        """Record the start of a call; return its number, for `call_finished`."""
         self._calls += 1
         self.calls_in_flight[self._calls] = DiskCall(now_us, operation)
         return self._calls
@@ -130,13 +131,13 @@
     def call_finished(
         self, now_us: int, number: int, error_number: int | None = None, probe: bool = False
     ) -> None:
-        """Record that a call returned.
+        """Record the end of a call.
 
         Args:
-            now_us: The time.
-            number: The call's, from `call_started`.
-            error_number: The errno of its error; None where it succeeded.
-            probe: Whether it was a probe, which alone can make the disk healthy again.
+            now_us: The current time.
+            number: The call's number, from `call_started`.
+            error_number: The errno of its error; None if it succeeded.
+            probe: Whether the call was a probe; only probes can make the disk healthy again.
         """
         call = self.calls_in_flight.pop(number, None) or DiskCall(now_us, "a call")
         took_us = now_us - call.started_us
@@ -151,11 +152,11 @@
             self._record_good_probe(now_us)
 
     def set_free_share(self, free_share: float) -> None:
-        """Record the share that is free, of the disk or of the quota if that is less."""
+        """Record the free share of the disk, or of the quota if that is less."""
         self._free_share = free_share
 
     def state(self, now_us: int) -> DiskState:
-        """Give the state now, and call the listeners where it has changed."""
+        """Bring the state up to date and return it; call the listeners if it has changed."""
         if self.calls_in_flight:
             self._check_calls_in_flight(now_us)
         state = self._state_by_space()
@@ -171,9 +172,10 @@
         return state
 
     def accepts_writes(self, now_us: int) -> bool:
-        """Whether a write that a request waits for may be asked of the disk now.
+        """Decide whether the disk accepts a write that a request waits for.
 
-        Of one that has just come back a share that grows.
+        Also brings the state up to date. After a recovery a growing share of the writes is
+        accepted, chosen at random.
         """
         if self.state(now_us) in BAD_STATES:
             return False
@@ -181,9 +183,10 @@
         return share >= 1 or self.draw() < max(MIN_ACCEPTED_SHARE, share)
 
     def claim_probe(self, now_us: int) -> bool:
-        """Whether to probe the disk now, once.
+        """Claim the probe that is due; return whether there is one, to be made by the caller.
 
-        True only while it is bad and no call is in flight.
+        A probe is due only while the disk is bad and no call is in flight. A claim schedules the
+        next probe and doubles the interval until the one after. Also brings the state up to date.
         """
         if self.state(now_us) not in BAD_STATES:
             return False
@@ -194,17 +197,17 @@
         return True
 
     def _check_calls_in_flight(self, now_us: int) -> None:
-        """A call that hangs makes the disk stalled, unless it is in a worse state."""
+        """Record a stall if a call hangs, unless the disk is in a worse state."""
         if self._error_state not in (None, DiskState.FULL, DiskState.FAILING):
             return
         for call in self.calls_in_flight.values():
             if now_us - call.started_us > STALL_AFTER_US:
-                reason = f"{call.operation} has not come back"
+                reason = f"{call.operation} has not returned"
                 self._record_failure(now_us, DiskState.STALLED, reason)
                 return
 
     def _state_by_space(self) -> DiskState:
-        """Give the state by free space, with hysteresis."""
+        """Return the state by free space, with hysteresis."""
         was_full = self._reported is DiskState.FULL
         was_near_full = self._reported in (DiskState.NEAR_FULL, DiskState.FULL)
         if self._free_share < (FULL_UNTIL if was_full else FULL_BELOW):
@@ -224,7 +227,7 @@
         self._error_state = state
 
     def _next_bad_time(self, now_us: int) -> int:
-        """Give for how long the disk is called bad now: doubled where this is a relapse."""
+        """Return the shortest time for which the disk stays bad; doubled if this is a relapse."""
         relapse_within_us = max(RELAPSE_WITHIN_US, 2 * self._bad_at_least_us)
         is_relapse = now_us - self._returned_us < relapse_within_us
         if is_relapse and self._returned_us >= self._bad_since_us:
@@ -246,5 +249,5 @@
         if self._error_state is state:
             return self._error
         if state is DiskState.HEALTHY:
-            return "well again"
-        return f"{self._free_share:.1%} of the room is left"
+            return "recovered"
+        return f"{self._free_share:.1%} of the space is free"
--- a/gullyoke/durability/disk_quota.py
+++ b/gullyoke/durability/disk_quota.py
@@ -1,10 +1,11 @@
-"""Who may use how much of a disk, and what is dropped first when it grows full.
-
-Each kind of data has its quota. Near full nothing is lost yet: what is dead is compacted away. When
-that does not do, what is worth least goes first: the usual run times of a server, then the fleet's
-record, then the results of ended requests (a duplicate is then answered failed, as unknown, never
-run again), and key records whose window is over. Key records that are in force and lease grants are
-never dropped for space; lease grants have theirs reserved (gullyoke/storage/slot_file.py).
+"""How much of a disk each kind of data may use, and which data is dropped when space runs short.
+
+Each kind of data has a quota. Near full, dead records are compacted away first, which loses
+nothing. If that is not enough, the least valuable data is dropped first: the usual run times of a
+server, then the fleet's record, then the results of ended requests (a duplicate of such a request
+fails as unknown and is never run again), and key records whose window is over. Key records in force
+and lease grants are never dropped for space; the space of lease grants is reserved
+(gullyoke/storage/slot_file.py).
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class DataKind(IntEnum):
-    """The data on a disk, by worth: the least first."""
+    """The kinds of data on a disk, the least valuable first."""
 
     RUN_TIMES = 0
     FLEET_RECORD = 1
@@ -26,7 +27,7 @@
 
     @property
     def counter_name(self) -> str:
-        """The end of the name of the counter of what was dropped of this kind."""
+        """The last part of the name of the counter of dropped data of this kind."""
         return COUNTER_NAMES[self]
 
 
@@ -37,7 +38,7 @@
     DataKind.KEY_RECORDS: "notes",
     DataKind.LEASE_GRANTS: "promises",
 }
-# The share of the whole quota that each kind may have; lease grants have slots of their own beside.
+# The share of the quota that each kind may use; lease grants use reserved space outside the quota.
 QUOTA_SHARES: Final = {
     DataKind.RUN_TIMES: 0.05,
     DataKind.FLEET_RECORD: 0.15,
@@ -45,8 +46,8 @@
     DataKind.KEY_RECORDS: 0.3,
 }
 DROPPABLE: Final = (DataKind.RUN_TIMES, DataKind.FLEET_RECORD, DataKind.RESULTS)
-RECLAIMED_SHARE: Final = 0.02  # of the quota, at each look while the disk is near full
-# The least kind that is still written in a state.
+RECLAIMED_SHARE: Final = 0.02  # of the quota, at each check while the disk is near full
+# The least valuable kind that is still written in each state.
 LEAST_KIND_WRITTEN: Final = {
     DiskState.HEALTHY: DataKind.RUN_TIMES,
     DiskState.NEAR_FULL: DataKind.RESULTS,
@@ -59,18 +60,18 @@
 
 
 class Reclaim(NamedTuple):
-    """So many bytes of a kind are to be dropped."""
+    """An order to drop a number of bytes of a kind of data."""
 
     kind: DataKind
     size_bytes: int
 
 
 class DiskQuota:
-    """The bytes of each kind of data against its share.
+    """The bytes used by each kind of data, compared with its share of the quota.
 
     Attributes:
-        quota_bytes: What all kinds but lease grants may take together.
-        used: Bytes by kind, as last reported by their owners.
+        quota_bytes: How much all kinds but lease grants may use together.
+        used: Bytes by kind, as last reported by the owners of the data.
     """
 
     def __init__(self, quota_bytes: int) -> None:
@@ -78,19 +79,19 @@
         self.used = dict.fromkeys(QUOTA_SHARES, 0)
 
     def limit_bytes(self, kind: DataKind) -> int:
-        """Give how many bytes a kind may have."""
+        """Return how many bytes a kind may use."""
         return int(QUOTA_SHARES[kind] * self.quota_bytes)
 
     def is_written(self, kind: DataKind, state: DiskState) -> bool:
-        """Whether a kind is written at all in a state of the disk."""
+        """Return whether data of a kind is written while the disk is in a state."""
         return kind >= LEAST_KIND_WRITTEN[state]
 
     def free_share(self) -> float:
-        """Give the share of the quota that is left."""
+        """Return the share of the quota that is free."""
         return max(0.0, 1 - sum(self.used.values()) / max(1, self.quota_bytes))
 
     def over_limit(self) -> list[Reclaim]:
-        """Say what is to be dropped because its kind has more than its share."""
+        """Return what to drop of the kinds that use more than their share."""
         return [
             Reclaim(kind, used_bytes - self.limit_bytes(kind))
             for kind, used_bytes in self.used.items()
@@ -98,10 +99,11 @@
         ]
 
     def to_reclaim(self, state: DiskState) -> list[Reclaim]:
-        """Say what is to be dropped now, the least worth first.
+        """Return what to drop in a state of the disk, the least valuable kind first.
 
-        Near full a part of the quota at a time, on a healthy disk what is over its share. Where
-        nothing can be written nothing can be dropped either.
+        On a healthy disk this is what exceeds the share of its kind; on one that is near full, a
+        fixed part of the quota at each check. In all other states nothing is dropped, since a
+        deletion has to be written too.
         """
         if state is DiskState.HEALTHY:
             return self.over_limit()
--- a/gullyoke/durability/folder_trust.py
+++ b/gullyoke/durability/folder_trust.py
@@ -1,10 +1,10 @@
-"""Whose folder this server finds at its start, and how far it can be believed.
+"""How far a server can trust the data folder that it finds at start.
 
-A folder bears a mark: a format, the server's name, the number of the last start that wrote to it.
-What a folder of another server, an older copy, or one of a later release says is not believed. What
-was recorded under its name then is not known, and for as long as a record can be in force the
-server acts so: retries that are marked as such fail, and a voter grants nothing
-(gullyoke/leases/voter.py waits by itself).
+A folder holds a mark: its format, the server's name, and the number of the last start that wrote to
+it. The folder of another server, an older copy, and a folder written by a later release are not
+believed. The server then doesn't know which requests were recorded under its name, and is careful
+for as long as such a record can be in force: requests marked as retries fail, and a voter grants
+nothing (gullyoke/leases/voter.py has a wait of its own for this).
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from typing import Final, NamedTuple
 
 FOLDER_FORMAT: Final = 2  # format 1 had no mark
-CLOCK_TOLERANCE_US: Final = 5_000_000  # a clock behind the mark by more than this went back
+CLOCK_TOLERANCE_US: Final = 5_000_000  # a clock further behind the mark has been set back
 
 
 class FolderMark(NamedTuple):
-    """Which start wrote a folder last. On the disk it is these four values in their order.
+    """The start that wrote to a folder last. It is stored as these four values in this order.
 
     Attributes:
-        format: Of the folder.
-        name: The server's.
-        number: The start's, which never goes back.
-        written_us: When it was written, in microseconds of the Unix clock.
+        format: The format of the folder.
+        name: The name of the server.
+        number: The number of the start; it never decreases.
+        written_us: When the mark was written, in microseconds of the Unix clock.
     """
 
     format: int
@@ -35,11 +35,11 @@
     """How far a folder is trusted.
 
     Attributes:
-        believed: Whether what it says is believed.
-        writable: Whether it may be written to.
-        doubts_retries: Whether there may have been records that are not known, so that retries
-            must be doubted.
-        reason: Why, in words.
+        believed: Whether its records are used.
+        writable: Whether the server may write to it.
+        doubts_retries: Whether records may be missing, so that a retry may be a duplicate of a
+            request that has run.
+        reason: The reason as text for the log.
     """
 
     believed: bool
@@ -51,15 +51,15 @@
 def assess_folder(
     mark: FolderMark | None, records: int, name: str, known_start: int, now_us: int
 ) -> FolderTrust:
-    """Say how far a folder can be trusted.
+    """Judge how far a folder can be trusted.
 
     Args:
-        mark: The mark in it, if there is one.
-        records: How many records lie there.
-        name: This server's.
-        known_start: The number of this name's last start as other servers know it; 0 where there
-            are none or they know of none.
-        now_us: Microseconds of the Unix clock.
+        mark: The folder's mark; None if it has none.
+        records: How many records the folder has.
+        name: The name of this server.
+        known_start: The number of the last start under this name that other servers know; 0 if
+            there are no other servers or they know of none.
+        now_us: The current time, in microseconds of the Unix clock.
     """
     if mark is None:
         return _assess_unmarked(records, known_start)
@@ -85,14 +85,15 @@
 
 
 def is_older_copy(last_start: int, known_start: int) -> bool:
-    """Whether other servers know of a start after the one that a folder bears."""
+    """Return whether other servers know of a later start than the one in a folder's mark."""
     return 0 < last_start < known_start
 
 
 def next_mark(mark: FolderMark | None, name: str, number: int, now_us: int) -> FolderMark:
-    """Give the mark that this start writes.
+    """Return the mark that this start writes.
 
-    Its number is above the last one's, whatever the clock says.
+    Its number is greater than that of the last start, even if `number`, which is taken from the
+    clock, is not.
     """
     last_start = mark.number if mark is not None and mark.name == name else 0
     return FolderMark(FOLDER_FORMAT, name, max(number, last_start + 1), now_us)
--- a/gullyoke/durability/key_ledger.py
+++ b/gullyoke/durability/key_ledger.py
@@ -1,7 +1,7 @@
-"""The ledger of idempotency keys of one start of a server.
+"""The ledger of idempotency keys of one server start.
 
-It says what must be on the disk before a request runs and before its answer goes out, and what is
-done where the disk does not get there:
+It decides what must be on the disk before a request runs and before its answer is sent, and what
+happens if the disk fails or is too slow:
 
     request_run --write--> RECORDING_START --durable--> RUNNING --end_run--> RECORDING_END
                                 |                                                 |
@@ -9,9 +9,9 @@
                                 |   where the operator's policy is RUN_ANYWAY)    v
                                 +--failed, or not in time--> ABANDONED          ENDED (answered)
 
-An abandoned request does not run, and what may lie on the disk is removed. A write that finishes
-after its request was given up starts nothing. gullyoke/model_checking/key_ledger.py explores which
-events can cross which.
+An abandoned request does not run, and its record is removed from the disk. A write that finishes
+after its request was abandoned starts no run. gullyoke/model_checking/key_ledger.py explores every
+order of these events.
 
 No I/O and no clock. Times are microseconds of the Unix clock.
 """
@@ -30,21 +30,21 @@
 
 
 class KeyLedger(RecordTable):
-    """The table of requests with keys, and the order in which their records come to the disk.
+    """The table of requests with keys, and the writes of their records.
 
-    A row leaves when its window is over (`expire`), or when its request was abandoned and that is
-    on the disk.
+    A row is removed when its window is over (`expire`), or when its request was abandoned and the
+    removal of its record is durable.
 
     Attributes:
-        writes_in_flight: Keys by the numbers of the writes, in the order of asking.
-        unrecorded_runs: Runs without a record on the disk.
-        unrecorded_ends: Ends that did not come to the disk in time.
-        rejected: Requests rejected for the disk's sake.
+        writes_in_flight: The keys of the writes in flight, by write number, oldest first.
+        unrecorded_runs: How many runs had no record on the disk.
+        unrecorded_ends: How many ends of runs were not durable in time.
+        rejected: How many requests were rejected because their record could not be written.
 
     Args:
-        incarnation: The number of this start.
-        policy: What is done where the disk can't make a record durable in time.
-        max_bytes: What records and results may take in memory.
+        incarnation: The number of this server start.
+        policy: What to do with requests whose record the disk can't make durable in time.
+        max_bytes: The most memory that records and results may take.
     """
 
     def __init__(self, incarnation: int, policy: UndurablePolicy, max_bytes: int) -> None:
@@ -67,19 +67,19 @@
         run_us: float,
         disk_accepts: bool,
     ) -> RecordWrite | LedgerAction:
-        """Ask to run a request.
+        """Record a request that is about to run.
 
         Args:
-            now_us: The time.
-            key: Its key.
+            now_us: The current time.
+            key: The key of the request.
             arrived_us: When it arrived.
-            window_end_us: Until when a duplicate of it must not run.
-            deadline_us: By when its answer must go out.
+            window_end_us: The time until which a duplicate of it must not run.
+            deadline_us: By when its answer must be sent.
             run_us: How long its run usually takes.
             disk_accepts: Whether the disk accepts writes that requests wait for.
 
         Returns:
-            The write to wait for, or what to do at once.
+            The write to wait for, or an action to take at once.
         """
         if self.find(now_us, key) is not None:
             return LedgerAction(ActionKind.REPORT_DUPLICATE, key)
@@ -94,7 +94,7 @@
         return self._write(now_us, key, record)
 
     def write_rejected(self, now_us: int, write: RecordWrite) -> LedgerAction | None:
-        """Take that a write could not even be queued."""
+        """Handle a write that could not be queued."""
         row = self._row_of_write(now_us, write, False)
         if row is None:
             return None
@@ -104,14 +104,14 @@
         if row.stage is KeyStage.RECORDING_END:
             row.stage = KeyStage.RUNNING
             return self._report_without_record(row, write.key)
-        if row.stage is KeyStage.ABANDONED:  # what lies there counts as unknown after a restart
+        if row.stage is KeyStage.ABANDONED:  # a record left on the disk is UNKNOWN after a restart
             self._drop(write.key)
         return None
 
     def write_finished(
         self, now_us: int, write: RecordWrite, persisted: bool
     ) -> LedgerAction | None:
-        """Take the outcome of a write; one that is not its row's last counts for nothing."""
+        """Handle the outcome of a write; it is ignored unless the write is the last of its row."""
         row = self._row_of_write(now_us, write, persisted)
         if row is None:
             return None
@@ -119,7 +119,7 @@
             if persisted:
                 row.stage = KeyStage.RUNNING
                 return LedgerAction(ActionKind.RUN, write.key)
-            row.stage = KeyStage.ABANDONED  # `abandon` removes what may lie there
+            row.stage = KeyStage.ABANDONED  # `abandon` removes a record that is on the disk
             return LedgerAction(ActionKind.REJECT, write.key)
         if row.stage is KeyStage.RECORDING_END:
             if not persisted:
@@ -131,7 +131,7 @@
         return None
 
     def abandon(self, now_us: int, key: str) -> RecordWrite | None:
-        """Take that a request ended without a run: what may lie on the disk is removed."""
+        """Abandon a request that was not run; return the removal of its record, if one is due."""
         row = self.rows.get(key)
         if row is None or row.stage in (KeyStage.ENDED, KeyStage.RECORDING_END):
             return None
@@ -139,7 +139,7 @@
             self._drop(key)
             return None
         row.stage = KeyStage.ABANDONED
-        return self._write(now_us, key, None)  # after the record's own, should that be in flight
+        return self._write(now_us, key, None)  # made after the record's write, if that is in flight
 
     def end_run(
         self,
@@ -150,18 +150,19 @@
         body: bytes,
         disk_accepts: bool,
     ) -> RecordWrite | LedgerAction | None:
-        """Take that a run is over.
+        """Record the end of a run.
 
         Args:
-            now_us: The time.
-            key: Its key.
-            status: Of the answer; 0 where that is not known or the run failed.
-            fields: The answer's header fields.
-            body: Its body.
+            now_us: The current time.
+            key: The key of the request.
+            status: The status of the answer; 0 if it is not known or the run failed.
+            fields: The header fields of the answer.
+            body: The body of the answer.
             disk_accepts: Whether the disk accepts writes that requests wait for.
 
         Returns:
-            The write to wait for, or what to do at once; None where the end was already reported.
+            The write to wait for, or an action to take at once; None if the end was already
+            reported.
         """
         row = self.rows.get(key)
         if row is None:
@@ -169,7 +170,7 @@
         record = row.record._replace(phase=RunPhase.ENDED, status=status, fields=fields, body=body)
         if not self.fits(record.memory_bytes() - row.record.memory_bytes()):
             record = record.without_result()
-        if row.stage is KeyStage.RUNNING_UNRECORDED:  # known to this start alone
+        if row.stage is KeyStage.RUNNING_UNRECORDED:  # its result is kept in memory only
             self._replace_record(row, record)
             row.stage = KeyStage.ENDED
             row.end_reported = True
@@ -183,7 +184,10 @@
         return self._write(now_us, key, record)
 
     def time_out_writes(self, now_us: int) -> list[LedgerAction]:
-        """Wait no more for writes that have taken too long; their outcomes still count."""
+        """Give up waiting for overdue writes; return the actions for their requests.
+
+        The outcomes of these writes are still handled when they arrive.
+        """
         actions = []
         for number, key in self.writes_in_flight.items():
             row = self.rows.get(key)
@@ -202,7 +206,7 @@
         return actions
 
     def drop_results(self, now_us: int, needed_bytes: int) -> list[RecordWrite]:
-        """Drop results until so many bytes are free, the oldest first; their records stay."""
+        """Drop the oldest results until a number of bytes is freed; their records stay."""
         writes = []
         while needed_bytes > 0:
             before_bytes = self.size_bytes
@@ -220,7 +224,7 @@
             self.rejected += 1
             return LedgerAction(ActionKind.REJECT, key)
         self.unrecorded_runs += 1
-        if self.fits(record.memory_bytes()):  # else a duplicate finds nothing
+        if self.fits(record.memory_bytes()):  # otherwise a duplicate may run
             row = LedgerRow(KeyStage.RUNNING_UNRECORDED, record, now_us, deadline_us)
             self._put_row(key, row)
         return LedgerAction(ActionKind.RUN, key)
@@ -234,7 +238,7 @@
         return LedgerAction(ActionKind.REPORT_END, key)
 
     def _report_without_record(self, row: LedgerRow, key: str) -> LedgerAction | None:
-        """Report, once, an end that is not on the disk, or not yet."""
+        """Report the end of a run that is not on the disk, unless it was reported before."""
         if row.end_reported:
             return None
         row.end_reported = True
@@ -251,7 +255,7 @@
         return RecordWrite(key, record, self.writes)
 
     def _row_of_write(self, now_us: int, write: RecordWrite, persisted: bool) -> LedgerRow | None:
-        """Give the row that a write is the last one of."""
+        """Remove a write from those in flight; return its row if the write is the row's last."""
         self.writes_in_flight.pop(write.number, None)
         self.pending_writes.finished(now_us, write.number, persisted)
         row = self.rows.get(write.key)
--- a/gullyoke/durability/key_record.py
+++ b/gullyoke/durability/key_record.py
@@ -1,8 +1,8 @@
-"""What the disk has of a request that must not run again, and what that means after a restart.
+"""The stored record of a request that must not run twice, and its meaning after a restart.
 
-A record goes to the disk before the request runs, and its end before the answer goes out. So a
-record without an end is of a request that may have run, wholly, in part or not at all: a duplicate
-of it is neither run nor rejected.
+A record is written before the request runs, and the end of the run before the answer is sent. A
+record without an end therefore belongs to a request that may have run fully, in part or not at all:
+a duplicate of it is neither run nor rejected, it fails.
 """
 
 from __future__ import annotations
@@ -10,30 +10,30 @@
 from enum import Enum, IntEnum
 from typing import Final, NamedTuple
 
-RECORD_MEMORY_BYTES: Final = 700  # of a record without a result in memory, with its tables
-FIELD_MEMORY_BYTES: Final = 4  # of a header field beside its text
+RECORD_MEMORY_BYTES: Final = 700  # a record without a result, with its entries in the tables
+FIELD_MEMORY_BYTES: Final = 4  # a header field, without its text
 
 
 class RunPhase(IntEnum):
-    """How far a run came. The values are part of the format."""
+    """How far a run has got. The values are part of the stored format."""
 
-    STARTED = 1  # it may run, or may have
+    STARTED = 1  # the request may be running or may have run
     ENDED = 2
 
 
 class KeyRecord(NamedTuple):
-    """A request with an idempotency key. On the disk it is these values in their order.
+    """A request with an idempotency key. It is stored as these values in this order.
 
     Times are microseconds of the Unix clock.
 
     Attributes:
-        phase: How far its run came.
-        incarnation: The start of the server that wrote it.
+        phase: How far its run has got.
+        incarnation: The number of the server start that wrote the record.
         arrived_us: When the attempt that was run arrived.
-        window_end_us: Until when a duplicate must not run.
-        status: Of the answer; 0 where nothing is known of it.
+        window_end_us: The time until which a duplicate must not run.
+        status: The status of the answer; 0 if the answer is not known.
         fields: The header fields of the answer.
-        body: Its body.
+        body: The body of the answer.
     """
 
     phase: RunPhase
@@ -45,27 +45,27 @@
     body: bytes = b""
 
     def memory_bytes(self) -> int:
-        """Give about what it takes in memory; on the disk it is less."""
+        """Return the approximate size of the record in memory; on the disk it is smaller."""
         size_bytes = RECORD_MEMORY_BYTES + len(self.body)
         for name, value in self.fields:
             size_bytes += len(name) + len(value) + FIELD_MEMORY_BYTES
         return size_bytes
 
     def without_result(self) -> KeyRecord:
-        """Give the record without its answer."""
+        """Return the record without the answer."""
         return self._replace(status=0, fields=(), body=b"")
 
 
 class DuplicateVerdict(Enum):
     """What happens to a duplicate of a request."""
 
-    MAY_RUN = "runs"  # nothing is known of the request, or its window is over
-    UNKNOWN = "unknown"  # it fails: whether the request ran is not known, or its result was dropped
+    MAY_RUN = "runs"  # it may run: there is no record of the request, or its window is over
+    UNKNOWN = "unknown"  # it fails: the request may have run, or its result was dropped
     RESULT = "result"  # it gets the recorded answer
 
 
 def judge_record(record: KeyRecord | None, now_us: int) -> DuplicateVerdict:
-    """Say what happens to a duplicate of the request that a record is of."""
+    """Return what happens to a duplicate of a request, given the request's record if any."""
     if record is None or now_us > record.window_end_us:
         return DuplicateVerdict.MAY_RUN
     if record.phase is RunPhase.ENDED and record.status:
@@ -74,10 +74,9 @@
 
 
 def recovered_record(record: KeyRecord, now_us: int) -> KeyRecord:
-    """Give a record as it counts from this start on.
+    """Return a record read at start, in force for at most the length of its window from now.
 
-    Guards against a clock that went back: it is in force for its window from now at the most, not
-    until a time that the clock comes to in a year.
+    Without that limit, a record would stay in force for a year if the clock was set back by a year.
     """
     window_us = record.window_end_us - record.arrived_us
     return record._replace(window_end_us=min(record.window_end_us, now_us + window_us))
--- a/gullyoke/durability/ledger_commands.py
+++ b/gullyoke/durability/ledger_commands.py
@@ -1,4 +1,4 @@
-"""What the ledger of idempotency keys asks of its caller: writes to the disk, and actions."""
+"""The commands that the ledger of idempotency keys returns: disk writes and actions."""
 
 from __future__ import annotations
 
@@ -9,39 +9,39 @@
 
 
 class UndurablePolicy(Enum):
-    """What is done where the disk can't make a record durable in time. The operator's choice."""
+    """The operator's choice for requests whose record the disk can't make durable in time."""
 
-    REJECT = "shed"  # the request is rejected unrun, or fails where it has run
-    RUN_ANYWAY = "go on"  # it runs and is answered without a record
+    REJECT = "shed"  # reject the request unrun, or fail it if it has run
+    RUN_ANYWAY = "go on"  # run and answer the request without a record
 
 
 class ActionKind(Enum):
-    """What is to be done with a request."""
+    """What the caller has to do with a request."""
 
     RUN = "run"  # start its run
-    REJECT = "unrun"  # it was not and will not be run
-    REPORT_DUPLICATE = "known"  # it may have run before: it fails
-    REPORT_END = "end"  # say how the run ended
-    REPORT_UNKNOWN = "unknown"  # say that it failed: its end is not on the disk
+    REJECT = "unrun"  # reject it: it was not run and will not be
+    REPORT_DUPLICATE = "known"  # fail it: it may have run before
+    REPORT_END = "end"  # report how its run ended
+    REPORT_UNKNOWN = "unknown"  # fail it, since the end of its run is not on the disk
 
 
 class LedgerAction(NamedTuple):
-    """What is to be done with the request of a key."""
+    """An action to be taken for the request with a key."""
 
     kind: ActionKind
     key: str
 
 
 class RecordWrite(NamedTuple):
-    """A write that is to be made durable, in the order in which the ledger gives them.
+    """A write to be made durable; the caller makes writes in the order in which it got them.
 
-    Its outcome goes to `KeyLedger.write_finished`, or to `write_rejected` where it could not be
-    queued.
+    The caller passes the outcome to `KeyLedger.write_finished`, or calls `write_rejected` if the
+    write could not be queued.
 
     Attributes:
         key: The key.
-        record: What is written; None removes the key.
-        number: The write's own.
+        record: The record to write; None removes the key.
+        number: The number of the write.
     """
 
     key: str
--- a/gullyoke/durability/pending_writes.py
+++ b/gullyoke/durability/pending_writes.py
@@ -1,28 +1,29 @@
-"""How long a write that a request waits for takes: from being queued until the disk has it.
+"""The expected duration of a write that a request waits for, from queueing until it is durable.
 
-Smoothed like a round-trip time, mean and deviation (Jacobson 1988), with what is in flight now: a
-disk that hangs returns nothing, and takes longer each moment. Times are microseconds.
+Mean and deviation are smoothed as for a round-trip time (Jacobson 1988). Writes in flight count as
+well: while a disk hangs no write returns, and the expected duration grows with the age of the
+oldest write. Times are microseconds.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-FIRST_WRITE_US: Final = 5_000  # that a write is taken to need before one was made
-WRITE_TIMEOUT_US: Final = 1_000_000  # a write that is not durable by then is given up
+FIRST_WRITE_US: Final = 5_000  # expected duration before the first measurement
+WRITE_TIMEOUT_US: Final = 1_000_000  # a write that takes longer is given up
 MEAN_GAIN: Final = 1 / 8
 DEVIATION_GAIN: Final = 1 / 4
-DEVIATIONS: Final = 4  # above the mean that a write may be expected to take
+DEVIATIONS: Final = 4  # deviations above the mean in the expected duration of a write
 
 
 class PendingWrites:
-    """The writes in flight, and what the next one is likely to need.
+    """The writes in flight and the expected duration of the next one.
 
     Attributes:
-        started_us: When each write in flight was asked for, by its number and in the order of
-            asking: as many as there are requests in flight at the most.
-        mean_us: The smoothed time of a write.
-        deviation_us: Its smoothed deviation.
+        started_us: The start time of each write in flight, by number, oldest first; at most one
+            for each request in flight.
+        mean_us: The smoothed duration of a write.
+        deviation_us: The smoothed deviation of that duration.
     """
 
     def __init__(self) -> None:
@@ -32,11 +33,11 @@
         self._measured = False
 
     def started(self, now_us: int, number: object) -> None:
-        """Record that a write was asked for."""
+        """Record that a write was queued."""
         self.started_us[number] = now_us
 
     def finished(self, now_us: int, number: object, persisted: bool) -> None:
-        """Record that a write is over; only one that is durable is measured."""
+        """Record the end of a write; only the duration of a durable write is measured."""
         started_us = self.started_us.pop(number, None)
         if started_us is None or not persisted:
             return
@@ -50,20 +51,20 @@
         self.mean_us += (took_us - self.mean_us) * MEAN_GAIN
 
     def expected_us(self, now_us: int) -> float:
-        """Give what the next write is likely to need.
+        """Return the expected duration of the next write.
 
-        No less than the oldest in flight has already taken.
+        It is at least the time that the oldest write in flight has taken so far.
         """
         oldest_us = next(iter(self.started_us.values()), now_us)
         return max(self.mean_us + DEVIATIONS * self.deviation_us, float(now_us - oldest_us))
 
     def in_time(self, now_us: int, deadline_us: int, run_us: float) -> bool:
-        """Whether a write asked for now leaves time for a run that usually takes `run_us`.
+        """Return whether a request can meet its deadline if its record is written now.
 
-        And for the write of its end after it.
+        Counted are two writes, of the start and of the end, and a run that usually takes `run_us`.
         """
         return now_us + 2 * self.expected_us(now_us) + run_us <= deadline_us
 
     def is_overdue(self, now_us: int, started_us: int, deadline_us: int) -> bool:
-        """Whether a write that was asked for at `started_us` is given up now."""
+        """Return whether to give up a write that was queued at `started_us`."""
         return now_us - started_us >= WRITE_TIMEOUT_US or now_us >= deadline_us
--- a/gullyoke/durability/record_table.py
+++ b/gullyoke/durability/record_table.py
@@ -1,4 +1,4 @@
-"""The table of requests with idempotency keys, by key, with bounds on its bytes and in time.
+"""The table of requests with idempotency keys, bounded in bytes and in time.
 
 No I/O and no clock. Times are microseconds of the Unix clock.
 """
@@ -20,11 +20,11 @@
     recovered_record,
 )
 
-RECHECK_RUNNING_US: Final = 1_000_000  # until a row past its window that still runs is looked at
+RECHECK_RUNNING_US: Final = 1_000_000  # between checks of a running row whose window is over
 
 
 class KeyStage(Enum):
-    """Where a request with a key stands."""
+    """The stages of a request with a key; key_ledger.py has a diagram of them."""
 
     RECORDING_START = "noting"
     RUNNING = "noted"
@@ -38,12 +38,12 @@
     """A request with a key.
 
     Attributes:
-        stage: Where it stands.
-        record: What is, or is to be, on the disk of it.
-        last_write: The number of the last write of it, which alone counts.
-        write_started_us: When the write in flight was asked for.
-        deadline_us: By when its answer must go out.
-        end_reported: Whether the end of its run was reported.
+        stage: Its stage.
+        record: Its record, which is on the disk or being written.
+        last_write: The number of its last write; outcomes of earlier writes are ignored.
+        write_started_us: When the write in flight was queued.
+        deadline_us: By when its answer must be sent.
+        end_reported: Whether the end of its run has been reported.
     """
 
     __slots__ = (
@@ -65,17 +65,17 @@
 
 
 class RecordTable:
-    """The requests with keys of this start, and what the disk has of earlier ones.
+    """The requests with keys of this server start, and those that earlier starts recorded.
 
     Attributes:
-        rows: One a key, whose records and results take at most `max_bytes`.
-        window_ends: A heap of rows by the ends of their windows.
-        results: Keys with a result, in the order of their ends.
-        size_bytes: What the records take in memory.
+        rows: A row for each key; their records and results take at most `max_bytes`.
+        window_ends: A heap of the ends of windows, with the keys.
+        results: The keys of rows with a result, in the order in which the runs ended.
+        size_bytes: The size of the records and results in memory.
 
     Args:
-        incarnation: The number of this start.
-        max_bytes: What records and results may take in memory.
+        incarnation: The number of this server start.
+        max_bytes: The most memory that records and results may take.
     """
 
     def __init__(self, incarnation: int, max_bytes: int) -> None:
@@ -87,7 +87,7 @@
         self.size_bytes = 0
 
     def recover(self, now_us: int, found: Iterable[tuple[str, KeyRecord]]) -> list[str]:
-        """Take what the disk had at the start; give the keys to be removed, of closed windows."""
+        """Add the records found on the disk; return the keys to remove, whose window is over."""
         expired = []
         for key, record in found:
             if judge_record(record, now_us) is DuplicateVerdict.MAY_RUN:
@@ -103,7 +103,7 @@
         return expired
 
     def find(self, now_us: int, key: str) -> KeyRecord | None:
-        """Give what is known of an earlier request of this key; None where it may run."""
+        """Return the record of an earlier request with a key; None if the request may run."""
         row = self.rows.get(key)
         if row is None or row.stage is KeyStage.ABANDONED:
             return None
@@ -112,9 +112,10 @@
         return row.record
 
     def expire(self, now_us: int) -> list[str]:
-        """Drop the rows whose window is over; give their keys, to be removed from the disk.
+        """Drop the rows whose window is over; return their keys, to be removed from the disk.
 
-        One that is running stays until it has ended, and is looked at again a second later.
+        A row whose request is running stays until the run has ended; it is checked again every
+        RECHECK_RUNNING_US.
         """
         expired = []
         while self.window_ends and self.window_ends[0][0] < now_us:
@@ -123,7 +124,7 @@
             if row is None or (
                 row.record.window_end_us > end_us and row.record.window_end_us >= now_us
             ):
-                continue  # dropped, or recorded again since
+                continue  # the row was dropped, or recorded again with a later window
             if self._is_over(row):
                 self._drop(key)
                 expired.append(key)
@@ -134,13 +135,13 @@
         return expired
 
     def _is_over(self, row: LedgerRow) -> bool:
-        """Whether nothing of a row runs here: it ended, or an earlier start recorded it."""
+        """Return whether no run of a row goes on: it ended, or an earlier start recorded it."""
         if row.stage is KeyStage.RUNNING:
             return row.end_reported or row.record.incarnation != self.incarnation
         return row.stage is KeyStage.ENDED
 
     def forget_other_starts(self) -> list[str]:
-        """Believe what earlier starts recorded no more; give the keys to be removed."""
+        """Drop the rows that earlier starts recorded; return their keys, to be removed."""
         forgotten = [
             key for key, row in self.rows.items() if row.record.incarnation != self.incarnation
         ]
@@ -149,19 +150,19 @@
         return forgotten
 
     def record_bytes(self) -> int:
-        """Give the bytes of the records without their results."""
+        """Return the size of the records in memory, without their results."""
         return len(self.rows) * RECORD_MEMORY_BYTES
 
     def result_bytes(self) -> int:
-        """Give the bytes of the results."""
+        """Return the size of the results in memory."""
         return max(0, self.size_bytes - self.record_bytes())
 
     def fits(self, growth_bytes: int) -> bool:
-        """Whether so many bytes more stay within the bound."""
+        """Return whether the table stays within `max_bytes` if it grows by a number of bytes."""
         return self.size_bytes + growth_bytes <= self.max_bytes
 
     def drop_oldest_result(self) -> str | None:
-        """Drop the oldest result but not its record; give its key, None where there is none."""
+        """Drop the oldest result and keep its record; return its key, None if there is none."""
         while self.results:
             key = self.results.popleft()
             row = self.rows.get(key)
