--- a/gullyoke/durability/folder_trust.py
+++ b/gullyoke/durability/folder_trust.py
@@ -74,13 +74,13 @@
     if now_us < mark.written_us - CLOCK_TOLERANCE_US:
         behind_s = (mark.written_us - now_us) // 1_000_000
         return FolderTrust(True, True, False, f"the clock went back by {behind_s} s")
-    return FolderTrust(True, True, False, "its own")
+    return FolderTrust(True, True, False, "the server's own folder")
 
 
 def _assess_unmarked(records: int, known_start: int) -> FolderTrust:
     if records:
         return FolderTrust(True, True, False, "format 1, without a mark")
-    reason = "a fresh folder, though others know this name" if known_start else "a fresh folder"
+    reason = "a new folder, but other servers know this name" if known_start else "a new folder"
     return FolderTrust(False, True, known_start > 0, reason)
 
 
--- a/gullyoke/storage/__init__.py
+++ b/gullyoke/storage/__init__.py
@@ -1,9 +1,10 @@
 """An embedded key-value store that survives crashes and power cuts.
 
-Records in append-only segments, an index in memory, compaction and recovery; one writer, no server.
-`Store` works on the caller's thread; `GroupCommitter` puts it behind a thread that commits entries
-in groups. `SlotFile` has a few small values whose space is reserved. docs/store.md has the format.
-The daemon imports the package only where an operator's file names a folder.
+Records are stored in append-only segments with an index in memory; the store has compaction and
+recovery, a single writer and no server. `Store` works on the caller's thread; `GroupCommitter`
+commits entries in groups on a thread of its own. `SlotFile` holds a few small values in reserved
+space. docs/store.md describes the format. The daemon imports the package only if an operator's file
+names a folder.
 """
 
 from gullyoke.storage.folder import FileOperations, StorageFolder
--- a/gullyoke/storage/append_file.py
+++ b/gullyoke/storage/append_file.py
@@ -1,4 +1,4 @@
-"""A file of lines that a thread of its own appends: whoever adds one never waits for the disk."""
+"""A file of lines, written by a thread of its own so that callers never wait for the disk."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 MAX_QUEUED_LINES: Final = 64
 OLDER_SUFFIX: Final = ".1"
-OPERATION: Final = "a line"  # what the disk's monitor names in the log
+OPERATION: Final = "a line"  # name of the disk operation in the log
 
 
 class AppendFile:
-    """A file that is rotated at a size; one older file is left.
+    """A file that is rotated at a size limit; one older file is kept.
 
     Attributes:
-        faults: Lines in a row that were not written to the file.
-        reason: What was wrong with the last of them.
+        faults: How many lines in a row were not written.
+        reason: Why the last of them was not written.
 
     Args:
-        path: The file.
-        max_bytes: The size at which the next line begins a new file.
-        monitor: Told of each write.
-        may_write: Whether to write at all now.
+        path: The path of the file.
+        max_bytes: The size above which the next line begins a new file.
+        monitor: Monitors each disk operation.
+        may_write: Returns whether lines may be written now.
     """
 
     def __init__(
@@ -43,14 +43,14 @@
         threading.Thread(target=self._run, name="lines", daemon=True).start()
 
     def add(self, line: str) -> None:
-        """Queue a line; counted as a fault where the queue is full."""
+        """Queue a line; if the queue is full, drop the line and count a fault."""
         try:
             self.queue.put_nowait(line)
         except queue.Full:
-            self._record_fault("the disk does not come back")
+            self._record_fault("the queue is full")
 
     def size_bytes(self) -> int:
-        """Give the bytes of both files."""
+        """Return the size of both files together."""
         return sum(
             os.path.getsize(path) for path in (self.path, self.older_path) if os.path.exists(path)
         )
@@ -59,7 +59,7 @@
         """Remove the older file.
 
         Raises:
-            OSError: It can't be removed.
+            OSError: The file can't be removed.
         """
         with self.monitor.timed(OPERATION):
             if os.path.exists(self.older_path):
--- a/gullyoke/storage/compaction_plan.py
+++ b/gullyoke/storage/compaction_plan.py
@@ -1,4 +1,4 @@
-"""What the store decides, without I/O: what is live, when a segment is full, what is compacted."""
+"""The decisions of the store, without I/O: live records, full segments, what to compact."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from gullyoke.storage.record import Record, RecordKind
 
-MIN_DEAD_BYTES: Final = 256  # dead bytes of a segment that are not worth a copy of the rest
-DEFAULT_DEAD_SHARE: Final = 0.5  # of all bytes, that may be dead before a segment is compacted
+MIN_DEAD_BYTES: Final = 256  # a segment with fewer dead bytes is not worth copying
+DEFAULT_DEAD_SHARE: Final = 0.5  # share of all bytes that may be dead before a compaction
 
 
 class RecordLocation(NamedTuple):
-    """Where a key's newest record lies.
+    """The location of the newest record of a key.
 
-    A deleted key has one as well, while an older record of it may lie in an earlier segment.
+    A deleted key has a location too, as long as an earlier segment may hold an older record of it.
     """
 
     segment: int
@@ -24,7 +24,7 @@
 
 
 class SegmentUsage:
-    """How many bytes a segment has, and how many of them are live."""
+    """The size of a segment, and how many of its bytes are live."""
 
     __slots__ = ("live_bytes", "size_bytes")
 
@@ -34,15 +34,16 @@
 
 
 class CompactionPlan:
-    """The index of the newest records, the use of each segment, and what is compacted next.
+    """The index of the newest records, the usage of each segment, and the choice of compactions.
 
     Attributes:
-        index: The newest record of each key that is there, or whose deletion must still be known.
-        segments: The use of each segment by its number.
+        index: The location of the newest record of each key, including the records of deletions
+            that are still needed.
+        segments: The usage of each segment, by its number.
         segment_bytes: The size at which a segment is closed.
-        quota_bytes: What all segments together may take.
-        max_dead_share: The share that may be dead before a segment is compacted.
-        sequence: That of the newest record.
+        quota_bytes: The most bytes that all segments may take together.
+        max_dead_share: The share of all bytes that may be dead before a segment is compacted.
+        sequence: The sequence number of the newest record.
     """
 
     def __init__(
@@ -59,19 +60,19 @@
         self.sequence = 0
 
     def next_sequence(self) -> int:
-        """Draw the sequence of a new record."""
+        """Allocate the sequence number of a new record."""
         self.sequence += 1
         return self.sequence
 
     def add_segment(self, number: int) -> None:
-        """Account for an empty segment."""
+        """Add an empty segment."""
         self.segments[number] = SegmentUsage()
 
     def add_record(self, record: Record, segment: int, offset: int, size_bytes: int) -> None:
-        """Account for a whole record.
+        """Add an intact record, and index it if it is the newest of its key.
 
-        Whichever of its key is newest counts, in whatever order they are read; of two with the same
-        sequence the later one, since compaction copies forward.
+        Records may be added in any order. Of two with the same sequence number, the one at the
+        later location is the newer one, since compaction copies records forward.
         """
         self.sequence = max(self.sequence, record.sequence)
         usage = self.segments[segment]
@@ -89,40 +90,42 @@
         usage.live_bytes += size_bytes
 
     def add_dead_bytes(self, segment: int, size_bytes: int) -> None:
-        """Account for bytes of a segment that are no record."""
+        """Add bytes of a segment that are not part of a record."""
         self.segments[segment].size_bytes += size_bytes
 
     def total_bytes(self) -> int:
-        """Give the bytes of all segments."""
+        """Return the size of all segments."""
         return sum(usage.size_bytes for usage in list(self.segments.values()))
 
     def live_bytes(self) -> int:
-        """Give the bytes of the newest records; other threads may ask for it too."""
+        """Return the size of the newest records; may be called by any thread."""
         return sum(usage.live_bytes for usage in list(self.segments.values()))
 
     def fits(self, size_bytes: int) -> bool:
-        """Whether so much more stays within the quota, once all that is dead is compacted away."""
+        """Return whether a number of bytes fits the quota once dead records are compacted away."""
         return self.live_bytes() + size_bytes <= self.quota_bytes
 
     def needs_new_segment(self, segment: int, size_bytes: int) -> bool:
-        """Whether a batch of so many bytes would make a segment too large.
+        """Return whether a batch of a number of bytes would make a segment too large.
 
-        A batch that is larger than a segment goes into an empty one.
+        An empty segment takes a batch of any size.
         """
         used_bytes = self.segments[segment].size_bytes
         return used_bytes + size_bytes > self.segment_bytes and used_bytes > 0
 
     def segment_to_compact(self, active: int | None, eager: bool = False) -> int | None:
-        """Choose the segment whose live records are copied forward next.
+        """Choose the next segment to compact, whose live records are then copied forward.
 
-        Always the oldest, so that a key's deletion can be forgotten with it.
+        It is always the oldest one: no earlier segment can then hold an older record of a key, so
+        that records of deletions need not be copied.
 
         Args:
-            active: The segment that is written to, which is never chosen.
-            eager: Choose one as soon as more than next to nothing is dead.
+            active: The segment that is being written; it is never chosen.
+            eager: Whether to compact as soon as a closed segment has more than MIN_DEAD_BYTES dead
+                bytes.
 
         Returns:
-            Its number, or None while little is dead and all is within the quota.
+            The number of the segment; None if few bytes are dead and the segments fit the quota.
         """
         closed = [number for number in self.segments if number != active]
         if not closed:
@@ -141,9 +144,9 @@
         return usage.size_bytes - usage.live_bytes
 
     def live_keys(self, segment: int) -> list[str]:
-        """Give the keys of the oldest segment whose records must be copied forward.
+        """Return the keys whose records in the oldest segment must be copied forward.
 
-        Deleted keys are not among them: no older record is left that the deletion has to hide.
+        Records of deletions are left out, since no older record of their key remains.
         """
         return [
             key
@@ -152,7 +155,7 @@
         ]
 
     def remove_segment(self, segment: int) -> None:
-        """Account for a segment that was removed; what still points there is forgotten."""
+        """Remove a segment, with the locations that point to it."""
         self.index = {
             key: location for key, location in self.index.items() if location.segment != segment
         }
--- a/gullyoke/storage/disk_monitor.py
+++ b/gullyoke/storage/disk_monitor.py
@@ -1,8 +1,7 @@
-"""Watches the disk of one folder.
+"""Monitors the disk of one folder.
 
-Every operation on it is timed and its errors are recorded, its free space is looked at, and a disk
-that is not healthy is probed now and then. What that means is decided in
-gullyoke/durability/disk_health.py.
+It times every operation and records the errors, checks the free space, and probes a disk in a bad
+state. gullyoke/durability/disk_health.py decides the state of the disk from this.
 """
 
 from __future__ import annotations
@@ -28,18 +27,19 @@
 
 
 class DiskMonitor:
-    """The health of the disk of a folder, from what its operations return and how long they take.
+    """The health of the disk of a folder, judged by the results and duration of its operations.
 
     Attributes:
-        listeners: Called with each change of state, on whatever thread saw it; must not block.
-        quota_left: Gives the share of the quota that is left.
-        on_check: Called with the state after each look at the disk, on the monitor's thread.
+        listeners: Functions called with each change of state, on the thread that notices it and
+            under the monitor's lock; they must not block.
+        quota_left: Returns the share of the quota that is free.
+        on_check: Called with the state after each check of the disk, on the monitor's thread.
 
     Args:
-        folder: The folder.
+        folder: The path of the folder.
         metrics: Counts the changes of state.
-        draw: Gives a random number from 0 to 1.
-        quota_bytes: What this program may use of the disk; None for all.
+        draw: Returns a random number from 0 to 1.
+        quota_bytes: How much of the disk this program may use; None for all of it.
     """
 
     def __init__(
@@ -61,39 +61,42 @@
         self.on_check: Callable[[DiskState], None] = lambda state: None
 
     def start(self) -> None:
-        """Begin to look at the disk, on a thread that ends with `stop`.
+        """Start to check the disk regularly, on a thread that ends after `stop`.
 
-        It ends with the process alone should the disk hang.
+        If the disk hangs, that thread ends only with the process.
         """
         threading.Thread(target=self._run, name="disk", daemon=True).start()
 
     def stop(self) -> None:
-        """Look at the disk no more."""
+        """Stop checking the disk."""
         self.stopped = True
 
     def open_folder(self, path: str, locked: bool = True, create: bool = True) -> MonitoredFolder:
         """Open a folder on this disk; the caller closes it.
 
         Raises:
-            OSError: As of `StorageFolder`.
+            OSError: The folder can't be opened, as for `StorageFolder`.
         """
         with self.timed("open"):
-            # By its module's name: fault tests put a folder with faults in its place.
+            # Looked up in its module at each call, since fault tests replace the class there.
             return MonitoredFolder(storage_folder.StorageFolder(path, locked, create), self)
 
     def state(self) -> DiskState:
-        """Give the state of the disk now."""
+        """Bring the state of the disk up to date and return it."""
         with self.lock:
             return self.health.state(clock.now())
 
     def accepts_writes(self) -> bool:
-        """Whether a write that a request waits for may be asked of the disk now."""
+        """Decide whether the disk accepts a write that a request waits for.
+
+        Also brings the state up to date.
+        """
         with self.lock:
             return self.health.accepts_writes(clock.now())
 
     @contextmanager
     def timed(self, operation: str, probe: bool = False) -> Iterator[None]:
-        """Time an operation on the disk and record the error that it raises."""
+        """Time an operation on the disk, and record its error if it raises one."""
         with self.lock:
             call_id = self.health.call_started(clock.now(), operation)
         error_number: int | None = None
@@ -107,11 +110,11 @@
                 self.health.call_finished(clock.now(), call_id, error_number, probe)
 
     def _state_changed(self, change: DiskStateChange) -> None:
-        """Called under the lock."""
+        """Count and log a change of state, and pass it on. Called under the lock."""
         self.metrics.increment(f"disk.{change.current.counter_name}")
         log.log(
             logging.ERROR if change.current in BAD_STATES else logging.WARNING,
-            "disk",
+            "disk state changed",
             extra=log_fields(
                 folder=self.folder,
                 state=change.current.value,
@@ -128,15 +131,15 @@
             try:
                 self.check()
             except OSError:
-                pass  # it was recorded where it was raised
+                pass  # `timed` has recorded the error
             except Exception:
                 self.metrics.record_internal_error("disk")
 
     def check(self) -> None:
-        """Look at the free space, and probe a disk that is not healthy.
+        """Check the free space, and probe the disk if a probe is due.
 
         Raises:
-            OSError: The disk failed; that is recorded.
+            OSError: An operation on the disk failed; the error has been recorded.
         """
         with self.lock:
             should_probe = self.health.claim_probe(clock.now())
@@ -144,7 +147,7 @@
             if self.health.calls_in_flight:
                 calls_hang = self.health.state(clock.now()) is DiskState.STALLED
         if calls_hang:
-            return  # this one would hang as well
+            return  # another operation would hang as well
         folder = storage_folder.StorageFolder(self.folder, False, False)
         free_share = self._free_share(MonitoredFolder(folder, self).free_space())
         with self.lock:
@@ -155,13 +158,16 @@
         self.on_check(state)
 
     def _free_share(self, space: FreeSpace) -> float:
-        """Give the share that is free of the disk, or of the quota if that is less."""
+        """Return the free share of the disk; with a quota, the free share of the quota.
+
+        Space that is free in the quota but not on the disk does not count.
+        """
         if self.quota_bytes:
             return min(1.0, space.free_bytes / self.quota_bytes, self.quota_left())
         return space.free_bytes / max(1, space.total_bytes)
 
     def _probe(self, folder: StorageFolder) -> None:
-        """Write a little, durably, and remove it again."""
+        """Write a small file, make it durable, and remove it."""
         with self.timed("a trial", probe=True):
             if PROBE_FILE in folder.list_files():
                 folder.remove(PROBE_FILE)
@@ -178,7 +184,7 @@
 class MonitoredFolder:
     """A `StorageFolder` whose operations are timed.
 
-    The names that are given to the monitor stand in the log.
+    The names that are passed to the monitor appear in the log.
     """
 
     def __init__(self, folder: StorageFolder, monitor: DiskMonitor) -> None:
@@ -186,11 +192,11 @@
         self.monitor = monitor
 
     def close(self) -> None:
-        """Close all files and give the lock back."""
+        """Close all files and release the lock."""
         self.folder.close()
 
     def list_files(self) -> list[str]:
-        """Give the names of the files."""
+        """Return the names of the files."""
         with self.monitor.timed("names"):
             return self.folder.list_files()
 
@@ -205,7 +211,7 @@
             return self.folder.read_at(name, offset, size_bytes)
 
     def create(self, name: str) -> None:
-        """Make a file that is not there yet, and open it for appends."""
+        """Create a file that must not exist yet, and open it for appends."""
         with self.monitor.timed("create"):
             self.folder.create(name)
 
@@ -215,12 +221,12 @@
             self.folder.append(name, data)
 
     def sync(self, name: str) -> None:
-        """Make durable what was written to a file."""
+        """Make the data written to a file durable."""
         with self.monitor.timed("sync"):
             self.folder.sync(name)
 
     def close_file(self, name: str) -> None:
-        """Write no more to a file."""
+        """Close a file that was open for writing."""
         with self.monitor.timed("shut"):
             self.folder.close_file(name)
 
@@ -230,21 +236,21 @@
             self.folder.remove(name)
 
     def sync_folder(self) -> None:
-        """Make durable which files there are."""
+        """Make the creation and removal of files durable."""
         with self.monitor.timed("sync_folder"):
             self.folder.sync_folder()
 
     def allocate(self, name: str, size_bytes: int) -> None:
-        """Make a file of so many bytes, or extend it, with its space reserved."""
+        """Create a file of a size, or extend it to that size, with its space reserved."""
         with self.monitor.timed("make"):
             self.folder.allocate(name, size_bytes)
 
     def write_at(self, name: str, offset: int, data: bytes) -> None:
-        """Write over a part of a file."""
+        """Overwrite a part of a file."""
         with self.monitor.timed("write_at"):
             self.folder.write_at(name, offset, data)
 
     def free_space(self) -> FreeSpace:
-        """Ask how much space is left."""
+        """Return how much space the disk has."""
         with self.monitor.timed("free"):
             return self.folder.free_space()
--- a/gullyoke/storage/folder.py
+++ b/gullyoke/storage/folder.py
@@ -1,4 +1,4 @@
-"""The file operations that the store needs, and a real folder that carries them out."""
+"""The file operations that the store needs, and a folder on a disk that provides them."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class FreeSpace(NamedTuple):
-    """The bytes of a disk that are free for this process, and all of its bytes."""
+    """The space of a disk: the bytes that this process may still use, and all of its bytes."""
 
     free_bytes: int
     total_bytes: int
 
 
 class FileOperations(Protocol):
-    """What the store asks of a folder. Each operation raises `OSError`.
+    """The file operations that the store needs. Each may raise `OSError`.
 
-    What was appended is durable once `sync` has returned; that a file was created or removed, once
-    `sync_folder` has.
+    Appended data is durable once `sync` has returned; the creation or removal of a file, once
+    `sync_folder` has returned.
     """
 
     def list_files(self) -> list[str]:
-        """Give the names of the files."""
+        """Return the names of the files."""
 
     def read(self, name: str) -> bytes:
         """Read a whole file."""
@@ -36,43 +36,43 @@
         """Read a part of a file."""
 
     def create(self, name: str) -> None:
-        """Make a file that is not there yet, and open it for appends."""
+        """Create a file that must not exist yet, and open it for appends."""
 
     def append(self, name: str, data: bytes) -> None:
         """Append to a file that this process created."""
 
     def sync(self, name: str) -> None:
-        """Make durable what was written to a file."""
+        """Make the data written to a file durable."""
 
     def close_file(self, name: str) -> None:
-        """Write no more to a file."""
+        """Close a file that was open for writing."""
 
     def remove(self, name: str) -> None:
         """Remove a file."""
 
     def sync_folder(self) -> None:
-        """Make durable which files there are."""
+        """Make the creation and removal of files durable."""
 
     def free_space(self) -> FreeSpace:
-        """Ask how much space is left."""
+        """Return how much space the disk has."""
 
 
 class StorageFolder:
-    """A folder on a disk, with a lock against a second process.
+    """A folder on a disk, with a lock that keeps other processes out.
 
-    The owner closes it. Operations are those of `FileOperations` and of `SlotFileOperations`.
+    The owner closes it. It has the operations of `FileOperations` and of `SlotFileOperations`.
 
     Attributes:
-        open_files: The descriptors of the files that are written to.
+        open_files: The descriptors of the files open for writing, by name.
 
     Args:
-        folder: Its path.
+        folder: The path of the folder.
         locked: Whether to take the lock.
-        create: Whether to make the folder where it is not there.
+        create: Whether to create the folder if it does not exist.
 
     Raises:
-        BlockingIOError: Another process has the lock.
-        OSError: The folder can't be made or used.
+        BlockingIOError: Another process holds the lock.
+        OSError: The folder can't be created or used.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         return descriptor
 
     def close(self) -> None:
-        """Close all files and give the lock back."""
+        """Close all files and release the lock."""
         for descriptor in self.open_files.values():
             os.close(descriptor)
         self.open_files.clear()
@@ -105,7 +105,7 @@
             self.lock = None
 
     def list_files(self) -> list[str]:
-        """Give the names of the files, sorted, without the lock's."""
+        """Return the names of the files, sorted, without the lock file."""
         return sorted(
             path.name for path in self.folder.iterdir() if path.is_file() and path.name != LOCK_NAME
         )
@@ -115,27 +115,27 @@
         return (self.folder / name).read_bytes()
 
     def read_at(self, name: str, offset: int, size_bytes: int) -> bytes:
-        """Read a part of a file; less where it ends before."""
+        """Read a part of a file; at the end of the file, less than was asked for."""
         with (self.folder / name).open("rb") as file:
             file.seek(offset)
             return file.read(size_bytes)
 
     def create(self, name: str) -> None:
-        """Make a file that is not there yet, and open it for appends."""
+        """Create a file that must not exist yet, and open it for appends."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND
         self.open_files[name] = os.open(self.folder / name, flags, FILE_MODE)
 
     def append(self, name: str, data: bytes) -> None:
-        """Append all of the data, in as many writes as it takes."""
+        """Append all of the data, with as many calls of `write` as it takes."""
         with memoryview(data) as view:
             written = 0
             while written < len(data):
                 written += os.write(self.open_files[name], view[written:])
 
     def allocate(self, name: str, size_bytes: int) -> None:
-        """Make a file of so many bytes, or extend it, with its blocks reserved on the disk.
+        """Create a file of a size, or extend it to that size, with its blocks reserved.
 
-        It is written in place with `write_at`.
+        The file is then written in place with `write_at`.
         """
         descriptor = os.open(self.folder / name, os.O_RDWR | os.O_CREAT, FILE_MODE)
         try:
@@ -146,23 +146,23 @@
         self.sync_folder()
 
     def write_at(self, name: str, offset: int, data: bytes) -> None:
-        """Write over a part of a file."""
+        """Overwrite a part of a file."""
         if name not in self.open_files:
             self.open_files[name] = os.open(self.folder / name, os.O_WRONLY)
         if os.pwrite(self.open_files[name], data, offset) < len(data):
-            raise OSError(errno.EIO, "a write was cut short")
+            raise OSError(errno.EIO, f"short write to {name}")
 
     def free_space(self) -> FreeSpace:
-        """Ask how much space is left."""
+        """Return how much space the disk has."""
         status = os.statvfs(self.folder)
         return FreeSpace(status.f_bavail * status.f_frsize, status.f_blocks * status.f_frsize)
 
     def sync(self, name: str) -> None:
-        """Make durable what was written to a file."""
+        """Make the data written to a file durable."""
         os.fsync(self.open_files[name])
 
     def close_file(self, name: str) -> None:
-        """Write no more to a file; nothing where it is not open."""
+        """Close a file that was open for writing, if it was."""
         descriptor = self.open_files.pop(name, None)
         if descriptor is not None:
             os.close(descriptor)
@@ -173,7 +173,7 @@
         (self.folder / name).unlink()
 
     def sync_folder(self) -> None:
-        """Make durable which files there are."""
+        """Make the creation and removal of files durable."""
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
--- a/gullyoke/storage/group_commit.py
+++ b/gullyoke/storage/group_commit.py
@@ -1,6 +1,6 @@
-"""Group commit: a thread that makes durable what others queue, many entries with one sync.
+"""Group commit: a thread that makes queued entries durable, many of them with one sync.
 
-Whoever holds a lock never waits for the disk.
+Callers never wait for the disk, so they may queue entries while they hold a lock.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 MAX_GROUP_ENTRIES: Final = 256
 MAX_PENDING_BYTES: Final = 2**22
 COMPACTED_SEGMENTS_AT_ONCE: Final = 16
-WAKE_KEY: Final = ""  # of an entry that only wakes the thread and is not written
+WAKE_KEY: Final = ""  # the key of an entry that wakes the thread and is not written
 
 OnCommitted = Callable[[bool], None]
 
 
 def ignore_outcome(persisted: bool) -> None:
-    """For entries whose writer need not know whether they are durable."""
+    """Ignore whether an entry was made durable."""
 
 
 class Entry(NamedTuple):
-    """A key to be written, and who is called with whether it is durable.
+    """A key to be written.
 
     Attributes:
         key: The key.
         value: Its value; None deletes the key.
-        on_committed: Called on the committer's thread.
-        size_bytes: What it counts for against the bound on pending bytes.
+        on_committed: Called with whether the entry is durable, on the committer's thread.
+        size_bytes: Its size, counted against the limit on pending bytes.
     """
 
     key: str
@@ -42,10 +42,10 @@
 
 
 class BatchStore(Protocol):
-    """A store that a batch can be put into: `Store` or `SlotFile`."""
+    """A store that takes batches: `Store` or `SlotFile`."""
 
     def put(self, batch: Iterable[tuple[str, bytes | None]]) -> None:
-        """Make a batch durable. Raises StoreFullError or StoreFaultedError."""
+        """Make a batch durable, or raise StoreFullError or StoreFaultedError."""
 
 
 StoreT = TypeVar("StoreT", bound=BatchStore)
@@ -54,21 +54,21 @@
 class GroupCommitter(Generic[StoreT]):
     """Queues entries and commits them in groups on a thread of its own.
 
-    The store belongs to that thread from here on. The owner calls `close`.
+    From then on only that thread uses the store. The owner calls `close`.
 
     Attributes:
-        degraded: The last group could not be made durable.
-        rejected: Entries that found the queue full.
-        pending_bytes: Keys and values that are queued or being written.
-        committed_groups: Groups that were given to the store, durable or not.
-        committed_entries: The entries in them.
+        degraded: Whether the last group could not be made durable.
+        rejected: How many entries were rejected because the queue was full.
+        pending_bytes: The size of the keys and values that are queued or being written.
+        committed_groups: How many groups were passed to the store, durable or not.
+        committed_entries: How many entries these groups had.
 
     Args:
-        store: What entries are put into.
+        store: The store that entries are put into.
         max_entries: How many entries may be queued.
         group: How many entries a group may have.
         max_bytes: How many bytes may be pending.
-        initial_batch: Put before all else.
+        initial_batch: Entries to put before all others.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         """Queue an entry; never waits.
 
         Returns:
-            False where the queue is full; `on_committed` is not called then.
+            False if the queue is full; `on_committed` is not called then.
         """
         size_bytes = len(key) + len(value or b"")
         with self.bytes_lock:
@@ -118,7 +118,7 @@
         return False
 
     def request_compaction(self) -> None:
-        """Compact away what is dead before the next group, little as it may be."""
+        """Compact dead records away before the next group, even if there are few."""
         self.compaction_requested = True
         self.put(WAKE_KEY, None)
 
@@ -133,17 +133,17 @@
                 self.compaction_requested = False
                 self._compact()
             batch = [first]
-            closing = self._fill(batch)
+            closing = self._fill_batch(batch)
             self._commit(batch)
             if closing:
                 return
 
     def _compact(self) -> None:
-        if isinstance(self.store, Store):  # slots have nothing to compact
+        if isinstance(self.store, Store):  # a slot file is written in place
             self.store.compact(COMPACTED_SEGMENTS_AT_ONCE, eager=True)
 
-    def _fill(self, batch: list[Entry]) -> bool:
-        """Add what is queued, up to a group; whether the committer is being closed."""
+    def _fill_batch(self, batch: list[Entry]) -> bool:
+        """Add queued entries up to the size of a group; return whether `close` was called."""
         while len(batch) < self.group:
             try:
                 entry = self.queue.get_nowait()
@@ -169,13 +169,13 @@
             entry.on_committed(persisted)
 
     def close(self, timeout_s: float | None = None) -> bool:
-        """Make durable what is queued, then end the thread.
+        """Write the queued entries, then end the thread.
 
         Args:
-            timeout_s: How long to wait for space in the queue, and again for the thread.
+            timeout_s: How long to wait for space in the queue, and then again for the thread.
 
         Returns:
-            Whether all of it was written and the thread has ended.
+            Whether the thread has written all entries and ended in time.
         """
         try:
             self.queue.put(None, timeout=timeout_s)
--- a/gullyoke/storage/record.py
+++ b/gullyoke/storage/record.py
@@ -1,11 +1,12 @@
-"""The store's records as bytes, and a reader of bytes that may be cut, lost or changed anywhere.
+"""The encoding of the store's records, and a reader that copes with truncated or damaged data.
 
-No I/O. On the disk a record is:
+No I/O. The stored form of a record is:
 
     magic (4 bytes) | payload size (u32) | kind (u8) | CRC-32C (u32) | payload
 
-all little-endian. The checksum is over size, kind and payload; the payload is MessagePack of
-[sequence, key, value]. The magic lets a reader go on behind damaged bytes.
+Numbers are little-endian. The checksum covers size, kind and payload; the payload is the
+MessagePack encoding of [sequence, key, value]. The magic lets a reader find the next record behind
+damaged bytes.
 """
 
 from __future__ import annotations
@@ -23,12 +24,12 @@
 RECORD_MAGIC: Final = b"\xf5gly"
 RECORD_HEAD: Final = struct.Struct("<4sIBI")  # magic, payload size, kind, checksum
 CHECKSUMMED_HEAD: Final = struct.Struct("<IB")  # payload size, kind
-SEGMENT_FORMAT: Final = 2  # of a segment that begins with a header; format 1 had none
-MAX_PAYLOAD_BYTES: Final = 2**24  # a larger size is taken for a damaged one
+SEGMENT_FORMAT: Final = 2  # segments begin with a header; in format 1 they had none
+MAX_PAYLOAD_BYTES: Final = 2**24  # a reader treats a larger size as damaged
 
 
 class RecordKind(IntEnum):
-    """What a record says of its key. The values are part of the format."""
+    """The meaning of a record for its key. The values are part of the stored format."""
 
     PUT = 1
     DELETED = 2
@@ -46,13 +47,14 @@
 
 
 class Record(NamedTuple):
-    """A key and its value, or that the key was deleted.
+    """A key with its value, the deletion of a key, or the header of a segment.
 
     Attributes:
-        sequence: Grows with every record of a store.
-        key: The key; empty in a segment's header.
-        value: The value; empty where the key was deleted.
-        kind: Whether it is put or deleted, or a segment's header.
+        sequence: The sequence number, which grows with every record of a store; in the header of a
+            segment, the format.
+        key: The key; empty in a header.
+        value: The value; empty in a deletion and in a header.
+        kind: Which of the three the record is.
     """
 
     sequence: int
@@ -62,7 +64,7 @@
 
 
 class LocatedRecord(NamedTuple):
-    """A whole record and where it lies, in bytes."""
+    """An intact record, with its offset and size in bytes."""
 
     record: Record
     offset: int
@@ -70,26 +72,28 @@
 
 
 class DamagedBytes(NamedTuple):
-    """So many bytes in a row that are no whole record."""
+    """A number of consecutive bytes that contain no intact record."""
 
     size_bytes: int
 
 
 def pack_record(record: Record) -> bytes:
-    """Give the bytes of a record.
+    """Encode a record.
 
     Raises:
-        RecordTooLargeError: Its payload is longer than MAX_PAYLOAD_BYTES.
+        RecordTooLargeError: The payload is longer than MAX_PAYLOAD_BYTES.
     """
     payload = _encode_payload((record.sequence, record.key, record.value))
     if len(payload) > MAX_PAYLOAD_BYTES:
-        raise RecordTooLargeError(f"a record of {len(payload)} bytes; {MAX_PAYLOAD_BYTES} at most")
+        raise RecordTooLargeError(
+            f"record payload of {len(payload)} bytes; the limit is {MAX_PAYLOAD_BYTES}"
+        )
     checksum = _checksum(len(payload), record.kind, payload)
     return RECORD_HEAD.pack(RECORD_MAGIC, len(payload), record.kind, checksum) + payload
 
 
 def unpack_record(data: bytes, offset: int) -> LocatedRecord | None:
-    """Read the record that begins at an offset; None where there is no whole one."""
+    """Decode the record that begins at an offset; None if there is no intact one."""
     if offset + RECORD_HEAD.size > len(data):
         return None
     magic, size, kind_number, checksum = RECORD_HEAD.unpack_from(data, offset)
@@ -114,12 +118,12 @@
 
 
 def segment_header() -> bytes:
-    """Give the bytes that a segment begins with: a record that bears the format as its sequence."""
+    """Return the header of a segment, a record with the format as its sequence number."""
     return pack_record(Record(SEGMENT_FORMAT, "", b"", RecordKind.HEADER))
 
 
 def scan_records(data: bytes) -> Iterator[LocatedRecord | DamagedBytes]:
-    """Read all that is whole, in its order, and say how many bytes between are not."""
+    """Decode all intact records in order, and report the sizes of damaged parts between them."""
     offset = 0
     while offset < len(data):
         located = unpack_record(data, offset)
--- a/gullyoke/storage/run_time_history.py
+++ b/gullyoke/storage/run_time_history.py
@@ -1,17 +1,17 @@
-"""What a server saves of its usual run times for the next start, and when that may use it.
+"""The usual run times that a server saves for its next start, and when that start may use them.
 
-No I/O: rows in, verdicts out.
+No I/O.
 
-Saved are the usual times of runs and of dependency calls. Not saved are:
+The server saves the usual durations of runs and of dependency calls. It does not save:
 
-- the learner's counts: given back at half their weight they cost 0.034 of the value in the first
-  30 s after a cold start (simulated over 30 seeds), since a cold server is not the machine that
-  they were taken from;
+- the learner's counts: restored at half their weight they cost 0.034 of the value in the first 30 s
+  after a cold start (simulated over 30 seeds), since a cold server behaves unlike the warm server
+  that they were learned on;
 - limits, which follow from the settings;
 - idempotency keys, which need a record before each run (gullyoke/durability);
-- anything of single requests.
+- data of single requests.
 
-The names of a row's fields on the disk are those given to `rename`.
+The stored names of a row's fields are those in `rename`.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from gullyoke.admission.controller import AdmissionController
 
 ROW_VERSION: Final = 1
-HALF_LIFE_S: Final = 3600.0  # in which a snapshot loses half of its weight
-MAX_AGE_S: Final = 24 * 3600.0  # an older snapshot is not used at all
-MAX_WEIGHT: Final = 0.5  # of a snapshot: the rest is learned anew
-HEALTHY_AFTER_S: Final = 60.0  # of service without trouble after which a start was healthy
-MAX_UNHEALTHY_STARTS: Final = 3  # in a row; after more the snapshot may be the cause
-SLOW_FACTOR: Final = 2.0  # times the usual at which run times are not worth keeping
-MAX_GROWTH: Final = 1.1  # of the usual times from one snapshot to the next
+HALF_LIFE_S: Final = 3600.0  # time in which a snapshot loses half of its weight
+MAX_AGE_S: Final = 24 * 3600.0  # an older snapshot is not used
+MAX_WEIGHT: Final = 0.5  # weight of a new snapshot; the rest is the server's own first guess
+HEALTHY_AFTER_S: Final = 60.0  # service time without trouble after which a start was healthy
+MAX_UNHEALTHY_STARTS: Final = 3  # in a row; from then on the snapshot may be the cause
+SLOW_FACTOR: Final = 2.0  # run times above this multiple of the usual ones are not saved
+MAX_GROWTH: Final = 1.1  # limit for the growth of usual times from one snapshot to the next
 
 
 class RunTimeSnapshot(
@@ -44,14 +44,14 @@
         "dependency_call_us": "call",
     },
 ):
-    """What a server had learned at one moment.
+    """The usual durations that a server has learned up to one moment.
 
     Attributes:
-        settings_digest: The digest of the settings under which it was learned.
-        recorded_at_s: When, in seconds of the Unix clock.
-        run_times_us: The usual time of a run by request class, in microseconds.
-        dependency_call_us: The usual time of a dependency call, in microseconds.
-        version: Of the row.
+        settings_digest: The digest of the settings under which they were learned.
+        recorded_at_s: When they were recorded, in seconds of the Unix clock.
+        run_times_us: The usual duration of a run by request class, in microseconds.
+        dependency_call_us: The usual duration of a dependency call, in microseconds.
+        version: The version of the row's format.
     """
 
     settings_digest: int
@@ -62,11 +62,11 @@
 
 
 class StartHistory(msgspec.Struct, frozen=True, rename={"unhealthy_starts": "unwell"}):
-    """How the last starts went.
+    """The outcome of the last starts.
 
     Attributes:
-        unhealthy_starts: How many in a row did not become healthy.
-        version: Of the row.
+        unhealthy_starts: How many starts in a row did not become healthy.
+        version: The version of the row's format.
     """
 
     unhealthy_starts: int = 0
@@ -74,14 +74,14 @@
 
 
 class SnapshotVerdict(NamedTuple):
-    """How much of a snapshot counts, from 0 for none of it, and why."""
+    """The weight of a snapshot, from 0 to MAX_WEIGHT, and the reason as text for the log."""
 
     weight: float
     reason: str
 
 
 def settings_digest(settings: object) -> int:
-    """Digest all settings of a server; a snapshot of other settings is not used."""
+    """Return a digest of all settings of a server; a snapshot of other settings is not used."""
     text = json.dumps(settings, sort_keys=True, default=str)
     digest: int = google_crc32c.value(text.encode())
     return digest
@@ -90,10 +90,11 @@
 def should_save(
     run_times_us: dict[str, float], usual_us: dict[str, float], warm: bool, draining: bool
 ) -> bool:
-    """Whether the run times of now may be saved for the next start.
+    """Return whether the present run times may be saved for the next start.
 
-    Only of a warm server that does not drain and runs no slower than twice the usual: times of a
-    slow or cold spell would, after the restart, reject what a healthy server can do.
+    They are saved only for a warm server that is not draining and whose run times are at most
+    SLOW_FACTOR times the usual ones: after a restart, run times of a slow or cold server would make
+    a healthy one reject requests that it can serve.
     """
     slow = any(
         run_time_us > SLOW_FACTOR * usual_us.get(name, run_time_us)
@@ -103,10 +104,10 @@
 
 
 def usual_run_times(run_times_us: dict[str, float], usual_us: dict[str, float]) -> dict[str, float]:
-    """Move the usual times towards those of now.
+    """Return the usual run times, updated with the present ones.
 
-    They fall at once and rise by a tenth a snapshot at most, so that a lasting change is believed
-    in the end.
+    They fall at once, and rise by at most a tenth with each snapshot, so that only a lasting change
+    is taken over in full.
     """
     return {
         name: min(run_time_us, MAX_GROWTH * usual_us.get(name, run_time_us))
@@ -117,22 +118,23 @@
 def judge_snapshot(
     snapshot: RunTimeSnapshot | None, settings_digest: int, now_s: float, starts: StartHistory
 ) -> SnapshotVerdict:
-    """Say how much of a snapshot a start may use.
+    """Judge how far a start may use a snapshot.
 
-    Its weight falls with its age; a clock that went back makes it neither younger nor older.
+    The weight falls with the age of the snapshot. If the clock was set back behind the snapshot,
+    its age counts as 0.
 
     Args:
-        snapshot: What the last start saved, if anything.
-        settings_digest: Of this start's settings.
-        now_s: Seconds of the Unix clock.
-        starts: How the last starts went.
+        snapshot: The snapshot that the last start saved; None if there is none.
+        settings_digest: The digest of the present settings.
+        now_s: The current time, in seconds of the Unix clock.
+        starts: The outcome of the last starts.
     """
     if snapshot is None:
         return SnapshotVerdict(0.0, "nothing remembered")
     if snapshot.version != ROW_VERSION:
-        return SnapshotVerdict(0.0, f"version {snapshot.version}")
+        return SnapshotVerdict(0.0, f"unsupported version {snapshot.version}")
     if snapshot.settings_digest != settings_digest:
-        return SnapshotVerdict(0.0, "other things were stated")
+        return SnapshotVerdict(0.0, "the settings have changed")
     if starts.unhealthy_starts >= MAX_UNHEALTHY_STARTS:
         return SnapshotVerdict(0.0, f"{starts.unhealthy_starts} starts that did not come to calm")
     age_s = max(0.0, now_s - snapshot.recorded_at_s)
@@ -142,37 +144,40 @@
 
 
 def start_begun(starts: StartHistory) -> StartHistory:
-    """Count a start that begins; it counts as unhealthy until it has become healthy."""
+    """Return the history with a new start, which counts as unhealthy until it becomes healthy."""
     return StartHistory(starts.unhealthy_starts + 1)
 
 
 def is_healthy_start(served_s: float, internal_errors: int, overloaded: bool) -> bool:
-    """Whether this start has served for long enough, without internal errors or an overload now."""
+    """Return whether a start has served long enough, without internal errors or overload now."""
     return served_s >= HEALTHY_AFTER_S and not internal_errors and not overloaded
 
 
-# To and from the decisions. Called under the dispatcher's lock: copies of small tables alone.
+# The next two functions are called under the dispatcher's lock and only copy small tables.
 
 
 def take_snapshot(
     server: AdmissionController, settings_digest: int, now_s: float
 ) -> RunTimeSnapshot | None:
-    """Copy what the decisions have learned; None before their first request."""
+    """Return what the admission controller has learned; None before its first request."""
     if server.learner is None:
         return None
     run_times_us = {
-        request_class.name: cost for request_class, cost in server.queue.run_times.items()
+        request_class.name: run_time for request_class, run_time in server.queue.run_times.items()
     }
     return RunTimeSnapshot(settings_digest, now_s, run_times_us, server.dependency.usual_call_time)
 
 
 def apply_snapshot(server: AdmissionController, snapshot: RunTimeSnapshot, weight: float) -> None:
-    """Move the first guesses of the decisions towards a snapshot, by its weight from 0 to 1."""
-    costs = server.queue.run_times
-    for request_class in costs:
+    """Move the first guesses of the admission controller towards a snapshot.
+
+    A weight of 0 leaves the run times as they are, a weight of 1 replaces them.
+    """
+    run_times = server.queue.run_times
+    for request_class in run_times:
         if request_class.name in snapshot.run_times_us:
             saved_us = snapshot.run_times_us[request_class.name]
-            costs[request_class] += weight * (saved_us - costs[request_class])
+            run_times[request_class] += weight * (saved_us - run_times[request_class])
     usual_us = snapshot.dependency_call_us * (weight > 0)
     server.dependency.usual_call_time = usual_us
     server.dependency.recent_call_time = usual_us
@@ -182,12 +187,12 @@
 
 
 def pack_row(row: msgspec.Struct) -> bytes:
-    """Give the bytes of a row."""
+    """Encode a row."""
     return msgspec.msgpack.encode(row)
 
 
 def unpack_row(data: bytes | None, row_type: type[RowT]) -> RowT | None:
-    """Read a row; None where there is none, or it is of a form that is not known."""
+    """Decode a row; None if there is none or its form is unknown."""
     if data is None:
         return None
     try:
--- a/gullyoke/storage/slot_file.py
+++ b/gullyoke/storage/slot_file.py
@@ -1,10 +1,10 @@
-"""Values of bounded size in fixed slots of one file, whose space is reserved when it is made.
+"""Values of bounded size in fixed slots of one file, whose space is reserved at its creation.
 
-What is to be written there always fits, also on a disk that has no space left. Each key has a slot
-of two copies; a write goes to the copy that is not the newest, so that one that is cut leaves the
-other. A copy is a record of the store's (gullyoke/storage/record.py), whole or not there. The file
-is written in place; on file systems that copy on write the space may be lacking after all, and the
-write fails as on any disk.
+A write needs no new space, so that it succeeds on a full disk. Each key has a slot with two copies;
+a write goes to the older copy, so that an interrupted write leaves the newer one intact. A copy is
+a record of the store (gullyoke/storage/record.py), and counts only if it is intact. The file is
+written in place; a copy-on-write file system may still run out of space, and then the write fails
+as on any disk.
 """
 
 from __future__ import annotations
@@ -22,45 +22,45 @@
 
 
 class SlotFileOperations(Protocol):
-    """What a slot file asks of a folder. Each operation raises `OSError`."""
+    """The file operations that a slot file needs. Each may raise `OSError`."""
 
     def list_files(self) -> list[str]:
-        """Give the names of the files."""
+        """Return the names of the files."""
 
     def read(self, name: str) -> bytes:
         """Read a whole file."""
 
     def allocate(self, name: str, size_bytes: int) -> None:
-        """Make a file of so many bytes, or extend it, with its space reserved."""
+        """Create a file of a size, or extend it to that size, with its space reserved."""
 
     def write_at(self, name: str, offset: int, data: bytes) -> None:
-        """Write over a part of a file."""
+        """Overwrite a part of a file."""
 
     def sync(self, name: str) -> None:
-        """Make durable what was written to a file."""
+        """Make the data written to a file durable."""
 
 
 class FreeSlot(NamedTuple):
-    """A slot without a key, and which of its two copies is the newest."""
+    """A slot without a key, and which of its two copies is the newer one."""
 
     slot: int
     copy: int
 
 
 class SlotRecord(NamedTuple):
-    """A key's slot, which of its two copies is the newest, and what that says."""
+    """The slot of a key, which of its two copies is the newer one, and the record in that copy."""
 
     slot: int
     copy: int
     record: Record
 
     def offset(self) -> int:
-        """Give the first byte of the copy in the file."""
+        """Return the offset of the copy in the file."""
         return (COPIES_PER_SLOT * self.slot + self.copy) * SLOT_COPY_BYTES
 
 
 class PackedSlotRecord(NamedTuple):
-    """A slot's new record and its bytes."""
+    """The new record of a slot, and its encoding."""
 
     slot_record: SlotRecord
     data: bytes
@@ -71,13 +71,13 @@
 
     Attributes:
         index: The newest record of each key.
-        free: The slots without a key; a deleted key leaves its slot to another.
-        dropped_copies: Copies met that were no whole record and not empty.
-        faults: Errors of the disk met while writing.
-        sequence: That of the newest record.
+        free: The slots without a key; the slot of a deleted key is used for another.
+        dropped_copies: How many copies were neither empty nor an intact record.
+        faults: How many writes failed with an error of the disk.
+        sequence: The sequence number of the newest record.
 
     Raises:
-        OSError: The file can't be made or read.
+        OSError: The file can't be created or read.
     """
 
     def __init__(self, files: SlotFileOperations, count: int = DEFAULT_SLOTS) -> None:
@@ -88,16 +88,16 @@
         self.dropped_copies = 0
         self.faults = 0
         self.sequence = 0
-        data = self._read_or_make()
+        data = self._read_or_create()
         for slot in range(count):
             self._recover(slot, data)
 
-    def _read_or_make(self) -> bytes:
+    def _read_or_create(self) -> bytes:
         size_bytes = self.count * COPIES_PER_SLOT * SLOT_COPY_BYTES
         if SLOT_FILE_NAME not in self.files.list_files():
             self.files.allocate(SLOT_FILE_NAME, size_bytes)
         data = self.files.read(SLOT_FILE_NAME)
-        if len(data) < size_bytes:  # cut, or made for fewer slots: what is there is read
+        if len(data) < size_bytes:  # truncated, or created for fewer slots: keep what is there
             data = data.ljust(size_bytes, b"\0")
             self.files.allocate(SLOT_FILE_NAME, size_bytes)
         return data
@@ -130,26 +130,26 @@
         return newest
 
     def items(self) -> Iterator[tuple[str, bytes]]:
-        """Give all keys and their values."""
+        """Yield all keys with their values."""
         for key, slot_record in self.index.items():
             yield key, slot_record.record.value
 
     def put(self, batch: Iterable[tuple[str, bytes | None]]) -> None:
         """Make a batch durable; a value of None deletes its key.
 
-        Each record by itself is whole or absent after a crash.
+        After a crash during the write, each record of the batch is either written or not.
 
         Raises:
-            StoreFullError: A value is too long for a slot or no slot is left; nothing of the batch
-                is in force.
-            StoreFaultedError: The disk failed; what of the batch is there after a crash is unknown.
+            StoreFullError: A value is too long for a slot, or no slot is free; nothing of the batch
+                is applied.
+            StoreFaultedError: The disk failed; any records of the batch may be found after a crash.
         """
         newest = dict(batch)
         changes = {
             key: value for key, value in newest.items() if value is not None or key in self.index
         }
         if sum(key not in self.index for key in changes) > len(self.free):
-            raise StoreFullError(f"no cell is left of {self.count}")
+            raise StoreFullError(f"too few of the {self.count} slots are free")
         free = list(self.free)
         writes = [self._pack(key, value, free) for key, value in changes.items()]
         self._write(writes)
@@ -158,13 +158,13 @@
             self._apply(write.slot_record)
 
     def _pack(self, key: str, value: bytes | None, free: list[FreeSlot]) -> PackedSlotRecord:
-        """Pack a record for the older copy of its slot; a new key takes one of the free slots."""
+        """Encode a record for the older copy of its slot; a new key takes a slot out of `free`."""
         self.sequence += 1
         kind = RecordKind.DELETED if value is None else RecordKind.PUT
         record = Record(self.sequence, key, value or b"", kind)
         data = pack_record(record)
         if len(data) > SLOT_COPY_BYTES:
-            raise StoreFullError(f"{len(data)} bytes; a cell holds {SLOT_COPY_BYTES}")
+            raise StoreFullError(f"record of {len(data)} bytes; a slot holds {SLOT_COPY_BYTES}")
         current = self.index[key] if key in self.index else free.pop()
         return PackedSlotRecord(SlotRecord(current.slot, 1 - current.copy, record), data)
 
--- a/gullyoke/storage/store.py
+++ b/gullyoke/storage/store.py
@@ -1,6 +1,6 @@
 """A key-value store of append-only segments in a folder, with its index in memory.
 
-The design is that of Bitcask (Sheehy and Smith 2010); docs/store.md has the format.
+The design is that of Bitcask (Sheehy and Smith 2010); docs/store.md describes the format.
 """
 
 from __future__ import annotations
@@ -30,38 +30,39 @@
 
 
 class StoreFullError(GullyokeError, OSError):
-    """What was to be put does not fit the quota, or the disk. What is there stays."""
+    """A batch does not fit the quota or the slots. The stored data is unchanged."""
 
 
 class StoreFaultedError(GullyokeError, OSError):
-    """A batch was not made durable: its segment is closed and the next batch begins another.
+    """A batch could not be made durable, because of an error of the disk.
 
-    Its records may or may not be there after a crash; the caller's batch is not in force.
+    It is not applied, but any of its records may be found after a crash. `Store` then closes the
+    segment, and the next batch begins a new one.
     """
 
 
 class StoreVersionError(GullyokeError, OSError):
-    """A later release wrote the folder. Nothing of it is read, and nothing is written to it."""
+    """A later release wrote the folder. It is neither used nor written to."""
 
 
 class Store:
-    """A store opened on a folder, whatever state that is in. Not for several threads at once.
+    """A store in a folder, opened whether or not its files are damaged. Not thread-safe.
 
-    It never appends behind what an earlier process wrote: each start begins a segment, so that a
-    torn end stays an end.
+    It never appends to a segment that an earlier process wrote: each start begins a new one, so
+    that an incomplete record can only be the last of its segment.
 
     Attributes:
-        plan: The index, the use of the segments, and what is compacted next.
-        dropped_bytes: Bytes met that were no whole record.
-        faults: Errors of the disk met while writing.
-        compacted_segments: Segments removed after their live records were copied.
+        plan: The index, the usage of the segments, and the choice of compactions.
+        dropped_bytes: How many bytes were read that were not part of an intact record.
+        faults: How many writes and compactions failed with an error of the disk.
+        compacted_segments: How many segments were removed after their live records were copied.
         oldest_format: The oldest format among the segments.
         next_segment: The number of the next segment.
-        active: The number of the segment that is written to; None until the first write.
+        active: The number of the segment that is being written; None if the next write begins one.
 
     Raises:
-        OSError: The folder can't be read or written at all.
-        StoreVersionError: A later release wrote it.
+        OSError: The folder can't be read.
+        StoreVersionError: A later release wrote the folder.
     """
 
     def __init__(
@@ -93,8 +94,8 @@
                 segment_format = found.record.sequence
                 if segment_format > SEGMENT_FORMAT:
                     raise StoreVersionError(
-                        f"{segment_name(number)} is of format {segment_format}; "
-                        f"{SEGMENT_FORMAT} is the newest known"
+                        f"{segment_name(number)} has format {segment_format}; "
+                        f"the newest supported is {SEGMENT_FORMAT}"
                     )
                 self.plan.add_dead_bytes(number, found.size_bytes)
             else:
@@ -102,9 +103,10 @@
         self.oldest_format = min(self.oldest_format, segment_format)
 
     def get(self, key: str) -> bytes | None:
-        """Read the newest value of a key; None where there is none.
+        """Read the newest value of a key; None if there is none.
 
-        A record that can't be read any more counts as dropped and is not served.
+        A record that has become damaged is dropped: its key is removed from the index, and its
+        bytes are counted.
 
         Raises:
             OSError: The file can't be read.
@@ -128,11 +130,11 @@
         return unpack_record(self.files.read_at(name, location.offset, location.size_bytes), 0)
 
     def keys(self) -> list[str]:
-        """Give the keys that have a value."""
+        """Return the keys that have a value."""
         return [key for key, location in self.plan.index.items() if not location.deleted]
 
     def items(self) -> Iterator[tuple[str, bytes]]:
-        """Read all keys and their values.
+        """Read all keys with their values; drops damaged records, as `get` does.
 
         Raises:
             OSError: A file can't be read.
@@ -145,13 +147,14 @@
     def put(self, batch: Iterable[tuple[str, bytes | None]]) -> None:
         """Make a batch durable; a value of None deletes its key.
 
-        It is in force once this returns, and each record by itself is whole or absent after a
-        crash.
+        The batch is applied once this returns. After a crash before that, each record of the batch
+        is either written or not.
 
         Raises:
-            StoreFullError: It does not fit the quota; nothing of it is in force.
-            StoreFaultedError: The disk failed; it is not in force, but may be after a crash.
-            RecordTooLargeError: A value is too long; nothing of it is in force.
+            StoreFullError: The batch does not fit the quota; nothing of it is applied.
+            StoreFaultedError: The disk failed; the batch is not applied, but any of its records may
+                be found after a crash.
+            RecordTooLargeError: A value is too long; nothing of the batch is applied.
         """
         records = []
         for key, value in batch:
@@ -165,22 +168,22 @@
         size_bytes = sum(map(len, packed))
         if not self.plan.fits(size_bytes):
             raise StoreFullError(
-                f"{size_bytes} bytes more than the quota of {self.plan.quota_bytes}"
+                f"a batch of {size_bytes} bytes does not fit the quota of {self.plan.quota_bytes}"
             )
         try:
-            segment = self._segment_for(size_bytes)
+            segment = self._ensure_segment(size_bytes)
             self._append_and_sync(segment, packed)
         except OSError as error:
-            # After a failed sync the kernel may have dropped the pages, so that a second sync would
-            # prove nothing (Rebello et al. 2020): the segment is closed.
+            # After a failed sync the kernel may have dropped the pages, and a second sync would
+            # succeed without writing them (Rebello et al. 2020): close the segment.
             self.faults += 1
             if self.active is not None:
                 self._close_active(size_bytes)
             raise StoreFaultedError(*error.args) from error
         self._index(records, packed, segment)
 
-    def _segment_for(self, size_bytes: int) -> int:
-        """Give the segment for so many bytes; a new one where the active one would be too large."""
+    def _ensure_segment(self, size_bytes: int) -> int:
+        """Return the active segment; begin a new one if a batch would make it too large."""
         if self.active is None or self.plan.needs_new_segment(self.active, size_bytes):
             return self._begin_segment()
         return self.active
@@ -194,13 +197,13 @@
         self.plan.add_segment(number)
         self.active = number
         header = segment_header()
-        self.files.append(segment_name(number), header)  # made durable with the first batch
+        self.files.append(segment_name(number), header)  # synced with the first batch
         self.plan.add_dead_bytes(number, len(header))
         self.files.sync_folder()
         return number
 
     def _close_active(self, uncertain_bytes: int) -> None:
-        """Write no more to the active segment, at whose end so many bytes may be there or not."""
+        """Close the active segment, which may have a number of uncertain bytes at its end."""
         if self.active is None:
             return
         self.plan.add_dead_bytes(self.active, uncertain_bytes)
@@ -213,20 +216,20 @@
         self.files.sync(name)
 
     def _index(self, records: Sequence[Record], packed: Sequence[bytes], segment: int) -> None:
-        """Account for records that were appended to a segment."""
+        """Add the records that were appended to a segment to the plan."""
         offset = self.plan.segments[segment].size_bytes
         for record, data in zip(records, packed, strict=True):
             self.plan.add_record(record, segment, offset, len(data))
             offset += len(data)
 
     def compact(self, max_segments: int = 1, eager: bool = False) -> int:
-        """Copy the live records of the oldest segments forward and remove these.
+        """Copy the live records of the oldest segments forward, then remove these segments.
 
-        An error of the disk leaves all as it is, and is counted.
+        An error of the disk is counted and ends the compaction; no record is lost.
 
         Args:
-            max_segments: How many segments at the most.
-            eager: Also where little is dead.
+            max_segments: How many segments to remove at most.
+            eager: Whether to compact also if few bytes are dead.
 
         Returns:
             How many segments were removed.
@@ -249,9 +252,9 @@
         return removed
 
     def _copy_live_records(self, oldest: int) -> None:
-        """Copy them as they are, with their sequences.
+        """Copy the live records of the oldest segment, with their sequence numbers.
 
-        After a crash between copy and removal both say the same.
+        After a crash between copy and removal, copy and original are the same record.
         """
         records = []
         for key in self.plan.live_keys(oldest):
@@ -265,7 +268,7 @@
             return
         packed = [pack_record(record) for record in records]
         size_bytes = sum(map(len, packed))
-        segment = self._segment_for(size_bytes)
+        segment = self._ensure_segment(size_bytes)
         try:
             self._append_and_sync(segment, packed)
         except OSError:
@@ -275,5 +278,5 @@
 
 
 def segment_name(number: int) -> str:
-    """Give the file name of a segment."""
+    """Return the file name of a segment."""
     return f"{number:010d}.seg"
--- a/gullyoke/storage/warmup_history.py
+++ b/gullyoke/storage/warmup_history.py
@@ -1,12 +1,12 @@
-"""How long runs took by the age of the server, so that the next cold start knows what to expect.
+"""Run times during warm-up, by the age of the server, saved for the next cold start.
 
 No I/O.
 
-What a warm server learned does not help a cold one (gullyoke/storage/run_time_history.py); what one
-learned while cold is of the same machine in the same state. Saved is the time that nine in ten runs
-did not exceed, by age in steps that double: a cold server does better to think itself slow than to
-begin what comes too late (docs/store.md has the figures, with those of the mean and of other
-quantiles).
+Run times learned on a warm server don't help a cold one (gullyoke/storage/run_time_history.py), but
+those learned on a cold server do: they come from the same machine in the same state. The ninth
+decile of the run times is saved for age ranges that double in length: it is better for a cold
+server to overestimate its run times than to start runs that end too late (docs/store.md has the
+figures, with those of the mean and of other quantiles).
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 AGE_BUCKETS_US: Final = (500_000, 1_000_000, 2_000_000, 4_000_000, 8_000_000, 16_000_000)
 DECILES: Final = 10
 NINTH_DECILE: Final = 9
-MAX_SAMPLES: Final = 64  # newest run times of a bucket that count
-NEWEST_WEIGHT: Final = 0.5  # of the newest start against those before
+MAX_SAMPLES: Final = 64  # run times kept for each bucket, the newest ones
+NEWEST_WEIGHT: Final = 0.5  # weight of the newest start against the earlier ones
 ROW_VERSION: Final = 1
 
 
@@ -32,14 +32,14 @@
     frozen=True,
     rename={"settings_digest": "stated", "recorded_at_s": "at", "run_times_us": "costs"},
 ):
-    """What cold starts were like. The names of the fields on the disk are those in `rename`.
+    """The run times of cold starts. The stored names of the fields are those in `rename`.
 
     Attributes:
-        settings_digest: The digest of the settings under which it was learned.
-        recorded_at_s: When, in seconds of the Unix clock.
-        run_times_us: By request class, a time of runs for each bucket of AGE_BUCKETS_US, in
-            microseconds; 0 where none was seen.
-        version: Of the row.
+        settings_digest: The digest of the settings under which they were learned.
+        recorded_at_s: When they were recorded, in seconds of the Unix clock.
+        run_times_us: By request class, a run time in microseconds for each bucket of
+            AGE_BUCKETS_US; 0 for a bucket without runs.
+        version: The version of the row's format.
     """
 
     settings_digest: int
@@ -49,22 +49,23 @@
 
 
 def age_bucket(age_us: int) -> int | None:
-    """Say which bucket an age is in; None once it is past all of them."""
+    """Return the bucket of an age; None if the age is past all buckets."""
     return next((bucket for bucket, end in enumerate(AGE_BUCKETS_US) if age_us < end), None)
 
 
 class WarmupRecorder:
-    """Records what one start is like.
+    """Records the run times of one start.
 
     Attributes:
-        samples_us: The last MAX_SAMPLES run times of each bucket, by request class.
+        samples_us: By request class, the last MAX_SAMPLES run times of each bucket, in
+            microseconds.
     """
 
     def __init__(self) -> None:
         self.samples_us: dict[str, list[list[float]]] = {}
 
     def record_run(self, age_us: int, request_class: str, run_time_us: float) -> None:
-        """Record the time of a run at an age of the server."""
+        """Record the duration of a run at an age of the server."""
         bucket = age_bucket(age_us)
         if bucket is None:
             return
@@ -75,33 +76,33 @@
     def take_snapshot(
         self, settings_digest: int, now_s: float, before: WarmupSnapshot | None
     ) -> WarmupSnapshot:
-        """Summarize this start together with earlier ones under the same settings."""
+        """Return a summary of this start and of earlier starts under the same settings."""
         earlier: dict[str, list[float]] = {}
         if before is not None and before.settings_digest == settings_digest:
             earlier = before.run_times_us
-        nothing = [0.0] * len(AGE_BUCKETS_US)
+        no_runs = [0.0] * len(AGE_BUCKETS_US)
         run_times_us = {}
         for name in self.samples_us.keys() | earlier.keys():
             newest = [ninth_decile(row) for row in self.samples_us.get(name, empty_buckets())]
-            pairs = zip(newest, earlier.get(name, nothing), strict=True)
+            pairs = zip(newest, earlier.get(name, no_runs), strict=True)
             run_times_us[name] = [blend(new, old) for new, old in pairs]
         return WarmupSnapshot(settings_digest, now_s, run_times_us)
 
 
 def empty_buckets() -> list[list[float]]:
-    """Give one empty list of samples for each bucket."""
+    """Return an empty list of samples for each bucket."""
     return [[] for _ in AGE_BUCKETS_US]
 
 
 def blend(new: float, old: float) -> float:
-    """Weigh the newest start against those before; where one is 0 it was not seen."""
+    """Return the weighted mean of the newest start and earlier ones; 0 stands for no runs."""
     if new and old:
         return new + (old - new) * NEWEST_WEIGHT
     return new or old
 
 
 def ninth_decile(samples: list[float]) -> float:
-    """Give the value that nine in ten samples do not exceed; 0 where there are none."""
+    """Return the ninth decile of samples; 0 if there are none."""
     if len(samples) < 2:
         return sum(samples)
     deciles = statistics.quantiles(samples, n=DECILES, method="inclusive")
@@ -111,9 +112,9 @@
 def is_usable(
     snapshot: WarmupSnapshot | None, settings_digest: int, starts: StartHistory
 ) -> TypeGuard[WarmupSnapshot]:
-    """Whether a start may go by a snapshot.
+    """Return whether a start may use a snapshot.
 
-    Not by one under other settings, nor where starts become unhealthy again and again.
+    It must not use one of other settings, nor any after MAX_UNHEALTHY_STARTS unhealthy starts.
     """
     return (
         snapshot is not None
@@ -124,13 +125,13 @@
 
 
 def apply_snapshot(server: AdmissionController, snapshot: WarmupSnapshot, age_us: int) -> None:
-    """Set the usual run times to those at this age, for the request classes that were seen then."""
+    """Set the usual run times to those at an age, for request classes that had runs at that age."""
     bucket = age_bucket(age_us)
     if bucket is None:
         return
-    costs = server.queue.run_times
-    nothing = [0.0] * len(AGE_BUCKETS_US)
-    for request_class in costs:
-        run_time_us = snapshot.run_times_us.get(request_class.name, nothing)[bucket]
+    run_times = server.queue.run_times
+    no_runs = [0.0] * len(AGE_BUCKETS_US)
+    for request_class in run_times:
+        run_time_us = snapshot.run_times_us.get(request_class.name, no_runs)[bucket]
         if run_time_us:
-            costs[request_class] = run_time_us
+            run_times[request_class] = run_time_us
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -408,7 +408,7 @@
                 time.sleep(0.001)
             for i in range(MAX_QUEUED_LINES + 2):
                 lines.add(str(i))
-            self.assertEqual((lines.faults, lines.reason), (2, "the disk does not come back"))
+            self.assertEqual((lines.faults, lines.reason), (2, "the queue is full"))
             released.set()
             deadline = time.monotonic() + 10
             while not lines.queue.empty() or lines.faults:
