--- a/tests/compatibility/test_memory_store.py
+++ b/tests/compatibility/test_memory_store.py
@@ -1,4 +1,4 @@
-"""What a server remembers of usual times over a restart, as its store has it."""
+"""The stored form of the run times that a server saves for its next start."""
 
 import unittest
 
@@ -58,7 +58,7 @@
     disk.close()
 
 
-class MemoryRows(unittest.TestCase):
+class SavedRows(unittest.TestCase):
     def test_constants(self):
         self.assertEqual((RUN_TIMES_KEY, STARTS_KEY, WARMUP_KEY), ("learned", "starts", "cold"))
         self.assertEqual(
@@ -66,11 +66,11 @@
         )
 
     def test_settings_digest(self):
-        """The digest by which a memory is bound to a server's settings."""
+        """The digest that ties the saved rows to a server's settings."""
         self.assertEqual(settings_digest(SETTINGS), SETTINGS_DIGEST)
 
     def test_rows(self):
-        """Each row is a MessagePack map; its names are part of the format."""
+        """Each row is a MessagePack map; the names of its fields are part of the format."""
         for row, text in (
             (STARTS_VALUE, STARTS_BYTES),
             (LEARNED_VALUE, LEARNED_BYTES),
@@ -79,8 +79,8 @@
             self.assertEqual(pack_row(row).hex(), text)
             self.assertEqual(unpack_row(bytes.fromhex(text), type(row)), row)
 
-    def test_recorded_memory_is_recalled(self):
-        """A server opened on the recorded folder has the same memory, and counts its start."""
+    def test_recorded_rows_are_loaded(self):
+        """A server that opens the recorded folder reads the same rows, and counts its start."""
         folder = copy_of(self, "memory")
         data_folder = DataFolder(str(folder), QUOTA, Metrics())
         memory = MemoryStore(data_folder, QUOTA, SETTINGS, Metrics())
@@ -99,22 +99,23 @@
             [(4, "starts", pack_row(StartHistory(3)))],
         )
 
-    def test_recorded_memory_is_trusted(self):
+    def test_recorded_snapshot_is_trusted(self):
+        """The weight of the recorded run times halves in an hour; it is 0 for other settings."""
         disk = StorageFolder(copy_of(self, "memory"))
         self.addCleanup(disk.close)
         found = unpack_row(Store(disk).get(RUN_TIMES_KEY), RunTimeSnapshot)
-        at = 1_700_000_000.5
-        self.assertEqual(judge_snapshot(found, SETTINGS_DIGEST, at, STARTS_VALUE)[0], 0.5)
-        self.assertEqual(judge_snapshot(found, SETTINGS_DIGEST, at + 3600, STARTS_VALUE)[0], 0.25)
-        self.assertEqual(judge_snapshot(found, SETTINGS_DIGEST + 1, at, STARTS_VALUE)[0], 0.0)
+        now = 1_700_000_000.5
+        self.assertEqual(judge_snapshot(found, SETTINGS_DIGEST, now, STARTS_VALUE)[0], 0.5)
+        self.assertEqual(judge_snapshot(found, SETTINGS_DIGEST, now + 3600, STARTS_VALUE)[0], 0.25)
+        self.assertEqual(judge_snapshot(found, SETTINGS_DIGEST + 1, now, STARTS_VALUE)[0], 0.0)
 
     def test_folder_is_written_with_the_same_bytes(self):
         folder = temporary_folder(self)
         write_memory(folder)
         self.assertEqual(files_in(folder), files_in(copy_of(self, "memory")))
 
-    def test_other_form_is_not_read(self):
-        """A row whose names are others is no row: the server starts with nothing."""
+    def test_unknown_form_is_not_read(self):
+        """A row whose fields have other names is ignored; the server starts without it."""
         self.assertIsNone(
             unpack_row(bytes.fromhex("82a3666f6f01a776657273696f6e01"), RunTimeSnapshot)
         )
--- a/tests/compatibility/test_note_store.py
+++ b/tests/compatibility/test_note_store.py
@@ -1,4 +1,4 @@
-"""The store folder of idempotency keys: segments, records, the mark and the keys' records."""
+"""The data folder of idempotency keys: segments, records, the mark and the keys' records."""
 
 import unittest
 
@@ -57,7 +57,7 @@
 
 
 def write_first_start(folder):
-    """Two batches: the mark and three records, then an end, a removal and one more record."""
+    """Two batches: the mark and three records; then the end of a run, a removal and a record."""
     disk = StorageFolder(folder)
     store = Store(disk, segment_bytes=4096, quota_bytes=2**20)
     store.put(
@@ -79,7 +79,7 @@
 
 
 def write_second_start(folder):
-    """Each start begins a segment of its own."""
+    """A second start, which begins a segment of its own."""
     disk = StorageFolder(folder)
     Store(disk, segment_bytes=4096, quota_bytes=2**20).put([(MARK, encode(tuple(MARK_VALUE)))])
     disk.close()
@@ -92,7 +92,7 @@
         return Store(disk, segment_bytes=4096, quota_bytes=2**20)
 
     def test_constants(self):
-        """Figures and texts that stand in the files."""
+        """Numbers and names that are part of the stored form."""
         self.assertEqual((*RecordKind, SEGMENT_FORMAT, FOLDER_FORMAT), (1, 2, 3, 2, 2))
         self.assertEqual([int(phase) for phase in RunPhase], [1, 2])
         self.assertEqual((FOLDER, MARK, NOTE), ("keys", "mark", "n"))
@@ -104,7 +104,7 @@
         self.assertEqual(digest("pay", "größe"), "n04c77956e0ef5ff39f7938843a195e11")
 
     def test_record(self):
-        """A record's bytes: mark, size, kind, checksum, MessagePack payload."""
+        """The bytes of a record: magic, size, kind, checksum, MessagePack payload."""
         for record, data in (
             (Record(7, "key", b"value"), "f5676c790d00000001954d568f9307a36b6579c40576616c7565"),
             (
@@ -129,7 +129,7 @@
         self.assertIsNone(store.get(REMOVED))
 
     def test_recorded_key_records_are_in_force(self):
-        """After a restart the recorded keys are judged as before."""
+        """After a restart the recorded keys have the same effect on duplicates."""
         store = self.opened()
         records = [(key, unpacked(value)) for key, value in store.items() if key != MARK]
         ledger = KeyLedger(START + 10, UndurablePolicy.REJECT, 2**20)
@@ -154,7 +154,7 @@
         self.assertEqual(files_in(folder), files_in(copy_of(self, "notes")))
 
     def test_compaction_writes_the_same_bytes(self):
-        """Live records are copied forward as they are."""
+        """Compaction copies live records unchanged."""
         folder = copy_of(self, "notes")
         disk = StorageFolder(folder)
         store = Store(disk, segment_bytes=4096, quota_bytes=2**20)
@@ -163,7 +163,7 @@
         self.assertEqual(files_in(folder), files_in(copy_of(self, "compacted")))
 
     def test_folder_without_header_is_read(self):
-        """Format 1: a segment of records alone."""
+        """In format 1 a segment has records only."""
         folder = temporary_folder(self)
         (folder / "0000000001.seg").write_bytes(pack_record(Record(1, "key", b"value")))
         disk = StorageFolder(folder)
@@ -171,7 +171,7 @@
         store = Store(disk)
         self.assertEqual((store.oldest_format, store.get("key")), (1, b"value"))
 
-    def test_newer_folder_is_refused(self):
+    def test_newer_folder_is_not_opened(self):
         folder = temporary_folder(self)
         (folder / "0000000001.seg").write_bytes(pack_record(Record(3, "", b"", RecordKind.HEADER)))
         disk = StorageFolder(folder)
@@ -180,7 +180,7 @@
             Store(disk)
 
     def test_committed_batch_has_the_same_records(self):
-        """The committer's thread writes what the store writes."""
+        """The committer's thread writes the same records as the store."""
         folder = temporary_folder(self)
         disk = StorageFolder(folder)
         committer = GroupCommitter(Store(disk), initial_batch=[(MARK, encode(tuple(MARK_VALUE)))])
@@ -201,7 +201,7 @@
 
 
 class StartNumber(unittest.TestCase):
-    """The number of a fleet member's start, in the folder `fleet`."""
+    """The number of a fleet member's last start, in the folder `fleet`."""
 
     def test_recorded_number_is_read(self):
         number = StoredStartNumber(str(copy_of(self, "member")), Metrics())
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -1,4 +1,4 @@
-"""A voter's promises and what duties keep, in the cells of its folder."""
+"""The promises of a voter and the records stored under leases, in the slot file of its folder."""
 
 import gzip
 import unittest
@@ -61,20 +61,20 @@
 )
 
 
-def write_cells(folder):
-    """First promises, one of them renewed under a later epoch, and one duty that is taken out."""
+def write_slot_file(folder):
+    """Three promises, one of them renewed under a later epoch, and one lease that is removed."""
     disk = StorageFolder(folder)
-    cells = SlotFile(disk)
+    slots = SlotFile(disk)
     first = Promise(1_700_000_001, 1, "server-3")
-    cells.put([(OURS, b"server-2 2"), ("promise ask", encode_promise(first))])
-    cells.put([("promise gone", encode_promise(Promise(5, 6, "server-1")))])
-    cells.put([(OURS, RAW["voter"]), ("promise ask", encode_promise(PROMISED["ask"]))])
-    cells.put([("promise roll", encode_promise(PROMISED["roll"])), ("kept roll", RAW["kept roll"])])
-    cells.put([("promise gone", None)])
+    slots.put([(OURS, b"server-2 2"), ("promise ask", encode_promise(first))])
+    slots.put([("promise gone", encode_promise(Promise(5, 6, "server-1")))])
+    slots.put([(OURS, RAW["voter"]), ("promise ask", encode_promise(PROMISED["ask"]))])
+    slots.put([("promise roll", encode_promise(PROMISED["roll"])), ("kept roll", RAW["kept roll"])])
+    slots.put([("promise gone", None)])
     disk.close()
 
 
-class PromiseCells(unittest.TestCase):
+class PromiseSlots(unittest.TestCase):
     def folder(self):
         folder = temporary_folder(self)
         data = gzip.decompress((DATA / "cells.gz").read_bytes())
@@ -95,20 +95,20 @@
             (FOLDER, OURS, SLOT_FILE_NAME, SLOT_COPY_BYTES), ("duties", "voter", "cells", 1024)
         )
 
-    def test_recorded_cells_are_read(self):
-        cells = self.opened()
-        found = dict(cells.items())
-        self.assertEqual((cells.dropped_copies, found), (0, RAW))
+    def test_recorded_slot_file_is_read(self):
+        slots = self.opened()
+        found = dict(slots.items())
+        self.assertEqual((slots.dropped_copies, found), (0, RAW))
         self.assertEqual(ours(found.pop(OURS)), ("server-2", 3))
         self.assertEqual(decode_rows(found.items()), (PROMISED, KEPT))
 
-    def test_cells_are_written_with_the_same_bytes(self):
+    def test_slot_file_is_written_with_the_same_bytes(self):
         folder = temporary_folder(self)
-        write_cells(folder)
+        write_slot_file(folder)
         self.assertEqual(files_in(folder), files_in(self.folder()))
 
     def test_recorded_promises_bind_the_voter(self):
-        """Nothing is granted under an epoch that was promised; a later one is written as before."""
+        """A promised epoch is not granted again; a promise of a later epoch has the same bytes."""
         voter, after = self.voter(), NOW + 10_000_000
         self.assertEqual(
             voter.answer_epoch_query(after, EpochQuery("server-1", 9, 1)),
@@ -130,23 +130,23 @@
         )
         self.assertEqual(encode_promise(write.promise).hex(), "93ce6553f10933a87365727665722d33")
 
-    def test_recorded_shelf_is_fetched(self):
+    def test_recorded_record_is_read(self):
         _, kept = decode_rows(self.opened().items())
-        shelf = RecordStore(kept)
+        records = RecordStore(kept)
         self.assertEqual(
-            shelf.read(ReadRecord("roll", 5, 1_700_000_010), "server-2"),
+            records.read(ReadRecord("roll", 5, 1_700_000_010), "server-2"),
             RecordRead("roll", 5, "server-2", 1_700_000_010, 1_700_000_004, 2, b"\xff\x00"),
         )
-        self.assertFalse(shelf.accepts(WriteRecord("roll", 5, 1_700_000_004, 2, b""), 0))
-        self.assertTrue(shelf.accepts(WriteRecord("roll", 5, 1_700_000_004, 3, b""), 0))
+        self.assertFalse(records.accepts(WriteRecord("roll", 5, 1_700_000_004, 2, b""), 0))
+        self.assertTrue(records.accepts(WriteRecord("roll", 5, 1_700_000_004, 3, b""), 0))
 
-    def test_letters_are_written_with_the_same_bytes(self):
-        """What a letter makes durable: key and value as they go to the cells."""
+    def test_messages_are_stored_with_the_same_bytes(self):
+        """The keys and values that a message makes durable in the slot file."""
         written, sent = [], []
 
-        def disk(key, data, told):
+        def write(key, data, on_written):
             written.append((key, data.hex()))
-            told(True)
+            on_written(True)
             return True
 
         duties = LeaseService(
@@ -157,7 +157,7 @@
             {},
             VOTERS,
             VOTERS.get,
-            disk,
+            write,
             Metrics(),
         )
         duties.send = sent.extend
@@ -181,7 +181,7 @@
         )
 
     def test_rolling_restart_plan(self):
-        """The plan that the duty `roll` keeps."""
+        """The plan that is stored under the lease `roll`."""
         self.assertEqual(PLAN.pack(), PLAN_BYTES)
         self.assertEqual(unpacked_plan(PLAN_BYTES), PLAN)
 
--- a/tests/durability/test_durable.py
+++ b/tests/durability/test_durable.py
@@ -1,4 +1,4 @@
-"""A real server whose disk fills, fails, hangs or goes, and keys over its restarts."""
+"""Idempotency keys of real servers over restarts, on disks that fill up, fail, hang or vanish."""
 
 import pathlib
 import unittest
@@ -11,15 +11,16 @@
 HERE = pathlib.Path(__file__).parent
 
 
-class Durable(unittest.TestCase):
+class DurabilityScenarios(unittest.TestCase):
     def test_scenarios(self):
         on_sockets(self, HERE)
 
-    def test_fleet(self):
-        """Four servers with keys.
+    def test_fleet_with_full_disks_and_an_older_folder(self):
+        """Four servers with idempotency keys, three of them voters.
 
-        The voters' disks are full, one is killed and its duty promised anew on them; there is room
-        again, and another comes back on an older copy of its folder, which is not believed.
+        While the voters' disks are full, the holder of a lease is killed and another server gets
+        the lease. Then the disks recover, and one server restarts with an older copy of its folder,
+        which it must not believe.
         """
         verdict = Play(
             read("""
--- a/tests/durability/test_rules.py
+++ b/tests/durability/test_rules.py
@@ -1,7 +1,4 @@
-"""The rules of durability, without a disk.
-
-The health of a disk, pending writes, quotas, folder trust, the ledger of keys, and the slot file.
-"""
+"""The rules of gullyoke/durability, and the slot file, without a disk."""
 
 import errno
 import pathlib
@@ -44,32 +41,32 @@
 
 class DiskHealthTest(unittest.TestCase):
     def test_scenarios(self):
-        """disks/*.txt, tests/README.md has the notation."""
+        """Runs disks/*.txt; tests/README.md describes the notation."""
         for path in sorted((HERE / "disks").glob("*.txt")):
-            draws, out = [0.0], {}
+            draws, calls = [0.0], {}
             health = DiskHealth(0, lambda draws=draws: draws[0])
             for number, line in enumerate(path.read_text().splitlines(), 1):
                 words = line.partition("#")[0].split()
                 if not words:
                     continue
                 with self.subTest(path.stem, line=number):
-                    self.line(health, draws, out, int(words[0]) * 1000, words[1], words[2:])
+                    self.run_line(health, draws, calls, int(words[0]) * 1000, words[1], words[2:])
 
-    def line(self, health, draws, out, now, what, words):
-        if what in ("call", "tried"):
+    def run_line(self, health, draws, calls, now, verb, words):
+        if verb in ("call", "tried"):
             fault = getattr(errno, words[0]) if words else None
-            health.call_finished(now, health.call_started(now, what), fault, what == "tried")
-        elif what == "begin":
-            out[words[0]] = health.call_started(now, words[0])
-        elif what == "end":
-            health.call_finished(now, out.pop(words[0]))
-        elif what == "free":
+            health.call_finished(now, health.call_started(now, verb), fault, verb == "tried")
+        elif verb == "begin":
+            calls[words[0]] = health.call_started(now, words[0])
+        elif verb == "end":
+            health.call_finished(now, calls.pop(words[0]))
+        elif verb == "free":
             health.set_free_share(float(words[0]))
-        elif what == "is":
+        elif verb == "is":
             self.assertEqual(health.state(now).value, " ".join(words))
-        elif what == "trial":
+        elif verb == "trial":
             self.assertEqual(health.claim_probe(now), words == ["yes"])
-        else:  # takes a share: just under it yes, over it no
+        else:  # "takes": random numbers below the share are accepted, those above it are not
             share = float(words[0])
             draws[0] = share - 0.01
             self.assertTrue(health.accepts_writes(now))
@@ -79,17 +76,17 @@
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6))
     def test_no_flapping(self, seed):
-        """A disk that fails now and then changes state at most so often, however calls come.
+        """A disk that fails in random calls changes its state at most 40 times in 300 s.
 
-        A minute and a half after its last fault it is called healthy.
+        It is healthy MAX_BAD_US and 30 s after its last failure.
         """
-        chance, now, changes = random.Random(seed), 0, []
-        health = DiskHealth(0, chance.random)
+        rng, now, changes = random.Random(seed), 0, []
+        health = DiskHealth(0, rng.random)
         health.listeners.append(changes.append)
         faulty = True
         while now < 600 * SECOND:
-            now += chance.randrange(100_000, 400_000)
-            faulty = now < 300 * SECOND and chance.random() < 0.3
+            now += rng.randrange(100_000, 400_000)
+            faulty = now < 300 * SECOND and rng.random() < 0.3
             probe = health.claim_probe(now)
             if probe or health.state(now) not in BAD_STATES:
                 health.call_finished(
@@ -97,15 +94,15 @@
                 )
             if now > 300 * SECOND + MAX_BAD_US + 30 * SECOND:
                 self.assertIs(health.state(now), DiskState.HEALTHY)
-        self.assertLessEqual(len(changes), 40)  # 300 s of faults at every third call
+        self.assertLessEqual(len(changes), 40)  # while three calls in ten failed, for 300 s
 
 
 class PendingWritesTest(unittest.TestCase):
     def test_expected_time_of_a_write(self):
-        """What is usual is learned.
+        """The expected duration of a write is learned from earlier writes.
 
-        One that does not return makes the next one longer, and no write is asked for that would
-        come too late.
+        While a write does not return, the expected duration grows with its age, and a request whose
+        deadline would then be missed is not recorded.
         """
         writes = PendingWrites()
         for i in range(100):
@@ -123,10 +120,11 @@
 
 
 class DiskQuotaTest(unittest.TestCase):
-    def test_what_is_dropped_first(self):
-        """What is worth least is dropped first, key records in force never.
+    def test_data_dropped_and_written_by_state(self):
+        """The least valuable data is dropped first, key records never.
 
-        On a bad disk only lease grants are written.
+        Lease grants are written in every state, key records also on a disk that is near full, the
+        fleet's record only on a healthy disk.
         """
         quota = DiskQuota(10_000)
         quota.used |= {
@@ -137,13 +135,13 @@
         }
         self.assertAlmostEqual(quota.free_share(), 0.385)
         self.assertEqual(
-            [(g.kind, g.size_bytes) for g in quota.to_reclaim(DiskState.NEAR_FULL)],
+            [(r.kind, r.size_bytes) for r in quota.to_reclaim(DiskState.NEAR_FULL)],
             [(DataKind.RUN_TIMES, 50), (DataKind.FLEET_RECORD, 100), (DataKind.RESULTS, 50)],
         )
         self.assertEqual(quota.to_reclaim(DiskState.HEALTHY), [])
         quota.used |= {DataKind.FLEET_RECORD: 1_600, DataKind.KEY_RECORDS: 9_000}
         self.assertEqual(
-            [(g.kind, g.size_bytes) for g in quota.to_reclaim(DiskState.HEALTHY)],
+            [(r.kind, r.size_bytes) for r in quota.to_reclaim(DiskState.HEALTHY)],
             [(DataKind.FLEET_RECORD, 100)],
         )
         self.assertEqual(quota.to_reclaim(DiskState.FULL), [])
@@ -166,46 +164,43 @@
 
 class FolderTrustTest(unittest.TestCase):
     def test_every_folder_that_may_be_found(self):
-        """Each folder that may lie there after a restart.
-
-        Whether it is believed, written to, and makes retries doubtful.
-        """
+        """For each kind of folder: is it believed, is it written to, and are retries doubted."""
         now = 10**15
         own = FolderMark(2, "n1", 100, now)
         for mark, rows, known, at, wanted in (
             (None, 0, 0, now, (False, True, False)),  # the first start
-            (None, 0, 90, now, (False, True, True)),  # a lost folder: others know this name
-            (None, 5, 0, now, (True, True, False)),  # of format 1
+            (None, 0, 90, now, (False, True, True)),  # a lost folder: other servers know this name
+            (None, 5, 0, now, (True, True, False)),  # a folder of format 1
             (own, 5, 100, now, (True, True, False)),
             (own, 5, 101, now, (False, True, True)),  # an older copy
             (own._replace(name="n2"), 5, 0, now, (False, True, False)),
             (own._replace(name="n2"), 5, 7, now, (False, True, True)),
             (own._replace(format=3), 5, 0, now, (False, False, True)),
-            (own, 5, 0, now - 3600 * SECOND, (True, True, False)),
-        ):  # the clock went back
+            (own, 5, 0, now - 3600 * SECOND, (True, True, False)),  # the clock was set back
+        ):
             with self.subTest(mark=mark, rows=rows, known=known):
                 self.assertEqual(assess_folder(mark, rows, "n1", known, at)[:3], wanted)
         self.assertEqual(next_mark(own, "n1", 40, 7), FolderMark(2, "n1", 101, 7))
         self.assertEqual(next_mark(own, "n2", 40, 7).number, 40)
 
     def test_clock_that_went_back(self):
-        """After a clock went back a record is in force for its window from now, not for a year."""
-        note = KeyRecord(RunPhase.STARTED, 1, 10**15, 10**15 + 60 * SECOND)
-        self.assertEqual(recovered_record(note, 10**14).window_end_us, 10**14 + 60 * SECOND)
-        self.assertIs(judge_record(note, note.window_end_us + 1), DuplicateVerdict.MAY_RUN)
-        self.assertIs(judge_record(note, note.window_end_us), DuplicateVerdict.UNKNOWN)
+        """After the clock was set back, a record stays in force for its window from now."""
+        record = KeyRecord(RunPhase.STARTED, 1, 10**15, 10**15 + 60 * SECOND)
+        self.assertEqual(recovered_record(record, 10**14).window_end_us, 10**14 + 60 * SECOND)
+        self.assertIs(judge_record(record, record.window_end_us + 1), DuplicateVerdict.MAY_RUN)
+        self.assertIs(judge_record(record, record.window_end_us), DuplicateVerdict.UNKNOWN)
 
 
 class KeyLedgerTest(unittest.TestCase):
     def test_every_order_of_events(self):
-        """Attempts, writes that fail or come late, ends and crashes of one key, in every order.
+        """Attempts, failed and late writes, ends of runs and crashes for one key, in every order.
 
-        Never a second run, never a rejection after one, never a reported end that is lost. Without
-        one of the guards the exploration finds a violation.
+        A request never runs twice, is never rejected after a run, and a reported end is never lost.
+        With any one of the guards removed, the exploration finds a violation.
         """
         for policy in UndurablePolicy:
-            states, wrong = key_ledger.explore_ledger(None, 30, policy)
-            self.assertIsNone(wrong)
+            states, violation = key_ledger.explore_ledger(None, 30, policy)
+            self.assertIsNone(violation)
             self.assertGreater(states, 1_000)
         for guard in key_ledger.MUTANTS:
             with self.subTest(guard):
@@ -214,12 +209,12 @@
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6), st.sampled_from(list(UndurablePolicy)))
     def test_bounds_in_random_runs(self, seed, policy):
-        """Whatever the disk says and in whatever moment.
+        """Random outcomes of writes at random times.
 
-        Each run that was asked for gets one answer; bytes stay within the bound and are those of
-        the rows; when all windows are over nothing is left.
+        Each requested run gets one answer; the size stays within its limit and is the sum of the
+        rows' sizes; when all windows are over, only abandoned rows remain.
         """
-        chance, ledger, now, queue = random.Random(seed), KeyLedger(1, policy, 20_000), 0, []
+        rng, ledger, now, queue = random.Random(seed), KeyLedger(1, policy, 20_000), 0, []
         asked, answered, running = 0, 0, []
 
         def take(command):
@@ -234,13 +229,13 @@
                     take(ledger.abandon(now, command.key))
 
         for _ in range(200):
-            now += chance.randrange(300_000)
-            step = chance.randrange(6)
+            now += rng.randrange(300_000)
+            step = rng.randrange(6)
             if step == 0:
-                key = f"k{chance.randrange(40)}"
+                key = f"k{rng.randrange(40)}"
                 known = ledger.find(now, key) is not None
                 command = ledger.request_run(
-                    now, key, now, now + 20 * SECOND, now + 5 * SECOND, 1000, chance.random() < 0.8
+                    now, key, now, now + 20 * SECOND, now + 5 * SECOND, 1000, rng.random() < 0.8
                 )
                 self.assertEqual(
                     known,
@@ -253,20 +248,20 @@
                 write = queue.pop(0)
                 take(
                     ledger.write_finished(now, write, True)
-                    if chance.random() < 0.8
+                    if rng.random() < 0.8
                     else ledger.write_rejected(now, write)
-                    if chance.random() < 0.5
+                    if rng.random() < 0.5
                     else ledger.write_finished(now, write, False)
                 )
             elif step == 3 and running:
-                body = b"x" * chance.randrange(300)
-                take(ledger.end_run(now, running.pop(), 200, (), body, chance.random() < 0.8))
+                body = b"x" * rng.randrange(300)
+                take(ledger.end_run(now, running.pop(), 200, (), body, rng.random() < 0.8))
             elif step == 4:
                 for action in ledger.time_out_writes(now):
                     take(action)
             elif step == 5:
                 ledger.expire(now)
-                queue += ledger.drop_results(now, chance.randrange(200))
+                queue += ledger.drop_results(now, rng.randrange(200))
             self.assertLessEqual(ledger.size_bytes, 20_000)
             self.assertEqual(
                 ledger.size_bytes, sum(row.record.memory_bytes() for row in ledger.rows.values())
@@ -284,11 +279,11 @@
 
 
 class SlotFileInMemory:
-    """A file in memory whose writes may be cut."""
+    """A file in memory; `cut` makes the next write fail after so many bytes."""
 
     def __init__(self, data=None):
         self.data = data
-        self.cut = None  # so many bytes of the next write come there
+        self.cut = None
 
     def list_files(self):
         return [] if self.data is None else [SLOT_FILE_NAME]
@@ -311,9 +306,9 @@
 
 class SlotFileTest(unittest.TestCase):
     def test_write_cut_at_every_byte(self):
-        """A write cut at every byte.
+        """A write interrupted at every seventh byte leaves the old or the new value, intact.
 
-        The value before or the new one, whole; all others as they were; it opens and goes on.
+        The other values stay; the file can be opened again and written to.
         """
         for cut in range(0, SLOT_COPY_BYTES, 7):
             files = SlotFileInMemory()
@@ -342,19 +337,19 @@
         )
     )
     def test_like_a_dict(self, steps):
-        """Any puts and removals, starts in between.
+        """Compares random puts and deletions with a dict, and reopens the file in between.
 
-        What was put is there; a fifth key finds no slot.
+        A put may fail only if all four slots are in use.
         """
         files, wanted = SlotFileInMemory(), {}
         slots = SlotFile(files, 4)
-        for key, value, anew in steps:
+        for key, value, reopen in steps:
             try:
                 slots.put([(key, value)])
                 wanted[key] = value
             except StoreFullError:
                 self.assertGreaterEqual(sum(v is not None for v in wanted.values()), 4)
-            if anew:
+            if reopen:
                 slots = SlotFile(files, 4)
             self.assertEqual(
                 dict(slots.items()), {k: v for k, v in wanted.items() if v is not None}
--- a/tests/storage/test_remember.py
+++ b/tests/storage/test_remember.py
@@ -1,4 +1,4 @@
-"""What is remembered over a restart, and when it is trusted."""
+"""Run times saved for the next start, and when a start may use them."""
 
 import unittest
 
@@ -9,71 +9,76 @@
 from gullyoke.storage import run_time_history, warmup_history
 
 
-class Remember(unittest.TestCase):
-    def learned(self):
+class SavedRunTimes(unittest.TestCase):
+    def trained_server(self):
         running = Running(drawn(W, Machines(servers=1), 1.5, 6 * SECOND, 1), deciding(False))
         running.play()
         return running.nodes[0].server
 
-    def test_round(self):
-        """A snapshot read back gives a young server its usual times in part, beside its first
-        guesses.
+    def test_snapshot_is_applied_by_weight(self):
+        """A snapshot that is read back moves the run times of a new server by its weight.
+
+        Request classes that no longer exist are ignored, and damaged rows are not read.
         """
-        server = self.learned()
-        kept = run_time_history.take_snapshot(server, 7, 100.0)
+        server = self.trained_server()
+        saved = run_time_history.take_snapshot(server, 7, 100.0)
         found = run_time_history.unpack_row(
-            run_time_history.pack_row(kept), run_time_history.RunTimeSnapshot
+            run_time_history.pack_row(saved), run_time_history.RunTimeSnapshot
         )
-        self.assertEqual(found, kept)
-        young = Running(drawn(W, Machines(servers=1), 1.5, SECOND, 2), deciding(False))
-        young.play()
-        fresh = young.nodes[0].server
-        before = {h.name: cost for h, cost in fresh.queue.run_times.items()}
-        run_time_history.apply_snapshot(fresh, found, 0.25)
-        for h, cost in fresh.queue.run_times.items():
-            self.assertAlmostEqual(cost, 0.75 * before[h.name] + 0.25 * found.run_times_us[h.name])
+        self.assertEqual(found, saved)
+        new = Running(drawn(W, Machines(servers=1), 1.5, SECOND, 2), deciding(False))
+        new.play()
+        new_server = new.nodes[0].server
+        before = {c.name: run_time for c, run_time in new_server.queue.run_times.items()}
+        run_time_history.apply_snapshot(new_server, found, 0.25)
+        for c, run_time in new_server.queue.run_times.items():
+            self.assertAlmostEqual(
+                run_time, 0.75 * before[c.name] + 0.25 * found.run_times_us[c.name]
+            )
         run_time_history.apply_snapshot(
-            fresh, run_time_history.RunTimeSnapshot(7, 0.0, {"gone": 5.0}, 0.0), 0.25
-        )  # a handler that is no more
+            new_server, run_time_history.RunTimeSnapshot(7, 0.0, {"gone": 5.0}, 0.0), 0.25
+        )  # of a request class that no longer exists
         idle = Running(drawn(W, Machines(), 1, 0, 1), deciding(False)).nodes[0].server
         self.assertIsNone(run_time_history.take_snapshot(idle, 7, 1.0))
-        for spoilt in (
+        for damaged in (
             None,
             b"",
             b"\x93\x01",
             run_time_history.pack_row(run_time_history.StartHistory(1))[:-1],
         ):
-            self.assertIsNone(run_time_history.unpack_row(spoilt, run_time_history.RunTimeSnapshot))
+            self.assertIsNone(
+                run_time_history.unpack_row(damaged, run_time_history.RunTimeSnapshot)
+            )
 
-    def test_trust(self):
-        """Bound to what was stated; discounted by age; never for a crash loop.
+    def test_weight_of_a_snapshot(self):
+        """A snapshot counts only for the same settings, less with age, and not in a crash loop.
 
-        A clock set back is no age.
+        If the clock was set back, the age is 0.
         """
         found = run_time_history.RunTimeSnapshot(7, 1000.0, {}, 0.0)
-        well = run_time_history.StartHistory(0)
+        healthy = run_time_history.StartHistory(0)
         self.assertEqual(
-            run_time_history.judge_snapshot(found, 7, 1000.0, well).weight,
+            run_time_history.judge_snapshot(found, 7, 1000.0, healthy).weight,
             run_time_history.MAX_WEIGHT,
         )
         self.assertAlmostEqual(
             run_time_history.judge_snapshot(
-                found, 7, 1000.0 + run_time_history.HALF_LIFE_S, well
+                found, 7, 1000.0 + run_time_history.HALF_LIFE_S, healthy
             ).weight,
             run_time_history.MAX_WEIGHT / 2,
         )
         self.assertEqual(
-            run_time_history.judge_snapshot(found, 7, 500.0, well).weight,
+            run_time_history.judge_snapshot(found, 7, 500.0, healthy).weight,
             run_time_history.MAX_WEIGHT,
         )
-        for row, stated, now, starts in (
-            (None, 7, 1000, well),
-            (found, 8, 1000, well),
-            (found, 7, 1001 + run_time_history.MAX_AGE_S, well),
+        for row, digest, now, starts in (
+            (None, 7, 1000, healthy),
+            (found, 8, 1000, healthy),
+            (found, 7, 1001 + run_time_history.MAX_AGE_S, healthy),
             (found, 7, 1000, run_time_history.StartHistory(run_time_history.MAX_UNHEALTHY_STARTS)),
         ):
-            self.assertEqual(run_time_history.judge_snapshot(row, stated, now, starts).weight, 0.0)
-        starts = well
+            self.assertEqual(run_time_history.judge_snapshot(row, digest, now, starts).weight, 0.0)
+        starts = healthy
         for _ in range(run_time_history.MAX_UNHEALTHY_STARTS):
             starts = run_time_history.start_begun(starts)
         self.assertEqual(run_time_history.judge_snapshot(found, 7, 1000.0, starts).weight, 0.0)
@@ -94,10 +99,10 @@
             run_time_history.settings_digest({"b": 2, "a": 1}),
         )
 
-    def test_fit(self):
-        """A slow or cold spell, or a drain, is not remembered.
+    def test_which_run_times_are_saved(self):
+        """Run times of a slow, cold or draining server are not saved.
 
-        A lasting change is believed in the end.
+        A lasting change is taken over step by step.
         """
         usual = {"a": 100.0}
         self.assertTrue(run_time_history.should_save({"a": 150.0}, usual, True, False))
@@ -109,17 +114,17 @@
         self.assertTrue(run_time_history.should_save({"a": 250.0}, usual, True, False))
         self.assertEqual(run_time_history.usual_run_times({"a": 50.0}, usual), {"a": 50.0})
 
-    def test_cold(self):
-        """What nine in ten runs did not exceed at an age is what a next cold start begins with
-        there, together with what earlier ones had; not where other things were stated, and never
-        once it is warm.
+    def test_warmup_run_times(self):
+        """A cold start begins with the ninth decile of the run times of earlier ones at its age.
+
+        Run times of other settings are not used, and none are used once the server is warm.
         """
-        curve = warmup_history.WarmupRecorder()
-        for took in range(1, 101):
-            curve.record_run(600_000, "box-view", took * 1000.0)
-            curve.record_run(20_000_000, "box-view", 1.0)
-        self.assertEqual(len(curve.samples_us["box-view"][1]), warmup_history.MAX_SAMPLES)
-        found = curve.take_snapshot(7, 1.0, None)
+        recorder = warmup_history.WarmupRecorder()
+        for run_time_ms in range(1, 101):
+            recorder.record_run(600_000, "box-view", run_time_ms * 1000.0)
+            recorder.record_run(20_000_000, "box-view", 1.0)
+        self.assertEqual(len(recorder.samples_us["box-view"][1]), warmup_history.MAX_SAMPLES)
+        found = recorder.take_snapshot(7, 1.0, None)
         self.assertAlmostEqual(found.run_times_us["box-view"][1], 93_700.0)
         self.assertEqual(found.run_times_us["box-view"][0], 0.0)
         again = warmup_history.WarmupRecorder()
@@ -137,11 +142,11 @@
         server = (
             Running(drawn(W, Machines(servers=1), 1.5, SECOND, 2), deciding(False)).nodes[0].server
         )
-        before = {h.name: cost for h, cost in server.queue.run_times.items()}
+        before = {c.name: run_time for c, run_time in server.queue.run_times.items()}
         warmup_history.apply_snapshot(server, both, 17_000_000)
-        self.assertEqual(before, {h.name: cost for h, cost in server.queue.run_times.items()})
+        self.assertEqual(before, {c.name: cost for c, cost in server.queue.run_times.items()})
         warmup_history.apply_snapshot(server, both, 700_000)
-        after = {h.name: cost for h, cost in server.queue.run_times.items()}
+        after = {c.name: run_time for c, run_time in server.queue.run_times.items()}
         self.assertEqual(after, before | {"box-view": both.run_times_us["box-view"][1]})
         self.assertTrue(warmup_history.is_usable(both, 7, run_time_history.StartHistory(0)))
         self.assertFalse(
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -1,6 +1,4 @@
-"""The store: crash states of small runs, cuts and flips of files, random runs against a dict,
-SIGKILL.
-"""
+"""The store: power cuts, damaged files, errors of the disk, and killed writers."""
 
 import itertools
 import json
@@ -43,26 +41,27 @@
 
 
 class FolderInMemory:
-    """A folder that records what was synced.
+    """A folder in memory that tracks which data is durable.
 
-    `fail` gives the error of a call, and after how many calls from now it is raised.
+    `fail` has, for each operation that fails, how many calls succeed before and the error number;
+    `watch` is called before each operation.
     """
 
     def __init__(self, files=()):
-        self.files = dict(files)  # all that was written
+        self.files = dict(files)  # all data that was written
         self.synced = {name: len(data) for name, data in self.files.items()}
         self.folder = set(self.files)  # names that are durable
-        self.removed = {}  # removed, and not durably so
+        self.removed = {}  # files whose removal is not durable yet
         self.fail, self.calls, self.watch = {}, 0, None
 
-    def _call(self, what):
+    def _call(self, operation):
         if self.watch:
             self.watch()
         self.calls += 1
-        if (fault := self.fail.get(what)) and fault[0] <= 0:
-            raise OSError(fault[1], what)
-        if what in self.fail:
-            self.fail[what] = (self.fail[what][0] - 1, self.fail[what][1])
+        if (fault := self.fail.get(operation)) and fault[0] <= 0:
+            raise OSError(fault[1], operation)
+        if operation in self.fail:
+            self.fail[operation] = (self.fail[operation][0] - 1, self.fail[operation][1])
 
     def list_files(self):
         return sorted(self.files)
@@ -97,17 +96,17 @@
         self.folder, self.removed = set(self.files), {}
 
     def crashes(self):
-        """Every state that a power cut now may leave.
+        """Every state that a power cut at this moment may leave.
 
-        Unsynced bytes cut anywhere, or whole blocks of them never written, files that came there or
-        not, files that went there still or not.
+        Unsynced bytes may be cut off anywhere, or a block of them may be missing. Without a sync of
+        the folder, new files may be missing and removed files may still exist.
         """
-        fixed = {
+        durable = {
             n: d for n, d in self.files.items() if n in self.folder and self.synced[n] == len(d)
         }
-        loose = [n for n in self.files if n not in fixed]
+        uncertain = [n for n in self.files if n not in durable]
         choices = []
-        for name in loose:
+        for name in uncertain:
             data, safe = self.files[name], self.synced[name]
             states = [data[:cut] for cut in range(safe, len(data) + 1)]
             if len(data) - safe > 8:  # a block in the middle that was never written
@@ -116,7 +115,7 @@
             choices.append([(name, s) for s in states] + ([] if name in self.folder else [None]))
         choices += [[(n, d), None] for n, d in self.removed.items()]
         for state in itertools.product(*choices):
-            yield fixed | dict(x for x in state if x)
+            yield durable | dict(x for x in state if x)
 
 
 SCRIPT = [
@@ -135,9 +134,9 @@
 
 class StoreTest(unittest.TestCase):
     def test_formats(self):
-        """A folder of version 1, whose segments have no header, is read and gone on with.
+        """A folder of format 1, whose segments have no header, is read and written to.
 
-        One of a later version is not opened, and nothing in it changes.
+        A folder of a later format is not opened, and nothing in it changes.
         """
         old = FolderInMemory(
             {
@@ -167,24 +166,24 @@
             Store(later)
         self.assertEqual(later.files, before)
 
-    def test_crashes(self):
-        """Power cut at every call, in every state it may leave, compaction included.
+    def test_power_cut_at_every_operation(self):
+        """Every state that a power cut may leave at any operation, also during compaction.
 
-        What was acknowledged is there, nothing is half there, the store opens and goes on, and
-        opens again.
+        The store opens, acknowledged values are there, those being written are there or not, and
+        the store can be written to and opened again.
         """
-        files, states, acknowledged, going = FolderInMemory(), 0, {}, {}
+        files, states, acknowledged, in_flight = FolderInMemory(), 0, {}, {}
         store, compactions = Store(files, segment_bytes=120), 0
 
-        def look():
+        def check_crash_states():
             nonlocal states
             for state in files.crashes():
                 states += 1
                 again = Store(FolderInMemory(state), segment_bytes=120)
                 got = dict(again.items())
                 for key in "abcdef":
-                    allowed = {acknowledged.get(key)} | ({going[key]} if key in going else set())
-                    self.assertIn(got.get(key), allowed, (key, state))
+                    written = {in_flight[key]} if key in in_flight else set()
+                    self.assertIn(got.get(key), {acknowledged.get(key)} | written, (key, state))
                 self.assertLessEqual(set(got), set("abcdef"))
                 if states % 50 == 0:
                     again.put([("new", b"9")])
@@ -192,12 +191,12 @@
                         dict(Store(FolderInMemory(again.files.files)).items()), got | {"new": b"9"}
                     )
 
-        files.watch = look
+        files.watch = check_crash_states
         for batch in SCRIPT:
-            going = dict(batch)
+            in_flight = dict(batch)
             store.put(batch)
-            acknowledged, going = acknowledged | going, {}
-            look()
+            acknowledged, in_flight = acknowledged | in_flight, {}
+            check_crash_states()
             compactions = store.compacted_segments
         self.assertGreater(compactions, 1)
         self.assertGreater(states, 500)
@@ -205,10 +204,10 @@
             dict(store.items()), {k: v for k, v in acknowledged.items() if v is not None}
         )
 
-    def test_cuts(self):
-        """Any file cut at any byte, any byte flipped or gone.
+    def test_damaged_files(self):
+        """Each file truncated at each byte, and each byte changed or removed.
 
-        Each record whole or dropped and counted.
+        Every record is either intact, or dropped with its bytes counted.
         """
         files = FolderInMemory()
         store = Store(files, segment_bytes=150)
@@ -257,23 +256,23 @@
             max_size=40,
         )
     )
-    def test_random(self, script):
-        """Against a dict, with faults of the disk, compaction and restarts in between."""
+    def test_like_a_dict(self, script):
+        """Compares random puts with a dict, with disk errors, compactions and restarts between."""
         files, wanted = FolderInMemory(), {}
         store, uncertain = Store(files, segment_bytes=200), {}
-        for verb, what in script:
+        for verb, argument in script:
             if verb == "put":
                 try:
-                    store.put(what)
-                    for key, value in what:
+                    store.put(argument)
+                    for key, value in argument:
                         wanted[key] = value
                         uncertain.pop(key, None)
                 except StoreFaultedError:
-                    for key, value in what:  # in force now as before; after a restart as either
+                    for key, value in argument:  # not applied, but a restart may find either value
                         uncertain.setdefault(key, {wanted.get(key)}).add(value)
                 files.fail = {}
             elif verb == "fail":
-                files.fail = {what: (0, 5)}
+                files.fail = {argument: (0, 5)}
             elif verb == "compact":
                 store.compact(9)
             else:
@@ -287,17 +286,17 @@
             for key in "abcdefgh":
                 self.assertEqual(store.get(key), wanted.get(key))
 
-    def test_faults(self):
-        """A full disk, one that can't sync, a quota.
+    def test_disk_errors_and_quota(self):
+        """Errors of the disk are raised and counted, and later writes succeed.
 
-        Raised, counted, and the store goes on when it can.
+        A batch that does not fit the quota is rejected.
         """
         files = FolderInMemory()
         store = Store(files, segment_bytes=500, quota_bytes=400)
         store.put([("a", b"1" * 100)])
-        for what in ("append", "appended", "sync", "create"):
-            files.fail = {what: (0, 28)}
-            if what == "create":
+        for operation in ("append", "appended", "sync", "create"):
+            files.fail = {operation: (0, 28)}
+            if operation == "create":
                 store.active = None
             with self.assertRaises(StoreFaultedError):
                 store.put([("a", b"2")])
@@ -309,8 +308,8 @@
             store.put([("c", b"4" * 300)])
         self.assertIsNone(store.get("c"))
 
-    def test_bounded(self):
-        """Steady overwrites take at most three times what is kept, and old files go."""
+    def test_space_used_by_overwrites(self):
+        """Steady overwrites write at most three times the data, and old segments are removed."""
         files, written = FolderInMemory(), 0
         store, append = Store(files, segment_bytes=4000, quota_bytes=60_000), files.append
 
@@ -326,10 +325,8 @@
         self.assertLess(written, 3 * 4000 * 70)
         self.assertEqual(len(store.keys()), 50)
 
-    def test_disk(self):
-        """A real folder: a second process is locked out, a restart finds all, commands show what is
-        there.
-        """
+    def test_real_folder_and_commands(self):
+        """A real folder keeps a second user out, and the commands of `store` read its content."""
         with tempfile.TemporaryDirectory() as folder:
             disk = StorageFolder(folder)
             store = Store(disk, segment_bytes=300)
@@ -353,7 +350,7 @@
             )
 
     def test_committer(self):
-        """Entries are committed; after an error of the disk the committer is degraded until the next."""
+        """Entries are committed; after an error of the disk, `degraded` is set until the next."""
         files = FolderInMemory()
         committer = GroupCommitter(Store(files), max_entries=100)
         outcomes, all_finished = [], threading.Semaphore(0)
@@ -379,13 +376,13 @@
         )
 
     def test_full_queue_rejects(self):
-        """While the disk hangs only so much is queued; more is rejected, and no close waits longer."""
+        """While the disk hangs, entries beyond the limit are rejected, and `close` times out."""
         files, released = FolderInMemory(), threading.Event()
         files.watch = lambda: released.wait(10)
         committer = GroupCommitter(Store(files), max_entries=1)
         self.addCleanup(released.set)
         self.assertTrue(committer.put("a", b"1"))
-        while not committer.queue.empty():  # the thread takes it, and hangs with it
+        while not committer.queue.empty():  # until the thread has taken the entry and hangs
             time.sleep(0.001)
         self.assertTrue(committer.put("b", b"2"))
         self.assertFalse(committer.put("c", b"3"))
@@ -396,7 +393,7 @@
         self.assertEqual(dict(committer.store.items()), {"a": b"1", "b": b"2"})
 
     def test_full_append_file(self):
-        """Lines that find the queue full are counted as faults; the others are written."""
+        """Lines beyond a full queue are dropped and counted as faults; the others are written."""
         released = threading.Event()
         self.addCleanup(released.set)
         with tempfile.TemporaryDirectory() as folder:
@@ -418,10 +415,10 @@
             while (written := path.read_text().split()) != expected:
                 self.assertLess(time.monotonic(), deadline, written)
 
-    def test_killed(self):
-        """A writer killed with SIGKILL at a random moment.
+    def test_killed_writer(self):
+        """A writer is killed with SIGKILL at a random moment.
 
-        Every key that it printed as durable is there.
+        The store has every value that the writer had printed as durable, or a later one.
         """
         code = (
             "import sys; from gullyoke.storage import *\n"
@@ -429,7 +426,7 @@
             "for i in range(10**6):\n"
             "    s.put([(f'k{i % 40}', b'%08d' % i * 5)]); print(i, flush=True)\n"
         )
-        chance = random.Random(5)
+        rng = random.Random(5)
         for _ in range(3):
             with tempfile.TemporaryDirectory() as folder:
                 with subprocess.Popen(
@@ -438,7 +435,7 @@
                     text=True,
                     stdout=subprocess.PIPE,
                 ) as child:
-                    for _ in range(chance.randrange(50, 600)):
+                    for _ in range(rng.randrange(50, 600)):
                         last = int(child.stdout.readline())
                     child.send_signal(signal.SIGKILL)
                     last = max([last, *(int(x) for x in child.stdout.read().split())])
@@ -447,8 +444,8 @@
                     newest = int(store.get(f"k{key}")[:8])
                     self.assertGreaterEqual(newest, last - (last - key) % 40)
 
-    def test_record(self):
-        """A record reads back; a mark inside of a value does not begin another."""
+    def test_scanned_records(self):
+        """Records are read back; the magic inside a value does not begin another record."""
         record = Record(7, "k", b"\xf5gly" * 5)
         data = pack_record(record) + b"junk" + pack_record(record._replace(sequence=8))
         found = list(scan_records(data))
