--- a/gullyoke/durability/disk_health.py
+++ b/gullyoke/durability/disk_health.py
@@ -24,7 +24,8 @@
 REQUIRED_PROBES: Final = 3  # successful probes in a row
 MIN_BAD_US: Final = 1_000_000  # shortest time in a bad state; doubled at each relapse
 MAX_BAD_US: Final = 60_000_000  # longest value of that shortest time
-# A failure this soon after a recovery is a relapse, or within twice the last bad time if longer.
+# A failure this soon after a recovery is a relapse; or within twice the last shortest time in a bad
+# state, if that is longer.
 RELAPSE_WITHIN_US: Final = 10_000_000
 SLOW_START_US: Final = 4_000_000  # from the recovery until all writes are accepted again
 MIN_ACCEPTED_SHARE: Final = 0.1  # share of writes accepted at the beginning of the slow start
@@ -110,23 +111,23 @@
         self.draw = draw
         self.listeners: list[Callable[[DiskStateChange], None]] = []
         self.calls_in_flight: dict[int, DiskCall] = {}
-        self._calls = 0
+        self._last_call_number = 0
         self._free_share = 1.0
-        self._reported = DiskState.HEALTHY
+        self._reported_state = DiskState.HEALTHY
         self._error_state: DiskState | None = None  # by the results of calls, without free space
-        self._error = ""
+        self._error_reason = ""
         self._bad_since_us = now_us
-        self._bad_at_least_us = MIN_BAD_US
-        self._returned_us = now_us - SLOW_START_US
+        self._min_bad_us = MIN_BAD_US
+        self._recovered_us = now_us - SLOW_START_US
         self._good_probes = 0
         self._next_probe_us = now_us
         self._probe_interval_us = PROBE_INTERVAL_US
 
     def call_started(self, now_us: int, operation: str) -> int:
         """Record the start of a call; return its number, for `call_finished`."""
-        self._calls += 1
-        self.calls_in_flight[self._calls] = DiskCall(now_us, operation)
-        return self._calls
+        self._last_call_number += 1
+        self.calls_in_flight[self._last_call_number] = DiskCall(now_us, operation)
+        return self._last_call_number
 
     def call_finished(
         self, now_us: int, number: int, error_number: int | None = None, probe: bool = False
@@ -158,15 +159,15 @@
     def state(self, now_us: int) -> DiskState:
         """Bring the state up to date and return it; call the listeners if it has changed."""
         if self.calls_in_flight:
-            self._check_calls_in_flight(now_us)
+            self._record_hanging_call(now_us)
         state = self._state_by_space()
         if self._error_state is not None:
             state = max(self._error_state, state, key=SEVERITY.index)
-        if state is not self._reported:
-            if self._reported in BAD_STATES and state not in BAD_STATES:
-                self._returned_us = now_us
-            change = DiskStateChange(now_us, self._reported, state, self._reason_for(state))
-            self._reported = state
+        if state is not self._reported_state:
+            if self._reported_state in BAD_STATES and state not in BAD_STATES:
+                self._recovered_us = now_us
+            change = DiskStateChange(now_us, self._reported_state, state, self._reason_for(state))
+            self._reported_state = state
             for listener in self.listeners:
                 listener(change)
         return state
@@ -179,7 +180,7 @@
         """
         if self.state(now_us) in BAD_STATES:
             return False
-        share = (now_us - self._returned_us) / SLOW_START_US
+        share = (now_us - self._recovered_us) / SLOW_START_US
         return share >= 1 or self.draw() < max(MIN_ACCEPTED_SHARE, share)
 
     def claim_probe(self, now_us: int) -> bool:
@@ -196,7 +197,7 @@
         self._probe_interval_us = min(MAX_PROBE_INTERVAL_US, 2 * self._probe_interval_us)
         return True
 
-    def _check_calls_in_flight(self, now_us: int) -> None:
+    def _record_hanging_call(self, now_us: int) -> None:
         """Record a stall if a call hangs, unless the disk is in a worse state."""
         if self._error_state not in (None, DiskState.FULL, DiskState.FAILING):
             return
@@ -208,8 +209,8 @@
 
     def _state_by_space(self) -> DiskState:
         """Return the state by free space, with hysteresis."""
-        was_full = self._reported is DiskState.FULL
-        was_near_full = self._reported in (DiskState.NEAR_FULL, DiskState.FULL)
+        was_full = self._reported_state is DiskState.FULL
+        was_near_full = self._reported_state in (DiskState.NEAR_FULL, DiskState.FULL)
         if self._free_share < (FULL_UNTIL if was_full else FULL_BELOW):
             return DiskState.FULL
         if self._free_share < (NEAR_FULL_UNTIL if was_near_full else NEAR_FULL_BELOW):
@@ -218,20 +219,20 @@
 
     def _record_failure(self, now_us: int, state: DiskState, reason: str) -> None:
         self._good_probes = 0
-        self._error = reason
+        self._error_reason = reason
         if self._error_state is None:
-            self._bad_at_least_us = self._next_bad_time(now_us)
+            self._min_bad_us = self._next_min_bad_us(now_us)
             self._bad_since_us = now_us
             self._probe_interval_us = PROBE_INTERVAL_US
             self._next_probe_us = now_us + PROBE_INTERVAL_US
         self._error_state = state
 
-    def _next_bad_time(self, now_us: int) -> int:
+    def _next_min_bad_us(self, now_us: int) -> int:
         """Return the shortest time for which the disk stays bad; doubled if this is a relapse."""
-        relapse_within_us = max(RELAPSE_WITHIN_US, 2 * self._bad_at_least_us)
-        is_relapse = now_us - self._returned_us < relapse_within_us
-        if is_relapse and self._returned_us >= self._bad_since_us:
-            return min(MAX_BAD_US, 2 * self._bad_at_least_us)
+        relapse_within_us = max(RELAPSE_WITHIN_US, 2 * self._min_bad_us)
+        is_relapse = now_us - self._recovered_us < relapse_within_us
+        if is_relapse and self._recovered_us >= self._bad_since_us:
+            return min(MAX_BAD_US, 2 * self._min_bad_us)
         return MIN_BAD_US
 
     def _record_good_probe(self, now_us: int) -> None:
@@ -241,13 +242,13 @@
         self._probe_interval_us = PROBE_INTERVAL_US
         self._next_probe_us = min(self._next_probe_us, now_us + PROBE_INTERVAL_US)
         bad_us = now_us - self._bad_since_us
-        if self._good_probes >= REQUIRED_PROBES and bad_us >= self._bad_at_least_us:
+        if self._good_probes >= REQUIRED_PROBES and bad_us >= self._min_bad_us:
             self._error_state = None
-            self._returned_us = now_us
+            self._recovered_us = now_us
 
     def _reason_for(self, state: DiskState) -> str:
         if self._error_state is state:
-            return self._error
+            return self._error_reason
         if state is DiskState.HEALTHY:
             return "recovered"
         return f"{self._free_share:.1%} of the space is free"
