--- a/gullyoke/storage/run_time_history.py
+++ b/gullyoke/storage/run_time_history.py
@@ -171,13 +171,14 @@
 def apply_snapshot(server: AdmissionController, snapshot: RunTimeSnapshot, weight: float) -> None:
     """Move the first guesses of the admission controller towards a snapshot.
 
-    A weight of 0 leaves the run times as they are, a weight of 1 replaces them.
+    A weight of 0 leaves the run times as they are, a weight of 1 replaces them. The usual duration
+    of a dependency call is replaced at any weight above 0, and cleared at 0.
     """
-    run_times = server.queue.run_times
-    for request_class in run_times:
+    times_by_class = server.queue.run_times
+    for request_class in times_by_class:
         if request_class.name in snapshot.run_times_us:
             saved_us = snapshot.run_times_us[request_class.name]
-            run_times[request_class] += weight * (saved_us - run_times[request_class])
+            times_by_class[request_class] += weight * (saved_us - times_by_class[request_class])
     usual_us = snapshot.dependency_call_us * (weight > 0)
     server.dependency.usual_call_time = usual_us
     server.dependency.recent_call_time = usual_us
--- a/gullyoke/storage/warmup_history.py
+++ b/gullyoke/storage/warmup_history.py
@@ -129,9 +129,9 @@
     bucket = age_bucket(age_us)
     if bucket is None:
         return
-    run_times = server.queue.run_times
+    times_by_class = server.queue.run_times
     no_runs = [0.0] * len(AGE_BUCKETS_US)
-    for request_class in run_times:
+    for request_class in times_by_class:
         run_time_us = snapshot.run_times_us.get(request_class.name, no_runs)[bucket]
         if run_time_us:
-            run_times[request_class] = run_time_us
+            times_by_class[request_class] = run_time_us
--- a/tests/durability/test_rules.py
+++ b/tests/durability/test_rules.py
@@ -199,8 +199,8 @@
         With any one of the guards removed, the exploration finds a violation.
         """
         for policy in UndurablePolicy:
-            states, violation = key_ledger.explore_ledger(None, 30, policy)
-            self.assertIsNone(violation)
+            states, first_violation = key_ledger.explore_ledger(None, 30, policy)
+            self.assertIsNone(first_violation)
             self.assertGreater(states, 1_000)
         for guard in key_ledger.MUTANTS:
             with self.subTest(guard):
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -172,7 +172,7 @@
         The store opens, acknowledged values are there, those being written are there or not, and
         the store can be written to and opened again.
         """
-        files, states, acknowledged, in_flight = FolderInMemory(), 0, {}, {}
+        files, states, acknowledged, pending = FolderInMemory(), 0, {}, {}
         store, compactions = Store(files, segment_bytes=120), 0
 
         def check_crash_states():
@@ -182,8 +182,10 @@
                 again = Store(FolderInMemory(state), segment_bytes=120)
                 got = dict(again.items())
                 for key in "abcdef":
-                    written = {in_flight[key]} if key in in_flight else set()
-                    self.assertIn(got.get(key), {acknowledged.get(key)} | written, (key, state))
+                    allowed = {acknowledged.get(key)} | (
+                        {pending[key]} if key in pending else set()
+                    )
+                    self.assertIn(got.get(key), allowed, (key, state))
                 self.assertLessEqual(set(got), set("abcdef"))
                 if states % 50 == 0:
                     again.put([("new", b"9")])
@@ -193,9 +195,9 @@
 
         files.watch = check_crash_states
         for batch in SCRIPT:
-            in_flight = dict(batch)
+            pending = dict(batch)
             store.put(batch)
-            acknowledged, in_flight = acknowledged | in_flight, {}
+            acknowledged, pending = acknowledged | pending, {}
             check_crash_states()
             compactions = store.compacted_segments
         self.assertGreater(compactions, 1)
