--- a/gullyoke/durability/disk_health.py
+++ b/gullyoke/durability/disk_health.py
@@ -156,7 +156,7 @@
         """Record the free share of the disk, or of the quota if that is less."""
         self._free_share = free_share
 
-    def state(self, now_us: int) -> DiskState:
+    def update_state(self, now_us: int) -> DiskState:
         """Bring the state up to date and return it; call the listeners if it has changed."""
         if self.calls_in_flight:
             self._record_hanging_call(now_us)
@@ -172,13 +172,13 @@
                 listener(change)
         return state
 
-    def accepts_writes(self, now_us: int) -> bool:
+    def admit_write(self, now_us: int) -> bool:
         """Decide whether the disk accepts a write that a request waits for.
 
         Also brings the state up to date. After a recovery a growing share of the writes is
         accepted, chosen at random.
         """
-        if self.state(now_us) in BAD_STATES:
+        if self.update_state(now_us) in BAD_STATES:
             return False
         share = (now_us - self._recovered_us) / SLOW_START_US
         return share >= 1 or self.draw() < max(MIN_ACCEPTED_SHARE, share)
@@ -189,7 +189,7 @@
         A probe is due only while the disk is bad and no call is in flight. A claim schedules the
         next probe and doubles the interval until the one after. Also brings the state up to date.
         """
-        if self.state(now_us) not in BAD_STATES:
+        if self.update_state(now_us) not in BAD_STATES:
             return False
         if now_us < self._next_probe_us or self.calls_in_flight:
             return False
--- a/gullyoke/extensions/data_folders.py
+++ b/gullyoke/extensions/data_folders.py
@@ -77,7 +77,7 @@
 
     def accepts(self, kind: DataKind) -> bool:
         """Return whether data of this kind is written in the disk's present state."""
-        return self.quota.is_written(kind, self.monitor.state())
+        return self.quota.is_written(kind, self.monitor.update_state())
 
     def _check_usage(self, state: DiskState) -> None:
         """Free space where it is short: compact first, then delete what is worth least."""
@@ -110,4 +110,4 @@
 
     def states(self) -> dict[str, str]:
         """Return the state of each folder's disk, as it is called in logs and status answers."""
-        return {path: folder.monitor.state().value for path, folder in self.folders.items()}
+        return {path: folder.monitor.update_state().value for path, folder in self.folders.items()}
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -237,7 +237,7 @@
 
     def fit(self) -> bool:
         """Whether the disk may be asked for a promise now."""
-        return self.committer is not None and self.folder.monitor.accepts_writes()
+        return self.committer is not None and self.folder.monitor.admit_write()
 
     def put(
         self, key: str, value: bytes | None, told: Callable[[bool], None] = lambda durable: None
@@ -250,7 +250,7 @@
         now = clock.now()
         self.daemon.timer.call_at(now + SWEEP, self.sweep)
         self.promised.overdue(now)
-        bad = self.folder.monitor.state() in BAD_STATES
+        bad = self.folder.monitor.update_state() in BAD_STATES
         self.state(not bad and self.committer is not None)
         if now >= self.next:
             self.next = now + LOOK
@@ -323,7 +323,7 @@
             "keys",
             extra=log_fields(
                 **row,
-                state=self.folder.monitor.state().value,
+                state=self.folder.monitor.update_state().value,
                 group=f"{committer.committed_entries / groups:.1f}" if groups else "-",
             ),
         )
--- a/gullyoke/storage/append_file.py
+++ b/gullyoke/storage/append_file.py
@@ -71,7 +71,7 @@
 
     def _write(self, line: str) -> None:
         if not self.may_write():
-            self._record_fault(f"the disk is {self.monitor.state().value}")
+            self._record_fault(f"the disk is {self.monitor.update_state().value}")
             return
         try:
             with self.monitor.timed(OPERATION):
--- a/gullyoke/storage/disk_monitor.py
+++ b/gullyoke/storage/disk_monitor.py
@@ -81,18 +81,18 @@
             # Looked up in its module at each call, since fault tests replace the class there.
             return MonitoredFolder(storage_folder.StorageFolder(path, locked, create), self)
 
-    def state(self) -> DiskState:
+    def update_state(self) -> DiskState:
         """Bring the state of the disk up to date and return it."""
         with self.lock:
-            return self.health.state(clock.now())
+            return self.health.update_state(clock.now())
 
-    def accepts_writes(self) -> bool:
+    def admit_write(self) -> bool:
         """Decide whether the disk accepts a write that a request waits for.
 
         Also brings the state up to date.
         """
         with self.lock:
-            return self.health.accepts_writes(clock.now())
+            return self.health.admit_write(clock.now())
 
     @contextmanager
     def timed(self, operation: str, probe: bool = False) -> Iterator[None]:
@@ -145,14 +145,14 @@
             should_probe = self.health.claim_probe(clock.now())
             calls_hang = False
             if self.health.calls_in_flight:
-                calls_hang = self.health.state(clock.now()) is DiskState.STALLED
+                calls_hang = self.health.update_state(clock.now()) is DiskState.STALLED
         if calls_hang:
             return  # another operation would hang as well
         folder = storage_folder.StorageFolder(self.folder, False, False)
         free_share = self._free_share(MonitoredFolder(folder, self).free_space())
         with self.lock:
             self.health.set_free_share(free_share)
-            state = self.health.state(clock.now())
+            state = self.health.update_state(clock.now())
         if should_probe:
             self._probe(folder)
         self.on_check(state)
--- a/tests/durability/test_rules.py
+++ b/tests/durability/test_rules.py
@@ -63,15 +63,15 @@
         elif verb == "free":
             health.set_free_share(float(words[0]))
         elif verb == "is":
-            self.assertEqual(health.state(now).value, " ".join(words))
+            self.assertEqual(health.update_state(now).value, " ".join(words))
         elif verb == "trial":
             self.assertEqual(health.claim_probe(now), words == ["yes"])
         else:  # "takes": random numbers below the share are accepted, those above it are not
             share = float(words[0])
             draws[0] = share - 0.01
-            self.assertTrue(health.accepts_writes(now))
+            self.assertTrue(health.admit_write(now))
             draws[0] = share + 0.01
-            self.assertEqual(health.accepts_writes(now), share == 1)
+            self.assertEqual(health.admit_write(now), share == 1)
 
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6))
@@ -88,12 +88,12 @@
             now += rng.randrange(100_000, 400_000)
             faulty = now < 300 * SECOND and rng.random() < 0.3
             probe = health.claim_probe(now)
-            if probe or health.state(now) not in BAD_STATES:
+            if probe or health.update_state(now) not in BAD_STATES:
                 health.call_finished(
                     now, health.call_started(now, "sync"), errno.EIO if faulty else None, probe
                 )
             if now > 300 * SECOND + MAX_BAD_US + 30 * SECOND:
-                self.assertIs(health.state(now), DiskState.HEALTHY)
+                self.assertIs(health.update_state(now), DiskState.HEALTHY)
         self.assertLessEqual(len(changes), 40)  # while three calls in ten failed, for 300 s
 
 
