--- a/gullyoke/durability/key_ledger.py
+++ b/gullyoke/durability/key_ledger.py
@@ -87,7 +87,7 @@
         if (
             not disk_accepts
             or not self.fits(record.memory_bytes())
-            or not self.pending_writes.in_time(now_us, deadline_us, run_us)
+            or not self.pending_writes.meets_deadline(now_us, deadline_us, run_us)
         ):
             return self._decide_without_record(now_us, key, record, deadline_us)
         self._put_row(key, LedgerRow(KeyStage.RECORDING_START, record, now_us, deadline_us))
@@ -95,7 +95,7 @@
 
     def write_rejected(self, now_us: int, write: RecordWrite) -> LedgerAction | None:
         """Handle a write that could not be queued."""
-        row = self._row_of_write(now_us, write, False)
+        row = self._finish_write(now_us, write, False)
         if row is None:
             return None
         if row.stage is KeyStage.RECORDING_START:
@@ -112,7 +112,7 @@
         self, now_us: int, write: RecordWrite, persisted: bool
     ) -> LedgerAction | None:
         """Handle the outcome of a write; it is ignored unless the write is the last of its row."""
-        row = self._row_of_write(now_us, write, persisted)
+        row = self._finish_write(now_us, write, persisted)
         if row is None:
             return None
         if row.stage is KeyStage.RECORDING_START:
@@ -251,12 +251,12 @@
         self.writes += 1
         self.rows[key].last_write = self.writes
         self.writes_in_flight[self.writes] = key
-        self.pending_writes.started(now_us, self.writes)
+        self.pending_writes.write_started(now_us, self.writes)
         return RecordWrite(key, record, self.writes)
 
-    def _row_of_write(self, now_us: int, write: RecordWrite, persisted: bool) -> LedgerRow | None:
+    def _finish_write(self, now_us: int, write: RecordWrite, persisted: bool) -> LedgerRow | None:
         """Remove a write from those in flight; return its row if the write is the row's last."""
         self.writes_in_flight.pop(write.number, None)
-        self.pending_writes.finished(now_us, write.number, persisted)
+        self.pending_writes.write_finished(now_us, write.number, persisted)
         row = self.rows.get(write.key)
         return row if row is not None and row.last_write == write.number else None
--- a/gullyoke/durability/pending_writes.py
+++ b/gullyoke/durability/pending_writes.py
@@ -32,11 +32,11 @@
         self.deviation_us = FIRST_WRITE_US / 2
         self._measured = False
 
-    def started(self, now_us: int, number: object) -> None:
+    def write_started(self, now_us: int, number: object) -> None:
         """Record that a write was queued."""
         self.started_us[number] = now_us
 
-    def finished(self, now_us: int, number: object, persisted: bool) -> None:
+    def write_finished(self, now_us: int, number: object, persisted: bool) -> None:
         """Record the end of a write; only the duration of a durable write is measured."""
         started_us = self.started_us.pop(number, None)
         if started_us is None or not persisted:
@@ -58,7 +58,7 @@
         oldest_us = next(iter(self.started_us.values()), now_us)
         return max(self.mean_us + DEVIATIONS * self.deviation_us, float(now_us - oldest_us))
 
-    def in_time(self, now_us: int, deadline_us: int, run_us: float) -> bool:
+    def meets_deadline(self, now_us: int, deadline_us: int, run_us: float) -> bool:
         """Return whether a request can meet its deadline if its record is written now.
 
         Counted are two writes, of the start and of the end, and a run that usually takes `run_us`.
--- a/gullyoke/model_checking/key_ledger.py
+++ b/gullyoke/model_checking/key_ledger.py
@@ -76,17 +76,17 @@
 
 
 def _late_write_runs() -> contextlib.AbstractContextManager[object]:
-    row_of_write = KeyLedger._row_of_write
+    finish_write = KeyLedger._finish_write
 
     def revive(
         self: KeyLedger, now_us: int, write: RecordWrite, persisted: bool
     ) -> LedgerRow | None:
-        row = row_of_write(self, now_us, write, persisted) or self.rows.get(write.key)
+        row = finish_write(self, now_us, write, persisted) or self.rows.get(write.key)
         if row is not None and row.stage is KeyStage.ABANDONED and write.record is not None:
             row.stage = KeyStage.RECORDING_START
         return row
 
-    return mock.patch.object(KeyLedger, "_row_of_write", revive)
+    return mock.patch.object(KeyLedger, "_finish_write", revive)
 
 
 def _writes_out_of_order() -> contextlib.AbstractContextManager[object]:
--- a/tests/durability/test_rules.py
+++ b/tests/durability/test_rules.py
@@ -106,16 +106,16 @@
         """
         writes = PendingWrites()
         for i in range(100):
-            writes.started(i * 10_000, i)
-            writes.finished(i * 10_000 + 2_000, i, True)
+            writes.write_started(i * 10_000, i)
+            writes.write_finished(i * 10_000 + 2_000, i, True)
         self.assertLess(writes.expected_us(10**6), 3_000)
-        self.assertTrue(writes.in_time(0, 100_000, 50_000))
-        writes.started(10**6, "stuck")
+        self.assertTrue(writes.meets_deadline(0, 100_000, 50_000))
+        writes.write_started(10**6, "stuck")
         self.assertGreater(writes.expected_us(10**6 + 300_000), 299_000)
-        self.assertFalse(writes.in_time(10**6 + 300_000, 10**6 + 800_000, 50_000))
+        self.assertFalse(writes.meets_deadline(10**6 + 300_000, 10**6 + 800_000, 50_000))
         self.assertFalse(writes.is_overdue(10**6 + WRITE_TIMEOUT_US - 1, 10**6, 10**9))
         self.assertTrue(writes.is_overdue(10**6 + WRITE_TIMEOUT_US, 10**6, 10**9))
-        writes.finished(10**6 + WRITE_TIMEOUT_US, "stuck", False)
+        writes.write_finished(10**6 + WRITE_TIMEOUT_US, "stuck", False)
         self.assertLess(writes.expected_us(10**7), 3_000)
 
 
