--- a/gullyoke/durability/disk_quota.py
+++ b/gullyoke/durability/disk_quota.py
@@ -82,7 +82,7 @@
         """Return how many bytes a kind may use."""
         return int(QUOTA_SHARES[kind] * self.quota_bytes)
 
-    def is_written(self, kind: DataKind, state: DiskState) -> bool:
+    def accepts_kind(self, kind: DataKind, state: DiskState) -> bool:
         """Return whether data of a kind is written while the disk is in a state."""
         return kind >= LEAST_KIND_WRITTEN[state]
 
--- a/gullyoke/extensions/data_folders.py
+++ b/gullyoke/extensions/data_folders.py
@@ -77,7 +77,7 @@
 
     def accepts(self, kind: DataKind) -> bool:
         """Return whether data of this kind is written in the disk's present state."""
-        return self.quota.is_written(kind, self.monitor.update_state())
+        return self.quota.accepts_kind(kind, self.monitor.update_state())
 
     def _check_usage(self, state: DiskState) -> None:
         """Free space where it is short: compact first, then delete what is worth least."""
--- a/gullyoke/extensions/memory_store.py
+++ b/gullyoke/extensions/memory_store.py
@@ -23,8 +23,8 @@
     judge_snapshot,
     pack_row,
     settings_digest,
-    start_begun,
     unpack_row,
+    with_new_start,
 )
 from gullyoke.storage.warmup_history import WarmupSnapshot
 
@@ -104,7 +104,7 @@
         verdict = judge_snapshot(self.snapshot, self.digest, time.time(), self.starts)
         self.weight = verdict.weight
         self.committer = GroupCommitter(store)
-        self.committer.put(STARTS_KEY, pack_row(start_begun(self.starts)))
+        self.committer.put(STARTS_KEY, pack_row(with_new_start(self.starts)))
         log.info(
             "memory",
             extra=log_fields(
--- a/gullyoke/storage/compaction_plan.py
+++ b/gullyoke/storage/compaction_plan.py
@@ -59,7 +59,7 @@
         self.segments: dict[int, SegmentUsage] = {}
         self.sequence = 0
 
-    def next_sequence(self) -> int:
+    def allocate_sequence(self) -> int:
         """Allocate the sequence number of a new record."""
         self.sequence += 1
         return self.sequence
--- a/gullyoke/storage/run_time_history.py
+++ b/gullyoke/storage/run_time_history.py
@@ -143,7 +143,7 @@
     return SnapshotVerdict(MAX_WEIGHT * 0.5 ** (age_s / HALF_LIFE_S), "remembered")
 
 
-def start_begun(starts: StartHistory) -> StartHistory:
+def with_new_start(starts: StartHistory) -> StartHistory:
     """Return the history with a new start, which counts as unhealthy until it becomes healthy."""
     return StartHistory(starts.unhealthy_starts + 1)
 
--- a/gullyoke/storage/store.py
+++ b/gullyoke/storage/store.py
@@ -159,7 +159,7 @@
         records = []
         for key, value in batch:
             kind = RecordKind.DELETED if value is None else RecordKind.PUT
-            records.append(Record(self.plan.next_sequence(), key, value or b"", kind))
+            records.append(Record(self.plan.allocate_sequence(), key, value or b"", kind))
         self._write(records)
         self.compact()
 
--- a/tests/durability/test_rules.py
+++ b/tests/durability/test_rules.py
@@ -151,14 +151,16 @@
         self.assertEqual(quota.to_reclaim(DiskState.NEAR_FULL), [])
         self.assertAlmostEqual(quota.free_share(), 0.1)
         for state in DiskState:
-            written = [kind for kind in DataKind if quota.is_written(kind, state)]
+            written = [kind for kind in DataKind if quota.accepts_kind(kind, state)]
             self.assertEqual(written, sorted(written))
             self.assertIn(DataKind.LEASE_GRANTS, written)
         self.assertNotIn(
-            DataKind.FLEET_RECORD, [k for k in DataKind if quota.is_written(k, DiskState.NEAR_FULL)]
+            DataKind.FLEET_RECORD,
+            [k for k in DataKind if quota.accepts_kind(k, DiskState.NEAR_FULL)],
         )
         self.assertIn(
-            DataKind.KEY_RECORDS, [k for k in DataKind if quota.is_written(k, DiskState.NEAR_FULL)]
+            DataKind.KEY_RECORDS,
+            [k for k in DataKind if quota.accepts_kind(k, DiskState.NEAR_FULL)],
         )
 
 
--- a/tests/storage/test_remember.py
+++ b/tests/storage/test_remember.py
@@ -80,7 +80,7 @@
             self.assertEqual(run_time_history.judge_snapshot(row, digest, now, starts).weight, 0.0)
         starts = healthy
         for _ in range(run_time_history.MAX_UNHEALTHY_STARTS):
-            starts = run_time_history.start_begun(starts)
+            starts = run_time_history.with_new_start(starts)
         self.assertEqual(run_time_history.judge_snapshot(found, 7, 1000.0, starts).weight, 0.0)
         self.assertTrue(
             run_time_history.is_healthy_start(run_time_history.HEALTHY_AFTER_S, 0, False)
