--- a/gullyoke/durability/key_ledger.py
+++ b/gullyoke/durability/key_ledger.py
@@ -52,7 +52,7 @@
         self.policy = policy
         self.pending_writes = PendingWrites()
         self.writes_in_flight: dict[int, str] = {}
-        self.writes = 0
+        self.last_write_number = 0
         self.unrecorded_runs = 0
         self.unrecorded_ends = 0
         self.rejected = 0
@@ -231,7 +231,7 @@
 
     def _report_recorded_end(self, row: LedgerRow, key: str) -> LedgerAction | None:
         row.stage = KeyStage.ENDED
-        self.results.append(key)
+        self.result_keys.append(key)
         if row.end_reported:
             return None
         row.end_reported = True
@@ -248,11 +248,11 @@
         return LedgerAction(ActionKind.REPORT_UNKNOWN, key)
 
     def _write(self, now_us: int, key: str, record: KeyRecord | None) -> RecordWrite:
-        self.writes += 1
-        self.rows[key].last_write = self.writes
-        self.writes_in_flight[self.writes] = key
-        self.pending_writes.write_started(now_us, self.writes)
-        return RecordWrite(key, record, self.writes)
+        self.last_write_number += 1
+        self.rows[key].last_write = self.last_write_number
+        self.writes_in_flight[self.last_write_number] = key
+        self.pending_writes.write_started(now_us, self.last_write_number)
+        return RecordWrite(key, record, self.last_write_number)
 
     def _finish_write(self, now_us: int, write: RecordWrite, persisted: bool) -> LedgerRow | None:
         """Remove a write from those in flight; return its row if the write is the row's last."""
--- a/gullyoke/durability/record_table.py
+++ b/gullyoke/durability/record_table.py
@@ -70,7 +70,7 @@
     Attributes:
         rows: A row for each key; their records and results take at most `max_bytes`.
         window_ends: A heap of the ends of windows, with the keys.
-        results: The keys of rows with a result, in the order in which the runs ended.
+        result_keys: The keys of rows with a result, in the order in which the runs ended.
         size_bytes: The size of the records and results in memory.
 
     Args:
@@ -83,7 +83,7 @@
         self.max_bytes = max_bytes
         self.rows: dict[str, LedgerRow] = {}
         self.window_ends: list[tuple[int, str]] = []
-        self.results: deque[str] = deque()
+        self.result_keys: deque[str] = deque()
         self.size_bytes = 0
 
     def recover(self, now_us: int, found: Iterable[tuple[str, KeyRecord]]) -> list[str]:
@@ -99,7 +99,7 @@
             stage = KeyStage.ENDED if ended else KeyStage.RUNNING
             self._put_row(key, LedgerRow(stage, recovered_record(record, now_us), now_us, now_us))
             if record.status:
-                self.results.append(key)
+                self.result_keys.append(key)
         return expired
 
     def find(self, now_us: int, key: str) -> KeyRecord | None:
@@ -130,8 +130,8 @@
                 expired.append(key)
             else:
                 heapq.heappush(self.window_ends, (now_us + RECHECK_RUNNING_US, key))
-        while self.results and self.results[0] not in self.rows:
-            self.results.popleft()
+        while self.result_keys and self.result_keys[0] not in self.rows:
+            self.result_keys.popleft()
         return expired
 
     def _is_over(self, row: LedgerRow) -> bool:
@@ -163,8 +163,8 @@
 
     def drop_oldest_result(self) -> str | None:
         """Drop the oldest result and keep its record; return its key, None if there is none."""
-        while self.results:
-            key = self.results.popleft()
+        while self.result_keys:
+            key = self.result_keys.popleft()
             row = self.rows.get(key)
             if row is not None and row.stage is KeyStage.ENDED and row.record.status:
                 self._replace_record(row, row.record.without_result())
--- a/gullyoke/model_checking/key_ledger_world.py
+++ b/gullyoke/model_checking/key_ledger_world.py
@@ -163,7 +163,7 @@
         """Give what tells two states apart."""
         rows = [self._row_key(row) for row in self.ledger.rows.values()]
         writes = [
-            (self._record_key(write.record), write.number - self.ledger.writes)
+            (self._record_key(write.record), write.number - self.ledger.last_write_number)
             for write in self.writes
         ]
         return (
@@ -171,7 +171,7 @@
             writes,
             rows,
             len(self.ledger.writes_in_flight),
-            len(self.ledger.results),
+            len(self.ledger.result_keys),
             bool(self.ledger.unrecorded_runs),
             self.attempts,
             self.crashes,
@@ -267,5 +267,5 @@
 
     def _row_key(self, row: LedgerRow) -> tuple[object, ...]:
         overdue = self.now - row.write_started_us >= WRITE_TIMEOUT_US
-        number = row.last_write - self.ledger.writes
+        number = row.last_write - self.ledger.last_write_number
         return row.stage, row.end_reported, self._record_key(row.record), number, overdue
--- a/gullyoke/storage/group_commit.py
+++ b/gullyoke/storage/group_commit.py
@@ -66,7 +66,7 @@
     Args:
         store: The store that entries are put into.
         max_entries: How many entries may be queued.
-        group: How many entries a group may have.
+        group_size: How many entries a group may have.
         max_bytes: How many bytes may be pending.
         initial_batch: Entries to put before all others.
     """
@@ -75,12 +75,12 @@
         self,
         store: StoreT,
         max_entries: int = MAX_QUEUED_ENTRIES,
-        group: int = MAX_GROUP_ENTRIES,
+        group_size: int = MAX_GROUP_ENTRIES,
         max_bytes: int = MAX_PENDING_BYTES,
         initial_batch: Sequence[tuple[str, bytes | None]] = (),
     ) -> None:
         self.store = store
-        self.group = group
+        self.group_size = group_size
         self.max_bytes = max_bytes
         self.initial_batch = initial_batch
         self.queue: queue.Queue[Entry | None] = queue.Queue(max_entries)
@@ -144,7 +144,7 @@
 
     def _fill_batch(self, batch: list[Entry]) -> bool:
         """Add queued entries up to the size of a group; return whether `close` was called."""
-        while len(batch) < self.group:
+        while len(batch) < self.group_size:
             try:
                 entry = self.queue.get_nowait()
             except queue.Empty:
--- a/gullyoke/storage/store.py
+++ b/gullyoke/storage/store.py
@@ -58,7 +58,8 @@
         compacted_segments: How many segments were removed after their live records were copied.
         oldest_format: The oldest format among the segments.
         next_segment: The number of the next segment.
-        active: The number of the segment that is being written; None if the next write begins one.
+        active_segment: The number of the segment that is being written; None if the next write
+            begins one.
 
     Raises:
         OSError: The folder can't be read.
@@ -76,7 +77,7 @@
         self.dropped_bytes = 0
         self.faults = 0
         self.compacted_segments = 0
-        self.active: int | None = None
+        self.active_segment: int | None = None
         self.oldest_format = SEGMENT_FORMAT
         for name in files.list_files():
             if match := SEGMENT_NAME.fullmatch(name):
@@ -177,25 +178,27 @@
             # After a failed sync the kernel may have dropped the pages, and a second sync would
             # succeed without writing them (Rebello et al. 2020): close the segment.
             self.faults += 1
-            if self.active is not None:
+            if self.active_segment is not None:
                 self._close_active(size_bytes)
             raise StoreFaultedError(*error.args) from error
         self._index(records, packed, segment)
 
     def _ensure_segment(self, size_bytes: int) -> int:
         """Return the active segment; begin a new one if a batch would make it too large."""
-        if self.active is None or self.plan.needs_new_segment(self.active, size_bytes):
+        if self.active_segment is None or self.plan.needs_new_segment(
+            self.active_segment, size_bytes
+        ):
             return self._begin_segment()
-        return self.active
+        return self.active_segment
 
     def _begin_segment(self) -> int:
-        if self.active is not None:
+        if self.active_segment is not None:
             self._close_active(0)
         number = self.next_segment
         self.next_segment += 1
         self.files.create(segment_name(number))
         self.plan.add_segment(number)
-        self.active = number
+        self.active_segment = number
         header = segment_header()
         self.files.append(segment_name(number), header)  # synced with the first batch
         self.plan.add_dead_bytes(number, len(header))
@@ -204,11 +207,11 @@
 
     def _close_active(self, uncertain_bytes: int) -> None:
         """Close the active segment, which may have a number of uncertain bytes at its end."""
-        if self.active is None:
+        if self.active_segment is None:
             return
-        self.plan.add_dead_bytes(self.active, uncertain_bytes)
-        self.files.close_file(segment_name(self.active))
-        self.active = None
+        self.plan.add_dead_bytes(self.active_segment, uncertain_bytes)
+        self.files.close_file(segment_name(self.active_segment))
+        self.active_segment = None
 
     def _append_and_sync(self, segment: int, packed: Sequence[bytes]) -> None:
         name = segment_name(segment)
@@ -236,7 +239,7 @@
         """
         removed = 0
         while removed < max_segments:
-            oldest = self.plan.segment_to_compact(self.active, eager)
+            oldest = self.plan.segment_to_compact(self.active_segment, eager)
             if oldest is None:
                 break
             try:
--- a/tests/durability/test_rules.py
+++ b/tests/durability/test_rules.py
@@ -274,7 +274,7 @@
             take(ledger.end_run(now, running.pop(), 200, (), b"", False))
         self.assertEqual(asked, answered)
         ledger.expire(now + 60 * SECOND)
-        self.assertEqual((ledger.window_ends, len(ledger.results)), ([], 0))
+        self.assertEqual((ledger.window_ends, len(ledger.result_keys)), ([], 0))
         self.assertEqual(
             [row.stage for row in ledger.rows.values() if row.stage is not KeyStage.ABANDONED], []
         )
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -299,7 +299,7 @@
         for operation in ("append", "appended", "sync", "create"):
             files.fail = {operation: (0, 28)}
             if operation == "create":
-                store.active = None
+                store.active_segment = None
             with self.assertRaises(StoreFaultedError):
                 store.put([("a", b"2")])
             files.fail = {}
