--- a/gullyoke/membership/__init__.py
+++ b/gullyoke/membership/__init__.py
@@ -1,9 +1,9 @@
 """Group membership: which servers are in the fleet, and which of them are reachable.
 
 A SWIM-style protocol (Das, Gupta and Motivala 2002) with the observer rings of Rapid (Suresh et al.
-2018) and the local health of Lifeguard (Dadgar et al. 2018). The package holds decisions and state
-alone: it does no I/O, reads no clock and draws no randomness but what its caller hands in.
-docs/members-design.md says what was chosen and why; gullyoke/peer_transport puts it on sockets.
+2018) and the local health of Lifeguard (Dadgar et al. 2018). The package contains only state and
+decisions: it does no I/O, and the caller passes in the time and the source of randomness.
+docs/members-design.md explains the design; gullyoke/peer_transport connects it to sockets.
 """
 
 from gullyoke.membership.member import TICK_US, Member
--- a/gullyoke/membership/dissemination.py
+++ b/gullyoke/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""How a member's messages are sent: what they carry, and to whom updates go that do not wait."""
+"""Builds a member's messages, and sends urgent updates without waiting for the next probe."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     ViewDigests,
 )
 
-PUSH_FANOUT: Final = 3  # random members that a change of the view is sent to at once
-DRAWS_PER_MEMBER: Final = 3  # random draws for each member wanted, as some are drawn twice
+PUSH_FANOUT: Final = 3  # random members to which a change of the view is sent at once
+DRAWS_PER_MEMBER: Final = 3  # random draws per requested member, as some draws repeat
 
 
 class Piggyback(NamedTuple):
-    """What a message carries besides its own purpose; see `messages.Ping`."""
+    """Fields that most messages carry besides their own; see `messages.Ping`."""
 
     digest: int
     lost: int
@@ -33,10 +33,10 @@
     """Builds the member's messages and collects them to be sent.
 
     Attributes:
-        outgoing: The messages that nobody has taken yet.
-        ticks: The number of the present tick.
-        signal: The load signal to carry, of `SIGNAL_BITS` bits; None where there is none.
-        push_pending: Whether the view changed since the last push.
+        outgoing: The messages to be sent, until `take_outgoing` returns them.
+        ticks: The number of the current tick.
+        signal: The load signal to carry, of `SIGNAL_BITS` bits; None if there is none.
+        push_pending: Whether the view has changed since the last push.
     """
 
     def __init__(self, state: MemberState) -> None:
@@ -47,13 +47,13 @@
         self.push_pending = False
 
     def take_outgoing(self) -> list[OutgoingMessage]:
-        """Hand over the messages to be sent."""
+        """Return the messages to be sent, and clear the list."""
         outgoing = self.outgoing
         self.outgoing = []
         return outgoing
 
     def random_members(self, count: int, excluded: int = 0) -> list[MemberRecord]:
-        """Return up to `count` random members, without this one and `excluded`."""
+        """Return up to `count` random members other than this one and `excluded`."""
         state = self._state
         ids = state.view.ids
         if not ids:
@@ -68,7 +68,7 @@
         return list(found.values())
 
     def send(self, address: str, message: Message, to: int = 0) -> None:
-        """Send a message to an address, and to the member of the id `to` if that is known."""
+        """Queue a message to an address; `to` is the id of the member there, or 0 if unknown."""
         self.outgoing.append(OutgoingMessage(address, message, to))
 
     def send_ping(self, target: MemberRecord, seq: int) -> None:
@@ -77,25 +77,25 @@
         self.send(target.address, message, target.id)
 
     def send_untracked_ping(self, address: str) -> None:
-        """Probe another process of this member's own name; nothing waits for the answer."""
+        """Probe another process with this member's name; no probe state awaits the answer."""
         self.send(address, Ping(self._state.record, 0, 0, 0), self._state.id)
 
     def send_ping_request(self, helper: MemberRecord, seq: int, target: MemberRecord) -> None:
-        """Ask a helper to probe a member; load signals are not sent along."""
+        """Ask a helper to probe a member; the message carries no load signal."""
         message = PingRequest(self._state.record, seq, target, *self._piggyback())
         self.send(helper.address, message, helper.id)
 
     def send_ack(
         self, to: MemberRecord, seq: int, subject: int, first: tuple[Update, ...] = ()
     ) -> None:
-        """Answer a probe, with the updates `first` before all others."""
+        """Answer a probe; the updates in `first` go before all others."""
         message = Ack(
             self._state.record, seq, subject, *self._piggyback(first), self._packed_signal()
         )
         self.send(to.address, message, to.id)
 
     def send_gossip(self, member: int, first: tuple[Update, ...] = ()) -> None:
-        """Send updates to a member of the view at once, with `first` before all others."""
+        """Send updates to a member of the view at once; those in `first` go before all others."""
         record = self._state.view.records.get(member)
         if record is None or member == self._state.id:
             return
@@ -103,12 +103,12 @@
         self.send(record.address, message, member)
 
     def send_digests(self, peer: MemberRecord) -> None:
-        """Ask a peer for the records of the view that differ."""
+        """Ask a peer for the records in which its view differs from this one."""
         state = self._state
         self.send(peer.address, ViewDigests(state.record, tuple(state.view.buckets)), peer.id)
 
     def push(self) -> None:
-        """Send updates to a few random members if the view changed."""
+        """Send updates to a few random members if the view has changed since the last push."""
         if not self.push_pending:
             return
         self.push_pending = False
--- a/gullyoke/membership/gossip_queue.py
+++ b/gullyoke/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Updates that are still to be disseminated, piggybacked on whatever is sent anyway.
+"""The queue of updates to disseminate, piggybacked on messages that are sent anyway.
 
 As in SWIM (Das, Gupta and Motivala 2002, section 4.1) an update is carried a number of times that
 grows with the logarithm of the fleet's size, and those carried least often go first.
@@ -13,9 +13,9 @@
 
 from gullyoke.membership.member_record import MemberRecord, StatusUpdate, SuspicionReport, Update
 
-ROUNDS_PER_LOG2: Final = 3  # an update is carried so often, times log2 of the fleet's size
-DATAGRAM_BUDGET_BYTES: Final = 900  # updates in one datagram
-MAX_QUEUED_BYTES: Final = 64 * 1024  # beyond these the update carried most often is dropped
+ROUNDS_PER_LOG2: Final = 3  # an update is carried this many times log2 of the fleet's size
+DATAGRAM_BUDGET_BYTES: Final = 900  # for the updates in one datagram
+MAX_QUEUED_BYTES: Final = 64 * 1024  # beyond this the update carried most often is dropped
 
 RECORD_OVERHEAD_BYTES: Final = 44
 STATUS_UPDATE_BYTES: Final = 36
@@ -24,7 +24,7 @@
 
 
 def wire_size(update: Update) -> int:
-    """Return the bytes that an update takes in a datagram, rounded up."""
+    """Return an upper bound of the bytes that an update takes in a datagram."""
     if isinstance(update, MemberRecord):
         texts = len(update.name) + len(update.address) + len(update.zone)
         return RECORD_OVERHEAD_BYTES + texts
@@ -34,19 +34,19 @@
 
 
 def report_key(observer: int) -> Hashable:
-    """Return the key under which the report of an observer is queued."""
+    """Return the queue key of an observer's report."""
     return "report", observer
 
 
 def update_key(update: Update) -> Hashable:
-    """Return the key of an update; a newer update replaces an older one of the same key."""
+    """Return the queue key of an update; a newer update replaces one with the same key."""
     if isinstance(update, SuspicionReport):
         return report_key(update.observer)
     return update.id
 
 
 class QueuedUpdate(NamedTuple):
-    """An update, its size in bytes, and how often it was carried."""
+    """An update, its size in bytes, and the number of messages that carried it."""
 
     update: Update
     size_bytes: int
@@ -54,12 +54,12 @@
 
 
 class GossipQueue:
-    """The updates to be carried, the next one first.
+    """The updates to disseminate, the next one first.
 
     Attributes:
-        items: At most one for each member and one for each observer.
-        queued_bytes: The sum of their sizes.
-        dropped: How many were dropped for lack of space.
+        items: The updates by key: at most one about each member and one from each observer.
+        queued_bytes: The sum of the updates' sizes.
+        dropped: The number of updates dropped because the queue was full.
     """
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
         self.dropped = 0
 
     def add(self, update: Update) -> None:
-        """Put an update at the head of the queue, in place of an older one of its key."""
+        """Put an update at the head of the queue; it replaces one with the same key."""
         key = update_key(update)
         size_bytes = wire_size(update)
         self.discard(key)
@@ -80,7 +80,7 @@
             self.dropped += 1
 
     def discard(self, key: Hashable) -> None:
-        """Drop the update of a key, if there is one."""
+        """Remove the update with this key, if there is one."""
         old = self.items.pop(key, None)
         if old is not None:
             self.queued_bytes -= old.size_bytes
@@ -88,11 +88,11 @@
     def next_batch(
         self, members: int, budget_bytes: int = DATAGRAM_BUDGET_BYTES
     ) -> tuple[Update, ...]:
-        """Return the updates for one datagram; they count as carried once more.
+        """Return the updates for one datagram, and count each as carried once more.
 
         Args:
-            members: The fleet's size, on which it depends how often an update is carried.
-            budget_bytes: The bytes that the updates may take.
+            members: The fleet's size, which determines how often each update is carried.
+            budget_bytes: The maximum total size of the updates.
         """
         if not self.items:
             return ()
@@ -113,7 +113,7 @@
             if queued.size_bytes > budget_bytes:
                 if batch:
                     break
-                continue  # larger than a whole datagram's budget: it must not block the others
+                continue  # larger than a whole datagram's budget; it must not block the others
             budget_bytes -= queued.size_bytes
             batch.append((key, queued))
         return batch
--- a/gullyoke/membership/join_state.py
+++ b/gullyoke/membership/join_state.py
@@ -1,7 +1,7 @@
-"""How a member becomes part of the fleet, and what it does when it is not.
+"""The state of a member's own membership: joining, refutation, removal and rejoining.
 
-Joining by way of seeds, the version of its start, two processes under one name, refutation, and the
-return after a removal. This is state alone; gullyoke/membership/joining.py acts on it.
+Covers joining through seeds, the version of this start, two processes under one name, and the wait
+before rejoining after a removal. gullyoke/membership/joining.py sends the messages.
 """
 
 from __future__ import annotations
@@ -12,41 +12,41 @@
 
 from gullyoke.membership.member_record import MemberRecord, Status, start_version
 
-CONTACT_PERIOD_US: Final = 400_000  # between hellos to seeds at first, half of it random
-MAX_CONTACT_PERIOD_US: Final = 2_000_000  # it grows by half each time, up to this
+CONTACT_PERIOD_US: Final = 400_000  # first period between hellos to seeds; half of it is random
+MAX_CONTACT_PERIOD_US: Final = 2_000_000  # the period grows by half each time, up to this
 SEEDS_PER_CONTACT: Final = 2
-READ_VIEW_FOR_US: Final = 2_000_000  # the fleet's view is read for at most so long
-MAX_DIFFERING_BUCKETS: Final = 2  # with so few the view counts as read
-SETTLE_US: Final = 2_000_000  # probes have to succeed for so long after the first removal
-MAX_SETTLE_US: Final = 60_000_000  # it doubles with each removal, up to this
+READ_VIEW_FOR_US: Final = 2_000_000  # time limit for reading the fleet's view
+MAX_DIFFERING_BUCKETS: Final = 2  # the view counts as read if at most this many buckets differ
+SETTLE_US: Final = 2_000_000  # probes have to succeed this long after the first removal
+MAX_SETTLE_US: Final = 60_000_000  # the settle time doubles with each removal, up to this
 MAX_SETTLE_DOUBLINGS: Final = 6
-MAX_FAILING_SHARE: Final = 0.2  # of its probes while it settles
-REFUTE_PERIOD_US: Final = 500_000  # between two refutations
-MAX_REFUTE_PERIOD_US: Final = 8_000_000  # it doubles while accusations go on, up to this
-NAME_HOLDER_TIMEOUT_US: Final = 2_500_000  # for the other holder of its name to answer
+MAX_FAILING_SHARE: Final = 0.2  # of its own probes, for a removed member to settle
+REFUTE_PERIOD_US: Final = 500_000  # minimum between two refutations
+MAX_REFUTE_PERIOD_US: Final = 8_000_000  # the period doubles while accusations continue, up to this
+NAME_HOLDER_TIMEOUT_US: Final = 2_500_000  # for another process with this name to answer a probe
 RETRY_PERIOD_US: Final = 10_000_000  # between hellos once joined, or while the name is taken
 MAX_RECENT_ADDRESSES: Final = 32
 
 
 class JoinStage(Enum):
-    """The stages of a member; the values are what operators see."""
+    """The stages of a member; operators see the values."""
 
     ALONE = "alone"  # no other member has answered yet
     JOINING = "joining"  # the fleet's view is being read
     IN = "in"  # a member of the fleet
-    OUT = "out"  # removed by the others, and not settled yet
+    OUT = "out"  # removed by the others, and waiting to rejoin
     DISPLACED = "displaced"  # another process has its name
 
 
 class NameChallenge(NamedTuple):
-    """Another process that may have this member's name, and since when it is probed."""
+    """Another process that may have this member's name, and when probing it began."""
 
     holder: MemberRecord
     since_us: int
 
 
 class JoinState:
-    """A member's stage, its own record, and the times that belong to them.
+    """A member's stage, its own record, and the timers of joining and refuting.
 
     All times are in microseconds of the caller's clock.
 
@@ -54,9 +54,9 @@
         record: The member's own record.
         seeds: The configured seeds' addresses.
         stage: See `JoinStage`.
-        recent_addresses: Addresses of members known lately, contacted like seeds.
+        recent_addresses: Addresses of recently known members, contacted like seeds.
         known_version: The newest version of its name that other members knew before this start.
-        removals: How often it was removed.
+        removals: The number of times it was removed.
         next_contact_at: When the next hellos are due.
     """
 
@@ -83,14 +83,14 @@
         return self.stage is JoinStage.IN
 
     def is_inside(self) -> bool:
-        """Return whether the member takes part in gossip: it has joined, or reads the view."""
+        """Return whether the member takes part in gossip: it has joined or is reading the view."""
         return self.stage in (JoinStage.IN, JoinStage.JOINING)
 
     def contacts(self, now: int, live_addresses: set[str]) -> list[str]:
-        """Return the addresses to send a hello to now.
+        """Return the addresses to send a hello to now, and schedule the next contact.
 
-        A member that has joined still contacts the seeds that it does not see, now and then: two
-        fleets may have formed apart while no seed was up.
+        A member that has joined still contacts seeds that are not in its view: two separate fleets
+        may have formed while no seed was up.
 
         Args:
             now: The time in microseconds.
@@ -108,28 +108,28 @@
         return self.random.sample(addresses, min(SEEDS_PER_CONTACT, len(addresses)))
 
     def contacted_by(self, now: int, address: str) -> None:
-        """Contact another member soon that this one, being alone, did not know."""
+        """Contact an unknown member soon that sent a message while this member is alone."""
         if self.stage is not JoinStage.ALONE or address in self.recent_addresses:
             return
         self.recent_addresses = [*self.recent_addresses[-MAX_RECENT_ADDRESSES:], address]
         self.next_contact_at = min(self.next_contact_at, now)
 
     def seed_answered(self, now: int, known: MemberRecord | None) -> MemberRecord | None:
-        """Begin to read the fleet's view, as a member has answered.
+        """Begin to read the fleet's view after a member has answered a hello.
 
         Args:
             now: The time in microseconds.
-            known: What is known there of this member's name.
+            known: The record that the other member has under this member's name, if any.
 
         Returns:
-            This member's record from now on; None where nothing changes, or where another process
-            may have the name and is to be probed first.
+            This member's new record; None if nothing changes, or if another process may have the
+            name and has to be probed first.
         """
         if self.stage not in (JoinStage.ALONE, JoinStage.DISPLACED):
             return None
         if known is not None and known.incarnation != self.record.incarnation:
             self.known_version = max(self.known_version, known.version)
-            if self._name_may_be_in_use(now, known):
+            if self._await_name_holder(now, known):
                 return None
             if known.version >= self.record.version:  # an earlier start, on a clock that was ahead
                 self.raise_version_above(known.version)
@@ -140,9 +140,10 @@
         return self.record
 
     def name_holder_timed_out(self, now: int, holder: MemberRecord) -> bool:
-        """Return whether another holder of this name has had its time and never answered.
+        """Start the answer timeout for another holder of this name, or check the running one.
 
-        The first call for a holder begins that time.
+        Returns:
+            Whether the timeout for this holder has passed without an answer.
         """
         challenge = self._challenge
         if challenge is None or challenge.holder.incarnation != holder.incarnation:
@@ -151,25 +152,25 @@
         return now - challenge.since_us > NAME_HOLDER_TIMEOUT_US
 
     def raise_version_above(self, version: int) -> MemberRecord:
-        """Give this start a version above that one; return the record."""
+        """Raise this start's version above `version`; return the new record."""
         raised = start_version(0, self.record.version, version)
         self.record = self.record.with_status(self.record.status, raised)
         return self.record
 
     def name_holder_answered(self) -> None:
-        """Stay out of the fleet, as another process has the name."""
+        """Stay out of the fleet because another process has the name."""
         self._challenge = None
         self.stage = JoinStage.DISPLACED
 
     def finish_reading(self, now: int, differing: int) -> MemberRecord | None:
-        """Join the fleet if its view has been read, all but a few buckets or for long enough.
+        """Join the fleet if at most a few buckets of its view differ, or reading has timed out.
 
         Args:
             now: The time in microseconds.
-            differing: In how many buckets this member's view differs from a peer's.
+            differing: The number of buckets in which this member's view differs from a peer's.
 
         Returns:
-            This member's record from now on; None where it goes on reading, or is not reading.
+            This member's new record; None if it continues to read, or was not reading.
         """
         if self.stage is not JoinStage.JOINING:
             return None
@@ -178,17 +179,19 @@
         return self.join(now)
 
     def join(self, now: int) -> MemberRecord:
-        """Become a member of the fleet; return the record from now on."""
+        """Become a member of the fleet; return the new record."""
         self.stage = JoinStage.IN
         self.next_contact_at = now + RETRY_PERIOD_US
         self.record = self.record.with_status(Status.ALIVE)
         return self.record
 
     def should_refute(self, now: int) -> bool:
-        """Return whether to refute an accusation now.
+        """Begin a refutation if the member has joined and none was begun within the period.
+
+        The period doubles while accusations continue, as more refutations would not stop them.
 
-        The period doubles for a member that goes on being accused: its refutations carry no more
-        weight then.
+        Returns:
+            Whether a refutation was begun; the caller then calls `refute`.
         """
         elapsed = now - self._refuted_at
         if not self.has_joined() or elapsed < self._refute_period_us:
@@ -201,16 +204,16 @@
         return True
 
     def refute(self) -> MemberRecord:
-        """Return the record under the next version, which voids all suspicions of this one."""
+        """Raise the version by one, which voids all suspicions; return the new record."""
         self.record = self.record.with_status(self.record.status, self.record.version + 1)
         return self.record
 
     def removed(self, version: int, addresses: list[str]) -> None:
-        """Stay out for a while, as the others have removed this member.
+        """Leave the fleet, as the others have removed this member, until it has settled.
 
         Args:
             version: The version under which it was removed.
-            addresses: The addresses in its view, some of which are remembered.
+            addresses: The addresses in its view; a random sample is kept to rejoin by.
         """
         if self.stage is not JoinStage.OUT:
             self.stage = JoinStage.OUT
@@ -222,23 +225,23 @@
         self.record = self.record.with_status(Status.JOINING, max(self.record.version, version))
 
     def settle_time_us(self) -> int:
-        """Return for how long its probes have to succeed before it may come back.
+        """Return how long this member's probes have to succeed before it may rejoin.
 
-        Longer after each removal, so that a member on a bad link does not come and go.
+        The time grows with each removal, so that a member on a bad link does not keep rejoining.
         """
         doublings = min(self.removals - 1, MAX_SETTLE_DOUBLINGS)
         return min(SETTLE_US << doublings, MAX_SETTLE_US)
 
     def rejoin_if_settled(self, now: int, failing: float, deaf: bool) -> MemberRecord | None:
-        """Return to the fleet if this member was removed and has been well for long enough.
+        """Rejoin if this member was removed and its probes have succeeded for the settle time.
 
         Args:
             now: The time in microseconds.
             failing: The share of its probes that fail, from 0 to 1.
-            deaf: Whether it receives nothing at all.
+            deaf: Whether it receives no messages at all.
 
         Returns:
-            The record with which it joins again; None where it does not.
+            The record with which it rejoins; None if it does not.
         """
         if self.stage is not JoinStage.OUT:
             return None
@@ -263,7 +266,8 @@
         self.next_contact_at = now + half + self.random.randrange(half)
         self._contact_period_us = min(3 * self._contact_period_us // 2, MAX_CONTACT_PERIOD_US)
 
-    def _name_may_be_in_use(self, now: int, known: MemberRecord) -> bool:
+    def _await_name_holder(self, now: int, known: MemberRecord) -> bool:
+        """Return whether to wait for an answer of the process that `known` describes."""
         return (
             known.is_live()
             and known.address != self.record.address
--- a/gullyoke/membership/joining.py
+++ b/gullyoke/membership/joining.py
@@ -1,4 +1,4 @@
-"""Joining: contacts with seeds, the reading of the fleet's view, and two processes of one name."""
+"""Joining: contacting seeds, reading the fleet's view, and resolving duplicate names."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from gullyoke.membership.update_processing import UpdateProcessor
 from gullyoke.membership.view import BUCKETS
 
-MAX_HELLOS_PER_TICK: Final = 16  # answered; others that join at the same time try again
-RECORDS_PER_HELLO: Final = 6  # random members named in the answer to a hello
-READ_PERIOD_US: Final = 200_000  # between requests of a member that reads the fleet's view
+MAX_HELLOS_PER_TICK: Final = 16  # that are answered; the senders of others retry
+RECORDS_PER_HELLO: Final = 6  # random members' records in the answer to a hello
+READ_PERIOD_US: Final = 200_000  # between requests while reading the fleet's view
 
 
 class Joining:
@@ -31,14 +31,14 @@
         self._requested_at = 0
 
     def start_alone(self, now: int) -> None:
-        """Join at once, as the first member of a fleet: no seed but this member is configured."""
+        """Join at once as the first member of a fleet; for a member with no other seed."""
         join_state = self._state.join_state
         join_state.seed_answered(now, None)
         self._updates.adopt_own_record(now, join_state.record)
         self._updates.adopt_own_record(now, join_state.join(now))
 
     def tick_started(self) -> None:
-        """Allow `MAX_HELLOS_PER_TICK` answers again."""
+        """Reset the count of hellos, which limits the answers in one tick."""
         self._hellos_this_tick = 0
 
     def contact_seeds(self, now: int) -> None:
@@ -51,7 +51,7 @@
             self._dissemination.send(address, Hello(state.record))
 
     def read_view(self, now: int) -> None:
-        """Go on reading the fleet's view, or join when it has taken long enough."""
+        """Continue to read the fleet's view, or join if reading has timed out."""
         join_state = self._state.join_state
         if join_state.stage is not JoinStage.JOINING:
             return
@@ -64,7 +64,7 @@
                 self._dissemination.send_digests(peer)
 
     def hello_received(self, now: int, sender: MemberRecord) -> None:
-        """Answer with what is known of the sender's name, and with members that it may ask."""
+        """Answer with the record known for the sender's name, if any, and some members' records."""
         state = self._state
         join_state = state.join_state
         self._hellos_this_tick += 1
@@ -72,7 +72,7 @@
             return
         if join_state.stage in (JoinStage.OUT, JoinStage.DISPLACED):
             return
-        if sender.status is Status.ALIVE:  # of a fleet that formed apart
+        if sender.status is Status.ALIVE:  # from a fleet that formed separately
             self._updates.learn_sender(now, sender)
         join_state.contacted_by(now, sender.address)
         known = state.view.known(sender.id)
@@ -85,7 +85,7 @@
         self._dissemination.send(sender.address, answer, sender.id)
 
     def records_received(self, now: int, message: ViewRecords) -> None:
-        """Take over a peer's records, and join when the view has been read with them."""
+        """Merge a peer's records, and join if they complete the reading of the view."""
         join_state = self._state.join_state
         if join_state.stage is JoinStage.OUT:
             return
@@ -98,10 +98,10 @@
             self._reply_received(now, message)
 
     def namesake_received(self, now: int, other: MemberRecord) -> None:
-        """Handle a message of another process with this member's name.
+        """Handle a message from another process with this member's name.
 
-        A process that has joined keeps the name; of two that have, the one whose record ranks
-        higher.
+        A process that has joined keeps the name against one that is joining; of two that have
+        joined, the one whose record ranks higher keeps it.
         """
         state = self._state
         wins = other.status is Status.JOINING or state.record.rank() > other.rank()
@@ -112,14 +112,14 @@
             state.join_state.name_holder_answered()
 
     def _seed_answered(self, now: int, message: ViewRecords) -> bool:
-        """Return whether to read the fleet's view from now on."""
+        """Handle an answer to a hello; return whether this member begins to read the view."""
         state = self._state
         known = next((record for record in message.records if record.id == state.id), None)
         record = state.join_state.seed_answered(now, known)
         if record is not None:
             self._updates.adopt_own_record(now, record)
             return True
-        if known is not None:  # another process may have the name: is it there?
+        if known is not None:  # probes the process that may have the name
             self._dissemination.send_untracked_ping(known.address)
         return False
 
--- a/gullyoke/membership/local_health.py
+++ b/gullyoke/membership/local_health.py
@@ -1,9 +1,9 @@
 """How far a member trusts its own observations.
 
-It watches for pauses of its own process, for probes of its own that fail, and for how much of the
-fleet is lost. The idea is from Lifeguard (Dadgar et al. 2018): a member whose own probes fail is
-likely to be the one at fault. Unlike there, it does not wait longer before it suspects others, but
-reports that it is unsure and accuses nobody.
+It detects pauses of its own process, measures how many of its own probes fail, and estimates the
+share of the fleet that is lost. The idea is from Lifeguard (Dadgar et al. 2018): a member whose own
+probes fail is probably itself at fault. Unlike in Lifeguard, such a member does not lengthen its
+timeouts but reports that it is unsure, and its suspicions do not count.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from gullyoke.membership.messages import LOST_SCALE
 from gullyoke.membership.monitor_edge import MonitorEdge
 
-PAUSE_US: Final = 700_000  # so long between two ticks is a pause of the process
-CALM_AFTER_PAUSE_US: Final = 1_000_000  # nobody is accused for so long after one
-PROBE_FAILED_AFTER_US: Final = 500_000  # a probe unanswered for so long has failed
-PEER_REPORT_KEPT_US: Final = 1_500_000  # a peer's share of lost members counts for so long
+PAUSE_US: Final = 700_000  # a longer gap between two ticks is a pause of the process
+CALM_AFTER_PAUSE_US: Final = 1_000_000  # the member is unsure for this time after a pause
+PROBE_FAILED_AFTER_US: Final = 500_000  # a probe unanswered for longer has failed
+PEER_REPORT_KEPT_US: Final = 1_500_000  # older reports of peers do not count
 MAX_PEER_REPORTS: Final = 64
 REQUIRED_SEEN_SHARE: Final = 0.6  # of the fleet, to remove a member for its silence
-MAX_FAILING_SHARE: Final = 0.5  # of its own probes; beyond it a member is unsure
-OWN_WEIGHT: Final = 0.3  # of the own share of lost members in the averaged one
-PEERS_WEIGHT: Final = 0.7  # of the peers' median in it
+MAX_FAILING_SHARE: Final = 0.5  # of its own probes; above this a member is unsure
+OWN_WEIGHT: Final = 0.3  # weight of this member's own lost share in the average
+PEERS_WEIGHT: Final = 0.7  # weight of the median of all shares, the own one included
 
 
 class PeerReport(NamedTuple):
-    """What a peer last said of the fleet.
+    """A peer's last report of the fleet's state.
 
     Attributes:
         at_us: When it was received, in microseconds.
-        lost: The share of the fleet that it takes for lost, in 255ths.
-        same_view: Whether its view was the same as this member's.
+        lost: The share of the fleet that the peer considers lost, in 255ths.
+        same_view: Whether the peer's view was the same as this member's.
     """
 
     at_us: int
@@ -42,18 +42,19 @@
 
 
 class LocalHealth:
-    """The health of one member as it sees it itself.
+    """One member's assessment of its own health.
 
     All times are in microseconds of the caller's clock.
 
     Attributes:
-        ticked_at: The last tick.
-        woke_at: The end of the last pause of the process; at first, long enough before the start.
-        received_at: When a message of another member was last received.
-        peer_reports: The last report of each peer, the oldest sender dropped first.
+        ticked_at: When the last tick was.
+        woke_at: When the last pause of the process ended; initially `CALM_AFTER_PAUSE_US` before
+            the start, so that a new member is not unsure.
+        received_at: When a message from another member was last received.
+        peer_reports: The last report of each peer; the peer that was added first is dropped first.
         failing: The share of its own probes that fail, from 0 to 1.
-        lost: The share of the fleet taken for lost, from 0 to 1, averaged with the peers'.
-        deaf: Whether all its probes fail and no message comes.
+        lost: The share of the fleet that is considered lost, from 0 to 1, averaged with the peers'.
+        deaf: Whether all its probes fail and it receives no messages.
     """
 
     def __init__(self, now: int) -> None:
@@ -76,7 +77,7 @@
         return True
 
     def peer_reported(self, now: int, peer: int, lost: int, same_view: bool) -> None:
-        """Record what a peer's message says of the fleet; see `PeerReport`."""
+        """Record the report in a peer's message; see `PeerReport`."""
         self.received_at = now
         self.peer_reports[peer] = PeerReport(now, lost, same_view)
         if len(self.peer_reports) > MAX_PEER_REPORTS:
@@ -85,12 +86,12 @@
     def update(self, now: int, edges: Iterable[MonitorEdge]) -> None:
         """Compute `failing`, `lost` and `deaf` from the edges to this member's subjects.
 
-        The share of lost members is averaged with the peers', who have averaged theirs with others'
-        before, so that all members come to about the same one.
+        The share of lost members is averaged with the shares that peers report, which are averages
+        themselves, so that all members arrive at about the same share.
         """
         edges = list(edges)
         verdicts = [edge.verdict(now) for edge in edges]
-        # A refusal is an answer of the host there: neither this member's fault nor a lost member.
+        # A refusal is an answer from the subject's host: the probe is neither failing nor silent.
         failing = sum(
             verdict is not SuspicionKind.REFUSED
             and edge.unanswered_since is not None
@@ -100,12 +101,12 @@
         silent = sum(verdict is SuspicionKind.SILENT for verdict in verdicts)
         self.failing = failing / len(edges) if edges else 0.0
         self._forget_old_reports(now)
-        self.lost = self._averaged_lost(own_lost=silent / (len(edges) + 1))  # it sees itself
-        unheard = now - self.received_at > PROBE_FAILED_AFTER_US
-        self.deaf = bool(edges) and failing == len(edges) and unheard
+        self.lost = self._averaged_lost(own_lost=silent / (len(edges) + 1))  # 1 is this member
+        nothing_received = now - self.received_at > PROBE_FAILED_AFTER_US
+        self.deaf = bool(edges) and failing == len(edges) and nothing_received
 
     def unsure(self, now: int) -> bool:
-        """Return whether to accuse nobody: just resumed, or more than half of its probes fail."""
+        """Return whether its suspicions do not count: after a pause, or if most probes fail."""
         return now - self.woke_at < CALM_AFTER_PAUSE_US or self.failing > MAX_FAILING_SHARE
 
     def same_view_share(self) -> float:
@@ -116,20 +117,20 @@
         return same / len(self.peer_reports)
 
     def scaled_lost(self) -> int:
-        """Return the share of lost members in 255ths, as messages carry it."""
+        """Return the share of lost members in 255ths, the unit in messages."""
         return min(LOST_SCALE, round(self.lost * LOST_SCALE))
 
     def sees_most(self, multiply_suspected: int, removed: int, members: int) -> bool:
-        """Return whether enough of the fleet is seen to remove a member for its silence.
+        """Return whether enough of the fleet is reachable to remove a member for its silence.
 
-        Both the averaged share of lost members and the number of suspected ones have to be low, as
-        each comes late somewhere. Recent removals count as lost: otherwise one half of a partition
-        could remove the other one by one, each removal making the rest look like most.
+        Both the averaged share of lost members and the number of suspected members have to be low,
+        as either may rise late. Recent removals count as lost: otherwise one half of a partition
+        could remove the other half one by one, as each removal makes the rest a larger share.
 
         Args:
-            multiply_suspected: Members that two or more observers suspect.
-            removed: Members removed recently.
-            members: Members that are observed at present.
+            multiply_suspected: The number of members that two or more observers suspect.
+            removed: The number of recently removed members.
+            members: The number of members that are observed at present.
         """
         max_lost = 1 - REQUIRED_SEEN_SHARE
         return self.lost <= max_lost and multiply_suspected + removed <= max_lost * (
@@ -142,6 +143,6 @@
             del self.peer_reports[peer]
 
     def _averaged_lost(self, own_lost: float) -> float:
-        # The median, so that a few members which receive nothing and take all for lost don't count.
+        # The median is robust against a few members that receive nothing and consider all lost.
         shares = [own_lost, *(report.lost / LOST_SCALE for report in self.peer_reports.values())]
         return OWN_WEIGHT * own_lost + PEERS_WEIGHT * median(shares)
--- a/gullyoke/membership/member.py
+++ b/gullyoke/membership/member.py
@@ -1,8 +1,8 @@
 """One member: the entry points of the membership state machine.
 
-The caller hands in the time, in whole microseconds of any clock that does not go back, and sends
-what `Member.take_outgoing` returns. There is no I/O, no clock and no randomness but what is handed
-in: the same calls give the same messages.
+The caller passes in the time, in whole microseconds of any monotonic clock, and sends the messages
+that `Member.take_outgoing` returns. There is no I/O, and time and randomness come from the caller:
+the same calls give the same messages.
 """
 
 from __future__ import annotations
@@ -49,9 +49,9 @@
 class Member:
     """A member of the fleet, from its start to its end.
 
-    `tick` is called every `TICK_US` microseconds, `receive` for each authenticated message,
-    `connection_refused` where a host reports that nobody listens, and `leave` and `announce_left`
-    at the two ends of a drain.
+    The owner calls `tick` every `TICK_US` microseconds, `receive` for each authenticated message,
+    `connection_refused` when a host reports a closed port, and `leave` and `announce_left` at the
+    beginning and the end of a drain.
 
     Attributes:
         dissemination: Builds and collects the messages to send.
@@ -75,10 +75,10 @@
         Args:
             now: The time in microseconds.
             record: The member's own record, with the status `JOINING`.
-            seeds: Addresses of members to join by; without any but its own the member starts a
-                fleet.
+            seeds: Addresses of members to join through; if there are none but its own, the member
+                starts a fleet.
             random: The source of all randomness.
-            ring_count: The number of observers of each member; the same in the whole fleet.
+            ring_count: The number of observers per member; has to be the same in the whole fleet.
         """
         self._state = MemberState(now, record, seeds, random, ring_count)
         self.dissemination = Dissemination(self._state)
@@ -90,7 +90,7 @@
         if all(seed == record.address for seed in seeds):
             self.joining.start_alone(now)
 
-    # What is known, for other parts of the program.
+    # State, for other parts of the program.
 
     @property
     def id(self) -> int:
@@ -104,17 +104,17 @@
 
     @property
     def view(self) -> View:
-        """The members that this one knows, itself included."""
+        """The members that this one knows, including itself."""
         return self._state.view
 
     @property
     def join_state(self) -> JoinState:
-        """The stage that this member is at."""
+        """The stage and the own record of this member."""
         return self._state.join_state
 
     @property
     def local_health(self) -> LocalHealth:
-        """How far this member trusts its own observations."""
+        """This member's assessment of its own health."""
         return self._state.local_health
 
     @property
@@ -124,7 +124,7 @@
 
     @property
     def suspicions(self) -> SuspicionTally:
-        """The reports of all observers."""
+        """The suspicion reports of all observers."""
         return self._state.suspicions
 
     @property
@@ -139,12 +139,12 @@
 
     @property
     def listeners(self) -> list[Callable[[Change], None]]:
-        """Called with each change of the view; to be appended to."""
+        """Functions to call with each change of the view; callers append to it."""
         return self._updates.listeners
 
     @property
     def signal(self) -> int | None:
-        """The load signal that this member's messages carry; None where there is none."""
+        """The load signal that this member's messages carry; None if there is none."""
         return self.dissemination.signal
 
     @signal.setter
@@ -163,21 +163,21 @@
         )
 
     def state(self, now: int, record: MemberRecord) -> ObservedState:
-        """Return how a member of the view looks from here."""
+        """Return the state of a member of the view as this member observes it."""
         return self.removal.observed_state(now, record)
 
     # Entry points.
 
     def take_outgoing(self) -> list[OutgoingMessage]:
-        """Hand over the messages to be sent."""
+        """Return the messages to be sent, and clear the list."""
         return self.dissemination.take_outgoing()
 
     def adopt_view(self, view: View) -> None:
-        """Replace the view; for simulations that begin with a fleet that has come together."""
+        """Replace the view; for simulations that begin with a complete fleet."""
         self._state.view = view
 
     def tick(self, now: int) -> None:
-        """Do what is due at this time."""
+        """Do all work that is due now."""
         state = self._state
         if state.local_health.paused(now):
             self.removal.process_resumed()
@@ -198,7 +198,7 @@
         self._reconcile(now)
 
     def receive(self, now: int, message: MembershipMessage) -> None:
-        """Handle a message of another member, which has been authenticated."""
+        """Handle an authenticated message from another member."""
         sender = message.sender
         if sender.id == self.id:
             if sender.incarnation != self.record.incarnation:
@@ -217,16 +217,16 @@
             self._answer(now, message)
 
     def connection_refused(self, now: int, member: int) -> None:
-        """Record that a member's host reports that nobody listens at its address."""
+        """Record that a member's host reports a closed port at its address."""
         self.probing.connection_refused(now, member)
 
     def leave(self, now: int) -> None:
-        """Begin to leave: this member still answers, and all learn that it goes."""
+        """Begin to leave: announce it to the fleet, and keep answering messages."""
         if self._state.join_state.is_inside():
             self._updates.adopt_own_record(now, self.record.with_status(Status.LEAVING))
 
     def announce_left(self, now: int) -> None:
-        """Tell some members that this one has left; may be called several times, as the last."""
+        """Send some members the status `LEFT`; the last step, which may be repeated."""
         if not self._state.join_state.is_inside():
             return
         record = self.record.with_status(Status.LEFT)
@@ -237,7 +237,7 @@
     # Parts of a tick.
 
     def _rejoin_if_settled(self, now: int) -> None:
-        """Join again after a removal; the others' view is taken over, this one's is void."""
+        """Rejoin after a removal, once settled; this member's own view is discarded."""
         health = self._state.local_health
         record = self._state.join_state.rejoin_if_settled(now, health.failing, health.deaf)
         if record is not None:
@@ -253,7 +253,7 @@
         if peer is not None:
             self.dissemination.send_digests(peer)
 
-    # Parts of the handling of a message.
+    # Parts of handling a message.
 
     def _answer_digests(self, message: ViewDigests) -> None:
         state = self._state
@@ -264,7 +264,7 @@
             self.dissemination.send(sender.address, records, sender.id)
 
     def _take_in(self, now: int, message: UpdateCarrier, from_member: bool) -> None:
-        """Take in what a message says of the fleet, as far as this member's stage allows."""
+        """Apply a message's report and updates as far as this member's stage allows."""
         state = self._state
         sender = message.sender
         if from_member and state.join_state.is_inside():
--- a/gullyoke/membership/member_record.py
+++ b/gullyoke/membership/member_record.py
@@ -1,10 +1,10 @@
-"""What is known of one member: its record, the record's version, and updates of it.
+"""A member's record, the record's version, and the updates that change a record.
 
-A record's version never goes back. Its upper part is the start's: persisted on disk, or the clock's
-seconds, or one above what the others know, whichever is most. The lower part counts the member's
-own refutations; this is the incarnation number of SWIM (Das, Gupta and Motivala 2002). Of two
-records of one name the higher in (version, status, incarnation) wins, for all members and in any
-order of arrival.
+A record's version never decreases. Its upper bits identify the start of the process: the maximum of
+the clock's seconds, one above the persisted value, and one above the value that other members know.
+The lower bits count the member's own refutations, like the incarnation number of SWIM (Das, Gupta
+and Motivala 2002). Of two records with one name the one with the higher (version, status,
+incarnation) wins, for all members and in any order of arrival.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from hashlib import blake2b
 from typing import Final, NamedTuple
 
-REFUTATIONS_PER_START: Final = 1 << 20  # versions reserved for one start; the lower 20 bits
+REFUTATIONS_PER_START: Final = 1 << 20  # versions reserved for one start: the lower 20 bits
 HASH_BYTES: Final = 8
 CACHED_MEMBER_IDS: Final = 16384
 
 
 class Status(IntEnum):
-    """The statuses of a member, in the order in which one version goes through them.
+    """The statuses of a member, in the order in which a member passes through them.
 
-    A later one can't be taken back under the same version.
+    Under one version a status is never followed by an earlier one.
     """
 
     JOINING = 0
@@ -38,30 +38,30 @@
 class SuspicionKind(IntEnum):
     """Why an observer suspects a subject."""
 
-    SILENT = 1  # it answers no probe, direct or indirect
-    REFUSED = 2  # its host reports that nobody listens at its address
+    SILENT = 1  # the subject answers no probes, direct or indirect
+    REFUSED = 2  # the subject's host reports a closed port at its address
 
 
 def stable_hash(text: str) -> int:
-    """Return 64 bits of a text's hash, the same on every machine and in every release."""
+    """Return a 64-bit hash of a text, the same on every machine and in every release."""
     return int.from_bytes(blake2b(text.encode(), digest_size=HASH_BYTES).digest(), "big")
 
 
 @lru_cache(maxsize=CACHED_MEMBER_IDS)
 def member_id(name: str) -> int:
-    """Return the 64-bit id by which messages refer to the member of this name."""
+    """Return the 64-bit id by which messages refer to the member with this name."""
     return stable_hash(name)
 
 
 def start_version(seconds: int, persisted: int = 0, known: int = 0) -> int:
-    """Return the version with which a start begins.
+    """Return the first version of a start of the process.
 
-    Above both former versions, whatever the clock says: guards against a clock that goes back.
+    It is above both earlier versions even if the wall clock has gone back.
 
     Args:
         seconds: The wall clock, in whole seconds.
-        persisted: The version stored by the last start of this name; 0 where there is none.
-        known: The version that the other members know of this name; 0 where they know none.
+        persisted: The version stored by the last start of this name; 0 if there is none.
+        known: The version that other members know for this name; 0 if they know none.
     """
     start = max(
         seconds,
@@ -72,18 +72,18 @@
 
 
 class MemberRecord:
-    """A member as all see it; immutable, a change is another record.
+    """The description of a member that all members share; immutable.
 
     Attributes:
         id: The member's id, derived from its name.
         name: The member's unique name in the fleet.
         version: See the module's documentation.
         status: The member's status under this version.
-        address: Where datagrams to it are sent, as `host:port`.
-        zone: The failure domain that it runs in.
-        incarnation: A random id of this start of the process, which tells apart two processes
-            under one name.
-        digest: 64 bits over all fields; views are compared by the XOR of these.
+        address: The address for datagrams to the member, as `host:port`.
+        zone: The failure domain in which it runs.
+        incarnation: A random id of this start of the process, which distinguishes processes with
+            the same name.
+        digest: A 64-bit hash of all fields; views are compared by the XOR of these.
     """
 
     __slots__ = ("address", "digest", "id", "incarnation", "name", "status", "version", "zone")
@@ -101,15 +101,15 @@
         self.digest = stable_hash(f"{name} {version} {int(status)} {incarnation} {address} {zone}")
 
     def rank(self) -> tuple[int, int, int]:
-        """Return the key by which records of one name are ordered; the highest wins."""
+        """Return the key that orders records of one name; the highest wins."""
         return self.version, self.status, self.incarnation
 
     def is_live(self) -> bool:
-        """Return whether the member belongs to the view under this record."""
+        """Return whether a member with this record belongs to the view."""
         return self.status in LIVE_STATUSES
 
     def with_status(self, status: Status, version: int | None = None) -> MemberRecord:
-        """Return the same member under another status, and another version if one is given."""
+        """Return the record with another status, and with another version if one is given."""
         return MemberRecord(
             self.name,
             self.version if version is None else version,
@@ -131,15 +131,15 @@
 
 
 class StatusUpdate(NamedTuple):
-    """A new status of a member whose record is known; shorter than the record.
+    """A new status for a member whose record is known; smaller than the record.
 
     Attributes:
         id: The member's id.
-        version: The version under which the status holds.
+        version: The member's version to which the status applies.
         status: The new status.
-        decided_by: The id of the member that decided it.
-        accusing: How many eligible observers suspected it; 0 where there was no vote.
-        eligible: How many of its observers were eligible to suspect it.
+        decided_by: The id of the member that decided on the status.
+        accusing: The number of eligible observers that suspected it; 0 if none were counted.
+        eligible: The number of observers whose suspicions counted; 0 if none were counted.
     """
 
     id: int
@@ -151,12 +151,12 @@
 
 
 class Suspicion(NamedTuple):
-    """One observer's suspicion of a subject, valid for this version of it and no later one.
+    """One observer's suspicion of a subject; later versions of the subject void it.
 
     Attributes:
         id: The subject's id.
         version: The subject's version.
-        kind: Why it is suspected.
+        kind: Why the subject is suspected.
     """
 
     id: int
@@ -165,17 +165,17 @@
 
 
 class SuspicionReport(NamedTuple):
-    """All suspicions that one observer has at present.
+    """All current suspicions of one observer.
 
-    The newest report, by (`version`, `seq`), replaces the earlier ones of its observer, so that no
-    suspicion is ever withdrawn one by one.
+    The newest report, by (`version`, `seq`), replaces earlier ones from its observer, so single
+    suspicions are never withdrawn.
 
     Attributes:
         observer: The observer's id.
         version: The observer's own version.
-        seq: The number of the report within that version's start.
-        unsure: Whether the observer's local health is too poor for it to accuse anybody; the
-            report is then for information alone.
+        seq: The sequence number of the report since the observer's start.
+        unsure: Whether the observer's local health is so poor that its suspicions do not count;
+            the report is then for information only.
         suspicions: One for each suspected subject.
     """
 
--- a/gullyoke/membership/member_state.py
+++ b/gullyoke/membership/member_state.py
@@ -1,4 +1,4 @@
-"""What one member knows; the modules that act on it share one `MemberState`."""
+"""The state of one member, shared by the modules that act on it."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     Attributes:
         id: The member's own id.
         random: The only source of randomness.
-        view: The members that it knows, itself included.
+        view: The members that it knows, including itself.
         join_state: Its stage and its own record.
         local_health: How far it trusts its own observations.
-        edges: The edges to its subjects, by their ids.
-        suspicions: The reports of all observers.
-        gossip: Updates to be disseminated.
-        reconciliation: When to reconcile the view with a peer's.
+        edges: The edges to its subjects, by the subjects' ids.
+        suspicions: The suspicion reports of all observers.
+        gossip: The updates to disseminate.
+        reconciliation: When to reconcile the view with a peer's view.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         return self.join_state.record
 
     def reset_view(self, now: int, record: MemberRecord) -> None:
-        """Drop all that is known of the others, under a new record of this member's own."""
+        """Discard all state about other members, and start over with a new own record."""
         self.view.clear_except(self.id)
         self.suspicions = SuspicionTally()
         self.gossip = GossipQueue()
--- a/gullyoke/membership/messages.py
+++ b/gullyoke/membership/messages.py
@@ -1,8 +1,8 @@
 """The messages that members exchange.
 
-Each message carries its sender's record, so that no member is addressed by one it does not know,
-and most carry what the sender thinks of the fleet: its view's digest, and the share of the fleet
-that it takes for lost. gullyoke/peer_transport/codec.py has their form in bytes.
+Each message carries its sender's record, so that the receiver always knows the sender. Most also
+carry the digest of the sender's view and the share of the fleet that the sender considers lost.
+gullyoke/peer_transport/codec.py encodes them.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 from gullyoke.membership.member_record import MemberRecord, Update
 
 LOST_SCALE: Final = 255  # `lost` is a share in 255ths
-SIGNAL_BITS: Final = 14  # bits of the load signal; the tick in which it was sent is above them
+SIGNAL_BITS: Final = 14  # bits of the load signal; the sender's tick is in the bits above
 
 
 class Ping(NamedTuple):
-    """A probe: are you there?
+    """A probe, to be answered with an `Ack`.
 
     Attributes:
         sender: The sender's record.
-        seq: The probe's sequence number, which the answer repeats; 0 where no answer is tracked.
+        seq: The probe's sequence number, which the answer repeats; 0 if no answer is tracked.
         digest: The digest of the sender's view.
-        lost: The share of the fleet that the sender takes for lost, in 255ths.
+        lost: The share of the fleet that the sender considers lost, in 255ths.
         updates: Piggybacked updates.
-        signal: The sender's load signal with its tick above `SIGNAL_BITS`; 0 where it sends none.
-            Membership only carries it.
+        signal: The sender's load signal, with its tick above `SIGNAL_BITS`; 0 if there is none.
+            Membership passes it on without reading the signal itself.
     """
 
     sender: MemberRecord
@@ -37,12 +37,12 @@
 
 
 class Ack(NamedTuple):
-    """The answer to a probe: `subject` is there.
+    """The answer to a probe: `subject` is reachable.
 
     Attributes:
         sender: The sender's record.
         seq: The sequence number of the probe.
-        subject: The id of the member that is there: the sender, or one that it probed for another.
+        subject: The id of the probed member: the sender, or a member that the sender probed.
         digest: As in `Ping`.
         lost: As in `Ping`.
         updates: As in `Ping`.
@@ -63,7 +63,7 @@
 
     Attributes:
         sender: The sender's record.
-        seq: The sequence number under which the answer comes back.
+        seq: The sequence number that the answer has to carry.
         target: The record of the member to probe.
         digest: As in `Ping`.
         lost: As in `Ping`.
@@ -81,7 +81,7 @@
 
 
 class Gossip(NamedTuple):
-    """Updates that do not wait for the next probe; fields as in `Ping`."""
+    """Updates sent without a probe; fields as in `Ping`."""
 
     sender: MemberRecord
     digest: int
@@ -91,13 +91,13 @@
 
 
 class Hello(NamedTuple):
-    """From a member that wants to join, or that looks for members it does not know."""
+    """A request for records, from a member that wants to join or to find unknown members."""
 
     sender: MemberRecord
 
 
 class ViewDigests(NamedTuple):
-    """The digests of the sender's view, one for each bucket: send me the buckets that differ."""
+    """The digests of the sender's view by bucket; asks for the records of differing buckets."""
 
     sender: MemberRecord
     buckets: tuple[int, ...]
@@ -108,10 +108,10 @@
 
     Attributes:
         sender: The sender's record.
-        parts: The index and the digest of each bucket whose records are complete with this message.
+        parts: The index and the digest of each bucket whose records this message completes.
         records: The records.
         is_reply: Whether this answers a `ViewDigests` or a `Hello`.
-        differing: In how many buckets the two views differ altogether.
+        differing: The number of buckets in which the two views differ.
     """
 
     sender: MemberRecord
@@ -122,12 +122,12 @@
 
 
 class TopicMessage(NamedTuple):
-    """A message of another service on the members' transport; membership never sees it.
+    """A message of another service on the same transport; membership never handles it.
 
     Attributes:
         sender: The sender's record.
-        topic: The number of the service.
-        body: The message, in that service's own form.
+        topic: The service's number.
+        body: The message in that service's own encoding.
     """
 
     sender: MemberRecord
@@ -144,9 +144,9 @@
     """One datagram to be sent.
 
     Attributes:
-        address: Where to, as `host:port`.
+        address: The destination, as `host:port`.
         message: The message.
-        to: The id of the member that is expected there; 0 where it is not known.
+        to: The id of the member expected at the address; 0 if unknown.
     """
 
     address: str
--- a/gullyoke/membership/monitor_edge.py
+++ b/gullyoke/membership/monitor_edge.py
@@ -1,10 +1,10 @@
-"""One observer's view of one subject: when it is probed, and what its silence amounts to.
+"""One observer's record of one subject: when to probe it, and whether to suspect it.
 
-A healthy subject is probed every `PROBE_PERIOD_US`. From the first probe that is not answered on,
-it is probed more often, and by other members too (the indirect probes of SWIM, Das, Gupta and
-Motivala 2002), which distinguishes lost datagrams from silence. The time without an answer counts
-from that first probe, never from the last answer: a subject that was paused just after an answer
-has the whole time to come back.
+A healthy subject is probed every `PROBE_PERIOD_US`. Once a probe is unanswered, the subject is
+probed more often, and by other members too (the indirect probes of SWIM, Das, Gupta and Motivala
+2002), which distinguishes lost datagrams from silence. The time without an answer counts from the
+first unanswered probe, not from the last answer: a subject that was paused just after an answer has
+the whole time to resume.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 from gullyoke.membership.member_record import SuspicionKind
 
-PROBE_PERIOD_US: Final = 800_000  # between probes while all is well
-MIN_ACK_TIMEOUT_US: Final = 200_000  # within which an answer is due, or more by the round trips
+PROBE_PERIOD_US: Final = 800_000  # between probes of a subject that answers
+MIN_ACK_TIMEOUT_US: Final = 200_000  # or ROUND_TRIPS_PER_ACK_TIMEOUT round trips, if longer
 ROUND_TRIPS_PER_ACK_TIMEOUT: Final = 4
-RETRY_PERIOD_US: Final = 250_000  # between probes while there is no answer
-SILENT_AFTER_US: Final = 1_500_000  # without any answer it counts as silent
-SILENT_AFTER_PROBES: Final = 4  # of at least so many probes
-REFUSED_AFTER_COUNT: Final = 2  # so many refusals make it refused
-REFUSED_AFTER_US: Final = 150_000  # over at least so long
-SLOW_DOWN_AFTER_US: Final = 10_000_000  # silent for so long it is probed at PROBE_PERIOD_US again
+RETRY_PERIOD_US: Final = 250_000  # between probes of a subject that does not answer
+SILENT_AFTER_US: Final = 1_500_000  # a subject is silent after this time without an answer
+SILENT_AFTER_PROBES: Final = 4  # and at least this many unanswered probes
+REFUSED_AFTER_COUNT: Final = 2  # a subject is refused after this many refusals
+REFUSED_AFTER_US: Final = 150_000  # and this time since the first of them
+SLOW_DOWN_AFTER_US: Final = 10_000_000  # without answers; then PROBE_PERIOD_US applies again
 MAX_OUTSTANDING_PROBES: Final = 16  # remembered; the oldest is forgotten first
-ROUND_TRIP_GAIN: Final = 8  # a new round trip counts for one part in so many of the average
+ROUND_TRIP_GAIN: Final = 8  # a new measurement has the weight 1 / ROUND_TRIP_GAIN in the average
 
 
 class MonitorEdge:
-    """The edge from an observer to one subject in the monitoring graph of Rapid.
+    """The edge from an observer to a subject in the monitoring graph of Rapid.
 
     All times are in microseconds of the caller's clock.
 
@@ -35,15 +35,14 @@
         id: The subject's id.
         next_probe_at: When the next probe is due.
         last_probe_at: When the last probe was sent.
-        outstanding: When each unanswered probe was sent, by its sequence number; emptied by any
-            answer.
-        unanswered_since: When the first probe since the last answer was sent; None where no probe
-            is unanswered.
-        unanswered_probes: Probes since the last answer.
-        last_direct_ack_at: When it last answered by itself, not by way of another member.
-        refusals: Refusals since the last answer.
-        first_refusal_at: When the first of these came.
-        round_trip_us: The smoothed round trip; 0 before the first one is measured.
+        outstanding: When each unanswered probe was sent, by sequence number; any answer clears it.
+        unanswered_since: When the first probe since the last answer was sent; None if no probe is
+            unanswered.
+        unanswered_probes: The number of probes since the last answer.
+        last_direct_ack_at: When the subject last answered directly, not through another member.
+        refusals: The number of refusals since the last answer.
+        first_refusal_at: When the first of these refusals was received.
+        round_trip_us: The smoothed round-trip time; 0 before the first measurement.
     """
 
     __slots__ = (
@@ -72,7 +71,7 @@
         self.round_trip_us = 0
 
     def should_probe(self, now: int) -> bool:
-        """Return whether the subject is to be probed now."""
+        """Return whether the next probe is due."""
         return now >= self.next_probe_at
 
     def probe_sent(self, now: int, seq: int) -> None:
@@ -85,11 +84,11 @@
         if self.unanswered_since is None:
             self.unanswered_since = now
         long_silent = now - self.unanswered_since > SLOW_DOWN_AFTER_US
-        calm = self.unanswered_probes == 1 or long_silent
-        self.next_probe_at = now + (PROBE_PERIOD_US if calm else RETRY_PERIOD_US)
+        normal_period = self.unanswered_probes == 1 or long_silent
+        self.next_probe_at = now + (PROBE_PERIOD_US if normal_period else RETRY_PERIOD_US)
 
     def check_overdue(self, now: int) -> bool:
-        """Return whether an answer is overdue; the next probe is then brought forward."""
+        """Bring the next probe forward if an answer is overdue; return whether it is overdue."""
         if self.unanswered_since is None:
             return False
         waited = now - self.unanswered_since
@@ -102,12 +101,12 @@
         return True
 
     def ack_received(self, now: int, seq: int, direct: bool = True) -> None:
-        """Record an answer; any one shows that the subject is there now, a late one too.
+        """Record an answer; even a late one shows that the subject is reachable now.
 
         Args:
             now: The time in microseconds.
-            seq: The probe that is answered, which may be forgotten already.
-            direct: Whether the subject itself sent the answer, not a member that relayed it.
+            seq: The sequence number of the answered probe, which may be forgotten already.
+            direct: Whether the subject itself sent the answer; False if a member relayed it.
         """
         if direct:
             self.last_direct_ack_at = now
@@ -117,22 +116,22 @@
         self._set_healthy(max(now, self.last_probe_at + PROBE_PERIOD_US))
 
     def reset(self, now: int) -> None:
-        """Forget what went unanswered; the subject is probed at once."""
+        """Forget unanswered probes, and probe the subject at once."""
         self.last_direct_ack_at = now
         self._set_healthy(now)
 
     def refusal_received(self, now: int) -> None:
-        """Record that its host refused a datagram, or that another member has its address."""
+        """Record that the subject's host refused a datagram, or another member has its address."""
         if not self.refusals:
             self.first_refusal_at = now
         self.refusals += 1
 
     def is_cut_off(self, now: int) -> bool:
-        """Return whether the subject answers others and not this observer."""
+        """Return whether the last direct answer is too old, even if relayed answers arrive."""
         return now - self.last_direct_ack_at > PROBE_PERIOD_US + SILENT_AFTER_US
 
     def verdict(self, now: int) -> SuspicionKind | None:
-        """Return why the subject is to be suspected, or None where it is not."""
+        """Return why the subject is to be suspected; None if it is not."""
         if self.refusals >= REFUSED_AFTER_COUNT and now - self.first_refusal_at >= REFUSED_AFTER_US:
             return SuspicionKind.REFUSED
         if (
--- a/gullyoke/membership/observer_rings.py
+++ b/gullyoke/membership/observer_rings.py
@@ -1,10 +1,9 @@
-"""Who observes whom, computed from the view alone.
+"""The assignment of observers to members, computed from the view alone.
 
-There are `ring_count` rings, each with all members in a pseudo-random order of its own. On each
-ring a member is observed by its predecessor and observes its successor: the expander graph of Rapid
-(Suresh et al. 2018). Equal views give equal observers without any message, and a member that joins
-or leaves changes `ring_count` pairs and no others. In a fleet of at most `ring_count` + 1 members
-all observe each other.
+There are `ring_count` rings, each with all members in its own pseudo-random order. On each ring a
+member observes its successor: the expander graph of Rapid (Suresh et al. 2018). Equal views give
+equal observers without any message. A member that joins or leaves changes only the pairs next to it
+on each ring. In a fleet of at most `ring_count` + 1 members all observe each other.
 """
 
 from __future__ import annotations
@@ -17,12 +16,12 @@
 
 CACHED_POSITIONS: Final = 1 << 17
 
-RingPosition = tuple[int, int]  # the hash that orders a ring, and the member's id
+RingPosition = tuple[int, int]  # the hash that orders the ring, and the member's id
 
 
 @lru_cache(maxsize=CACHED_POSITIONS)
 def ring_position(ring: int, member: int) -> RingPosition:
-    """Return where a member stands on a ring."""
+    """Return a member's position on a ring."""
     return stable_hash(f"{ring} {member}"), member
 
 
@@ -31,8 +30,8 @@
 
     Attributes:
         ring_count: The number of rings.
-        version: Counts the changes, so that users see whether they have to look again.
-        rings: Each ring's positions in order.
+        version: Counts changes, so that callers can tell whether derived data is out of date.
+        rings: The sorted positions of each ring.
         members: The ids on the rings.
     """
 
@@ -46,7 +45,7 @@
         return len(self.members)
 
     def copy(self) -> ObserverRings:
-        """Return equal rings that change apart from these."""
+        """Return an independent copy."""
         other = ObserverRings(self.ring_count)
         other.version = self.version
         other.rings = [list(ring) for ring in self.rings]
@@ -54,7 +53,7 @@
         return other
 
     def add(self, member: int) -> None:
-        """Put a member on each ring, unless it is there already."""
+        """Add a member to each ring, unless it is there already."""
         if member in self.members:
             return
         self.members.add(member)
@@ -63,7 +62,7 @@
             insort(ring, ring_position(index, member))
 
     def remove(self, member: int) -> None:
-        """Take a member off each ring, if it is there."""
+        """Remove a member from each ring, if it is there."""
         if member not in self.members:
             return
         self.members.discard(member)
@@ -72,11 +71,11 @@
             del ring[bisect_left(ring, ring_position(index, member))]
 
     def observers(self, member: int) -> set[int]:
-        """Return the ids of those that observe a member; none where it is not on the rings."""
+        """Return the ids of a member's observers; empty if it is not on the rings."""
         return self._neighbours(member, -1)
 
     def subjects(self, member: int) -> set[int]:
-        """Return the ids of those that a member observes; none where it is not on the rings."""
+        """Return the ids of the members that a member observes; empty if it is not on the rings."""
         return self._neighbours(member, 1)
 
     def _neighbours(self, member: int, step: int) -> set[int]:
--- a/gullyoke/membership/probing.py
+++ b/gullyoke/membership/probing.py
@@ -1,7 +1,7 @@
-"""Probes: of this member's own subjects, and for other members.
+"""Probes of this member's own subjects, and probes on behalf of other members.
 
-As in SWIM (Das, Gupta and Motivala 2002) a subject whose answer is overdue is probed by way of
-other members too. Whom a member probes is given by the observer rings.
+As in SWIM (Das, Gupta and Motivala 2002) a subject whose answer is overdue is also probed through
+other members. The observer rings determine which subjects a member probes.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from gullyoke.membership.messages import Ack, PingRequest
 from gullyoke.membership.monitor_edge import PROBE_PERIOD_US, MonitorEdge
 
-HELPERS: Final = 2  # members asked to probe a subject whose answer is overdue
-MAX_RELAYS: Final = 128  # probes remembered, own and for others; the oldest is forgotten first
+HELPERS: Final = 2  # members that are asked to probe a subject whose answer is overdue
+MAX_RELAYS: Final = 128  # remembered relays, and remembered targets; the oldest is dropped first
 NO_RING_VERSION: Final = -1
 
 
 class Relay(NamedTuple):
-    """A probe for another member.
+    """A probe on behalf of another member.
 
     Attributes:
-        requester: Who asked for it.
-        seq: The sequence number under which the requester expects the answer.
-        target: The id of the member that is probed.
+        requester: The member that requested the probe.
+        seq: The sequence number that the requester expects in the answer.
+        target: The id of the probed member.
     """
 
     requester: MemberRecord
@@ -37,8 +37,8 @@
     """Sends probes and handles their answers.
 
     Attributes:
-        relays: The probes for others that were not answered yet, by this member's sequence number.
-        targets: Whom each recent probe went to, by its sequence number.
+        relays: The unanswered probes on behalf of others, by this member's sequence number.
+        targets: The id of the member that each recent probe was sent to, by sequence number.
     """
 
     def __init__(self, state: MemberState, dissemination: Dissemination) -> None:
@@ -52,17 +52,17 @@
     def process_resumed(self, now: int) -> None:
         """Probe all subjects at once after a pause of this process.
 
-        What went unanswered during the pause does not count.
+        Probes that went unanswered during the pause do not count.
         """
         for edge in self._state.edges.values():
             edge.reset(now)
 
     def rings_reset(self) -> None:
-        """Match the subjects again at the next tick."""
+        """Recompute the subjects at the next `match_subjects`."""
         self._matched_rings = NO_RING_VERSION
 
     def match_subjects(self, now: int) -> None:
-        """Make the edges those that the rings give, if the rings changed."""
+        """Update the edges to the rings' assignment if the rings have changed."""
         state = self._state
         rings = state.view.rings
         if self._matched_rings == rings.version or not state.join_state.has_joined():
@@ -76,7 +76,7 @@
             state.edges[member] = MonitorEdge(member, first_probe_at)
 
     def probe_subjects(self, now: int) -> None:
-        """Probe the subjects whose time has come, those in doubt by way of helpers too."""
+        """Send the probes that are due; for overdue subjects also through helpers."""
         for edge in self._state.edges.values():
             overdue = edge.check_overdue(now)
             if not edge.should_probe(now):
@@ -92,7 +92,7 @@
                     self._dissemination.send_ping_request(helper, seq, target)
 
     def relay_probe(self, sender: MemberRecord, request: PingRequest) -> None:
-        """Probe a member for another one."""
+        """Probe a member on behalf of the sender."""
         seq = self._next_seq(request.target.id)
         self.relays[seq] = Relay(sender, request.seq, request.target.id)
         if len(self.relays) > MAX_RELAYS:
@@ -100,7 +100,7 @@
         self._dissemination.send_ping(request.target, seq)
 
     def answer(self, to: MemberRecord, seq: int, subject: int) -> None:
-        """Answer a probe; a member that counts as departed learns that first."""
+        """Answer a probe; a prober that counts as departed receives that update first."""
         departed = self._state.view.departed.get(to.id)
         first: tuple[StatusUpdate, ...] = ()
         if departed is not None and departed.record.rank() >= to.rank():
@@ -109,7 +109,7 @@
         self._dissemination.send_ack(to, seq, subject, first)
 
     def ack_received(self, now: int, sender: MemberRecord, ack: Ack) -> None:
-        """Hand an answer on to who asked for it, and count it for this member's own subject."""
+        """Relay an answer to its requester, and record it if it is from an own subject."""
         relay = self.relays.pop(ack.seq, None)
         if relay is not None and relay.target == ack.subject:
             self.answer(relay.requester, relay.seq, ack.subject)
@@ -121,10 +121,10 @@
         if target == ack.subject:
             edge.ack_received(now, ack.seq, direct)
         elif direct and self._has_address(target, sender.address):
-            edge.refusal_received(now)  # another member has that address now
+            edge.refusal_received(now)  # another member now has the subject's address
 
     def connection_refused(self, now: int, member: int) -> None:
-        """Record that a member's host reports that nobody listens at its address."""
+        """Record that a member's host reports a closed port at its address."""
         edge = self._state.edges.get(member)
         if edge is not None:
             edge.refusal_received(now)
--- a/gullyoke/membership/reconciliation.py
+++ b/gullyoke/membership/reconciliation.py
@@ -1,7 +1,7 @@
-"""Reconciliation of two views that differ: only the buckets that differ are sent.
+"""Reconciliation of two views: an anti-entropy exchange of the buckets that differ.
 
-An anti-entropy exchange: one member sends the digests of its buckets, the other answers with the
-records of those that differ, and the first sends back what is missing there.
+One member sends the digests of its buckets, the other answers with the records of the buckets that
+differ, and the first sends back the records that the other lacks.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from gullyoke.membership.messages import ViewRecords
 from gullyoke.membership.view import BUCKETS, View
 
-DATAGRAM_BUDGET_BYTES: Final = 950  # records in one datagram
+DATAGRAM_BUDGET_BYTES: Final = 950  # for the records in one datagram
 PART_BYTES: Final = 8  # a bucket's index and digest in a datagram
 MAX_DATAGRAMS: Final = 6  # in answer to one message
 MIN_INTERVAL_US: Final = 1_000_000  # between two exchanges that this member begins
-GRACE_US: Final = 700_000  # views may differ for so long: gossip usually makes them equal
+GRACE_US: Final = 700_000  # before an exchange, as gossip usually makes the views equal
 
 
 class ReconciliationSchedule:
     """When to begin an exchange, and with which peer. All times are in microseconds.
 
     Attributes:
-        differs_since: Since when peers' views differ from this member's; None where the last one
-            was the same.
-        last_at: When the last exchange was begun.
+        differs_since: When a peer's view first differed from this member's; None if the last
+            reported view was the same.
+        last_at: When this member began the last exchange.
         peer: The id of the last peer whose view differed.
     """
 
@@ -47,7 +47,7 @@
             self.differs_since = now
 
     def begin_if_needed(self, now: int) -> bool:
-        """Return whether to begin an exchange with `peer` now, and count it as begun."""
+        """Record the beginning of an exchange with `peer` if one is due; return whether it is."""
         if (
             self.differs_since is None
             or now - self.differs_since < GRACE_US
@@ -70,7 +70,7 @@
 ) -> list[ViewRecords]:
     """Return the answer to a peer whose view has these digests.
 
-    It begins at a random one of the buckets that differ, so that a member which asks several peers
+    The answer starts at a random differing bucket, so that a member which asks several peers
     receives different buckets from each.
     """
     differing = differing_buckets(view, digests)
@@ -83,9 +83,7 @@
 def missing_records(
     sender: MemberRecord, view: View, parts: Sequence[tuple[int, int]]
 ) -> list[ViewRecords]:
-    """Return what the peer that sent these buckets does not have.
-
-    These are the buckets that still differ after its records were merged.
+    """Return the records of the buckets that still differ after a peer's records were merged.
 
     Args:
         sender: This member's record.
@@ -101,10 +99,10 @@
 def pack_buckets(
     sender: MemberRecord, view: View, buckets: Sequence[int], is_reply: bool
 ) -> list[ViewRecords]:
-    """Return the records of these buckets in as few messages as they need.
+    """Return the records of these buckets in as few messages as possible.
 
-    At most `MAX_DATAGRAMS`; what does not fit is left to the next exchange. A bucket that needs
-    several messages is named in the last of them.
+    There are at most `MAX_DATAGRAMS`; records that do not fit wait for the next exchange. A bucket
+    that takes several messages is listed in the `parts` of the last of them.
     """
     packer = _Packer(sender, is_reply, len(buckets))
     for index in buckets:
@@ -116,7 +114,7 @@
 
 
 class _Packer:
-    """Fills messages with records, each up to the budget of a datagram."""
+    """Fills messages with records, each up to `DATAGRAM_BUDGET_BYTES`."""
 
     def __init__(self, sender: MemberRecord, is_reply: bool, differing: int) -> None:
         self.sender = sender
@@ -126,7 +124,7 @@
         self._start_message()
 
     def add_record(self, record: MemberRecord) -> bool:
-        """Add a record; return False where the messages are full without it."""
+        """Add a record; return False if it does not fit into `MAX_DATAGRAMS` messages."""
         size_bytes = wire_size(record)
         if size_bytes > self.left_bytes:
             self._end_message()
@@ -138,7 +136,7 @@
         return True
 
     def complete_bucket(self, index: int, digest: int) -> None:
-        """Name a bucket whose records were all added."""
+        """List a bucket as complete after all its records were added."""
         self.parts.append((index, digest))
         self.left_bytes -= PART_BYTES
 
--- a/gullyoke/membership/removal.py
+++ b/gullyoke/membership/removal.py
@@ -1,4 +1,4 @@
-"""Suspicion of silent subjects, and the removal of members; suspicion_tally.py has the rule."""
+"""Reports of suspicions, and the removal of members by the rule in suspicion_tally.py."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 from gullyoke.membership.suspicion_tally import RemovalTimer, SuspicionCount
 from gullyoke.membership.update_processing import UpdateProcessor
 
-REPEAT_PERIOD_US: Final = 500_000  # a report is sent again to those concerned after so long
-REPEAT_FOR_US: Final = 4_000_000  # for so long after it changed
-MAX_CONCERNED: Final = 24  # members that a report is sent to at once
+REPEAT_PERIOD_US: Final = 500_000  # between repetitions of a report to the members concerned
+REPEAT_FOR_US: Final = 4_000_000  # a report is repeated for this time after it changed
+MAX_CONCERNED: Final = 24  # members to which a report is sent directly
 
 
 class ObservedState(StrEnum):
-    """How a member of the view looks from here; the values are what operators see."""
+    """The state of a member as this member observes it; operators see the values."""
 
     JOINING = "joining"
     ALIVE = "alive"
-    SUSPECT = "suspect"  # will be removed if this lasts
-    UNREACHABLE = "unreachable"  # from here, or where too little of the fleet is seen to tell
+    SUSPECT = "suspect"  # will be removed if the suspicion lasts
+    UNREACHABLE = "unreachable"  # from this member, or too little of the fleet is seen to remove it
     LEAVING = "leaving"
     LEFT = "left"
     DEAD = "dead"
 
 
 class Removal:
-    """Reports this member's suspicions, and removes those that enough observers suspect.
+    """Reports this member's suspicions, and removes members that enough observers suspect.
 
     Attributes:
         report: This member's last report.
@@ -54,17 +54,18 @@
         self.report = self._empty_report(state.record)
 
     def process_resumed(self) -> None:
-        """Measure all suspicions from now on, after a pause of this process."""
+        """Restart all removal delays after a pause of this process."""
         self._timer.clear()
 
     def reset(self, record: MemberRecord) -> None:
-        """Suspect nobody, as this member joins again under a new record."""
+        """Start over without suspicions, as this member rejoins under a new record."""
         self.report = self._empty_report(record)
 
     def report_suspicions(self, now: int) -> None:
-        """Make and send the report where it changed, or again to those it concerns.
+        """Send the report of suspicions if it has changed, or repeat it.
 
-        It reaches all members in time by gossip, and those it concerns at once, the suspects first.
+        Gossip brings the report to all members in time. The suspects and their observers receive it
+        directly, the suspects first.
         """
         before = self.report
         unsure = self._state.local_health.unsure(now)
@@ -88,7 +89,7 @@
             self._dissemination.send_gossip(member, (self.report,))
 
     def remove_suspects(self, now: int) -> None:
-        """Apply the rule to each subject that this member suspects."""
+        """Apply the removal rule to each subject that this member suspects."""
         state = self._state
         suspects = [
             suspicion.id
@@ -103,7 +104,7 @@
                 self._remove(now, record, count)
 
     def observed_state(self, now: int, record: MemberRecord) -> ObservedState:
-        """Return how a member of the view looks from here."""
+        """Return the state of a member of the view as this member observes it."""
         if record.status is not Status.ALIVE or record.id == self._state.id:
             return ObservedState(record.status.name.lower())
         count = self._count(record)
@@ -140,7 +141,7 @@
         state.gossip.add(self.report)
 
     def _concerned(self, suspects: set[int]) -> list[int]:
-        """Return the suspects and their observers, as many as a report is sent to at once."""
+        """Return the suspects and their observers, at most `MAX_CONCERNED`."""
         ranked = sorted(suspects)
         concerned = dict.fromkeys(ranked)
         for suspect in ranked:
@@ -161,7 +162,7 @@
             count.accusing,
             count.eligible,
         )
-        # A member that receives but is not received learns by this why nobody probes it any more.
+        # Tells a member whose own messages do not arrive that it has been removed.
         self._dissemination.send_gossip(record.id, (update,))
         self._updates.learn(now, update)
 
--- a/gullyoke/membership/suspicion_tally.py
+++ b/gullyoke/membership/suspicion_tally.py
@@ -1,14 +1,13 @@
-"""What all observers report of each subject, and the one rule by which a member is removed.
+"""The suspicion reports of all observers, and the only rule that removes a member.
 
-The rule: a member is removed when at least 60% of its eligible observers, and at least two of them
-(one in a fleet of two), have suspected it for `REMOVAL_DELAY_US` without a break, one of these
-applies the rule, and that one still sees 60% of the fleet. Where the suspicions are refusals,
-`REFUSED_REMOVAL_DELAY_US` is enough and no share of the fleet has to be seen. An observer is not
-eligible when it is unsure of itself, or when a third of its own observers suspect it. Nothing else
-removes a member.
+A member is removed when at least 60% of its eligible observers, and at least two of them (one in a
+fleet of two), have suspected it for `REMOVAL_DELAY_US` without interruption. One of these observers
+applies the rule, and it has to see 60% of the fleet at that time. If the suspicions are refusals,
+`REFUSED_REMOVAL_DELAY_US` is enough and no share of the fleet is required. An observer is not
+eligible if it reports that it is unsure, or if a third of its own observers suspect it.
 
-Suspicion by several observers at once is from Rapid (Suresh et al. 2018); unlike there, members
-need not agree on the next view.
+Suspicion by several observers at once is from Rapid (Suresh et al. 2018); unlike in Rapid, members
+do not have to agree on the next view.
 """
 
 from __future__ import annotations
@@ -19,21 +18,21 @@
 
 from gullyoke.membership.member_record import Suspicion, SuspicionKind, SuspicionReport
 
-ACCUSING_SHARE: Final = 0.6  # of the eligible observers
+ACCUSING_SHARE: Final = 0.6  # of the eligible observers, to remove a member
 MIN_ACCUSERS: Final = 2
-DOUBTED_DIVISOR: Final = 3  # suspected by one in so many of its observers, it is not eligible
+DOUBTED_DIVISOR: Final = 3  # one suspecting observer in this many makes a member ineligible
 REMOVAL_DELAY_US: Final = 2_000_000
 REFUSED_REMOVAL_DELAY_US: Final = 300_000
 
 
 class SuspicionCount(NamedTuple):
-    """The count for one subject.
+    """The number of observers that suspect one subject, and the number that the rule requires.
 
     Attributes:
-        accusing: Eligible observers that suspect it.
-        refused: Those of them to which its host refused a datagram.
-        eligible: All eligible observers.
-        required: How many of them the rule requires.
+        accusing: The number of eligible observers that suspect the subject.
+        refused: The number of those to which the subject's host refused datagrams.
+        eligible: The number of eligible observers.
+        required: The number of suspecting observers that the rule requires.
     """
 
     accusing: int
@@ -46,18 +45,18 @@
         return self.accusing >= self.required
 
     def is_enough_refused(self) -> bool:
-        """Return whether enough observers were refused."""
+        """Return whether enough observers suspect the subject because of refusals."""
         return self.refused >= self.required
 
 
 class SuspicionTally:
-    """The newest report of each observer, and the same by subject.
+    """The newest report of each observer, also indexed by subject.
 
     Attributes:
         reports: The newest report of each observer in the view, by the observer's id.
-        against: The suspicions of each subject, by the subject's and then the observer's id.
-        multiply_suspected: How many subjects two or more observers suspect, unsure observers
-            included: in a partition most of them are unsure.
+        against: The suspicions of each subject, by the subject's id and then the observer's id.
+        multiply_suspected: The number of subjects that two or more observers suspect. Unsure
+            observers count, as in a partition most observers are unsure.
     """
 
     def __init__(self) -> None:
@@ -66,7 +65,7 @@
         self.multiply_suspected = 0
 
     def add(self, report: SuspicionReport) -> bool:
-        """Take a report in; return whether it is newer than the last one of its observer."""
+        """Add a report if it is newer than its observer's last one; return whether it is."""
         previous = self.reports.get(report.observer)
         if not report.is_newer_than(previous):
             return False
@@ -80,7 +79,7 @@
         return True
 
     def drop_member(self, member: int) -> None:
-        """Forget a member that left the view: its suspicions, and those against it."""
+        """Discard the suspicions by and of a member that left the view."""
         report = self.reports.pop(member, None)
         if report is not None:
             self._withdraw(member, report.suspicions)
@@ -89,9 +88,9 @@
             self.multiply_suspected -= 1
 
     def accusers(self, member: int, version: int) -> dict[int, SuspicionKind]:
-        """Return which eligible observers suspect a member under a version, and why.
+        """Return the observers that are not unsure and suspect a member's version, with the reason.
 
-        Suspicions of an earlier version do not count: the member has refuted them.
+        Suspicions of an earlier version do not count, as the member has refuted them.
         """
         return {
             observer: suspicion.kind
@@ -105,12 +104,12 @@
         return accusing >= max(1, math.ceil(observer_count / DOUBTED_DIVISOR))
 
     def is_unsure(self, member: int) -> bool:
-        """Return whether a member reports that its own health is too poor to accuse."""
+        """Return whether a member reports that its own health is too poor to suspect others."""
         report = self.reports.get(member)
         return report is not None and report.unsure
 
     def count(self, member: int, version: int, observers: set[int]) -> SuspicionCount:
-        """Return the count for a member under a version.
+        """Return the count for one version of a member.
 
         Args:
             member: The subject's id.
@@ -140,17 +139,17 @@
 
 
 class SuspectedSince(NamedTuple):
-    """Since when the count has been enough, and enough by refusals alone; 0 where it is not."""
+    """When the count became enough, and enough by refusals alone; 0 if it is not."""
 
     enough_at: int
     refused_enough_at: int
 
 
 class RemovalTimer:
-    """Since when the count against each subject has been enough, in microseconds.
+    """Measures for how long the count against each subject has been enough.
 
     Attributes:
-        since: One entry for each subject against which the count is enough at present.
+        since: Start times in microseconds, for each subject whose count is enough at present.
     """
 
     def __init__(self) -> None:
@@ -159,13 +158,13 @@
     def should_remove(
         self, now: int, member: int, count: SuspicionCount, sees_most: Callable[[], bool]
     ) -> bool:
-        """Return whether the rule is met now for a subject.
+        """Record the present count against a subject; return whether to remove it now.
 
         Args:
             now: The time in microseconds.
             member: The subject's id.
-            count: The present count against it.
-            sees_most: Tells whether this member sees most of the fleet; asked only if it matters.
+            count: The present count against the subject.
+            sees_most: Returns whether this member sees enough of the fleet; called only if needed.
         """
         before = self.since.get(member, SuspectedSince(0, 0))
         if not count.is_enough():
@@ -179,7 +178,7 @@
         return now - enough_at >= REMOVAL_DELAY_US and sees_most()
 
     def clear(self) -> None:
-        """Start over after a pause of this process: the subjects may have answered long ago."""
+        """Restart all delays, as after a pause of this process the counts may be out of date."""
         self.since.clear()
 
     def retain(self, members: Iterable[int]) -> None:
--- a/gullyoke/membership/update_processing.py
+++ b/gullyoke/membership/update_processing.py
@@ -1,4 +1,4 @@
-"""How received updates change a member's state, those about the member itself included."""
+"""Applies received updates to a member's state, including updates about the member itself."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from gullyoke.membership.view import Change
 from gullyoke.membership.view_history import ViewHistory
 
-ACCEPT_OLD_REMOVAL_FAILING_SHARE: Final = 0.5  # of its own probes
+ACCEPT_OLD_REMOVAL_FAILING_SHARE: Final = 0.5  # of its own probes; see `_learn_own_status`
 UNKNOWN_NAME: Final = "-"
 
 
 class UpdateProcessor:
-    """Applies updates to the state, and hands on what is new.
+    """Applies updates to the state, and disseminates those that change it.
 
     Attributes:
         history: The recent changes of the view.
-        listeners: Called with each change of the view.
+        listeners: Functions to call with each change of the view.
     """
 
     def __init__(self, state: MemberState, dissemination: Dissemination) -> None:
@@ -37,7 +37,7 @@
         self.listeners: list[Callable[[Change], None]] = []
 
     def learn(self, now: int, update: Update) -> None:
-        """Apply an update received from another member, or decided by this one."""
+        """Apply an update from another member or from this one."""
         if isinstance(update, SuspicionReport):
             self._learn_report(now, update)
         elif isinstance(update, MemberRecord):
@@ -56,8 +56,8 @@
         """Apply the record of a message's sender.
 
         Returns:
-            Whether the sender is in the view, and was before its message. Updates are accepted from
-            such senders only, so that a removed member brings nobody back.
+            Whether the sender is in the view and was there before its message. Only updates from
+            such senders are accepted, so that a removed member cannot bring back others.
         """
         view = self._state.view
         was_member = sender.id in view.records
@@ -68,7 +68,7 @@
         return was_member and sender.id in view.records
 
     def adopt_own_record(self, now: int, record: MemberRecord) -> None:
-        """Make a record this member's own, and let the others know."""
+        """Adopt a record as this member's own, and disseminate it."""
         self._state.join_state.record = record
         change = self._state.view.merge(now, record)
         if change is not None:
@@ -95,12 +95,12 @@
             return
         departed = state.view.departed.get(record.id)
         if departed is not None and departed.record.rank() > record.rank():
-            # Whoever sent the record does not know yet that the member has departed.
+            # The sender of the record does not yet know that the member has departed.
             newest = departed.record
             state.gossip.add(StatusUpdate(newest.id, newest.version, newest.status, state.id))
 
     def _learn_own_record(self, now: int, record: MemberRecord) -> None:
-        """Apply a record of this member's name: an earlier start's, or another process's."""
+        """Apply a record with this member's name, which may be of another start or process."""
         state = self._state
         join_state = state.join_state
         own = state.record
@@ -121,8 +121,8 @@
     def _learn_own_status(self, update: StatusUpdate) -> None:
         if update.status is not Status.DEAD:
             return
-        # A removal under an older version has been refuted, unless this member's probes fail: its
-        # refutation was not received then.
+        # A removal of an older version has been refuted. But if this member's probes fail, the
+        # refutation was probably not received.
         failing = self._state.local_health.failing
         if (
             update.version >= self._state.record.version
--- a/gullyoke/membership/view.py
+++ b/gullyoke/membership/view.py
@@ -1,7 +1,8 @@
 """A member's view of the fleet: the records that it knows.
 
-Records merge to the same view in any order of arrival, some of them more than once. A view has a
-version of its own, which only this member knows, and a digest, by which members compare theirs.
+Records merge to the same view in any order of arrival, even if some arrive more than once. A view
+has a version, which counts this member's changes and is never sent, and a digest, by which members
+compare their views.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 from gullyoke.membership.member_record import LIVE_STATUSES, MemberRecord, Status, StatusUpdate
 from gullyoke.membership.observer_rings import ObserverRings
 
-BUCKETS: Final = 64  # parts of a view that have a digest each
-BUCKET_DIGEST_MASK: Final = 0xFFFFFFFF  # 32 bits of each record's digest go into its bucket's
-DEPARTED_KEPT_US: Final = 120_000_000  # a departed member is remembered for so long
-MAX_DEPARTED: Final = 4096  # departed members remembered; the oldest is forgotten first
-RECENT_REMOVAL_US: Final = 30_000_000  # removals of so long ago count as recent
+BUCKETS: Final = 64  # parts of a view, each with its own digest
+BUCKET_DIGEST_MASK: Final = 0xFFFFFFFF  # the 32 bits of a record's digest that a bucket uses
+DEPARTED_KEPT_US: Final = 120_000_000  # a departed member is remembered for this time
+MAX_DEPARTED: Final = 4096  # remembered departed members; the oldest is forgotten first
+RECENT_REMOVAL_US: Final = 30_000_000  # removals count as recent for this time
 
 
 class ChangeKind(StrEnum):
-    """What happened to a member in a change of the view."""
+    """The kinds of change of a view; operators see the values."""
 
     JOINED = "joined"
     RESTARTED = "restarted"
@@ -35,11 +36,11 @@
     """One change of a view.
 
     Attributes:
-        view_version: The view's version with the change.
-        kind: What happened.
-        record: The member's record from now on.
-        previous: Its live record before the change; None where it had none.
-        update: The update that changed its status; None where a whole record came.
+        view_version: The view's version after the change.
+        kind: The kind of change.
+        record: The member's new record.
+        previous: The member's live record before the change; None if there was none.
+        update: The update that changed the status; None if a whole record was received.
     """
 
     view_version: int
@@ -50,25 +51,25 @@
 
 
 class DepartedMember(NamedTuple):
-    """A member that left or was removed, and when that was learnt, in microseconds."""
+    """A member that left or was removed, and when that was received, in microseconds."""
 
     record: MemberRecord
     at_us: int
 
 
 class View:
-    """The live members, and those that departed a short while ago.
+    """The live members, and the recently departed ones.
 
     Attributes:
-        records: The live members by id, in the order in which their records came.
+        records: The live members by id, in order of arrival.
         departed: The members that left or were removed, the oldest first; remembered so that an
             old record does not bring them back.
-        rings: Who observes whom among the members that are not joining.
-        version: Counts the changes of this view; never sent.
+        rings: The observers of all members that are not joining.
+        version: The number of changes of this view; never sent.
         digest: The XOR of the live records' digests.
-        buckets: The same for each part of the view, 32 bits each.
-        ids: The ids of the live members, to draw from at random.
-        removal_times: When members were removed, the oldest first, in microseconds.
+        buckets: The XOR of the records' digests for each part of the view, 32 bits each.
+        ids: The ids of the live members, for random selection.
+        removal_times: When members were removed, in microseconds, the oldest first.
     """
 
     def __init__(self, ring_count: int) -> None:
@@ -86,7 +87,7 @@
         return len(self.records)
 
     def copy_live(self) -> View:
-        """Return a view with the same live members, which changes apart from this one."""
+        """Return an independent view with the same live members."""
         other = View(self.rings.ring_count)
         other.records = dict(self.records)
         other.rings = self.rings.copy()
@@ -98,7 +99,7 @@
         return other
 
     def known(self, member: int) -> MemberRecord | None:
-        """Return the newest record of a member, live or departed; None where there is none."""
+        """Return the newest record of a member, live or departed; None if there is none."""
         record = self.records.get(member)
         if record is None and member in self.departed:
             return self.departed[member].record
@@ -107,16 +108,16 @@
     def merge(
         self, now: int, record: MemberRecord, update: StatusUpdate | None = None
     ) -> Change | None:
-        """Take a record into the view if it ranks above what is known of its member.
+        """Merge a record into the view if it ranks above the known record of its member.
 
         Args:
             now: The time in microseconds.
             record: The record.
-            update: The update that the record was made from, if any.
+            update: The update from which the record was made, if any.
 
         Returns:
-            The change of the view, or None where the record is old, or changes only what is known
-            of a departed member.
+            The change of the view; None if the record is old, or if the member was not live and
+            still is not.
         """
         known = self.known(record.id)
         if known is not None and record.rank() <= known.rank():
@@ -126,7 +127,7 @@
         if record.is_live():
             self._insert(record, previous)
         else:
-            self._bury(now, record)
+            self._add_departed(now, record)
         kind = change_kind(previous, record)
         if kind is ChangeKind.REMOVED:
             self.removal_times.append(now)
@@ -139,8 +140,7 @@
         """Give a known member a new status.
 
         Returns:
-            The change; None where the update is old, or its member is not known (its record will
-            come).
+            The change; None if the update is old, or its member is not known yet.
         """
         known = self.known(update.id)
         if known is None or (update.version, update.status) <= (known.version, known.status):
@@ -156,13 +156,13 @@
             self.departed.popitem(last=False)
 
     def recent_removals(self, now: int) -> int:
-        """Return how many members were removed within the last `RECENT_REMOVAL_US`."""
+        """Return the number of members removed within the last `RECENT_REMOVAL_US`."""
         while self.removal_times and self.removal_times[0] < now - RECENT_REMOVAL_US:
             self.removal_times.popleft()
         return len(self.removal_times)
 
     def clear_except(self, member_to_keep: int) -> None:
-        """Drop all members but one, for a removed member that takes over the others' view."""
+        """Drop all members but one; a removed member that rejoins starts over with this."""
         for member in [member for member in self.records if member != member_to_keep]:
             self._discard(member)
             self.rings.remove(member)
@@ -181,9 +181,9 @@
         if record.status is not Status.JOINING:
             self.rings.add(record.id)
         elif previous is not None:
-            self.rings.remove(record.id)  # a later start that is not ready yet
+            self.rings.remove(record.id)  # a later start that is still joining
 
-    def _bury(self, now: int, record: MemberRecord) -> None:
+    def _add_departed(self, now: int, record: MemberRecord) -> None:
         self.departed[record.id] = DepartedMember(record, now)
         self.rings.remove(record.id)
         while len(self.departed) > MAX_DEPARTED:
@@ -196,19 +196,19 @@
         self._toggle_digest(record)
         index = self._index_of.pop(member)
         last = self.ids.pop()
-        if last != member:  # the last id moves to the index that became free
+        if last != member:  # moves the last id to the free index
             self.ids[index] = last
             self._index_of[last] = index
         return record
 
     def _toggle_digest(self, record: MemberRecord) -> None:
-        """Add a record to the digests, or take it out of them."""
+        """Add a record to the digests, or remove it from them."""
         self.digest ^= record.digest
         self.buckets[record.id % BUCKETS] ^= record.digest & BUCKET_DIGEST_MASK
 
 
 def change_kind(previous: MemberRecord | None, record: MemberRecord) -> ChangeKind | None:
-    """Return what the step from one record to the next is; None where nothing visible changes."""
+    """Return the kind of change between two records; None if the member is live in neither."""
     if record.status not in LIVE_STATUSES:
         if previous is None:
             return None
--- a/gullyoke/membership/view_history.py
+++ b/gullyoke/membership/view_history.py
@@ -1,4 +1,4 @@
-"""The most recent changes of the view with their evidence, for operators who ask afterwards."""
+"""The most recent changes of the view with their evidence, for operators."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class ViewEvent(NamedTuple):
-    """One change of the view as this member saw it.
+    """One change of the view.
 
     Attributes:
-        at_us: When it was seen, in microseconds of the caller's clock.
-        view_version: The view's version with the change.
-        kind: What happened.
-        name: The name of the member it happened to.
-        status: That member's status, in lower case.
-        by: The name of the member that decided it; `-` where there is none or it is not known.
-        evidence: What the decision rests on, for the operator to read.
+        at_us: When this member applied the change, in microseconds of the caller's clock.
+        view_version: The view's version after the change.
+        kind: The kind of change.
+        name: The name of the member that changed.
+        status: The member's new status, in lower case.
+        by: The name of the member that decided on the change; `-` if none is known.
+        evidence: The reason for the decision, for operators to read.
     """
 
     at_us: int
@@ -39,7 +39,7 @@
         self.events: deque[ViewEvent] = deque(maxlen=MAX_EVENTS)
 
     def add(self, now: int, change: Change, by: str) -> ViewEvent:
-        """Append a change that is seen now, decided by the member of the name `by`."""
+        """Append a change that the member with the name `by` decided on."""
         event = ViewEvent(
             now,
             change.view_version,
