--- a/gullyoke/peer_transport/codec.py
+++ b/gullyoke/peer_transport/codec.py
@@ -1,7 +1,7 @@
-"""Messages of membership as bytes: MessagePack arrays with the version first.
+"""Encodes membership messages as MessagePack arrays that start with the format's version.
 
-docs/members-wire.md has the layout. A later release may append to any array; what is appended is
-passed over, so that two releases can be in one fleet. Whatever does not have this form is a
+docs/members-wire.md has the layout. A later release may append elements to any array; decoding
+ignores them, so that different releases can be in one fleet. Data of any other form raises
 `MalformedDatagramError`, and nothing of it is used.
 """
 
@@ -42,60 +42,78 @@
 )
 
 VERSION: Final = 1
-MAX_DATAGRAM_BYTES: Final = 1200  # the seal included
+MAX_DATAGRAM_BYTES: Final = 1200  # including the seal
 MAX_NAME_CHARS: Final = 64
 MAX_ADDRESS_CHARS: Final = 64
 MAX_ZONE_CHARS: Final = 32
-ROW_KIND, MARK_KIND, REPORT_KIND = range(3)  # of news
-MARK_NUMBERS: Final = 6
-REPORT_HEAD_NUMBERS: Final = 4  # before the entries
-ENTRY_NUMBERS: Final = 3
+RECORD_KIND, STATUS_KIND, REPORT_KIND = range(3)  # kinds of updates
+STATUS_NUMBERS: Final = 6  # in a status update
+REPORT_HEAD_NUMBERS: Final = 4  # in a suspicion report, before its suspicions
+SUSPICION_NUMBERS: Final = 3
 
 
 class GrowableArray(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """An array whose length may grow in later versions."""
+    """An array to which later releases may append elements."""
 
 
-class WireRow(GrowableArray, frozen=True):
-    """A member's row; see `MemberRecord`."""
+class WireRecord(GrowableArray, frozen=True):
+    """A member record; see `MemberRecord`."""
 
     name: str
-    number: int
+    version: int
     status: int
     address: str
     zone: str
-    life: int
+    incarnation: int
 
 
-class WireNews(GrowableArray, frozen=True):
-    """One piece of news.
+class WireUpdate(GrowableArray, frozen=True):
+    """An update of any kind.
 
     Attributes:
-        kind: `ROW_KIND`, `MARK_KIND` or `REPORT_KIND`.
-        row: The row, for news of that kind.
-        figures: For a mark its fields; for a report the observer, its number, the sequence, whether
-            it is unsure, and its entries with three numbers each.
+        kind: `RECORD_KIND`, `STATUS_KIND` or `REPORT_KIND`.
+        record: The member record, for an update of that kind.
+        numbers: For a status update its fields; for a suspicion report the observer, the observer's
+            version, the sequence number, whether the observer is unsure, and three numbers for each
+            suspicion.
     """
 
     kind: int
-    row: WireRow | None = None
-    figures: list[int] = []
+    record: WireRecord | None = None
+    numbers: list[int] = []
 
 
 class WireMessage(GrowableArray, frozen=True):
-    """Any message; `kind` is its position in KINDS, and what it does not use is empty."""
+    """A message of any kind.
+
+    Attributes:
+        version: The version of the format.
+        kind: The position of the message's type in `KINDS`.
+        sender: The sender's record.
+        seq: A sequence number.
+        digest: The digest of the sender's view.
+        lost: The share of the fleet that the sender considers lost.
+        subject: The subject of an `Ack`, or the topic of a `TopicMessage`.
+        target: The target of a `PingRequest`.
+        updates: Piggybacked updates.
+        numbers: The digests of `ViewDigests`; for `ViewRecords` whether it is a reply, the number
+            of differing buckets, and the index and the digest of each complete bucket.
+        records: The records of `ViewRecords`.
+        signal: The sender's load signal.
+        body: The body of a `TopicMessage`.
+    """
 
     version: int
     kind: int
-    sender: WireRow
+    sender: WireRecord
     seq: int = 0
     digest: int = 0
     lost: int = 0
-    about: int = 0
-    target: WireRow | None = None
-    news: list[WireNews] = []
-    figures: list[int] = []
-    rows: list[WireRow] = []
+    subject: int = 0
+    target: WireRecord | None = None
+    updates: list[WireUpdate] = []
+    numbers: list[int] = []
+    records: list[WireRecord] = []
     signal: int = 0
     body: bytes = b""
 
@@ -105,149 +123,166 @@
 encode = msgspec.msgpack.Encoder().encode
 
 
-def encode_row(row: MemberRecord) -> WireRow:
-    """Return a row as it is sent."""
-    return WireRow(row.name, row.version, int(row.status), row.address, row.zone, row.incarnation)
+def encode_record(record: MemberRecord) -> WireRecord:
+    """Return the wire form of a member record."""
+    return WireRecord(
+        record.name,
+        record.version,
+        int(record.status),
+        record.address,
+        record.zone,
+        record.incarnation,
+    )
 
 
-def decode_row(wire: WireRow) -> MemberRecord:
-    """Return the row that was received.
+def decode_record(wire: WireRecord) -> MemberRecord:
+    """Return the member record of a wire form.
 
     Raises:
         MalformedDatagramError: For texts or numbers out of bounds.
     """
-    check_text("a name", wire.name, MAX_NAME_CHARS, shortest=1)
-    check_text("an address", wire.address, MAX_ADDRESS_CHARS, shortest=1)
-    check_text("a zone", wire.zone, MAX_ZONE_CHARS)
-    check_numbers((wire.number, wire.life, wire.status))
-    if wire.number >= U64_END - REFUTATIONS_PER_START or wire.status > Status.DEAD:
-        raise MalformedDatagramError(f"a row of number {wire.number}, status {wire.status}")
+    check_text("member name", wire.name, MAX_NAME_CHARS, shortest=1)
+    check_text("member address", wire.address, MAX_ADDRESS_CHARS, shortest=1)
+    check_text("member zone", wire.zone, MAX_ZONE_CHARS)
+    check_numbers((wire.version, wire.incarnation, wire.status))
+    if wire.version >= U64_END - REFUTATIONS_PER_START or wire.status > Status.DEAD:
+        raise MalformedDatagramError(
+            f"member record has version {wire.version} and status {wire.status}"
+        )
     return MemberRecord(
-        wire.name, wire.number, Status(wire.status), wire.address, wire.zone, wire.life
+        wire.name, wire.version, Status(wire.status), wire.address, wire.zone, wire.incarnation
     )
 
 
-def encode_news(item: Update) -> WireNews:
-    """Return a piece of news as it is sent."""
-    if isinstance(item, MemberRecord):
-        return WireNews(ROW_KIND, encode_row(item))
-    if isinstance(item, StatusUpdate):
-        return WireNews(MARK_KIND, None, [int(figure) for figure in item])
-    figures = [item.observer, item.version, item.seq, int(item.unsure)]
-    for entry in item.suspicions:
-        figures += entry
-    return WireNews(REPORT_KIND, None, figures)
+def encode_update(update: Update) -> WireUpdate:
+    """Return the wire form of an update."""
+    if isinstance(update, MemberRecord):
+        return WireUpdate(RECORD_KIND, encode_record(update))
+    if isinstance(update, StatusUpdate):
+        return WireUpdate(STATUS_KIND, None, [int(number) for number in update])
+    numbers = [update.observer, update.version, update.seq, int(update.unsure)]
+    for suspicion in update.suspicions:
+        numbers += suspicion
+    return WireUpdate(REPORT_KIND, None, numbers)
 
 
-def decode_news(wire: WireNews) -> Update | None:
-    """Return a piece of news that was received; None for a kind of a later release.
+def decode_update(wire: WireUpdate) -> Update | None:
+    """Return the update of a wire form; None for a kind that only later releases have.
 
     Raises:
-        MalformedDatagramError: For news of a known kind that can't be right.
+        MalformedDatagramError: For a malformed update of a known kind.
     """
-    figures = wire.figures
-    check_numbers(figures)
-    if wire.kind == ROW_KIND and wire.row is not None:
-        return decode_row(wire.row)
-    if wire.kind == MARK_KIND and len(figures) >= MARK_NUMBERS and figures[2] <= Status.DEAD:
-        return StatusUpdate(figures[0], figures[1], Status(figures[2]), *figures[3:MARK_NUMBERS])
-    entry_numbers = len(figures) - REPORT_HEAD_NUMBERS
-    if wire.kind == REPORT_KIND and entry_numbers >= 0 and entry_numbers % ENTRY_NUMBERS == 0:
-        threes = zip(figures[4::3], figures[5::3], figures[6::3], strict=True)
-        entries = tuple(Suspicion(a, b, SuspicionKind(c)) for a, b, c in threes if c in (1, 2))
-        return SuspicionReport(figures[0], figures[1], figures[2], bool(figures[3]), entries)
+    numbers = wire.numbers
+    check_numbers(numbers)
+    if wire.kind == RECORD_KIND and wire.record is not None:
+        return decode_record(wire.record)
+    if wire.kind == STATUS_KIND and len(numbers) >= STATUS_NUMBERS and numbers[2] <= Status.DEAD:
+        return StatusUpdate(numbers[0], numbers[1], Status(numbers[2]), *numbers[3:STATUS_NUMBERS])
+    rest = len(numbers) - REPORT_HEAD_NUMBERS
+    if wire.kind == REPORT_KIND and rest >= 0 and rest % SUSPICION_NUMBERS == 0:
+        triples = zip(numbers[4::3], numbers[5::3], numbers[6::3], strict=True)
+        suspicions = tuple(Suspicion(a, b, SuspicionKind(c)) for a, b, c in triples if c in (1, 2))
+        return SuspicionReport(numbers[0], numbers[1], numbers[2], bool(numbers[3]), suspicions)
     if wire.kind > REPORT_KIND:
         return None
-    raise MalformedDatagramError(f"news of kind {wire.kind} with {len(figures)} numbers")
+    raise MalformedDatagramError(f"update of kind {wire.kind} has {len(numbers)} numbers")
 
 
 def pack(message: Message) -> bytes:
-    """Return a message as bytes, without its seal."""
-    head = VERSION, KINDS.index(type(message)), encode_row(message.sender)
+    """Return the bytes of a message, without the seal."""
+    head = VERSION, KINDS.index(type(message)), encode_record(message.sender)
     if isinstance(message, Hello):
         return encode(WireMessage(*head))
     if isinstance(message, TopicMessage):
-        return encode(WireMessage(*head, about=message.topic, body=message.body))
+        return encode(WireMessage(*head, subject=message.topic, body=message.body))
     if isinstance(message, ViewDigests):
-        return encode(WireMessage(*head, figures=list(message.buckets)))
+        return encode(WireMessage(*head, numbers=list(message.buckets)))
     if isinstance(message, ViewRecords):
-        figures = [int(message.is_reply), message.differing]
+        numbers = [int(message.is_reply), message.differing]
         for part in message.parts:
-            figures += part
+            numbers += part
         return encode(
-            WireMessage(*head, figures=figures, rows=[encode_row(row) for row in message.records])
+            WireMessage(
+                *head,
+                numbers=numbers,
+                records=[encode_record(record) for record in message.records],
+            )
         )
-    news = [encode_news(item) for item in message.updates]
+    updates = [encode_update(update) for update in message.updates]
     if isinstance(message, Gossip):
         return encode(
-            WireMessage(*head, 0, message.digest, message.lost, news=news, signal=message.signal)
+            WireMessage(
+                *head, 0, message.digest, message.lost, updates=updates, signal=message.signal
+            )
         )
-    target = encode_row(message.target) if isinstance(message, PingRequest) else None
-    about = message.subject if isinstance(message, Ack) else 0
+    target = encode_record(message.target) if isinstance(message, PingRequest) else None
+    subject = message.subject if isinstance(message, Ack) else 0
     return encode(
         WireMessage(
             *head,
             message.seq,
             message.digest,
             message.lost,
-            about,
+            subject,
             target,
-            news,
+            updates,
             signal=message.signal,
         )
     )
 
 
 def unpack(data: bytes) -> Message:
-    """Return the message of bytes without their seal.
+    """Return the message of bytes without a seal.
 
     Raises:
-        MalformedDatagramError: For bytes that are no message of membership.
+        MalformedDatagramError: For bytes that are not a membership message.
     """
     wire = _decode_checked(data)
     kind = KINDS[wire.kind]
-    sender = decode_row(wire.sender)
+    sender = decode_record(wire.sender)
     if kind is Hello:
         return Hello(sender)
     if kind is TopicMessage:
-        return TopicMessage(sender, wire.about, wire.body)
+        return TopicMessage(sender, wire.subject, wire.body)
     if kind is ViewDigests:
-        return ViewDigests(sender, tuple(wire.figures))
+        return ViewDigests(sender, tuple(wire.numbers))
     if kind is ViewRecords:
-        return _rows_message(sender, wire)
-    return _message_with_news(kind, sender, wire)
+        return _decode_view_records(sender, wire)
+    return _decode_update_carrier(kind, sender, wire)
 
 
 def _decode_checked(data: bytes) -> WireMessage:
-    """Return what was received, its kind known and its numbers within bounds."""
+    """Return the wire form of a message, after a check of its kind and its numbers."""
     with malformed_on_error():
         wire = decode(data)
     if wire.version < 1 or not 0 <= wire.kind < len(KINDS):
-        raise MalformedDatagramError(f"version {wire.version}, kind {wire.kind}")
-    check_numbers((wire.seq, wire.digest, wire.about, wire.signal, wire.lost, *wire.figures))
+        raise MalformedDatagramError(
+            f"unknown message: format version {wire.version}, kind {wire.kind}"
+        )
+    check_numbers((wire.seq, wire.digest, wire.subject, wire.signal, wire.lost, *wire.numbers))
     if wire.lost > LOST_SCALE:
-        raise MalformedDatagramError(f"a lost share of {wire.lost}")
+        raise MalformedDatagramError(f"lost share {wire.lost} is above {LOST_SCALE}")
     return wire
 
 
-def _rows_message(sender: MemberRecord, wire: WireMessage) -> ViewRecords:
-    figures = wire.figures
-    if len(figures) < 2 or len(figures) % 2:
-        raise MalformedDatagramError(f"rows with {len(figures)} numbers")
-    parts = tuple(zip(figures[2::2], figures[3::2], strict=True))
-    rows = tuple(decode_row(row) for row in wire.rows)
-    return ViewRecords(sender, parts, rows, bool(figures[0]), figures[1])
+def _decode_view_records(sender: MemberRecord, wire: WireMessage) -> ViewRecords:
+    numbers = wire.numbers
+    if len(numbers) < 2 or len(numbers) % 2:
+        raise MalformedDatagramError(f"view records message has {len(numbers)} numbers")
+    parts = tuple(zip(numbers[2::2], numbers[3::2], strict=True))
+    records = tuple(decode_record(record) for record in wire.records)
+    return ViewRecords(sender, parts, records, bool(numbers[0]), numbers[1])
 
 
-def _message_with_news(kind: type[Message], sender: MemberRecord, wire: WireMessage) -> Message:
-    news = tuple(item for item in map(decode_news, wire.news) if item is not None)
+def _decode_update_carrier(kind: type[Message], sender: MemberRecord, wire: WireMessage) -> Message:
+    updates = tuple(update for update in map(decode_update, wire.updates) if update is not None)
     if kind is Gossip:
-        return Gossip(sender, wire.digest, wire.lost, news, wire.signal)
+        return Gossip(sender, wire.digest, wire.lost, updates, wire.signal)
     if kind is Ack:
-        return Ack(sender, wire.seq, wire.about, wire.digest, wire.lost, news, wire.signal)
+        return Ack(sender, wire.seq, wire.subject, wire.digest, wire.lost, updates, wire.signal)
     if kind is Ping:
-        return Ping(sender, wire.seq, wire.digest, wire.lost, news, wire.signal)
+        return Ping(sender, wire.seq, wire.digest, wire.lost, updates, wire.signal)
     if wire.target is None:
-        raise MalformedDatagramError("a probe request without a target")
-    target = decode_row(wire.target)
-    return PingRequest(sender, wire.seq, target, wire.digest, wire.lost, news, wire.signal)
+        raise MalformedDatagramError("probe request has no target")
+    target = decode_record(wire.target)
+    return PingRequest(sender, wire.seq, target, wire.digest, wire.lost, updates, wire.signal)
