--- a/gullyoke/peer_transport/field_readers.py
+++ b/gullyoke/peer_transport/field_readers.py
@@ -1,7 +1,7 @@
-"""Checked reading of what other processes send: numbers, texts and typed messages.
+"""Checks of numbers, texts and typed messages received from other processes.
 
-All codecs of peer messages read through this module, so that one set of checks holds for all of
-them. Whatever fails a check is a `MalformedDatagramError`, and nothing of the datagram is used.
+All codecs of peer messages use this module, so that the same checks apply to all of them. Data that
+fails a check raises `MalformedDatagramError`, and nothing of the datagram is used.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 from gullyoke.errors import GullyokeError
 
-U64_END: Final = 1 << 64  # numbers of the peer messages are below this
+U64_END: Final = 1 << 64  # all numbers in peer messages are below this
 
 MessageT = TypeVar("MessageT", bound=tuple[Any, ...])
 
 
 class MalformedDatagramError(GullyokeError, ValueError):
-    """Bytes that are no message of a peer; the text says what is wrong with them."""
+    """Received bytes are not a valid peer message; the text says why."""
 
 
 @contextlib.contextmanager
 def malformed_on_error() -> Iterator[None]:
-    """Turn errors of the MessagePack decoder into `MalformedDatagramError`."""
+    """Convert errors of the MessagePack decoder to `MalformedDatagramError`."""
     try:
         yield
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -33,16 +33,16 @@
 
 
 def check_numbers(values: Iterable[object]) -> None:
-    """Check that each number, a fraction or one in a nested array as well, is from 0 to U64_END.
+    """Check that each int or float, also in nested arrays, is at least 0 and below `U64_END`.
 
-    Other values pass. A fraction that is no number at all fails.
+    Values of other types pass. NaN fails.
 
     Raises:
         MalformedDatagramError: For a number out of bounds.
     """
     for value in values:
         if isinstance(value, int | float) and not 0 <= value < U64_END:
-            raise MalformedDatagramError(f"the number {value} is out of bounds")
+            raise MalformedDatagramError(f"number {value} is out of bounds")
         if isinstance(value, tuple | list):
             check_numbers(value)
 
@@ -54,21 +54,21 @@
         MalformedDatagramError: For a text that is too short or too long.
     """
     if not shortest <= len(text) <= longest:
-        raise MalformedDatagramError(f"{name} of {len(text)} characters")
+        raise MalformedDatagramError(f"{name} has {len(text)} characters")
 
 
 class MessageKinds(Generic[MessageT]):
-    """Messages that travel as the number of their kind and an array of their fields.
+    """Message types that are sent as the number of their kind and an array of their fields.
 
-    A later release may append fields to a message; they are passed over.
+    A later release may append fields to a message; decoding ignores them.
     """
 
     def __init__(self, name: str, kinds: Sequence[type[MessageT]]) -> None:
-        """Take over the kinds.
+        """Register the kinds.
 
         Args:
-            name: What the messages are, for errors.
-            kinds: NamedTuples; the position of each is its number on the wire.
+            name: The description of the messages in errors.
+            kinds: NamedTuple classes; the position of each is its number on the wire.
         """
         self.name = name
         self.kinds = tuple(kinds)
@@ -79,14 +79,14 @@
         return self._numbers[type(message)], tuple(message)
 
     def from_wire(self, number: int, fields: list[Any]) -> MessageT:
-        """Return the message that was received.
+        """Return the message with a kind's number and these fields.
 
         Raises:
-            MalformedDatagramError: For an unknown kind, and for fields that are missing, of another
+            MalformedDatagramError: For an unknown kind, and for fields that are missing, of a wrong
                 type or out of bounds.
         """
         if not 0 <= number < len(self.kinds):
-            raise MalformedDatagramError(f"{self.name} of unknown kind {number}")
+            raise MalformedDatagramError(f"{self.name} has unknown kind {number}")
         kind = self.kinds[number]
         known_fields = fields[: len(kind.__annotations__)]
         with malformed_on_error():
--- a/gullyoke/peer_transport/lease_codec.py
+++ b/gullyoke/peer_transport/lease_codec.py
@@ -1,7 +1,7 @@
-"""Messages of leases as bytes, and what a voter's folder keeps.
+"""Encodes lease messages, and the promises and records in a voter's folder.
 
-A body is a MessagePack array of the kind's number and the message's fields. What a later release
-appends to the fields is passed over.
+A body is a MessagePack array of the kind's number and the message's fields. Decoding ignores fields
+that a later release appends.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 )
 from gullyoke.peer_transport.field_readers import MessageKinds, malformed_on_error
 
-PROMISE_KEY_PREFIX: Final = "promise "  # of keys in a voter's folder; the lease's name follows
+PROMISE_KEY_PREFIX: Final = "promise "  # of keys in a voter's folder, before the lease's name
 RECORD_KEY_PREFIX: Final = "kept "
 
-# The position of a message is its number on the wire; new ones go to the end.
+# The position of a message type is its number on the wire; append new types at the end.
 KINDS: Final[MessageKinds[tuple[Any, ...]]] = MessageKinds(
-    "a message of leases",
+    "lease message",
     (
         PreVote,
         LeaseRequest,
@@ -68,10 +68,10 @@
 
 
 def unpack(body: bytes) -> tuple[Any, ...]:
-    """Return the message of a body.
+    """Return the message in a body.
 
     Raises:
-        MalformedDatagramError: For bytes that are no message of leases.
+        MalformedDatagramError: For bytes that are not a lease message.
     """
     with malformed_on_error():
         number, fields = _decode_body(body)
@@ -79,24 +79,24 @@
 
 
 def encode_promise(promise: Promise) -> bytes:
-    """Return a promise as a voter's folder keeps it."""
+    """Return the stored form of a promise in a voter's folder."""
     return encode(tuple(promise))
 
 
 def encode_record(record: StoredRecord) -> bytes:
-    """Return a record as a voter's folder keeps it."""
+    """Return the stored form of a record in a voter's folder."""
     return encode(tuple(record))
 
 
 def decode_rows(
     items: Iterable[tuple[str, bytes]],
 ) -> tuple[dict[str, Promise], dict[str, StoredRecord]]:
-    """Return the promises and the records of a voter's folder, by the names of the leases.
+    """Return the promises and the records in a voter's folder, by the names of the leases.
 
-    Entries with other keys are passed over.
+    Entries with other keys are ignored.
 
     Raises:
-        ValueError: For an entry that can't be read.
+        ValueError: For an entry that cannot be decoded.
     """
     promises: dict[str, Promise] = {}
     records: dict[str, StoredRecord] = {}
--- a/gullyoke/peer_transport/lease_service.py
+++ b/gullyoke/peer_transport/lease_service.py
@@ -1,7 +1,7 @@
-"""Leases on the peers' datagrams: to whom each message goes, under one lock.
+"""Leases over the peers' datagrams: addresses for messages, and one lock for all leases.
 
-The link's thread ticks the service and hands it the messages that came; other threads call the
-methods of a holder.
+The link's thread ticks the service and passes on received messages; other threads call the methods
+for holders.
 """
 
 from __future__ import annotations
@@ -42,11 +42,11 @@
 from gullyoke.runtime.metrics import Metrics
 
 TOPIC: Final = 2
-RECORD_RETRY_US: Final = 250_000  # between messages about a record that is not committed yet
+RECORD_RETRY_US: Final = 250_000  # between messages about an uncommitted record
 ANNOUNCEMENTS_A_TICK: Final = 64
 MAX_QUEUED_ANNOUNCEMENTS: Final = 4096
 
-# Messages to a voter go to its configured address, all others to where the view has the member.
+# These go to a voter's configured address, all others to the member's address in the view.
 TO_VOTERS: Final = (
     PreVote,
     LeaseRequest,
@@ -59,7 +59,7 @@
 
 
 class HeldRecord(NamedTuple):
-    """The record of a lease that is held here, and when to send its next message."""
+    """The record of a lease held by this process, and when to send its next message."""
 
     record: ReplicatedRecord
     next_us: int
@@ -69,17 +69,17 @@
     """All leases of one process; a `MessageHandler` of the link.
 
     Attributes:
-        voter: This process' voter; None where it is none.
-        records: The records that the voter keeps.
-        candidates: Candidates by the name of their lease.
-        voters: Configured addresses of the voters, by name.
-        fence: The newest epochs that announcements and instructions came with.
+        voter: This process's voter; None if the process is not a voter.
+        records: The records that the voter stores.
+        candidates: The candidates by the names of their leases.
+        voters: The voters' configured addresses, by name.
+        fence: The newest epochs in received announcements and instructions.
         known_holders: The last announcements.
-        lock: Guards all of these; nothing waits under it.
-        send: Sends bodies from a thread that is not the link's; set by the owner.
-        on_announcement: Called with the time and each announcement that is news.
+        lock: Guards all of these; no code blocks while it holds the lock.
+        send: Sends bodies from threads other than the link's; set by the owner.
+        on_announcement: Called with the time and each new announcement.
         on_instruction: Called with the time and each instruction.
-        on_forwarded_command: Called with the time and each command that was forwarded to here.
+        on_forwarded_command: Called with the time and each command forwarded to this process.
     """
 
     def __init__(
@@ -94,18 +94,18 @@
         write_durably: WriteDurably,
         metrics: Metrics,
     ) -> None:
-        """Take over the parts.
+        """Connect voter and candidates to the transport.
 
         Args:
-            name: This process' name.
-            incarnation: The random number drawn at its start.
-            voter: Its voter, if it is one.
-            records: The records that the voter keeps.
-            candidates: Candidates by the name of their lease.
-            voters: Configured addresses of the voters, by name.
-            address_of: Returns the address of a member by its name, as the membership view has it.
+            name: This process's name.
+            incarnation: The random id of this start of the process.
+            voter: This process's voter, if it is one.
+            records: The records that the voter stores.
+            candidates: The candidates by the names of their leases.
+            voters: The voters' configured addresses, by name.
+            address_of: Returns a member's address in the membership view, by the member's name.
             write_durably: Writes to the voter's folder.
-            metrics: Counts what happens.
+            metrics: Counts rejected messages and writes of promises.
         """
         self.name = name
         self.incarnation = incarnation
@@ -128,14 +128,14 @@
             self.lock, write_durably, lambda bodies: self.send(bodies), metrics
         )
         self._held_records: dict[str, HeldRecord] = {}
-        self._announcements: list[AddressedBody] = []  # still to be sent
-        for duty, candidate in self.candidates.items():
-            candidate.listeners.append(partial(self._lease_changed, duty))
+        self._announcements: list[AddressedBody] = []  # not sent yet
+        for lease, candidate in self.candidates.items():
+            candidate.listeners.append(partial(self._lease_changed, lease))
 
-    # For the link.
+    # Called by the link.
 
     def tick(self, now: int) -> list[AddressedBody]:
-        """Return what is to be sent now."""
+        """Return the messages to send now."""
         with self.lock:
             out: list[AddressedBody] = []
             query = self.voter.epoch_query(now) if self.voter is not None else None
@@ -150,10 +150,10 @@
             return out
 
     def handle(self, now: int, sender: MemberRecord, body: bytes) -> Iterable[AddressedBody]:
-        """Take a message; return what is to be sent because of it.
+        """Handle a message; return the messages to send in response.
 
         Raises:
-            MalformedDatagramError: For bytes that are no message of leases.
+            MalformedDatagramError: For bytes that are not a lease message.
         """
         message = unpack(body)
         if isinstance(message, ForwardedCommand):
@@ -182,7 +182,7 @@
         if candidate is None:
             return []
         if isinstance(message, VoteReply):
-            # A vote counts only from the process at the voter's configured address.
+            # A vote counts only if it comes from the voter's configured address.
             if self.voters.get(message.voter) != sender.address:
                 return []
             return candidate.handle_reply(now, message)
@@ -199,95 +199,95 @@
         else:
             held.record.handle_read(message)
 
-    # Leases that are held here.
+    # Leases held by this process.
 
-    def _lease_changed(self, duty: str, change: LeaseChange) -> None:
+    def _lease_changed(self, lease: str, change: LeaseChange) -> None:
         if change.what == "held":
-            epoch = self.candidates[duty].epoch
-            record = ReplicatedRecord(duty, self.incarnation, epoch, self.voters)
-            self._held_records[duty] = HeldRecord(record, 0)
+            epoch = self.candidates[lease].epoch
+            record = ReplicatedRecord(lease, self.incarnation, epoch, self.voters)
+            self._held_records[lease] = HeldRecord(record, 0)
         else:
-            self._held_records.pop(duty, None)
+            self._held_records.pop(lease, None)
 
     def _record_messages(self, now: int) -> list[AddressedBody]:
         out: list[AddressedBody] = []
-        for duty, (record, next_us) in self._held_records.items():
+        for lease, (record, next_us) in self._held_records.items():
             if record.committed or now < next_us:
                 continue
-            self._held_records[duty] = HeldRecord(record, now + RECORD_RETRY_US)
+            self._held_records[lease] = HeldRecord(record, now + RECORD_RETRY_US)
             for voter in sorted(self.voters):
                 out.append(AddressedBody(self.voters[voter], pack(record.next_message())))
         return out
 
-    def register(self, duty: str) -> ReplicatedRecord | None:
-        """Return the record of a lease that is held here; None for others."""
-        held = self._held_records.get(duty)
+    def register(self, lease: str) -> ReplicatedRecord | None:
+        """Return the record of a lease; None if this process does not hold the lease."""
+        held = self._held_records.get(lease)
         return held.record if held else None
 
-    def held_epoch(self, now: int, duty: str) -> int | None:
-        """Return the epoch under which this process may act now; None where it may not.
+    def held_epoch(self, now: int, lease: str) -> int | None:
+        """Return the epoch under which this process may act now; None if it must not act.
 
-        To be called again after every wait.
+        Call it again after each wait, as the lease may have expired.
         """
         with self.lock:
-            candidate = self.candidates.get(duty)
+            candidate = self.candidates.get(lease)
             return candidate.held_epoch(now) if candidate else None
 
-    def leave(self, duty: str, why: str, to: str = "", failed: bool = False) -> None:
+    def leave(self, lease: str, why: str, to: str = "", failed: bool = False) -> None:
         """Release a lease; see `Candidate.leave` for the arguments."""
         with self.lock:
-            messages = self.candidates[duty].leave(clock.now(), why, to, failed)
+            messages = self.candidates[lease].leave(clock.now(), why, to, failed)
             bodies = self._addressed(messages)
         self.send(bodies)
 
-    def hand_over(self, duty: str, to: str) -> bool:
-        """Offer a lease to another member; False where it is not held here or `to` is unknown."""
+    def hand_over(self, lease: str, to: str) -> bool:
+        """Offer a lease to another member; return False if it is not held or `to` is unknown."""
         with self.lock:
-            bodies = self._addressed(self.candidates[duty].offer_handover(clock.now(), to))
+            bodies = self._addressed(self.candidates[lease].offer_handover(clock.now(), to))
         self.send(bodies)
         return bool(bodies)
 
     # Announcements, instructions, forwarded commands.
 
-    def announce(self, duty: str, epoch: int, body: bytes, members: Iterable[str]) -> None:
-        """Send an announcement to the addresses of all other members, a few each tick."""
-        announcement = Announcement(duty, epoch, self.incarnation, self.name, body)
+    def announce(self, lease: str, epoch: int, body: bytes, addresses: Iterable[str]) -> None:
+        """Queue an announcement to these addresses; each tick sends a limited number."""
+        announcement = Announcement(lease, epoch, self.incarnation, self.name, body)
         data = pack(announcement)
         with self.lock:
             if len(self._announcements) < MAX_QUEUED_ANNOUNCEMENTS:
-                self._announcements += [AddressedBody(address, data) for address in members]
+                self._announcements += [AddressedBody(address, data) for address in addresses]
             self.known_holders.take(clock.now(), announcement)
 
-    def instruct(self, duty: str, epoch: int, to: str, what: str, body: bytes) -> None:
-        """Send an instruction to a member; nothing where its address is not known."""
+    def instruct(self, lease: str, epoch: int, to: str, what: str, body: bytes) -> None:
+        """Send an instruction to a member; nothing is sent if its address is unknown."""
         address = self.address_of(to)
         if address:
-            instruction = Instruction(duty, epoch, self.incarnation, what, body)
+            instruction = Instruction(lease, epoch, self.incarnation, what, body)
             self.send([AddressedBody(address, pack(instruction))])
 
-    def forward_command(self, duty: str, what: str, to: str) -> None:
-        """Send an operator's command to the holder; nothing where its address is not known."""
+    def forward_command(self, lease: str, what: str, to: str) -> None:
+        """Send an operator's command to the holder; nothing is sent if its address is unknown."""
         address = self.address_of(to)
         if address:
-            self.send([AddressedBody(address, pack(ForwardedCommand(duty, what)))])
+            self.send([AddressedBody(address, pack(ForwardedCommand(lease, what)))])
 
     def _handle_holders_message(self, now: int, message: Announcement | Instruction) -> None:
         with self.lock:
             if not self.fence.admits(message.duty, message.epoch, message.incarnation):
                 self.metrics.increment("duty.stale_refused")
                 return
-            is_news = isinstance(message, Instruction) or self.known_holders.take(now, message)
+            is_new = isinstance(message, Instruction) or self.known_holders.take(now, message)
         if isinstance(message, Instruction):
             self.on_instruction(now, message)
-        elif is_news:
+        elif is_new:
             self.on_announcement(now, message)
 
     def _addressed(self, messages: Iterable[AddressedMessage]) -> list[AddressedBody]:
-        """Return the messages as bodies; without those whose address is not known."""
+        """Return the encoded messages with addresses, except those with an unknown address."""
         out: list[AddressedBody] = []
         for to, message in messages:
-            is_vote = isinstance(message, TO_VOTERS)
-            address = self.voters.get(to) if is_vote else self.address_of(to)
+            to_voter = isinstance(message, TO_VOTERS)
+            address = self.voters.get(to) if to_voter else self.address_of(to)
             if address:
                 out.append(AddressedBody(address, pack(message)))
         return out
--- a/gullyoke/peer_transport/lease_voter_requests.py
+++ b/gullyoke/peer_transport/lease_voter_requests.py
@@ -1,6 +1,6 @@
-"""Requests to this process' voter, and the writes to its folder that their replies wait for.
+"""Passes requests to this process's voter, and delays replies until the folder is written.
 
-A reply that rests on a promise or a record is sent once the disk has it, by the thread that wrote
+A reply that depends on a promise or a record is sent once it is on disk, by the thread that wrote
 it.
 """
 
@@ -43,14 +43,14 @@
     """Writes a value under a key to the voter's folder."""
 
     def __call__(self, key: str, data: bytes, on_written: Callable[[bool], None], /) -> bool:
-        """Queue the write and return True, or return False.
+        """Queue the write; return False if it cannot be queued.
 
         `on_written` is called with whether the write succeeded.
         """
 
 
 class VoterRequests:
-    """Hands messages to the voter and its disk, and sends the replies that had to wait."""
+    """Passes messages to the voter and its folder, and sends the delayed replies."""
 
     def __init__(
         self,
@@ -59,13 +59,13 @@
         send: Callable[[list[AddressedBody]], None],
         metrics: Metrics,
     ) -> None:
-        """Take over what the requests need.
+        """Connect the voter's requests to the folder and the transport.
 
         Args:
             lock: Guards the voter and its records; held by the caller of `handle`.
             write_durably: Writes to the voter's folder.
-            send: Sends bodies from the thread that wrote.
-            metrics: Counts promises that were written, and those that were not.
+            send: Sends bodies from the writing thread.
+            metrics: Counts successful and failed writes of promises.
         """
         self._lock = lock
         self._write_durably = write_durably
@@ -80,7 +80,7 @@
         sender: MemberRecord,
         message: tuple[Any, ...],
     ) -> tuple[Any, ...] | None:
-        """Return the voter's answer; None where there is none, or it waits for the disk."""
+        """Return the voter's answer; None if there is none or it waits for the disk."""
         match message:
             case PreVote():
                 return voter.answer_pre_vote(now, message)
@@ -135,7 +135,7 @@
     def _write_record(
         self, voter: Voter, records: RecordStore, request: WriteRecord, requester: str
     ) -> RecordWritten | None:
-        """Return the answer to a write that is not accepted; others are answered when durable."""
+        """Return the answer to a rejected write; an accepted one is answered once it is on disk."""
         if voter.fresh:
             return None
         promise = voter.promises.get(request.duty)
--- a/gullyoke/peer_transport/link.py
+++ b/gullyoke/peer_transport/link.py
@@ -1,8 +1,9 @@
-"""The datagrams of one member: its UDP socket and the thread that receives, ticks and sends.
+"""The UDP socket of one member, and the thread that receives, ticks and sends.
 
-A datagram is used only if it is whole, verifies, is new and of this fleet; all others are dropped
-and counted. The thread takes no lock but its own, under which nothing waits. An error of the
-program ends one turn of the thread, never the thread, and touches no request.
+A datagram is used only if it is complete, verifies, is new and belongs to this fleet; all others
+are dropped and counted. The thread takes only the link's lock, and no code blocks while it holds
+that lock. A program error ends one iteration of the thread's loop, never the thread, and affects no
+request.
 """
 
 from __future__ import annotations
@@ -24,40 +25,40 @@
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
-if TYPE_CHECKING:  # loaded only where signals are wanted
+if TYPE_CHECKING:  # loaded at run time only if signals are enabled
     from gullyoke.coordination.signals import ReceivedReports
 
 RECEIVE_BUFFER_BYTES: Final = 2**20
-IP_RECVERR: Final = getattr(socket, "IP_RECVERR", 11)  # Linux: ICMP errors come to the error queue
+IP_RECVERR: Final = getattr(socket, "IP_RECVERR", 11)  # Linux: ICMP errors go to the error queue
 MSG_ERRQUEUE: Final = getattr(socket, "MSG_ERRQUEUE", 0x2000)
-MAX_BURST: Final = 256  # datagrams received in one turn, so that ticks come in time
-SEND_ATTEMPTS: Final = 4  # for one datagram, where errors of earlier ones come up meanwhile
-MAX_ADDRESSES: Final = 4096  # addresses that are kept as the system needs them
+MAX_BURST: Final = 256  # datagrams received in one iteration, so that ticks are not late
+SEND_ATTEMPTS: Final = 4  # for one datagram, as errors of earlier datagrams may surface
+MAX_ADDRESSES: Final = 4096  # cached socket addresses
 SHORTEST_WAIT_S: Final = 0.0005
-ERROR_PAUSE_S: Final = 0.05  # after an error of the program
+ERROR_PAUSE_S: Final = 0.05  # after a program error
 
 
 class AddressedBody(NamedTuple):
-    """The address of a peer, and the body of a message to it."""
+    """A peer's address, and the body of a message to it."""
 
     address: str
     body: bytes
 
 
 class MessageHandler(Protocol):
-    """One that sends messages of its own by the link, under the number of a topic.
+    """A service that sends and receives messages over the link, under a topic's number.
 
-    Called by the link's thread, under its lock.
+    The link calls it from its thread, under the link's lock.
     """
 
     def tick(self, now: int) -> Iterable[AddressedBody]:
-        """Return what is to be sent now."""
+        """Return the messages to send now."""
 
     def handle(self, now: int, sender: MemberRecord, body: bytes) -> Iterable[AddressedBody]:
-        """Take a message; return what is to be sent because of it.
+        """Handle a message; return the messages to send in response.
 
         Raises:
-            MalformedDatagramError: For a body that is none of its messages.
+            MalformedDatagramError: For a body that is not one of the service's messages.
         """
 
 
@@ -65,13 +66,13 @@
     """The socket of one member, and the thread that serves it.
 
     Attributes:
-        member: The member's decisions on membership; set by `begin`.
-        lock: Guards the member and the tables of handlers.
-        signals: The load that other members report, where it is wanted; set by the owner.
-        topics: Handlers of messages beside membership, by the number of their topic.
-        status_sections: What else the operator's `status` answers, by key.
-        commands: What else an operator can ask, by name; called with the words that follow it.
-        address: The host and port that it listens on.
+        member: The member's membership state machine; set by `begin`.
+        lock: Guards the member and the calls of handlers.
+        signals: The load reports of other members, if enabled; set by the owner.
+        topics: The handlers of messages other than membership's, by topic number.
+        status_sections: Functions that return additional sections of the status answer, by key.
+        commands: Additional commands for operators, by name; called with the command's arguments.
+        address: The host and port on which the link listens.
     """
 
     member: Member
@@ -80,12 +81,12 @@
         """Bind the socket.
 
         Args:
-            listen: Host and port; port 0 for any that is free.
+            listen: Host and port; port 0 selects a free port.
             seal: Seals and opens the datagrams.
             metrics: Counts datagrams.
 
         Raises:
-            OSError: Where it can't listen there.
+            OSError: If the socket cannot be bound.
         """
         super().__init__(name="peers", daemon=True)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -93,7 +94,7 @@
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         try:
             self.sock.setsockopt(socket.IPPROTO_IP, IP_RECVERR, 1)
-        except OSError:  # a closed port is then found out by its silence alone
+        except OSError:  # closed ports are then detected only by silence
             metrics.increment("peers.no_refusals")
         self.address = self.sock.getsockname()
         self.seal = seal
@@ -120,7 +121,7 @@
             self.sock.close()
 
     def act(self, action: Callable[[], list[OutgoingMessage] | None]) -> None:
-        """Call an action under the lock, and send what it and the member want sent."""
+        """Call an action under the lock; send the messages that it returns, and the member's."""
         with self.lock:
             more = action() or []
             out = self.member.take_outgoing() + more
@@ -128,7 +129,7 @@
             self.send(send)
 
     def posted(self, topic: int, bodies: Iterable[AddressedBody]) -> list[OutgoingMessage]:
-        """Return the datagrams of a handler's messages."""
+        """Return a handler's messages as datagrams to send."""
         return [
             OutgoingMessage(address, TopicMessage(self.member.record, topic, body))
             for address, body in bodies
@@ -137,18 +138,18 @@
     # The thread.
 
     def run(self) -> None:
-        """Take turns until the end."""
+        """Run iterations of the loop until `end`."""
         while not self._ended.is_set():
             try:
-                self._take_turn()
+                self._run_once()
             except Exception:
                 if self._ended.is_set():
-                    return  # the socket was closed under it
+                    return  # `end` closed the socket during the iteration
                 self.metrics.record_internal_error("peers")
                 time.sleep(ERROR_PAUSE_S)
 
-    def _take_turn(self) -> None:
-        """Tick if that is due, and receive until the next tick is."""
+    def _run_once(self) -> None:
+        """Tick if a tick is due, and receive datagrams until the next tick."""
         now = clock.now()
         if now >= self._next_tick_us:
             self._next_tick_us = now + TICK_US
@@ -162,7 +163,7 @@
                 return
             except OSError as error:
                 if error.errno not in (errno.EBADF, errno.EINVAL):
-                    self._read_errors()  # an earlier datagram's error comes up here
+                    self._read_errors()  # the error of a datagram sent earlier
                 return
             self._receive(data)
             if clock.now() >= self._next_tick_us:
@@ -198,11 +199,11 @@
         else:
             self.metrics.increment("peers.dropped.topic")
 
-    def _handle(self, now: int, letter: TopicMessage) -> list[OutgoingMessage]:
-        """Hand a message to the handler of its topic."""
-        handler = self.topics[letter.topic]
+    def _handle(self, now: int, message: TopicMessage) -> list[OutgoingMessage]:
+        """Pass a message to its topic's handler."""
+        handler = self.topics[message.topic]
         try:
-            return self.posted(letter.topic, handler.handle(now, letter.sender, letter.body))
+            return self.posted(message.topic, handler.handle(now, message.sender, message.body))
         except MalformedDatagramError:
             self.metrics.increment("peers.dropped.malformed")
             return []
@@ -210,13 +211,13 @@
     # Sending.
 
     def send(self, send: OutgoingMessage) -> None:
-        """Send one datagram; one that can't be sent is counted and dropped."""
+        """Send one datagram; if that fails, count and drop it."""
         data = self.seal.seal(codec.pack(send.message))
         if len(data) > codec.MAX_DATAGRAM_BYTES:
             self.metrics.increment("peers.too_long")
             return
-        # An error of an earlier datagram may come up at the sending of this one. It is read and
-        # this one sent again; otherwise each datagram after one to a closed port would be lost.
+        # `sendto` may report the error of an earlier datagram. In that case the error queue is read
+        # and this datagram sent again; otherwise each datagram after one to a closed port is lost.
         for _ in range(SEND_ATTEMPTS):
             try:
                 self.sock.sendto(data, self._system_address(send.address))
@@ -229,7 +230,7 @@
         self.metrics.increment("peers.unsent")
 
     def _system_address(self, address: str) -> tuple[str, int]:
-        """Return host and port of an address; port 0, which fails, for one that has none."""
+        """Return an address's host and port; port 0, to which sending fails, if it has none."""
         found = self._system_addresses.get(address)
         if found is None:
             host, _, port = address.rpartition(":")
@@ -240,7 +241,7 @@
         return found
 
     def _read_errors(self) -> None:
-        """Read the socket's error queue: which datagrams met a closed port."""
+        """Read the socket's error queue, and report the closed ports in it to the member."""
         while True:
             try:
                 _, extra, _, address = self.sock.recvmsg(
@@ -253,15 +254,15 @@
                     continue
                 if struct.unpack("I", data[:4])[0] == errno.ECONNREFUSED:
                     self.metrics.increment("peers.refused")
-                    self._note_closed_port("{}:{}".format(*address[:2]))
+                    self._report_closed_port("{}:{}".format(*address[:2]))
 
-    def _note_closed_port(self, address: str) -> None:
-        """Tell the member that nobody listens at an address."""
+    def _report_closed_port(self, address: str) -> None:
+        """Report a closed port to the member, for each other member with that address."""
         now = clock.now()
 
-        def note() -> None:
-            for row in list(self.member.view.records.values()):
-                if row.address == address and row.id != self.member.id:
-                    self.member.connection_refused(now, row.id)
+        def report() -> None:
+            for record in list(self.member.view.records.values()):
+                if record.address == address and record.id != self.member.id:
+                    self.member.connection_refused(now, record.id)
 
-        self.act(note)
+        self.act(report)
--- a/gullyoke/peer_transport/quota_codec.py
+++ b/gullyoke/peer_transport/quota_codec.py
@@ -1,8 +1,8 @@
-"""Messages of quota leases as bytes.
+"""Encodes messages of quota leases.
 
 A body is a MessagePack array: the digest of the limit's configuration, the kind's number and the
-message's fields. What a later release appends to the fields is passed over. Messages under another
-digest are of a fleet that is configured otherwise, whose tokens are others.
+message's fields. Decoding ignores fields that a later release appends. A message with another
+digest is from a server with another configuration of the limit, so it concerns different tokens.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 from gullyoke.membership.member_record import stable_hash
 from gullyoke.peer_transport.field_readers import MessageKinds, malformed_on_error
 
-# The position of a message is its number on the wire; new ones go to the end.
+# The position of a message type is its number on the wire; append new types at the end.
 KINDS: Final[MessageKinds[QuotaMessage]] = MessageKinds(
-    "a message of quota leases",
+    "quota lease message",
     (LenderClaim, LenderVote, QuotaRequest, QuotaGrant, QuotaReturn),
 )
 encode = msgspec.msgpack.Encoder().encode
@@ -33,12 +33,12 @@
 
 
 def configuration_digest(homes: Mapping[str, str], limit: int, floor: int, *more: str) -> int:
-    """Return the digest of what all servers of a fleet have to be configured alike with.
+    """Return the digest of the settings that have to be equal on all servers of a fleet.
 
     Args:
-        homes: Addresses of the lenders by name, in any order.
+        homes: The lenders' addresses by name, in any order.
         limit: The limit in tokens.
-        floor: Tokens that each process has without a loan.
+        floor: The number of tokens that each process has without a loan.
         more: For a tenant's quota, the tenant and the rate.
     """
     lenders = [f"{name}@{address}" for name, address in sorted(homes.items())]
@@ -51,20 +51,20 @@
 
 
 def digest_of(body: bytes) -> int:
-    """Return the digest of the configuration that a body was sent under.
+    """Return the configuration digest in a body.
 
     Raises:
-        MalformedDatagramError: For bytes that are no message of quota leases.
+        MalformedDatagramError: For bytes that are not a quota lease message.
     """
     with malformed_on_error():
         return _decode_body(body)[0]
 
 
 def unpack(digest: int, body: bytes) -> QuotaMessage | None:
-    """Return the message of a body; None where it was sent under another digest.
+    """Return the message in a body; None if the body has another configuration digest.
 
     Raises:
-        MalformedDatagramError: For bytes that are no message of quota leases.
+        MalformedDatagramError: For bytes that are not a quota lease message.
     """
     with malformed_on_error():
         sent_under, number, fields = _decode_body(body)
--- a/gullyoke/peer_transport/quota_service.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -1,7 +1,7 @@
-"""Quota leases on the peers' datagrams: to whom each message goes, and a lock around each part.
+"""Quota leases over the peers' datagrams: addresses for messages, and a lock for each limit.
 
-The decisions call the parts from their threads, the link's thread ticks them and hands them the
-messages that came. Each part has one lock, under which nothing waits.
+Admission threads call the limits, and the link's thread ticks them and passes on received messages.
+Each limit has one lock, and no code blocks while it holds the lock.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from gullyoke.peer_transport.quota_codec import digest_of, pack, unpack
 from gullyoke.runtime import clock
 
-TOPIC: Final = 1  # the topic of the limit on calls to the dependency
-QUOTAS: Final = 3  # the topic of tenants' quotas
+TOPIC: Final = 1  # of the limit on calls to the dependency
+QUOTAS: Final = 3  # topic of tenants' quotas
 
 PartT = TypeVar("PartT", bound=LimitPart)
 
 
 class Substitutes(NamedTuple):
-    """Addresses of those that lend for lenders that ended, by lender; valid until `until_us`."""
+    """Addresses of the substitutes of stopped lenders, by lender; valid until `until_us`."""
 
     addresses: Mapping[str, str]
     until_us: int
@@ -36,10 +36,10 @@
     """One limit of the whole fleet; a `MessageHandler` of the link.
 
     Attributes:
-        own: This server's part.
-        homes: Configured addresses of the lenders, by name.
-        others: Messages that came from servers that are configured otherwise.
-        substitutes: Who lends for lenders that ended; set by the owner.
+        own: This server's part of the limit.
+        homes: The lenders' configured addresses, by name.
+        others: The number of messages from servers with another configuration of the limit.
+        substitutes: The substitutes of stopped lenders; set by the owner.
     """
 
     def __init__(
@@ -49,13 +49,13 @@
         digest: int,
         address_of: Callable[[str], str | None],
     ) -> None:
-        """Take over a part.
+        """Connect a part of the limit to the transport.
 
         Args:
-            own: This server's part.
-            homes: Configured addresses of the lenders, by name.
-            digest: Digest of the configuration (gullyoke/peer_transport/quota_codec.py).
-            address_of: Returns the address of a member by its name, as the membership view has it.
+            own: This server's part of the limit.
+            homes: The lenders' configured addresses, by name.
+            digest: The digest of the configuration; see `quota_codec.configuration_digest`.
+            address_of: Returns a member's address in the membership view, by the member's name.
         """
         self.own = own
         self.homes = dict(homes)
@@ -66,22 +66,22 @@
         self.substitutes = Substitutes({}, 0)
 
     def tick(self, now: int) -> list[AddressedBody]:
-        """Return what is to be sent now."""
+        """Return the messages to send now."""
         with self.lock:
             messages = self.own.tick(now)
         return [body for message in messages for body in self._addressed(message, "")]
 
     def handle(self, now: int, sender: MemberRecord, body: bytes) -> Iterable[AddressedBody]:
-        """Take a message; return the answer, if there is one.
+        """Handle a message; return the answer, if there is one.
 
         Raises:
-            MalformedDatagramError: For bytes that are no message of quota leases.
+            MalformedDatagramError: For bytes that are not a quota lease message.
         """
         message = unpack(self.digest, body)
         if message is None:
             self.others += 1
             return ()
-        # A vote counts only from the process at the voter's configured address.
+        # A vote counts only if it comes from the voter's configured address.
         if isinstance(message, LenderVote) and self.homes.get(message.voter) != sender.address:
             return ()
         with self.lock:
@@ -89,7 +89,7 @@
         return self._addressed(answer, sender.address) if answer is not None else ()
 
     def _addressed(self, message: AddressedQuotaMessage, requester: str) -> list[AddressedBody]:
-        """Return the message with its address; nothing where the address is not known."""
+        """Return the message with its address; empty if the address is unknown."""
         if message.to is Recipient.REQUESTER:
             address = requester
         elif message.to is Recipient.LENDER:
@@ -99,7 +99,7 @@
         return [AddressedBody(address, pack(self.digest, message.message))] if address else []
 
     def _lender_address(self, lender: str) -> str:
-        """Return the address of the member of that name, its substitute's or the configured one."""
+        """Return the lender's address in the view, its substitute's, or the configured one."""
         substitutes = self.substitutes
         address = self.address_of(lender)
         if not address and clock.now() < substitutes.until_us:
@@ -107,7 +107,7 @@
         return address or self.homes.get(lender, "")
 
     def status(self, now: int) -> dict[str, object]:
-        """Return how the limit stands, for operators and the log."""
+        """Return the state of the limit, for operators and the log."""
         with self.lock:
             own = self.own
             participant = own.participant
@@ -126,41 +126,41 @@
 
 
 class SharedSlots(SharedLimit[ConcurrencyPart | MeanConcurrencyPart]):
-    """A limit on calls; the `DependencySlots` of the decisions."""
+    """A limit on calls; implements `DependencySlots` for admission."""
 
     def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
-        """Return the mean number of calls that may be in flight; None where no mean is limited."""
+        """Return the limit on the mean number of calls in flight; None if there is none."""
         with self.lock:
             return self.own.mean_limit(now, stated, used_call_time)
 
     def has_free_slot(self, now: int, waiting: int) -> bool:
-        """Tell whether a call may start now; `waiting` more would like to."""
+        """Return whether a call may start now; `waiting` is the number of other waiting calls."""
         with self.lock:
             return self.own.has_free_slot(now, waiting)
 
     def secured_until(self, now: int) -> float:
-        """Return when the next call has to be over, its linger included."""
+        """Return the time by which the next call has to end, including its linger time."""
         with self.lock:
             return self.own.secured_until(now)
 
     def concurrency(self, now: int) -> float:
-        """Return how many calls may be in flight at a time."""
+        """Return the number of calls that may be in flight at a time."""
         with self.lock:
             return self.own.concurrency(now)
 
     def call_started(self) -> None:
-        """Count a call that starts."""
+        """Count a started call."""
         with self.lock:
             self.own.call_started()
 
     def call_ended(self, now: int, lost: bool, succeeded: bool) -> None:
-        """Count a call that ends; one that was `lost` may still be at the dependency."""
+        """Count an ended call; if it was `lost`, the dependency may still be running it."""
         with self.lock:
             self.own.call_ended(now, lost, succeeded)
 
 
 class SharedQuota(SharedLimit[TenantQuotaPart]):
-    """A tenant's quota of the whole fleet."""
+    """A tenant's quota in the whole fleet."""
 
     def leased_quota(self, now: int) -> float:
         """Count a request and return this server's part of the quota, in requests a second."""
@@ -169,27 +169,27 @@
 
 
 class TenantQuotaService:
-    """All tenants' quotas that are leased; a `MessageHandler` of the link.
+    """All leased quotas of tenants; a `MessageHandler` of the link.
 
     Attributes:
-        limits: By the digest of their configuration.
-        others: Messages that are of no limit here.
+        limits: The quotas by the digest of their configuration.
+        others: The number of messages whose digest matches no quota of this server.
     """
 
     def __init__(self, limits: Iterable[SharedQuota]) -> None:
-        """Take over the limits."""
+        """Serve these quotas."""
         self.limits = {limit.digest: limit for limit in limits}
         self.others = 0
 
     def tick(self, now: int) -> list[AddressedBody]:
-        """Return what is to be sent now."""
+        """Return the messages to send now."""
         return [body for limit in self.limits.values() for body in limit.tick(now)]
 
     def handle(self, now: int, sender: MemberRecord, body: bytes) -> Iterable[AddressedBody]:
-        """Take a message of any of the limits.
+        """Handle a message of any of the quotas; return the answer, if there is one.
 
         Raises:
-            MalformedDatagramError: For bytes that are no message of quota leases.
+            MalformedDatagramError: For bytes that are not a quota lease message.
         """
         limit = self.limits.get(digest_of(body))
         if limit is None:
--- a/gullyoke/peer_transport/seal.py
+++ b/gullyoke/peer_transport/seal.py
@@ -1,8 +1,9 @@
-"""The seal of a datagram: a keyed digest over it, its count and the fleet's name.
+"""The seal of a datagram: a keyed digest over its data, its count and the fleet's name.
 
 A datagram that does not verify is dropped and counted, never answered. The first key of the key
-file seals and both verify, so a new key can come in before the old one goes. Counts grow with each
-datagram that a process sends; a receiver drops a datagram whose count is old or came already.
+file seals and both keys verify, so that keys can be replaced without interruption. A process's
+count increases with each datagram that it sends; a receiver drops a datagram whose count is too old
+or was received before.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 COUNT_BYTES: Final = 8  # before the digest
 SHORTEST_KEY_BYTES: Final = 16
 MAX_KEYS: Final = 2  # in a key file
-WINDOW: Final = 1024  # counts that may come out of order
-MAX_SENDERS: Final = 4096  # of which counts are kept; the one longest silent goes first
+WINDOW: Final = 1024  # counts that may arrive out of order
+MAX_SENDERS: Final = 4096  # whose counts are kept; the least recent sender is dropped first
 
 
 class UnusableKeyError(GullyokeError, ValueError):
-    """A key file that can't be right; the text says why."""
+    """The key file is not valid; the text says why."""
 
 
 def parse_keys(text: str) -> tuple[bytes, ...]:
@@ -39,22 +40,22 @@
         keys = tuple(bytes.fromhex(line) for line in lines if line)
     except ValueError:
         raise UnusableKeyError(
-            "a line that is not hex digits; right would be 32 or more of them a line"
+            "a line is not hex digits; expected 32 or more of them per line"
         ) from None
     if not 1 <= len(keys) <= MAX_KEYS:
-        raise UnusableKeyError(f"{len(keys)} keys; right would be one or two lines")
+        raise UnusableKeyError(f"{len(keys)} keys; expected one or two lines")
     shortest = min(map(len, keys))
     longest = max(map(len, keys))
     if shortest < SHORTEST_KEY_BYTES or longest > blake2b.MAX_KEY_SIZE:
         raise UnusableKeyError(
-            f"a key of under {SHORTEST_KEY_BYTES} or over {blake2b.MAX_KEY_SIZE} bytes; right "
-            f"would be {2 * SHORTEST_KEY_BYTES} to {2 * blake2b.MAX_KEY_SIZE} hex digits"
+            f"a key of under {SHORTEST_KEY_BYTES} or over {blake2b.MAX_KEY_SIZE} bytes; expected "
+            f"{2 * SHORTEST_KEY_BYTES} to {2 * blake2b.MAX_KEY_SIZE} hex digits"
         )
     return keys
 
 
 class OpenedDatagram(NamedTuple):
-    """What was sealed, and the sender's count of its datagrams."""
+    """The data of a verified datagram, and the sender's count in it."""
 
     data: bytes
     sender_count: int
@@ -64,7 +65,7 @@
     """Seals and opens the datagrams of one fleet.
 
     Attributes:
-        keys: The first one seals, all verify; may be replaced at any time.
+        keys: The first key seals, all keys verify; may be replaced at any time.
     """
 
     def __init__(self, fleet: str, keys: tuple[bytes, ...]) -> None:
@@ -74,13 +75,13 @@
         self._count = 0
 
     def seal(self, data: bytes) -> bytes:
-        """Return the data with its count and digest."""
+        """Return the data with the next count and the digest."""
         self._count += 1
         data += self._count.to_bytes(COUNT_BYTES, "big")
         return data + self._digest(self.keys[0], data)
 
     def open(self, data: bytes) -> OpenedDatagram | None:
-        """Return what was sealed; None where it does not verify."""
+        """Return the data and the count of a datagram; None if it does not verify."""
         body = data[:-DIGEST_BYTES]
         digest = data[-DIGEST_BYTES:]
         if len(body) < COUNT_BYTES:
@@ -95,21 +96,21 @@
 
 
 class SenderCounts(NamedTuple):
-    """The highest count of a sender, and a bit for each of the `WINDOW` before it."""
+    """The highest count of a sender, and a bit for each of the last `WINDOW` counts."""
 
     highest: int
     seen: int
 
 
 class ReplayWindow:
-    """Which datagrams came already, by the incarnation of their sender; at most `MAX_SENDERS`."""
+    """Detects replayed datagrams by the counts of each sender's incarnation."""
 
     def __init__(self) -> None:
         """Start without senders."""
         self._senders: OrderedDict[int, SenderCounts] = OrderedDict()
 
     def admits(self, incarnation: int, count: int) -> bool:
-        """Tell whether a datagram is new, and remember that it came."""
+        """Record a datagram's count; return whether the datagram is new."""
         highest, seen = self._senders.pop(incarnation, SenderCounts(0, 0))
         if count > highest:
             seen = (seen << min(count - highest, WINDOW) | 1) & ((1 << WINDOW) - 1)
--- a/gullyoke/peer_transport/start_number.py
+++ b/gullyoke/peer_transport/start_number.py
@@ -1,6 +1,6 @@
-"""The number of a process' start on a lasting disk.
+"""Stores the version of a process's start on disk.
 
-The next start takes a number above it, whatever the clock says.
+The next start takes a version above it, even if the clock has gone back.
 """
 
 from __future__ import annotations
@@ -12,36 +12,36 @@
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.runtime.metrics import Metrics
 
-if TYPE_CHECKING:  # loaded only where there is a folder
+if TYPE_CHECKING:  # loaded at run time only if a folder is configured
     from gullyoke.storage import GroupCommitter, Store
 
-FOLDER: Final = "fleet"  # within the folder that is configured
+FOLDER: Final = "fleet"  # within the configured folder
 KEY: Final = "number"
 SEGMENT_BYTES: Final = 4096
 QUOTA_BYTES: Final = 2**20
 NUMBER_BYTES: Final = 8
-CLOSE_TIMEOUT_S: Final = 0.5  # for a disk that hangs
+CLOSE_TIMEOUT_S: Final = 0.5  # if the disk hangs
 
 
 class StoredStartNumber:
-    """The number that the last start stored, and the store of this one.
+    """Reads the version that the last start stored, and stores the versions of this start.
 
-    A disk that fails is logged and counted, and never waited for.
+    Disk errors are logged and counted, and no caller waits for the disk.
 
     Attributes:
-        latest: The last number given to `keep`, 0 before.
+        latest: The last version given to `keep`; 0 before the first call.
     """
 
     def __init__(
         self, folder: str | None, metrics: Metrics, open_folder: Callable[[str], Any] | None = None
     ) -> None:
-        """Read what the last start stored.
+        """Read the version that the last start stored.
 
         Args:
-            folder: The folder that is configured. None: nothing is stored, and the number rests on
-                what the other members remember and on the clock.
-            metrics: Counts what was stored and what could not be.
-            open_folder: Opens a folder; a plain `StorageFolder` where it is not given.
+            folder: The configured folder. If None, nothing is stored, and the next version depends
+                on the clock and on the version that other members know.
+            metrics: Counts successful and failed writes.
+            open_folder: Opens a folder; `StorageFolder` by default.
         """
         self.metrics = metrics
         self.latest = 0
@@ -58,14 +58,14 @@
             self._committer = GroupCommitter(store)
         except OSError as error:
             metrics.increment("fleet.unkept")
-            log.error("fleet number not kept", extra=log_fields(folder=folder, why=error))
+            log.error("start version cannot be stored", extra=log_fields(folder=folder, why=error))
 
     def known(self) -> int:
-        """Return what the last start stored; 0 where there is nothing."""
+        """Return the version that the last start stored; 0 if there is none."""
         return self._known
 
     def keep(self, number: int) -> None:
-        """Store a number; does not wait for the disk."""
+        """Store a version without waiting for the disk."""
         self.latest = number
         if self._committer is not None:
             data = number.to_bytes(NUMBER_BYTES, "big")
@@ -75,7 +75,7 @@
         self.metrics.increment("fleet.kept" if written else "fleet.unkept")
 
     def close(self) -> None:
-        """Store what is queued, for `CLOSE_TIMEOUT_S` at the most, and close the folder."""
+        """Finish queued writes within `CLOSE_TIMEOUT_S`, and close the folder."""
         if self._committer is not None:
             self._committer.close(CLOSE_TIMEOUT_S)
             self._folder.close()
--- a/gullyoke/peer_transport/status_server.py
+++ b/gullyoke/peer_transport/status_server.py
@@ -1,6 +1,6 @@
-"""What an operator asks a running server on loopback: one line in, one line of JSON out.
+"""Answers operators' queries on loopback: one line as the query, one line of JSON as the answer.
 
-The keys of the answers are read by `gullyoke fleet` and by operators' scripts, so they stay.
+`gullyoke fleet` and operators' scripts read the keys of the answers, so the keys must not change.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
-ASKER_TIMEOUT_S: Final = 1.0  # for each read and write
+CLIENT_TIMEOUT_S: Final = 1.0  # for each read and write
 MAX_LINE_BYTES: Final = 256
-BACKLOG: Final = 8  # connections that wait to be accepted
+BACKLOG: Final = 8  # connections waiting to be accepted
 
 
 class StatusServer(threading.Thread):
     """Answers one connection at a time.
 
-    `status` and `events` take the link's lock while the answer is put together.
+    `status` and `events` are answered under the link's lock.
     """
 
     def __init__(self, address: tuple[str, int], link: PeerLink, metrics: Metrics) -> None:
-        """Listen.
+        """Listen on an address.
 
         Args:
             address: Host and port.
-            link: Whose member and commands are asked.
-            metrics: Counts connections that failed.
+            link: The link whose member and commands the answers are about.
+            metrics: Counts failed connections.
 
         Raises:
-            OSError: Where it can't listen.
+            OSError: If listening fails.
         """
         super().__init__(name="fleet-status", daemon=True)
         self.sock = socket.create_server(address, backlog=BACKLOG)
@@ -53,7 +53,7 @@
                 return
             try:
                 with connection:
-                    connection.settimeout(ASKER_TIMEOUT_S)
+                    connection.settimeout(CLIENT_TIMEOUT_S)
                     self.answer(connection)
             except OSError:
                 self.metrics.increment("fleet.status.broken")
@@ -61,7 +61,7 @@
                 self.metrics.record_internal_error("fleet-status")
 
     def answer(self, connection: socket.socket) -> None:
-        """Read one line and answer it; nothing for a connection that ends before its line."""
+        """Read one line and answer it; a connection closed before the line ends gets no answer."""
         line = b""
         while b"\n" not in line and len(line) <= MAX_LINE_BYTES:
             data = connection.recv(MAX_LINE_BYTES)
@@ -72,7 +72,7 @@
         connection.sendall(msgspec.json.encode(self._result(command, arguments)) + b"\n")
 
     def _result(self, command: str, arguments: list[str]) -> dict[str, Any]:
-        if command in self.link.commands:  # takes the locks that it needs by itself
+        if command in self.link.commands:  # a command takes the locks that it needs
             return self.link.commands[command](arguments)
         with self.link.lock:
             if command == "status":
@@ -88,11 +88,11 @@
 
 
 def status(link: PeerLink) -> dict[str, Any]:
-    """Return the membership view of this server; under the link's lock. Times are in ms."""
+    """Return the membership view of this server; the caller holds the link's lock."""
     member = link.member
     now = clock.now()
     size = member.size(now)
-    rows = sorted(member.view.records.values(), key=lambda row: row.name)
+    records = sorted(member.view.records.values(), key=lambda record: record.name)
     return {
         "name": member.record.name,
         "stage": member.join_state.stage.value,
@@ -105,38 +105,38 @@
         "unsure": member.local_health.unsure(now),
         "failing": round(member.local_health.failing, 2),
         "lost": round(member.local_health.lost, 2),
-        "rows": [_row_status(link, now, row) for row in rows],
+        "rows": [_member_status(link, now, record) for record in records],
         **{name: section(now) for name, section in link.status_sections.items()},
     }
 
 
-def _row_status(link: PeerLink, now: int, row: MemberRecord) -> dict[str, Any]:
-    """Return how one member stands, as seen from here."""
+def _member_status(link: PeerLink, now: int, record: MemberRecord) -> dict[str, Any]:
+    """Return the status of one member as this server observes it."""
     member = link.member
-    edge = member.edges.get(row.id)
-    reported = link.signals.rows.get(row.id) if link.signals is not None else None
-    reading = reported.report if reported is not None else None
+    edge = member.edges.get(record.id)
+    received = link.signals.rows.get(record.id) if link.signals is not None else None
+    load = received.report if received is not None else None
     return {
-        "name": row.name,
-        "state": member.state(now, row),
-        "zone": row.zone,
-        "address": row.address,
-        "start": row.version // REFUTATIONS_PER_START,
-        "refuted": row.version % REFUTATIONS_PER_START,
-        "accused_by": len(member.suspicions.accusers(row.id, row.version)),
+        "name": record.name,
+        "state": member.state(now, record),
+        "zone": record.zone,
+        "address": record.address,
+        "start": record.version // REFUTATIONS_PER_START,
+        "refuted": record.version % REFUTATIONS_PER_START,
+        "accused_by": len(member.suspicions.accusers(record.id, record.version)),
         "round_trip_ms": round(edge.round_trip_us / 1000, 2)
         if edge is not None and edge.round_trip_us
         else None,
-        "room": None if reading is None else round(reading.free_capacity, 2),
-        "shed": None if reading is None else round(reading.rejected_share, 2),
-        "pace": None if reading is None else reading.latency_ratio,
+        "room": None if load is None else round(load.free_capacity, 2),
+        "shed": None if load is None else round(load.rejected_share, 2),
+        "pace": None if load is None else load.latency_ratio,
     }
 
 
 def events(link: PeerLink) -> dict[str, Any]:
-    """Return the last changes of the view with their evidence; under the link's lock.
+    """Return the last changes of the view with their evidence; the caller holds the link's lock.
 
-    `ago_ms` is how long ago a change was, in milliseconds.
+    `ago_ms` is the time since a change, in milliseconds.
     """
     member = link.member
     now = clock.now()
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -259,7 +259,7 @@
             unit = Fleet(str(path), wanted, None)
             self.assertEqual(unit.keys(wanted), (bytes.fromhex("ab" * 32),))
             key.write_text("short")
-            with self.assertRaisesRegex(ConfigurationError, "key_file.*right would be"):
+            with self.assertRaisesRegex(ConfigurationError, "key_file.*expected 32"):
                 unit.check_reload(types.SimpleNamespace(fleet=wanted))
             self.assertEqual(
                 unit.ignored_changes(types.SimpleNamespace(fleet=wanted._replace(zone="other"))),
