--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -1,6 +1,6 @@
 """The scenarios of membership in simulated time.
 
-Each safeguard is shown to matter by a scenario that fails without it.
+For each safeguard a scenario fails without it.
 """
 
 import contextlib
@@ -13,17 +13,17 @@
 from gullyoke.membership import local_health, monitor_edge, probing, suspicion_tally
 from gullyoke.membership.member_record import member_id
 
-HERE = pathlib.Path(__file__).parent
+FOLDER = pathlib.Path(__file__).parent
 
 
 def names(net, text):
-    """`m1`, `m1..m4`, `zone z1`, `all` or `rest` (all who are up and were never named before)."""
+    """Return the names in a list of `m1`, `m1..m4`, `z1` (a zone) and `all` (that run)."""
     found = []
     for part in text.split(","):
         if part == "all":
-            found += [h.name for h in net.running()]
+            found += [host.name for host in net.running()]
         elif part.startswith("z"):
-            found += [h.name for h in net.hosts.values() if h.zone == part]
+            found += [host.name for host in net.hosts.values() if host.zone == part]
         elif span := re.fullmatch(r"m(\d+)\.\.m(\d+)", part):
             found += [f"m{i}" for i in range(int(span[1]), int(span[2]) + 1)]
         else:
@@ -31,8 +31,8 @@
     return found
 
 
-class Play:
-    """One scenario under one seed; tests/README.md has the notation."""
+class ScenarioRun:
+    """The run of one scenario with one seed; tests/README.md has the notation."""
 
     def __init__(self, seed):
         self.seed = seed
@@ -54,7 +54,7 @@
         self.net = fleet(int(size), self.seed, zones, joined=joined, **network)
         self.net.cut = self.lost
         if not joined:
-            assert self.net.views_agree(), "the fleet never came together"
+            assert self.net.views_agree(), "the fleet's views do not agree at the start"
 
     def lost(self, now, a, b):
         return max(
@@ -63,13 +63,13 @@
         )
 
     def at_cut(self, from_, arrow, to, share="1.0"):
-        """`cut A -> B [SHARE]` one way, `cut A <> B` both."""
-        one, other = set(names(self.net, from_)), set(names(self.net, to))
+        """`cut A -> B [SHARE]` in one direction, `cut A <> B` in both; `rest` is all others."""
+        senders, receivers = set(names(self.net, from_)), set(names(self.net, to))
         if to == "rest":
-            other = set(self.net.hosts) - one
-        self.cuts.append((one, other, float(share)))
+            receivers = set(self.net.hosts) - senders
+        self.cuts.append((senders, receivers, float(share)))
         if arrow == "<>":
-            self.cuts.append((other, one, float(share)))
+            self.cuts.append((receivers, senders, float(share)))
 
     def at_heal(self):
         self.cuts.clear()
@@ -79,7 +79,7 @@
             self.net.kill(name)
 
     def at_drop(self, who):
-        """The machine fails too: nothing reports that nobody listens."""
+        """Stop processes with their machines, so that no host reports a closed port."""
         for name in names(self.net, who):
             self.net.kill(name, refuses=False)
 
@@ -92,9 +92,10 @@
             self.net.leave(name)
 
     def at_start(self, who, *given):
-        """Starts, or starts again.
+        """Start or restart processes.
 
-        `seeds=`, `behind=` seconds of a clock that went back, `as=` a name.
+        Options: `seeds=`, `behind=` seconds by which the clock has gone back, `as=` the name,
+        `zone=`.
         """
         options = dict(option.split("=", 1) for option in given)
         seeds = options.get("seeds", "m0,m1,m2").split(",")
@@ -111,13 +112,13 @@
     def at_play(self, span):
         self.net.run(self.net.now + int(float(span) * SECOND))
 
-    # What must be so.
+    # Assertions.
 
     def at_within(self, span, verb, *rest):
-        """`within 5 gone m1`, `within 5 equal`, `within 3 stage m1 out`, `within 4 sees m0 m1
-        unreachable`.
+        """Examples: `within 5 gone m1`, `within 5 equal`, `within 3 stage m1 out`, `within 4 sees
+        m0 m1 unreachable`.
         """
-        asks = {
+        conditions = {
             "gone": self.departed,
             "equal": self.net.views_agree,
             "stage": self.stage,
@@ -125,8 +126,8 @@
             "holds": self.holds,
         }
         began = self.net.now
-        ok = self.net.run(began + int(float(span) * SECOND), lambda: asks[verb](*rest))
-        assert ok, f"not within {span} s: {verb} {' '.join(rest)}"
+        met = self.net.run(began + int(float(span) * SECOND), lambda: conditions[verb](*rest))
+        assert met, f"not within {span} s: {verb} {' '.join(rest)}"
 
     def departed(self, who):
         departed = {member_id(name) for name in names(self.net, who)}
@@ -143,64 +144,68 @@
         )
 
     def sees(self, by, who, state):
-        one = self.net.hosts[by].member
-        found = [
-            one.state(self.net.now, one.view.records[member_id(name)]) == state
+        observer = self.net.hosts[by].member
+        matches = [
+            observer.state(self.net.now, observer.view.records[member_id(name)]) == state
             for name in names(self.net, who)
         ]
-        return sum(found) >= 0.75 * len(found)  # it does not know of all of them yet
+        return sum(matches) >= 0.75 * len(matches)  # the observer may not know all states yet
 
     def holds(self, by, who):
-        """Whether this process is the one that all others have in their views under a name."""
+        """Return whether all other views have this process under the name `who`."""
         incarnation = self.net.hosts[by].member.record.incarnation
         return all(
-            h.member.view.records.get(member_id(who)) is not None
-            and h.member.view.records[member_id(who)].incarnation == incarnation
-            for h in self.net.running()
-            if h.name != who
+            host.member.view.records.get(member_id(who)) is not None
+            and host.member.view.records[member_id(who)].incarnation == incarnation
+            for host in self.net.running()
+            if host.name != who
         )
 
     def at_removed(self, *who):
-        """Exactly these were ever removed by anybody; `removed none`."""
-        found = {s.change.record.name for s in self.net.changes if s.change.kind == "removed"}
+        """Assert that exactly these members have been removed by any member; `removed none`."""
+        found = {
+            seen.change.record.name for seen in self.net.changes if seen.change.kind == "removed"
+        }
         wanted = set() if who == ("none",) else {name for x in who for name in names(self.net, x)}
         assert found == wanted, f"removed {sorted(found)}"
 
     def at_once(self, who):
-        """Nobody's view removed any of these more than once."""
+        """Assert that no member removed any of these more than once."""
         for name in names(self.net, who):
-            by = [s.by for s in self.net.removals_of(name)]
+            by = [seen.by for seen in self.net.removals_of(name)]
             assert len(by) == len(set(by)), f"{name} removed more than once"
 
     def at_size(self, by, members, *usable):
-        """What the fleet's size in force is there, where 100 is configured."""
-        got = self.net.hosts[by].member.size(self.net.now)
-        assert got.in_force(100) == int(members), f"{got}"
+        """Assert the fleet's size in force at a member, with a configured size of 100."""
+        estimate = self.net.hosts[by].member.size(self.net.now)
+        assert estimate.in_force(100) == int(members), f"{estimate}"
 
     def at_sent(self, most):
-        """Messages a second that a member sent since the fleet came together, the mean."""
+        """Assert a bound of the mean number of messages that a member sends per second."""
         up = self.net.running()
-        rate = sum(h.sent for h in up) / len(up) / (self.net.now / 1e6)
+        rate = sum(host.sent for host in up) / len(up) / (self.net.now / 1e6)
         assert rate <= float(most), f"{rate:.1f} messages a second"
 
     def at_numbers(self, who):
-        """A member's version is not below any that was ever known under its name."""
+        """Assert that a member's version is not below any that was known under its name."""
         for name in names(self.net, who):
-            most = max(
-                s.change.record.version for s in self.net.changes if s.change.record.name == name
+            highest = max(
+                seen.change.record.version
+                for seen in self.net.changes
+                if seen.change.record.name == name
             )
-            assert self.net.hosts[name].member.record.version >= most
+            assert self.net.hosts[name].member.record.version >= highest
 
 
-def play(path, seed):
-    scene = Play(seed)
+def run_scenario(path, seed):
+    run = ScenarioRun(seed)
     for number, line in enumerate(path.read_text().splitlines(), 1):
         line = line.partition("#")[0].split()
         if line and line[0] != "seeds":
             try:
-                scene.line(line)
-            except AssertionError as fault:
-                raise AssertionError(f"{path.stem}:{number}, seed {seed}: {fault}") from None
+                run.line(line)
+            except AssertionError as error:
+                raise AssertionError(f"{path.stem}:{number}, seed {seed}: {error}") from None
 
 
 def seeds(path):
@@ -210,18 +215,18 @@
 
 class Members(unittest.TestCase):
     def test_scenarios(self):
-        paths = sorted(HERE.glob("*.txt"))
+        paths = sorted(FOLDER.glob("*.txt"))
         self.assertTrue(paths)
         for path in paths:
             with self.subTest(path.stem):
                 for seed in seeds(path):
-                    play(path, seed)
+                    run_scenario(path, seed)
 
     def test_guards(self):
-        """Each of these scenarios fails where its guard is taken out.
+        """Each of these scenarios fails if its guard is disabled.
 
-        Guards against tests that pass whatever the rule says. Where another guard covers the same
-        ground that one is out in both plays, so that what is shown is this one alone.
+        Guards against scenarios that pass with any rule. If another guard also protects a scenario,
+        it is disabled in both runs, so that the difference is due to the tested guard alone.
         """
 
         def without(where, **names):
@@ -257,22 +262,22 @@
             ),
         ):
             with self.subTest(name), contextlib.ExitStack() as stack:
-                for one in covering:
-                    stack.enter_context(one)
-                play(HERE / f"{name}.txt", 0)
+                for other_guard in covering:
+                    stack.enter_context(other_guard)
+                run_scenario(FOLDER / f"{name}.txt", 0)
                 stack.enter_context(guard)
                 with self.assertRaises(AssertionError):
                     for seed in range(8):
-                        play(HERE / f"{name}.txt", seed)
+                        run_scenario(FOLDER / f"{name}.txt", seed)
 
     def test_own_pause(self):
-        """A member that resumes after a pause probes before it accuses.
+        """A member that resumes after a pause of its process suspects nobody before it has probed.
 
-        What went unanswered during the pause does not count. Here an answer was overdue before it,
-        through loss that ended during the pause.
+        Probes that went unanswered during the pause do not count. Here answers were already overdue
+        before the pause, through loss that ended during it.
         """
 
-        def accused(guard):
+        def suspicions(guard):
             with contextlib.ExitStack() as stack:
                 if not guard:
                     stack.enter_context(
@@ -286,15 +291,15 @@
                 net.run(net.now + SECOND + 50_000)
                 return len(net.hosts["m0"].member.removal.report.suspicions)
 
-        self.assertEqual((accused(True), accused(False) > 0), (0, True))
+        self.assertEqual((suspicions(True), suspicions(False) > 0), (0, True))
 
     def test_refutation(self):
-        """A suspicion that outlives its cause is refuted by the suspect.
+        """A suspect refutes a suspicion that remains after its cause has ended.
 
-        Without that, members that do not receive the later report would go on counting it.
+        Without the refutation, members that miss the observer's next report would still count it.
         """
 
-        def play_with(refutes):
+        def run(refutes):
             with contextlib.ExitStack() as stack:
                 if not refutes:
                     stack.enter_context(
@@ -304,20 +309,20 @@
                         )
                     )
                 net = fleet(5, 1)
-                accused = net.hosts["m1"].member
-                before = accused.record.version
+                suspect = net.hosts["m1"].member
+                before = suspect.record.version
                 net.pause("m1", 2 * SECOND)
                 net.run(net.now + 6 * SECOND)
-                return accused.record.version - before, len(net.removals_of("m1"))
+                return suspect.record.version - before, len(net.removals_of("m1"))
 
-        refuted, removed = play_with(True)
+        refuted, removed = run(True)
         self.assertEqual((refuted >= 1, removed), (True, 0))
-        self.assertEqual(play_with(False)[0], 0)
+        self.assertEqual(run(False)[0], 0)
 
     def test_no_seed_listens(self):
-        """A member whose seeds do not exist stays alone, and its stage shows it.
+        """A member whose seeds do not exist stays in the stage `alone`.
 
-        It sends a bounded number of messages.
+        The number of messages that it sends is bounded.
         """
         net = fleet(1, 3)
         net.start("lone", ["nowhere1", "nowhere2", "nowhere3"])
@@ -330,46 +335,49 @@
     def test_same_events_same_actions(self):
         """Two simulations with one seed send the same messages."""
 
-        def once():
+        def run():
             net = fleet(9, 5, loss=0.2)
             net.pause("m3", 2 * SECOND)
             net.kill("m5")
             net.run(net.now + 8 * SECOND)
-            return [(s.at_us, s.by, s.change.kind, s.change.record.digest) for s in net.changes], [
-                h.sent for h in net.hosts.values()
+            changes = [
+                (seen.at_us, seen.by, seen.change.kind, seen.change.record.digest)
+                for seen in net.changes
             ]
+            return changes, [host.sent for host in net.hosts.values()]
 
-        self.assertEqual(once(), once())
+        self.assertEqual(run(), run())
 
     def test_bounds(self):
-        """Every datagram that a member sends in a fleet of 60 fits, joining, a third lost,
-        healing.
+        """Datagrams and tables stay within their bounds in a fleet of 60.
+
+        A third of the fleet is cut off and comes back.
         """
         from gullyoke.emulator.peers import datagram_bytes
 
         net = fleet(60, 2, joined=True)
-        worst = 0
-        plain = net._send_outgoing
+        largest = 0
+        send_outgoing = net._send_outgoing
 
-        def weighed(host):
-            nonlocal worst
+        def measured_send(host):
+            nonlocal largest
             for send in host.member.dissemination.outgoing:
-                worst = max(worst, datagram_bytes(send.message))
-            plain(host)
+                largest = max(largest, datagram_bytes(send.message))
+            send_outgoing(host)
 
-        net._send_outgoing = weighed
-        left = {f"m{i}" for i in range(20)}
-        net.cut = lambda now, a, b: 1.0 if (a.name in left) != (b.name in left) else 0.0
+        net._send_outgoing = measured_send
+        cut_off = {f"m{i}" for i in range(20)}
+        net.cut = lambda now, a, b: 1.0 if (a.name in cut_off) != (b.name in cut_off) else 0.0
         net.run(net.now + 12 * SECOND)
         net.cut = None
         net.run(net.now + 20 * SECOND, net.views_agree)
         self.assertTrue(net.views_agree())
-        self.assertLess(worst, 1200)
+        self.assertLess(largest, 1200)
         for host in net.running():
-            one = host.member
-            self.assertLessEqual(len(one.probing.relays), probing.MAX_RELAYS)
-            self.assertLessEqual(len(one.probing.targets), probing.MAX_RELAYS)
-            self.assertLessEqual(one.gossip.queued_bytes, 64 * 1024)
+            member = host.member
+            self.assertLessEqual(len(member.probing.relays), probing.MAX_RELAYS)
+            self.assertLessEqual(len(member.probing.targets), probing.MAX_RELAYS)
+            self.assertLessEqual(member.gossip.queued_bytes, 64 * 1024)
 
 
 if __name__ == "__main__":
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -1,7 +1,4 @@
-"""Members on real sockets of one process.
-
-Joining, refusals, whatever does not verify, and what is kept.
-"""
+"""Members on real sockets in one process: joining, refused datagrams, dropped datagrams, status."""
 
 import json
 import pathlib
@@ -31,7 +28,7 @@
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
 
-KEY, PATIENCE = b"k" * 32, 20
+KEY, TIMEOUT_S = b"k" * 32, 20
 FILE = 'fleet { name: "f" listen: "127.0.0.1:7900" seed: "127.0.0.1:7900" key_file: "%s" }'
 
 
@@ -48,7 +45,7 @@
 
     def begin(self, links, seeds):
         for i, link in enumerate(links):
-            row = MemberRecord(
+            record = MemberRecord(
                 f"p{i}",
                 start_version(int(time.time())),
                 Status.JOINING,
@@ -56,42 +53,44 @@
                 "z",
                 i + 1,
             )
-            link.begin(Member(clock.now(), row, seeds, random.Random(i)))
+            link.begin(Member(clock.now(), record, seeds, random.Random(i)))
 
-    def eventually(self, ask, what):
-        until = time.monotonic() + PATIENCE
-        while not ask():
-            self.assertLess(time.monotonic(), until, f"never came: {what}")
+    def eventually(self, condition, description):
+        until = time.monotonic() + TIMEOUT_S
+        while not condition():
+            self.assertLess(time.monotonic(), until, f"not reached: {description}")
             time.sleep(0.02)
 
-    def test_named_after_one_that_is_gone(self):
-        """What a machine refuses costs that datagram alone.
+    def test_refused_datagram_does_not_lose_the_next(self):
+        """A datagram to a closed port does not cause the next datagram to be lost.
 
-        Guards against the refusal coming up at the next one's sending, which was not sent then:
-        whoever was always named after one that is gone heard nothing.
+        The system may report the refusal when the next datagram is sent, which was then dropped: a
+        member that always came next after a stopped member received nothing.
         """
         links = self.links(2)
         self.begin(links, (text(links[0].address),))
         self.eventually(lambda: all(len(k.member.view.rings) == 2 for k in links), "two in")
-        gone = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        gone.bind(("127.0.0.1", 0))
-        address = text(gone.getsockname())
-        gone.close()
-        heard = links[1].metrics.counters.get("peers.dropped.topic", 0)
-        row = links[0].member.record
+        closed = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        closed.bind(("127.0.0.1", 0))
+        address = text(closed.getsockname())
+        closed.close()
+        before = links[1].metrics.counters.get("peers.dropped.topic", 0)
+        sender = links[0].member.record
         for _ in range(40):
-            links[0].send(OutgoingMessage(address, TopicMessage(row, 99, b"to nobody")))
-            links[0].send(OutgoingMessage(text(links[1].address), TopicMessage(row, 99, b"to one")))
+            links[0].send(OutgoingMessage(address, TopicMessage(sender, 99, b"to nobody")))
+            links[0].send(
+                OutgoingMessage(text(links[1].address), TopicMessage(sender, 99, b"to one"))
+            )
         self.eventually(
-            lambda: links[1].metrics.counters.get("peers.dropped.topic", 0) == heard + 40, "all 40"
+            lambda: links[1].metrics.counters.get("peers.dropped.topic", 0) == before + 40, "all 40"
         )
         self.assertNotIn("peers.unsent", links[0].metrics.counters)
 
-    def test_a_fleet(self):
-        """Three join; what does not verify is dropped and counted.
+    def test_fleet_of_three(self):
+        """Three members join, and datagrams that do not verify are dropped and counted.
 
-        One that ends is refused by the machine and removed by the others, sooner than silence would
-        tell.
+        When one member ends, its host refuses datagrams, and the others remove it sooner than for
+        silence.
         """
         links = self.links(3)
         self.begin(links, (text(links[0].address),))
@@ -102,29 +101,29 @@
                 b"",
                 b"x" * 50,
                 b"y" * 1500,
-                Seal("f", (b"z" * 32,)).seal(b"strange"),
+                Seal("f", (b"z" * 32,)).seal(b"another key"),
                 Seal("g", (KEY,)).seal(b"another fleet"),
-                Seal("f", (KEY,)).seal(b"no message"),
+                Seal("f", (KEY,)).seal(b"not a message"),
             ):
                 sock.sendto(data, links[1].address)
             self.eventually(lambda: metrics.counters["peers.dropped.seal"] >= 5, "dropped")
             self.eventually(lambda: metrics.counters["peers.dropped.malformed"] == 1, "malformed")
         links[2].end()
-        began_at, gone = time.monotonic(), links[2].member.id
+        began_at, ended = time.monotonic(), links[2].member.id
         self.eventually(
-            lambda: all(gone not in k.member.view.records for k in links[:2]), "removed"
+            lambda: all(ended not in k.member.view.records for k in links[:2]), "removed"
         )
         self.assertLess(time.monotonic() - began_at, 3.5)
         self.assertGreater(
             links[0].metrics.counters["peers.refused"] + metrics.counters["peers.refused"], 0
         )
 
-    def test_its_end(self):
-        """Closing it is no fault: guards against one that is counted at each drain."""
+    def test_closing_is_not_an_error(self):
+        """Guards against an internal error that was counted when a link was closed in a drain."""
         (link,) = self.links(1)
         link.begin(
             types.SimpleNamespace(tick=lambda now: link.end(), take_outgoing=list)
-        )  # closed within a turn
+        )  # closes the link during an iteration
         link.join(5)
         self.assertFalse(link.is_alive())
         self.assertEqual(
@@ -132,54 +131,54 @@
         )
 
     def test_another_key(self):
-        """Who has another key is not let in and not answered, and stays alone."""
-        (one,) = self.links(1)
+        """A member with another key gets no answer and stays in the stage `alone`."""
+        (seed,) = self.links(1)
         (other,) = self.links(1, b"q" * 32)
-        self.begin([one, other], (text(one.address),))
-        other.member.join_state.seeds = (text(one.address),)
-        self.eventually(lambda: one.metrics.counters["peers.dropped.seal"] >= 2, "its hellos")
-        self.assertEqual((len(one.member.view), other.member.join_state.stage.value), (1, "alone"))
-        self.assertEqual(one.metrics.counters["peers.sent"], 0)
+        self.begin([seed, other], (text(seed.address),))
+        other.member.join_state.seeds = (text(seed.address),)
+        self.eventually(lambda: seed.metrics.counters["peers.dropped.seal"] >= 2, "two hellos")
+        self.assertEqual((len(seed.member.view), other.member.join_state.stage.value), (1, "alone"))
+        self.assertEqual(seed.metrics.counters["peers.sent"], 0)
 
-    def test_a_fault_of_our_own(self):
-        """An error in a turn is counted, and the next one comes."""
+    def test_program_error_does_not_end_the_thread(self):
+        """A program error in an iteration of the link's loop is counted, and the loop continues."""
         (link,) = self.links(1)
-        turns = []
+        ticks = []
 
         def tick(now):
-            turns.append(now)
-            raise ValueError("ours")
+            ticks.append(now)
+            raise ValueError("program error")
 
         link.member = types.SimpleNamespace(tick=tick, take_outgoing=list, view=None)
         link.start()
-        self.eventually(lambda: len(turns) >= 3, "three turns")
+        self.eventually(lambda: len(ticks) >= 3, "three ticks")
         self.assertGreaterEqual(link.metrics.counters["internal_errors.peers"], 2)
 
     def test_status(self):
-        """What an operator asks: the view and its changes, as JSON and as lines."""
+        """Operators' commands show the view and its changes, as JSON and as text."""
         links = self.links(2)
         self.begin(links, (text(links[0].address),))
         self.eventually(lambda: all(len(k.member.view.rings) == 2 for k in links), "two in")
-        answers = StatusServer(("127.0.0.1", 0), links[0], links[0].metrics)
-        answers.start()
-        self.addCleanup(answers.end)
-        at = text(answers.sock.getsockname())
+        server = StatusServer(("127.0.0.1", 0), links[0], links[0].metrics)
+        server.start()
+        self.addCleanup(server.end)
+        at = text(server.sock.getsockname())
         run = CliRunner().invoke
-        said = run(main, ["fleet", "status", "--at", at, "--json"])
-        found = json.loads(said.stdout)
+        result = run(main, ["fleet", "status", "--at", at, "--json"])
+        answer = json.loads(result.stdout)
         self.assertEqual(
-            (found["stage"], found["members"], [row["state"] for row in found["rows"]]),
+            (answer["stage"], answer["members"], [row["state"] for row in answer["rows"]]),
             ("in", 2, ["alive", "alive"]),
         )
         self.assertIn("p1", run(main, ["fleet", "status", "--at", at]).stdout)
         self.assertIn("joined", run(main, ["fleet", "events", "--at", at]).stdout)
         self.assertEqual(run(main, ["fleet", "status", "--at", "127.0.0.1:1"]).exit_code, 2)
-        with socket.create_connection(answers.sock.getsockname()) as conn:
+        with socket.create_connection(server.sock.getsockname()) as conn:
             conn.sendall(b"what?\n")
             self.assertIn(b"right would be", conn.recv(100))
 
     def test_signals(self):
-        """How a member stands comes with what it sends anyway, and is shown."""
+        """A member's load signal is piggybacked on its messages and shown in the status."""
         links = self.links(2)
         for link in links:
             link.signals = ReceivedReports()
@@ -192,16 +191,16 @@
         self.assertEqual((row["room"], row["shed"], row["pace"]), (0.4, 0.2, 1.4))
         self.assertEqual(links[1].signals.rows, {})
 
-    def test_number_kept(self):
-        """The next start takes a number above the last one's, on a clock that went back too.
+    def test_start_version_is_stored(self):
+        """The next start takes a higher version, even if the clock has gone back.
 
-        A folder that can't be used is counted and nothing waits for it.
+        An unusable folder is counted and delays nothing.
         """
         with tempfile.TemporaryDirectory() as folder:
             metrics, first = Metrics(), start_version(1_000_000)
-            number = StoredStartNumber(folder, metrics)
-            number.keep(first)
-            number.close()
+            stored = StoredStartNumber(folder, metrics)
+            stored.keep(first)
+            stored.close()
             self.assertEqual(metrics.counters["fleet.kept"], 1)
             again = StoredStartNumber(folder, Metrics())
             self.assertGreater(start_version(5, again.known()), first)
@@ -212,13 +211,14 @@
             broken.keep(7)
             self.assertEqual((broken.known(), metrics.counters["fleet.unkept"]), (0, 1))
 
-    def test_size_for_the_decisions(self):
-        """The decisions go by the size agreed on where that is wanted and can be trusted, by the
-        one told at the start elsewhere.
+    def test_size_for_decisions(self):
+        """Decisions use the fleet's estimated size if that is enabled and the estimate is usable.
+
+        Otherwise they use the size given at the start.
         """
-        given = types.SimpleNamespace(size=12)
+        facts = types.SimpleNamespace(size=12)
         daemon = types.SimpleNamespace(
-            configuration=types.SimpleNamespace(facts=types.SimpleNamespace(fleet=given)),
+            configuration=types.SimpleNamespace(facts=types.SimpleNamespace(fleet=facts)),
             dispatcher=types.SimpleNamespace(lock=threading.Lock()),
             timer=types.SimpleNamespace(call_at=lambda *_: None),
         )
@@ -236,16 +236,16 @@
         ):
             sizes.append(size)
             unit.look()
-            self.assertEqual(given.size, expected)
+            self.assertEqual(facts.size, expected)
         unit.wanted = wanted._replace(size=False)
         sizes.append(SizeEstimate(5, 5, 0, 1.0))
         unit.look()
-        self.assertEqual(given.size, 12)
+        self.assertEqual(facts.size, 12)
 
     def test_operator_file(self):
-        """`fleet` as it is read, its faults, and a key file that can't be right.
+        """The parsing of `fleet` in the operator's file, and errors in it and in the key file.
 
-        The one in force stays.
+        A reload with an invalid key file is rejected.
         """
         with tempfile.TemporaryDirectory() as folder:
             key, path = pathlib.Path(folder, "key"), pathlib.Path(folder, "operator.textproto")
@@ -265,7 +265,7 @@
                 unit.ignored_changes(types.SimpleNamespace(fleet=wanted._replace(zone="other"))),
                 ["fleet.zone"],
             )
-            for more, said in (
+            for more, message in (
                 ('seed: "127.0.0.1:7900"', r"seed\[1\]: .* twice"),
                 ('status: "127.0.0.1:7900"', "status: it is the address"),
                 ('status: "10.0.0.1:7900"', "status: .*loopback"),
@@ -284,7 +284,7 @@
                 ),
             ):
                 path.write_text((FILE % key).replace("key_file", f"{more} key_file"))
-                with self.subTest(more), self.assertRaisesRegex(OperatorFileError, said):
+                with self.subTest(more), self.assertRaisesRegex(OperatorFileError, message):
                     read(str(path))
             self.assertEqual(
                 set(Together._fields) - {"seeds", "key_file"},
--- a/tests/membership/test_properties.py
+++ b/tests/membership/test_properties.py
@@ -1,8 +1,4 @@
-"""Membership under any order of faults.
-
-A state machine, every short play of three members, merging in any order, and datagrams of any
-bytes.
-"""
+"""Properties of membership under arbitrary faults, orders of merging and bytes of datagrams."""
 
 import contextlib
 import itertools
@@ -39,54 +35,54 @@
 from gullyoke.peer_transport.seal import ReplayWindow, Seal, UnusableKeyError, parse_keys
 
 TEXT = st.text("abcdefghij0123456789.:-", min_size=1, max_size=20)
-FIGURE, LOST = st.integers(0, 2**63), st.integers(0, 255)
-ROW = st.builds(
-    MemberRecord, TEXT, st.integers(0, 2**62), st.sampled_from(Status), TEXT, TEXT, FIGURE
+NUMBER, LOST = st.integers(0, 2**63), st.integers(0, 255)
+RECORD = st.builds(
+    MemberRecord, TEXT, st.integers(0, 2**62), st.sampled_from(Status), TEXT, TEXT, NUMBER
 )
-ENTRY = st.builds(Suspicion, FIGURE, FIGURE, st.sampled_from(SuspicionKind))
-NEWS = st.one_of(
-    ROW,
-    st.builds(StatusUpdate, FIGURE, FIGURE, st.sampled_from(Status), FIGURE, LOST, LOST),
+SUSPICION = st.builds(Suspicion, NUMBER, NUMBER, st.sampled_from(SuspicionKind))
+UPDATE = st.one_of(
+    RECORD,
+    st.builds(StatusUpdate, NUMBER, NUMBER, st.sampled_from(Status), NUMBER, LOST, LOST),
     st.builds(
         SuspicionReport,
-        FIGURE,
-        FIGURE,
-        FIGURE,
+        NUMBER,
+        NUMBER,
+        NUMBER,
         st.booleans(),
-        st.lists(ENTRY, max_size=3).map(tuple),
+        st.lists(SUSPICION, max_size=3).map(tuple),
     ),
 )
-MANY = st.lists(NEWS, max_size=4).map(tuple)
+UPDATES = st.lists(UPDATE, max_size=4).map(tuple)
 MESSAGE = st.one_of(
-    st.builds(Ping, ROW, FIGURE, FIGURE, LOST, MANY, FIGURE),
-    st.builds(Ack, ROW, FIGURE, FIGURE, FIGURE, LOST, MANY, FIGURE),
-    st.builds(PingRequest, ROW, FIGURE, ROW, FIGURE, LOST, MANY, FIGURE),
-    st.builds(Gossip, ROW, FIGURE, LOST, MANY, FIGURE),
-    st.builds(Hello, ROW),
-    st.builds(ViewDigests, ROW, st.lists(FIGURE, max_size=64).map(tuple)),
+    st.builds(Ping, RECORD, NUMBER, NUMBER, LOST, UPDATES, NUMBER),
+    st.builds(Ack, RECORD, NUMBER, NUMBER, NUMBER, LOST, UPDATES, NUMBER),
+    st.builds(PingRequest, RECORD, NUMBER, RECORD, NUMBER, LOST, UPDATES, NUMBER),
+    st.builds(Gossip, RECORD, NUMBER, LOST, UPDATES, NUMBER),
+    st.builds(Hello, RECORD),
+    st.builds(ViewDigests, RECORD, st.lists(NUMBER, max_size=64).map(tuple)),
     st.builds(
         ViewRecords,
-        ROW,
-        st.lists(st.tuples(FIGURE, FIGURE), max_size=4).map(tuple),
-        st.lists(ROW, max_size=4).map(tuple),
+        RECORD,
+        st.lists(st.tuples(NUMBER, NUMBER), max_size=4).map(tuple),
+        st.lists(RECORD, max_size=4).map(tuple),
         st.booleans(),
-        FIGURE,
+        NUMBER,
     ),
 )
 MEMBER = st.integers(0, 5)
 
 
 class Faults(RuleBasedStateMachine):
-    """Three to six members under any loss, doubling, cuts, pauses, ends and starts.
+    """Three to six members under any loss, duplicates, cuts, pauses, ends and starts.
 
-    Afterwards, when all faults have ended, all views are one within `HEALED`.
+    Once all faults have ended, all views agree within `HEAL_TIME_US`.
     """
 
-    HEALED = 60 * SECOND  # an own removal may have to settle first, longer after each
+    HEAL_TIME_US = 60 * SECOND  # a removed member first settles, for longer after each removal
 
     def __init__(self):
         super().__init__()
-        self.net, self.cuts, self.numbers = None, set(), {}
+        self.net, self.cuts, self.versions = None, set(), {}
 
     @rule(size=st.integers(3, 6), seed=st.integers(0, 50))
     def begin(self, size, seed):
@@ -94,7 +90,7 @@
             self.net = fleet(size, seed, joined=True, settle_us=SECOND)
             self.net.cut = lambda now, a, b: 1.0 if (a.name, b.name) in self.cuts else 0.0
 
-    def named(self, number):
+    def name_of(self, number):
         names = list(self.net.hosts)
         return names[number % len(names)]
 
@@ -106,7 +102,7 @@
     @rule(one=MEMBER, other=MEMBER, both=st.booleans())
     def cut(self, one, other, both):
         if self.net:
-            a, b = self.named(one), self.named(other)
+            a, b = self.name_of(one), self.name_of(other)
             self.cuts |= {(a, b), (b, a)} if both else {(a, b)}
 
     @rule()
@@ -122,29 +118,29 @@
 
     @rule(one=MEMBER, span=st.integers(1, 50))
     def pause(self, one, span):
-        if self.net and self.net.hosts[self.named(one)].up:
-            self.net.pause(self.named(one), span * 100_000)
+        if self.net and self.net.hosts[self.name_of(one)].up:
+            self.net.pause(self.name_of(one), span * 100_000)
 
     @rule(one=MEMBER, refuses=st.booleans())
     def end(self, one, refuses):
         if self.net and len(self.net.running()) > 2:
-            self.net.kill(self.named(one), refuses)
+            self.net.kill(self.name_of(one), refuses)
 
     @rule(one=MEMBER, behind=st.sampled_from((0, 5, 3600)))
     def start(self, one, behind):
-        if self.net and not self.net.hosts[self.named(one)].up:
-            self.net.start(self.named(one), ["m0", "m1", "m2"], behind=behind)
+        if self.net and not self.net.hosts[self.name_of(one)].up:
+            self.net.start(self.name_of(one), ["m0", "m1", "m2"], behind=behind)
 
     @invariant()
-    def numbers_never_go_back(self):
-        """What a view knows of a member is never taken back by what is older."""
+    def versions_never_decrease(self):
+        """The version of a member's record in a view never decreases."""
         for host in self.net.running() if self.net else ():
-            view, seen = host.member.view, self.numbers.setdefault((host.name, host.starts), {})
+            view, seen = host.member.view, self.versions.setdefault((host.name, host.starts), {})
             if len(view) == 1:
-                seen.clear()  # its own view was void after a removal
-            for row in view.records.values():
-                assert row.version >= seen.get(row.id, 0)
-                seen[row.id] = row.version
+                seen.clear()  # a removed member has discarded its view
+            for record in view.records.values():
+                assert record.version >= seen.get(record.id, 0)
+                seen[record.id] = record.version
 
     def teardown(self):
         if self.net is None:
@@ -153,9 +149,10 @@
         for host in list(self.net.hosts.values()):
             if not host.up:
                 self.net.start(host.name, ["m0", "m1", "m2"])
-        healed = self.net.run(self.net.now + self.HEALED, self.net.views_agree)
+        healed = self.net.run(self.net.now + self.HEAL_TIME_US, self.net.views_agree)
         assert healed, {
-            h.name: (h.member.join_state.stage, len(h.member.view)) for h in self.net.running()
+            host.name: (host.member.join_state.stage, len(host.member.view))
+            for host in self.net.running()
         }
 
 
@@ -173,10 +170,10 @@
             ),
         )
 
-    def test_every_short_play(self):
-        """Every play of four steps of 1.6 s of a fleet of three, each under one of five faults.
+    def test_every_short_sequence_of_faults(self):
+        """All sequences of four steps of 1.6 s of a fleet of three, each with one of five faults.
 
-        Once they end, the views are one again, and nobody removed anybody twice within one start.
+        When the faults have ended, all views agree, and no member removed another one twice.
         """
 
         def cuts(*pairs):
@@ -200,7 +197,7 @@
             net.cut = None
             self.assertTrue(net.run(net.now + 12 * SECOND, net.views_agree), steps)
             for name in net.hosts:
-                by = [s.by for s in net.removals_of(name)]
+                by = [seen.by for seen in net.removals_of(name)]
                 self.assertEqual(len(by), len(set(by)), (steps, name))
 
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
@@ -215,73 +212,70 @@
         st.randoms(use_true_random=False),
     )
     def test_merging_in_any_order(self, given, chance):
-        """The same rows in any order, some of them twice, come to the same view."""
-        rows = [
-            MemberRecord(f"m{a}", number, status, "x", "z", life)
-            for a, number, status, life in given
+        """The same records in any order, some of them twice, merge to the same view."""
+        records = [
+            MemberRecord(f"m{index}", version, status, "x", "z", incarnation)
+            for index, version, status, incarnation in given
         ]
         views = []
         for _ in range(3):
             view = View(8)
-            for row in rows + rows[:2]:
-                view.merge(0, row)
+            for record in records + records[:2]:
+                view.merge(0, record)
             views.append((view.digest, sorted(view.rings.members), view.buckets))
-            chance.shuffle(rows)
+            chance.shuffle(records)
         self.assertEqual(views[0], views[1])
         self.assertEqual(views[0], views[2])
 
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(MESSAGE)
-    def test_messages_come_back(self, message):
+    def test_messages_are_decoded_as_encoded(self, message):
         self.assertEqual(codec.unpack(codec.pack(message)), message)
 
     @settings(max_examples=300, deadline=None, derandomize=True, database=None)
     @given(st.binary(max_size=200))
     def test_any_bytes(self, data):
-        """Any bytes give a message or a `MalformedDatagramError`, nothing else."""
+        """Decoding any bytes gives a message or raises `MalformedDatagramError`."""
         with contextlib.suppress(MalformedDatagramError):
             codec.unpack(data)
 
     @settings(max_examples=200, deadline=None, derandomize=True, database=None)
     @given(MESSAGE, st.integers(0, 10_000), st.integers(1, 255))
-    def test_bytes_that_were_changed(self, message, at, by):
+    def test_changed_bytes(self, message, at, by):
         data = bytearray(codec.pack(message))
         data[at % len(data)] ^= by
         with contextlib.suppress(MalformedDatagramError):
             codec.unpack(bytes(data))
 
-    def test_a_later_release(self):
-        """What a later release appends to any array is passed over.
-
-        News of a kind not known too.
-        """
+    def test_later_release(self):
+        """Elements that a later release appends to any array, and unknown updates, are ignored."""
         import msgspec
 
-        row = ["m1", 5, 1, "a:1", "z", 9, "more"]
+        record = ["m1", 5, 1, "a:1", "z", 9, "more"]
         data = [
             2,
             0,
-            row,
+            record,
             7,
             8,
             9,
             0,
             None,
-            [[9, None, [1], "x"], [0, row, []]],
+            [[9, None, [1], "x"], [0, record, []]],
             [],
             [],
             5,
             b"",
             {"a": 1},
         ]
-        found = codec.unpack(msgspec.msgpack.encode(data))
-        self.assertEqual((found.seq, found.digest, found.lost), (7, 8, 9))
-        self.assertEqual([x.name for x in found.updates], ["m1"])
+        ping = codec.unpack(msgspec.msgpack.encode(data))
+        self.assertEqual((ping.seq, ping.digest, ping.lost), (7, 8, 9))
+        self.assertEqual([update.name for update in ping.updates], ["m1"])
 
     def test_seal(self):
-        """Another key, another fleet, a changed byte: none verifies.
+        """Datagrams with another key, another fleet or a changed byte do not verify.
 
-        Two keys do, while one replaces the other.
+        A datagram sealed with the old key verifies while a new key replaces it.
         """
         old, new = b"a" * 32, b"b" * 32
         data = Seal("f", (old,)).seal(b"hello")
@@ -297,23 +291,23 @@
             with self.assertRaises(UnusableKeyError):
                 parse_keys(text)
 
-    def test_counts(self):
-        """A datagram that came already, or is far behind, is not new.
+    def test_replay_window(self):
+        """A repeated datagram and one with a count far behind the highest are not new.
 
-        Order does not matter within the window.
+        Within the window datagrams may arrive in any order.
         """
-        counts = ReplayWindow()
+        window = ReplayWindow()
         self.assertEqual(
-            [counts.admits(1, n) for n in (1, 3, 2, 2, 3, 2000, 976, 977, 1999, 1999)],
+            [window.admits(1, n) for n in (1, 3, 2, 2, 3, 2000, 976, 977, 1999, 1999)],
             [True, True, True, False, False, True, False, True, True, False],
         )
         chance, sent = random.Random(1), list(range(2001, 2500))
         chance.shuffle(sent)
-        self.assertTrue(all(counts.admits(1, n) for n in sent))
-        self.assertFalse(any(counts.admits(1, n) for n in sent))
+        self.assertTrue(all(window.admits(1, n) for n in sent))
+        self.assertFalse(any(window.admits(1, n) for n in sent))
 
-    def test_numbers(self):
-        """A start's number is above what was kept and what is known, whatever the clock says."""
+    def test_start_version(self):
+        """A start's version is above the stored and the known one, even if the clock went back."""
         self.assertGreater(start_version(0, persisted=start_version(1000)), start_version(1000))
         self.assertGreater(start_version(5, 0, start_version(1000) + 7), start_version(1000) + 7)
         self.assertEqual(member_id("m1"), member_id("m1"))
--- a/tests/membership/test_rig.py
+++ b/tests/membership/test_rig.py
@@ -1,4 +1,4 @@
-"""Several real processes on loopback with faults between them; the script's own reading."""
+"""Fault tests with real processes on loopback, and the parsing of their scripts."""
 
 import pathlib
 import socket
@@ -55,35 +55,36 @@
 
 class Rig(unittest.TestCase):
     def test_split_and_rolling(self):
-        """A cut that leaves three of five together, its healing, and members replaced in turn.
+        """A partition into two and three members, its end, and a rolling restart.
 
-        The smaller side removes nobody, an orderly end is no removal, and every req is answered
-        once.
+        The smaller side removes no member, a drained member is not counted as removed, and every
+        request is answered once.
         """
         verdict = Play(read(ROLLING)).run()
-        self.assertTrue(verdict.good(), [one for one in verdict.held if not one.held])
+        self.assertTrue(verdict.good(), [check for check in verdict.held if not check.held])
         self.assertEqual(
-            {what for what in verdict.requests if what in ("none", "twice", "late")}, set()
+            {outcome for outcome in verdict.requests if outcome in ("none", "twice", "late")}, set()
         )
 
     def test_faults(self):
-        """A process killed, one that stands still for 3 s, loss, one that hears nobody, an orderly
-        end: those who are well are kept by all, each fault is known in its time, and every req is
+        """A killed process, a pause of 3 s, loss, a member that receives nothing, and a drain.
+
+        Healthy members stay in all views, each fault is detected in time, and every request is
         answered once.
         """
         script = read(PLAY)
         verdict = Play(script).run()
-        self.assertTrue(verdict.good(), [one for one in verdict.held if not one.held])
+        self.assertTrue(verdict.good(), [check for check in verdict.held if not check.held])
         self.assertGreater(verdict.requests["done"], 500)
         self.assertEqual(
-            {what for what in verdict.requests if what in ("none", "twice", "late")}, set()
+            {outcome for outcome in verdict.requests if outcome in ("none", "twice", "late")}, set()
         )
         with tempfile.TemporaryDirectory() as folder:
             paths = write(verdict, script, pathlib.Path(folder))
             self.assertTrue(all(path.stat().st_size > 500 for path in paths))
 
-    def test_a_verdict_can_be_bad(self):
-        """What is not so is said: guards against a rig that holds whatever happens."""
+    def test_unmet_conditions_are_reported(self):
+        """Guards against a rig that reports every condition as met."""
         verdict = Play(
             read(
                 "members 2 zones 1 seed 1 load 4\nat 0.2 kill m1\nby 1 stage m0 out\n"
@@ -91,14 +92,14 @@
             )
         ).run()
         self.assertEqual(
-            [one.held for one in verdict.held if one.what.startswith(("by", "never"))],
+            [check.held for check in verdict.held if check.what.startswith(("by", "never"))],
             [False, False],
         )
 
     def test_scripts(self):
-        """The example is right; a line that can't be is named with what would be."""
+        """The example script is valid; errors name an invalid line and the valid alternatives."""
         read((ROOT / "deploy/faults.play").read_text())
-        for text, said in (
+        for text, message in (
             ("members x", "line 1: 'x'"),
             ("at 1 explode m1", "kill, down"),
             ("at 1 pause m1", "pause with 1 words"),
@@ -106,23 +107,21 @@
             ("hello", "members, at"),
             ("members 99", "1 to 50"),
         ):
-            with self.subTest(text), self.assertRaisesRegex(ScriptError, said):
+            with self.subTest(text), self.assertRaisesRegex(ScriptError, message):
                 read(text)
 
     def test_ports(self):
-        """No port is handed out twice, and none that the system could give to somebody else
-        meanwhile.
-        """
-        found = [free() for _ in range(40)]
-        with socket.create_server(("127.0.0.1", 0)) as given:
-            self.assertTrue(all(port < given.getsockname()[1] for _, port in found))
-        self.assertTrue(all(port < until() for _, port in found))
-        self.assertEqual(len(set(found)), 40)
-        with socket.create_server(found[0]):
-            self.assertNotIn(found[0], [free() for _ in range(40)])
-
-    def test_fate(self):
-        """A cut holds for its pairs and directions alone."""
+        """Addresses are unique, unused, and below the range from which the system assigns ports."""
+        addresses = [free() for _ in range(40)]
+        with socket.create_server(("127.0.0.1", 0)) as server:
+            self.assertTrue(all(port < server.getsockname()[1] for _, port in addresses))
+        self.assertTrue(all(port < until() for _, port in addresses))
+        self.assertEqual(len(set(addresses)), 40)
+        with socket.create_server(addresses[0]):
+            self.assertNotIn(addresses[0], [free() for _ in range(40)])
+
+    def test_cut(self):
+        """A cut affects only its pairs and directions."""
         script = read("members 3 zones 3 seed 1\nat 1 cut m0 -> m1,m2\nat 2 heal\nend 3")
         faults = Faults(script)
         faults.take(script.faults[0])
