--- a/gullyoke/peer_transport/codec.py
+++ b/gullyoke/peer_transport/codec.py
@@ -93,12 +93,12 @@
         seq: A sequence number.
         digest: The digest of the sender's view.
         lost: The share of the fleet that the sender considers lost.
-        subject: The subject of an `Ack`, or the topic of a `TopicMessage`.
+        subject_or_topic: The subject of an `Ack`, or the topic of a `TopicMessage`.
         target: The target of a `PingRequest`.
-        updates: Piggybacked updates.
+        member_updates: The piggybacked updates.
         numbers: The digests of `ViewDigests`; for `ViewRecords` whether it is a reply, the number
             of differing buckets, and the index and the digest of each complete bucket.
-        records: The records of `ViewRecords`.
+        member_records: The records of `ViewRecords`.
         signal: The sender's load signal.
         body: The body of a `TopicMessage`.
     """
@@ -109,11 +109,11 @@
     seq: int = 0
     digest: int = 0
     lost: int = 0
-    subject: int = 0
+    subject_or_topic: int = 0
     target: WireRecord | None = None
-    updates: list[WireUpdate] = []
+    member_updates: list[WireUpdate] = []
     numbers: list[int] = []
-    records: list[WireRecord] = []
+    member_records: list[WireRecord] = []
     signal: int = 0
     body: bytes = b""
 
@@ -194,7 +194,7 @@
     if isinstance(message, Hello):
         return encode(WireMessage(*head))
     if isinstance(message, TopicMessage):
-        return encode(WireMessage(*head, subject=message.topic, body=message.body))
+        return encode(WireMessage(*head, subject_or_topic=message.topic, body=message.body))
     if isinstance(message, ViewDigests):
         return encode(WireMessage(*head, numbers=list(message.buckets)))
     if isinstance(message, ViewRecords):
@@ -205,27 +205,32 @@
             WireMessage(
                 *head,
                 numbers=numbers,
-                records=[encode_record(record) for record in message.records],
+                member_records=[encode_record(record) for record in message.records],
             )
         )
-    updates = [encode_update(update) for update in message.updates]
+    member_updates = [encode_update(update) for update in message.updates]
     if isinstance(message, Gossip):
         return encode(
             WireMessage(
-                *head, 0, message.digest, message.lost, updates=updates, signal=message.signal
+                *head,
+                0,
+                message.digest,
+                message.lost,
+                member_updates=member_updates,
+                signal=message.signal,
             )
         )
     target = encode_record(message.target) if isinstance(message, PingRequest) else None
-    subject = message.subject if isinstance(message, Ack) else 0
+    subject_or_topic = message.subject if isinstance(message, Ack) else 0
     return encode(
         WireMessage(
             *head,
             message.seq,
             message.digest,
             message.lost,
-            subject,
+            subject_or_topic,
             target,
-            updates,
+            member_updates,
             signal=message.signal,
         )
     )
@@ -243,7 +248,7 @@
     if kind is Hello:
         return Hello(sender)
     if kind is TopicMessage:
-        return TopicMessage(sender, wire.subject, wire.body)
+        return TopicMessage(sender, wire.subject_or_topic, wire.body)
     if kind is ViewDigests:
         return ViewDigests(sender, tuple(wire.numbers))
     if kind is ViewRecords:
@@ -259,9 +264,11 @@
         raise MalformedDatagramError(
             f"unknown message: format version {wire.version}, kind {wire.kind}"
         )
-    check_numbers((wire.seq, wire.digest, wire.subject, wire.signal, wire.lost, *wire.numbers))
+    check_numbers(
+        (wire.seq, wire.digest, wire.subject_or_topic, wire.signal, wire.lost, *wire.numbers)
+    )
     if wire.lost > LOST_SCALE:
-        raise MalformedDatagramError(f"lost share {wire.lost} is above {LOST_SCALE}")
+        raise MalformedDatagramError(f"lost share {wire.lost} is out of bounds")
     return wire
 
 
@@ -270,16 +277,20 @@
     if len(numbers) < 2 or len(numbers) % 2:
         raise MalformedDatagramError(f"view records message has {len(numbers)} numbers")
     parts = tuple(zip(numbers[2::2], numbers[3::2], strict=True))
-    records = tuple(decode_record(record) for record in wire.records)
+    records = tuple(decode_record(record) for record in wire.member_records)
     return ViewRecords(sender, parts, records, bool(numbers[0]), numbers[1])
 
 
 def _decode_update_carrier(kind: type[Message], sender: MemberRecord, wire: WireMessage) -> Message:
-    updates = tuple(update for update in map(decode_update, wire.updates) if update is not None)
+    updates = tuple(
+        update for update in map(decode_update, wire.member_updates) if update is not None
+    )
     if kind is Gossip:
         return Gossip(sender, wire.digest, wire.lost, updates, wire.signal)
     if kind is Ack:
-        return Ack(sender, wire.seq, wire.subject, wire.digest, wire.lost, updates, wire.signal)
+        return Ack(
+            sender, wire.seq, wire.subject_or_topic, wire.digest, wire.lost, updates, wire.signal
+        )
     if kind is Ping:
         return Ping(sender, wire.seq, wire.digest, wire.lost, updates, wire.signal)
     if wire.target is None:
--- a/gullyoke/peer_transport/status_server.py
+++ b/gullyoke/peer_transport/status_server.py
@@ -92,7 +92,7 @@
     member = link.member
     now = clock.now()
     size = member.size(now)
-    records = sorted(member.view.records.values(), key=lambda record: record.name)
+    known_members = sorted(member.view.records.values(), key=lambda known: known.name)
     return {
         "name": member.record.name,
         "stage": member.join_state.stage.value,
@@ -105,7 +105,7 @@
         "unsure": member.local_health.unsure(now),
         "failing": round(member.local_health.failing, 2),
         "lost": round(member.local_health.lost, 2),
-        "rows": [_member_status(link, now, record) for record in records],
+        "rows": [_member_status(link, now, known) for known in known_members],
         **{name: section(now) for name, section in link.status_sections.items()},
     }
 
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -277,7 +277,7 @@
         before the pause, through loss that ended during it.
         """
 
-        def suspicions(guard):
+        def suspicion_count(guard):
             with contextlib.ExitStack() as stack:
                 if not guard:
                     stack.enter_context(
@@ -291,7 +291,7 @@
                 net.run(net.now + SECOND + 50_000)
                 return len(net.hosts["m0"].member.removal.report.suspicions)
 
-        self.assertEqual((suspicions(True), suspicions(False) > 0), (0, True))
+        self.assertEqual((suspicion_count(True), suspicion_count(False) > 0), (0, True))
 
     def test_refutation(self):
         """A suspect refutes a suspicion that remains after its cause has ended.
@@ -299,7 +299,7 @@
         Without the refutation, members that miss the observer's next report would still count it.
         """
 
-        def run(refutes):
+        def refutations_and_removals(refutes):
             with contextlib.ExitStack() as stack:
                 if not refutes:
                     stack.enter_context(
@@ -315,9 +315,9 @@
                 net.run(net.now + 6 * SECOND)
                 return suspect.record.version - before, len(net.removals_of("m1"))
 
-        refuted, removed = run(True)
+        refuted, removed = refutations_and_removals(True)
         self.assertEqual((refuted >= 1, removed), (True, 0))
-        self.assertEqual(run(False)[0], 0)
+        self.assertEqual(refutations_and_removals(False)[0], 0)
 
     def test_no_seed_listens(self):
         """A member whose seeds do not exist stays in the stage `alone`.
@@ -335,18 +335,17 @@
     def test_same_events_same_actions(self):
         """Two simulations with one seed send the same messages."""
 
-        def run():
+        def simulate():
             net = fleet(9, 5, loss=0.2)
             net.pause("m3", 2 * SECOND)
             net.kill("m5")
             net.run(net.now + 8 * SECOND)
-            changes = [
+            return [
                 (seen.at_us, seen.by, seen.change.kind, seen.change.record.digest)
                 for seen in net.changes
-            ]
-            return changes, [host.sent for host in net.hosts.values()]
+            ], [host.sent for host in net.hosts.values()]
 
-        self.assertEqual(run(), run())
+        self.assertEqual(simulate(), simulate())
 
     def test_bounds(self):
         """Datagrams and tables stay within their bounds in a fleet of 60.
@@ -374,10 +373,10 @@
         self.assertTrue(net.views_agree())
         self.assertLess(largest, 1200)
         for host in net.running():
-            member = host.member
-            self.assertLessEqual(len(member.probing.relays), probing.MAX_RELAYS)
-            self.assertLessEqual(len(member.probing.targets), probing.MAX_RELAYS)
-            self.assertLessEqual(member.gossip.queued_bytes, 64 * 1024)
+            peer = host.member
+            self.assertLessEqual(len(peer.probing.relays), probing.MAX_RELAYS)
+            self.assertLessEqual(len(peer.probing.targets), probing.MAX_RELAYS)
+            self.assertLessEqual(peer.gossip.queued_bytes, 64 * 1024)
 
 
 if __name__ == "__main__":
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -101,7 +101,7 @@
                 b"",
                 b"x" * 50,
                 b"y" * 1500,
-                Seal("f", (b"z" * 32,)).seal(b"another key"),
+                Seal("f", (b"z" * 32,)).seal(b"strange"),
                 Seal("g", (KEY,)).seal(b"another fleet"),
                 Seal("f", (KEY,)).seal(b"not a message"),
             ):
@@ -216,9 +216,9 @@
 
         Otherwise they use the size given at the start.
         """
-        facts = types.SimpleNamespace(size=12)
+        fleet_facts = types.SimpleNamespace(size=12)
         daemon = types.SimpleNamespace(
-            configuration=types.SimpleNamespace(facts=types.SimpleNamespace(fleet=facts)),
+            configuration=types.SimpleNamespace(facts=types.SimpleNamespace(fleet=fleet_facts)),
             dispatcher=types.SimpleNamespace(lock=threading.Lock()),
             timer=types.SimpleNamespace(call_at=lambda *_: None),
         )
@@ -236,11 +236,11 @@
         ):
             sizes.append(size)
             unit.look()
-            self.assertEqual(facts.size, expected)
+            self.assertEqual(fleet_facts.size, expected)
         unit.wanted = wanted._replace(size=False)
         sizes.append(SizeEstimate(5, 5, 0, 1.0))
         unit.look()
-        self.assertEqual(facts.size, 12)
+        self.assertEqual(fleet_facts.size, 12)
 
     def test_operator_file(self):
         """The parsing of `fleet` in the operator's file, and errors in it and in the key file.
--- a/tests/membership/test_properties.py
+++ b/tests/membership/test_properties.py
@@ -151,8 +151,8 @@
                 self.net.start(host.name, ["m0", "m1", "m2"])
         healed = self.net.run(self.net.now + self.HEAL_TIME_US, self.net.views_agree)
         assert healed, {
-            host.name: (host.member.join_state.stage, len(host.member.view))
-            for host in self.net.running()
+            each.name: (each.member.join_state.stage, len(each.member.view))
+            for each in self.net.running()
         }
 
 
