--- a/gullyoke/membership/join_state.py
+++ b/gullyoke/membership/join_state.py
@@ -86,7 +86,7 @@
         """Return whether the member takes part in gossip: it has joined or is reading the view."""
         return self.stage in (JoinStage.IN, JoinStage.JOINING)
 
-    def contacts(self, now: int, live_addresses: set[str]) -> list[str]:
+    def take_due_contacts(self, now: int, live_addresses: set[str]) -> list[str]:
         """Return the addresses to send a hello to now, and schedule the next contact.
 
         A member that has joined still contacts seeds that are not in its view: two separate fleets
@@ -107,7 +107,7 @@
         ]
         return self.random.sample(addresses, min(SEEDS_PER_CONTACT, len(addresses)))
 
-    def contacted_by(self, now: int, address: str) -> None:
+    def contact_received(self, now: int, address: str) -> None:
         """Contact an unknown member soon that sent a message while this member is alone."""
         if self.stage is not JoinStage.ALONE or address in self.recent_addresses:
             return
@@ -129,7 +129,7 @@
             return None
         if known is not None and known.incarnation != self.record.incarnation:
             self.known_version = max(self.known_version, known.version)
-            if self._await_name_holder(now, known):
+            if self._challenge_known_holder(now, known):
                 return None
             if known.version >= self.record.version:  # an earlier start, on a clock that was ahead
                 self.raise_version_above(known.version)
@@ -139,8 +139,8 @@
         self.record = self.record.with_status(Status.JOINING)
         return self.record
 
-    def name_holder_timed_out(self, now: int, holder: MemberRecord) -> bool:
-        """Start the answer timeout for another holder of this name, or check the running one.
+    def challenge_name_holder(self, now: int, holder: MemberRecord) -> bool:
+        """Start the answer timeout for another holder of this name, unless it is running.
 
         Returns:
             Whether the timeout for this holder has passed without an answer.
@@ -185,7 +185,7 @@
         self.record = self.record.with_status(Status.ALIVE)
         return self.record
 
-    def should_refute(self, now: int) -> bool:
+    def begin_refutation_if_due(self, now: int) -> bool:
         """Begin a refutation if the member has joined and none was begun within the period.
 
         The period doubles while accusations continue, as more refutations would not stop them.
@@ -208,7 +208,7 @@
         self.record = self.record.with_status(self.record.status, self.record.version + 1)
         return self.record
 
-    def removed(self, version: int, addresses: list[str]) -> None:
+    def removal_received(self, version: int, addresses: list[str]) -> None:
         """Leave the fleet, as the others have removed this member, until it has settled.
 
         Args:
@@ -266,10 +266,10 @@
         self.next_contact_at = now + half + self.random.randrange(half)
         self._contact_period_us = min(3 * self._contact_period_us // 2, MAX_CONTACT_PERIOD_US)
 
-    def _await_name_holder(self, now: int, known: MemberRecord) -> bool:
-        """Return whether to wait for an answer of the process that `known` describes."""
+    def _challenge_known_holder(self, now: int, known: MemberRecord) -> bool:
+        """Challenge the live process that `known` describes; return whether to wait for it."""
         return (
             known.is_live()
             and known.address != self.record.address
-            and not self.name_holder_timed_out(now, known)
+            and not self.challenge_name_holder(now, known)
         )
--- a/gullyoke/membership/joining.py
+++ b/gullyoke/membership/joining.py
@@ -47,7 +47,7 @@
         live_addresses: set[str] = set()
         if now >= state.join_state.next_contact_at:
             live_addresses = {record.address for record in state.view.records.values()}
-        for address in state.join_state.contacts(now, live_addresses):
+        for address in state.join_state.take_due_contacts(now, live_addresses):
             self._dissemination.send(address, Hello(state.record))
 
     def read_view(self, now: int) -> None:
@@ -74,7 +74,7 @@
             return
         if sender.status is Status.ALIVE:  # from a fleet that formed separately
             self._updates.learn_sender(now, sender)
-        join_state.contacted_by(now, sender.address)
+        join_state.contact_received(now, sender.address)
         known = state.view.known(sender.id)
         records = [
             *([known] if known is not None else []),
--- a/gullyoke/membership/local_health.py
+++ b/gullyoke/membership/local_health.py
@@ -66,7 +66,7 @@
         self.lost = 0.0
         self.deaf = False
 
-    def paused(self, now: int) -> bool:
+    def record_tick(self, now: int) -> bool:
         """Record a tick; return whether the process was paused since the last one."""
         gap = now - self.ticked_at
         self.ticked_at = now
--- a/gullyoke/membership/member.py
+++ b/gullyoke/membership/member.py
@@ -179,7 +179,7 @@
     def tick(self, now: int) -> None:
         """Do all work that is due now."""
         state = self._state
-        if state.local_health.paused(now):
+        if state.local_health.record_tick(now):
             self.removal.process_resumed()
             self.probing.process_resumed(now)
         self.joining.tick_started()
@@ -247,7 +247,7 @@
 
     def _reconcile(self, now: int) -> None:
         state = self._state
-        if not state.join_state.has_joined() or not state.reconciliation.begin_if_needed(now):
+        if not state.join_state.has_joined() or not state.reconciliation.begin_exchange_if_due(now):
             return
         peer = state.view.records.get(state.reconciliation.peer)
         if peer is not None:
@@ -279,7 +279,7 @@
         elif state.join_state.stage is JoinStage.OUT:
             state.local_health.peer_reported(now, sender.id, message.lost, same_view=False)
         else:
-            state.join_state.contacted_by(now, sender.address)
+            state.join_state.contact_received(now, sender.address)
 
     def _answer(self, now: int, message: UpdateCarrier) -> None:
         if isinstance(message, Ping):
--- a/gullyoke/membership/monitor_edge.py
+++ b/gullyoke/membership/monitor_edge.py
@@ -87,7 +87,7 @@
         normal_period = self.unanswered_probes == 1 or long_silent
         self.next_probe_at = now + (PROBE_PERIOD_US if normal_period else RETRY_PERIOD_US)
 
-    def check_overdue(self, now: int) -> bool:
+    def hasten_probe_if_overdue(self, now: int) -> bool:
         """Bring the next probe forward if an answer is overdue; return whether it is overdue."""
         if self.unanswered_since is None:
             return False
--- a/gullyoke/membership/probing.py
+++ b/gullyoke/membership/probing.py
@@ -78,7 +78,7 @@
     def probe_subjects(self, now: int) -> None:
         """Send the probes that are due; for overdue subjects also through helpers."""
         for edge in self._state.edges.values():
-            overdue = edge.check_overdue(now)
+            overdue = edge.hasten_probe_if_overdue(now)
             if not edge.should_probe(now):
                 continue
             target = self._state.view.records.get(edge.id)
--- a/gullyoke/membership/removal.py
+++ b/gullyoke/membership/removal.py
@@ -100,7 +100,7 @@
         for member in suspects:
             record = state.view.records[member]
             count = self._count(record)
-            if self._timer.should_remove(now, member, count, lambda: self._sees_most(now)):
+            if self._timer.update_and_check(now, member, count, lambda: self._sees_most(now)):
                 self._remove(now, record, count)
 
     def observed_state(self, now: int, record: MemberRecord) -> ObservedState:
--- a/gullyoke/membership/suspicion_tally.py
+++ b/gullyoke/membership/suspicion_tally.py
@@ -155,7 +155,7 @@
     def __init__(self) -> None:
         self.since: dict[int, SuspectedSince] = {}
 
-    def should_remove(
+    def update_and_check(
         self, now: int, member: int, count: SuspicionCount, sees_most: Callable[[], bool]
     ) -> bool:
         """Record the present count against a subject; return whether to remove it now.
--- a/gullyoke/membership/update_processing.py
+++ b/gullyoke/membership/update_processing.py
@@ -112,7 +112,7 @@
         elif (
             not record.is_live()
             or record.address == own.address
-            or join_state.name_holder_timed_out(now, record)
+            or join_state.challenge_name_holder(now, record)
         ):
             self.adopt_own_record(now, join_state.raise_version_above(record.version))
         else:
@@ -134,7 +134,7 @@
         state = self._state
         if state.join_state.is_inside():
             addresses = [record.address for record in state.view.records.values()]
-            state.join_state.removed(version, addresses)
+            state.join_state.removal_received(version, addresses)
 
     def _learn_report(self, now: int, report: SuspicionReport) -> None:
         state = self._state
@@ -148,6 +148,6 @@
             if (
                 suspicion.id == state.id
                 and suspicion.version >= state.record.version
-                and state.join_state.should_refute(now)
+                and state.join_state.begin_refutation_if_due(now)
             ):
                 self.adopt_own_record(now, state.join_state.refute())
--- a/gullyoke/peer_transport/link.py
+++ b/gullyoke/peer_transport/link.py
@@ -188,7 +188,7 @@
         except MalformedDatagramError:
             self.metrics.increment("peers.dropped.malformed")
             return
-        if not self._replay_window.admits(message.sender.incarnation, opened.sender_count):
+        if not self._replay_window.record_if_new(message.sender.incarnation, opened.sender_count):
             self.metrics.increment("peers.dropped.old")
             return
         now = clock.now()
--- a/gullyoke/peer_transport/seal.py
+++ b/gullyoke/peer_transport/seal.py
@@ -109,7 +109,7 @@
         """Start without senders."""
         self._senders: OrderedDict[int, SenderCounts] = OrderedDict()
 
-    def admits(self, incarnation: int, count: int) -> bool:
+    def record_if_new(self, incarnation: int, count: int) -> bool:
         """Record a datagram's count; return whether the datagram is new."""
         highest, seen = self._senders.pop(incarnation, SenderCounts(0, 0))
         if count > highest:
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -281,7 +281,7 @@
             with contextlib.ExitStack() as stack:
                 if not guard:
                     stack.enter_context(
-                        mock.patch.object(local_health.LocalHealth, "paused", lambda *_: False)
+                        mock.patch.object(local_health.LocalHealth, "record_tick", lambda *_: False)
                     )
                 net = fleet(3, 4, joined=True)
                 net.cut = lambda now, a, b: 1.0
@@ -304,7 +304,7 @@
                 if not refutes:
                     stack.enter_context(
                         mock.patch(
-                            "gullyoke.membership.join_state.JoinState.should_refute",
+                            "gullyoke.membership.join_state.JoinState.begin_refutation_if_due",
                             lambda *_: False,
                         )
                     )
--- a/tests/membership/test_properties.py
+++ b/tests/membership/test_properties.py
@@ -298,13 +298,13 @@
         """
         window = ReplayWindow()
         self.assertEqual(
-            [window.admits(1, n) for n in (1, 3, 2, 2, 3, 2000, 976, 977, 1999, 1999)],
+            [window.record_if_new(1, n) for n in (1, 3, 2, 2, 3, 2000, 976, 977, 1999, 1999)],
             [True, True, True, False, False, True, False, True, True, False],
         )
         chance, sent = random.Random(1), list(range(2001, 2500))
         chance.shuffle(sent)
-        self.assertTrue(all(window.admits(1, n) for n in sent))
-        self.assertFalse(any(window.admits(1, n) for n in sent))
+        self.assertTrue(all(window.record_if_new(1, n) for n in sent))
+        self.assertFalse(any(window.record_if_new(1, n) for n in sent))
 
     def test_start_version(self):
         """A start's version is above the stored and the known one, even if the clock went back."""
