--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -80,7 +80,7 @@
     def _judge(self, reading: LoadReport) -> LoadReport:
         """Judge a reading by the peers' and return what is sent of it; under the link's lock."""
         now = clock.now()
-        pauses = self.fleet.member.local_health.woke_at
+        pauses = self.fleet.member.local_health.resumed_at
         if pauses != self.seen_pauses:  # this process was stopped: what it had received is old
             self.seen_pauses = pauses
             self.received.clear()
--- a/gullyoke/membership/join_state.py
+++ b/gullyoke/membership/join_state.py
@@ -232,20 +232,22 @@
         doublings = min(self.removals - 1, MAX_SETTLE_DOUBLINGS)
         return min(SETTLE_US << doublings, MAX_SETTLE_US)
 
-    def rejoin_if_settled(self, now: int, failing: float, deaf: bool) -> MemberRecord | None:
+    def rejoin_if_settled(
+        self, now: int, failing: float, receives_nothing: bool
+    ) -> MemberRecord | None:
         """Rejoin if this member was removed and its probes have succeeded for the settle time.
 
         Args:
             now: The time in microseconds.
             failing: The share of its probes that fail, from 0 to 1.
-            deaf: Whether it receives no messages at all.
+            receives_nothing: Whether all its probes fail and it receives no messages.
 
         Returns:
             The record with which it rejoins; None if it does not.
         """
         if self.stage is not JoinStage.OUT:
             return None
-        if failing > MAX_FAILING_SHARE or deaf:
+        if failing > MAX_FAILING_SHARE or receives_nothing:
             self._settling_since = None
             return None
         if self._settling_since is None:
--- a/gullyoke/membership/local_health.py
+++ b/gullyoke/membership/local_health.py
@@ -48,23 +48,23 @@
 
     Attributes:
         ticked_at: When the last tick was.
-        woke_at: When the last pause of the process ended; initially `CALM_AFTER_PAUSE_US` before
+        resumed_at: When the last pause of the process ended; initially `CALM_AFTER_PAUSE_US` before
             the start, so that a new member is not unsure.
         received_at: When a message from another member was last received.
         peer_reports: The last report of each peer; the peer that was added first is dropped first.
         failing: The share of its own probes that fail, from 0 to 1.
         lost: The share of the fleet that is considered lost, from 0 to 1, averaged with the peers'.
-        deaf: Whether all its probes fail and it receives no messages.
+        receives_nothing: Whether all its probes fail and it receives no messages.
     """
 
     def __init__(self, now: int) -> None:
         self.ticked_at = now
-        self.woke_at = now - CALM_AFTER_PAUSE_US
+        self.resumed_at = now - CALM_AFTER_PAUSE_US
         self.received_at = 0
         self.peer_reports: dict[int, PeerReport] = {}
         self.failing = 0.0
         self.lost = 0.0
-        self.deaf = False
+        self.receives_nothing = False
 
     def record_tick(self, now: int) -> bool:
         """Record a tick; return whether the process was paused since the last one."""
@@ -72,7 +72,7 @@
         self.ticked_at = now
         if gap <= PAUSE_US:
             return False
-        self.woke_at = now
+        self.resumed_at = now
         self.peer_reports.clear()
         return True
 
@@ -84,7 +84,7 @@
             del self.peer_reports[next(iter(self.peer_reports))]
 
     def update(self, now: int, edges: Iterable[MonitorEdge]) -> None:
-        """Compute `failing`, `lost` and `deaf` from the edges to this member's subjects.
+        """Compute `failing`, `lost` and `receives_nothing` from the edges to the subjects.
 
         The share of lost members is averaged with the shares that peers report, which are averages
         themselves, so that all members arrive at about the same share.
@@ -103,11 +103,11 @@
         self._forget_old_reports(now)
         self.lost = self._averaged_lost(own_lost=silent / (len(edges) + 1))  # 1 is this member
         nothing_received = now - self.received_at > PROBE_FAILED_AFTER_US
-        self.deaf = bool(edges) and failing == len(edges) and nothing_received
+        self.receives_nothing = bool(edges) and failing == len(edges) and nothing_received
 
     def unsure(self, now: int) -> bool:
         """Return whether its suspicions do not count: after a pause, or if most probes fail."""
-        return now - self.woke_at < CALM_AFTER_PAUSE_US or self.failing > MAX_FAILING_SHARE
+        return now - self.resumed_at < CALM_AFTER_PAUSE_US or self.failing > MAX_FAILING_SHARE
 
     def same_view_share(self) -> float:
         """Return the share of recent peers whose view was the same, from 0 to 1."""
--- a/gullyoke/membership/member.py
+++ b/gullyoke/membership/member.py
@@ -239,7 +239,9 @@
     def _rejoin_if_settled(self, now: int) -> None:
         """Rejoin after a removal, once settled; this member's own view is discarded."""
         health = self._state.local_health
-        record = self._state.join_state.rejoin_if_settled(now, health.failing, health.deaf)
+        record = self._state.join_state.rejoin_if_settled(
+            now, health.failing, health.receives_nothing
+        )
         if record is not None:
             self._state.reset_view(now, record)
             self.probing.rings_reset()
