--- a/gullyoke/peer_transport/quota_service.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -128,15 +128,17 @@
 class SharedSlots(SharedLimit[ConcurrencyPart | MeanConcurrencyPart]):
     """A limit on calls; implements `DependencySlots` for admission."""
 
-    def mean_limit(self, now: int, stated: float | None, used_call_time: float) -> float | None:
-        """Return the limit on the mean number of calls in flight; None if there is none."""
+    def update_mean_limit(
+        self, now: int, stated: float | None, used_call_time: float
+    ) -> float | None:
+        """Report the used call time; return the limit on the mean of calls in flight, if any."""
         with self.lock:
-            return self.own.mean_limit(now, stated, used_call_time)
+            return self.own.update_mean_limit(now, stated, used_call_time)
 
-    def has_free_slot(self, now: int, waiting: int) -> bool:
-        """Return whether a call may start now; `waiting` is the number of other waiting calls."""
+    def request_slot(self, now: int, waiting: int) -> bool:
+        """Request a slot for one more call; return whether the call may start now."""
         with self.lock:
-            return self.own.has_free_slot(now, waiting)
+            return self.own.request_slot(now, waiting)
 
     def secured_until(self, now: int) -> float:
         """Return the time by which the next call has to end, including its linger time."""
@@ -162,10 +164,10 @@
 class SharedQuota(SharedLimit[TenantQuotaPart]):
     """A tenant's quota in the whole fleet."""
 
-    def leased_quota(self, now: int) -> float:
+    def count_request(self, now: int) -> float:
         """Count a request and return this server's part of the quota, in requests a second."""
         with self.lock:
-            return self.own.leased_quota(now)
+            return self.own.count_request(now)
 
 
 class TenantQuotaService:
