--- a/gullyoke/cli/fleet.py
+++ b/gullyoke/cli/fleet.py
@@ -408,13 +408,15 @@
 
     from gullyoke.extensions.duties import FOLDER, OURS
     from gullyoke.leases.promises import Promise
-    from gullyoke.peer_transport.lease_codec import decode_rows, encode_promise
+    from gullyoke.peer_transport.lease_codec import decode_voter_entries, encode_promise
     from gullyoke.storage import SlotFile, StorageFolder
 
     files = StorageFolder(os.path.join(folder, FOLDER))
     try:
         store = SlotFile(files)
-        promised, _ = decode_rows((key, value) for key, value in store.items() if key != OURS)
+        promised, _ = decode_voter_entries(
+            (key, value) for key, value in store.items() if key != OURS
+        )
         raised = {duty: Promise(row.epoch + 1_000_000, 0, "") for duty, row in promised.items()}
         store.put(
             [
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -212,7 +212,7 @@
         self.ordered: dict[str, int] = {}  # whom, and when the word last went out
 
     def act(self, now: int, epoch: int) -> None:
-        register = self.duties.register(self.name)
+        register = self.duties.held_record(self.name)
         if register is None or register.body is None:
             return
         if self.epoch != epoch:  # taken over: what the last holder left
@@ -238,7 +238,7 @@
                 "roll", extra=log_fields(number=plan.number, state=plan.state, why=plan.why or why)
             )
         self.plan = plan
-        register = self.duties.register(self.name)
+        register = self.duties.held_record(self.name)
         if register is not None:
             register.put(plan.pack())
 
@@ -318,7 +318,7 @@
         return rolls.FleetState(tuple(members), sheds[len(sheds) // 2] if sheds else 0.0)
 
     def asked(self, now: int, words: list[str]) -> dict:
-        register = self.duties.register(self.name)
+        register = self.duties.held_record(self.name)
         if register is None or register.body is None:
             return {"fault": "this server does not conduct"}
         try:
@@ -379,7 +379,7 @@
         self.last, self.epoch, self.count = None, 0, 0
 
     def act(self, now: int, epoch: int) -> None:
-        register = self.duties.register(self.name)
+        register = self.duties.held_record(self.name)
         if register is None or register.body is None or not register.committed:
             return
         if self.epoch != epoch:
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -26,7 +26,7 @@
 from gullyoke.membership.join_state import JoinStage
 from gullyoke.membership.member_record import REFUTATIONS_PER_START
 from gullyoke.operator_config.wanted import Dutied, Wanted
-from gullyoke.peer_transport.lease_codec import decode_rows
+from gullyoke.peer_transport.lease_codec import decode_voter_entries
 from gullyoke.peer_transport.lease_service import TOPIC, LeaseService
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
@@ -118,7 +118,7 @@
             one.listeners.append(lambda turn, name=name: self.turned(name, turn))
         self.charges = {name: self.charge(name) for name in names}
         link, duties = fleet.link, self.duties
-        duties.send = lambda posts: link.act(lambda: link.posted(TOPIC, posts))
+        duties.send = lambda posts: link.run_locked(lambda: link.outgoing_messages(TOPIC, posts))
         duties.on_announcement, duties.on_instruction, duties.on_forwarded_command = (
             self.heard,
             self.obey,
@@ -174,7 +174,7 @@
             found = dict(store.items())
             whose, then = ours(found.pop(OURS, b""))
             if whose == name and then <= number <= then + 1:
-                rows, kept = decode_rows(found.items())
+                rows, kept = decode_voter_entries(found.items())
             elif whose:
                 log.warning(
                     "promises of another not used",
@@ -314,7 +314,7 @@
                 charge.idle(now)
                 continue
             charge.act(clock.now(), epoch)
-            register = self.duties.register(name)
+            register = self.duties.held_record(name)
             if (
                 now - self.noticed.get(name, 0) >= NOTICE
                 and register is not None
--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -198,13 +198,13 @@
     def begin_drain(self) -> None:
         for part in self.parts:
             part.begin_drain()
-        self.link.act(lambda: self.member.leave(clock.now()))
+        self.link.run_locked(lambda: self.member.leave(clock.now()))
 
     def close(self) -> None:
         for part in self.parts:
             part.close()
         for _ in range(LAST_WORDS):
-            self.link.act(lambda: self.member.announce_left(clock.now()))
+            self.link.run_locked(lambda: self.member.announce_left(clock.now()))
             time.sleep(BETWEEN)
         if self.answers:
             self.answers.end()
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -21,7 +21,7 @@
 from gullyoke.operator_config.wanted import Slotted
 from gullyoke.peer_transport.quota_codec import configuration_digest
 from gullyoke.peer_transport.quota_service import (
-    QUOTAS,
+    TENANT_QUOTA_TOPIC,
     TOPIC,
     SharedQuota,
     SharedSlots,
@@ -138,7 +138,7 @@
             limit = self._share_quota(tenant)
             self.quotas[tenant.name] = limit
             tenant.count_request = limit.count_request
-        self.fleet.link.topics[QUOTAS] = TenantQuotaService(self.quotas.values())
+        self.fleet.link.topics[TENANT_QUOTA_TOPIC] = TenantQuotaService(self.quotas.values())
         self.fleet.link.status_sections["quotas"] = self._quota_status
 
     def _share_quota(self, tenant: Tenant) -> SharedQuota:
--- a/gullyoke/peer_transport/lease_codec.py
+++ b/gullyoke/peer_transport/lease_codec.py
@@ -88,7 +88,7 @@
     return encode(tuple(record))
 
 
-def decode_rows(
+def decode_voter_entries(
     items: Iterable[tuple[str, bytes]],
 ) -> tuple[dict[str, Promise], dict[str, StoredRecord]]:
     """Return the promises and the records in a voter's folder, by the names of the leases.
--- a/gullyoke/peer_transport/lease_service.py
+++ b/gullyoke/peer_transport/lease_service.py
@@ -219,7 +219,7 @@
                 out.append(AddressedBody(self.voters[voter], pack(record.next_message())))
         return out
 
-    def register(self, lease: str) -> ReplicatedRecord | None:
+    def held_record(self, lease: str) -> ReplicatedRecord | None:
         """Return the record of a lease; None if this process does not hold the lease."""
         held = self._held_records.get(lease)
         return held.record if held else None
--- a/gullyoke/peer_transport/link.py
+++ b/gullyoke/peer_transport/link.py
@@ -120,7 +120,7 @@
         with contextlib.suppress(OSError):
             self.sock.close()
 
-    def act(self, action: Callable[[], list[OutgoingMessage] | None]) -> None:
+    def run_locked(self, action: Callable[[], list[OutgoingMessage] | None]) -> None:
         """Call an action under the lock; send the messages that it returns, and the member's."""
         with self.lock:
             more = action() or []
@@ -128,7 +128,9 @@
         for send in out:
             self.send(send)
 
-    def posted(self, topic: int, bodies: Iterable[AddressedBody]) -> list[OutgoingMessage]:
+    def outgoing_messages(
+        self, topic: int, bodies: Iterable[AddressedBody]
+    ) -> list[OutgoingMessage]:
         """Return a handler's messages as datagrams to send."""
         return [
             OutgoingMessage(address, TopicMessage(self.member.record, topic, body))
@@ -153,7 +155,7 @@
         now = clock.now()
         if now >= self._next_tick_us:
             self._next_tick_us = now + TICK_US
-            self.act(lambda: self._tick(now))
+            self.run_locked(lambda: self._tick(now))
         wait_s = (self._next_tick_us - clock.now()) / 1e6
         self.sock.settimeout(max(SHORTEST_WAIT_S, wait_s))
         for _ in range(MAX_BURST):
@@ -174,7 +176,7 @@
         return [
             send
             for topic, handler in self.topics.items()
-            for send in self.posted(topic, handler.tick(now))
+            for send in self.outgoing_messages(topic, handler.tick(now))
         ]
 
     def _receive(self, data: bytes) -> None:
@@ -193,9 +195,9 @@
             return
         now = clock.now()
         if not isinstance(message, TopicMessage):
-            self.act(lambda: self.member.receive(now, message))
+            self.run_locked(lambda: self.member.receive(now, message))
         elif message.topic in self.topics:
-            self.act(lambda: self._handle(now, message))
+            self.run_locked(lambda: self._handle(now, message))
         else:
             self.metrics.increment("peers.dropped.topic")
 
@@ -203,7 +205,9 @@
         """Pass a message to its topic's handler."""
         handler = self.topics[message.topic]
         try:
-            return self.posted(message.topic, handler.handle(now, message.sender, message.body))
+            return self.outgoing_messages(
+                message.topic, handler.handle(now, message.sender, message.body)
+            )
         except MalformedDatagramError:
             self.metrics.increment("peers.dropped.malformed")
             return []
@@ -265,4 +269,4 @@
                 if record.address == address and record.id != self.member.id:
                     self.member.connection_refused(now, record.id)
 
-        self.act(report)
+        self.run_locked(report)
--- a/gullyoke/peer_transport/quota_service.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -20,7 +20,7 @@
 from gullyoke.runtime import clock
 
 TOPIC: Final = 1  # of the limit on calls to the dependency
-QUOTAS: Final = 3  # topic of tenants' quotas
+TENANT_QUOTA_TOPIC: Final = 3  # topic of tenants' quotas
 
 PartT = TypeVar("PartT", bound=LimitPart)
 
--- a/tests/compatibility/test_letters.py
+++ b/tests/compatibility/test_letters.py
@@ -70,7 +70,7 @@
 
     def test_topics(self):
         self.assertEqual(
-            (quota_service.TOPIC, lease_service.TOPIC, quota_service.QUOTAS), (1, 2, 3)
+            (quota_service.TOPIC, lease_service.TOPIC, quota_service.TENANT_QUOTA_TOPIC), (1, 2, 3)
         )
 
     def test_digest_of_what_is_stated(self):
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -21,7 +21,7 @@
 from gullyoke.leases.voter import Voter
 from gullyoke.membership import MemberRecord as Member
 from gullyoke.membership import Status
-from gullyoke.peer_transport.lease_codec import decode_rows, encode_promise, pack, unpack
+from gullyoke.peer_transport.lease_codec import decode_voter_entries, encode_promise, pack, unpack
 from gullyoke.peer_transport.lease_service import LeaseService
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.storage import SlotFile, StorageFolder
@@ -87,7 +87,7 @@
         return SlotFile(disk)
 
     def voter(self):
-        promised, _ = decode_rows(self.opened().items())
+        promised, _ = decode_voter_entries(self.opened().items())
         return Voter(NOW, "server-2", 0x22, ["server-1", "server-3"], LeaseDurations(), promised, 3)
 
     def test_constants(self):
@@ -100,7 +100,7 @@
         found = dict(cells.items())
         self.assertEqual((cells.dropped_copies, found), (0, RAW))
         self.assertEqual(ours(found.pop(OURS)), ("server-2", 3))
-        self.assertEqual(decode_rows(found.items()), (PROMISED, KEPT))
+        self.assertEqual(decode_voter_entries(found.items()), (PROMISED, KEPT))
 
     def test_cells_are_written_with_the_same_bytes(self):
         folder = temporary_folder(self)
@@ -131,7 +131,7 @@
         self.assertEqual(encode_promise(write.promise).hex(), "93ce6553f10933a87365727665722d33")
 
     def test_recorded_shelf_is_fetched(self):
-        _, kept = decode_rows(self.opened().items())
+        _, kept = decode_voter_entries(self.opened().items())
         shelf = RecordStore(kept)
         self.assertEqual(
             shelf.read(ReadRecord("roll", 5, 1_700_000_010), "server-2"),
--- a/tests/coordination/test_quotas.py
+++ b/tests/coordination/test_quotas.py
@@ -15,7 +15,11 @@
 from gullyoke.peer_transport.field_readers import MalformedDatagramError
 from gullyoke.peer_transport.link import PeerLink
 from gullyoke.peer_transport.quota_codec import configuration_digest, encode
-from gullyoke.peer_transport.quota_service import QUOTAS, SharedQuota, TenantQuotaService
+from gullyoke.peer_transport.quota_service import (
+    TENANT_QUOTA_TOPIC,
+    SharedQuota,
+    TenantQuotaService,
+)
 from gullyoke.peer_transport.seal import Seal
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
@@ -79,8 +83,8 @@
                         lambda name: None,
                     )
                 )
-            link.topics[QUOTAS] = TenantQuotaService(limits)
-            topics.append(link.topics[QUOTAS])
+            link.topics[TENANT_QUOTA_TOPIC] = TenantQuotaService(limits)
+            topics.append(link.topics[TENANT_QUOTA_TOPIC])
             row = MemberRecord(
                 f"p{i}", start_version(int(time.time())), Status.JOINING, at[i], "z", 100 + i
             )
