--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -72,15 +72,15 @@
         """Return this server's load; None before there are decisions."""
         dispatcher = self.fleet.daemon.dispatcher
         with dispatcher.lock:  # a few figures are read
-            if dispatcher.server is None:
+            if dispatcher.controller is None:
                 return None
-            load = dispatcher.server.load_snapshot(dispatcher.now)
+            load = dispatcher.controller.load_snapshot(dispatcher.now)
             return LoadReport.from_snapshot(load, _stage(dispatcher, load))
 
     def _judge(self, reading: LoadReport) -> LoadReport:
         """Judge a reading by the peers' and return what is sent of it; under the link's lock."""
         now = clock.now()
-        pauses = self.fleet.member.local_health.woke_at
+        pauses = self.fleet.member.local_health.resumed_at
         if pauses != self.seen_pauses:  # this process was stopped: what it had received is old
             self.seen_pauses = pauses
             self.received.clear()
--- a/tests/coordination/test_quotas.py
+++ b/tests/coordination/test_quotas.py
@@ -12,7 +12,11 @@
 from gullyoke.peer_transport.field_readers import MalformedDatagramError
 from gullyoke.peer_transport.link import PeerLink
 from gullyoke.peer_transport.quota_codec import configuration_digest, encode
-from gullyoke.peer_transport.quota_service import QUOTAS, SharedQuota, TenantQuotaService
+from gullyoke.peer_transport.quota_service import (
+    TENANT_QUOTA_TOPIC,
+    SharedQuota,
+    TenantQuotaService,
+)
 from gullyoke.peer_transport.seal import Seal
 from gullyoke.runtime import clock
 from gullyoke.runtime.metrics import Metrics
@@ -78,8 +82,8 @@
                         lambda name: None,
                     )
                 )
-            link.topics[QUOTAS] = TenantQuotaService(limits)
-            services.append(link.topics[QUOTAS])
+            link.topics[TENANT_QUOTA_TOPIC] = TenantQuotaService(limits)
+            services.append(link.topics[TENANT_QUOTA_TOPIC])
             record = MemberRecord(
                 f"p{i}", start_version(int(time.time())), Status.JOINING, addresses[i], "z", 100 + i
             )
