--- a/gullyoke/model_checking/leases.py
+++ b/gullyoke/model_checking/leases.py
@@ -73,7 +73,7 @@
     def same(self: LeaseDurations, duration_us: int) -> int:
         return duration_us
 
-    return mock.patch.object(LeaseDurations, "longest_elsewhere_us", same)
+    return mock.patch.object(LeaseDurations, "with_clock_drift_us", same)
 
 
 def _lease_from_the_reply() -> contextlib.AbstractContextManager[object]:
@@ -92,7 +92,7 @@
     def admit_all(self: Fence, duty: str, epoch: int, incarnation: int) -> bool:
         return True
 
-    return mock.patch.object(Fence, "admits", admit_all)
+    return mock.patch.object(Fence, "admit", admit_all)
 
 
 def _votes_counted_twice() -> contextlib.AbstractContextManager[object]:
