--- a/gullyoke/codec/http.py
+++ b/gullyoke/codec/http.py
@@ -23,12 +23,12 @@
 _known_names: Final[dict[str, str]] = {}
 
 
-def read(buffer: Buffer, begun: Callable[[], None] = lambda: None) -> Message | None:
+def read(buffer: Buffer, on_first_byte: Callable[[], None] = lambda: None) -> Message | None:
     """Read the next message, blocking until it is complete.
 
     Args:
         buffer: The connection's receive buffer.
-        begun: Called when the first byte of the message is there.
+        on_first_byte: Called when the first byte of the message is there.
 
     Returns:
         The message; None if the peer closes its side before the first byte.
@@ -39,7 +39,7 @@
     """
     if not len(buffer) and not buffer.fill():
         return None
-    begun()
+    on_first_byte()
     while (head := buffer.take_until(b"\r\n\r\n")) is None:
         if len(buffer) > MAX_HEAD_BYTES:
             raise BadRequestError(431, f"message head exceeds {MAX_HEAD_BYTES} bytes")
--- a/gullyoke/codec/scgi.py
+++ b/gullyoke/codec/scgi.py
@@ -27,7 +27,7 @@
 )  # the characters that a field name may have (RFC 9110, 5.6.2)
 
 
-def read(buffer: Buffer, begun: Callable[[], None] = lambda: None) -> Message | None:
+def read(buffer: Buffer, on_first_byte: Callable[[], None] = lambda: None) -> Message | None:
     """Read the message of a connection, blocking until it is complete.
 
     Guards against endless headers, wrong lengths, and names that two parsers could read
@@ -35,7 +35,7 @@
 
     Args:
         buffer: The connection's receive buffer.
-        begun: Called when the first byte of the message is there.
+        on_first_byte: Called when the first byte of the message is there.
 
     Returns:
         The message; None if the peer closes its side before the first byte.
@@ -46,7 +46,7 @@
     """
     if not len(buffer) and not buffer.fill():
         return None
-    begun()
+    on_first_byte()
     size = _read_head_size(buffer)
     while (block := buffer.take(size + 1)) is None:
         _fill(buffer)
--- a/gullyoke/runtime/background_worker.py
+++ b/gullyoke/runtime/background_worker.py
@@ -35,7 +35,7 @@
 
     def start(self) -> None:
         """Start the thread, which runs until the process ends."""
-        threading.Thread(target=self._run, name="think", daemon=True).start()
+        threading.Thread(target=self._run, name="background", daemon=True).start()
 
     def put(self, work: Iterator[None]) -> None:
         """Queue a computation; may be called from any thread, also while the lock is held."""
--- a/tests/daemon/test_lean.py
+++ b/tests/daemon/test_lean.py
@@ -134,13 +134,13 @@
             + ["gullyoke/admission", "gullyoke/settings"]
         )
         allowed = {path.removesuffix(".py").replace("/", ".") for path in named}
-        strange = [
+        unexpected = [
             name
             for name in ours
             if name != "gullyoke"
             and not any(name == a or name.startswith(a + ".") for a in allowed)
         ]
-        self.assertEqual(strange, [])
+        self.assertEqual(unexpected, [])
         self.assertNotIn("multiprocessing", {name for name, _ in rows})
         self.assertLessEqual(sum(map(code_size, ours)), OUR_CODE_BYTES)
         self.assertLessEqual(len(rows), MODULES)
