--- a/gullyoke/frontends/connection.py
+++ b/gullyoke/frontends/connection.py
@@ -143,7 +143,7 @@
         """Half-close the connection if it is idle and no byte of a next message has arrived.
 
         The peer then closes its side. A message that the peer sends before it sees the half-close
-        is not run; the peer can tell from the close that it was not.
+        is not run, and the peer can infer this from the close.
 
         Returns:
             Whether the connection was idle and is now closing.
--- a/gullyoke/runtime/dispatcher.py
+++ b/gullyoke/runtime/dispatcher.py
@@ -42,8 +42,8 @@
 class Dispatcher:
     """Serializes all calls of the admission controller, and delivers the answer of each request.
 
-    The controller is called through `handle` only. Nothing blocks under the lock: the results of a
-    call (answers, commands, log lines) are written after the lock is released.
+    Requests and events reach the controller through `handle` only. Nothing blocks under the lock:
+    the results of a call (answers, commands, log lines) are written after the lock is released.
 
     Args:
         facts: The site's settings.
