--- a/gullyoke/storage/folder.py
+++ b/gullyoke/storage/folder.py
@@ -115,7 +115,7 @@
         return (self.folder / name).read_bytes()
 
     def read_at(self, name: str, offset: int, size_bytes: int) -> bytes:
-        """Read a part of a file; at the end of the file, less than was asked for."""
+        """Read a part of a file; returns less at the end of the file."""
         with (self.folder / name).open("rb") as file:
             file.seek(offset)
             return file.read(size_bytes)
--- a/gullyoke/storage/slot_file.py
+++ b/gullyoke/storage/slot_file.py
@@ -67,7 +67,7 @@
 
 
 class SlotFile:
-    """A key-value store of at most `count` keys. Not for several threads at once.
+    """A key-value store of at most `count` keys. Not thread-safe.
 
     Attributes:
         index: The newest record of each key.
--- a/gullyoke/storage/warmup_history.py
+++ b/gullyoke/storage/warmup_history.py
@@ -95,7 +95,7 @@
 
 
 def blend(new: float, old: float) -> float:
-    """Return the weighted mean of the newest start and earlier ones; 0 stands for no runs."""
+    """Return the weighted mean of the newest start and earlier ones; 0 means no runs."""
     if new and old:
         return new + (old - new) * NEWEST_WEIGHT
     return new or old
--- a/tests/durability/test_rules.py
+++ b/tests/durability/test_rules.py
@@ -166,7 +166,7 @@
 
 class FolderTrustTest(unittest.TestCase):
     def test_every_folder_that_may_be_found(self):
-        """For each kind of folder: is it believed, is it written to, and are retries doubted."""
+        """Whether each kind of folder is believed and written to, and whether retries are doubted."""
         now = 10**15
         own = FolderMark(2, "n1", 100, now)
         for mark, rows, known, at, wanted in (
@@ -217,7 +217,7 @@
         rows' sizes; when all windows are over, only abandoned rows remain.
         """
         rng, ledger, now, queue = random.Random(seed), KeyLedger(1, policy, 20_000), 0, []
-        asked, answered, running = 0, 0, []
+        requested, answered, running = 0, 0, []
 
         def take(command):
             nonlocal answered
@@ -244,7 +244,7 @@
                     isinstance(command, LedgerAction)
                     and command.kind is ActionKind.REPORT_DUPLICATE,
                 )
-                asked += not known
+                requested += not known
                 take(command)
             elif step in (1, 2) and queue:
                 write = queue.pop(0)
@@ -272,7 +272,7 @@
             take(ledger.write_finished(now, write, True))
         while running:
             take(ledger.end_run(now, running.pop(), 200, (), b"", False))
-        self.assertEqual(asked, answered)
+        self.assertEqual(requested, answered)
         ledger.expire(now + 60 * SECOND)
         self.assertEqual((ledger.window_ends, len(ledger.result_keys)), ([], 0))
         self.assertEqual(
@@ -281,7 +281,7 @@
 
 
 class SlotFileInMemory:
-    """A file in memory; `cut` makes the next write fail after so many bytes."""
+    """A file in memory; `cut` is the number of bytes after which the next write fails."""
 
     def __init__(self, data=None):
         self.data = data
