--- a/gullyoke/dependencies/__init__.py
+++ b/gullyoke/dependencies/__init__.py
@@ -1,4 +1,4 @@
-"""Calls to what requests depend on while they run, and the protocol of their listener."""
+"""Calls to the dependency of running requests, and the protocol of their listener."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DependencyListener(Protocol):
-    """What the client of a dependency reports to, on threads of its own and without its lock."""
+    """Receives the reports of the client, which calls it on its own threads without its lock."""
 
     def on_call_ended(self, request: PendingRequest, event: RequestEvent, reply: bytes) -> None:
-        """A call has ended; `reply` is empty but where it succeeded."""
+        """Handle the end of a call; `reply` is empty unless the call succeeded."""
--- a/gullyoke/dependencies/call.py
+++ b/gullyoke/dependencies/call.py
@@ -14,13 +14,13 @@
 
 
 class DependencyCall:
-    """A call that is queued or made.
+    """A call to the dependency, queued or in progress.
 
     Attributes:
-        request: The request whose run waits for it.
-        data: The message that makes it.
-        connection: The connection that it was given to; None while it is queued.
-        is_over: Whether it has ended or was withdrawn.
+        request: The request whose run waits for the call.
+        data: The encoded call.
+        connection: The connection that the call is assigned to; None while it is queued.
+        is_over: Whether the call has ended or was withdrawn.
     """
 
     __slots__ = ("connection", "data", "is_over", "request")
--- a/gullyoke/dependencies/client.py
+++ b/gullyoke/dependencies/client.py
@@ -1,4 +1,4 @@
-"""The client of the dependency: a pool of a few connections with one call at a time on each."""
+"""The client of the dependency: a small pool of connections with one call at a time on each."""
 
 from __future__ import annotations
 
@@ -30,23 +30,24 @@
 from gullyoke.runtime.timer import Timer
 
 CONNECT_TIMEOUT_S: Final = 1.0
-REPLY_PIECE_TIMEOUT_S: Final = 0.1  # for the next piece of a reply that has begun
-IDLE_TIMEOUT_US: Final = 2_000_000  # after which a connection without a call is closed here
+REPLY_PIECE_TIMEOUT_S: Final = 0.1  # longest wait for the next bytes of a reply that has begun
+IDLE_TIMEOUT_US: Final = 2_000_000  # after this time the client closes an idle connection
 
 
 class DependencyClient:
     """Makes calls and reports their ends.
 
-    A connection goes back to the pool after exactly one whole reply with the id of its call. That
-    guards against replies that are garbled or never come and connections that break: each costs
-    the call concerned and no other. Replies bear the request's id alone, so a request never makes
-    its next call on the connection of its last: a reply that comes twice answers nothing.
+    A connection returns to the pool only after exactly one complete reply with the id of its call.
+    An invalid or missing reply or a broken connection therefore affects one call only. Replies
+    carry nothing but the request's id, so a request never makes its next call on the connection of
+    its last one: a duplicate reply would be taken for the reply to the next call.
 
-    The lock guards the pool and is taken without the dispatcher's or after it, never before it.
+    The lock guards the pool. It may be acquired under the dispatcher's lock, which must not be
+    acquired while this one is held.
 
     Attributes:
-        idle: Connections without a call, the newest last.
-        connection_count: Connections that are open or being opened.
+        idle: Connections without a call, the most recently used last.
+        connection_count: Number of connections that are open or being opened.
     """
 
     def __init__(
@@ -57,12 +58,12 @@
         metrics: Metrics,
         request_lock: threading.Lock,
     ) -> None:
-        """Make a client without connections.
+        """Create a client without connections.
 
         Args:
-            address: Where the dependency listens; None where none is configured: no call succeeds.
-            max_connections: The most connections.
-            timer: Ends calls at their timeouts.
+            address: Address of the dependency; None if none is configured, and all calls fail.
+            max_connections: Maximum number of connections.
+            timer: Runs the timeouts of calls.
             metrics: Counters.
             request_lock: The dispatcher's lock, which guards `dependency_call` of requests.
         """
@@ -80,7 +81,7 @@
         self._last_reason: CloseReason | None = None
 
     def start(self, listener: DependencyListener) -> None:
-        """Start the thread that starts the threads of connections."""
+        """Start the thread that starts a thread for each connection."""
         self._listener = listener
         threading.Thread(
             target=self._metrics.run_forever,
@@ -90,7 +91,7 @@
         ).start()
 
     def update_address(self, address: tuple[str, int]) -> None:
-        """Make new calls at another address; those under way end where they are."""
+        """Use another address for new calls; calls in progress stay on their connections."""
         with self.lock:
             self._address = address
             idle = self.idle
@@ -99,7 +100,7 @@
             connection.shut_down()
 
     def close_idle(self) -> None:
-        """Close connections that are idle, well before the peer does: a call could cross that."""
+        """Close idle connections well before the peer does, as that could collide with a call."""
         with self.lock:
             oldest = clock.now() - IDLE_TIMEOUT_US
             expired = [connection for connection in self.idle if connection.idle_since < oldest]
@@ -107,10 +108,10 @@
         for connection in expired:
             connection.shut_down()
 
-    # Given under the dispatcher's lock.
+    # Called under the dispatcher's lock.
 
     def call(self, request: PendingRequest, now: int, timeout_us: int) -> None:
-        """Make the call that the request's run waits for; give it up after `timeout_us`."""
+        """Make the call that the request's run waits for; it times out after `timeout_us`."""
         call = DependencyCall(request, timeout_us)
         request.dependency_call = call
         self._timer.call_at(now + timeout_us, lambda: self.on_timeout(call))
@@ -123,16 +124,20 @@
         connection.send(call)
 
     def abandon(self, request: PendingRequest) -> None:
-        """Withdraw the call of a request that is over, if it has one."""
+        """Withdraw the call of a request that is over, if there is one."""
         call = request.dependency_call
         if call is not None:
             request.dependency_call = None
             self._withdraw(call)
 
-    # The pool. All of these are called under its lock.
+    # The pool; called with `lock` held.
 
     def _take_idle(self, request_id: str) -> DependencyConnection | None:
-        """The newest idle connection that is usable and did not carry this request's last call."""
+        """Remove and return an idle connection for a call of this request; None if there is none.
+
+        It is the most recently used one that did not carry the request's last call. Unusable
+        connections found on the way are shut down.
+        """
         for index in range(len(self.idle) - 1, -1, -1):
             if self.idle[index].last_request_id != request_id:
                 connection = self.idle.pop(index)
@@ -146,7 +151,7 @@
         call.connection = connection
 
     def _assign_queued(self, connection: DependencyConnection) -> DependencyCall | None:
-        """Give a free connection a queued call; without one it goes back to the pool."""
+        """Assign a queued call to a free connection and return it, or make the connection idle."""
         for call in self._queued:
             if call.request.request_id != connection.last_request_id:
                 self._queued.remove(call)
@@ -156,7 +161,7 @@
         return None
 
     def _queue(self, call: DependencyCall) -> None:
-        """Open a connection for a call, or let it wait for one."""
+        """Have a connection opened for a call, or queue the call at the connection limit."""
         if self.connection_count < self._max_connections:
             self.connection_count += 1
             self._to_connect.put(call)
@@ -166,7 +171,7 @@
     # The end of a call.
 
     def _withdraw(self, call: DependencyCall) -> bool:
-        """Take a call back, which closes its connection; whether it may have run."""
+        """Withdraw a call and shut its connection down; return whether the call may have run."""
         with self.lock:
             call.is_over = True
             connection = call.connection
@@ -178,7 +183,7 @@
         return connection is not None
 
     def on_timeout(self, call: DependencyCall) -> None:
-        """Give a call up, unless it has ended."""
+        """End a call that has timed out, unless it has ended already."""
         if self.claim_end(call):
             self._metrics.increment("calls.given_up")
             may_have_run = self._withdraw(call)
@@ -189,27 +194,30 @@
             )
 
     def claim_end(self, call: DependencyCall) -> bool:
-        """Whether the caller is the first to end the call, and is to report it."""
+        """Mark the call as ended; return whether the caller was the first and has to report it."""
         with self._request_lock:
             is_first = call.request.dependency_call is call
             if is_first:
                 call.request.dependency_call = None
             return is_first
 
-    # The connections, a thread each.
+    # Connections, each on a thread of its own.
 
     def _start_connection(self) -> None:
-        """Start a thread, for which its starter waits: not to be done under a lock."""
+        """Start the thread of a connection for the next call that needs one.
+
+        Thread.start blocks until the thread runs, so it must not be called under a lock.
+        """
         call = self._to_connect.get()
         try:
             threading.Thread(
                 target=self._run_connection, args=(call,), name="database", daemon=True
             ).start()
-        except RuntimeError as fault:  # the system has no thread to spare
+        except RuntimeError as fault:  # the system has no thread left
             self._on_connection_ended(None, call, CloseReason.UNREACHED, str(fault))
 
     def _run_connection(self, call: DependencyCall) -> None:
-        """A connection's life: opened for a call, and read until it ends."""
+        """Open a connection for a call, and read replies until the connection ends."""
         try:
             address = self._address
             connection = DependencyConnection(open_connection(address, CONNECT_TIMEOUT_S), address)
@@ -231,7 +239,7 @@
     def _send_first_call(self, connection: DependencyConnection, call: DependencyCall) -> None:
         """Send the call that the connection was opened for.
 
-        A queued one takes its place where that was withdrawn while the connection came about.
+        If that call was withdrawn while the connection was opened, a queued call is sent instead.
         """
         first: DependencyCall | None = call
         with self.lock:
@@ -249,14 +257,14 @@
         reason: CloseReason,
         text: str,
     ) -> None:
-        """A connection has ended, or never came about; a call on it ends with it."""
+        """Process a connection that has ended or could not be opened, and end its call."""
         with self.lock:
             self.connection_count -= 1
             if self._queued:
                 self._queue(self._queued.popleft())
         self._metrics.increment(f"ends.database.{reason.value}")
         if call is not None or reason not in (CloseReason.CLOSED, CloseReason.DECLARED):
-            # A day of garbled replies must not fill the log; the counters go on counting.
+            # Log repeats at debug level, so that a failing dependency does not fill the log.
             used = connection is not None and bool(connection.last_request_id)
             log.log(
                 DEBUG if reason is self._last_reason else WARNING,
@@ -270,20 +278,20 @@
             self._listener.on_call_ended(call.request, event, b"")
 
     def _read_replies(self, connection: DependencyConnection) -> CloseReason:
-        """Read until the connection can't be used any more.
+        """Read replies until the connection can't be used any more.
 
-        The timeout and the buffer guard against lines without end and lengths that promise more
-        than comes.
+        The timeout and the bounded buffer guard against endless lines and against bodies that are
+        shorter than their announced length.
         """
         buffer = Buffer(Receiver(connection.sock, REPLY_PIECE_TIMEOUT_S), lines.BUFFER)
-        is_in_step = True
+        is_in_sync = True
         while (reply := read_reply(buffer)) is not None:
             call = connection.call
             if call is None or call.request.request_id != reply.request_id:
-                is_in_step = False  # a whole reply to another call: the right one may follow
+                is_in_sync = False  # a reply to another call; the expected one may follow
                 continue
-            is_in_step = is_in_step and len(buffer) == 0
-            if not self._end_call(connection, call, reply, is_in_step):
+            is_in_sync = is_in_sync and len(buffer) == 0
+            if not self._end_call(connection, call, reply, is_in_sync):
                 return CloseReason.DECLARED
         return CloseReason.CLOSED
 
@@ -292,18 +300,18 @@
         connection: DependencyConnection,
         call: DependencyCall,
         reply: DependencyReply,
-        is_in_step: bool,
+        is_in_sync: bool,
     ) -> bool:
-        """End a call with its reply; whether the connection may carry another."""
+        """End a call with its reply; return whether the connection may carry another call."""
         next_call = None
         with self.lock:
             if connection.call is not call:
-                return False  # withdrawn meanwhile
+                return False  # the call was withdrawn meanwhile
             call.is_over = True
             connection.call = None
             connection.last_request_id = reply.request_id
             connection.idle_since = clock.now()
-            is_reusable = is_in_step and connection.address == self._address
+            is_reusable = is_in_sync and connection.address == self._address
             if is_reusable:
                 next_call = self._assign_queued(connection)
         if next_call is not None:
--- a/gullyoke/dependencies/connection.py
+++ b/gullyoke/dependencies/connection.py
@@ -11,14 +11,14 @@
 
 
 class DependencyConnection:
-    """An open connection. Its reading thread closes it; others may only shut it down.
+    """An open connection; its reading thread closes it, other threads may only shut it down.
 
     Attributes:
-        sock: The socket.
-        address: Where it leads.
-        call: The call on it; None while there is none. Guarded by the client's lock.
-        last_request_id: The request of the last call before that; empty before the first.
-        idle_since: When that call ended, or the connection came about, in microseconds.
+        sock: Socket of the connection.
+        address: Address of the dependency.
+        call: The current call, or None. Guarded by the client's lock.
+        last_request_id: Id of the request whose call was answered last; empty before the first.
+        idle_since: When that call ended or the connection was opened, in microseconds.
     """
 
     __slots__ = ("_is_open", "_lock", "address", "call", "idle_since", "last_request_id", "sock")
@@ -29,11 +29,11 @@
         self.call: DependencyCall | None = None
         self.last_request_id = ""
         self.idle_since = clock.now()
-        self._lock = threading.Lock()  # no thread may write on a socket that is closed
+        self._lock = threading.Lock()  # prevents writing to a closed socket
         self._is_open = True
 
     def is_usable(self) -> bool:
-        """Whether it is open with nothing to be read: not closed by the peer, not out of step."""
+        """Return whether the connection is open and has no unread bytes, such as a late reply."""
         try:
             self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
             return False
@@ -43,10 +43,10 @@
             return False
 
     def send(self, call: DependencyCall) -> None:
-        """Write a call.
+        """Write a call without blocking.
 
-        At most one call is on its way, so it fits what the system buffers, and this does not block.
-        Where it fails the reading thread ends the call.
+        There is only one call at a time, so it fits into the socket's buffer. If writing fails, the
+        connection is shut down and its reading thread ends the call.
         """
         with self._lock:
             if not self._is_open:
@@ -58,11 +58,11 @@
                 self.shut_down()
 
     def shut_down(self) -> None:
-        """End it in both directions, which wakes its reading thread."""
+        """Shut the connection down in both directions, which wakes its reading thread."""
         shutdown_both(self.sock)
 
     def close(self) -> None:
-        """Close the socket, by the reading thread alone."""
+        """Close the socket; only the reading thread may call this."""
         with self._lock:
             self._is_open = False
             self.sock.close()
--- a/gullyoke/dependencies/reply.py
+++ b/gullyoke/dependencies/reply.py
@@ -1,4 +1,4 @@
-"""The dependency's replies, as they are read from a connection."""
+"""Parses the dependency's replies."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from gullyoke.codec.buffer import Buffer
 from gullyoke.runtime.close_reasons import CloseReason, ConnectionClosedError
 
-ROWS: Final = "ROWS"  # the one reply with a body
+ROWS: Final = "ROWS"  # the only status with a body
 EVENT_OF_STATUS: Final = {
     "FULL": RequestEvent.CALL_NOT_SENT,
     "FAIL": RequestEvent.CALL_OUTCOME_UNKNOWN,
     "TIMEOUT": RequestEvent.CALL_OUTCOME_UNKNOWN,
     "NONE": RequestEvent.CALL_NOT_SENT,
 }
-LONGEST_REPORTED_LINE: Final = 100  # characters of a garbled line that go into the log
+LONGEST_REPORTED_LINE: Final = 100  # characters of an invalid line that are logged
 
 
 class DependencyReply(NamedTuple):
-    """A whole reply to the call of the request of this id."""
+    """A complete reply to the call of the request with this id."""
 
     request_id: str
     event: RequestEvent
@@ -28,10 +28,11 @@
 
 
 def read_reply(buffer: Buffer) -> DependencyReply | None:
-    """The next reply, waiting for it; None when the dependency closed between two.
+    """Wait for the next reply and return it; None if the connection closed between two.
 
     Raises:
-        ConnectionClosedError: The connection ended within a reply, or what came is none.
+        ConnectionClosedError: The connection ended within a reply, or the line is not a valid
+            reply.
     """
     parts = lines.read(buffer)
     if parts is None:
--- a/gullyoke/executors/__init__.py
+++ b/gullyoke/executors/__init__.py
@@ -1,6 +1,6 @@
-"""How runs are carried out: the protocol of an executor and that of its listener.
+"""The protocols of an executor, which runs requests, and of its listener.
 
-An executor is the link to an engine, a pool of back ends, or what stands before one of them.
+An executor is the link to an engine, a pool of back ends, or a wrapper around one of them.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 class EngineState(Enum):
-    """How an engine begins. The value is its name on the wire."""
+    """State in which an engine starts; the value is its name on the wire."""
 
     COLD = "cold"  # its caches are empty
     WARM = "warm"
 
 
 class RunOutcome(Enum):
-    """How a run at the engine ended. The value is its name on the wire and in counters."""
+    """How a run at the engine ended; the value is its name on the wire and in counters."""
 
     COMPLETED = "ok"
     FAILED = "failed"
@@ -31,66 +31,65 @@
 
 
 class ExecutorListener(Protocol):
-    """What an executor reports to.
+    """Receives the reports of an executor.
 
-    The reports (`on_...`) come on threads of the executor, which holds no lock meanwhile.
+    The executor calls the `on_...` methods on its own threads and holds no lock during the call.
     """
 
     def is_in_flight(self, request: PendingRequest) -> bool:
-        """Whether a request of this id is not over yet."""
+        """Return whether the request is not over yet."""
 
     def post_event(self, request: PendingRequest, event: RequestEvent) -> None:
-        """An event on a run that was just started or cancelled, under the dispatcher's lock."""
+        """Report an event during `start_run` or `cancel_run`, under the dispatcher's lock."""
 
     def on_engine_hello(self, state: EngineState, uptime_ms: int) -> None:
-        """The engine has been up for so many milliseconds."""
+        """Handle a new link to the engine, which has been up for `uptime_ms`."""
 
     def on_run_ended(self, request_id: str, outcome: RunOutcome, result: bytes) -> None:
-        """A run at the engine has ended."""
+        """Handle the end of a run at the engine."""
 
     def on_backend_run_ended(
         self, request: PendingRequest, event: RequestEvent, answer: Answer | None
     ) -> None:
-        """A run at a back end is over, or no back end takes it."""
+        """Handle the end of a run at a back end, or a run that no back end accepted."""
 
     def on_call_needed(self, request_id: str, notice: int, body: bytes) -> None:
-        """A run waits for a call to the dependency with this body; `notice` numbers the notice."""
+        """Handle a run that needs a call to the dependency; `notice` is the notice's number."""
 
     def on_command_refused(self, command: str, request_id: str) -> None:
-        """The engine did not carry out a command."""
+        """Handle a command that the engine refused."""
 
     def on_gauges(self, tag: str, gauges: Mapping[str, float]) -> None:
-        """The gauges that were polled under this tag."""
+        """Handle the gauges that were polled with this tag."""
 
 
 class Executor(Protocol):
-    """Carries out the runs of requests.
+    """Runs requests.
 
     `start_run`, `send_call_reply`, `skip_call` and `cancel_run` are called under the dispatcher's
-    lock and must not block. `flush` and `poll_gauges` are called without it and must not block
-    either.
+    lock, `flush` and `poll_gauges` without it. None of them may block.
     """
 
     def start(self, listener: ExecutorListener) -> None:
-        """Start the threads, and report to `listener` from now on."""
+        """Start the threads; `listener` gets the reports."""
 
     def update_address(self, address: tuple[str, int]) -> None:
-        """Reach the engine at another address from now on."""
+        """Change the address of the engine."""
 
     def start_run(self, request: PendingRequest) -> None:
-        """Begin the run of a request."""
+        """Start the run of a request."""
 
     def send_call_reply(self, request: PendingRequest, reply: bytes) -> None:
-        """Hand the run the reply of the dependency that it waits for."""
+        """Send the run the reply of the dependency that it waits for."""
 
     def skip_call(self, request: PendingRequest) -> None:
-        """Let the run go on without the call that it waits for."""
+        """Let the run continue without the call that it waits for."""
 
     def cancel_run(self, request: PendingRequest) -> None:
-        """End the run early; its end is reported all the same."""
+        """Cancel the run; its end is still reported."""
 
     def flush(self) -> None:
-        """Send what the commands before have left to be sent."""
+        """Send the commands that are queued."""
 
     def poll_gauges(self, tag: int) -> None:
-        """Ask for the gauges, which `on_gauges` reports under this tag, now or later."""
+        """Request the gauges; `on_gauges` reports them with this tag, possibly later."""
--- a/gullyoke/executors/backend_attempt.py
+++ b/gullyoke/executors/backend_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to run a request at a back end that speaks SCGI, on a connection of its own."""
+"""One attempt to run a request at an SCGI back end, over a connection of its own."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 CONNECT_TIMEOUT_S: Final = 1.0
 US_PER_S: Final = 1_000_000
-FIRST_FAILED_STATUS: Final = 500  # from here on the application reports a failure
+FIRST_FAILED_STATUS: Final = 500  # lowest status that counts as a failure of the application
 BAD_GATEWAY: Final = 502
-# Statuses by which our clients know that a request never ran.
+# Statuses that tell a client that the request never ran.
 NEVER_RAN_STATUSES: Final = (429, 503)
 
-SocketAddress = tuple[str, int] | str  # host and port, or the path of a socket
+SocketAddress = tuple[str, int] | str  # host and port, or path of a Unix socket
 
 
 class AttemptSettings(NamedTuple):
-    """What is the same for all attempts of a pool.
+    """Settings common to all attempts of a pool.
 
     Args:
-        linger_us: How long an answer is still waited for after the deadline, in microseconds.
+        linger_us: How long after the deadline an answer is still awaited, in microseconds.
         cancel_by_close: Whether closing the connection stops the application.
-        max_answer_bytes: The longest answer that is taken.
+        max_answer_bytes: Largest answer that is accepted.
     """
 
     linger_us: int
@@ -48,9 +48,9 @@
     """How an attempt ended.
 
     Args:
-        outcome: How it ended.
-        answer: The back end's answer; None where none came whole.
-        reason: Why there is no answer, for the log; empty where there is one.
+        outcome: Outcome of the attempt.
+        answer: The back end's answer; None if no complete one was read.
+        reason: Why there is no answer, for the log; empty if there is one.
     """
 
     outcome: AttemptOutcome
@@ -59,17 +59,17 @@
 
 
 class AttemptOwner(Protocol):
-    """What an attempt needs of the pool that makes it."""
+    """The part of the pool that an attempt uses."""
 
     def address_of(self, backend_name: str) -> SocketAddress:
-        """Where a back end is."""
+        """Return the address of a back end."""
 
     def register(self, attempt: BackendAttempt) -> bool:
-        """Let a cancel reach the connection, which is open now; False if it was cancelled."""
+        """Register the open connection for cancellation; False if the run is cancelled already."""
 
 
 def request_of(run: RoutedRun) -> PendingRequest:
-    """The request of a run, of which the router knows the decisions' part alone."""
+    """Return the request of a run, which the router knows by its base type only."""
     return cast(PendingRequest, run.request)
 
 
@@ -77,7 +77,7 @@
     """Sends a request to a back end and reads its answer.
 
     Attributes:
-        run: The run whose attempt this is.
+        run: The run that the attempt belongs to.
     """
 
     __slots__ = ("_backend_name", "_metrics", "_owner", "_settings", "_sock", "run")
@@ -93,7 +93,7 @@
         self._sock: socket.socket | None = None
 
     def perform(self) -> AttemptResult:
-        """Make the attempt; never raises."""
+        """Perform the attempt; never raises."""
         try:
             answer = self._exchange()
         except ConnectionBrokenError as fault:
@@ -113,7 +113,7 @@
         return AttemptResult(outcome, answer, "")
 
     def shut_down(self) -> None:
-        """End the connection, if there is one; the thread that makes the attempt closes it."""
+        """Shut the connection down, if any; the thread that performs the attempt closes it."""
         if self._sock is not None:
             shutdown_both(self._sock)
 
@@ -124,15 +124,15 @@
 
     def _failed(self, reason: CloseReason, written: bool, text: str) -> AttemptResult:
         if self.run.cancelled and self._settings.cancel_by_close:
-            reason = CloseReason.DECLARED  # closed here, as was asked for
+            reason = CloseReason.DECLARED  # closed here by the cancellation
         return AttemptResult(outcome_of_close(reason, written), None, text)
 
     def _exchange(self) -> Answer:
         """Send the request and read its answer.
 
         Raises:
-            ConnectionClosedError: Before the first byte was written.
-            ConnectionBrokenError: After that.
+            ConnectionClosedError: The connection ended before the first byte was written.
+            ConnectionBrokenError: The connection ended after the first byte was written.
         """
         until = self.run.deadline + self._settings.linger_us
         connection = self._connect(until)
@@ -141,20 +141,22 @@
             answer = self._read_answer(connection)
         except ConnectionClosedError as fault:
             raise ConnectionBrokenError(fault.reason, str(fault)) from None
-        # What a back end rejects has reached it: our clients must not read the promise that it
-        # never ran.
+        # The request has reached the back end, so a rejection there must not be passed on with a
+        # status that promises the client that the request never ran.
         if answer.status in NEVER_RAN_STATUSES:
             return answer._replace(status=BAD_GATEWAY)
         return answer
 
     def _connect(self, until: int) -> DeadlineSocket:
         left_s = (until - clock.now()) / US_PER_S
-        if left_s <= 0:  # no fault of the back end's
-            raise ConnectionClosedError(CloseReason.DECLARED, "its time is over")
+        if left_s <= 0:  # not a failure of the back end
+            raise ConnectionClosedError(
+                CloseReason.DECLARED, "the deadline of the run and its linger time have passed"
+            )
         address = self._owner.address_of(self._backend_name)
         self._sock = open_connection(address, min(CONNECT_TIMEOUT_S, left_s))
         if not self._owner.register(self):
-            raise ConnectionClosedError(CloseReason.DECLARED, "stopped")
+            raise ConnectionClosedError(CloseReason.DECLARED, "the run was cancelled")
         return DeadlineSocket(self._sock, until)
 
     def _encode_request(self) -> bytes:
--- a/gullyoke/executors/engine_link.py
+++ b/gullyoke/executors/engine_link.py
@@ -1,7 +1,7 @@
-"""An executor that runs requests at the engine, over one link that is kept open.
+"""An executor that runs requests at the engine, over one persistent connection (the link).
 
-One thread attaches and reads, and attaches again when the link ends. Writing is the part of
-`EngineWriter`, which has a thread of its own.
+One thread connects, reads notices, and reconnects when the link ends. `EngineWriter`, which has a
+thread of its own, writes the commands.
 """
 
 from __future__ import annotations
@@ -34,19 +34,19 @@
 
 
 class EngineLink:
-    """Gives the engine its commands, and reports its notices.
+    """Sends commands to the engine and reports the engine's notices.
 
-    The writer's condition guards the address as well.
+    The writer's condition also guards the address.
     """
 
     def __init__(
         self, address: tuple[str, int] | None, gauges: tuple[str, ...], metrics: Metrics
     ) -> None:
-        """Make a link that is not attached yet.
+        """Create a link that is not connected yet.
 
         Args:
-            address: Where the engine listens; None where no address is configured.
-            gauges: Names of the gauges that it reports, in their order.
+            address: Address of the engine; None if none is configured.
+            gauges: Names of the gauges that the engine reports, in this order.
             metrics: Counters.
         """
         self._address = address
@@ -54,31 +54,31 @@
         self._metrics = metrics
         self._listener: ExecutorListener
         self.writer = EngineWriter(metrics)
-        self._last_notice = 0  # the highest number of a notice that was read
+        self._last_notice = 0  # highest number of a notice that was read
         self._links_made = 0
-        self._attach_tag = ""  # the poll whose answer shows that all missed notices were read
+        self._attach_tag = ""  # its answer shows that all missed notices were read
         self._address_changed = threading.Event()
 
     def start(self, listener: ExecutorListener) -> None:
-        """Start the reading and the writing thread."""
+        """Start the reading thread and the writing thread."""
         self._listener = listener
         threading.Thread(target=self._keep_attached, name="engine-read", daemon=True).start()
         self.writer.start(listener)
 
     def update_address(self, address: tuple[str, int]) -> None:
-        """Attach to another address from now on.
+        """Reconnect to another address.
 
-        Runs go on; the notices on the new link report what the old one did not.
+        Runs continue; the notices missed on the old link arrive on the new one.
         """
         with self.writer.condition:
             self._address = address
             self.writer.shut_down()
         self._address_changed.set()
 
-    # Commands, given under the dispatcher's lock.
+    # Commands; called under the dispatcher's lock.
 
     def start_run(self, request: PendingRequest) -> None:
-        """Begin the run of a request."""
+        """Start the run of a request."""
         self._queue(
             request,
             engine_protocol.run(
@@ -87,34 +87,34 @@
         )
 
     def send_call_reply(self, request: PendingRequest, reply: bytes) -> None:
-        """Hand the run the reply of the dependency that it waits for."""
+        """Send the run the reply of the dependency that it waits for."""
         self._queue(request, engine_protocol.call_reply(request.request_id, reply))
 
     def skip_call(self, request: PendingRequest) -> None:
-        """Let the run go on without the call that it waits for."""
+        """Let the run continue without the call that it waits for."""
         self._queue(request, engine_protocol.skip_call(request.request_id, request.call_notice))
 
     def cancel_run(self, request: PendingRequest) -> None:
-        """End the run; the engine reports its end."""
+        """Cancel the run; the engine reports its end."""
         self._queue(request, engine_protocol.cancel(request.request_id))
 
     def _queue(self, request: PendingRequest, data: bytes) -> None:
         self.writer.append(SentCommand(data, request, request.notices_read))
 
     def poll_gauges(self, tag: int) -> None:
-        """Ask for the gauges; without a link polls would pile up, and none is made."""
+        """Request the gauges, unless there is no link: the polls would pile up."""
         if self.writer.attached:
             self.writer.append(SentCommand(engine_protocol.poll_gauges(tag), tag=tag))
             self.writer.flush()
 
     def flush(self) -> None:
-        """Write the commands that were given, as far as the link takes them without waiting."""
+        """Write the queued commands as far as the link accepts them without blocking."""
         self.writer.flush()
 
     # Reading.
 
     def _keep_attached(self) -> None:
-        """Attach, read until the link ends, and again, for as long as the process lives."""
+        """Connect and read until the link ends, and repeat this for the life of the process."""
         backoff_s = FIRST_BACKOFF_S
         last_reason = None
         while True:
@@ -124,7 +124,7 @@
             )
             self.writer.close()
             self._metrics.increment(f"ends.engine.{reason.value}")
-            # An engine that stays away must not fill the log; the counters go on counting.
+            # Log repeats at debug level, so that an unreachable engine does not fill the log.
             log.log(
                 DEBUG if reason is last_reason else WARNING,
                 "link to the engine closed",
@@ -140,15 +140,15 @@
                 backoff_s = FIRST_BACKOFF_S
 
     def attach_and_read(self) -> CloseReason:
-        """The life of one link."""
+        """Connect, attach to the engine's notices, and read them until the link ends."""
         address = self._address
         sock = open_connection(address, CONNECT_TIMEOUT_S)
         self._attach_tag = ""
         with self.writer.condition:
             self.writer.sock = sock
-            if address != self._address:  # changed while this link came about
+            if address != self._address:  # changed while this link was opened
                 raise ConnectionClosedError(
-                    CloseReason.DECLARED, "the engine's address is another now"
+                    CloseReason.DECLARED, "the engine's address has changed"
                 )
         sock.sendall(engine_protocol.attach(self._last_notice))
         buffer = Buffer(Receiver(sock), lines.BUFFER)
@@ -159,10 +159,10 @@
     def _on_notice(self, notice: Notice) -> None:
         match notice:
             case RunEndedNotice():
-                if self._is_new(notice.number):
+                if self._mark_read(notice.number):
                     self._listener.on_run_ended(notice.request_id, notice.outcome, notice.result)
             case CallNeededNotice():
-                if self._is_new(notice.number):
+                if self._mark_read(notice.number):
                     self._listener.on_call_needed(notice.request_id, notice.number, notice.body)
             case GaugesNotice():
                 self._on_gauges(notice)
@@ -171,10 +171,10 @@
             case Hello():
                 self._on_hello(notice)
             case _:
-                self._is_new(notice.number)
+                self._mark_read(notice.number)
 
-    def _is_new(self, number: int) -> bool:
-        """Whether the notice of this number was not read before; it is from now on."""
+    def _mark_read(self, number: int) -> bool:
+        """Mark the notice of this number as read; return whether it was not read before."""
         if number <= self._last_notice:
             return False
         self._last_notice = number
@@ -183,9 +183,9 @@
     def _on_hello(self, hello: Hello) -> None:
         self._listener.on_engine_hello(hello.state, hello.uptime_ms)
         self._links_made += 1
-        # Once this poll is answered, all notices that were missed have been read.
+        # The answer to this poll follows all notices that were missed.
         self._attach_tag = f"mark{self._links_made}"
-        # By this thread itself: the writer begins once that answer is there.
+        # Written by this thread: the writer starts only after the answer to this poll.
         assert self.writer.sock is not None
         self.writer.sock.sendall(engine_protocol.poll_gauges(self._attach_tag))
 
--- a/gullyoke/executors/engine_protocol.py
+++ b/gullyoke/executors/engine_protocol.py
@@ -1,7 +1,6 @@
-"""The engine's protocol: commands to bytes, and lines to typed notices.
+"""The engine's protocol: encodes commands and parses lines into typed notices.
 
-A notice that bears a number is repeated by the engine on a new link unless `ATTACH` names a later
-one.
+On a new link the engine repeats the numbered notices that follow the one named in `ATTACH`.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 ENGINE_STATES: Final = {state.value: state for state in EngineState}
 RUN_OUTCOMES: Final = {outcome.value: outcome for outcome in RunOutcome}
-LONGEST_REPORTED_LINE: Final = 100  # characters of a garbled line that go into the log
+LONGEST_REPORTED_LINE: Final = 100  # characters of an invalid line that are logged
 
 
 class Hello(NamedTuple):
@@ -44,21 +43,21 @@
 
 
 class GaugesNotice(NamedTuple):
-    """STATS: the gauges that were polled under this tag, as text."""
+    """STATS: the gauges that were polled with this tag, as text."""
 
     tag: str
     values: tuple[str, ...]
 
 
 class CommandRefused(NamedTuple):
-    """NO: a command was not carried out."""
+    """NO: the engine refused a command."""
 
     command: str
     request_id: str
 
 
 class UnknownNotice(NamedTuple):
-    """NOTE: a notice of no meaning here, which is counted as read."""
+    """NOTE: a notice that is ignored except that it counts as read."""
 
     number: int
 
@@ -67,40 +66,40 @@
 
 
 def attach(last_notice: int) -> bytes:
-    """The first message on a link: repeat the notices after this one."""
+    """Return the first message on a link, which requests the notices after `last_notice`."""
     return command("ATTACH", last_notice)
 
 
 def run(request_id: str, request_class: str, body: bytes) -> bytes:
-    """The command to begin a run."""
+    """Return the command that starts a run."""
     return command("RUN", request_id, request_class, body=body)
 
 
 def call_reply(request_id: str, reply: bytes) -> bytes:
-    """The command to hand a run the reply that it waits for."""
+    """Return the command that gives a run the reply that it waits for."""
     return command("FEED", request_id, body=reply)
 
 
 def skip_call(request_id: str, notice: int) -> bytes:
-    """The command to go on without the call that this notice asked for."""
+    """Return the command that continues a run without the call that `notice` requested."""
     return command("SKIP", request_id, notice)
 
 
 def cancel(request_id: str) -> bytes:
-    """The command to end a run."""
+    """Return the command that cancels a run."""
     return command("HALT", request_id)
 
 
 def poll_gauges(tag: int | str) -> bytes:
-    """The command to report the gauges under this tag."""
+    """Return the command that requests the gauges with this tag."""
     return command("STAT", tag)
 
 
 def read_notice(buffer: Buffer, gauge_count: int) -> Notice | None:
-    """The next notice, waiting for it; None when the engine closed the link between two.
+    """Wait for the next notice and return it; None if the engine closed the link between two.
 
     Raises:
-        ConnectionClosedError: The link ended within a notice, or what came is none.
+        ConnectionClosedError: The link ended within a notice, or the line is not a valid notice.
     """
     parts = lines.read(buffer)
     if parts is None:
@@ -124,12 +123,14 @@
 
 
 def parse_gauge(text: str) -> float:
-    """The value of a gauge.
+    """Return the value of a gauge.
 
     Raises:
-        ConnectionClosedError: It is no number.
+        ConnectionClosedError: The text is not a number.
     """
     try:
         return float(text)
     except ValueError:
-        raise ConnectionClosedError(CloseReason.GARBLED, f"gauge {text[:20]!r}") from None
+        raise ConnectionClosedError(
+            CloseReason.GARBLED, f"gauge value {text[:20]!r} is not a number"
+        ) from None
--- a/gullyoke/executors/engine_writer.py
+++ b/gullyoke/executors/engine_writer.py
@@ -1,4 +1,4 @@
-"""The writing side of the link to the engine, with the commands that it may have to send again."""
+"""Writes commands to the engine, and keeps those that may have to be sent again."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from gullyoke.runtime.pending_request import PendingRequest
 from gullyoke.runtime.sockets import shutdown_both
 
-MAX_UNCONFIRMED: Final = 256  # commands that no gauges confirm, before they are looked through
+MAX_UNCONFIRMED: Final = 256  # unconfirmed commands above which obsolete ones are dropped
 NO_TAG: Final = -1
 
 
@@ -20,10 +20,10 @@
     """A command to the engine.
 
     Args:
-        data: Its bytes.
-        request: The request that it concerns; None for a poll of the gauges.
-        notices_read: How many notices on that request had been read when it was given.
-        tag: The tag of a poll of the gauges.
+        data: The encoded command.
+        request: The request that the command concerns; None for a poll of the gauges.
+        notices_read: How many notices on that request had been read when the command was queued.
+        tag: Tag of a poll of the gauges.
     """
 
     data: bytes
@@ -33,20 +33,20 @@
 
 
 class EngineWriter:
-    """Writes commands in their order, by the thread that gave them where the link takes them.
+    """Writes commands in order, without blocking the thread that flushes them.
 
-    What the link does not take at once is left to the writing thread. `condition` guards all of
-    this.
+    Bytes that the link does not accept at once are left to the writing thread. `condition` guards
+    all attributes.
 
     Attributes:
         outbox: Commands that are not written yet.
         unconfirmed: Commands written since the last poll of the gauges that was answered; the
-            answer proves that the engine read what was written before. Like the outbox it has a few
-            for each request in flight; where gauges stay out for long it is rid of requests that
-            are over.
-        unwritten: What the link did not take at once of the last command.
-        sock: The link; None while there is none.
-        attached: Whether commands may be written: all notices that were missed have been read.
+            answer proves that the engine read the commands written before that poll. There are a
+            few for each request in flight; if the engine answers no polls for long, commands of
+            finished requests are dropped.
+        unwritten: Bytes that the link did not accept at once.
+        sock: Socket of the link; None while there is no link.
+        attached: Whether commands may be written, because all missed notices have been read.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -62,7 +62,7 @@
         self._prune_above = MAX_UNCONFIRMED
 
     def start(self, listener: ExecutorListener) -> None:
-        """Start the writing thread; `listener` tells which requests are in flight."""
+        """Start the writing thread; `listener` knows which requests are in flight."""
         self.listener = listener
         threading.Thread(
             target=self._metrics.run_forever,
@@ -77,13 +77,13 @@
             self.outbox.append(command)
 
     def flush(self) -> None:
-        """Write what was queued, as far as the link takes it without waiting.
+        """Write queued commands as far as the link accepts them without blocking.
 
-        That saves a change of threads for each command.
+        Writing on the calling thread saves a thread switch for each command.
         """
         with self.condition:
             if not self.outbox or not self.attached or self.unwritten or self._writing:
-                return  # the writing thread is at it, or will be
+                return  # the writing thread writes them, now or once the link is attached
             assert self.sock is not None
             batch = self._take_batch()
             data = b"".join(command.data for command in batch)
@@ -100,7 +100,7 @@
         self._metrics.increment("engine.commands", len(batch))
 
     def write_pending(self) -> None:
-        """Write what there is, once there is something and a link to write it on."""
+        """Wait for queued commands and an attached link, then write all of them."""
         with self.condition:
             while not (self.attached and (self.outbox or self.unwritten)):
                 self.condition.wait()
@@ -121,9 +121,9 @@
                 self.condition.notify_all()
 
     def _take_batch(self) -> list[SentCommand]:
-        """All commands that are to be written now.
+        """Move all queued commands to the unconfirmed ones and return them.
 
-        From here on they may have reached the engine, in part or whole.
+        From then on any part of them may have reached the engine.
         """
         batch = list(self.outbox)
         self.outbox.clear()
@@ -133,7 +133,7 @@
         return batch
 
     def _prune_unconfirmed(self) -> None:
-        """Drop commands for requests that are over, and all polls but the last."""
+        """Drop commands of requests that are over, and all polls except the last."""
         last_tag = max((command.tag for command in self.unconfirmed), default=NO_TAG)
         self.unconfirmed = deque(
             command
@@ -145,28 +145,29 @@
     def _is_in_flight(self, command: SentCommand) -> bool:
         return command.request is not None and self.listener.is_in_flight(command.request)
 
-    # Called by the reading thread.
+    # Called by the reading thread; `shut_down` also when the address changes.
 
     def confirm(self, tag: str) -> None:
-        """The engine has read the poll of this tag, and with it all commands before."""
+        """Drop the poll with this tag and all commands before it: the engine has read them."""
         with self.condition:
             if any(str(command.tag) == tag for command in self.unconfirmed):
                 while str(self.unconfirmed.popleft().tag) != tag:
                     pass
 
     def attach(self) -> None:
-        """Write on the link from now on; first again what may have been lost with the last one.
+        """Allow writing on the new link, and queue again what the last link may have lost.
 
-        That is all that is unconfirmed, but for commands of which a notice shows that they were
-        read. `RUN` may be repeated, `SKIP` names its notice. A `FEED` might be doubled where its
-        run goes on without a notice; no call of it waits then.
+        This is every unconfirmed command, except those that a later notice on the request shows to
+        have been read. Repeating is safe: `RUN` may be repeated, and `SKIP` names its notice. A
+        `FEED` may arrive twice if its run continues without a notice; no call of that run waits
+        then.
         """
         with self.condition:
             resent = [command for command in self.unconfirmed if self._may_be_lost(command)]
             self.unconfirmed.clear()
             self.outbox.extendleft(reversed(resent))
             self.attached = True
-            self.unwritten = b""  # what the old link did not take is void
+            self.unwritten = b""  # the rest of a partly written command; it is sent again whole
             self.condition.notify_all()
         if resent:
             self._metrics.increment("engine.resent_commands", len(resent))
@@ -180,19 +181,19 @@
         )
 
     def shut_down(self) -> None:
-        """End the link, if there is one; called with the condition acquired."""
+        """Shut the link down, if there is one; the caller holds `condition`."""
         if self.sock is not None:
             shutdown_both(self.sock)
 
     def close(self) -> None:
-        """Close the link, once no other thread writes on it."""
+        """Close the link once the writing thread no longer uses it."""
         with self.condition:
             self.attached = False
             sock = self.sock
             self.sock = None
             if sock is None:
                 return
-            shutdown_both(sock)  # ends a write that is going on
+            shutdown_both(sock)  # ends a write in progress
             while self._writing:
                 self.condition.wait()
         sock.close()
--- a/gullyoke/executors/scgi_backends.py
+++ b/gullyoke/executors/scgi_backends.py
@@ -1,7 +1,7 @@
-"""An executor that runs requests at a pool of application servers that speak SCGI.
+"""An executor that runs requests at a pool of SCGI application servers.
 
-Where a run goes is decided in gullyoke/routing; here it is carried out: one connection and one
-thread an attempt.
+gullyoke/routing decides where a run goes; this module performs the attempts, each with a connection
+and a thread of its own.
 """
 
 from __future__ import annotations
@@ -40,10 +40,10 @@
 
 
 class ScgiBackendPool:
-    """Carries out what the router decides.
+    """Carries out the actions of the router.
 
-    A run is in the tables from its start until its end is reported to the decisions. The lock
-    guards the router and the tables; it is taken after the dispatcher's, never before it.
+    A run is in the tables until its end is reported to the admission controller. The lock guards
+    the router and the tables; it is acquired after the dispatcher's lock, never before it.
     """
 
     def __init__(
@@ -54,14 +54,14 @@
         metrics: Metrics,
         needs_warmup: bool = False,
     ) -> None:
-        """Make a pool without back ends.
+        """Create a pool without back ends.
 
         Args:
             router: Decides where runs go.
-            cores: Cores of the machine in the site's settings, to which gauges are scaled.
-            settings: What is the same for all attempts.
+            cores: Cores of the machine in the site's settings; the gauges are scaled to them.
+            settings: Settings common to all attempts.
             metrics: Counters.
-            needs_warmup: Whether the decisions take the site to be cold.
+            needs_warmup: Whether the pool reports itself as cold at the start.
         """
         self._router = router
         self._cores = cores
@@ -72,12 +72,12 @@
         self._lock = threading.Lock()
         self._addresses: dict[str, SocketAddress] = {}
         self._runs: dict[PendingRequest, RoutedRun] = {}
-        self._attempts: dict[RoutedRun, BackendAttempt] = {}  # those whose connection is open
+        self._attempts: dict[RoutedRun, BackendAttempt] = {}  # attempts with an open connection
         self._to_start: queue.SimpleQueue[SendAttempt] = queue.SimpleQueue()
         self._workers = WorkerPool(self._attempt)
 
     def start(self, listener: ExecutorListener) -> None:
-        """Start the thread that starts workers, and report that the pool is there."""
+        """Start the thread that starts workers, and report the pool as an engine."""
         self._listener = listener
         threading.Thread(
             target=self._metrics.run_forever,
@@ -88,12 +88,12 @@
         listener.on_engine_hello(EngineState.COLD if self._starts_cold else EngineState.WARM, 0)
 
     def update_address(self, address: tuple[str, int]) -> None:
-        """Nothing to do: there is no engine."""
+        """Do nothing: there is no engine."""
 
     def configure(
         self, addresses: Mapping[str, SocketAddress], settings: Iterable[BackendSettings]
     ) -> None:
-        """Use these back ends from now on; those that are no longer configured drain."""
+        """Replace the configured back ends; those that are no longer configured drain."""
         with self._lock:
             self._addresses |= addresses
             actions, change = self._router.configure(clock.now(), settings)
@@ -112,11 +112,11 @@
         self._carry_out(actions)
 
     def set_probe_gate(self, may_probe: Callable[[str], bool]) -> None:
-        """Ask `may_probe` before a back end of that name is probed, where servers take turns."""
+        """Set the function that decides, by name, whether a back end may be probed now."""
         self._router.set_probe_gate(may_probe)
 
     def ejected(self) -> set[str]:
-        """Names of the back ends that are ejected or unreachable."""
+        """Return the names of the back ends that are ejected or unreachable."""
         with self._lock:
             return {
                 name
@@ -124,7 +124,7 @@
                 if backend.health.state in EJECTED_STATES
             }
 
-    # Commands, given under the dispatcher's lock.
+    # Commands; called under the dispatcher's lock.
 
     def start_run(self, request: PendingRequest) -> None:
         """Send the request to a back end, or queue it."""
@@ -135,16 +135,16 @@
         self._carry_out_locked(actions)
 
     def send_call_reply(self, request: PendingRequest, reply: bytes) -> None:
-        """Nothing to do: a back end makes its calls by itself."""
+        """Do nothing: a back end makes its own calls."""
 
     def skip_call(self, request: PendingRequest) -> None:
-        """Nothing to do, as above."""
+        """Do nothing: a back end makes its own calls."""
 
     def cancel_run(self, request: PendingRequest) -> None:
-        """End the run: a queued one at once, one at a back end by closing its connection.
+        """Cancel the run: a queued one at once, one at a back end by closing its connection.
 
-        The decisions ask for it only where closing stops the application. The thread that reads
-        finds the end and reports it.
+        The connection is closed only if that stops the application. The thread of the attempt then
+        sees the connection end and reports the end of the run.
         """
         with self._lock:
             run = self._runs.get(request)
@@ -157,10 +157,10 @@
         self._carry_out_locked(actions)
 
     def flush(self) -> None:
-        """Nothing to do: each attempt has a thread of its own, which sends it."""
+        """Do nothing: each attempt is sent by a thread of its own."""
 
     def poll_gauges(self, tag: int) -> None:
-        """Let the queue move on, and report the state of the pool."""
+        """Dispatch queued runs and report the load of the pool."""
         with self._lock:
             now = clock.now()
             actions = self._router.dispatch_queued(now)
@@ -171,10 +171,10 @@
             {"core_use": gauges.busy, "on_cores": gauges.runnable, "room": gauges.capacity},
         )
 
-    # What the router decides.
+    # Actions of the router.
 
     def _carry_out_locked(self, actions: Iterable[RouterAction]) -> None:
-        """Carry out actions while the dispatcher's lock is held: ends are posted."""
+        """Carry out actions under the dispatcher's lock: ends are posted as events."""
         for action in actions:
             if isinstance(action, SendAttempt):
                 self._send(action)
@@ -192,7 +192,10 @@
                 self._report_end(action, None)
 
     def _send(self, send: SendAttempt) -> None:
-        """Hand an attempt to an idle worker, or have one started, which takes too long for here."""
+        """Assign an attempt to an idle worker, or have another thread start a new worker.
+
+        Starting a thread takes too long under the dispatcher's lock.
+        """
         self._metrics.increment("backends.sent")
         request_of(send.run).backend_name = send.backend.settings.name
         if not self._workers.assign(send):
@@ -206,7 +209,7 @@
         self._forget(ended.run)
         self._listener.on_backend_run_ended(request_of(ended.run), ended.event, answer)
 
-    # The attempts, a thread each.
+    # Attempts, each on a thread of its own.
 
     def _start_worker(self) -> None:
         send = self._to_start.get()
@@ -215,7 +218,7 @@
                 target=self._workers.run_worker, args=(send,), name="backend", daemon=True
             ).start()
             self._metrics.increment("threads.backend")
-        except RuntimeError as fault:  # the system has no thread to spare
+        except RuntimeError as fault:  # the system has no thread left
             result = AttemptResult(AttemptOutcome.NOT_STARTED, None, str(fault))
             self._on_attempt_ended(send, result)
 
@@ -224,18 +227,18 @@
         self._on_attempt_ended(send, attempt.perform())
 
     def address_of(self, backend_name: str) -> SocketAddress:
-        """Where a back end is."""
+        """Return the address of a back end."""
         with self._lock:
             return self._addresses[backend_name]
 
     def register(self, attempt: BackendAttempt) -> bool:
-        """Let a cancel reach the attempt's connection; False if its run was cancelled."""
+        """Register an attempt for cancellation; False if its run is cancelled already."""
         with self._lock:
             self._attempts[attempt.run] = attempt
             return not (attempt.run.cancelled and self._settings.cancel_by_close)
 
     def _on_attempt_ended(self, send: SendAttempt, result: AttemptResult) -> None:
-        """Tell the router, and carry out what follows."""
+        """Report the outcome to the router and carry out the resulting actions."""
         now = clock.now()
         self._metrics.increment(f"backends.{result.outcome.value}")
         if result.outcome not in (AttemptOutcome.COMPLETED, AttemptOutcome.CANCELLED):
@@ -277,7 +280,7 @@
         )
 
     def log_backends(self) -> None:
-        """Write a line for each back end and one for the pool, as asked for with the counters."""
+        """Log a line for each back end and one for the pool, along with the counters."""
         with self._lock:
             now = clock.now()
             rows = [
--- a/gullyoke/routing/__init__.py
+++ b/gullyoke/routing/__init__.py
@@ -1,8 +1,7 @@
-"""Which back end a run is sent to, how many each takes, who is ejected, and what is retried.
+"""Load balancing over back ends: selection, concurrency limits, ejection, queueing and retries.
 
-Decisions and state alone: no I/O, no clock but the caller's, chance from the caller's generator.
-The same events bring the same actions. `Router` is what an executor calls; each of the others
-decides one thing.
+The package does no I/O. The caller passes the time and the random generator, so the same events
+give the same actions. An executor calls `Router`; each other class makes one kind of decision.
 """
 
 from gullyoke.routing.backend import Backend, BackendSettings
--- a/gullyoke/routing/backend.py
+++ b/gullyoke/routing/backend.py
@@ -1,4 +1,4 @@
-"""One back end as the router knows it: its runs, its limit, its response time."""
+"""The router's state of one back end: runs in flight, concurrency limit and response time."""
 
 from __future__ import annotations
 
@@ -11,21 +11,20 @@
 from gullyoke.routing.outlier_detection import HealthState, OutlierDetector
 from gullyoke.routing.routed_run import RoutedRun
 
-RESPONSE_TIME_TAU_US: Final = 2_000_000  # in which a response time loses most of its weight
-LARGEST_REMAINING_WEIGHT: Final = (
-    7 / 8
-)  # each new response time has at least an eighth of the weight
-FAILURE_PENALTY: Final = 4  # a failure counts as so many typical response times at least
+RESPONSE_TIME_TAU_US: Final = 2_000_000  # time constant of the smoothed response time
+# Upper bound of the smoothed value's weight: a new response time has at least one eighth.
+LARGEST_REMAINING_WEIGHT: Final = 7 / 8
+FAILURE_PENALTY: Final = 4  # a failure is measured as at least this many typical response times
 
 
 class BackendSettings(NamedTuple):
-    """What the operator configures for a back end.
+    """The operator's settings of a back end.
 
     Args:
-        name: Its name, which is its address as text.
-        weight: Its share of the work relative to others.
-        least: Lower bound of its concurrency limit.
-        most: Upper bound of its concurrency limit.
+        name: Name of the back end, which is its address as text.
+        weight: Share of the runs relative to other back ends.
+        least: Lower bound of the concurrency limit.
+        most: Upper bound of the concurrency limit.
     """
 
     name: str
@@ -38,9 +37,9 @@
     """Runs and measurements of one back end.
 
     Attributes:
-        started: When each run that is there was sent; a run leaves at its end.
-        sent: Attempts so far.
-        response_time_us: The smoothed response time; 0 while none is known.
+        started: Runs in flight, oldest first, with the time at which each was sent.
+        sent: Number of attempts sent so far.
+        response_time_us: The smoothed response time; 0 before the first measurement.
     """
 
     def __init__(
@@ -50,37 +49,40 @@
         self.health = health
         self.limit = ConcurrencyLimit(initial_limit, settings.least, settings.most)
         self.started: dict[RoutedRun, int] = {}
-        # Until when runs that nobody waits for any more are taken to go on there; at most as many
-        # as the limit was.
+        # Expiry times of abandoned runs that the back end may still execute; bounded by the
+        # concurrency limit.
         self._lingering_until: deque[int] = deque()
         self.response_time_us = 0.0
         self._measured_at = 0
         self.sent = 0
 
     def in_flight(self, now: int) -> int:
-        """Runs that are there, those included that may go on though nobody waits for them."""
+        """Drop abandoned runs that have expired; return the number of runs in flight.
+
+        Abandoned runs that the back end may still execute count as in flight.
+        """
         while self._lingering_until and self._lingering_until[0] <= now:
             self._lingering_until.popleft()
         return len(self.started) + len(self._lingering_until)
 
     def capacity(self, now: int) -> int:
-        """How many runs it takes at once: none while it is ejected, one for a probe."""
+        """Return how many runs the back end takes at once: 0 while ejected, 1 for a probe."""
         if self.health.state is HealthState.PROBING or self.health.is_ready_to_probe(now):
             return 1
         share = self.health.traffic_share(now)
         return max(1, int(self.limit.current * share)) if share else 0
 
     def accepts(self, now: int) -> bool:
-        """Whether it takes one more run that is no probe."""
+        """Return whether the back end takes one more run that is not a probe."""
         share = self.health.traffic_share(now)
         return share > 0 and self.in_flight(now) < max(1, int(self.limit.current * share))
 
     def _expected_response_us(self, now: int, typical_us: float) -> float:
-        """Its response time, or the age of the oldest run that is there if that is more.
+        """Return the expected response time, or the age of the oldest run in flight if higher.
 
-        What was measured decays to `typical_us` while nothing is measured, so that a back end that
-        was slow is used again. The age guards against one that takes all and answers nothing, of
-        which no response time is ever measured.
+        Without new measurements an expected time above `typical_us` decays to it, so that a back
+        end that was slow gets runs again. The age of the oldest run covers a back end that accepts
+        runs and never answers: no response time is ever measured there.
         """
         oldest = next(iter(self.started.values()), now)
         expected = self.response_time_us or typical_us
@@ -90,9 +92,9 @@
         return max(1.0, expected, now - oldest)
 
     def score(self, now: int, typical_us: float) -> float:
-        """What one more run is likely to wait there; the lowest is the best.
+        """Return the expected cost of one more run; the back end with the lowest score is best.
 
-        `typical_us` stands for a response time that is not known.
+        `typical_us` is used where no response time has been measured.
         """
         weight = self.settings.weight * self.health.traffic_share(now)
         if weight <= 0:
@@ -100,17 +102,18 @@
         return (self.in_flight(now) + 1) / weight * self._expected_response_us(now, typical_us)
 
     def on_sent(self, now: int, run: RoutedRun) -> None:
-        """Count an attempt that is sent there."""
+        """Record an attempt that is sent to the back end."""
         self.started[run] = now
         self.sent += 1
 
     def on_attempt_ended(
         self, now: int, run: RoutedRun, outcome: AttemptOutcome, linger_us: int, typical_us: float
     ) -> None:
-        """Learn from the end of an attempt.
+        """Update the limit and the response time after an attempt.
 
-        One that may go on there counts as in flight for `linger_us` more. A failure counts as four
-        times `typical_us` at least: failing fast is not being fast.
+        A run that the back end may still execute counts as in flight for `linger_us` more. A
+        failure is measured as at least `FAILURE_PENALTY` times `typical_us`, so that a back end
+        that fails fast does not look fast.
         """
         in_flight = self.in_flight(now)
         duration_us = now - self.started.pop(run, now)
@@ -135,9 +138,8 @@
             self._measured_at = now
             return
         remaining_weight = math.exp(-max(1, now - self._measured_at) / RESPONSE_TIME_TAU_US)
-        remaining_weight = min(
-            remaining_weight, LARGEST_REMAINING_WEIGHT
-        )  # where many end at once each one counts
+        # Without the bound, attempts that end at almost the same time would hardly count.
+        remaining_weight = min(remaining_weight, LARGEST_REMAINING_WEIGHT)
         self.response_time_us = self.response_time_us * remaining_weight + duration_us * (
             1 - remaining_weight
         )
--- a/gullyoke/routing/concurrency_limit.py
+++ b/gullyoke/routing/concurrency_limit.py
@@ -1,29 +1,31 @@
-"""How many runs at once one back end takes, learned from what it completes."""
+"""An adaptive limit on the runs in flight at one back end."""
 
 from __future__ import annotations
 
 from typing import Final
 
-CONGESTED_RATIO: Final = 2.0  # times the baseline at which runs are taken to crowd each other
-CONGESTION_FACTOR: Final = 0.9  # what the limit is multiplied by then
-LOSS_FACTOR: Final = 0.7  # what the limit is multiplied by when a run is lost
+CONGESTED_RATIO: Final = 2.0  # response time over baseline above which a back end is overloaded
+CONGESTION_FACTOR: Final = 0.9  # multiplies the limit of an overloaded back end
+LOSS_FACTOR: Final = 0.7  # multiplies the limit when a run is lost or times out
 PROBE_INTERVAL_US: Final = 10_000_000  # between baseline probes of a saturated back end
-PROBE_FACTOR: Final = 0.5  # the part of its limit that a back end has during a probe
-PROBE_SAMPLES: Final = 8  # runs that a probe measures
-SMOOTHING: Final = 8  # a new response time has one part in so many of the smoothed one
+PROBE_FACTOR: Final = 0.5  # multiplies the limit during a baseline probe
+PROBE_SAMPLES: Final = 8  # runs measured by a baseline probe
+SMOOTHING: Final = 8  # a new response time has a weight of 1 / SMOOTHING
 
 
 class ConcurrencyLimit:
-    """A limit that grows while it is used up and falls when response times rise or runs are lost.
+    """A limit that rises while it is reached, and falls when runs become slow or are lost.
 
-    It grows by one a round of runs while runs take no longer than usual. It falls by a tenth, at
-    most once per baseline time, while runs take twice the baseline, and faster where they are lost.
+    While response times are normal and the limit is reached, it rises by about one for each
+    `current` completed runs. While the smoothed response time exceeds twice the baseline, it falls
+    by a tenth, at most once per baseline time. It falls further when a run is lost.
 
-    The baseline is the lowest smoothed response time seen, or what a probe measures: now and then a
-    saturated back end gets half of its limit for as long as it takes to measure a few runs. Without
-    probes a back end that was crowded from the start would look normal. A baseline that drifts
-    upwards instead makes the limit creep up with it without end (47 where 8 crowd, tests/routing).
-    No knowledge of request classes is needed: a mix that changes moves it at the next probe.
+    The baseline is the lowest smoothed response time, or the result of the last baseline probe:
+    a saturated back end regularly gets half of its limit until a few runs are measured. Without
+    probes, a back end that was overloaded from the start would look normal. A baseline that drifts
+    upwards instead would raise the limit without bound (to 47 where the back end is overloaded
+    above 8, tests/routing). Request classes need not be known: a change in their mix changes the
+    baseline at the next probe.
     """
 
     def __init__(self, initial: int, least: int, most: int) -> None:
@@ -34,19 +36,19 @@
         self._baseline_us = 0.0
         self._reduced_at: int | None = None
         self._probed_at: int | None = None
-        self._limit_before_probe = 0.0  # 0 while no probe is under way
-        self._older_runs = 0  # runs from before the probe that have yet to end
+        self._limit_before_probe = 0.0  # 0 while no baseline probe is in progress
+        self._older_runs = 0  # runs sent before the baseline probe that are still in flight
         self._probe_samples = 0
         self._probe_total_us = 0
 
     def set_bounds(self, least: int, most: int) -> None:
-        """Keep within other bounds from now on."""
+        """Change the bounds, and move the current limit into them."""
         self.least = least
         self.most = most
         self.current = float(min(max(self.current, least), most))
 
     def on_completed(self, now: int, duration_us: int, in_flight: int) -> None:
-        """Learn from a run that ended well while `in_flight` runs, itself included, were there."""
+        """Update the limit after a completed run; `in_flight` includes that run."""
         if self._probed_at is None:
             self._probed_at = now
         if self._limit_before_probe:
@@ -71,7 +73,7 @@
         self.current = max(float(self.least), self.current * PROBE_FACTOR)
 
     def _measure_probe(self, now: int, duration_us: int) -> None:
-        """Let the runs from before the probe end, then measure the probe's own."""
+        """Skip runs that were sent before the baseline probe, then measure `PROBE_SAMPLES` runs."""
         if self._older_runs:
             self._older_runs -= 1
             return
@@ -84,17 +86,17 @@
             self._probed_at = now
 
     def on_lost(self, now: int) -> None:
-        """Fall because a run was lost or timed out."""
+        """Lower the limit after a run was lost or timed out."""
         self._reduce(now, LOSS_FACTOR)
 
     def _reduce(self, now: int, factor: float) -> None:
-        """Fall, but not again before a baseline time has shown what the last fall did."""
+        """Lower the limit, unless the last reduction is less than one baseline time ago."""
         if self._reduced_at is None or now - self._reduced_at >= self._baseline_us:
             self._reduced_at = now
             self.current = max(float(self.least), self.current * factor)
 
     def on_ejected(self) -> None:
-        """Forget the learned times and halve: it may come back as a new process."""
+        """Discard the measurements and halve the limit; the back end may return restarted."""
         self._smoothed_us = 0.0
         self._baseline_us = 0.0
         self._limit_before_probe = 0.0
--- a/gullyoke/routing/outcomes.py
+++ b/gullyoke/routing/outcomes.py
@@ -1,4 +1,4 @@
-"""How one attempt at a back end ended, and what that means for the run and for the back end."""
+"""Outcomes of an attempt at a back end, and their effect on the run and on the back end."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended. The value is its name in counters and in the log."""
+    """How an attempt ended; the value is its name in counters and in the log."""
 
-    COMPLETED = "done"  # a whole answer
-    FAILED = "failed"  # a whole answer that reports that the application failed
-    NOT_STARTED = "unrun"  # known not to have run: nothing of it was written
-    CONNECTION_LOST = "lost"  # it may have run: the connection ended after its first byte
-    INVALID_ANSWER = "spoilt"  # it ran, and what came is no answer
-    TIMED_OUT = "stalled"  # no whole answer in time; it may still run
-    CANCELLED = "stopped"  # closed here, as the decisions asked
+    COMPLETED = "done"  # a complete answer
+    FAILED = "failed"  # a complete answer with an error status of the application
+    NOT_STARTED = "unrun"  # certainly not run: no byte of the request was written
+    CONNECTION_LOST = "lost"  # may have run: the connection ended after the first byte was written
+    INVALID_ANSWER = "spoilt"  # ran, but its answer is invalid
+    TIMED_OUT = "stalled"  # no complete answer in time; the request may still run
+    CANCELLED = "stopped"  # closed here, because the admission controller cancelled the run
 
 
-# What the decisions are told when an attempt was the last one. The caller of a run that timed out
-# was answered long before.
+# The event reported to the admission controller when no further attempt is made. The client of a
+# run that timed out already has its answer.
 EVENT_OF_OUTCOME: Final = {
     AttemptOutcome.COMPLETED: RequestEvent.COMPLETED,
     AttemptOutcome.FAILED: RequestEvent.FAILED,
@@ -44,12 +44,12 @@
     }
 )
 
-# Outcomes after which the back end may still be at work on the run.
+# Outcomes after which the back end may still execute the run.
 MAY_STILL_RUN: Final = frozenset(
     {AttemptOutcome.CONNECTION_LOST, AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED}
 )
 
-# The meaning of every way in which the connection can end before the answer is whole.
+# The outcome for each reason why a connection closed before the answer was complete.
 _OUTCOME_BEFORE_FIRST_BYTE: Final = dict.fromkeys(CloseReason, AttemptOutcome.NOT_STARTED) | {
     CloseReason.DECLARED: AttemptOutcome.CANCELLED,
 }
@@ -62,10 +62,10 @@
 
 
 def outcome_of_close(reason: CloseReason, written: bool) -> AttemptOutcome:
-    """The outcome of an attempt whose connection ended before its answer was whole.
+    """Return the outcome of an attempt whose connection closed before the answer was complete.
 
     Args:
-        reason: How the connection ended.
+        reason: Why the connection closed.
         written: Whether any byte of the request may have reached the back end.
     """
     table = _OUTCOME_AFTER_FIRST_BYTE if written else _OUTCOME_BEFORE_FIRST_BYTE
--- a/gullyoke/routing/outlier_detection.py
+++ b/gullyoke/routing/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Whether a back end is used: ejected by its failures, probed by one run, let back in slowly."""
+"""Outlier detection: ejects a failing back end, probes it, and returns it with a slow start."""
 
 from __future__ import annotations
 
@@ -10,34 +10,36 @@
 
 
 class HealthState(Enum):
-    """State of a back end. The value is its name in counters and in the log."""
+    """State of a back end; the value is its name in counters and in the log."""
 
-    HEALTHY = "in"  # used like all others
-    SLOW_START = "slow"  # used less: it is new, or has just come back
-    UNREACHABLE = "away"  # it refuses connections; not used until a probe
-    EJECTED = "out"  # ejected for its failures; not used until a probe
-    PROBING = "trial"  # one run is there to see whether it is well
-    DRAINING = "leaving"  # no longer configured; it finishes what it has
+    HEALTHY = "in"  # gets its full share of the runs
+    SLOW_START = "slow"  # gets a rising share: it is new or was readmitted
+    UNREACHABLE = "away"  # refuses connections; gets no runs until a probe
+    EJECTED = "out"  # ejected because of failures; gets no runs until a probe
+    PROBING = "trial"  # one run in flight tests whether it has recovered
+    DRAINING = "leaving"  # no longer configured; finishes the runs in flight
 
 
 SERVING_STATES: Final = (HealthState.HEALTHY, HealthState.SLOW_START)
 EJECTED_STATES: Final = (HealthState.UNREACHABLE, HealthState.EJECTED)
-COUNTS_HALF_LIFE_US: Final = 10_000_000  # in which what is counted for the failure rate halves
-SLOW_START_FLOOR: Final = 0.1  # the share of its weight that a back end begins a slow start with
-REFUSALS_IN_A_ROW: Final = 2  # after so many a back end is unreachable
+COUNTS_HALF_LIFE_US: Final = 10_000_000  # half-life of the counts behind the failure rate
+SLOW_START_FLOOR: Final = 0.1  # traffic share at the beginning of a slow start
+REFUSALS_IN_A_ROW: Final = 2  # this many refused connections make a back end unreachable
 MAX_BACKOFF_DOUBLINGS: Final = 20
-JITTER_FROM: Final = 0.8  # an ejection lasts between this
-JITTER_SPAN: Final = 0.4  # and this much more of its nominal time
+# An ejection lasts between JITTER_FROM and JITTER_FROM + JITTER_SPAN of its nominal time.
+JITTER_FROM: Final = 0.8
+JITTER_SPAN: Final = 0.4
 
 
 class OutlierDetector:
     """Failures and state of one back end, in constant memory.
 
-    `consecutive_failures` in a row eject it; so does a failure rate that exceeds that of its peers
-    by more than `rate_margin` once `min_volume` runs are counted. It stays ejected for
-    `first_ejection_us`, twice that each time it fails its probe or fails again at once, up to
-    `longest_ejection_us`, with jitter from `draw`, which gives a number from 0 to 1. Then one run
-    is its probe, and a slow start of `slow_start_us` follows.
+    A back end is ejected after `consecutive_failures` in a row, or when its failure rate exceeds
+    that of its peers by more than `rate_margin` and `min_volume` runs are counted. The first
+    ejection lasts `first_ejection_us`. Each further one, after a failed probe or before a run has
+    succeeded past the slow start, lasts twice as long as the one before, up to
+    `longest_ejection_us`. `draw` returns a random number from 0 to 1 for the jitter. After the
+    ejection one run probes the back end; if it succeeds, a slow start of `slow_start_us` follows.
     """
 
     def __init__(
@@ -68,7 +70,10 @@
         self._decayed_at = 0
 
     def traffic_share(self, now: int) -> float:
-        """The share of its weight and limit that it is used with, from 0 to 1."""
+        """Return the usable share of weight and limit, from 0 to 1.
+
+        Changes the state to healthy when the slow start is over.
+        """
         if self.state is HealthState.SLOW_START:
             elapsed = (now - self._state_since) / max(1, self._slow_start_us)
             share = SLOW_START_FLOOR + (1 - SLOW_START_FLOOR) * elapsed
@@ -78,18 +83,18 @@
         return 1.0 if self.state is HealthState.HEALTHY else 0.0
 
     def enter(self, now: int, state: HealthState) -> None:
-        """Change to a state."""
+        """Change the state."""
         self.state = state
         self._state_since = now
 
     def failure_rate(self, now: int) -> float:
-        """Its decayed share of failures; 0 while too few runs are counted."""
+        """Decay the counts and return the failure rate; 0 while too few runs are counted."""
         self.decay(now)
         total = self.successes + self.failures
         return self.failures / total if total >= self._min_volume else 0.0
 
     def decay(self, now: int) -> None:
-        """Let the counts lose their weight up to `now`."""
+        """Decay the counts of successes and failures to `now`."""
         if now > self._decayed_at:
             remaining_weight = 0.5 ** ((now - self._decayed_at) / COUNTS_HALF_LIFE_US)
             self.successes *= remaining_weight
@@ -99,15 +104,15 @@
     def on_outcome(
         self, now: int, outcome: AttemptOutcome, peer_failure_rate: float, may_eject: bool
     ) -> bool:
-        """Count the outcome of an attempt; whether it made the back end ejected or unreachable.
+        """Count an outcome; return whether it made the back end ejected or unreachable.
 
         Args:
             now: The time, in microseconds.
             outcome: How the attempt ended.
             peer_failure_rate: The failure rate of the other back ends together.
-            may_eject: Whether the pool can spare one more.
+            may_eject: Whether the pool may eject another back end.
         """
-        if outcome is AttemptOutcome.CANCELLED:  # it tells nothing; a probe was none
+        if outcome is AttemptOutcome.CANCELLED:  # neither a success nor a failure
             if self.state is HealthState.PROBING:
                 self.enter(now, HealthState.EJECTED)
             return False
@@ -115,11 +120,11 @@
         self._count(now, outcome, failed)
         if self.state is HealthState.PROBING:
             return self._on_probe_ended(now, outcome, failed)
-        if self.state not in SERVING_STATES:  # from before its ejection: it tells nothing new
+        if self.state not in SERVING_STATES:  # sent before the ejection
             return False
         if not failed:
             if self.state is HealthState.HEALTHY:
-                self._ejections = 0  # it has come through its slow start
+                self._ejections = 0  # a run has succeeded after the slow start
             return False
         return self._eject_if_warranted(now, peer_failure_rate, may_eject)
 
@@ -148,7 +153,7 @@
         return False
 
     def _eject_if_warranted(self, now: int, peer_failure_rate: float, may_eject: bool) -> bool:
-        # Nothing is risked by not using a back end that is not there: the pool need not spare it.
+        # Independent of `may_eject`: an unreachable back end adds no capacity to the pool.
         if self._refusals_in_a_row >= min(REFUSALS_IN_A_ROW, self._consecutive_failures):
             self._eject(now, HealthState.UNREACHABLE)
             return True
@@ -170,5 +175,5 @@
         self.enter(now, state)
 
     def is_ready_to_probe(self, now: int) -> bool:
-        """Whether the back end is ejected and its time is over."""
+        """Return whether the back end is ejected and the ejection time is over."""
         return self.state in EJECTED_STATES and now >= self.ejected_until
--- a/gullyoke/routing/pool.py
+++ b/gullyoke/routing/pool.py
@@ -1,4 +1,4 @@
-"""The back ends together: who gets the next run, how many may be ejected, who belongs to it."""
+"""The pool of back ends: membership, choice for the next run, and the bound on ejections."""
 
 from __future__ import annotations
 
@@ -23,15 +23,16 @@
 
 
 class BackendPool:
-    """Choice of two by runs in flight over weight times response time.
+    """Balances runs by the power of two choices.
 
-    Two are drawn by chance and the better of them is taken: nearly as even as comparing all,
-    without all runs going at once to the one that looked best last (Mitzenmacher 2001).
+    Two back ends are drawn at random and the one with the lower score is chosen (runs in flight
+    over weight, times response time). The load is nearly as even as with a comparison of all, and
+    runs do not all go at once to the back end that last looked best (Mitzenmacher 2001).
 
     Attributes:
-        backends: The back ends by name: those that are configured or still have runs.
-        may_probe: Whether a probe of the back end of that name may be made now, where servers take
-            turns at it.
+        backends: Back ends by name: those that are configured or still have runs.
+        may_probe: Returns whether this server may probe the back end of a name now; used where
+            several servers coordinate their probes.
     """
 
     def __init__(
@@ -45,12 +46,13 @@
         """Make an empty pool.
 
         Args:
-            rng: Source of chance.
-            max_ejected_share: Largest share of the pool that may be ejected at once. An unreachable
-                back end is not ejected, and counts only while others are left.
-            initial_limit: Concurrency limit that a back end begins with.
-            linger_us: How long a run that may go on unheard is counted, in microseconds.
-            make_detector: Makes the health of a new back end from a source of chance.
+            rng: Random generator.
+            max_ejected_share: Largest share of the pool that may be ejected for failures at once.
+                A back end becomes unreachable regardless of this bound, and then counts towards it.
+            initial_limit: Concurrency limit of a new back end.
+            linger_us: How long an abandoned run that may still be executed counts as in flight,
+                in microseconds.
+            make_detector: Makes the outlier detector of a new back end from a random source.
         """
         self._draw = rng.random
         self._draw_index = rng.randrange
@@ -66,8 +68,8 @@
     def configure(self, now: int, settings: Iterable[BackendSettings]) -> MembershipChange:
         """Replace the configured back ends.
 
-        The first ever serve at once; later ones start slowly; those that are no longer configured
-        drain.
+        Back ends that are added to an empty pool get their full share at once. Those added later
+        begin with a slow start, and those that are no longer configured drain.
         """
         wanted = {one.name: one for one in settings}
         has_begun = bool(self.backends)
@@ -84,7 +86,7 @@
         return MembershipChange(added, draining)
 
     def _configure_one(self, now: int, settings: BackendSettings, has_begun: bool) -> bool:
-        """Add a back end, or give it other settings; whether it was not in service before."""
+        """Add a back end or update its settings; return whether it is new or was draining."""
         backend = self.backends.get(settings.name)
         if backend is None:
             detector = self._make_detector(self._draw)
@@ -95,13 +97,13 @@
             return True
         backend.settings = settings
         backend.limit.set_bounds(settings.least, settings.most)
-        if backend.health.state is HealthState.DRAINING:  # it was well when its drain began
+        if backend.health.state is HealthState.DRAINING:  # whatever its state was before
             backend.health.enter(now, HealthState.SLOW_START)
             return True
         return False
 
     def _forget_drained(self) -> None:
-        """Draining back ends are forgotten with their last run."""
+        """Remove draining back ends that have no run in flight."""
         self.backends = {
             name: backend
             for name, backend in self.backends.items()
@@ -111,7 +113,10 @@
     # Choice.
 
     def typical_us(self) -> float:
-        """The median response time, of those in service if any is known; 0 where none is."""
+        """Return the median response time of the back ends; 0 while none is measured.
+
+        Ejected back ends count only where no other has a measurement.
+        """
         known = [
             backend.response_time_us
             for backend in self.backends.values()
@@ -127,10 +132,10 @@
     def pick(
         self, now: int, idempotency: Idempotency, attempted: Sequence[Backend] = ()
     ) -> Backend | None:
-        """The back end for the next run, none of `attempted`; None if no one takes it now.
+        """Choose a back end outside `attempted` for a run; None if no back end accepts one now.
 
-        A probe is made with the first attempt of an idempotent run, which can be retried elsewhere,
-        or with any when nobody else is left.
+        The chosen back end may change to probing. A probe uses the first attempt of an idempotent
+        run, which can be retried elsewhere, or any attempt when no other back end accepts the run.
         """
         accepting = [
             backend
@@ -154,7 +159,7 @@
     def _begin_probe(
         self, now: int, attempted: Sequence[Backend], others_accept: bool
     ) -> Backend | None:
-        """The first back end whose probe is due and may be made; None where there is none."""
+        """Change the first back end that may be probed now to probing; None if there is none."""
         for backend in self.backends.values():
             if (
                 backend not in attempted
@@ -167,17 +172,17 @@
         return None
 
     def capacity(self, now: int) -> int:
-        """How many runs all of them take at once; 0 when all are ejected."""
+        """Return how many runs the pool takes at once; 0 while all back ends are ejected."""
         return sum(backend.capacity(now) for backend in self.backends.values())
 
     def in_flight(self, now: int) -> int:
-        """Runs at all of them."""
+        """Return the number of runs in flight at all back ends."""
         return sum(backend.in_flight(now) for backend in self.backends.values())
 
     # Outcomes.
 
     def _may_eject(self, backend: Backend) -> bool:
-        """Whether one more may be ejected for its failures without exceeding the largest share."""
+        """Return whether ejecting this back end would stay within the largest ejected share."""
         configured = [
             one for one in self.backends.values() if one.health.state is not HealthState.DRAINING
         ]
@@ -189,7 +194,7 @@
         return ejected + 1 <= self._max_ejected_share * len(configured)
 
     def _peer_failure_rate(self, now: int, backend: Backend) -> float:
-        """The failure rate of the others together."""
+        """Decay the counts of the other back ends and return their common failure rate."""
         successes = 0.0
         failures = 0.0
         for one in self.backends.values():
@@ -203,7 +208,7 @@
     def on_attempt_ended(
         self, now: int, backend: Backend, run: RoutedRun, outcome: AttemptOutcome
     ) -> None:
-        """Learn from the end of an attempt, which may eject the back end."""
+        """Update limit and health after an attempt, which may eject the back end."""
         backend.on_attempt_ended(now, run, outcome, self._linger_us, self.typical_us())
         peer_failure_rate = self._peer_failure_rate(now, backend)
         may_eject = self._may_eject(backend)
--- a/gullyoke/routing/retry_budget.py
+++ b/gullyoke/routing/retry_budget.py
@@ -1,14 +1,14 @@
-"""How many retries there may be: a share of the first attempts, with a small burst."""
+"""A retry budget: a share of the first attempts, with a small burst."""
 
 from __future__ import annotations
 
 
 class RetryBudget:
-    """Each first attempt earns `retry_share` of a retry; at most `burst` are saved up.
+    """Adds `retry_share` of a retry for each first attempt, up to a balance of `burst` retries.
 
-    Bounds the load that retries add when all back ends fail: attempts never exceed
-    `first attempts * (1 + retry_share) + burst`. It starts with one retry, so that a lone failure
-    at the start need not fail its request.
+    This bounds the load from retries when all back ends fail: attempts never exceed
+    `first attempts * (1 + retry_share) + burst`. The balance starts at one retry, so that a single
+    failure just after the start can be retried.
     """
 
     def __init__(self, retry_share: float, burst: float = 10.0) -> None:
@@ -17,13 +17,13 @@
         self.balance = min(1.0, burst) if retry_share > 0 else 0.0
 
     def on_first_attempt(self) -> None:
-        """Add what a first attempt earns."""
+        """Add `retry_share` to the balance."""
         self.balance = min(self.burst, self.balance + self.retry_share)
 
     def allows_retry(self) -> bool:
-        """Whether one more retry may be made."""
+        """Return whether the balance covers a retry."""
         return self.balance >= 1
 
     def spend(self) -> None:
-        """Take out the retry that is made."""
+        """Deduct one retry from the balance."""
         self.balance -= 1
--- a/gullyoke/routing/routed_run.py
+++ b/gullyoke/routing/routed_run.py
@@ -1,4 +1,4 @@
-"""A run on its way through the pool of back ends."""
+"""A run as the router sees it."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class RoutedRun:
-    """A run that the decisions have started.
+    """A run that the admission controller has started.
 
     Attributes:
-        request: The request that it serves.
-        idempotency: Whether it may be run more than once.
-        deadline: By when its answer has to be there, in microseconds of the clock.
-        attempted: The back ends that it was sent to, the latest last.
-        cancelled: Whether the decisions asked for its end.
-        may_have_run: Whether an attempt that failed may have run.
+        request: The request that is run.
+        idempotency: Whether the request may be run more than once.
+        deadline: Deadline of the answer, in microseconds of the clock.
+        attempted: Back ends that the run was sent to, in order of the attempts.
+        cancelled: Whether the admission controller cancelled the run.
+        may_have_run: Whether a lost attempt may have run the request.
     """
 
     __slots__ = ("attempted", "cancelled", "deadline", "idempotency", "may_have_run", "request")
@@ -33,5 +33,5 @@
         self.may_have_run = False
 
     def is_awaited(self) -> bool:
-        """Whether its caller still waits for it and nobody asked for its end."""
+        """Return whether the client still waits for the answer and the run is not cancelled."""
         return not (self.cancelled or self.request.answered or self.request.client_disconnected)
--- a/gullyoke/routing/router.py
+++ b/gullyoke/routing/router.py
@@ -1,4 +1,4 @@
-"""The way of a run through the pool: sent, queued, retried or ended."""
+"""Routes runs to the back ends of a pool: sends, queues, retries and ends them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RunEnded(NamedTuple):
-    """The run is over: report `event` to the decisions."""
+    """The run is over: report `event` to the admission controller."""
 
     run: RoutedRun
     event: RequestEvent
@@ -33,11 +33,11 @@
 
 
 class PoolGauges(NamedTuple):
-    """What the decisions hear of the pool.
+    """Load of the pool, as reported to the admission controller.
 
     Args:
-        busy: Share of the pool that is busy.
-        runnable: Runs that want a core, scaled to the cores of the settings.
+        busy: Share of the capacity in use, from 0 to 1.
+        runnable: Runs in flight or queued, scaled from the capacity to the configured cores.
         capacity: How many runs the pool takes at once.
     """
 
@@ -47,12 +47,12 @@
 
 
 class Router:
-    """Every method takes the time and gives the actions that follow, in order.
+    """Decides where runs go; its event methods return the resulting actions in order.
 
-    Not thread-safe: its caller guards it with a lock of its own.
+    Not thread-safe: the caller must hold a lock of its own.
 
     Attributes:
-        retries: Retries so far.
+        retries: Number of retries so far.
     """
 
     def __init__(self, pool: BackendPool, budget: RetryBudget) -> None:
@@ -62,7 +62,7 @@
         self.retries = 0
 
     def begin(self, now: int, run: RoutedRun) -> list[RouterAction]:
-        """A new run: sent, queued, or ended at once because it can't be run."""
+        """Send or queue a new run, or end it at once if neither is possible."""
         self.budget.on_first_attempt()
         if not self.queue.runs:
             backend = self.pool.pick(now, run.idempotency)
@@ -75,16 +75,16 @@
     def on_attempt_ended(
         self, now: int, run: RoutedRun, outcome: AttemptOutcome
     ) -> list[RouterAction]:
-        """The latest attempt of the run has ended."""
+        """Process the end of the run's latest attempt, and dispatch queued runs."""
         self.pool.on_attempt_ended(now, run.attempted[-1], run, outcome)
         return [self._retry_or_end(now, run, outcome), *self.dispatch_queued(now)]
 
     def _retry_or_end(self, now: int, run: RoutedRun, outcome: AttemptOutcome) -> RouterAction:
-        """A retry, or the end of the run.
+        """Retry the run, or end it.
 
-        What is known not to have run may be retried whatever its idempotency, what may have run
-        only where it may run again. No retry is made without budget, without time left for a
-        typical answer, or at a back end that the run was at.
+        A run that has certainly not run may be retried regardless of its idempotency; one that may
+        have run is retried only if it is idempotent. A retry also needs budget, time for a typical
+        response before the deadline, and a back end that the run was not sent to before.
         """
         lost = outcome is AttemptOutcome.CONNECTION_LOST
         retryable = outcome is AttemptOutcome.NOT_STARTED or (
@@ -104,7 +104,7 @@
                 return self._send(now, run, backend)
         event = EVENT_OF_OUTCOME[outcome]
         if event is RequestEvent.NO_CAPACITY and run.may_have_run:
-            event = RequestEvent.FAILED  # no promise that it never ran: an earlier attempt may have
+            event = RequestEvent.FAILED  # NO_CAPACITY states that the request never ran
         return RunEnded(run, event, outcome)
 
     def _send(self, now: int, run: RoutedRun, backend: Backend) -> SendAttempt:
@@ -113,13 +113,13 @@
         return SendAttempt(run, backend)
 
     def set_probe_gate(self, may_probe: Callable[[str], bool]) -> None:
-        """Ask `may_probe` before a back end of that name is probed."""
+        """Set the function that decides, by name, whether a back end may be probed now."""
         self.pool.may_probe = may_probe
 
     def cancel(self, run: RoutedRun) -> list[RouterAction]:
-        """The decisions asked for its end.
+        """Mark a run as cancelled by the admission controller.
 
-        A queued run ends at once; one at a back end is ended by its executor.
+        A queued run ends at once; the executor ends one that is at a back end.
         """
         run.cancelled = True
         if self.queue.remove(run):
@@ -129,12 +129,12 @@
     def configure(
         self, now: int, settings: Iterable[BackendSettings]
     ) -> tuple[list[RouterAction], MembershipChange]:
-        """Replace the configured back ends: what follows, and who was added and drains."""
+        """Replace the configured back ends; return the actions and the membership change."""
         change = self.pool.configure(now, settings)
         return self.dispatch_queued(now), change
 
     def dispatch_queued(self, now: int) -> list[RouterAction]:
-        """Send or end queued runs: called whenever an attempt has ended and at each tick."""
+        """Send or end queued runs; called after each attempt and at each poll of the gauges."""
         actions: list[RouterAction] = []
         if not self.queue.runs:
             return actions
@@ -151,9 +151,9 @@
         return actions
 
     def gauges(self, now: int, cores: int) -> PoolGauges:
-        """The state of the pool in terms of a machine with `cores`.
+        """Return the load of the pool, expressed for a machine with `cores`.
 
-        With all back ends ejected no core is free.
+        While all back ends are ejected, all cores count as busy.
         """
         capacity = self.pool.capacity(now)
         wanted = self.pool.in_flight(now) + len(self.queue.runs)
--- a/gullyoke/routing/wait_queue.py
+++ b/gullyoke/routing/wait_queue.py
@@ -1,4 +1,4 @@
-"""Runs that the decisions have started while no back end takes one."""
+"""The queue of started runs that no back end accepts yet."""
 
 from __future__ import annotations
 
@@ -8,25 +8,24 @@
 
 
 class WaitQueue:
-    """A short queue, first in, first out: the decisions have put its runs in order.
+    """A short first-in, first-out queue; the admission controller has already ordered the runs.
 
-    It takes as many runs as the pool runs at once, and none when the pool takes none: it covers
-    what is on its way to a back end and is no second admission queue. A run leaves it when it is
-    sent or ended.
+    It holds at most as many runs as the pool's capacity, and none while that is 0: it absorbs
+    short delays before a run is sent, and is not a second admission queue.
     """
 
     def __init__(self) -> None:
         self.runs: deque[RoutedRun] = deque()
 
     def add(self, run: RoutedRun, capacity: int) -> bool:
-        """Append a run; False, without adding it, where `capacity` runs wait already."""
+        """Append a run; return False without adding it if `capacity` runs are queued already."""
         if len(self.runs) >= capacity:
             return False
         self.runs.append(run)
         return True
 
     def remove(self, run: RoutedRun) -> bool:
-        """Take a run out; whether it was queued."""
+        """Remove a run; return whether it was queued."""
         try:
             self.runs.remove(run)
             return True
@@ -34,10 +33,10 @@
             return False
 
     def take_hopeless(self, now: int, typical_us: float, capacity: int) -> list[RoutedRun]:
-        """Take out the runs that are not worth waiting for.
+        """Remove and return the runs that should not wait any longer.
 
-        Those whose deadline comes before the typical response time has passed or whose caller no
-        longer waits, then the youngest for as long as more than `capacity` are queued.
+        These are runs whose deadline is less than the typical response time away, runs whose client
+        no longer waits, and then the newest runs until at most `capacity` are queued.
         """
         hopeless = [
             run for run in self.runs if now + typical_us > run.deadline or not run.is_awaited()
