--- a/gullyoke/routing/backend.py
+++ b/gullyoke/routing/backend.py
@@ -66,15 +66,21 @@
         return len(self.started) + len(self._lingering_until)
 
     def capacity(self, now: int) -> int:
-        """Return how many runs the back end takes at once: 0 while ejected, 1 for a probe."""
+        """Return how many runs the back end takes at once: 0 while ejected, 1 for a probe.
+
+        Changes the state to healthy when the slow start is over.
+        """
         if self.health.state is HealthState.PROBING or self.health.is_ready_to_probe(now):
             return 1
-        share = self.health.traffic_share(now)
+        share = self.health.update_traffic_share(now)
         return max(1, int(self.limit.current * share)) if share else 0
 
-    def accepts(self, now: int) -> bool:
-        """Return whether the back end takes one more run that is not a probe."""
-        share = self.health.traffic_share(now)
+    def update_availability(self, now: int) -> bool:
+        """Return whether the back end takes one more run that is not a probe.
+
+        Drops expired abandoned runs, and changes the state to healthy when the slow start is over.
+        """
+        share = self.health.update_traffic_share(now)
         return share > 0 and self.in_flight(now) < max(1, int(self.limit.current * share))
 
     def _expected_response_us(self, now: int, typical_us: float) -> float:
@@ -94,9 +100,10 @@
     def score(self, now: int, typical_us: float) -> float:
         """Return the expected cost of one more run; the back end with the lowest score is best.
 
-        `typical_us` is used where no response time has been measured.
+        `typical_us` is used where no response time has been measured. Updates the back end as
+        `update_availability` does.
         """
-        weight = self.settings.weight * self.health.traffic_share(now)
+        weight = self.settings.weight * self.health.update_traffic_share(now)
         if weight <= 0:
             return math.inf
         return (self.in_flight(now) + 1) / weight * self._expected_response_us(now, typical_us)
--- a/gullyoke/routing/outlier_detection.py
+++ b/gullyoke/routing/outlier_detection.py
@@ -69,10 +69,10 @@
         self.failures = 0.0
         self._decayed_at = 0
 
-    def traffic_share(self, now: int) -> float:
-        """Return the usable share of weight and limit, from 0 to 1.
+    def update_traffic_share(self, now: int) -> float:
+        """End a slow start whose time is over; return the usable share of weight and limit.
 
-        Changes the state to healthy when the slow start is over.
+        The share is from 0 to 1, and 0 in all states in which the back end gets no runs.
         """
         if self.state is HealthState.SLOW_START:
             elapsed = (now - self._state_since) / max(1, self._slow_start_us)
--- a/gullyoke/routing/pool.py
+++ b/gullyoke/routing/pool.py
@@ -140,7 +140,7 @@
         accepting = [
             backend
             for backend in self.backends.values()
-            if backend not in attempted and backend.accepts(now)
+            if backend not in attempted and backend.update_availability(now)
         ]
         if (idempotency is Idempotency.IDEMPOTENT and not attempted) or not accepting:
             probed = self._begin_probe(now, attempted, bool(accepting))
--- a/gullyoke/routing/router.py
+++ b/gullyoke/routing/router.py
@@ -139,7 +139,7 @@
         if not self.queue.runs:
             return actions
         capacity = self.pool.capacity(now)
-        for run in self.queue.take_hopeless(now, self.pool.typical_us(), capacity):
+        for run in self.queue.remove_unservable(now, self.pool.typical_us(), capacity):
             actions.append(RunEnded(run, RequestEvent.NO_CAPACITY, AttemptOutcome.NOT_STARTED))
         while self.queue.runs:
             run = self.queue.runs[0]
--- a/gullyoke/routing/wait_queue.py
+++ b/gullyoke/routing/wait_queue.py
@@ -32,17 +32,17 @@
         except ValueError:
             return False
 
-    def take_hopeless(self, now: int, typical_us: float, capacity: int) -> list[RoutedRun]:
+    def remove_unservable(self, now: int, typical_us: float, capacity: int) -> list[RoutedRun]:
         """Remove and return the runs that should not wait any longer.
 
         These are runs whose deadline is less than the typical response time away, runs whose client
         no longer waits, and then the newest runs until at most `capacity` are queued.
         """
-        hopeless = [
+        unservable = [
             run for run in self.runs if now + typical_us > run.deadline or not run.is_awaited()
         ]
-        for run in hopeless:
+        for run in unservable:
             self.runs.remove(run)
         while len(self.runs) > capacity:
-            hopeless.append(self.runs.pop())
-        return hopeless
+            unservable.append(self.runs.pop())
+        return unservable
