--- a/tests/executors/test_writing.py
+++ b/tests/executors/test_writing.py
@@ -1,6 +1,4 @@
-"""Commands to the engine and answers to gateways go out by the thread that made them, and in their
-order.
-"""
+"""Engine commands are written in order and without blocking; the wake-up of answer writers."""
 
 import contextlib
 import socket
@@ -30,15 +28,15 @@
     )
 
 
-def swallow(sock):
+def read_to_end(sock):
     with contextlib.suppress(OSError):
         while sock.recv(65536):
             pass
 
 
 class Writing(unittest.TestCase):
-    def linked(self, stack):
-        """An engine's link whose other end nobody reads yet, with little room between."""
+    def open_link(self, stack):
+        """Return a link with a small send buffer, and the other end, which nobody reads yet."""
         metrics = Metrics()
         engine = EngineLink(("127.0.0.1", 1), (), metrics)
         ours, theirs = socket.socketpair()
@@ -54,14 +52,14 @@
         return engine, theirs
 
     def test_full_link(self):
-        """A link that takes part of a command.
+        """A link that accepts only part of a command.
 
-        The rest follows before anything else, and nobody who gives commands waits for it. Guards
-        against bytes of two commands mixed, and against a desk that stands still behind an engine
-        that does not read.
+        The rest is written before the next command, and threads that give commands do not block.
+        Guards against interleaved commands, and against a server that stalls because the engine
+        does not read.
         """
         with contextlib.ExitStack() as stack:
-            engine, theirs = self.linked(stack)
+            engine, theirs = self.open_link(stack)
             wanted = b""
             for i in range(200):
                 engine.start_run(request(i))
@@ -75,18 +73,18 @@
                 got += theirs.recv(65536)
             self.assertEqual(got, wanted)
 
-    def test_gauges_that_stay_out(self):
-        """An engine that answers no gauges.
+    def test_unanswered_polls(self):
+        """An engine that never answers polls of the gauges.
 
-        What was sent for reqs that are over does not pile up.
+        Unconfirmed commands of requests that are over do not pile up.
         """
         with contextlib.ExitStack() as stack:
-            engine, theirs = self.linked(stack)
+            engine, theirs = self.open_link(stack)
             in_flight = set()
             engine.writer.listener = types.SimpleNamespace(
                 is_in_flight=lambda one: one.request_id in in_flight
             )
-            threading.Thread(target=swallow, args=(theirs,), daemon=True).start()
+            threading.Thread(target=read_to_end, args=(theirs,), daemon=True).start()
             kept = request(0)
             in_flight.add(kept.request_id)
             engine.start_run(kept)
@@ -96,13 +94,13 @@
             self.assertLessEqual(len(engine.writer.unconfirmed), 2 * MAX_UNCONFIRMED)
             self.assertEqual(sum(s.request is kept for s in engine.writer.unconfirmed), 1)
 
-    def test_rest_is_void_on_a_new_link(self):
-        """What a broken link did not take of a command is not written to the next one.
+    def test_partial_command_is_dropped_on_a_new_link(self):
+        """The unwritten rest of a command on a broken link is not written to the next link.
 
-        It would be garbled, and the command is given again whole.
+        It would be invalid there; the whole command is sent again.
         """
         with contextlib.ExitStack() as stack:
-            engine, theirs = self.linked(stack)
+            engine, theirs = self.open_link(stack)
             in_flight = set()
             engine.writer.listener = types.SimpleNamespace(
                 is_in_flight=lambda one: one.request_id in in_flight
@@ -116,10 +114,10 @@
             theirs.settimeout(10)
             self.assertEqual(theirs.recv(5), b"RUN 0")
 
-    def test_gates_open_after_the_lock(self):
-        """The thread that writes an answer is woken when the decisions are free again.
+    def test_answer_gate_opens_after_the_lock(self):
+        """The thread that writes an answer is woken after the dispatcher's lock is released.
 
-        Woken before, it would wait for the one that woke it.
+        Woken earlier, it would wait for the lock of the thread that woke it.
         """
         facts = parse_site_facts(flatten_settings(site()))
         dispatcher = Dispatcher(facts, Metrics())
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -1,6 +1,4 @@
-"""The router alone: text scenarios, scripted pools on a stated clock, random scripts held to its
-rules.
-"""
+"""Tests of the router alone: text scenarios, simulated pools, and random scripts against rules."""
 
 import pathlib
 import random
@@ -36,7 +34,7 @@
     "n": Idempotency.NON_IDEMPOTENT,
 }
 OUTCOMES = {outcome.value: outcome for outcome in AttemptOutcome}
-# The scenarios' names of the detector's parameters.
+# Names of the detector's parameters in the scenarios.
 DETECTION = {
     "consecutive": "consecutive_failures",
     "over": "rate_margin",
@@ -67,7 +65,7 @@
 
 
 class Scene:
-    """One router under a scenario; tests/README.md has the notation."""
+    """A router that a scenario drives; tests/README.md describes the notation."""
 
     def __init__(self):
         self.router, self.runs, self.actions, self.given = None, {}, [], {}
@@ -139,10 +137,7 @@
 
 
 class Simulated:
-    """A pool of back ends on a stated clock: each runs `slots` at once, the rest wait there.
-
-    Figures from it are simulated.
-    """
+    """A simulated pool of back ends, each with `slots` concurrent runs and a queue for the rest."""
 
     def __init__(self, router, took, outcome=lambda name, now: AttemptOutcome.COMPLETED, slots=8):
         self.router, self.took, self.outcome, self.slots = router, took, outcome, slots
@@ -150,7 +145,7 @@
         self.free = {}
 
     def run(self, rate, until, start=0, patience=10_000_000):
-        """Arrivals at `rate` a second, evenly, up to `until`."""
+        """Simulate evenly spaced arrivals, `rate` per second, from `start` to `until`."""
         import heapq
 
         step, next_in, now = int(1e6 / rate), start, start
@@ -170,18 +165,21 @@
                     continue
                 name = action.backend.settings.name
                 self.sent.append((now, name))
-                lines = self.free.setdefault(name, [0] * self.slots)
-                at = min(range(self.slots), key=lines.__getitem__)
-                quick = self.outcome(name, now) is not AttemptOutcome.COMPLETED
-                lines[at] = max(now, lines[at]) + (1000 if quick else self.took(name, now))
+                slot_free_at = self.free.setdefault(name, [0] * self.slots)
+                slot = min(range(self.slots), key=slot_free_at.__getitem__)
+                fails_fast = self.outcome(name, now) is not AttemptOutcome.COMPLETED
+                slot_free_at[slot] = max(now, slot_free_at[slot]) + (
+                    1000 if fails_fast else self.took(name, now)
+                )
                 self.order += 1
                 heapq.heappush(
-                    self.events, (now + 1000 if quick else lines[at], self.order, action.run)
+                    self.events,
+                    (now + 1000 if fails_fast else slot_free_at[slot], self.order, action.run),
                 )
 
     def share(self, name, since, until):
-        there = [n for t, n in self.sent if since <= t < until]
-        return there.count(name) / max(1, len(there))
+        names = [backend_name for time, backend_name in self.sent if since <= time < until]
+        return names.count(name) / max(1, len(names))
 
 
 class Routing(unittest.TestCase):
@@ -192,10 +190,10 @@
             with self.subTest(path.stem):
                 play(path, Scene().play)
 
-    def test_fates(self):
-        """Every end of a connection has one meaning, before and after its first byte.
+    def test_outcomes_of_closes(self):
+        """Each close reason maps to one outcome before and one after the first byte.
 
-        Only what was never written is known not to have run.
+        Only a request of which no byte was written counts as never run.
         """
         for end in CloseReason:
             before, after = outcome_of_close(end, False), outcome_of_close(end, True)
@@ -207,9 +205,10 @@
         self.assertNotIn(AttemptOutcome.NOT_STARTED, MAY_STILL_RUN)
 
     def test_failing_fast(self):
-        """One of three fails each run within 1 ms: it does not draw runs by being quick.
+        """One of three back ends fails each run within 1 ms and does not attract runs by that.
 
-        It is ejected within half a second, and gets under one run in fifty after that (simulated).
+        It gets less than 30% of the runs in the first half second, and less than one in fifty of
+        the runs after that.
         """
         sim = Simulated(
             make_router(first_out=2_000_000),
@@ -232,9 +231,9 @@
         self.assertLessEqual(sim.router.retries, 0.1 * 1000 + 11)
 
     def test_slow(self):
-        """One of three is ten times slower.
+        """One of three back ends becomes ten times slower.
 
-        It keeps answering, and gets less than a fifth of the others.
+        It still gets runs, but less than 8% of them: a fifth of what each other one gets.
         """
         sim = Simulated(
             make_router(), lambda name, now: 300_000 if name == "c" and now > 1_000_000 else 30_000
@@ -246,10 +245,9 @@
         self.assertEqual(set(sim.ended), {RequestEvent.COMPLETED})
 
     def test_return(self):
-        """One is gone for 3 s and comes back.
+        """One back end refuses connections for 3 s and then recovers.
 
-        It has its full share again within 12 s, and its trial and slow start lose nothing more
-        (simulated).
+        It has its full share again within 12 s, and no run fails during probe and slow start.
         """
 
         def outcome(name, now):
@@ -270,8 +268,9 @@
         self.assertLess(early, 0.25)
 
     def test_all_gone(self):
-        """All refuse: every run is ended at once as not run, none waits, and the room is
-        0.
+        """All back ends refuse: each run ends at once as not run, and none stays queued.
+
+        The gauges report a busy pool while the capacity is 0.
         """
         sim = Simulated(
             make_router(), lambda name, now: 30_000, lambda name, now: AttemptOutcome.NOT_STARTED
@@ -281,15 +280,15 @@
         self.assertFalse(sim.router.queue.runs)
         gauges = sim.router.gauges(3_000_000, 6)
         self.assertEqual((gauges[0], gauges[2]) if not gauges[2] else (1.0, 0.0), (1.0, 0.0))
-        self.assertLess(len(sim.sent), 60)  # back ends that are away are hardly asked
+        self.assertLess(len(sim.sent), 60)  # unreachable back ends get few attempts
         back = Simulated(sim.router, lambda name, now: 30_000)
         back.run(100, 40_000_000, start=33_000_000)
         self.assertGreater(back.ended[RequestEvent.COMPLETED], 0.9 * sum(back.ended.values()))
 
     def test_limit(self):
-        """A back end that crowds above eight at once.
+        """A back end that is overloaded above eight concurrent runs.
 
-        The limit finds its way there from both sides.
+        The limit converges from below and from above.
         """
         for first in (2, 60):
             limit, at = ConcurrencyLimit(first, 1, 64), 0
@@ -301,11 +300,11 @@
             self.assertTrue(8 <= limit.current <= 20, limit.current)
         limit.on_lost(at := at + 10**7)
         lower = limit.current
-        limit.on_lost(at + 1)  # not twice for one trouble
+        limit.on_lost(at + 1)  # one incident lowers the limit only once
         self.assertEqual(limit.current, lower)
 
     def test_same(self):
-        """The same events bring the same actions, chance included."""
+        """The same events and the same seed give the same actions."""
 
         def actions(seed):
             sim = Simulated(
@@ -339,22 +338,23 @@
         st.sampled_from([0.0, 0.34, 0.5, 1.0]),
     )
     def test_rules(self, script, share, out):
-        """Whatever happens: each run is ended once.
+        """Rules that hold for any sequence of events.
 
-        A try that may have run is followed by another only where that may be; no run is twice at
-        one back end; attempts stay within their budget; ejected ones within their share; a back end
-        never has more than its limit; nothing is kept of runs that are over.
+        Each run ends exactly once. A run that may have run is retried only if it is idempotent. No
+        run is sent to the same back end twice. Attempts stay within the retry budget, ejections
+        within their share, and the runs of a back end within its limit. No state of finished runs
+        is kept.
         """
         router = make_router("abcd", share=share, burst=3.0, out=out)
-        now, there, ended, begun, first, attempts = 0, {}, {}, [], 0, 0
+        now, in_flight, ended, begun, first, attempts = 0, {}, {}, [], 0, 0
 
-        def follow(actions):
+        def check_actions(actions):
             nonlocal attempts
             for action in actions:
                 self.assertNotIn(action.run, ended)
                 if isinstance(action, RunEnded):
                     ended[action.run] = action.event
-                    there.pop(action.run, None)
+                    in_flight.pop(action.run, None)
                     continue
                 attempts += 1
                 if action.run.may_have_run:
@@ -367,50 +367,52 @@
                     action.backend.health.state,
                     (HealthState.EJECTED, HealthState.UNREACHABLE, HealthState.DRAINING),
                 )
-                there[action.run] = action.backend
+                in_flight[action.run] = action.backend
 
         for verb, step, pick, outcome, idempotency in script:
             now += step
             if verb == "begin":
                 first += 1
                 begun.append(run := make_run(idempotency, now, 50_000 + pick * 5))
-                follow(router.begin(now, run))
-            elif verb == "end" and there:
-                run = list(there)[pick % len(there)]
-                del there[run]
-                follow(router.on_attempt_ended(now, run, outcome))
+                check_actions(router.begin(now, run))
+            elif verb == "end" and in_flight:
+                run = list(in_flight)[pick % len(in_flight)]
+                del in_flight[run]
+                check_actions(router.on_attempt_ended(now, run, outcome))
             elif verb == "stop" and begun:
                 run = begun[pick % len(begun)]
                 if run not in ended:
-                    follow(router.cancel(run))
+                    check_actions(router.cancel(run))
             elif verb == "gone" and begun:
                 begun[pick % len(begun)].request.client_disconnected = True
             elif verb == "state":
                 names = [n for i, n in enumerate("abcdef") if pick >> i & 1] or ["a"]
-                follow(router.configure(now, [BackendSettings(n) for n in names])[0])
+                check_actions(router.configure(now, [BackendSettings(n) for n in names])[0])
             elif verb == "turn":
-                follow(router.dispatch_queued(now))
+                check_actions(router.dispatch_queued(now))
             self.assertLessEqual(attempts - first, share * first + 3.0 + 1)
             configured = [
-                m
-                for m in router.pool.backends.values()
-                if m.health.state is not HealthState.DRAINING
+                backend
+                for backend in router.pool.backends.values()
+                if backend.health.state is not HealthState.DRAINING
             ]
             if verb == "end":
-                ejected = sum(m.health.state is HealthState.EJECTED for m in configured)
+                ejected = sum(backend.health.state is HealthState.EJECTED for backend in configured)
                 self.assertTrue(
                     ejected <= max(1, out * len(configured)) or "state" in [s[0] for s in script]
                 )
-        while there:
-            run = next(iter(there))
-            del there[run]
+        while in_flight:
+            run = next(iter(in_flight))
+            del in_flight[run]
             now += 1000
-            follow(router.on_attempt_ended(now, run, AttemptOutcome.COMPLETED))
+            check_actions(router.on_attempt_ended(now, run, AttemptOutcome.COMPLETED))
         for run in list(router.queue.runs):
             run.request.client_disconnected = True
-        follow(router.dispatch_queued(now))
+        check_actions(router.dispatch_queued(now))
         self.assertEqual(set(ended), set(begun))
-        self.assertFalse(any(m.started for m in router.pool.backends.values()) or router.queue.runs)
+        self.assertFalse(
+            any(backend.started for backend in router.pool.backends.values()) or router.queue.runs
+        )
 
 
 if __name__ == "__main__":
--- a/tests/scgi/test_scgi.py
+++ b/tests/scgi/test_scgi.py
@@ -1,4 +1,4 @@
-"""Plays the scenarios of the SCGI front and of back ends; both protocols mixed under overload."""
+"""Scenarios of the SCGI listener and of SCGI back ends, and HTTP and SCGI mixed under overload."""
 
 import contextlib
 import math
@@ -22,16 +22,18 @@
         on_sockets(self, HERE)
 
     def test_overload(self):
-        """Both protocols mixed at twice the capacity.
+        """HTTP and SCGI mixed at twice the capacity.
 
-        Each req gets exactly one answer, none late, and sheds do not ask by which protocol it came.
+        Each request gets exactly one answer, none late, and the protocol has no influence on which
+        requests are rejected.
 
-        A coin says by which protocol each req comes. If that is nothing to the daemon, the sheds
-        among those that came by SCGI are a draw without replacement from all sheds of the handler,
-        and by Hoeffding's bound their share is off by t with a chance under 2 exp(-2 m t^2). t is
-        such that all three handlers together come under one in a million.
+        The protocol of each request is random. If the daemon ignores it, the rejected requests
+        among those that came by SCGI are a sample without replacement from all rejected requests
+        of the request class. By Hoeffding's bound their share then deviates by more than t with a
+        probability below 2 exp(-2 m t^2), where m is the number of SCGI requests of the class. t is
+        chosen so that the probability for all three classes together is below one in a million.
         """
-        chance, told, threads = random.Random(11), [], []
+        rng, results, threads = random.Random(11), [], []
         with contextlib.closing(Sockets()) as scene:
             scene.engine.down()
             scene.engine = Busy(2, 0.01)
@@ -44,51 +46,54 @@
             scene.said("event=serving")
             start = time.monotonic()
             for i in range(2000):
-                by, request_class = chance.random() < 0.5, chance.choice(HANDLERS)
+                by_scgi, request_class = rng.random() < 0.5, rng.choice(HANDLERS)
                 wait = start + i / 400 - time.monotonic()
                 if wait > 0:
                     time.sleep(wait)
                 threads.append(
-                    threading.Thread(target=self.ask, args=(scene, i, by, request_class, told))
+                    threading.Thread(
+                        target=self.send_request, args=(scene, i, by_scgi, request_class, results)
+                    )
                 )
                 threads[-1].start()
             for thread in threads:
                 thread.join(10)
-        self.assertEqual(len(told), 2000)
-        self.assertEqual({len(answers) for *_, answers, _ in told}, {1})
-        self.assertLess(max(took for *_, took in told), 0.9 + 1.0)  # a second for our own threads
-        sheds, asked = Counter(), Counter()
-        for by, request_class, (status,), _ in told:
+        self.assertEqual(len(results), 2000)
+        self.assertEqual({len(answers) for *_, answers, _ in results}, {1})
+        # One second of tolerance for the threads of this test.
+        self.assertLess(max(took for *_, took in results), 0.9 + 1.0)
+        rejected, sent = Counter(), Counter()
+        for by_scgi, request_class, (status,), _ in results:
             self.assertIn(status, ("200", "503", "500"))
-            asked[by, request_class] += 1
-            sheds[by, request_class] += status == "503"
-        self.assertGreater(sum(sheds.values()), 500)
+            sent[by_scgi, request_class] += 1
+            rejected[by_scgi, request_class] += status == "503"
+        self.assertGreater(sum(rejected.values()), 500)
         for request_class in set(HANDLERS):
-            n = asked[True, request_class] + asked[False, request_class]
-            share = (sheds[True, request_class] + sheds[False, request_class]) / n
-            band = math.sqrt(math.log(2 * 3 * 1e6) / (2 * asked[True, request_class]))
+            n = sent[True, request_class] + sent[False, request_class]
+            share = (rejected[True, request_class] + rejected[False, request_class]) / n
+            band = math.sqrt(math.log(2 * 3 * 1e6) / (2 * sent[True, request_class]))
             self.assertLess(
-                abs(sheds[True, request_class] / asked[True, request_class] - share),
+                abs(rejected[True, request_class] / sent[True, request_class] - share),
                 band,
                 request_class,
             )
 
     @staticmethod
-    def ask(scene, i, by, request_class, told):
-        """One req on a connection of its own, read to its end: all answers' statuses."""
+    def send_request(scene, i, by_scgi, request_class, results):
+        """Send a request on a connection of its own and record the statuses of all its answers."""
         fields = {"Max-Wait-Ms": "900"} | (
             {"Replay-Key": f"k{i}"} if request_class == "book" else {}
         )
-        if not by:
+        if not by_scgi:
             fields["Connection"] = "close"
         began, data = time.monotonic(), b""
-        with socket.create_connection(scene.scgi if by else scene.listen, 10) as conn:
-            conn.sendall(message(f"r{i}", request_class, scgi=by, **fields))
+        with socket.create_connection(scene.scgi if by_scgi else scene.listen, 10) as conn:
+            conn.sendall(message(f"r{i}", request_class, scgi=by_scgi, **fields))
             while got := conn.recv(4096):
                 data += got
-        mark = b"Status: " if by else b"HTTP/1.1 "
+        mark = b"Status: " if by_scgi else b"HTTP/1.1 "
         answers = [part[:3].decode() for part in data.split(mark)[1:]]
-        told.append((by, request_class, answers, time.monotonic() - began))
+        results.append((by_scgi, request_class, answers, time.monotonic() - began))
 
 
 if __name__ == "__main__":
