--- a/gullyoke/dependencies/client.py
+++ b/gullyoke/dependencies/client.py
@@ -283,7 +283,7 @@
         The timeout and the bounded buffer guard against endless lines and against bodies that are
         shorter than their announced length.
         """
-        buffer = Buffer(Receiver(connection.sock, REPLY_PIECE_TIMEOUT_S), lines.BUFFER)
+        buffer = Buffer(Receiver(connection.sock, REPLY_PIECE_TIMEOUT_S), lines.MAX_MESSAGE_BYTES)
         is_in_sync = True
         while (reply := read_reply(buffer)) is not None:
             call = connection.call
