--- a/gullyoke/extensions/subsets.py
+++ b/gullyoke/extensions/subsets.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from gullyoke.coordination.subsets import Subset, choose_subsets, order_without_peers
-from gullyoke.coordination.turns import schedule_within
+from gullyoke.coordination.time_slots import schedule_within
 from gullyoke.extensions.back_ends import BackEnds
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.fleet_extension import FleetExtension
--- a/tests/coordination/test_turns.py
+++ b/tests/coordination/test_time_slots.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullyoke.coordination.turns import TimeSlotSchedule
+from gullyoke.coordination.time_slots import TimeSlotSchedule
 
 SLOT, GAP = 10_000_000, 500_000
 NAMES = st.sets(st.sampled_from([f"m{i}" for i in range(40)]), min_size=1, max_size=40)
