--- a/gullyoke/dependencies/client.py
+++ b/gullyoke/dependencies/client.py
@@ -264,7 +264,8 @@
                 self._queue(self._queued.popleft())
         self._metrics.increment(f"ends.database.{reason.value}")
         if call is not None or reason not in (CloseReason.CLOSED, CloseReason.DECLARED):
-            # Log repeats at debug level, so that a failing dependency does not fill the log.
+            # Repeats are logged at debug level, so a failing dependency does not fill the log;
+            # the counter above counts each.
             used = connection is not None and bool(connection.last_request_id)
             log.log(
                 DEBUG if reason is self._last_reason else WARNING,
--- a/gullyoke/executors/engine_link.py
+++ b/gullyoke/executors/engine_link.py
@@ -56,7 +56,7 @@
         self.writer = EngineWriter(metrics)
         self._last_notice = 0  # highest number of a notice that was read
         self._links_made = 0
-        self._attach_tag = ""  # its answer shows that all missed notices were read
+        self._attach_tag = ""  # tag of the poll that is answered after all missed notices
         self._address_changed = threading.Event()
 
     def start(self, listener: ExecutorListener) -> None:
@@ -124,7 +124,8 @@
             )
             self.writer.close()
             self._metrics.increment(f"ends.engine.{reason.value}")
-            # Log repeats at debug level, so that an unreachable engine does not fill the log.
+            # Repeats are logged at debug level, so an unreachable engine does not fill the log;
+            # the counter above counts each.
             log.log(
                 DEBUG if reason is last_reason else WARNING,
                 "link to the engine closed",
--- a/gullyoke/routing/pool.py
+++ b/gullyoke/routing/pool.py
@@ -97,7 +97,7 @@
             return True
         backend.settings = settings
         backend.limit.set_bounds(settings.least, settings.most)
-        if backend.health.state is HealthState.DRAINING:  # whatever its state was before
+        if backend.health.state is HealthState.DRAINING:  # its state before the drain is not kept
             backend.health.enter(now, HealthState.SLOW_START)
             return True
         return False
