--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -100,13 +100,13 @@
         chance = random.Random(daemon.configuration.seed ^ 0x5EED)
         row = MemberRecord(
             daemon.configuration.name,
-            start_version(int(time.time()), self.number.known()),
+            start_version(int(time.time()), self.number.stored_version()),
             Status.JOINING,
             wanted.advertise,
             wanted.zone,
             chance.getrandbits(63),
         )
-        self.number.keep(row.version)
+        self.number.store_version(row.version)
         self.member = Member(clock.now(), row, wanted.seeds, chance)
         self.member.listeners.append(self.changed)
         self.link.status_sections["disks"] = lambda now: self.folders.states()
@@ -143,7 +143,7 @@
             ),
         )
         if row.id == self.member.id and row.version > self.number.latest:
-            self.number.keep(row.version)
+            self.number.store_version(row.version)
 
     def look(self) -> None:
         """The size in force, given to the decisions where that is wanted."""
--- a/gullyoke/peer_transport/quota_codec.py
+++ b/gullyoke/peer_transport/quota_codec.py
@@ -32,16 +32,18 @@
 _decode_body = msgspec.msgpack.Decoder(tuple[int, int, list[Any]]).decode
 
 
-def configuration_digest(homes: Mapping[str, str], limit: int, floor: int, *more: str) -> int:
+def configuration_digest(
+    lender_addresses: Mapping[str, str], limit: int, floor: int, *more: str
+) -> int:
     """Return the digest of the settings that have to be equal on all servers of a fleet.
 
     Args:
-        homes: The lenders' addresses by name, in any order.
+        lender_addresses: The lenders' addresses by name, in any order.
         limit: The limit in tokens.
         floor: The number of tokens that each process has without a loan.
         more: For a tenant's quota, the tenant and the rate.
     """
-    lenders = [f"{name}@{address}" for name, address in sorted(homes.items())]
+    lenders = [f"{name}@{address}" for name, address in sorted(lender_addresses.items())]
     return stable_hash(" ".join([*lenders, str(limit), str(floor), *more]))
 
 
--- a/gullyoke/peer_transport/quota_service.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -37,15 +37,15 @@
 
     Attributes:
         own: This server's part of the limit.
-        homes: The lenders' configured addresses, by name.
-        others: The number of messages from servers with another configuration of the limit.
+        lender_addresses: The lenders' configured addresses, by name.
+        mismatched_messages: The number of messages with another configuration digest.
         substitutes: The substitutes of stopped lenders; set by the owner.
     """
 
     def __init__(
         self,
         own: PartT,
-        homes: Mapping[str, str],
+        lender_addresses: Mapping[str, str],
         digest: int,
         address_of: Callable[[str], str | None],
     ) -> None:
@@ -53,16 +53,16 @@
 
         Args:
             own: This server's part of the limit.
-            homes: The lenders' configured addresses, by name.
+            lender_addresses: The lenders' configured addresses, by name.
             digest: The digest of the configuration; see `quota_codec.configuration_digest`.
             address_of: Returns a member's address in the membership view, by the member's name.
         """
         self.own = own
-        self.homes = dict(homes)
+        self.lender_addresses = dict(lender_addresses)
         self.digest = digest
         self.address_of = address_of
         self.lock = threading.Lock()
-        self.others = 0
+        self.mismatched_messages = 0
         self.substitutes = Substitutes({}, 0)
 
     def tick(self, now: int) -> list[AddressedBody]:
@@ -79,10 +79,13 @@
         """
         message = unpack(self.digest, body)
         if message is None:
-            self.others += 1
+            self.mismatched_messages += 1
             return ()
         # A vote counts only if it comes from the voter's configured address.
-        if isinstance(message, LenderVote) and self.homes.get(message.voter) != sender.address:
+        if (
+            isinstance(message, LenderVote)
+            and self.lender_addresses.get(message.voter) != sender.address
+        ):
             return ()
         with self.lock:
             answer = self.own.handle(now, message)
@@ -95,7 +98,7 @@
         elif message.to is Recipient.LENDER:
             address = self._lender_address(message.lender)
         else:
-            address = self.homes.get(message.lender, "")
+            address = self.lender_addresses.get(message.lender, "")
         return [AddressedBody(address, pack(self.digest, message.message))] if address else []
 
     def _lender_address(self, lender: str) -> str:
@@ -104,7 +107,7 @@
         address = self.address_of(lender)
         if not address and clock.now() < substitutes.until_us:
             address = substitutes.addresses.get(lender)
-        return address or self.homes.get(lender, "")
+        return address or self.lender_addresses.get(lender, "")
 
     def status(self, now: int) -> dict[str, object]:
         """Return the state of the limit, for operators and the log."""
@@ -121,7 +124,7 @@
                 "home": participant.lender_name or "-",
                 "lends": lender is not None and lender.tenure.may_lend(now),
                 "lent": lender.outstanding(now) if lender is not None else 0,
-                "others": self.others,
+                "others": self.mismatched_messages,
             }
 
 
@@ -175,13 +178,13 @@
 
     Attributes:
         limits: The quotas by the digest of their configuration.
-        others: The number of messages whose digest matches no quota of this server.
+        mismatched_messages: The number of messages whose digest matches no quota of this server.
     """
 
     def __init__(self, limits: Iterable[SharedQuota]) -> None:
         """Serve these quotas."""
         self.limits = {limit.digest: limit for limit in limits}
-        self.others = 0
+        self.mismatched_messages = 0
 
     def tick(self, now: int) -> list[AddressedBody]:
         """Return the messages to send now."""
@@ -195,6 +198,6 @@
         """
         limit = self.limits.get(digest_of(body))
         if limit is None:
-            self.others += 1
+            self.mismatched_messages += 1
             return ()
         return limit.handle(now, sender, body)
--- a/gullyoke/peer_transport/start_number.py
+++ b/gullyoke/peer_transport/start_number.py
@@ -29,7 +29,7 @@
     Disk errors are logged and counted, and no caller waits for the disk.
 
     Attributes:
-        latest: The last version given to `keep`; 0 before the first call.
+        latest: The last version given to `store_version`; 0 before the first call.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         """
         self.metrics = metrics
         self.latest = 0
-        self._known = 0
+        self._stored_version = 0
         self._committer: GroupCommitter[Store] | None = None
         if folder is None:
             return
@@ -54,21 +54,21 @@
         try:
             self._folder = (open_folder or StorageFolder)(os.path.join(folder, FOLDER))
             store = Store(self._folder, segment_bytes=SEGMENT_BYTES, quota_bytes=QUOTA_BYTES)
-            self._known = int.from_bytes(store.get(KEY) or b"", "big")
+            self._stored_version = int.from_bytes(store.get(KEY) or b"", "big")
             self._committer = GroupCommitter(store)
         except OSError as error:
             metrics.increment("fleet.unkept")
             log.error("start version cannot be stored", extra=log_fields(folder=folder, why=error))
 
-    def known(self) -> int:
+    def stored_version(self) -> int:
         """Return the version that the last start stored; 0 if there is none."""
-        return self._known
+        return self._stored_version
 
-    def keep(self, number: int) -> None:
+    def store_version(self, version: int) -> None:
         """Store a version without waiting for the disk."""
-        self.latest = number
+        self.latest = version
         if self._committer is not None:
-            data = number.to_bytes(NUMBER_BYTES, "big")
+            data = version.to_bytes(NUMBER_BYTES, "big")
             self._committer.put(KEY, data, self._count_outcome)
 
     def _count_outcome(self, written: bool) -> None:
--- a/tests/compatibility/test_note_store.py
+++ b/tests/compatibility/test_note_store.py
@@ -206,12 +206,12 @@
     def test_recorded_number_is_read(self):
         number = StoredStartNumber(str(copy_of(self, "member")), Metrics())
         self.addCleanup(number.close)
-        self.assertEqual(number.known(), 1_700_000_000 << 20)
+        self.assertEqual(number.stored_version(), 1_700_000_000 << 20)
 
     def test_number_is_written_with_the_same_bytes(self):
         folder = temporary_folder(self)
         number = StoredStartNumber(str(folder), Metrics())
-        number.keep(1_700_000_000 << 20)
+        number.store_version(1_700_000_000 << 20)
         number.close()
         self.assertEqual(files_in(folder / "fleet"), files_in(copy_of(self, "member") / "fleet"))
 
--- a/tests/coordination/test_quotas.py
+++ b/tests/coordination/test_quotas.py
@@ -97,7 +97,7 @@
             time.sleep(0.004)
         self.assertEqual(small.own.rate_in_force(clock.now()), 25.0)
         self.assertEqual(topics[0].handle(0, None, encode((1, 0, []))), ())
-        self.assertEqual(topics[0].others, 1)
+        self.assertEqual(topics[0].mismatched_messages, 1)
         with self.assertRaises(MalformedDatagramError):
             topics[0].handle(0, None, b"\xc1")
 
--- a/tests/coordination/test_wire.py
+++ b/tests/coordination/test_wire.py
@@ -111,7 +111,10 @@
             parts[0].call_ended(clock.now(), False, True)
         eventually(lambda: wants(parts[1], 100) == 3 * TOKENS + 1, "passed on")
         self.assertEqual(wants(parts[3], 100), 1)  # stated otherwise: none of theirs
-        eventually(lambda: max(part.others for part in parts[:3]) > 0, "letters of another limit")
+        eventually(
+            lambda: max(part.mismatched_messages for part in parts[:3]) > 0,
+            "letters of another limit",
+        )
         self.assertEqual(wants(parts[3], 100), 1)
         before = parts[2].own.participant.tenure.until_us
         forged = LenderVote("p2", 102, parts[2].own.participant.tenure.round, "p0", True)
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -199,17 +199,17 @@
         with tempfile.TemporaryDirectory() as folder:
             metrics, first = Metrics(), start_version(1_000_000)
             stored = StoredStartNumber(folder, metrics)
-            stored.keep(first)
+            stored.store_version(first)
             stored.close()
             self.assertEqual(metrics.counters["fleet.kept"], 1)
             again = StoredStartNumber(folder, Metrics())
-            self.assertGreater(start_version(5, again.known()), first)
+            self.assertGreater(start_version(5, again.stored_version()), first)
             again.close()
             file = pathlib.Path(folder, "file")
             file.touch()
             broken = StoredStartNumber(str(file), metrics)
-            broken.keep(7)
-            self.assertEqual((broken.known(), metrics.counters["fleet.unkept"]), (0, 1))
+            broken.store_version(7)
+            self.assertEqual((broken.stored_version(), metrics.counters["fleet.unkept"]), (0, 1))
 
     def test_size_for_decisions(self):
         """Decisions use the fleet's estimated size if that is enabled and the estimate is usable.
