--- a/gullyoke/membership/join_state.py
+++ b/gullyoke/membership/join_state.py
@@ -86,7 +86,7 @@
         """Return whether the member takes part in gossip: it has joined or is reading the view."""
         return self.stage in (JoinStage.IN, JoinStage.JOINING)
 
-    def take_due_contacts(self, now: int, live_addresses: set[str]) -> list[str]:
+    def take_next_contacts(self, now: int, live_addresses: set[str]) -> list[str]:
         """Return the addresses to send a hello to now, and schedule the next contact.
 
         A member that has joined still contacts seeds that are not in its view: two separate fleets
@@ -185,7 +185,7 @@
         self.record = self.record.with_status(Status.ALIVE)
         return self.record
 
-    def begin_refutation_if_due(self, now: int) -> bool:
+    def try_begin_refutation(self, now: int) -> bool:
         """Begin a refutation if the member has joined and none was begun within the period.
 
         The period doubles while accusations continue, as more refutations would not stop them.
--- a/gullyoke/membership/joining.py
+++ b/gullyoke/membership/joining.py
@@ -47,7 +47,7 @@
         live_addresses: set[str] = set()
         if now >= state.join_state.next_contact_at:
             live_addresses = {record.address for record in state.view.records.values()}
-        for address in state.join_state.take_due_contacts(now, live_addresses):
+        for address in state.join_state.take_next_contacts(now, live_addresses):
             self._dissemination.send(address, Hello(state.record))
 
     def read_view(self, now: int) -> None:
--- a/gullyoke/membership/member.py
+++ b/gullyoke/membership/member.py
@@ -249,7 +249,7 @@
 
     def _reconcile(self, now: int) -> None:
         state = self._state
-        if not state.join_state.has_joined() or not state.reconciliation.begin_exchange_if_due(now):
+        if not state.join_state.has_joined() or not state.reconciliation.try_begin_exchange(now):
             return
         peer = state.view.records.get(state.reconciliation.peer)
         if peer is not None:
--- a/gullyoke/membership/reconciliation.py
+++ b/gullyoke/membership/reconciliation.py
@@ -46,7 +46,7 @@
         if self.differs_since is None:
             self.differs_since = now
 
-    def begin_exchange_if_due(self, now: int) -> bool:
+    def try_begin_exchange(self, now: int) -> bool:
         """Record the beginning of an exchange with `peer` if one is due; return whether it is."""
         if (
             self.differs_since is None
--- a/gullyoke/membership/update_processing.py
+++ b/gullyoke/membership/update_processing.py
@@ -148,6 +148,6 @@
             if (
                 suspicion.id == state.id
                 and suspicion.version >= state.record.version
-                and state.join_state.begin_refutation_if_due(now)
+                and state.join_state.try_begin_refutation(now)
             ):
                 self.adopt_own_record(now, state.join_state.refute())
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -304,7 +304,7 @@
                 if not refutes:
                     stack.enter_context(
                         mock.patch(
-                            "gullyoke.membership.join_state.JoinState.begin_refutation_if_due",
+                            "gullyoke.membership.join_state.JoinState.try_begin_refutation",
                             lambda *_: False,
                         )
                     )
