--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -1,7 +1,7 @@
-"""What is done under a duty: one small unit each.
+"""The singleton tasks: work that only one server of a fleet does at a time, under a lease.
 
-A charge is called by the timer's thread while its duty is held here, with the epoch, and asks again
-after every wait.
+A task is called on the thread of `duties.py` with the epoch of its lease while this server holds
+the lease. After every wait it checks that the lease is still held.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.storage.append_file import AppendFile
 
-YOUNG = 6_000_000  # a notice counts for so long
-LONGEST = 2**20  # bytes of the record's file
+YOUNG = 6_000_000  # microseconds for which an announcement is valid
+LONGEST = 2**20  # bytes of the file of the fleet's record
 
 
 class Charge:
-    """Does nothing; a charge says otherwise.
+    """The base of the singleton tasks; it does nothing.
 
-    `name` is its duty's. `act` comes ten times a second while the duty is held here and what was
-    left by the last holder has been read; `idle` while it is not.
+    Attributes:
+        name: the name of the lease.
     """
 
     name = ""
@@ -49,28 +49,35 @@
     def __init__(self, fleet: Fleet, duties: LeaseService) -> None:
         self.fleet, self.duties = fleet, duties
 
-    def act(self, now: int, epoch: int) -> None: ...
+    def act(self, now: int, epoch: int) -> None:
+        """Do the task; called ten times a second while this server holds the lease."""
+        ...
 
-    def idle(self, now: int) -> None: ...
+    def idle(self, now: int) -> None:
+        """Stop the task; called ten times a second while this server does not hold the lease."""
+        ...
 
     def notice(self) -> bytes:
-        """What all members should know of it."""
+        """Return what the holder announces to all members."""
         return b""
 
-    def heard(self, now: int, notice: Announcement) -> None: ...
+    def heard(self, now: int, notice: Announcement) -> None:
+        """Apply an announcement of the holder; not called while this server is the holder."""
+        ...
 
     def asked(self, now: int, words: list[str]) -> dict:
-        """An operator's command; asked at the holder."""
+        """Carry out an operator's command at the holder, and return the answer."""
         return {"fault": f"{self.name} takes no commands"}
 
     def told(self, now: int) -> dict:
+        """Return what the status answer shows of the task."""
         return {}
 
 
 class Gated:
-    """A `DependencySlots` for the decisions.
+    """Dependency slots that hold back the calls of a dependency that is down.
 
-    No call goes out to what is taken for dead but by whose turn it is.
+    While the dependency counts as down, only the holder of the lease calls it, as a probe.
     """
 
     def __init__(
@@ -88,7 +95,7 @@
         if not self.slots.request_slot(now, waiting):
             return False
         if not self.probe.dead and self.probe.opened is None:
-            return True  # the ordinary case costs no lock
+            return True  # the usual case takes no lock
         held = self.holding(now) if self.probe.dead else False
         with self.lock:
             self.probe.set_lease_held(held)
@@ -110,27 +117,34 @@
 
 
 class Ask(Charge):
-    """One asks a dead dependency; the rest learn from its notices how it stands."""
+    """The dependency health check.
+
+    The holder probes a dependency that is down; the others learn its health from the holder's
+    announcements.
+    """
 
     name = "ask"
 
     def __init__(self, fleet: Fleet, duties: LeaseService) -> None:
         super().__init__(fleet, duties)
-        told = fleet.daemon.configuration
-        self.probe = DependencyProbe(random.Random(told.seed ^ 0xA5C).random)
-        below = told.facts.dependency
-        self.gate = below.slots = Gated(
-            below.slots, self.probe, lambda now: duties.held_epoch(now, self.name) is not None
+        daemon_configuration = fleet.daemon.configuration
+        self.probe = DependencyProbe(random.Random(daemon_configuration.seed ^ 0xA5C).random)
+        dependency_facts = daemon_configuration.facts.dependency
+        self.gate = dependency_facts.slots = Gated(
+            dependency_facts.slots,
+            self.probe,
+            lambda now: duties.held_epoch(now, self.name) is not None,
         )
-        self.was = False
+        self._logged_dead = False
 
     def act(self, now: int, epoch: int) -> None:
-        if self.probe.dead != self.was:
-            self.was = self.probe.dead
+        """Log and count each change of the dependency's health."""
+        if self.probe.dead != self._logged_dead:
+            self._logged_dead = self.probe.dead
             self.fleet.daemon.metrics.increment(
-                "duty.dependency_dead" if self.was else "duty.dependency_well"
+                "duty.dependency_dead" if self._logged_dead else "duty.dependency_well"
             )
-            log.warning("dependency", extra=log_fields(dead=self.was, epoch=epoch))
+            log.warning("dependency", extra=log_fields(dead=self._logged_dead, epoch=epoch))
 
     def notice(self) -> bytes:
         return b"dead" if self.probe.dead else b"well"
@@ -144,10 +158,11 @@
 
 
 class Book(Charge):
-    """Lends what homes that ended had to lend.
+    """Lends the orphaned quota: the tokens of lenders that are no longer members.
 
-    Their names are safe by their own majority; this duty only sees to it that no two servers try,
-    and tells all whom to ask.
+    A majority of the lenders decides who lends for one that is gone, so two servers can't lend
+    the same tokens. The lease only keeps two servers from trying at once, and its holder announces
+    to all members whom to ask.
     """
 
     name = "book"
@@ -167,12 +182,15 @@
 
     def act(self, now: int, epoch: int) -> None:
         with self.fleet.link.lock:
-            there = {row.name for row in self.fleet.member.view.records.values()}
-            sure = self.fleet.member.size(now).usable()
-        gone = tuple(sorted(home for home in self.homes if home not in there)) if sure else ()
+            members = {row.name for row in self.fleet.member.view.records.values()}
+            size_usable = self.fleet.member.size(now).usable()
+        gone = (
+            tuple(sorted(home for home in self.homes if home not in members)) if size_usable else ()
+        )
         self.lend(gone)
 
     def lend(self, gone: tuple[str, ...]) -> None:
+        """Lend for these lenders and for no others."""
         if gone != self.gone:
             log.warning("book of shares", extra=log_fields(lends_for=",".join(gone) or "-"))
         self.gone = gone
@@ -185,37 +203,40 @@
             self.lend(())
 
     def notice(self) -> bytes:
-        at = self.fleet.wanted.advertise
-        return json.dumps(dict.fromkeys(self.gone, at)).encode()
+        address = self.fleet.wanted.advertise
+        return json.dumps(dict.fromkeys(self.gone, address)).encode()
 
     def heard(self, now: int, notice: Announcement) -> None:
-        """Who asks these homes asks whoever lends for them, for as long as the notice is young."""
+        """Borrow from the substitutes of these lenders while the announcement is valid."""
         try:
-            at = {str(home): str(where) for home, where in json.loads(notice.body or b"{}").items()}
+            addresses = {
+                str(home): str(address)
+                for home, address in json.loads(notice.body or b"{}").items()
+            }
         except (ValueError, AttributeError):
             return
-        self.shares.shared.substitutes = Substitutes(at, now + YOUNG)
+        self.shares.shared.substitutes = Substitutes(addresses, now + YOUNG)
 
     def told(self, now: int) -> dict:
         return {"lends_for": list(self.gone)}
 
 
 class Roll(Charge):
-    """A rolling restart, kept by a majority at each step before anything follows from it."""
+    """Conducts a rolling restart; each step is stored by a majority before it is acted on."""
 
     name = "roll"
 
     def __init__(self, fleet: Fleet, duties: LeaseService) -> None:
         super().__init__(fleet, duties)
         self.plan, self.next, self.epoch = rolls.RestartPlan(), 0, 0
-        self.since: dict[str, int] = {}  # when each member was last seen to come in or turn well
-        self.ordered: dict[str, int] = {}  # whom, and when the word last went out
+        self.since: dict[str, int] = {}  # by member: since when it has been alive without a break
+        self.ordered: dict[str, int] = {}  # by member: when it was last instructed to drain
 
     def act(self, now: int, epoch: int) -> None:
         register = self.duties.register(self.name)
         if register is None or register.body is None:
             return
-        if self.epoch != epoch:  # taken over: what the last holder left
+        if self.epoch != epoch:  # just acquired: go on with the plan of the last holder
             try:
                 self.plan = rolls.unpack_plan(register.body)
             except (ValueError, TypeError, KeyError):
@@ -229,10 +250,11 @@
         plan = rolls.step(self.plan, now, self.seen(now), self.fleet.daemon.configuration.name)
         if plan != self.plan:
             self.take(plan, "step")
-            return  # what follows waits until that is kept
+            return  # members are instructed once the plan is stored by a majority
         self.send(now, epoch)
 
     def take(self, plan: rolls.RestartPlan, why: str) -> None:
+        """Replace the plan, and have it stored by a majority."""
         if plan.state != self.plan.state:
             log.warning(
                 "roll", extra=log_fields(number=plan.number, state=plan.state, why=plan.why or why)
@@ -243,21 +265,21 @@
             register.put(plan.pack())
 
     def send(self, now: int, epoch: int) -> None:
-        """The word to go, again until it was heard.
+        """Instruct the members of this step to drain, again each second until they have restarted.
 
-        A server that has it does not act on it twice.
+        A member that is draining ignores the repeats.
         """
         if self.plan.state != "going":
             return
-        starts = {one.name: one.start for one in self.seen(now).members}
-        me = self.fleet.daemon.configuration.name
+        starts = {member.name: member.start for member in self.seen(now).members}
+        own_name = self.fleet.daemon.configuration.name
         for name, _, start in self.plan.doing:
             if starts.get(name) != start or now - self.ordered.get(name, 0) < 1_000_000:
                 continue
             self.ordered[name] = now
             if self.duties.held_epoch(clock.now(), self.name) != epoch:
                 return
-            if name == me:
+            if name == own_name:
                 self.drain(now, epoch)
             else:
                 self.duties.instruct(self.name, epoch, name, "drain", str(start).encode())
@@ -265,48 +287,49 @@
             del self.ordered[name]
 
     def drain(self, now: int, epoch: int) -> None:
-        """This server's own turn: it leaves by the way that a notice to leave takes."""
+        """Drain this server as SIGTERM does."""
         self.fleet.daemon.metrics.increment("duty.drained")
         log.warning("roll: this server's turn", extra=log_fields(epoch=epoch))
         os.kill(os.getpid(), signal.SIGTERM)
 
     def obey(self, now: int, order: Instruction) -> None:
-        """The conductor's word.
+        """Drain, if the lease holder's instruction is for the present start of this server.
 
-        It names the start that is meant, so that a word that comes late drains nobody a second
-        time.
+        The instruction has the number of the start, so a late one does not drain the server again
+        after its restart.
         """
-        own = self.fleet.member.record.version // REFUTATIONS_PER_START
-        meant = order.what == "drain" and order.body == str(own).encode()
-        if meant and self.fleet.daemon.dispatcher.stop_at is None:
+        own_start = self.fleet.member.record.version // REFUTATIONS_PER_START
+        applies = order.what == "drain" and order.body == str(own_start).encode()
+        if applies and self.fleet.daemon.dispatcher.stop_at is None:
             self.drain(now, order.epoch)
 
     def seen(self, now: int) -> rolls.FleetState:
+        """Return the state of the members, and note since when each has been alive."""
         fleet = self.fleet
         with fleet.link.lock:
-            one, told = (
+            own_member, signal_rows = (
                 fleet.member,
                 fleet.link.signals.rows if fleet.link.signals is not None else {},
             )
-            rows = list(one.view.records.values())
-            states = {row.id: one.state(now, row) for row in rows}
-            readings = {who: reading for who, (_, _, reading) in told.items()}
-        members, sheds = [], []
+            rows = list(own_member.view.records.values())
+            states = {row.id: own_member.state(now, row) for row in rows}
+            readings = {member_id: reading for member_id, (_, _, reading) in signal_rows.items()}
+        members, rejected_shares = [], []
         for row in rows:
             reading = readings.get(row.id)
-            there = states[row.id] == "alive"
+            alive = states[row.id] == "alive"
             calm = reading is None or reading.rejected_share < 0.25
-            if not there:
+            if not alive:
                 self.since[row.name] = now
             self.since.setdefault(row.name, now)
             if reading is not None:
-                sheds.append(reading.rejected_share)
+                rejected_shares.append(reading.rejected_share)
             members.append(
                 rolls.MemberState(
                     row.name,
                     row.zone,
                     row.version // REFUTATIONS_PER_START,
-                    there and row.status is Status.ALIVE,
+                    alive and row.status is Status.ALIVE,
                     self.since[row.name],
                     calm,
                 )
@@ -314,8 +337,10 @@
         names = {row.name for row in rows}
         for name in [n for n in self.since if n not in names]:
             del self.since[name]
-        sheds.sort()
-        return rolls.FleetState(tuple(members), sheds[len(sheds) // 2] if sheds else 0.0)
+        rejected_shares.sort()
+        return rolls.FleetState(
+            tuple(members), rejected_shares[len(rejected_shares) // 2] if rejected_shares else 0.0
+        )
 
     def asked(self, now: int, words: list[str]) -> dict:
         register = self.duties.register(self.name)
@@ -323,7 +348,7 @@
             return {"fault": "this server does not conduct"}
         try:
             if words[0] == "start":
-                at_once, a_zone = (float(x) for x in words[1:3])
+                at_once, a_zone = (float(share) for share in words[1:3])
                 plan = rolls.start(self.plan, self.seen(now), at_once, a_zone)
             elif words[0] == "pause":
                 plan = rolls.pause(self.plan, "asked for")
@@ -333,8 +358,8 @@
                 plan = rolls.cancel(self.plan, "asked for")
             else:
                 return {"fault": "right would be start, pause, resume or cancel"}
-        except (ValueError, IndexError) as fault:
-            return {"fault": str(fault)}
+        except (ValueError, IndexError) as error:
+            return {"fault": str(error)}
         self.take(plan, words[0])
         return {"plan": plan._asdict()}
 
@@ -348,10 +373,10 @@
             self.fleet.daemon.metrics.increment("duty.roll_unreadable")
 
     def told(self, now: int) -> dict:
-        found = self.plan._asdict()
+        fields = self.plan._asdict()
         fleet = self.seen(now)
-        return found | {
-            "left": [one.name for one in rolls.members_to_restart(self.plan, fleet)]
+        return fields | {
+            "left": [member.name for member in rolls.members_to_restart(self.plan, fleet)]
             if self.plan.state in ("going", "paused", "stopped")
             else [],
             "members": len(fleet.members),
@@ -359,8 +384,10 @@
 
 
 class Record(Charge):
-    """The fleet's record: a line for each change of its size and for each hand-over, in the
-    holder's folder, under the epoch. The count goes on with the next holder.
+    """The fleet's record: a line for each change of the members and for each new holder.
+
+    The lines are in the holder's folder, each with the epoch. They are numbered; the next holder
+    continues the numbers.
     """
 
     name = "record"
@@ -389,7 +416,7 @@
         with self.fleet.link.lock:
             size, view = self.fleet.member.size(now), self.fleet.member.view
             state = size.members, f"{view.digest:016x}"
-        if self.lines.faults:  # its disk fails: another may do better
+        if self.lines.faults:  # this server's disk fails: another server should hold the lease
             self.fleet.daemon.metrics.increment("duty.record_faults")
             self.lines.faults = 0
             self.duties.leave(self.name, f"its disk: {self.lines.reason}", failed=True)
@@ -400,7 +427,7 @@
             self.write(now, row, register)
 
     def write(self, now: int, row: dict, register) -> None:
-        """One line, of 256 bytes at the most; the count goes on with the next holder."""
+        """Append one line of at most 256 bytes, and store its number for the next holder."""
         self.count += 1
         self.lines.add(
             json.dumps(
@@ -420,45 +447,50 @@
 
 
 class Told(Charge):
-    """An application's own duty.
+    """A lease of the application's own.
 
-    The application is told that this server holds it, with the epoch, and is to hold that against
-    the newest it has seen.
+    While this server holds the lease it tells the application so at each interval, with the epoch
+    as a fencing token: the application compares it with the newest epoch that it has seen.
     """
 
     def __init__(self, fleet: Fleet, duties: LeaseService, wanted: OwnDuty) -> None:
         super().__init__(fleet, duties)
         self.name, self.wanted, self.next, self.faults, self.stale = wanted.name, wanted, 0, 0, 0
-        self.going = threading.Lock()
+        self.going = threading.Lock()  # held while a message to the application is under way
 
     def act(self, now: int, epoch: int) -> None:
+        """Send the message on a thread of its own, unless one is still under way."""
         if now >= self.next and self.going.acquire(blocking=False):
             self.next = now + self.wanted.every
             threading.Thread(target=self.tell, args=(epoch,), name="duty", daemon=True).start()
 
     def tell(self, epoch: int) -> None:
+        """Tell the application of the lease, and give the lease up where the application can't act.
+
+        That is so if it has seen a newer epoch, or if it can't be reached three times in a row.
+        """
         try:
             with socket.create_connection(self.wanted.address, 1) as conn:
                 conn.settimeout(2)
-                now = clock.now()  # asked again after the wait for the connection
+                now = clock.now()  # connecting may have taken time: check the lease again
                 if self.duties.held_epoch(now, self.name) != epoch:
                     return
                 left = self.duties.candidates[self.name].remaining_us(now) // 1000
                 conn.sendall(
                     f"HOLD {self.name} {epoch} {self.duties.incarnation} {left}\n".encode()
                 )
-                said = conn.recv(64).split(b"\n")[0].strip()
+                answer = conn.recv(64).split(b"\n")[0].strip()
             self.faults = 0
-            if said == b"STALE":
+            if answer == b"STALE":
                 self.stale += 1
                 self.fleet.daemon.metrics.increment("duty.told_stale")
                 self.duties.leave(self.name, "the application has seen a newer epoch")
-        except OSError as fault:
+        except OSError as error:
             self.faults += 1
             self.fleet.daemon.metrics.increment("duty.untold")
-            if self.faults >= 3:  # it fails here again and again: it moves on
+            if self.faults >= 3:  # another server should hold the lease
                 self.faults = 0
-                self.duties.leave(self.name, f"the application: {fault}", failed=True)
+                self.duties.leave(self.name, f"the application: {error}", failed=True)
         except Exception:
             self.fleet.daemon.metrics.record_internal_error("duty")
         finally:
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -1,7 +1,7 @@
-"""Duties of one on a fleet's membership.
+"""Leases of a fleet, and the singleton tasks that run under them.
 
-This server votes where it is a voter, tries for duties where it is well placed, and does what it
-holds.
+This server votes if it is a voter, competes for a lease if it ranks high as a candidate, and runs
+the tasks whose leases it holds.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 
-ACT = 100_000  # microseconds between looks at what is held
-NOTICE = 2_000_000  # and between notices of each duty
+ACT = 100_000  # microseconds between runs of the tasks
+NOTICE = 2_000_000  # microseconds between announcements of each lease
 FOLDER, QUOTA, OURS = "duties", 4 * 2**20, "voter"
-CLOSE = 0.5  # seconds that the end waits for a disk that hangs
-HISTORY = 64  # turns of duties that are shown
+CLOSE = 0.5  # seconds for which the end waits for a disk that hangs
+HISTORY = 64  # lease changes that the status answer shows
 
 
 def ours(mark: bytes) -> tuple[str, int]:
-    """Whose folder it is, by the mark in it: name and set; nobody's for what is no mark."""
+    """Return whose folder it is, as voter and voter set, by the mark in it; "" and 0 if invalid."""
     words = mark.decode("utf-8", "replace").split()
     if len(words) != 2 or not words[1].isdigit():
         return "", 0
@@ -47,7 +47,16 @@
 
 
 class Duty(FleetExtension):
-    """Table: `turns`, the last HISTORY changes of what is held here."""
+    """Takes part in the leases of the operator's file.
+
+    Attributes:
+        wanted: the section of the file, with the voter set in force.
+        duties: the voter, the candidates and the links to the other members.
+        charges: the tasks, by the name of their lease.
+        turns: the last `HISTORY` lease changes at this server.
+        noticed: when each lease was last announced.
+        placed: what the members were last ranked by.
+    """
 
     def __init__(self, wanted: Dutied) -> None:
         self.wanted, self.fleet, self.duties = wanted, None, None
@@ -58,27 +67,32 @@
         self.ended, self.placed = False, []
 
     def attach(self, fleet: Fleet) -> None:
-        """Raises `Misstated` where this server is a voter and has no folder that it can use."""
+        """Check that this server has a folder if it is a voter.
+
+        Raises:
+            ConfigurationError: the file names none.
+        """
         name = fleet.daemon.configuration.name
-        at = self.wanted.voters.get(name)
-        if at == fleet.wanted.advertise and not self.wanted.folder:
+        address = self.wanted.voters.get(name)
+        if address == fleet.wanted.advertise and not self.wanted.folder:
             raise ConfigurationError(
                 f"{fleet.path}: duties.folder: {name} is a voter; right would be the path of a "
                 "folder on a disk that lasts"
             )
 
     def start(self, fleet: Fleet) -> None:
-        wanted, told = self.wanted, fleet.daemon.configuration
+        """Start the voter, the candidates and the thread that runs the tasks."""
+        wanted, site = self.wanted, fleet.daemon.configuration
         self.fleet, row = fleet, fleet.member.record
         self.spans = spans = LeaseDurations(
             wanted.lease, wanted.drift, min(200_000, wanted.lease // 10)
         )
-        voter, shelf = None, RecordStore()
+        voter, records = None, RecordStore()
         if wanted.folder:
             self.folder = fleet.folders.open(wanted.folder, QUOTA, fleet.daemon.metrics)
             self.folder.start()
-        if wanted.voters.get(told.name) == fleet.wanted.advertise:
-            voter, shelf = self.voter(told.name, row, spans)
+        if wanted.voters.get(site.name) == fleet.wanted.advertise:
+            voter, records = self.voter(site.name, row, spans)
         names = [
             name
             for name, on in (
@@ -89,36 +103,36 @@
             )
             if on
         ] + [own.name for own in wanted.own]
-        chance = random.Random(told.seed ^ 0xD07)
+        rng = random.Random(site.seed ^ 0xD07)
         candidates = {
             name: Candidate(
                 name,
-                told.name,
+                site.name,
                 row.incarnation,
                 wanted.voters,
                 spans,
-                chance.random,
+                rng.random,
                 wanted.set,
                 lambda: int(time.time()),
             )
             for name in names
         }
         self.duties = LeaseService(
-            told.name,
+            site.name,
             row.incarnation,
             voter,
-            shelf,
+            records,
             candidates,
             wanted.voters,
             fleet.taken,
             self.disk,
             fleet.daemon.metrics,
         )
-        for name, one in candidates.items():
-            one.listeners.append(lambda turn, name=name: self.turned(name, turn))
+        for name, candidate in candidates.items():
+            candidate.listeners.append(lambda turn, name=name: self.turned(name, turn))
         self.charges = {name: self.charge(name) for name in names}
         link, duties = fleet.link, self.duties
-        duties.send = lambda posts: link.act(lambda: link.posted(TOPIC, posts))
+        duties.send = lambda datagrams: link.act(lambda: link.posted(TOPIC, datagrams))
         duties.on_announcement, duties.on_instruction, duties.on_forwarded_command = (
             self.heard,
             self.obey,
@@ -133,7 +147,7 @@
             "hand-over": self.asked_hand_over,
             "roll": self.asked_roll,
         }
-        # A thread of its own: what is done under a duty may wait for a disk or a peer.
+        # A thread of its own, since a task may wait for a disk or a peer.
         threading.Thread(target=self.run, name="duties", daemon=True).start()
         log.info(
             "duties",
@@ -147,6 +161,7 @@
         )
 
     def charge(self, name: str) -> Charge:
+        """Create the task that runs under a lease."""
         made = {"ask": Ask, "book": Book, "roll": Roll}
         if name in made:
             return made[name](self.fleet, self.duties)
@@ -156,51 +171,59 @@
             self.fleet, self.duties, next(own for own in self.wanted.own if own.name == name)
         )
 
-    # The voter and its disk.
+    # The voter and its folder.
 
     def voter(
         self, name: str, row: MemberRecord, spans: LeaseDurations
     ) -> tuple[Voter, RecordStore]:
-        """With what its folder has.
+        """Create the voter, and its copies of the holders' records, from what its folder holds.
 
-        A folder that is new, another's or can't be used makes it begin anew.
+        If the folder is new, is another voter's or can't be used, the voter starts as a fresh one.
         """
         from gullyoke.storage import GroupCommitter, SlotFile
 
-        rows, kept, number = None, {}, self.wanted.set
+        rows, record_rows, number = None, {}, self.wanted.set
         try:
             self.files = self.folder.monitor.open_folder(os.path.join(self.wanted.folder, FOLDER))
-            store = SlotFile(self.files)  # their room is taken now: a promise fits a full disk
-            found = dict(store.items())
-            whose, then = ours(found.pop(OURS, b""))
-            if whose == name and then <= number <= then + 1:
-                rows, kept = decode_rows(found.items())
-            elif whose:
+            # The file has its full size from now on, so promises can be written to a full disk.
+            store = SlotFile(self.files)
+            stored = dict(store.items())
+            owner, stored_set = ours(stored.pop(OURS, b""))
+            if owner == name and stored_set <= number <= stored_set + 1:
+                rows, record_rows = decode_rows(stored.items())
+            elif owner:
                 log.warning(
                     "promises of another not used",
-                    extra=log_fields(whose=whose, set=then, here=number),
+                    extra=log_fields(whose=owner, set=stored_set, here=number),
                 )
             self.committer = GroupCommitter(store)
             self.committer.put(OURS, f"{name} {number}".encode())
-        except (OSError, ValueError) as fault:
+        except (OSError, ValueError) as failure:
             self.fleet.daemon.metrics.increment("duty.unkept")
             log.error(
-                "promises can't be kept", extra=log_fields(folder=self.wanted.folder, why=fault)
+                "promises can't be kept", extra=log_fields(folder=self.wanted.folder, why=failure)
             )
         others = [other for other in self.wanted.voters if other != name]
         voter = Voter(clock.now(), name, row.incarnation, others, spans, rows, number)
-        return voter, RecordStore(kept)
+        return voter, RecordStore(record_rows)
 
     def disk(self, key: str, data: bytes, told) -> bool:
+        """Queue a write to the voter's folder, and return whether that was possible.
+
+        Args:
+            key: the key.
+            data: the value.
+            told: called with whether the write is durable.
+        """
         return self.committer is not None and self.committer.put(key, data, told)
 
-    # Another set of voters, while the server runs.
+    # Another voter set, while the server runs.
 
     def apply_reload(self, new: Wanted) -> dict[str, object]:
-        """One voter more or fewer, under the next number.
+        """Use a voter set that has one voter more or fewer and the next number.
 
-        What was granted under the old set runs to its end. A process that comes to vote begins as a
-        fresh voter does, unless its folder has its own promises of the set before.
+        Leases that were granted under the old set last to their end. A server that becomes a voter
+        starts as a fresh one, unless its folder has its own promises of the previous set.
         """
         if new.duties is None or not self.fits(new.duties):
             return {}
@@ -212,18 +235,18 @@
             clock.now(),
         )
         if votes and duties.voter is None:
-            voter, shelf = self.voter(name, self.fleet.member.record, self.spans)
+            voter, stored_records = self.voter(name, self.fleet.member.record, self.spans)
         with duties.lock:
             duties.voters = dict(wanted.voters)
             if votes and duties.voter is None:
-                duties.voter, duties.records = voter, shelf
+                duties.voter, duties.records = voter, stored_records
             elif votes:
                 duties.voter.set_others(wanted.voters.keys() - {name}, wanted.set)
                 self.disk(OURS, f"{name} {wanted.set}".encode(), lambda durable: None)
             else:
                 duties.voter = None
-            for one in duties.candidates.values():
-                one.set_voters(now, wanted.voters, wanted.set)
+            for candidate in duties.candidates.values():
+                candidate.set_voters(now, wanted.voters, wanted.set)
         log.warning(
             "voters",
             extra=log_fields(set=wanted.set, voters=",".join(sorted(wanted.voters)), votes=votes),
@@ -231,21 +254,22 @@
         return {"set": wanted.set}
 
     def fits(self, new: Dutied) -> bool:
-        """Whether it is the next set: one voter more or fewer, the rest as they were.
+        """Return whether it is the next voter set: one voter more or fewer, the others unchanged.
 
-        Guards against two sets whose majorities need not meet.
+        Majorities of two sets that differ by more need not have a voter in common.
         """
         old = self.wanted
-        moved = set(old.voters.items()) ^ set(new.voters.items())
-        folder = new.voters.get(self.fleet.daemon.configuration.name) is None or bool(old.folder)
+        changed = set(old.voters.items()) ^ set(new.voters.items())
+        folder_ok = new.voters.get(self.fleet.daemon.configuration.name) is None or bool(old.folder)
         return (
             new.set == old.set + 1
-            and len({name for name, _ in moved}) <= 1
-            and len(moved) <= 1
-            and folder
+            and len({name for name, _ in changed}) <= 1
+            and len(changed) <= 1
+            and folder_ok
         )
 
     def ignored_changes(self, new: Wanted) -> list[str]:
+        """Return the settings that differ and need a restart."""
         if new.duties is None:
             return ["duties"]
         return [
@@ -255,27 +279,31 @@
             and not (name in ("voters", "set") and self.fits(new.duties))
         ]
 
-    # Who tries.
+    # Which leases this server competes for.
 
     def update(self, now: int) -> None:
-        fleet, me = self.fleet, self.fleet.daemon.configuration.name
+        """Set, for each lease, whether this server competes for it and after which delay."""
+        fleet, own_name = self.fleet, self.fleet.daemon.configuration.name
         with fleet.link.lock:
-            one = fleet.member
+            own_member = fleet.member
             inside, leaving = (
-                one.join_state.stage is JoinStage.IN,
-                one.record.status is not Status.ALIVE,
+                own_member.join_state.stage is JoinStage.IN,
+                own_member.record.status is not Status.ALIVE,
             )
-            unsure = one.local_health.unsure(now)
-            rows = [(row, one.state(now, row)) for row in one.view.records.values()]
-            told = fleet.link.signals.rows if fleet.link.signals is not None else {}
-            rooms = {who: reading.free_capacity for who, (_, _, reading) in told.items()}
+            unsure = own_member.local_health.unsure(now)
+            rows = [(row, own_member.state(now, row)) for row in own_member.view.records.values()]
+            signal_rows = fleet.link.signals.rows if fleet.link.signals is not None else {}
+            free_capacities = {
+                member_id: reading.free_capacity
+                for member_id, (_, _, reading) in signal_rows.items()
+            }
         placed = [
             CandidatePlacement(
                 row.name,
                 True,
                 state in ("alive", "joining"),
                 row.status is Status.LEAVING,
-                rooms.get(row.id, 1.0),
+                free_capacities.get(row.id, 1.0),
             )
             for row, state in rows
             if row.status is not Status.JOINING
@@ -283,30 +311,32 @@
         self.placed = placed
         with self.duties.lock:
             for name, candidate in self.duties.candidates.items():
-                wait = candidate_delay_us(name, me, placed)
+                rank_delay_us = candidate_delay_us(name, own_name, placed)
                 ready = inside and not leaving and not unsure and candidate.not_before_us <= now
-                candidate.wants_lease = ready and wait is not None
-                candidate.delay_us = wait or 0
+                candidate.wants_lease = ready and rank_delay_us is not None
+                candidate.delay_us = rank_delay_us or 0
 
     def turned(self, name: str, turn: LeaseChange) -> None:
-        """Called under the duties' lock."""
+        """Note, count and log a lease change; called under the lock of the lease service."""
         self.turns = [*self.turns[-HISTORY + 1 :], turn]
         self.fleet.daemon.metrics.increment(f"duty.{turn.what}")
         log.warning(
             "duty", extra=log_fields(duty=name, what=turn.what, epoch=turn.epoch, why=turn.why)
         )
 
-    # What is held.
+    # The tasks.
 
     def run(self) -> None:
+        """Run the tasks until the end; the body of the thread."""
         while not self.ended:
             time.sleep(ACT / 1e6)
             try:
                 self.act()
-            except Exception:  # an error of our own ends one look, not the thread
+            except Exception:  # an internal error ends this run of the tasks, not the thread
                 self.fleet.daemon.metrics.record_internal_error("duties")
 
     def act(self) -> None:
+        """Run each task once, and announce the leases whose announcements are due."""
         now = clock.now()
         for name, charge in self.charges.items():
             epoch = self.duties.held_epoch(clock.now(), name)
@@ -323,57 +353,64 @@
             ):
                 self.noticed[name] = now
                 with self.fleet.link.lock:
-                    one = self.fleet.member
-                    others = [row.address for row in one.view.records.values() if row.id != one.id]
+                    own = self.fleet.member
+                    others = [row.address for row in own.view.records.values() if row.id != own.id]
                 self.duties.announce(name, epoch, charge.notice(), others)
 
     def heard(self, now: int, notice: Announcement) -> None:
+        """Apply an announcement, unless this server holds the lease itself."""
         charge = self.charges.get(notice.duty)
         if charge is not None and self.duties.held_epoch(now, notice.duty) is None:
             charge.heard(now, notice)
 
     def obey(self, now: int, order: Instruction) -> None:
+        """Carry out an instruction; only rolling restarts send any."""
         charge = self.charges.get(order.duty)
         if isinstance(charge, Roll):
             charge.obey(now, order)
 
     def pleaded(self, now: int, plea: ForwardedCommand) -> None:
-        """What an operator asked of another server, for the holder.
+        """Carry out an operator's command that another server has forwarded to the holder.
 
-        Not on the link's thread: it takes locks.
+        A thread of its own does so, since the command takes locks that the link's thread must not.
         """
         words = plea.what.split()[:8]
         if words and plea.duty in self.charges:
             threading.Thread(target=self.command, args=(plea.duty, words), daemon=True).start()
 
     def command(self, duty: str, words: list[str]) -> dict:
+        """Carry out an operator's command here, and return the answer."""
         if words[0] == "hand-over":
             return self.hand_over(duty, words[1] if len(words) > 1 else "")
         if self.duties.held_epoch(clock.now(), duty) is None:
             return {"fault": "not held here"}
         return self.charges[duty].asked(clock.now(), words)
 
-    # Letting go.
+    # Giving leases up.
 
     def next(self, duty: str) -> str:
-        """Who is best placed but this one."""
-        me = self.fleet.daemon.configuration.name
-        ranked = rank_candidates(duty, [one for one in self.placed if one.name != me])
+        """Return the name of the best candidate other than this server; "" where there is none."""
+        own_name = self.fleet.daemon.configuration.name
+        ranked = rank_candidates(
+            duty, [candidate for candidate in self.placed if candidate.name != own_name]
+        )
         return ranked[0] if ranked else ""
 
     def hand_over(self, duty: str, to: str = "") -> dict:
+        """Hand a lease over to a member, or to the best candidate; return the answer."""
         to = to or self.next(duty)
         if not to or not self.duties.hand_over(duty, to):
             return {"fault": f"{duty} is not held here, or there is nobody else"}
         return {"duty": duty, "to": to}
 
     def begin_drain(self) -> None:
-        """Before a drain each duty goes to whom it is best placed at."""
+        """Hand each lease over to its best candidate."""
         for name in self.charges:
             if self.duties.held_epoch(clock.now(), name) is not None:
                 self.hand_over(name)
 
     def close(self) -> None:
+        """Give up all leases and close the voter's folder."""
         self.ended = True
         for name in self.charges:
             self.duties.leave(name, "the server ends")
@@ -381,34 +418,36 @@
             self.committer.close(CLOSE)
             self.files.close()
 
-    # What an operator asks.
+    # Commands of the status server.
 
     def known(self, now: int, name: str) -> tuple[str, int]:
-        """Who holds a duty as far as is known here, and the newest epoch."""
-        one, known = self.duties.candidates[name], self.duties.known_holders.by_duty.get(name)
+        """Return the holder of a lease, as far as this server knows, and the newest epoch."""
+        candidate, known = self.duties.candidates[name], self.duties.known_holders.by_duty.get(name)
         epoch = self.duties.held_epoch(now, name)
         if epoch is not None:
             return self.fleet.daemon.configuration.name, epoch
         if known is None:
-            return "", one.highest_epoch
+            return "", candidate.highest_epoch
         return (
             known.announcement.name if now - known.received_at_us < YOUNG else "",
             known.announcement.epoch,
         )
 
     def holder(self, now: int, name: str) -> dict:
-        one, (holder, epoch) = self.duties.candidates[name], self.known(now, name)
+        """Return the state of a lease and of its task."""
+        candidate, (holder, epoch) = self.duties.candidates[name], self.known(now, name)
         return {
             "holder": holder,
             "epoch": epoch,
-            "left_ms": one.remaining_us(now) // 1000,
-            "state": one.state.value,
+            "left_ms": candidate.remaining_us(now) // 1000,
+            "state": candidate.state.value,
             **self.charges[name].told(now),
         }
 
     def asked_duties(self, words: list[str]) -> dict:
+        """Answer the command `duties`: the leases, this server's vote and the last changes."""
         now, voter = clock.now(), self.duties.voter
-        found = {name: self.holder(now, name) for name in self.charges}
+        leases = {name: self.holder(now, name) for name in self.charges}
         with self.duties.lock:
             vote = (
                 None
@@ -425,10 +464,12 @@
                     },
                 }
             )
-            turns = [{"ago_ms": (now - t.at) // 1000, **t._asdict()} for t in self.turns]
+            turns = [
+                {"ago_ms": (now - change.at) // 1000, **change._asdict()} for change in self.turns
+            ]
         return {
             "name": self.fleet.daemon.configuration.name,
-            "duties": found,
+            "duties": leases,
             "votes": vote,
             "turns": turns,
             "stale_refused": self.duties.fence.rejected,
@@ -436,11 +477,13 @@
         }
 
     def asked_hand_over(self, words: list[str]) -> dict:
+        """Answer the command `hand-over`."""
         if not words or words[0] not in self.charges:
             return {"fault": f"right would be one of {', '.join(self.charges)}"}
         return self.passed_on(words[0], ["hand-over", *words[1:2]])
 
     def asked_roll(self, words: list[str]) -> dict:
+        """Answer the command `roll`, which starts, shows and stops rolling restarts."""
         if "roll" not in self.charges:
             return {"fault": "duties.roll is off in the operator's file"}
         if words[:1] == ["status"]:
@@ -448,7 +491,7 @@
         return self.passed_on("roll", words)
 
     def passed_on(self, duty: str, words: list[str]) -> dict:
-        """Done here, or sent to whoever holds it."""
+        """Carry a command out if this server holds the lease, else forward it to the holder."""
         now = clock.now()
         if self.duties.held_epoch(now, duty) is not None:
             return self.command(duty, words)
@@ -459,6 +502,7 @@
         return {"sent_to": holder}
 
     def log_status(self) -> None:
+        """Log a line for each lease."""
         now = clock.now()
         for name in self.charges:
             log.info(
