--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -1,10 +1,8 @@
 """Membership in a fleet, where the operator's file names one.
 
-Who is there, on sockets, beside the reqs.
-
-Nothing of it is in a req's way: what the decisions get of it is the fleet's size, one figure a
-second, and what its parts state (gullyoke/extensions/fleet_extension.py). Whatever fails here, the four rules
-hold.
+No request waits for the membership: the decisions get the fleet's size from it once a second, and
+what its extensions state (gullyoke/extensions/fleet_extension.py). Whatever fails here, the four
+rules hold.
 """
 
 from __future__ import annotations
@@ -28,12 +26,24 @@
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 
-LOOK = 1_000_000  # microseconds between looks at the size
-LAST_WORDS, BETWEEN = 3, 0.02  # how often it is said that this one has left, and seconds between
+LOOK = 1_000_000  # microseconds between updates of the size
+# How often it is announced that this server has left, and seconds between the announcements.
+LAST_WORDS, BETWEEN = 3, 0.02
 DESCRIPTORS = 4
 
 
 class Fleet(BaseExtension):
+    """Makes this server a member of the fleet of the operator's file.
+
+    Attributes:
+        wanted: the section of the file, with the seeds and keys in force.
+        kept: the folder that the start number is kept in; None where there is none.
+        told: the fleet's size in the settings.
+        size: the fleet's size that the decisions use.
+        read: the keys of a file that is about to be applied.
+        parts: what is added to the membership.
+    """
+
     name = section = "fleet"
 
     # Set by `attach`.
@@ -55,15 +65,19 @@
         self.folders = folders or DataFolders()
         self.path, self.wanted, self.kept = path, wanted, kept
         self.told = self.size = 0
-        self.read: tuple[bytes, ...] = ()  # the keys of a file that is about to be taken over
+        self.read: tuple[bytes, ...] = ()
         self.parts = tuple(parts)
 
     def reserved_descriptors(self) -> int:
+        """Return how many descriptors the link and the status server may take."""
         return DESCRIPTORS
 
     def attach(self, daemon: DaemonParts) -> None:
-        """Raises `Misstated` for a key file that can't be right, `OSError` where it can't
-        listen.
+        """Open the link to the other members, and attach the parts.
+
+        Raises:
+            ConfigurationError: the key file can't be read or is invalid.
+            OSError: an address can't be listened on.
         """
         self.daemon = daemon
         self.link = PeerLink(
@@ -78,36 +92,42 @@
             part.attach(self)
 
     def keys(self, wanted: Together) -> tuple[bytes, ...]:
+        """Read the key file.
+
+        Raises:
+            ConfigurationError: it can't be read or is invalid.
+        """
         try:
             with open(wanted.key_file, encoding="utf-8") as file:
                 return parse_keys(file.read(4096))
-        except (OSError, UnicodeDecodeError, UnusableKeyError) as fault:
+        except (OSError, UnicodeDecodeError, UnusableKeyError) as error:
             raise ConfigurationError(
-                f"{self.path}: fleet.key_file: {wanted.key_file}: {fault}"
+                f"{self.path}: fleet.key_file: {wanted.key_file}: {error}"
             ) from None
 
     def start(self) -> None:
+        """Join the fleet, and start the parts."""
         daemon, wanted = self.daemon, self.wanted
         self.told = self.size = daemon.configuration.facts.fleet.size
-        files = None
+        folder_opener = None
         if self.kept:
-            files = self.folders.open(
+            folder_opener = self.folders.open(
                 self.kept.folder, self.kept.quota, daemon.metrics
             ).monitor.open_folder
         self.number = StoredStartNumber(
-            self.kept.folder if self.kept else None, daemon.metrics, files
+            self.kept.folder if self.kept else None, daemon.metrics, folder_opener
         )
-        chance = random.Random(daemon.configuration.seed ^ 0x5EED)
+        rng = random.Random(daemon.configuration.seed ^ 0x5EED)
         row = MemberRecord(
             daemon.configuration.name,
             start_version(int(time.time()), self.number.known()),
             Status.JOINING,
             wanted.advertise,
             wanted.zone,
-            chance.getrandbits(63),
+            rng.getrandbits(63),
         )
         self.number.keep(row.version)
-        self.member = Member(clock.now(), row, wanted.seeds, chance)
+        self.member = Member(clock.now(), row, wanted.seeds, rng)
         self.member.listeners.append(self.changed)
         self.link.status_sections["disks"] = lambda now: self.folders.states()
         for part in self.parts:
@@ -128,8 +148,8 @@
         )
 
     def changed(self, change: Change) -> None:
-        """A line a change; called by the link's thread."""
-        row, mark = change.record, change.update
+        """Log and count a change of the view; called on the link's thread."""
+        row, suspicion = change.record, change.update
         self.daemon.metrics.increment(f"fleet.{change.kind}")
         log.info(
             "member",
@@ -139,14 +159,14 @@
                 status=row.status.name.lower(),
                 zone=row.zone,
                 view=change.view_version,
-                evidence=f"{mark.accusing}/{mark.eligible}" if mark else "own",
+                evidence=f"{suspicion.accusing}/{suspicion.eligible}" if suspicion else "own",
             ),
         )
         if row.id == self.member.id and row.version > self.number.latest:
             self.number.keep(row.version)
 
     def look(self) -> None:
-        """The size in force, given to the decisions where that is wanted."""
+        """Update the parts, and give the fleet's size to the decisions where the file says so."""
         daemon = self.daemon
         daemon.timer.call_at(clock.now() + LOOK, self.look)
         for part in self.parts:
@@ -158,9 +178,7 @@
             return
         self.size = in_force
         with daemon.dispatcher.lock:
-            daemon.configuration.facts.fleet.size = (
-                in_force  # the decisions' own record of the fleet
-            )
+            daemon.configuration.facts.fleet.size = in_force  # the decisions read it from here
         log.info(
             "fleet size",
             extra=log_fields(
@@ -173,9 +191,14 @@
         )
 
     def log_status(self) -> None:
+        """Log the membership and the state of the parts."""
         with self.link.lock:
-            one, size = self.member, self.member.size(clock.now())
-            stage, view, digest = one.join_state.stage.value, one.view.version, one.view.digest
+            own, size = self.member, self.member.size(clock.now())
+            stage, view, digest = (
+                own.join_state.stage.value,
+                own.view.version,
+                own.view.digest,
+            )
         log.info(
             "fleet",
             extra=log_fields(
@@ -191,16 +214,18 @@
             part.log_status()
 
     def taken(self, name: str) -> str | None:
-        """The address of whom the view takes for a name; under the link's lock."""
+        """Return the address of the member with a name; called under the link's lock."""
         row = self.member.view.records.get(member_id(name))
         return row.address if row is not None else None
 
     def begin_drain(self) -> None:
+        """Announce that this server is leaving."""
         for part in self.parts:
             part.begin_drain()
         self.link.act(lambda: self.member.leave(clock.now()))
 
     def close(self) -> None:
+        """Announce that this server has left, and close the link."""
         for part in self.parts:
             part.close()
         for _ in range(LAST_WORDS):
@@ -211,29 +236,38 @@
         self.link.end()
         self.number.close()
 
-    # While the server runs, other seeds and keys are taken over.
+    # Reloading, which applies other seeds and keys.
 
     def check_reload(self, new: Wanted) -> None:
-        """The keys are read here and taken later.
+        """Read the new keys, which `apply_reload` uses.
+
+        They are read only here, so that a key file that changes in between can't make a reload
+        fail halfway.
 
-        A file that changes in between can't fail half a reload.
+        Raises:
+            ConfigurationError: the key file can't be read or is invalid.
         """
         if new.fleet is not None:
             self.read = self.keys(new.fleet)
 
     def apply_reload(self, new: Wanted) -> dict[str, object]:
+        """Use the new seeds and keys, and let the parts apply their sections."""
         if new.fleet is None:
             return {}
         self.link.seal.keys = self.read
         with self.link.lock:
             self.member.join_state.seeds = new.fleet.seeds
         self.wanted = self.wanted._replace(seeds=new.fleet.seeds, key_file=new.fleet.key_file)
-        taken: dict[str, object] = {"seeds": len(new.fleet.seeds), "keys": len(self.link.seal.keys)}
+        applied: dict[str, object] = {
+            "seeds": len(new.fleet.seeds),
+            "keys": len(self.link.seal.keys),
+        }
         for part in self.parts:
-            taken |= part.apply_reload(new)
-        return taken
+            applied |= part.apply_reload(new)
+        return applied
 
     def ignored_changes(self, new: Wanted) -> list[str]:
+        """Return the settings that differ and need a restart."""
         if new.fleet is None:
             return [self.name]
         return [
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -1,11 +1,11 @@
-"""Notes of reqs that must not run twice, kept over restarts.
+"""Records of requests that must not run twice, kept over restarts.
 
-What the rules of gullyoke/durability come to on a real folder.
+This module connects the rules of gullyoke/durability to a folder.
 
-A run is given once its note is on the disk, and its end told once that is; both wait on the
-committer's thread, never under the desk's lock. The decisions hear of a req that could not be
-promised as of one that there was nowhere to run (`UNRUN`), and of the disk's state by their
-handlers' `open`.
+A run starts once its record is on the disk, and its end is reported once that is on the disk; both
+wait on the committer's thread, never under the dispatcher's lock. A request whose record can't be
+written is reported to the decisions as one that nothing has capacity to run (`NO_CAPACITY`). While
+the disk can't be used, the request classes with keys accept no requests (`accepting`).
 """
 
 from __future__ import annotations
@@ -54,18 +54,15 @@
 SWEEP, LOOK = (
     50_000,
     1_000_000,
-)  # microseconds between looks at what is overdue, and at all the rest
-OPEN, CLOSE = 5.0, 0.5  # seconds that a start waits for the folder, and an end for the queue
-RESULTS = 16 * 2**20  # bytes of notes and results in memory at the most
+)  # microseconds between checks for overdue writes, and between all other checks
+OPEN, CLOSE = 5.0, 0.5  # seconds for which a start waits for the folder, and an end for the queue
+RESULTS = 16 * 2**20  # the most bytes of records and results in memory
 
 decode_mark = msgspec.msgpack.Decoder(tuple[int, str, int, int]).decode
 
 
 class Remembered(DuplicateTable):
-    """Repeats of this life, and behind them what earlier ones noted.
-
-    `doubts` says whether further tries of what is not known are doubted now.
-    """
+    """Finds duplicates of requests of this start and of earlier ones."""
 
     def __init__(
         self,
@@ -73,10 +70,18 @@
         past: Callable[[int, str], KeyRecord | None],
         doubts: Callable[[int], bool],
     ) -> None:
+        """Create the table.
+
+        Args:
+            fresh_for: for how long a result in memory is used, in microseconds.
+            past: returns the record of an earlier request by the time and its key.
+            doubts: returns whether retries of unknown requests may be duplicates now.
+        """
         super().__init__(fresh_for)
         self.past, self.doubts = past, doubts
 
     def find(self, request: PendingRequest, now: int):
+        """Find what a request is a duplicate of, in memory or among the records."""
         entry, prior = super().find(request, now)
         if (
             entry is not None
@@ -84,11 +89,11 @@
             or request.request_class.idempotency is Idempotency.IDEMPOTENT
         ):
             return entry, prior
-        note = self.past(now, digest(request.request_class.name, request.key))
-        if note is not None:
-            entry = KeyEntry(None, note.window_end_us)
-            if note.phase is RunPhase.ENDED and note.status:
-                entry.result = Answer(note.status, note.body, note.fields)
+        record = self.past(now, digest(request.request_class.name, request.key))
+        if record is not None:
+            entry = KeyEntry(None, record.window_end_us)
+            if record.phase is RunPhase.ENDED and record.status:
+                entry.result = Answer(record.status, record.body, record.fields)
             return entry, REMEMBERED_REQUEST
         if request.is_retry and self.doubts(now):
             return KeyEntry(None, now), REMEMBERED_REQUEST
@@ -96,6 +101,20 @@
 
 
 class Keys(BaseExtension):
+    """Keeps the records of keys in the folder of the operator's file.
+
+    Attributes:
+        committer: writes the records; None while the folder can't be used.
+        ready: set once the folder has been read, or could not be.
+        trust: how far the folder is trusted; None before `ready`.
+        mark: what identifies the folder, as it is stored; None before the folder could be read.
+        last: the number of the start before this one.
+        doubted: until when retries of unknown requests may be duplicates.
+        next: when all the other checks are due.
+        shut: whether the request classes with keys accept no requests.
+        lost: whether the folder has to be read again once the disk can be used.
+    """
+
     name = section = "kept"
 
     def __init__(self, kept: Kept, folders: DataFolders, fleet: Fleet | None = None) -> None:
@@ -105,23 +124,25 @@
         self.ready = threading.Event()
         self.trust: FolderTrust | None = None
         self.mark: FolderMark | None = None
-        self.last = self.doubted = self.next = 0  # `last`: the number of the start before this one
-        self.shut = self.lost = False  # `lost`: what the folder held is gone
+        self.last = self.doubted = self.next = 0
+        self.shut = self.lost = False
 
-    # Put together.
+    # The parts of the daemon.
 
     def create_duplicate_table(self, configuration: DaemonConfiguration) -> Remembered:
-        """A table that also finds what earlier starts of this server noted."""
+        """Create a table that also finds the records of earlier starts of this server."""
         return Remembered(configuration.facts.fleet.read_cache_ttl, self.past, self.doubts)
 
     def wrap_executor(self, daemon: DaemonParts, executor: Executor) -> Executor:
+        """Put the executor behind one that makes records durable."""
         self.daemon = daemon
         self.ledger = KeyLedger(
             int(time.time()), UndurablePolicy(self.kept.without), min(RESULTS, self.kept.quota // 2)
         )
         self.folder = self.folders.open(self.kept.folder, self.kept.quota, daemon.metrics)
         self.window = max(
-            [h.key_ttl for h in daemon.configuration.facts.request_classes], default=0
+            [request_class.key_ttl for request_class in daemon.configuration.facts.request_classes],
+            default=0,
         )
         self.promised = Promised(
             executor, daemon.dispatcher, self.ledger, self.fit, self.put, daemon.metrics
@@ -129,12 +150,13 @@
         return self.promised
 
     def attach(self, daemon: DaemonParts) -> None:
-        """The folder is read on a thread of its own: a disk that hangs holds up no start."""
+        """Read the folder on a thread of its own, so that a disk that hangs can't block the start."""
         threading.Thread(target=self.open, name="keys", daemon=True).start()
         if not self.ready.wait(OPEN):
             log.error("keys not read yet", extra=log_fields(folder=self.kept.folder))
 
     def start(self) -> None:
+        """Start the checks, and register the records with the folder's quota."""
         self.folder.register(DataKind.KEY_RECORDS, self.ledger.record_bytes)
         self.folder.register(DataKind.RESULTS, self.ledger.result_bytes, self.give)
         self.folder.add_compaction(self.tidy)
@@ -143,49 +165,56 @@
         self.daemon.timer.call_at(clock.now() + SWEEP, self.sweep)
 
     def opened(self) -> Store:
+        """Open the folder and return its store."""
         self.files = self.folder.monitor.open_folder(os.path.join(self.kept.folder, FOLDER))
         return Store(
             self.files, segment_bytes=max(4096, self.kept.quota // 8), quota_bytes=self.kept.quota
         )
 
     def open(self) -> None:
-        """Read what is there, say how far it is believed, and write down what is in force here and
-        is not there: at the start nothing is, after the folder was gone all of it.
+        """Read the folder, judge how far it is trusted, and write the present records to it.
+
+        At the start there are no present records; after the folder was lost there may be many.
         """
-        now, found, mark = clock.now(), [], None
+        now, stored, mark = clock.now(), [], None
         try:
             store = self.opened()
             for key, value in store.items():
                 if key == MARK:
                     mark = FolderMark(*decode_mark(value))
-                elif key.startswith(NOTE) and (note := unpacked(value)) is not None:
-                    found.append((key, note))
-        except (OSError, ValueError, msgspec.MsgspecError) as fault:
+                elif key.startswith(NOTE) and (key_record := unpacked(value)) is not None:
+                    stored.append((key, key_record))
+        except (OSError, ValueError, msgspec.MsgspecError) as failure:
             self.daemon.metrics.increment("keys.unread")
-            log.error("keys not read", extra=log_fields(folder=self.kept.folder, why=fault))
+            log.error("keys not read", extra=log_fields(folder=self.kept.folder, why=failure))
             if self.trust is None:
                 self.trust, self.doubted = (
-                    FolderTrust(False, False, True, str(fault)),
+                    FolderTrust(False, False, True, str(failure)),
                     now + self.window,
                 )
-            self.lost = not isinstance(fault, StoreVersionError)  # read once it can be
+            # Read it again once the disk can be used; a store of another version stays unreadable.
+            self.lost = not isinstance(failure, StoreVersionError)
             self.ready.set()
             return
-        trust = assess_folder(mark, len(found), self.daemon.configuration.name, 0, now)
+        trust = assess_folder(mark, len(stored), self.daemon.configuration.name, 0, now)
         with self.promised.pen:
             rows = [(key, packed(row.record)) for key, row in self.ledger.rows.items()]
             known = {key for key, _ in rows}
-            found = [(key, note) for key, note in found if key not in known]
-            past = self.ledger.recover(now, found if trust.believed else [])
+            stored = [(key, key_record) for key, key_record in stored if key not in known]
+            past = self.ledger.recover(now, stored if trust.believed else [])
             if self.mark is None:
                 self.last = mark.number if mark is not None else 0
                 self.mark = next_mark(mark, self.daemon.configuration.name, int(time.time()), now)
             if self.trust is None:
                 self.trust, self.doubted = trust, now + self.window if trust.doubts_retries else 0
-            gone = past if trust.believed else [key for key, _ in found]
-            first = [(MARK, encode(tuple(self.mark))), *rows, *((key, None) for key in gone)]
+            unused = past if trust.believed else [key for key, _ in stored]
+            first_batch = [
+                (MARK, encode(tuple(self.mark))),
+                *rows,
+                *((key, None) for key in unused),
+            ]
             self.committer, self.lost = (
-                GroupCommitter(store, initial_batch=first) if trust.writable else None,
+                GroupCommitter(store, initial_batch=first_batch) if trust.writable else None,
                 False,
             )
         self.ready.set()
@@ -202,8 +231,10 @@
         )
 
     def compare(self, now: int) -> None:
-        """Once in a fleet: a copy that is older than what the others know is believed no more, and
-        the mark grows with this server's own start there.
+        """Compare the folder's start number with the one that the other members know.
+
+        A folder with a lower number is an older copy, and is no longer trusted. The number in the
+        mark follows this server's own start number in the fleet.
         """
         if self.fleet is None or self.mark is None or self.committer is None:
             return
@@ -226,27 +257,37 @@
             self.mark = self.mark._replace(number=own, written_us=now)
             self.put(MARK, encode(tuple(self.mark)))
 
-    # For the decisions' side.
+    # Called by the duplicate table and the executor.
 
     def past(self, now: int, key: str) -> KeyRecord | None:
+        """Return the record of a key; None where there is none."""
         with self.promised.pen:
             return self.ledger.find(now, key)
 
     def doubts(self, now: int) -> bool:
+        """Return whether retries of unknown requests may be duplicates now."""
         return not self.ready.is_set() or now < self.doubted
 
     def fit(self) -> bool:
-        """Whether the disk may be asked for a promise now."""
+        """Return whether the disk accepts a write that a request waits for."""
         return self.committer is not None and self.folder.monitor.admit_write()
 
     def put(
         self, key: str, value: bytes | None, told: Callable[[bool], None] = lambda durable: None
     ) -> bool:
+        """Queue a write, and return whether that was possible.
+
+        Args:
+            key: the key.
+            value: the value; None removes the key.
+            told: called with whether the write is durable.
+        """
         return self.committer is not None and self.committer.put(key, value, told)
 
-    # From the timer.
+    # Called on the timer's thread.
 
     def sweep(self) -> None:
+        """Act on overdue writes and on the state of the disk; at longer intervals, expire keys."""
         now = clock.now()
         self.daemon.timer.call_at(now + SWEEP, self.sweep)
         self.promised.overdue(now)
@@ -261,7 +302,11 @@
             self.compare(now)
 
     def state(self, fit: bool) -> None:
-        """What the decisions go by."""
+        """Let the request classes with keys accept requests, or not.
+
+        Args:
+            fit: whether records can be written.
+        """
         shut = not fit and self.ledger.policy is UndurablePolicy.REJECT
         if shut != self.shut:
             self.shut = shut
@@ -271,32 +316,33 @@
                 )
 
     def give(self, size: int) -> None:
-        """Results go, the oldest first."""
+        """Drop results, the oldest first."""
         with self.promised.pen:
-            puts = self.ledger.drop_results(clock.now(), size)
-            for put in puts:
+            writes = self.ledger.drop_results(clock.now(), size)
+            for write in writes:
                 self.put(
-                    put.key,
-                    packed(put.record),
-                    lambda durable, put=put: self.promised.told(put, durable),
+                    write.key,
+                    packed(write.record),
+                    lambda durable, write=write: self.promised.told(write, durable),
                 )
-        self.daemon.metrics.increment("keys.results_dropped", len(puts))
+        self.daemon.metrics.increment("keys.results_dropped", len(writes))
 
     def tidy(self) -> None:
+        """Have the store compacted."""
         if self.committer is not None:
             self.committer.request_compaction()
 
     def turned(self, change: DiskStateChange) -> None:
-        """A folder that was gone and is back has nothing of what lay in it, or is another's.
+        """Read a folder again that was missing and is back: its records may be lost or another's.
 
-        Called under the watch's lock.
+        Called under the monitor's lock.
         """
         self.lost |= change.current is DiskState.MISSING
         if self.lost and change.current not in BAD_STATES:
             threading.Thread(target=self.again, name="keys", daemon=True).start()
 
     def again(self) -> None:
-        """What was open is let go, and the folder begun anew."""
+        """Close the folder and read it again."""
         if self.committer is not None:
             self.committer.close(CLOSE)
             self.files.close()
@@ -304,19 +350,21 @@
         self.open()
 
     def ignored_changes(self, new: Wanted) -> list[str]:
-        return []  # what the file says of it is the memory's part too
+        """Return nothing: `Memory` has the same section and reports its changes."""
+        return []
 
     def log_status(self) -> None:
+        """Log the figures of the ledger."""
         with self.promised.pen:
-            one, waits, committer = self.ledger, self.ledger.pending_writes, self.committer
+            key_ledger, pending, committer = self.ledger, self.ledger.pending_writes, self.committer
             row = {
-                "notes": len(one.rows),
-                "bytes": one.size_bytes,
-                "bare": one.unrecorded_runs,
-                "lost": one.unrecorded_ends,
-                "refused": one.rejected,
-                "out": len(one.writes_in_flight),
-                "usual_ms": f"{waits.mean_us / 1000:.2f}",
+                "notes": len(key_ledger.rows),
+                "bytes": key_ledger.size_bytes,
+                "bare": key_ledger.unrecorded_runs,
+                "lost": key_ledger.unrecorded_ends,
+                "refused": key_ledger.rejected,
+                "out": len(key_ledger.writes_in_flight),
+                "usual_ms": f"{pending.mean_us / 1000:.2f}",
             }
         groups = committer.committed_groups if committer else 0
         log.info(
@@ -329,7 +377,7 @@
         )
 
     def close(self) -> None:
-        """Never held up for long by a disk that hangs."""
+        """Write what is queued; a disk that hangs delays this only for a short time."""
         self.folder.monitor.stop()
         if self.committer is not None and not self.committer.close(CLOSE):
             log.error("keys not all written", extra=log_fields(held=self.committer.pending_bytes))
--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -1,8 +1,9 @@
-"""Work whose runs wait for their notes on the disk, and whose ends wait for theirs.
+"""An executor that makes key records durable before runs start and before their ends are reported.
 
-Stands before the work for the decisions, and before the relay for the work. What the rules say
-(gullyoke/durability/key_ledger.py) and what is queued for the disk happen under one small lock, `pen`, so
-that the disk gets the writes of a key in the order of the rules; nothing waits under it.
+It stands between the dispatcher and the executor that runs the requests. The key ledger
+(gullyoke/durability/key_ledger.py) is called, and its writes are queued for the disk, under one
+lock, `pen`, so that the disk gets the writes of a key in the ledger's order. Nothing waits for the
+disk under this lock.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.pending_request import PendingRequest
 
-NOTE = "n"  # what a note's key begins with
+NOTE = "n"  # the first character of the key of each record
 ENDS = (RequestEvent.COMPLETED, RequestEvent.FAILED, RequestEvent.CANCELLED)
 
 encode = msgspec.msgpack.Encoder().encode
@@ -41,16 +42,17 @@
 
 
 def digest(request_class: str, key: str) -> str:
-    """The key under which a req's note lies."""
+    """Return the key under which a request's record is stored."""
     return NOTE + blake2b(f"{request_class}\0{key}".encode(), digest_size=16).hexdigest()
 
 
 def packed(note: KeyRecord | None) -> bytes | None:
+    """Return a record as it is stored; None, which removes it, for None."""
     return None if note is None else encode(tuple(note))
 
 
 def unpacked(data: bytes) -> KeyRecord | None:
-    """A note as the disk has it; None for what is none."""
+    """Return a stored record; None if the data is invalid."""
     try:
         phase, *rest = decode(data)
         return KeyRecord(RunPhase(phase), *rest)
@@ -59,16 +61,19 @@
 
 
 def noted(request: PendingRequest) -> bool:
-    """Whether it needs a note: it must not run twice, and a repeat of it can be known."""
+    """Return whether a request needs a record: it has a key and is not idempotent."""
     return bool(request.key) and request.request_class.idempotency is not Idempotency.IDEMPOTENT
 
 
 class Promised:
-    """`fit` says whether the disk may be asked for a promise, `disk` queues a write.
+    """Delays runs and the reports of their ends until their records are durable.
 
-    Tables: `going`, reqs by key while their run is promised or goes on, `keys`, their keys by id;
-    `ends`, by key, what is told once an end is durable. All of a req leaves at the end of its run,
-    or when it is left unrun.
+    The entries of a request are removed at the end of its run, or when it is abandoned unrun.
+
+    Attributes:
+        going: the requests whose records are being written or that run, by key.
+        keys: the keys of these requests, by request id.
+        ends: by key, what reports the end of a run once that is durable, or False if it can't be.
     """
 
     def __init__(
@@ -80,6 +85,16 @@
         disk: Disk,
         metrics: Metrics,
     ) -> None:
+        """Create the executor.
+
+        Args:
+            inner: the executor that runs the requests.
+            dispatcher: the dispatcher.
+            ledger: decides what has to be durable.
+            fit: returns whether the disk accepts writes that requests wait for.
+            disk: queues a write; returns whether that was possible.
+            metrics: counts the outcomes.
+        """
         self.inner, self.real, self.ledger, self.fit, self.disk = (
             inner,
             dispatcher,
@@ -100,6 +115,7 @@
         self.poll_gauges, self.update_address = inner.poll_gauges, inner.update_address
 
     def start(self, listener: ExecutorListener) -> None:
+        """Start the inner executor, with this one as its listener."""
         self.listener = listener
         self.on_call_needed = listener.on_call_needed
         self.on_engine_hello = listener.on_engine_hello
@@ -107,51 +123,52 @@
         self.is_in_flight = listener.is_in_flight
         self.inner.start(self)
 
-    # From the decisions, under the desk's lock.
+    # Called by the dispatcher, under its lock.
 
     def start_run(self, request: PendingRequest) -> None:
+        """Start the run of a request, if it needs a record once that is durable."""
         if not noted(request):
             self.inner.start_run(request)
             return
-        key, now, h, fit = (
+        key, now, keyed_class, fit = (
             digest(request.request_class.name, request.key),
             self.real.now,
             request.request_class,
             self.fit(),
         )
-        until = max(now, request.arrived) + (h.key_ttl or 2 * h.timeout)
+        window_end = max(now, request.arrived) + (keyed_class.key_ttl or 2 * keyed_class.timeout)
 
-        def asked() -> RecordWrite | LedgerAction:
+        def begin_run() -> RecordWrite | LedgerAction:
             if self.ledger.find(now, key) is None:
                 self.going[key], self.keys[request.request_id] = request, key
             return self.ledger.request_run(
                 now,
                 key,
                 request.arrived,
-                until,
+                window_end,
                 request.deadline,
-                self.real.server.queue.run_times[h],
+                self.real.server.queue.run_times[keyed_class],
                 fit,
             )
 
-        said = self.ruled(asked)
-        if (
-            said is not None and said.kind is ActionKind.REPORT_DUPLICATE
-        ):  # a non-replayable one that may have run before
+        action = self.ruled(begin_run)
+        # A duplicate of a request that may have run before.
+        if action is not None and action.kind is ActionKind.REPORT_DUPLICATE:
             self.metrics.increment("keys.known")
             self.real.post_event(request, RequestEvent.FAILED)
-        elif said is not None:
-            self.carry(said, True)
+        elif action is not None:
+            self.carry(action, True)
 
-    def post_event(self, request: PendingRequest, word: RequestEvent) -> None:
-        """A word of the work's on a run that it was just given."""
-        if word in (RequestEvent.NO_CAPACITY, RequestEvent.NOT_STARTED):
+    def post_event(self, request: PendingRequest, event: RequestEvent) -> None:
+        """Deliver an event on a run that was just started, and abandon one that did not start."""
+        if event in (RequestEvent.NO_CAPACITY, RequestEvent.NOT_STARTED):
             self.left(request.request_id)
-        self.real.post_event(request, word)
+        self.real.post_event(request, event)
 
-    # From the work.
+    # Called by the inner executor.
 
     def on_run_ended(self, request_id: str, end: RunOutcome, result: bytes) -> None:
+        """Report the end of a run at the engine once it is durable."""
         if end is RunOutcome.NOT_STARTED:
             self.left(request_id)
             self.listener.on_run_ended(request_id, end, result)
@@ -159,47 +176,47 @@
         self.over(
             request_id,
             Answer(200 if end is RunOutcome.COMPLETED else 0, result),
-            lambda well: self.listener.on_run_ended(
-                request_id, end if well else RunOutcome.FAILED, result if well else b""
+            lambda durable: self.listener.on_run_ended(
+                request_id, end if durable else RunOutcome.FAILED, result if durable else b""
             ),
         )
 
     def on_backend_run_ended(
-        self, request: PendingRequest, word: RequestEvent, answer: Answer | None
+        self, request: PendingRequest, event: RequestEvent, answer: Answer | None
     ) -> None:
-        if word not in ENDS:
+        """Report the end of a run at a back end once it is durable."""
+        if event not in ENDS:
             self.left(request.request_id)
-            self.listener.on_backend_run_ended(request, word, answer)
+            self.listener.on_backend_run_ended(request, event, answer)
             return
         self.over(
             request.request_id,
-            answer if answer is not None and word is RequestEvent.COMPLETED else Answer(0),
-            lambda well: self.listener.on_backend_run_ended(
-                request, word if well else RequestEvent.FAILED, answer if well else None
+            answer if answer is not None and event is RequestEvent.COMPLETED else Answer(0),
+            lambda durable: self.listener.on_backend_run_ended(
+                request, event if durable else RequestEvent.FAILED, answer if durable else None
             ),
         )
 
     def on_command_refused(self, command: str, request_id: str) -> None:
+        """Abandon the request where the engine has refused its run."""
         if command == "RUN":
             self.left(request_id)
         self.listener.on_command_refused(command, request_id)
 
     def over(self, request_id: str, answer: Answer, tell: Callable[[bool], None]) -> None:
-        """A run is over: `tell` goes on once its end is on the disk, or with False where it can't
-        be.
-        """
+        """Record the end of a run, then call `tell` with whether it is durable."""
         fit = self.fit()
 
-        def ended() -> RecordWrite | LedgerAction:
+        def finish_run() -> RecordWrite | LedgerAction:
             self.going.pop(key, None)
             self.ends[key] = tell
-            well = answer.status == 200
+            completed = answer.status == 200
             return self.ledger.end_run(
                 clock.now(),
                 key,
-                answer.status if well else 0,
-                answer.fields if well else (),
-                answer.body if well else b"",
+                answer.status if completed else 0,
+                answer.fields if completed else (),
+                answer.body if completed else b"",
                 fit,
             )
 
@@ -208,12 +225,12 @@
         if key is None:
             tell(True)
             return
-        said = self.ruled(ended)
-        if said is not None:
-            self.carry(said, False)
+        action = self.ruled(finish_run)
+        if action is not None:
+            self.carry(action, False)
 
     def left(self, request_id: str) -> None:
-        """Nothing of it ran."""
+        """Abandon the record of a request that has not run."""
         with self.pen:
             key = self.keys.pop(request_id, None)
             if key is None:
@@ -221,29 +238,39 @@
             self.going.pop(key, None)
             self.ruled(lambda: self.ledger.abandon(clock.now(), key))
 
-    # Through the disk.
+    # The ledger and its writes.
 
     def ruled(self, rule: Callable[[], RecordWrite | LedgerAction | None]) -> LedgerAction | None:
-        """What a rule says; what it wants written is queued before another rule is asked."""
+        """Call the ledger by `rule`, queue the write that it returns, or return the action.
+
+        The write is queued under the lock, so before the ledger can return another one.
+        """
         with self.pen:
-            said = rule()
-            while isinstance(said, RecordWrite):
-                put = said
+            outcome = rule()
+            while isinstance(outcome, RecordWrite):
+                write = outcome
                 queued = self.disk(
-                    put.key, packed(put.record), lambda durable, put=put: self.told(put, durable)
+                    write.key,
+                    packed(write.record),
+                    lambda durable, write=write: self.told(write, durable),
                 )
-                said = None if queued else self.ledger.write_rejected(clock.now(), put)
-            return said
+                outcome = None if queued else self.ledger.write_rejected(clock.now(), write)
+            return outcome
 
     def told(self, put: RecordWrite, durable: bool) -> None:
-        """The disk's word on a write, on the committer's thread."""
+        """Pass the outcome of a write to the ledger; called on the committer's thread."""
         self.metrics.increment("keys.kept" if durable else "keys.unkept")
-        said = self.ruled(lambda: self.ledger.write_finished(clock.now(), put, durable))
-        if said is not None:
-            self.carry(said, False)
+        action = self.ruled(lambda: self.ledger.write_finished(clock.now(), put, durable))
+        if action is not None:
+            self.carry(action, False)
 
     def carry(self, act: LedgerAction, inside: bool) -> None:
-        """`inside` the desk's lock, or on a thread that does not hold it."""
+        """Carry out an action of the ledger.
+
+        Args:
+            act: the action.
+            inside: whether the caller holds the dispatcher's lock.
+        """
         with self.pen:
             tell = (
                 self.ends.pop(act.key, None)
@@ -268,7 +295,7 @@
                 self.real.handle(lambda: self.go(request), request)
 
     def go(self, request: PendingRequest) -> None:
-        """Its note is durable: it runs, unless nobody waits for it any more."""
+        """Start a request whose record is durable, unless no client waits for it any more."""
         if (
             self.real.requests.get(request.request_id) is request
             and not request.answered
@@ -280,9 +307,9 @@
             self.real.server.on_event(self.real.now, request, RequestEvent.NO_CAPACITY)
 
     def overdue(self, now: int) -> None:
-        """Those that have waited for too long, for their run or for their end, go on without."""
+        """Act on the requests whose writes are not durable in time, as the policy says."""
         with self.pen:
-            acts = self.ledger.time_out_writes(now)
-        for act in acts:
+            actions = self.ledger.time_out_writes(now)
+        for action in actions:
             self.metrics.increment("keys.overdue")
-            self.carry(act, False)
+            self.carry(action, False)
