--- a/gullyoke/operator_config/checked.py
+++ b/gullyoke/operator_config/checked.py
@@ -1,8 +1,7 @@
-"""Files in protobuf text format held against their schema.
+"""Reads files in protobuf text format and checks them against their schema.
 
-Every fault is one line that says what is right.
-
-The bounds stand in the schema, as the option `gullyoke.bounds` of each field (operator.proto).
+Each fault is reported as one line that names the valid values. The bounds of each field are in the
+schema, as its option `gullyoke.bounds` (operator.proto).
 """
 
 from __future__ import annotations
@@ -26,10 +25,15 @@
 
 
 def parsed(path: str, empty: Kind, more: Callable[[Kind], Iterable[tuple[str, str]]]) -> Kind:
-    """The message that a file holds.
+    """Read a file and return it as a message.
+
+    Args:
+        path: the file.
+        empty: a new message of the file's type.
+        more: returns the faults that the schema can't state, as a key and a text each.
 
-    `more` gives the faults that the schema can't state, as keys and what is wrong with them. Raises
-    `Faulty` with all faults, in the order of their lines.
+    Raises:
+        OperatorFileError: with all faults, in the order of their lines.
     """
     try:
         with open(path, "rb") as file:
@@ -39,32 +43,30 @@
                 [f"{path}:1: the file: over {LONGEST} bytes; right would be a file of a few pages"]
             )
         text = data.decode("utf-8")
-    except (OSError, UnicodeDecodeError) as fault:
-        raise OperatorFileError([f"{path}:1: the file: can't be read: {fault}"]) from None
+    except (OSError, UnicodeDecodeError) as error:
+        raise OperatorFileError([f"{path}:1: the file: can't be read: {error}"]) from None
     try:
-        found = text_format.Parse(text, empty)
-    except text_format.ParseError as fault:
-        line, _, said = PLACE.fullmatch(str(fault)).groups()
+        message = text_format.Parse(text, empty)
+    except text_format.ParseError as error:
+        line, _, description = PLACE.fullmatch(str(error)).groups()
         raise OperatorFileError(
-            [f"{path}:{line or 1}: {one_line(said, empty.DESCRIPTOR)}"]
+            [f"{path}:{line or 1}: {one_line(description, empty.DESCRIPTOR)}"]
         ) from None
     lines = places(text)
     faults = sorted(
         (
             (lines.get(key) or lines.get(key.rpartition(".")[0]) or 1, key, why)
-            for key, why in [*unbound(found, ""), *more(found)]
+            for key, why in [*unbound(message, ""), *more(message)]
         ),
         key=lambda row: row[0],
     )
     if faults:
         raise OperatorFileError([f"{path}:{line}: {key}: {why}" for line, key, why in faults])
-    return found
+    return message
 
 
 def one_line(said: str, root: Descriptor) -> str:
-    """What the parser says, with the keys it would have taken where it says which message was
-    meant.
-    """
+    """Return the parser's message as one line, with the valid keys where a key is unknown."""
     said = " ".join(said.split())
     match = re.search(r'Message type "([\w.]+)" has no field named "(\w+)"', said)
     kind = match and root.file.message_types_by_name.get(match[1].rpartition(".")[2])
@@ -76,10 +78,10 @@
 
 
 def places(text: str) -> dict[str, int]:
-    """The line of each key, by its path: `backends.backend[1].weight`."""
-    found: dict[str, int] = {}
+    """Return the line of each key by its path, such as `backends.backend[1].weight`."""
+    lines: dict[str, int] = {}
     count: dict[str, int] = {}
-    way: list[str] = []  # the messages that are open, with their numbers
+    parents: list[str] = []  # the open messages, with their numbers in their lists
     last, last_at, key = "", 1, ""
     tokens = text_format.Tokenizer(text.splitlines())
     while not tokens.AtEnd():
@@ -88,27 +90,25 @@
             if NAME.fullmatch(last):
                 key, place = last, last_at
             else:
-                place = at  # one more message of a list
-            path = ".".join([*way, key])
+                place = at  # a further message of a list
+            path = ".".join([*parents, key])
             nth = count[path] = count.get(path, -1) + 1
             numbered = f"{key}[{nth}]"
-            found[".".join([*way, numbered])] = place
+            lines[".".join([*parents, numbered])] = place
             if not nth:
-                found[path] = place
+                lines[path] = place
         if token in ("{", "<"):
-            way.append(numbered)
-        elif token in ("}", ">") and way:
-            key = way.pop().partition("[")[0]
+            parents.append(numbered)
+        elif token in ("}", ">") and parents:
+            key = parents.pop().partition("[")[0]
         last, last_at = token, at
         tokens.NextToken()
-    single = {re.sub(r"\[0\](?=\.)", "", key): at for key, at in found.items()}
-    return single | found
+    single = {re.sub(r"\[0\](?=\.)", "", key): at for key, at in lines.items()}
+    return single | lines
 
 
 def unbound(message: Message, path: str) -> Iterator[tuple[str, str]]:
-    """The fields of a message, and of those in it, that are outside what the schema states of
-    them.
-    """
+    """Yield each field of a message, nested ones included, that violates the schema's bounds."""
     for field in message.DESCRIPTOR.fields:
         bounds = field.GetOptions().Extensions[schema.bounds]
         values = given(message, field)
@@ -125,7 +125,7 @@
 
 
 def given(message: Message, field: FieldDescriptor) -> list:
-    """The values that a message holds of a field, none where it is not set."""
+    """Return the values of a field in a message; none where it is not set."""
     if field.is_repeated:
         return list(getattr(message, field.name))
     if field.has_presence and not message.HasField(field.name):
@@ -134,6 +134,7 @@
 
 
 def within(value: object, bounds: schema.Bounds) -> bool:
+    """Return whether a value is within the bounds."""
     if isinstance(value, str):
         return not bounds.pattern or (
             re.fullmatch(bounds.pattern, value) is not None and port_of(value)
@@ -147,6 +148,6 @@
 
 
 def port_of(value: str) -> bool:
-    """Where it is a host and port, whether the port can be."""
+    """Return whether the port is valid, if the text is a host and a port."""
     _, mark, port = value.rpartition(":")
     return not mark or not port.isdigit() or 0 < int(port) < 65536
--- a/gullyoke/operator_config/read.py
+++ b/gullyoke/operator_config/read.py
@@ -1,4 +1,4 @@
-"""Reads an operator's file and gives what it says in the program's own words."""
+"""Reads an operator's file into the types of wanted.py."""
 
 from __future__ import annotations
 
@@ -25,15 +25,16 @@
 
 
 def read(path: str) -> Wanted:
-    """What the file says.
+    """Read a file.
 
-    Raises `Faulty` with all that is wrong with it, in the order of its lines.
+    Raises:
+        OperatorFileError: with all faults, in the order of their lines.
     """
     return wanted(parsed(path, schema.Operator(), faults_of))
 
 
 def faults_of(found: schema.Operator) -> Iterator[tuple[str, str]]:
-    """What holds between fields: each key that can't be right, and why."""
+    """Yield the faults between fields: the key of each, and a text."""
     names: set[str] = set()
     addresses: set[str] = set()
     for i, way in enumerate(found.listener):
@@ -99,6 +100,7 @@
 
 
 def faults_of_duties(found: schema.Operator) -> Iterator[tuple[str, str]]:
+    """Yield the faults between the fields of the leases."""
     duties, names = found.duties, set()
     if not found.HasField("fleet"):
         yield "duties", "there is no fleet; right would be fleet { ... } as well"
@@ -123,10 +125,11 @@
         taken.add(duty.name)
 
 
-# In the program's own words, with what stands where nothing is said.
+# Conversion, with the defaults of what is not set.
 
 
 def address(text: str) -> Address:
+    """Return the path of a Unix socket, or a host and a port."""
     if text.startswith("unix:"):
         return text.removeprefix("unix:")
     host, _, port = text.rpartition(":")
@@ -134,20 +137,26 @@
 
 
 def bounds_of(one: schema.Backend) -> tuple[int, int]:
+    """Return the least and the greatest limit of a back end's connections."""
     least = one.least if one.HasField("least") else 1
     return least, one.most if one.HasField("most") else max(64, least)
 
 
 def wanted(found: schema.Operator) -> Wanted:
+    """Convert a file."""
     ways = tuple(
-        Way(w.name, schema.Listener.Protocol.Name(w.protocol), address(w.address))
-        for w in found.listener
+        Way(
+            entry.name,
+            schema.Listener.Protocol.Name(entry.protocol),
+            address(entry.address),
+        )
+        for entry in found.listener
     )
     json_log = found.log.form == schema.Log.JSON
     classed = None
     if found.HasField("pools"):
         classes = {
-            handler: one.name for one in getattr(found.pools, "class") for handler in one.handler
+            handler: pool.name for pool in getattr(found.pools, "class") for handler in pool.handler
         }
         classed = Classed(found.pools.minimum if found.pools.HasField("minimum") else 0.02, classes)
     kept = None
@@ -161,37 +170,39 @@
     duties = dutied(found.duties) if found.HasField("duties") else None
     if not found.HasField("backends"):
         return Wanted(json_log, ways, None, classed, kept, fleet, duties)
-    told, eject = found.backends, found.backends.ejection
+    pool_section, eject = found.backends, found.backends.ejection
 
-    def said(message: Message, name: str, default):
+    def value_or(message: Message, name: str, default):
         return getattr(message, name) if message.HasField(name) else default
 
-    first_out = said(eject, "first_out_ms", 1000) * 1000
+    first_out = value_or(eject, "first_out_ms", 1000) * 1000
     ejecting = Ejecting(
-        said(eject, "consecutive", 5),
-        said(eject, "over_peers", 0.3),
-        said(eject, "pool_share", 0.5),
+        value_or(eject, "consecutive", 5),
+        value_or(eject, "over_peers", 0.3),
+        value_or(eject, "pool_share", 0.5),
         first_out,
-        max(first_out, said(eject, "longest_out_ms", 30_000) * 1000),
-        said(eject, "slow_start_ms", 5000) * 1000,
+        max(first_out, value_or(eject, "longest_out_ms", 30_000) * 1000),
+        value_or(eject, "slow_start_ms", 5000) * 1000,
     )
     back_ends = tuple(
-        BackEnd(b.address, address(b.address), said(b, "weight", 1.0), *bounds_of(b), b.zone or "-")
-        for b in told.backend
+        BackEnd(
+            b.address, address(b.address), value_or(b, "weight", 1.0), *bounds_of(b), b.zone or "-"
+        )
+        for b in pool_section.backend
     )
     return Wanted(
         json_log,
         ways,
         Pooled(
             back_ends,
-            said(told, "linger_ms", 2000) * 1000,
-            told.stops_on_close,
-            said(told, "answer_kb", 64) * 1024,
-            said(told, "first_limit", 8),
-            said(told, "retry_share", 0.1),
-            said(told, "retry_burst", 10.0),
+            value_or(pool_section, "linger_ms", 2000) * 1000,
+            pool_section.stops_on_close,
+            value_or(pool_section, "answer_kb", 64) * 1024,
+            value_or(pool_section, "first_limit", 8),
+            value_or(pool_section, "retry_share", 0.1),
+            value_or(pool_section, "retry_burst", 10.0),
             ejecting,
-            told.subset,
+            pool_section.subset,
         ),
         classed,
         kept,
@@ -201,6 +212,7 @@
 
 
 def together(found: schema.Fleet) -> Together:
+    """Convert the section `fleet`."""
     return Together(
         found.name,
         address(found.listen),
@@ -217,7 +229,9 @@
 
 
 def dutied(found: schema.Duties) -> Dutied:
-    def said(name: str, default: int) -> int:
+    """Convert the section `duties`."""
+
+    def value_or(name: str, default: int) -> int:
         return getattr(found, name) if found.HasField(name) else default
 
     own = tuple(
@@ -226,9 +240,9 @@
     )
     return Dutied(
         {v.name: v.address for v in found.voter},
-        said("set", 1),
-        said("lease_ms", 3000) * 1000,
-        said("drift_ppm", 1000),
+        value_or("set", 1),
+        value_or("lease_ms", 3000) * 1000,
+        value_or("drift_ppm", 1000),
         found.folder,
         found.ask,
         found.book,
@@ -239,6 +253,7 @@
 
 
 def shared(found: schema.Shares) -> Slotted:
+    """Convert the section `fleet.shares`."""
     return Slotted(
         {home.name: home.address for home in found.home},
         found.slots,
--- a/gullyoke/operator_config/wanted.py
+++ b/gullyoke/operator_config/wanted.py
@@ -1,4 +1,4 @@
-"""What an operator's file comes to, in the program's own words. Times are whole microseconds."""
+"""The operator's file in the types that the program uses. Times are whole microseconds."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 class OperatorFileError(GullyokeError, ValueError):
-    """A file that can't be right.
+    """A file that can't be read or is invalid.
 
-    `faults` are lines: file, line, key, and what would be right.
+    Attributes:
+        faults: a line for each fault: the file, the line, the key and the values that are valid.
     """
 
     def __init__(self, faults: list[str]) -> None:
@@ -21,7 +22,7 @@
 
 
 class Way(NamedTuple):
-    """One more listener."""
+    """A further listener, next to the one of the daemon's own configuration."""
 
     name: str
     protocol: str
@@ -29,7 +30,16 @@
 
 
 class BackEnd(NamedTuple):
-    """One back end; `name` is its address as it stands in the file."""
+    """A back end.
+
+    Attributes:
+        name: its address as it is written in the file.
+        address: the address.
+        weight: its share of the requests, relative to the others.
+        least: the least limit of its connections.
+        most: the greatest limit of its connections.
+        zone: its zone.
+    """
 
     name: str
     address: Address
@@ -40,7 +50,7 @@
 
 
 class Ejecting(NamedTuple):
-    """When a back end is set aside, and how it comes back."""
+    """When a back end is ejected, for how long, and how long its slow start takes."""
 
     consecutive: int
     over_peers: float
@@ -51,7 +61,7 @@
 
 
 class Pooled(NamedTuple):
-    """The back ends, and how they are used."""
+    """The back ends, how long a run may take to end, the limits of answers and of retries."""
 
     back_ends: tuple[BackEnd, ...]
     linger: int
@@ -64,22 +74,30 @@
     subset: int = 0
 
     def most(self) -> int:
-        """How many connections all back ends may take."""
+        """Return how many connections all back ends may take together."""
         return sum(b.most for b in self.back_ends)
 
 
 class Classed(NamedTuple):
-    """Class pools: the minimum share of each, and the handlers that share one, by their names."""
+    """Class pools.
+
+    Attributes:
+        minimum: the least share of the completed work that each pool gets, if it has demand.
+        classes: the pool of each handler that shares one, by the handler's name.
+    """
 
     minimum: float
     classes: dict[str, str]
 
 
 class Kept(NamedTuple):
-    """Where what is remembered is kept, and how many bytes it may take.
+    """The folder of the data that is kept over restarts.
 
-    `without`: what becomes of reqs whose notes can't be kept now, `shed` or `go on`; empty where no
-    notes are kept.
+    Attributes:
+        folder: the folder.
+        quota: the most bytes that the data may take.
+        without: what becomes of requests whose records can't be written in time, `shed` or
+            `go on`; empty where no records of keys are kept.
     """
 
     folder: str
@@ -88,7 +106,17 @@
 
 
 class Slotted(NamedTuple):
-    """What all servers may have in hand below; `homes`, who lends, addresses by name."""
+    """The limits that all servers share: calls of the dependency, and quotas of tenants.
+
+    Attributes:
+        homes: the lenders' addresses, by name.
+        slots: how many calls the whole fleet may have in flight; 0 where they are not shared.
+        largest: the most servers that the fleet may have.
+        floor_share: the share of the slots that the servers have without borrowing.
+        weight: this server's weight when slots are divided.
+        mean: whether the limit is on a mean over time, not on each moment.
+        quotas: whether the quotas of tenants are lent too.
+    """
 
     homes: dict[str, str]
     slots: int
@@ -100,7 +128,7 @@
 
 
 class Together(NamedTuple):
-    """The fleet that this server is a member of, and how the others are reached."""
+    """The fleet that this server is a member of, and how it reaches the other members."""
 
     name: str
     listen: tuple[str, int]
@@ -116,7 +144,13 @@
 
 
 class OwnDuty(NamedTuple):
-    """An application's own duty, and how often it is told of holding it, in microseconds."""
+    """A lease of the application's own.
+
+    Attributes:
+        name: the name of the lease.
+        address: where the application listens.
+        every: the interval at which the holder tells the application, in microseconds.
+    """
 
     name: str
     address: tuple[str, int]
@@ -124,8 +158,19 @@
 
 
 class Dutied(NamedTuple):
-    """Duties of one: the voters' addresses by name, the number of their set, the lease and how far
-    clocks may run apart, where promises are kept, and which duties there are.
+    """The leases of the fleet.
+
+    Attributes:
+        voters: the voters' addresses, by name.
+        set: the number of the voter set.
+        lease: the length of a lease.
+        drift: by how much clocks may differ, in parts per million.
+        folder: where a voter keeps its promises.
+        ask: whether one server checks the dependency's health.
+        book: whether one server lends orphaned quota.
+        roll: whether rolling restarts can be started.
+        record: whether one server keeps the fleet's record.
+        own: the leases of the application's own.
     """
 
     voters: dict[str, str]
@@ -141,7 +186,7 @@
 
 
 class Wanted(NamedTuple):
-    """All of it."""
+    """The whole file; None for a section that is absent."""
 
     json_log: bool
     ways: tuple[Way, ...]
