--- a/gullyoke/cli/first.py
+++ b/gullyoke/cli/first.py
@@ -1,4 +1,4 @@
-"""`gullyoke try`: a real daemon under twice what it can do, for a newcomer to look at."""
+"""`gullyoke try`: a real daemon that is offered more than it can do, as a demonstration."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     type=click.FloatRange(0.1, 10),
     default=2.0,
     show_default=True,
-    help="Times what its cores can do.",
+    help="The offered load, as a multiple of the capacity.",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
@@ -25,11 +25,11 @@
     "members",
     type=click.IntRange(3, 12),
     metavar="N",
-    help="Instead: N servers that know each other, one killed and one cut off.",
+    help="Show a fleet of N servers instead, one of which is killed and one cut off.",
 )
 def try_(seconds: int, load: float, seed: int, members: int | None) -> None:
-    """Start a real daemon on loopback, an emulated engine, database and name service on real sockets, and ask
-    it for more than it can do. A live table, then a summary beside a plain pool (simulated).
+    """Start a real daemon on loopback with an emulated engine, database and name service, and offer it more
+    than it can do. Shows a live table, then a summary beside a simulated plain pool.
 
     \b
     Example:
@@ -68,8 +68,8 @@
                 live.update(table(day, gateways))
             if process.poll() is not None:
                 refuse([f"the daemon ended with {process.returncode}"])
-    except ChildProcessError as fault:
-        refuse([str(fault)])
+    except ChildProcessError as error:
+        refuse([str(error)])
     earned, offered = sum(gateways.value.values()), sum(gateways.offered.values())
     plain = Running(
         day._replace(callers=day.callers._replace(tries=0)), lambda node: PlainPool(node, 6, 24)
@@ -81,15 +81,17 @@
 
 
 def table(day, gateways):
-    """How it stands, by class."""
+    """Return a table of the outcomes by request class."""
     from rich.table import Table
 
     out = Table("class", "asked", "done", "late", "shed", "errored", "value earned")
     with gateways.pen:
-        for w in day.works:
-            row = [gateways.rows[w.name, what] for what in ("done", "late", "shed", "errored")]
-            share = gateways.value[w.name] / (gateways.offered[w.name] or 1)
-            out.add_row(w.name, str(sum(row)), *map(str, row), f"{share:.0%}")
+        for work in day.works:
+            row = [
+                gateways.rows[work.name, outcome] for outcome in ("done", "late", "shed", "errored")
+            ]
+            share = gateways.value[work.name] / (gateways.offered[work.name] or 1)
+            out.add_row(work.name, str(sum(row)), *map(str, row), f"{share:.0%}")
     return out
 
 
@@ -108,7 +110,7 @@
 
 
 def together(members: int, seed: int) -> None:
-    """A live fleet: who is there as it goes on, and what each fault came to."""
+    """Run a fleet, print the changes of its members, then the outcome of each fault."""
     from gullyoke.fault_testing.play import Play
     from gullyoke.fault_testing.script import read
 
@@ -119,6 +121,6 @@
     play = Play(read(FLEET.format(n=members, seed=seed)), click.echo)
     try:
         verdict = play.run()
-    except ChildProcessError as fault:
-        refuse([str(fault)])
+    except ChildProcessError as error:
+        refuse([str(error)])
     click.echo("\n".join(verdict.lines()))
--- a/gullyoke/cli/fleet.py
+++ b/gullyoke/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`gullyoke fleet`: the fleet as one server sees it, its keys, and the rig that plays faults."""
+"""`gullyoke fleet`: the fleet as one server sees it, its keys, its leases, and fault testing."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @click.group()
 def fleet() -> None:
-    """The fleet as a running server sees it. Exit codes: 0 well, 1 not all members are alive, 2 no answer.
+    """Show the fleet as a running server sees it. Exit codes: 0 all members are alive, 1 not all, 2 no answer.
 
     \b
     Examples:
@@ -37,40 +37,42 @@
 
 
 def asked(at: str, what: str) -> dict:
-    """What the server there says."""
+    """Send a command to the status server at an address, and return its answer."""
     host, _, port = at.rpartition(":")
     try:
         with socket.create_connection((host, int(port)), 3) as conn:
             conn.sendall(f"{what}\n".encode())
             with conn.makefile("rb") as file:
                 return json.loads(file.read())
-    except (OSError, ValueError) as fault:
+    except (OSError, ValueError) as error:
         refuse(
-            [f"{at}: no answer: {fault}; right would be `fleet.status` of a running server's file"]
+            [f"{at}: no answer: {error}; right would be `fleet.status` of a running server's file"]
         )
 
 
 @fleet.command()
 @AT
 @AS_JSON
-@click.option("--watch", is_flag=True, help="Again every second, until interrupted.")
+@click.option("--watch", is_flag=True, help="Repeat every second, until interrupted.")
 def status(at: str, as_json: bool, watch: bool) -> None:
-    """Who is there, and how they stand.
+    """Show the members and their states.
 
     \b
     Example:
       gullyoke fleet status --watch
     """
     while True:
-        found = asked(at, "status")
-        click.echo(json.dumps(found) if as_json else told(found))
+        answer = asked(at, "status")
+        click.echo(json.dumps(answer) if as_json else told(answer))
         if not watch:
-            sys.exit(0 if all(row["state"] in ("alive", "joining") for row in found["rows"]) else 1)
+            sys.exit(
+                0 if all(row["state"] in ("alive", "joining") for row in answer["rows"]) else 1
+            )
         time.sleep(1)
 
 
 def told(found: dict) -> str:
-    """As lines: the whole, then a line a member."""
+    """Return a status answer as text: a line about the fleet, then a line for each member."""
     lines = [
         f"{found['name']} is {found['stage']}; {found['members']} members, {found['seen']} seen, "
         f"confidence {found['confidence']:.2f}; view {found['view']} {found['digest']}"
@@ -93,9 +95,9 @@
         if state != "well"
     ]
     lines += [
-        f"quota of {name}: {one['reqs_a_second']:g} reqs a second here, "
-        f"{one['refused']} times short"
-        for name, one in sorted(found.get("quotas", {}).items())
+        f"quota of {name}: {quota['reqs_a_second']:g} reqs a second here, "
+        f"{quota['refused']} times short"
+        for name, quota in sorted(found.get("quotas", {}).items())
     ]
     return "\n".join(lines)
 
@@ -104,20 +106,20 @@
 @AT
 @AS_JSON
 def events(at: str, as_json: bool) -> None:
-    """The last changes of the view, with their evidence.
+    """Show the last changes of the membership, with their evidence.
 
     \b
     Example:
       gullyoke fleet events --at 127.0.0.1:7990
     """
-    found = asked(at, "events")
+    answer = asked(at, "events")
     if as_json:
-        click.echo(json.dumps(found))
+        click.echo(json.dumps(answer))
         return
-    for e in found["events"]:
+    for event in answer["events"]:
         click.echo(
-            f"{e['ago_ms'] / 1000:9.1f} s ago  view {e['view']:<6} {e['name']} {e['what']} "
-            f"({e['status']}) by {e['by']}: {e['evidence']}"
+            f"{event['ago_ms'] / 1000:9.1f} s ago  view {event['view']:<6} {event['name']} "
+            f"{event['what']} ({event['status']}) by {event['by']}: {event['evidence']}"
         )
 
 
@@ -135,13 +137,15 @@
 @fleet.command()
 @click.argument("script", type=click.Path(exists=True, dir_okay=False))
 @click.option(
-    "--keep", type=click.Path(file_okay=False), help="A folder for the time line and its chart."
+    "--keep",
+    type=click.Path(file_okay=False),
+    help="Write the time line and its chart to this folder.",
 )
 @AS_JSON
 def play(script: str, keep: str | None, as_json: bool) -> None:
-    """Play a SCRIPT of faults on real processes on loopback, with gateways' load beside it.
+    """Play a SCRIPT of faults on a fleet of processes on loopback, under a load of requests.
 
-    Exit codes: 0 all held, 1 something did not, 2 the script can't be right or the fleet did not come up.
+    Exit codes: 0 all checks hold, 1 not all, 2 the script is invalid or the fleet did not start.
 
     \b
     Example:
@@ -156,8 +160,8 @@
     try:
         found = read(pathlib.Path(script).read_text(encoding="utf-8"))
         verdict = Play(found, say).run()
-    except (ScriptError, ChildProcessError, UnicodeDecodeError) as fault:
-        refuse([f"{script}: {fault}"])
+    except (ScriptError, ChildProcessError, UnicodeDecodeError) as error:
+        refuse([f"{script}: {error}"])
     if keep:
         from gullyoke.fault_testing.report import write
 
@@ -171,7 +175,7 @@
                     "reqs": verdict.requests,
                     "cpu_share": verdict.cpu_share,
                     "resident_mb": verdict.resident_mb,
-                    "held": [one._asdict() for one in verdict.held],
+                    "held": [check._asdict() for check in verdict.held],
                 }
             )
         )
@@ -183,15 +187,15 @@
     sys.exit(0 if verdict.good() else 1)
 
 
-# Duties of one.
+# Leases.
 
 
 @fleet.command()
 @AT
 @AS_JSON
 def duties(at: str, as_json: bool) -> None:
-    """Who holds which duty, by which epoch, and how this server votes. Exit codes: 0 all held, 1 not all, 2
-    no answer.
+    """Show the holder and the epoch of each lease, and how this server votes. Exit codes: 0 all leases are
+    held, 1 not all, 2 no answer.
 
     \b
     Example:
@@ -222,7 +226,7 @@
 
 
 def said(found: dict) -> dict:
-    """What was answered, unless that is a fault."""
+    """Return an answer; exit if it is an error."""
     if "fault" in found:
         refuse([found["fault"]])
     return found
@@ -231,9 +235,9 @@
 @fleet.command("hand-over")
 @AT
 @click.argument("duty")
-@click.option("--to", default="", help="The member to have it; the best placed if not given.")
+@click.option("--to", default="", help="The member to hold it; the best candidate if not given.")
 def hand_over(at: str, duty: str, to: str) -> None:
-    """Hand a DUTY over from its holder to another, without a gap.
+    """Hand the lease DUTY over from its holder to another member, without a gap.
 
     \b
     Example:
@@ -252,7 +256,8 @@
 
 @fleet.group()
 def roll() -> None:
-    """A rolling restart, conducted by the holder of `roll`: whoever starts servers starts them again.
+    """Control a rolling restart: the holder of the lease `roll` drains the servers by turns, and a supervisor
+    has to start them again.
 
     \b
     Examples:
@@ -268,17 +273,17 @@
     type=click.FloatRange(0.001, 1),
     default=0.1,
     show_default=True,
-    help="The share of the fleet that may be away at once; one at the least.",
+    help="The share of the fleet that may be away at the same time; at least one member.",
 )
 @click.option(
     "--a-zone",
     type=click.FloatRange(0.001, 1),
     default=0.5,
     show_default=True,
-    help="The share of a zone.",
+    help="The share of a zone that may be away at the same time.",
 )
 def start(at: str, at_once: float, a_zone: float) -> None:
-    """Restart all who are there now, by turns.
+    """Restart all present members, by turns.
 
     \b
     Example:
@@ -290,7 +295,7 @@
 @roll.command()
 @AT
 def pause(at: str) -> None:
-    """Tell no more to go, until resumed.
+    """Drain no further members until resumed.
 
     \b
     Example:
@@ -302,7 +307,7 @@
 @roll.command()
 @AT
 def resume(at: str) -> None:
-    """Go on with one that is paused, or that stopped by itself.
+    """Continue a rolling restart that is paused or has stopped by itself.
 
     \b
     Example:
@@ -314,7 +319,7 @@
 @roll.command()
 @AT
 def cancel(at: str) -> None:
-    """Tell no more to go, for good; who has gone comes back by itself.
+    """End the rolling restart; members that are away come back by themselves.
 
     \b
     Example:
@@ -324,6 +329,7 @@
 
 
 def ordered(at: str, what: str) -> None:
+    """Send a command of rolling restarts, and print the answer."""
     found = said(asked(at, f"roll {what}"))
     click.echo(
         f"roll {what}: "
@@ -338,9 +344,9 @@
 @roll.command("status")
 @AT
 @AS_JSON
-@click.option("--watch", is_flag=True, help="With a bar, until it is over.")
+@click.option("--watch", is_flag=True, help="Show a progress bar until it is over.")
 def roll_status(at: str, as_json: bool, watch: bool) -> None:
-    """How far it is. Exit codes: 0 none is going, or done; 1 going; 2 no answer; 3 stopped or paused.
+    """Show the progress. Exit codes: 0 none is going, or done; 1 going; 2 no answer; 3 stopped or paused.
 
     \b
     Example:
@@ -360,7 +366,7 @@
 
 
 def watched(at: str, found: dict) -> dict:
-    """A bar that follows until it is over."""
+    """Show a progress bar until the rolling restart is over; return the last answer."""
     with click.progressbar(length=found["members"], label="restarted") as bar:
         while found["state"] == "going":
             bar.update(max(0, found["members"] - len(found["left"]) - bar.pos))
@@ -378,19 +384,25 @@
     "number",
     type=click.IntRange(1, 1_000_000),
     required=True,
-    help="The number of the set of voters from now on; the same on all that are left.",
+    help="The number of the new voter set; the same on all voters that are left.",
 )
 @click.option(
-    "--yes-a-majority-is-lost", "first", is_flag=True, help="That a majority can't come back."
+    "--yes-a-majority-is-lost",
+    "first",
+    is_flag=True,
+    help="Confirm that a majority of the voters can't come back.",
 )
 @click.option(
-    "--yes-two-may-act", "second", is_flag=True, help="That what they had promised is not known."
+    "--yes-two-may-act",
+    "second",
+    is_flag=True,
+    help="Confirm that what they had promised is not known.",
 )
 def reform(folder: str, name: str, number: int, first: bool, second: bool) -> None:
-    """For voters of which a majority is lost for good: let this one vote in a new set, while it is stopped.
+    """Move a stopped voter to a new voter set, after a majority of the voters was lost for good.
 
-    What it may break: a server that was granted a duty by voters that are lost may act on until its lease is
-    out, and what such a majority had kept (a roll that is going) is forgotten. Epochs go up by a million, so
+    This may break guarantees: a server that got a lease from the lost voters may act until that lease ends, and
+    what such a majority had stored (a rolling restart that is going) is lost. Epochs are raised by a million, so
     that whatever compares them refuses the old ones. Run it on every voter that is left, stop all others for
     good, wait a minute, and start them with the new set in their files.
 
@@ -401,7 +413,7 @@
     if not (first and second):
         refuse(
             [
-                "it asks twice: --yes-a-majority-is-lost and --yes-two-may-act; --help says what may break"
+                "both --yes-a-majority-is-lost and --yes-two-may-act are needed; --help says what may break"
             ]
         )
     import os
@@ -422,8 +434,8 @@
                 *((f"promise {duty}", encode_promise(row)) for duty, row in raised.items()),
             ]
         )
-    except OSError as fault:
-        refuse([f"{folder}: {fault}"])
+    except OSError as error:
+        refuse([f"{folder}: {error}"])
     finally:
         files.close()
     click.echo(f"{name} votes in set {number}; {len(promised)} epochs went up by a million")
--- a/gullyoke/cli/lab.py
+++ b/gullyoke/cli/lab.py
@@ -12,7 +12,7 @@
 
 @click.group()
 def lab() -> None:
-    """Experiments on the emulator: same days for all arms, tables, charts and a report out.
+    """Run experiments on the emulator: all arms get the same days; the output is tables, charts and a report.
 
     \b
     Examples:
@@ -29,12 +29,16 @@
     required=True,
     help="The folder for rows, tables, charts and the report.",
 )
-@click.option("--resume", is_flag=True, help="Go on with the rows that are in the folder.")
 @click.option(
-    "--workers", type=click.IntRange(1), help="Processes; as many as there are cores if not given."
+    "--resume", is_flag=True, help="Keep the rows that are in the folder, and run what is missing."
+)
+@click.option(
+    "--workers",
+    type=click.IntRange(1),
+    help="The number of processes; one for each core if not given.",
 )
 def run_(experiment: str, out: pathlib.Path, resume: bool, workers: int | None) -> None:
-    """Play an EXPERIMENT (protobuf text format, gullyoke/experiments/experiment.proto).
+    """Run an EXPERIMENT, a file in protobuf text format (gullyoke/experiments/experiment.proto).
 
     \b
     Example:
@@ -60,8 +64,8 @@
             )
     except OperatorFileError as faulty:
         refuse(faulty.faults)
-    except (OSError, ValueError) as fault:
-        refuse([str(fault)])
+    except (OSError, ValueError) as error:
+        refuse([str(error)])
     click.echo(report(found.name, rows, [w.name for w in found.found.work], out))
 
 
@@ -70,7 +74,7 @@
 @click.option("--day", required=True, help="The day's name.")
 @click.option("--seed", type=int, default=1, show_default=True)
 def bound_(experiment: str, day: str, seed: int) -> None:
-    """The best that any policy could earn on a day, as a planner that sees all of it finds.
+    """Print an upper bound of what any policy could earn on a day, by a planner that knows all of the day.
 
     \b
     Example:
--- a/gullyoke/cli/main.py
+++ b/gullyoke/cli/main.py
@@ -1,6 +1,6 @@
-"""`gullyoke`: the sub-commands and what they say.
+"""`gullyoke`: the command and its sub-commands.
 
-Exit codes: 0 well, 2 what was given can't be right.
+Exit codes: 0 success, 2 invalid input.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """Admission and scheduling for servers behind other people's balancers.
+    """Admission control and scheduling for servers behind load balancers.
 
     \b
     Examples:
@@ -34,15 +34,15 @@
 
 @main.command()
 @click.option(
-    "--config", type=FILE, help="The server's own file; NODE_CONFIG where it is not given."
+    "--config", type=FILE, help="The daemon's configuration file; NODE_CONFIG if not given."
 )
 @click.option(
-    "--operator", type=FILE, help="The operator's file: listeners, back ends, the log's form."
+    "--operator", type=FILE, help="The operator's file: listeners, back ends, the log format."
 )
 def serve(config: str | None, operator: str | None) -> None:
     """Run one server in the foreground until SIGTERM.
 
-    Without --operator it is exactly `python -m gullyoke`. SIGHUP reads both files again, SIGUSR1 prints the
+    Without --operator it is the same as `python -m gullyoke`. SIGHUP reads both files again, SIGUSR1 prints the
     counters, SIGTERM begins the drain.
 
     \b
@@ -75,7 +75,7 @@
 @main.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def check(file: str) -> None:
-    """Hold an operator's FILE against its schema: exit 0, or 2 with a line for each fault.
+    """Check an operator's FILE against its schema. Exit codes: 0 valid, 2 with a line for each fault.
 
     \b
     Example:
--- a/gullyoke/cli/say.py
+++ b/gullyoke/cli/say.py
@@ -1,4 +1,4 @@
-"""What the commands say of what can't be right."""
+"""How the commands report errors."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def refuse(faults: list[str]) -> NoReturn:
-    """Each on a line of standard error, and exit code 2."""
+    """Print each fault on a line of standard error, and exit with code 2."""
     for line in faults:
         click.echo(line, err=True)
     sys.exit(2)
--- a/gullyoke/cli/store.py
+++ b/gullyoke/cli/store.py
@@ -1,4 +1,4 @@
-"""`gullyoke store`: look into a store's folder, and tidy it, while no daemon writes it."""
+"""`gullyoke store`: inspect and compact a store's folder while no daemon writes to it."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 from gullyoke.cli.say import refuse
 
 FOLDER = click.Path(exists=True, file_okay=False)
-AS_JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object instead of words.")
+AS_JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object instead of lines.")
 
 
 @click.group()
 def store() -> None:
-    """Look into a store's folder, and tidy it. Exit codes: 0 well, 1 something dropped, 2 it can't be read.
+    """Inspect and compact a store's folder. Exit codes: 0 success, 1 data was dropped or a write failed, 2 it can't
+    be read.
 
     \b
     Examples:
@@ -25,7 +26,7 @@
 
 
 def opened(folder: str):
-    """The store there, with the lock of a writer."""
+    """Open the store of a folder, with the lock of a writer."""
     from gullyoke.storage import StorageFolder, Store
 
     try:
@@ -34,11 +35,12 @@
         return Store(disk)
     except BlockingIOError:
         refuse([f"{folder}: another process has it; right would be to stop that first"])
-    except OSError as fault:
-        refuse([f"{folder}: can't be read: {fault}"])
+    except OSError as error:
+        refuse([f"{folder}: can't be read: {error}"])
 
 
 def told(found: dict, as_json: bool) -> None:
+    """Print an answer as JSON or as lines."""
     click.echo(
         json.dumps(found)
         if as_json
@@ -50,7 +52,7 @@
 @click.argument("folder", type=FOLDER)
 @AS_JSON
 def check(folder: str, as_json: bool) -> None:
-    """Read every record; exit 1 where bytes were no whole record."""
+    """Read every record. Exit code 1 if bytes were dropped that are no whole record."""
     found = opened(folder)
     count = sum(1 for _ in found.items())
     told(
@@ -70,7 +72,7 @@
 @click.argument("folder", type=FOLDER)
 @AS_JSON
 def list_(folder: str, as_json: bool) -> None:
-    """The keys, with the size of each record."""
+    """List the keys, with the size of each record."""
     found = opened(folder)
     told({key: found.plan.index[key].size_bytes for key in sorted(found.keys())}, as_json)
 
@@ -79,7 +81,7 @@
 @click.argument("folder", type=FOLDER)
 @AS_JSON
 def dump(folder: str, as_json: bool) -> None:
-    """The keys and their values, as hex digits."""
+    """Print the keys and their values, as hex digits."""
     told({key: value.hex() for key, value in sorted(opened(folder).items())}, as_json)
 
 
@@ -87,7 +89,7 @@
 @click.argument("folder", type=FOLDER)
 @AS_JSON
 def compact(folder: str, as_json: bool) -> None:
-    """Copy what is live out of every old segment, and remove these."""
+    """Copy the live records out of every old segment, and remove the segment."""
     from rich.progress import Progress
 
     found = opened(folder)
