--- a/gullyoke/extensions/back_ends.py
+++ b/gullyoke/extensions/back_ends.py
@@ -18,7 +18,7 @@
 
 #: Keeps the draws of the routing apart from other uses of the daemon's seed.
 ROUTING_SEED: Final = 0x5C91
-#: Back ends may use one descriptor in so many.
+#: Back ends may use one descriptor in this many.
 DESCRIPTORS_PER_BACKEND_CONNECTION: Final = 2
 
 
@@ -93,7 +93,7 @@
         return self.backends.ejected()
 
     def set_probe_gate(self, may_probe: Callable[[str], bool]) -> None:
-        """Ask `may_probe`, with the name of a back end, before each probe of one."""
+        """Call `may_probe` with the name of a back end before each probe of it."""
         self.backends.set_probe_gate(may_probe)
 
     def log_status(self) -> None:
@@ -155,7 +155,7 @@
 
 
 def _replace_engine_facts(facts: SiteFacts, wanted: Pooled) -> None:
-    """Change what the settings state of the engine to what is true of the back ends.
+    """Replace the settings' facts about the engine by those about the back ends.
 
     Whether a run can be cancelled depends on the application; its calls of a dependency do not pass
     through this daemon.
--- a/gullyoke/extensions/base.py
+++ b/gullyoke/extensions/base.py
@@ -1,4 +1,4 @@
-"""The base of the extensions: what each does where it has nothing of its own to do."""
+"""The base class of the extensions, with the default of each method."""
 
 from __future__ import annotations
 
--- a/gullyoke/extensions/data_folders.py
+++ b/gullyoke/extensions/data_folders.py
@@ -59,7 +59,7 @@
         Args:
             kind: the kind.
             size_bytes: returns how many bytes it uses.
-            reclaim: deletes at least so many bytes of it; None where none may be deleted.
+            reclaim: deletes at least a number of bytes of it; None where none may be deleted.
         """
         self.sizes[kind] = size_bytes
         if reclaim is not None:
@@ -80,7 +80,7 @@
         return self.quota.accepts_kind(kind, self.monitor.update_state())
 
     def _check_usage(self, state: DiskState) -> None:
-        """Free space where it is short: compact first, then delete what is worth least."""
+        """Free space if it is short: compact first, then delete what the quota asks for."""
         now = clock.now()
         if now < self.next_check_us:
             return
@@ -103,7 +103,7 @@
         self.folders: dict[str, DataFolder] = {}
 
     def open(self, path: str, quota_bytes: int, metrics: Metrics) -> DataFolder:
-        """Return the folder; the quota is that of who asks for it first."""
+        """Return the folder, with a quota that the first call for its path sets."""
         if path not in self.folders:
             self.folders[path] = DataFolder(path, quota_bytes, metrics)
         return self.folders[path]
--- a/gullyoke/extensions/fleet_extension.py
+++ b/gullyoke/extensions/fleet_extension.py
@@ -1,4 +1,4 @@
-"""The base of what is added to a fleet's membership: signals, shares, subsets and duties."""
+"""The base class of the extensions of a fleet's membership: signals, shares, subsets and leases."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         """Check the configuration, while the daemon is built.
 
         Raises:
-            ConfigurationError: it can't be met.
+            ConfigurationError: this server can't do what it asks for.
         """
 
     def start(self, fleet: Fleet) -> None:
@@ -38,7 +38,7 @@
         """Log the state, next to the counters."""
 
     def begin_drain(self) -> None:
-        """Take note that the daemon has begun to drain."""
+        """Prepare for the drain that begins now."""
 
     def close(self) -> None:
         """Release what is open; the daemon ends right after."""
@@ -52,5 +52,5 @@
         return {}
 
     def ignored_changes(self, new: Wanted) -> list[str]:
-        """Return the names of what differs and needs a restart."""
+        """Return the names of the settings that differ and need a restart."""
         return []
--- a/gullyoke/extensions/json_log.py
+++ b/gullyoke/extensions/json_log.py
@@ -1,4 +1,4 @@
-"""Log lines as JSON: one flat object a line, with the names of the key=value lines."""
+"""Log lines as JSON: one flat object in each, with the names of the key=value lines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class JsonLogFormatter(JsonFormatter):
-    """Formats a record as one flat JSON object; values that JSON lacks become texts."""
+    """Formats a record as one flat JSON object; values of types that JSON lacks become strings."""
 
     def __init__(self) -> None:
         super().__init__(reserved_attrs=RESERVED_ATTRS, json_default=str)
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -1,4 +1,4 @@
-"""What the daemon remembers over a restart: the run times that the decisions have learned.
+"""Keeps the run times that the decisions have learned over a restart.
 
 Both recorders run on the timer's thread and read the decisions under the dispatcher's lock.
 """
@@ -55,7 +55,7 @@
         self.folders = folders
 
     def attach(self, daemon: DaemonParts) -> None:
-        """Read what an earlier process has kept."""
+        """Read the rows of an earlier process."""
         self.folder = self.folders.open(self.wanted.folder, self.wanted.quota, daemon.metrics)
         self.store = MemoryStore(
             self.folder, self.wanted.quota, daemon.configuration.settings, daemon.metrics
@@ -64,7 +64,7 @@
         self.warmup = WarmupTracker(daemon, self.store)
 
     def start(self) -> None:
-        """Use what was read once there are decisions, and keep what they learn."""
+        """Apply the rows once there are decisions, and keep what they learn."""
         self.folder.register(
             DataKind.RUN_TIMES, self.store.size_bytes, lambda size: self.store.delete_all()
         )
@@ -87,13 +87,13 @@
         self.start_is_healthy = False
 
     def start(self) -> None:
-        """Look at the decisions from now on, at each interval."""
+        """Read the decisions from now on, at each interval."""
         self.daemon.timer.call_at(clock.now() + LEARNER_INTERVAL_US, self._update)
 
     def _update(self) -> None:
         self.start()
         dispatcher = self.daemon.dispatcher
-        with dispatcher.lock:  # what is copied is small
+        with dispatcher.lock:  # only a small copy is made
             server = dispatcher.server
             if server is None:
                 return
@@ -107,7 +107,7 @@
             self._keep(snapshot, not load.warming_up, draining, overloaded)
 
     def _exchange(self, server: AdmissionController) -> RunTimeSnapshot | None:
-        """Apply what was kept, the first time; return what has been learned by now."""
+        """Apply the kept snapshot the first time; return a snapshot of what is learned now."""
         if server.learner is None:
             return None
         if not self.applied:
@@ -158,7 +158,7 @@
         self.bucket: int | None = None
 
     def start(self) -> None:
-        """Look at the server's age from now on, at each interval until it is warm."""
+        """Follow the server's age from now on, at each interval until it is warm."""
         self.daemon.timer.call_at(clock.now() + WARMUP_INTERVAL_US, self._update)
 
     def _update(self) -> None:
@@ -192,7 +192,7 @@
             self.daemon.metrics.increment("memory.cold_recalled")
 
     def _record_runs(self, server: AdmissionController) -> None:
-        """Record the time of each run, next to what the decisions make of it."""
+        """Record the time of each run, after the decisions have learned from it."""
         decide = server.queue.run_finished
 
         def record(request_class: RequestClass, took_us: int) -> None:
--- a/gullyoke/extensions/memory_store.py
+++ b/gullyoke/extensions/memory_store.py
@@ -1,4 +1,4 @@
-"""The rows that a daemon keeps over a restart: learned run times, the warm-up and past starts.
+"""The rows that a daemon keeps over a restart: learned run times, the warm-up and earlier starts.
 
 gullyoke/storage/run_time_history.py and warmup_history.py decide what the rows mean; here they are
 read at the start and written afterwards. A folder that can't be used is logged and counted, and the
@@ -36,7 +36,7 @@
 
 
 class MemoryStore:
-    """The rows as they were read at the start, and writing new ones.
+    """The rows as they were read at the start; writes new ones.
 
     Attributes:
         digest: identifies the settings of the site; rows of other settings are not used.
@@ -87,7 +87,7 @@
         return self.committer.store.plan.live_bytes() if self.committer is not None else 0
 
     def delete_all(self) -> None:
-        """Delete the run times: a daemon can learn them again."""
+        """Delete the run times, which a daemon can learn again."""
         if self.committer is not None:
             for key in (RUN_TIMES_KEY, WARMUP_KEY):
                 self.committer.put(key, None)
--- a/gullyoke/extensions/operator_file.py
+++ b/gullyoke/extensions/operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file in force, the extensions that it asks for, and reading it again."""
+"""The operator's file in force, the extensions that it asks for, and its reload."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from gullyoke.operator_config.wanted import Dutied, OperatorFileError, Together, Wanted
 from gullyoke.runtime.logs import log, log_fields
 
-#: By a section's name in the log, the attribute of the parsed file that has it.
+#: The attribute of the parsed file that has a section, by the section's name in the log.
 SECTIONS: Final = {
     "ways": "ways",
     "classed": "classed",
@@ -26,7 +26,7 @@
 
 
 class ReloadableExtension(Extension, Protocol):
-    """An extension as its file sees it."""
+    """An extension that takes part in reloads of the operator's file."""
 
     def check_reload(self, new: Wanted) -> None:
         """Check a new file before any of it is applied.
@@ -43,7 +43,7 @@
         """
 
     def ignored_changes(self, new: Wanted) -> list[str]:
-        """Return the names of what differs and needs a restart."""
+        """Return the names of the settings that differ and need a restart."""
 
 
 class OperatorFile:
@@ -99,7 +99,7 @@
 def create_extensions(path: str, wanted: Wanted) -> list[ReloadableExtension]:
     """Create the extensions that the file asks for, in the order in which they attach.
 
-    What only some files need is imported here, since it takes memory.
+    Modules that only some files need are imported here, since they take memory.
     """
     extensions: list[ReloadableExtension] = []
     back_ends = None
@@ -118,7 +118,7 @@
 def _create_stateful_extensions(
     path: str, wanted: Wanted, back_ends: BackEnds | None
 ) -> list[ReloadableExtension]:
-    """Create those that write to folders; they share the watch of a folder."""
+    """Create the extensions that write to folders; they share the monitor of a folder."""
     from gullyoke.extensions.data_folders import DataFolders
 
     folders = DataFolders()
@@ -149,7 +149,7 @@
 def create_fleet_extensions(
     wanted: Together, duties: Dutied | None, back_ends: BackEnds | None
 ) -> list[FleetExtension]:
-    """Create what the file adds to the fleet's membership."""
+    """Create the extensions of the fleet's membership."""
     extensions: list[FleetExtension] = []
     if wanted.signals:
         from gullyoke.extensions.signals import Signals
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -1,8 +1,7 @@
 """This server's part of the limits that all servers share.
 
-These are the calls of the dependency that may be in flight at once (slots) and the quotas of
-tenants. Both are split into tokens, which members of the fleet lend to each other with their
-datagrams.
+These limits are the calls of the dependency that may be in flight at once (slots) and the quotas of
+tenants. Both are split into tokens, which the members of the fleet lend to each other.
 """
 
 from __future__ import annotations
@@ -61,14 +60,14 @@
         self.logged_in_force: object = None
 
     def tokens_per_slot(self) -> int:
-        """Return how many tokens a slot is; a limit on a mean is lent in parts of a call."""
+        """Return how many tokens a slot has; a limit on a mean is lent in parts of a call."""
         return TOKENS_PER_CALL if self.wanted.mean else 1
 
     def attach(self, fleet: Fleet) -> None:
-        """Check that the site has what is to be shared.
+        """Check that the site has the limits that are to be shared.
 
         Raises:
-            ConfigurationError: it has not.
+            ConfigurationError: it lacks one.
         """
         facts = fleet.daemon.configuration.facts
         if self.wanted.quotas and not facts.tenants:
@@ -161,8 +160,8 @@
 
         Args:
             tokens: the whole limit.
-            linger_us: for how long what a server used stays in use after its end.
-            window_us: for how long it counts after that.
+            linger_us: for how long a server's tokens stay in use after its end.
+            window_us: for how long they count in a mean after that.
         """
         wanted = self.wanted
         floor, lendable = split_limit(tokens, wanted.largest, wanted.homes, wanted.floor_share)
--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -1,4 +1,4 @@
-"""Load signals: the members of a fleet tell each other how loaded they are.
+"""Load signals: the members of a fleet send each other their load.
 
 From the peers' signals a server sees whether it alone is slow or the whole fleet is loaded. Where
 the operator's file says so, retry advice and health answers follow from that.
@@ -39,7 +39,7 @@
         """Create the extension.
 
         Args:
-            acts: whether advice and health answers follow the signals, or they are only shown.
+            acts: whether retry advice and health answers depend on the signals, which are shown anyway.
         """
         self.acts = acts
         self.sender = ReportSmoother()
@@ -78,10 +78,10 @@
             return LoadReport.of(load, _stage(dispatcher, load))
 
     def _judge(self, reading: LoadReport) -> LoadReport:
-        """Judge a reading by the peers' and return what is sent of it; under the link's lock."""
+        """Compare a reading with the peers', and return the one to send; under the link's lock."""
         now = clock.now()
         pauses = self.fleet.member.local_health.woke_at
-        if pauses != self.seen_pauses:  # this process was stopped: what it had received is old
+        if pauses != self.seen_pauses:  # this process was paused: the received reports are old
             self.seen_pauses = pauses
             self.received.clear()
         self.judgement.update(now, reading, self.received.valid(now))
@@ -90,9 +90,9 @@
         return reading
 
     def _apply_judgement(self, reading: LoadReport) -> None:
-        """This server alone is slow from now on, or no longer: health answers say so.
+        """Log whether this server alone is slow now, and let health answers follow.
 
-        While it drains they are left as they are.
+        They do not change while it drains.
         """
         daemon = self.fleet.daemon
         alone_slow = self.judgement.withdrawn
--- a/gullyoke/extensions/subsets.py
+++ b/gullyoke/extensions/subsets.py
@@ -1,4 +1,4 @@
-"""Which back ends this server uses, and whose turn it is to probe an ejected one.
+"""Selects the back ends that this server uses, and decides which server probes an ejected one.
 
 Where many servers share many back ends, each uses a subset. All members of a fleet compute the same
 subsets and turns from the same view, so nothing is negotiated.
@@ -19,7 +19,7 @@
 from gullyoke.runtime.logs import log, log_fields
 
 PROBE_TURN_US: Final = 250_000
-#: Within so many turns each member has had one.
+#: Within this many turns each member has one.
 PROBE_TURNS: Final = 20
 
 
@@ -64,7 +64,7 @@
         if self.subset is None:
             return
         order = self._preference({row.name: row.zone for row in rows})
-        if self.fleet.daemon.configuration.name in self.members:  # else what was chosen last stays
+        if self.fleet.daemon.configuration.name in self.members:  # else the last selection stays
             self.subset.follow(now, order[: self.size])
         selected = frozenset(self.subset.with_helpers(now, order, self.back_ends.ejected()))
         if selected != self.back_ends.selected:
--- a/tests/cli/test_operator.py
+++ b/tests/cli/test_operator.py
@@ -1,7 +1,4 @@
-"""The operator's file and the command line.
-
-What is right, and one line for each thing that is not.
-"""
+"""The operator's file and the command line: valid files, and one line for each fault."""
 
 import pathlib
 import re
@@ -33,7 +30,7 @@
             file.write(text)
         return file.name
 
-    def test_generated(self):
+    def test_generated_code_is_current(self):
         """The generated code is that of the schema beside it."""
         with tempfile.NamedTemporaryFile() as out:
             self.assertEqual(
@@ -49,13 +46,13 @@
                 0,
             )
             found = descriptor_pb2.FileDescriptorSet.FromString(out.read()).file[0]
-        ours = descriptor_pb2.FileDescriptorProto()
-        schema.DESCRIPTOR.CopyToProto(ours)
+        imported = descriptor_pb2.FileDescriptorProto()
+        schema.DESCRIPTOR.CopyToProto(imported)
         # The compiler writes out JSON names that follow from the fields' own.
-        self.assertEqual(re.sub(r' +json_name: ".*"\n', "", str(found)), str(ours))
+        self.assertEqual(re.sub(r' +json_name: ".*"\n', "", str(found)), str(imported))
 
     def test_example(self):
-        """The example in deploy/ is right, and what is not said has its default."""
+        """The example in deploy/ is valid, and settings that it leaves out have their defaults."""
         wanted = read(str(ROOT / "deploy/scgi.textproto"))
         self.assertEqual([w.name for w in wanted.ways], ["scgi", "local"])
         self.assertEqual(wanted.ways[1].address, "/run/gullyoke/scgi.sock")
@@ -68,7 +65,7 @@
         self.assertEqual((empty.ways, empty.pool, empty.json_log), ((), None, False))
 
     def test_faults(self):
-        """Each fault is one line: the file, the line, the key, what would be right."""
+        """Each fault is one line: the file, the line, the key and the valid values."""
         for text, said in (
             (
                 "\n\nlistner { }",
@@ -137,7 +134,7 @@
             read("/nowhere/at/all")
 
     def test_all_faults(self):
-        """All of them are told at once, in the order of the lines."""
+        """All faults are reported at once, in the order of their lines."""
         path = self.write(BACK + '\n retry_share: 7\n linger_ms: 700000\n}\nlistener { name: "a" }')
         result = CliRunner().invoke(main, ["check", path])
         self.assertEqual(result.exit_code, 2)
@@ -159,11 +156,8 @@
         self.assertEqual((wrong.exit_code, "backends.backend: missing" in wrong.stderr), (2, True))
         self.assertEqual(run(main, ["serve", "--operator", "/nowhere"]).exit_code, 2)
 
-    def test_lean(self):
-        """Without an operator's file none of what it needs is imported.
-
-        Memory on the platform is short.
-        """
+    def test_imports_without_file(self):
+        """Without an operator's file its modules are not imported, which saves memory."""
         code = (
             "import sys; import gullyoke.daemon.daemon, gullyoke.daemon.serve, gullyoke.daemon.configuration;"
             "print([m for m in sys.modules if m.split('.')[0] in ('google', 'click', 'pythonjsonlogger')"
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -1,4 +1,4 @@
-"""What an operator asks a running server on loopback: one line in, one JSON object out."""
+"""The status server on loopback: a command is one line, the answer is one JSON object."""
 
 import json
 import random
@@ -8,19 +8,16 @@
 
 from gullyoke.coordination.limit_parts import ConcurrencyPart
 from gullyoke.coordination.quota_participant import QuotaParticipant
-from gullyoke.coordination.signals import LoadReport, ReceivedReports
-from gullyoke.coordination.signals import ServingStage as Standing
+from gullyoke.coordination.signals import LoadReport, ReceivedReports, ServingStage
 from gullyoke.durability.disk_health import DiskState
 from gullyoke.extensions.charges import Roll
 from gullyoke.extensions.duties import Duty
 from gullyoke.leases.candidate import Candidate
-from gullyoke.leases.candidate_state import CandidateState as DutyState
-from gullyoke.leases.candidate_state import LeaseChange
+from gullyoke.leases.candidate_state import CandidateState, LeaseChange
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.replicated_record import RecordStore
 from gullyoke.leases.rolling_restart import RestartPlan
-from gullyoke.leases.voter import Promise as Promise
-from gullyoke.leases.voter import Voter
+from gullyoke.leases.voter import Promise, Voter
 from gullyoke.membership import Member, MemberRecord, Status
 from gullyoke.membership.join_state import JoinStage
 from gullyoke.operator_config.wanted import Dutied
@@ -34,12 +31,12 @@
 from gullyoke.runtime.metrics import Metrics
 
 NUMBER = 1_700_000_000 << 20
-PATIENCE = 10
+TIMEOUT_S = 10
 VOTERS = {"server-1": "10.0.0.1:7900", "server-2": "10.0.0.2:7900", "server-3": "10.0.0.3:7900"}
 
 
-class Asked(unittest.TestCase):
-    """One member that is alone in its fleet, and the socket on which it is asked."""
+class StatusServerTest(unittest.TestCase):
+    """Base: a member that is alone in its fleet, and its status server."""
 
     def setUp(self):
         self.metrics = Metrics()
@@ -53,7 +50,7 @@
         self.addCleanup(self.answers.end)
 
     def ask(self, line):
-        with socket.create_connection(self.answers.sock.getsockname(), PATIENCE) as conn:
+        with socket.create_connection(self.answers.sock.getsockname(), TIMEOUT_S) as conn:
             conn.sendall(line + b"\n")
             with conn.makefile("rb") as file:
                 answer = file.read()
@@ -61,12 +58,12 @@
         return json.loads(answer)
 
 
-class MemberAsks(Asked):
+class MemberCommandsTest(StatusServerTest):
     def test_unknown(self):
         self.assertEqual(self.ask(b"what"), {"fault": "right would be status or events"})
 
     def test_stages(self):
-        """The texts by which an answer names a member's stage, a disk's and a duty's state."""
+        """The names in answers of a member's stages, a disk's states and a lease's states."""
         self.assertEqual(
             [stage.value for stage in JoinStage], ["alone", "joining", "in", "out", "displaced"]
         )
@@ -75,7 +72,7 @@
             ["well", "near full", "full", "failing", "stalled", "read-only", "gone"],
         )
         self.assertEqual(
-            [state.value for state in DutyState], ["idle", "sounding", "asking", "holding"]
+            [state.value for state in CandidateState], ["idle", "sounding", "asking", "holding"]
         )
 
     def test_status(self):
@@ -85,7 +82,7 @@
         self.member.view.merge(clock.now(), other)
         self.link.signals = ReceivedReports()
         self.link.signals.take(
-            clock.now(), other.id, 1, LoadReport(0.6, 0.2, 1.4, Standing.WARM).pack()
+            clock.now(), other.id, 1, LoadReport(0.6, 0.2, 1.4, ServingStage.WARM).pack()
         )
         sharing = QuotaParticipant(clock.now(), 7, VOTERS, 30, 5, "server-1", True)
         slots = SharedSlots(
@@ -173,8 +170,8 @@
         )
 
 
-class DutyAsks(Asked):
-    """The same connection, where this server votes on duties and conducts rolling restarts."""
+class LeaseCommandsTest(StatusServerTest):
+    """The commands of a server that votes on leases and runs rolling restarts."""
 
     def setUp(self):
         super().setUp()
--- a/tests/compatibility/test_operator_file.py
+++ b/tests/compatibility/test_operator_file.py
@@ -29,7 +29,7 @@
 
 
 def unset(message: Message, path: str = "") -> list[str]:
-    """The fields of a message, and of the first of each repeated one, that are not set."""
+    """Return the unset fields of a message, and of the first entry of each repeated field."""
     found = []
     for field in message.DESCRIPTOR.fields:
         value = getattr(message, field.name)
@@ -51,7 +51,7 @@
         self.assertEqual(unset(text_format.Parse(FILE.read_text(), schema.Operator())), [])
 
     def test_schema_package(self):
-        """The names that other programs generated from the schema go by."""
+        """Programs generated from the schema depend on these names."""
         self.assertEqual(schema.DESCRIPTOR.package, "gullyoke")
         self.assertEqual(
             [field.name for field in schema.Operator.DESCRIPTOR.fields],
@@ -184,7 +184,7 @@
         self.assertEqual(found[4], Kept("/var/lib/gullyoke", 16_777_216, ""))
 
     def test_signals_and_heed(self):
-        """Whoever heeds signals sends them as well."""
+        """A server that acts on signals also sends them."""
         fleet = (
             'fleet { name: "orders" listen: "10.0.0.4:7900" seed: "10.0.0.4:7900" '
             'key_file: "/etc/key" %s }'
