--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -147,7 +147,7 @@
                 request.arrived,
                 window_end,
                 request.deadline,
-                self.real.server.queue.run_times[keyed_class],
+                self.real.controller.queue.run_times[keyed_class],
                 fit,
             )
 
@@ -304,7 +304,7 @@
             self.inner.start_run(request)
         else:
             self.left(request.request_id)
-            self.real.server.on_event(self.real.now, request, RequestEvent.NO_CAPACITY)
+            self.real.controller.on_event(self.real.now, request, RequestEvent.NO_CAPACITY)
 
     def overdue(self, now: int) -> None:
         """Act on the requests whose writes are not durable in time, as the policy says."""
