--- a/gullyoke/cli/fleet.py
+++ b/gullyoke/cli/fleet.py
@@ -418,19 +418,19 @@
         )
     import os
 
-    from gullyoke.extensions.duties import FOLDER, OURS
+    from gullyoke.extensions.duties import FOLDER_NAME, OWNER_KEY
     from gullyoke.leases.promises import Promise
     from gullyoke.peer_transport.lease_codec import decode_rows, encode_promise
     from gullyoke.storage import SlotFile, StorageFolder
 
-    files = StorageFolder(os.path.join(folder, FOLDER))
+    files = StorageFolder(os.path.join(folder, FOLDER_NAME))
     try:
         store = SlotFile(files)
-        promised, _ = decode_rows((key, value) for key, value in store.items() if key != OURS)
+        promised, _ = decode_rows((key, value) for key, value in store.items() if key != OWNER_KEY)
         raised = {duty: Promise(row.epoch + 1_000_000, 0, "") for duty, row in promised.items()}
         store.put(
             [
-                (OURS, f"{name} {number}".encode()),
+                (OWNER_KEY, f"{name} {number}".encode()),
                 *((f"promise {duty}", encode_promise(row)) for duty, row in raised.items()),
             ]
         )
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -33,11 +33,11 @@
 from gullyoke.runtime.logs import log, log_fields
 from gullyoke.storage.append_file import AppendFile
 
-YOUNG = 6_000_000  # microseconds for which an announcement is valid
-LONGEST = 2**20  # bytes of the file of the fleet's record
+ANNOUNCEMENT_VALID_US = 6_000_000  # microseconds for which an announcement is valid
+MAX_RECORD_FILE_BYTES = 2**20  # bytes of the file of the fleet's record
 
 
-class Charge:
+class SingletonTask:
     """The base of the singleton tasks; it does nothing.
 
     Attributes:
@@ -53,37 +53,37 @@
         """Do the task; called ten times a second while this server holds the lease."""
         ...
 
-    def idle(self, now: int) -> None:
+    def stop(self, now: int) -> None:
         """Stop the task; called ten times a second while this server does not hold the lease."""
         ...
 
-    def notice(self) -> bytes:
+    def announcement_body(self) -> bytes:
         """Return what the holder announces to all members."""
         return b""
 
-    def heard(self, now: int, notice: Announcement) -> None:
+    def apply_announcement(self, now: int, announcement: Announcement) -> None:
         """Apply an announcement of the holder; not called while this server is the holder."""
         ...
 
-    def asked(self, now: int, words: list[str]) -> dict:
+    def execute_command(self, now: int, words: list[str]) -> dict:
         """Carry out an operator's command at the holder, and return the answer."""
         return {"fault": f"{self.name} takes no commands"}
 
-    def told(self, now: int) -> dict:
+    def status(self, now: int) -> dict:
         """Return what the status answer shows of the task."""
         return {}
 
 
-class Gated:
+class GatedDependencySlots:
     """Dependency slots that hold back the calls of a dependency that is down.
 
     While the dependency counts as down, only the holder of the lease calls it, as a probe.
     """
 
     def __init__(
-        self, slots: DependencySlots, probe: DependencyProbe, holding: Callable[[int], bool]
+        self, slots: DependencySlots, probe: DependencyProbe, is_lease_held: Callable[[int], bool]
     ) -> None:
-        self.slots, self.probe, self.holding = slots, probe, holding
+        self.slots, self.probe, self.is_lease_held = slots, probe, is_lease_held
         self.lock = threading.Lock()
 
     def update_mean_limit(
@@ -96,7 +96,7 @@
             return False
         if not self.probe.dead and self.probe.opened is None:
             return True  # the usual case takes no lock
-        held = self.holding(now) if self.probe.dead else False
+        held = self.is_lease_held(now) if self.probe.dead else False
         with self.lock:
             self.probe.set_lease_held(held)
             return self.probe.allows_call(now)
@@ -116,7 +116,7 @@
             self.probe.record_call(now, succeeded)
 
 
-class Ask(Charge):
+class DependencyHealthCheck(SingletonTask):
     """The dependency health check.
 
     The holder probes a dependency that is down; the others learn its health from the holder's
@@ -130,7 +130,7 @@
         daemon_configuration = fleet.daemon.configuration
         self.probe = DependencyProbe(random.Random(daemon_configuration.seed ^ 0xA5C).random)
         dependency_facts = daemon_configuration.facts.dependency
-        self.gate = dependency_facts.slots = Gated(
+        self.gated_slots = dependency_facts.slots = GatedDependencySlots(
             dependency_facts.slots,
             self.probe,
             lambda now: duties.held_epoch(now, self.name) is not None,
@@ -146,18 +146,18 @@
             )
             log.warning("dependency", extra=log_fields(dead=self._logged_dead, epoch=epoch))
 
-    def notice(self) -> bytes:
+    def announcement_body(self) -> bytes:
         return b"dead" if self.probe.dead else b"well"
 
-    def heard(self, now: int, notice: Announcement) -> None:
-        with self.gate.lock:
-            self.probe.record_announcement(now, notice.epoch, notice.body == b"dead")
+    def apply_announcement(self, now: int, announcement: Announcement) -> None:
+        with self.gated_slots.lock:
+            self.probe.record_announcement(now, announcement.epoch, announcement.body == b"dead")
 
-    def told(self, now: int) -> dict:
+    def status(self, now: int) -> dict:
         return {"dead": self.probe.dead, "tries": self.probe.probes_sent}
 
 
-class Book(Charge):
+class OrphanedQuotaLender(SingletonTask):
     """Lends the orphaned quota: the tokens of lenders that are no longer members.
 
     A majority of the lenders decides who lends for one that is gone, so two servers can't lend
@@ -178,7 +178,7 @@
             wanted.homes,
             wanted.floor_share,
         )
-        self.gone: tuple[str, ...] = ()
+        self.gone_lenders: tuple[str, ...] = ()
 
     def act(self, now: int, epoch: int) -> None:
         with self.fleet.link.lock:
@@ -187,41 +187,41 @@
         gone = (
             tuple(sorted(home for home in self.homes if home not in members)) if size_usable else ()
         )
-        self.lend(gone)
+        self.lend_for(gone)
 
-    def lend(self, gone: tuple[str, ...]) -> None:
+    def lend_for(self, gone: tuple[str, ...]) -> None:
         """Lend for these lenders and for no others."""
-        if gone != self.gone:
+        if gone != self.gone_lenders:
             log.warning("book of shares", extra=log_fields(lends_for=",".join(gone) or "-"))
-        self.gone = gone
+        self.gone_lenders = gone
         shared = self.shares.shared
         with shared.lock:
             shared.own.participant.take_over({home: self.tokens[home] for home in gone})
 
-    def idle(self, now: int) -> None:
-        if self.gone:
-            self.lend(())
+    def stop(self, now: int) -> None:
+        if self.gone_lenders:
+            self.lend_for(())
 
-    def notice(self) -> bytes:
+    def announcement_body(self) -> bytes:
         address = self.fleet.wanted.advertise
-        return json.dumps(dict.fromkeys(self.gone, address)).encode()
+        return json.dumps(dict.fromkeys(self.gone_lenders, address)).encode()
 
-    def heard(self, now: int, notice: Announcement) -> None:
+    def apply_announcement(self, now: int, announcement: Announcement) -> None:
         """Borrow from the substitutes of these lenders while the announcement is valid."""
         try:
             addresses = {
                 str(home): str(address)
-                for home, address in json.loads(notice.body or b"{}").items()
+                for home, address in json.loads(announcement.body or b"{}").items()
             }
         except (ValueError, AttributeError):
             return
-        self.shares.shared.substitutes = Substitutes(addresses, now + YOUNG)
+        self.shares.shared.substitutes = Substitutes(addresses, now + ANNOUNCEMENT_VALID_US)
 
-    def told(self, now: int) -> dict:
-        return {"lends_for": list(self.gone)}
+    def status(self, now: int) -> dict:
+        return {"lends_for": list(self.gone_lenders)}
 
 
-class Roll(Charge):
+class RollingRestart(SingletonTask):
     """Conducts a rolling restart; each step is stored by a majority before it is acted on."""
 
     name = "roll"
@@ -229,8 +229,10 @@
     def __init__(self, fleet: Fleet, duties: LeaseService) -> None:
         super().__init__(fleet, duties)
         self.plan, self.next, self.epoch = rolls.RestartPlan(), 0, 0
-        self.since: dict[str, int] = {}  # by member: since when it has been alive without a break
-        self.ordered: dict[str, int] = {}  # by member: when it was last instructed to drain
+        self.alive_since_us: dict[
+            str, int
+        ] = {}  # by member: since when it has been alive without a break
+        self.instructed_us: dict[str, int] = {}  # by member: when it was last instructed to drain
 
     def act(self, now: int, epoch: int) -> None:
         register = self.duties.register(self.name)
@@ -243,17 +245,19 @@
                 self.plan = rolls.RestartPlan()
                 self.fleet.daemon.metrics.increment("duty.roll_unreadable")
             self.epoch = epoch
-            self.ordered.clear()
+            self.instructed_us.clear()
         if not register.committed or now < self.next:
             return
         self.next = now + 300_000
-        plan = rolls.step(self.plan, now, self.seen(now), self.fleet.daemon.configuration.name)
+        plan = rolls.step(
+            self.plan, now, self.update_fleet_state(now), self.fleet.daemon.configuration.name
+        )
         if plan != self.plan:
-            self.take(plan, "step")
+            self.store_plan(plan, "step")
             return  # members are instructed once the plan is stored by a majority
-        self.send(now, epoch)
+        self.send_instructions(now, epoch)
 
-    def take(self, plan: rolls.RestartPlan, why: str) -> None:
+    def store_plan(self, plan: rolls.RestartPlan, why: str) -> None:
         """Replace the plan, and have it stored by a majority."""
         if plan.state != self.plan.state:
             log.warning(
@@ -264,27 +268,27 @@
         if register is not None:
             register.put(plan.pack())
 
-    def send(self, now: int, epoch: int) -> None:
+    def send_instructions(self, now: int, epoch: int) -> None:
         """Instruct the members of this step to drain, again each second until they have restarted.
 
         A member that is draining ignores the repeats.
         """
         if self.plan.state != "going":
             return
-        starts = {member.name: member.start for member in self.seen(now).members}
+        starts = {member.name: member.start for member in self.update_fleet_state(now).members}
         own_name = self.fleet.daemon.configuration.name
         for name, _, start in self.plan.doing:
-            if starts.get(name) != start or now - self.ordered.get(name, 0) < 1_000_000:
+            if starts.get(name) != start or now - self.instructed_us.get(name, 0) < 1_000_000:
                 continue
-            self.ordered[name] = now
+            self.instructed_us[name] = now
             if self.duties.held_epoch(clock.now(), self.name) != epoch:
                 return
             if name == own_name:
                 self.drain(now, epoch)
             else:
                 self.duties.instruct(self.name, epoch, name, "drain", str(start).encode())
-        for name in [n for n in self.ordered if n not in {row[0] for row in self.plan.doing}]:
-            del self.ordered[name]
+        for name in [n for n in self.instructed_us if n not in {row[0] for row in self.plan.doing}]:
+            del self.instructed_us[name]
 
     def drain(self, now: int, epoch: int) -> None:
         """Drain this server as SIGTERM does."""
@@ -292,18 +296,18 @@
         log.warning("roll: this server's turn", extra=log_fields(epoch=epoch))
         os.kill(os.getpid(), signal.SIGTERM)
 
-    def obey(self, now: int, order: Instruction) -> None:
+    def apply_instruction(self, now: int, instruction: Instruction) -> None:
         """Drain, if the lease holder's instruction is for the present start of this server.
 
         The instruction has the number of the start, so a late one does not drain the server again
         after its restart.
         """
         own_start = self.fleet.member.record.version // REFUTATIONS_PER_START
-        applies = order.what == "drain" and order.body == str(own_start).encode()
+        applies = instruction.what == "drain" and instruction.body == str(own_start).encode()
         if applies and self.fleet.daemon.dispatcher.stop_at is None:
-            self.drain(now, order.epoch)
+            self.drain(now, instruction.epoch)
 
-    def seen(self, now: int) -> rolls.FleetState:
+    def update_fleet_state(self, now: int) -> rolls.FleetState:
         """Return the state of the members, and note since when each has been alive."""
         fleet = self.fleet
         with fleet.link.lock:
@@ -320,8 +324,8 @@
             alive = states[row.id] == "alive"
             calm = reading is None or reading.rejected_share < 0.25
             if not alive:
-                self.since[row.name] = now
-            self.since.setdefault(row.name, now)
+                self.alive_since_us[row.name] = now
+            self.alive_since_us.setdefault(row.name, now)
             if reading is not None:
                 rejected_shares.append(reading.rejected_share)
             members.append(
@@ -330,51 +334,51 @@
                     row.zone,
                     row.version // REFUTATIONS_PER_START,
                     alive and row.status is Status.ALIVE,
-                    self.since[row.name],
+                    self.alive_since_us[row.name],
                     calm,
                 )
             )
         names = {row.name for row in rows}
-        for name in [n for n in self.since if n not in names]:
-            del self.since[name]
+        for name in [n for n in self.alive_since_us if n not in names]:
+            del self.alive_since_us[name]
         rejected_shares.sort()
         return rolls.FleetState(
             tuple(members), rejected_shares[len(rejected_shares) // 2] if rejected_shares else 0.0
         )
 
-    def asked(self, now: int, words: list[str]) -> dict:
+    def execute_command(self, now: int, words: list[str]) -> dict:
         register = self.duties.register(self.name)
         if register is None or register.body is None:
             return {"fault": "this server does not conduct"}
         try:
             if words[0] == "start":
                 at_once, a_zone = (float(share) for share in words[1:3])
-                plan = rolls.start(self.plan, self.seen(now), at_once, a_zone)
+                plan = rolls.start(self.plan, self.update_fleet_state(now), at_once, a_zone)
             elif words[0] == "pause":
                 plan = rolls.pause(self.plan, "asked for")
             elif words[0] == "resume":
-                plan = rolls.resume(self.plan, now, self.seen(now))
+                plan = rolls.resume(self.plan, now, self.update_fleet_state(now))
             elif words[0] == "cancel":
                 plan = rolls.cancel(self.plan, "asked for")
             else:
                 return {"fault": "right would be start, pause, resume or cancel"}
         except (ValueError, IndexError) as error:
             return {"fault": str(error)}
-        self.take(plan, words[0])
+        self.store_plan(plan, words[0])
         return {"plan": plan._asdict()}
 
-    def notice(self) -> bytes:
+    def announcement_body(self) -> bytes:
         return self.plan.pack()
 
-    def heard(self, now: int, notice: Announcement) -> None:
+    def apply_announcement(self, now: int, announcement: Announcement) -> None:
         try:
-            self.plan = rolls.unpack_plan(notice.body)
+            self.plan = rolls.unpack_plan(announcement.body)
         except (ValueError, TypeError, KeyError):
             self.fleet.daemon.metrics.increment("duty.roll_unreadable")
 
-    def told(self, now: int) -> dict:
+    def status(self, now: int) -> dict:
         fields = self.plan._asdict()
-        fleet = self.seen(now)
+        fleet = self.update_fleet_state(now)
         return fields | {
             "left": [member.name for member in rolls.members_to_restart(self.plan, fleet)]
             if self.plan.state in ("going", "paused", "stopped")
@@ -383,7 +387,7 @@
         }
 
 
-class Record(Charge):
+class FleetRecord(SingletonTask):
     """The fleet's record: a line for each change of the members and for each new holder.
 
     The lines are in the holder's folder, each with the epoch. They are numbered; the next holder
@@ -394,14 +398,14 @@
 
     def __init__(self, fleet: Fleet, duties: LeaseService, folder: DataFolder) -> None:
         super().__init__(fleet, duties)
-        self.lines = AppendFile(
+        self.file = AppendFile(
             os.path.join(folder.path, "record.jsonl"),
-            LONGEST,
+            MAX_RECORD_FILE_BYTES,
             folder.monitor,
             lambda: folder.accepts(DataKind.FLEET_RECORD),
         )
         folder.register(
-            DataKind.FLEET_RECORD, self.lines.size_bytes, lambda size: self.lines.drop_older()
+            DataKind.FLEET_RECORD, self.file.size_bytes, lambda size: self.file.drop_older()
         )
         self.last, self.epoch, self.count = None, 0, 0
 
@@ -416,10 +420,10 @@
         with self.fleet.link.lock:
             size, view = self.fleet.member.size(now), self.fleet.member.view
             state = size.members, f"{view.digest:016x}"
-        if self.lines.faults:  # this server's disk fails: another server should hold the lease
+        if self.file.faults:  # this server's disk fails: another server should hold the lease
             self.fleet.daemon.metrics.increment("duty.record_faults")
-            self.lines.faults = 0
-            self.duties.leave(self.name, f"its disk: {self.lines.reason}", failed=True)
+            self.file.faults = 0
+            self.duties.leave(self.name, f"its disk: {self.file.reason}", failed=True)
             return
         if state != self.last:
             self.last = state
@@ -429,7 +433,7 @@
     def write(self, now: int, row: dict, register) -> None:
         """Append one line of at most 256 bytes, and store its number for the next holder."""
         self.count += 1
-        self.lines.add(
+        self.file.add(
             json.dumps(
                 {
                     "n": self.count,
@@ -442,11 +446,11 @@
         )
         register.put(str(self.count).encode())
 
-    def told(self, now: int) -> dict:
+    def status(self, now: int) -> dict:
         return {"count": self.count}
 
 
-class Told(Charge):
+class ApplicationLease(SingletonTask):
     """A lease of the application's own.
 
     While this server holds the lease it tells the application so at each interval, with the epoch
@@ -456,15 +460,17 @@
     def __init__(self, fleet: Fleet, duties: LeaseService, wanted: OwnDuty) -> None:
         super().__init__(fleet, duties)
         self.name, self.wanted, self.next, self.faults, self.stale = wanted.name, wanted, 0, 0, 0
-        self.going = threading.Lock()  # held while a message to the application is under way
+        self.message_lock = threading.Lock()  # held while a message to the application is under way
 
     def act(self, now: int, epoch: int) -> None:
         """Send the message on a thread of its own, unless one is still under way."""
-        if now >= self.next and self.going.acquire(blocking=False):
+        if now >= self.next and self.message_lock.acquire(blocking=False):
             self.next = now + self.wanted.every
-            threading.Thread(target=self.tell, args=(epoch,), name="duty", daemon=True).start()
+            threading.Thread(
+                target=self.notify_application, args=(epoch,), name="duty", daemon=True
+            ).start()
 
-    def tell(self, epoch: int) -> None:
+    def notify_application(self, epoch: int) -> None:
         """Tell the application of the lease, and give the lease up where the application can't act.
 
         That is so if it has seen a newer epoch, or if it can't be reached three times in a row.
@@ -494,4 +500,4 @@
         except Exception:
             self.fleet.daemon.metrics.record_internal_error("duty")
         finally:
-            self.going.release()
+            self.message_lock.release()
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -12,7 +12,15 @@
 import time
 
 from gullyoke.errors import ConfigurationError
-from gullyoke.extensions.charges import YOUNG, Ask, Book, Charge, Record, Roll, Told
+from gullyoke.extensions.charges import (
+    ANNOUNCEMENT_VALID_US,
+    ApplicationLease,
+    DependencyHealthCheck,
+    FleetRecord,
+    OrphanedQuotaLender,
+    RollingRestart,
+    SingletonTask,
+)
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.leases.announcements import Announcement, ForwardedCommand, Instruction
@@ -31,14 +39,14 @@
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 
-ACT = 100_000  # microseconds between runs of the tasks
-NOTICE = 2_000_000  # microseconds between announcements of each lease
-FOLDER, QUOTA, OURS = "duties", 4 * 2**20, "voter"
-CLOSE = 0.5  # seconds for which the end waits for a disk that hangs
-HISTORY = 64  # lease changes that the status answer shows
+TASK_INTERVAL_US = 100_000  # microseconds between runs of the tasks
+ANNOUNCEMENT_INTERVAL_US = 2_000_000  # microseconds between announcements of each lease
+FOLDER_NAME, QUOTA_BYTES, OWNER_KEY = "duties", 4 * 2**20, "voter"
+CLOSE_TIMEOUT_S = 0.5  # seconds for which the end waits for a disk that hangs
+MAX_LEASE_CHANGES = 64  # lease changes that the status answer shows
 
 
-def ours(mark: bytes) -> tuple[str, int]:
+def unpack_owner(mark: bytes) -> tuple[str, int]:
     """Return whose folder it is, as voter and voter set, by the mark in it; "" and 0 if invalid."""
     words = mark.decode("utf-8", "replace").split()
     if len(words) != 2 or not words[1].isdigit():
@@ -46,25 +54,25 @@
     return words[0], int(words[1])
 
 
-class Duty(FleetExtension):
+class FleetLeases(FleetExtension):
     """Takes part in the leases of the operator's file.
 
     Attributes:
         wanted: the section of the file, with the voter set in force.
         duties: the voter, the candidates and the links to the other members.
-        charges: the tasks, by the name of their lease.
-        turns: the last `HISTORY` lease changes at this server.
-        noticed: when each lease was last announced.
-        placed: what the members were last ranked by.
+        tasks: the tasks, by the name of their lease.
+        lease_changes: the last `MAX_LEASE_CHANGES` lease changes at this server.
+        announced_us: when each lease was last announced.
+        placements: what the members were last ranked by.
     """
 
     def __init__(self, wanted: Dutied) -> None:
         self.wanted, self.fleet, self.duties = wanted, None, None
-        self.charges: dict[str, Charge] = {}
-        self.turns: list[LeaseChange] = []
-        self.noticed: dict[str, int] = {}
+        self.tasks: dict[str, SingletonTask] = {}
+        self.lease_changes: list[LeaseChange] = []
+        self.announced_us: dict[str, int] = {}
         self.committer = self.files = None
-        self.ended, self.placed = False, []
+        self.ended, self.placements = False, []
 
     def attach(self, fleet: Fleet) -> None:
         """Check that this server has a folder if it is a voter.
@@ -84,15 +92,15 @@
         """Start the voter, the candidates and the thread that runs the tasks."""
         wanted, site = self.wanted, fleet.daemon.configuration
         self.fleet, row = fleet, fleet.member.record
-        self.spans = spans = LeaseDurations(
+        self.durations = durations = LeaseDurations(
             wanted.lease, wanted.drift, min(200_000, wanted.lease // 10)
         )
         voter, records = None, RecordStore()
         if wanted.folder:
-            self.folder = fleet.folders.open(wanted.folder, QUOTA, fleet.daemon.metrics)
+            self.folder = fleet.folders.open(wanted.folder, QUOTA_BYTES, fleet.daemon.metrics)
             self.folder.start()
         if wanted.voters.get(site.name) == fleet.wanted.advertise:
-            voter, records = self.voter(site.name, row, spans)
+            voter, records = self.create_voter(site.name, row, durations)
         names = [
             name
             for name, on in (
@@ -110,7 +118,7 @@
                 site.name,
                 row.incarnation,
                 wanted.voters,
-                spans,
+                durations,
                 rng.random,
                 wanted.set,
                 lambda: int(time.time()),
@@ -125,27 +133,27 @@
             candidates,
             wanted.voters,
             fleet.taken,
-            self.disk,
+            self.queue_write,
             fleet.daemon.metrics,
         )
         for name, candidate in candidates.items():
-            candidate.listeners.append(lambda turn, name=name: self.turned(name, turn))
-        self.charges = {name: self.charge(name) for name in names}
+            candidate.listeners.append(lambda change, name=name: self.on_lease_change(name, change))
+        self.tasks = {name: self.create_task(name) for name in names}
         link, duties = fleet.link, self.duties
         duties.send = lambda datagrams: link.act(lambda: link.posted(TOPIC, datagrams))
         duties.on_announcement, duties.on_instruction, duties.on_forwarded_command = (
-            self.heard,
-            self.obey,
-            self.pleaded,
+            self.apply_announcement,
+            self.apply_instruction,
+            self.accept_forwarded_command,
         )
         link.topics[TOPIC] = duties
         link.status_sections["duties"] = lambda now: {
-            name: self.known(now, name)[0] for name in self.charges
+            name: self.known_holder(now, name)[0] for name in self.tasks
         }
         link.commands |= {
-            "duties": self.asked_duties,
-            "hand-over": self.asked_hand_over,
-            "roll": self.asked_roll,
+            "duties": self.answer_duties,
+            "hand-over": self.answer_hand_over,
+            "roll": self.answer_roll,
         }
         # A thread of its own, since a task may wait for a disk or a peer.
         threading.Thread(target=self.run, name="duties", daemon=True).start()
@@ -160,21 +168,21 @@
             ),
         )
 
-    def charge(self, name: str) -> Charge:
+    def create_task(self, name: str) -> SingletonTask:
         """Create the task that runs under a lease."""
-        made = {"ask": Ask, "book": Book, "roll": Roll}
+        made = {"ask": DependencyHealthCheck, "book": OrphanedQuotaLender, "roll": RollingRestart}
         if name in made:
             return made[name](self.fleet, self.duties)
         if name == "record":
-            return Record(self.fleet, self.duties, self.folder)
-        return Told(
+            return FleetRecord(self.fleet, self.duties, self.folder)
+        return ApplicationLease(
             self.fleet, self.duties, next(own for own in self.wanted.own if own.name == name)
         )
 
     # The voter and its folder.
 
-    def voter(
-        self, name: str, row: MemberRecord, spans: LeaseDurations
+    def create_voter(
+        self, name: str, row: MemberRecord, durations: LeaseDurations
     ) -> tuple[Voter, RecordStore]:
         """Create the voter, and its copies of the holders' records, from what its folder holds.
 
@@ -184,11 +192,13 @@
 
         rows, record_rows, number = None, {}, self.wanted.set
         try:
-            self.files = self.folder.monitor.open_folder(os.path.join(self.wanted.folder, FOLDER))
+            self.files = self.folder.monitor.open_folder(
+                os.path.join(self.wanted.folder, FOLDER_NAME)
+            )
             # The file has its full size from now on, so promises can be written to a full disk.
             store = SlotFile(self.files)
             stored = dict(store.items())
-            owner, stored_set = ours(stored.pop(OURS, b""))
+            owner, stored_set = unpack_owner(stored.pop(OWNER_KEY, b""))
             if owner == name and stored_set <= number <= stored_set + 1:
                 rows, record_rows = decode_rows(stored.items())
             elif owner:
@@ -197,25 +207,25 @@
                     extra=log_fields(whose=owner, set=stored_set, here=number),
                 )
             self.committer = GroupCommitter(store)
-            self.committer.put(OURS, f"{name} {number}".encode())
+            self.committer.put(OWNER_KEY, f"{name} {number}".encode())
         except (OSError, ValueError) as failure:
             self.fleet.daemon.metrics.increment("duty.unkept")
             log.error(
                 "promises can't be kept", extra=log_fields(folder=self.wanted.folder, why=failure)
             )
         others = [other for other in self.wanted.voters if other != name]
-        voter = Voter(clock.now(), name, row.incarnation, others, spans, rows, number)
+        voter = Voter(clock.now(), name, row.incarnation, others, durations, rows, number)
         return voter, RecordStore(record_rows)
 
-    def disk(self, key: str, data: bytes, told) -> bool:
+    def queue_write(self, key: str, data: bytes, on_written) -> bool:
         """Queue a write to the voter's folder, and return whether that was possible.
 
         Args:
             key: the key.
             data: the value.
-            told: called with whether the write is durable.
+            on_written: called with whether the write is durable.
         """
-        return self.committer is not None and self.committer.put(key, data, told)
+        return self.committer is not None and self.committer.put(key, data, on_written)
 
     # Another voter set, while the server runs.
 
@@ -225,7 +235,7 @@
         Leases that were granted under the old set last to their end. A server that becomes a voter
         starts as a fresh one, unless its folder has its own promises of the previous set.
         """
-        if new.duties is None or not self.fits(new.duties):
+        if new.duties is None or not self.is_next_voter_set(new.duties):
             return {}
         wanted, name = new.duties, self.fleet.daemon.configuration.name
         self.wanted = self.wanted._replace(voters=wanted.voters, set=wanted.set)
@@ -235,14 +245,16 @@
             clock.now(),
         )
         if votes and duties.voter is None:
-            voter, stored_records = self.voter(name, self.fleet.member.record, self.spans)
+            voter, stored_records = self.create_voter(
+                name, self.fleet.member.record, self.durations
+            )
         with duties.lock:
             duties.voters = dict(wanted.voters)
             if votes and duties.voter is None:
                 duties.voter, duties.records = voter, stored_records
             elif votes:
                 duties.voter.set_others(wanted.voters.keys() - {name}, wanted.set)
-                self.disk(OURS, f"{name} {wanted.set}".encode(), lambda durable: None)
+                self.queue_write(OWNER_KEY, f"{name} {wanted.set}".encode(), lambda durable: None)
             else:
                 duties.voter = None
             for candidate in duties.candidates.values():
@@ -253,7 +265,7 @@
         )
         return {"set": wanted.set}
 
-    def fits(self, new: Dutied) -> bool:
+    def is_next_voter_set(self, new: Dutied) -> bool:
         """Return whether it is the next voter set: one voter more or fewer, the others unchanged.
 
         Majorities of two sets that differ by more need not have a voter in common.
@@ -276,7 +288,7 @@
             f"duties.{name}"
             for name in Dutied._fields
             if getattr(self.wanted, name) != getattr(new.duties, name)
-            and not (name in ("voters", "set") and self.fits(new.duties))
+            and not (name in ("voters", "set") and self.is_next_voter_set(new.duties))
         ]
 
     # Which leases this server competes for.
@@ -297,7 +309,7 @@
                 member_id: reading.free_capacity
                 for member_id, (_, _, reading) in signal_rows.items()
             }
-        placed = [
+        placements = [
             CandidatePlacement(
                 row.name,
                 True,
@@ -308,20 +320,21 @@
             for row, state in rows
             if row.status is not Status.JOINING
         ]
-        self.placed = placed
+        self.placements = placements
         with self.duties.lock:
             for name, candidate in self.duties.candidates.items():
-                rank_delay_us = candidate_delay_us(name, own_name, placed)
+                rank_delay_us = candidate_delay_us(name, own_name, placements)
                 ready = inside and not leaving and not unsure and candidate.not_before_us <= now
                 candidate.wants_lease = ready and rank_delay_us is not None
                 candidate.delay_us = rank_delay_us or 0
 
-    def turned(self, name: str, turn: LeaseChange) -> None:
+    def on_lease_change(self, name: str, change: LeaseChange) -> None:
         """Note, count and log a lease change; called under the lock of the lease service."""
-        self.turns = [*self.turns[-HISTORY + 1 :], turn]
-        self.fleet.daemon.metrics.increment(f"duty.{turn.what}")
+        self.lease_changes = [*self.lease_changes[-MAX_LEASE_CHANGES + 1 :], change]
+        self.fleet.daemon.metrics.increment(f"duty.{change.what}")
         log.warning(
-            "duty", extra=log_fields(duty=name, what=turn.what, epoch=turn.epoch, why=turn.why)
+            "duty",
+            extra=log_fields(duty=name, what=change.what, epoch=change.epoch, why=change.why),
         )
 
     # The tasks.
@@ -329,7 +342,7 @@
     def run(self) -> None:
         """Run the tasks until the end; the body of the thread."""
         while not self.ended:
-            time.sleep(ACT / 1e6)
+            time.sleep(TASK_INTERVAL_US / 1e6)
             try:
                 self.act()
             except Exception:  # an internal error ends this run of the tasks, not the thread
@@ -338,89 +351,91 @@
     def act(self) -> None:
         """Run each task once, and announce the leases whose announcements are due."""
         now = clock.now()
-        for name, charge in self.charges.items():
+        for name, task in self.tasks.items():
             epoch = self.duties.held_epoch(clock.now(), name)
             if epoch is None:
-                charge.idle(now)
+                task.stop(now)
                 continue
-            charge.act(clock.now(), epoch)
+            task.act(clock.now(), epoch)
             register = self.duties.register(name)
             if (
-                now - self.noticed.get(name, 0) >= NOTICE
+                now - self.announced_us.get(name, 0) >= ANNOUNCEMENT_INTERVAL_US
                 and register is not None
                 and register.committed
                 and self.duties.held_epoch(clock.now(), name) == epoch
             ):
-                self.noticed[name] = now
+                self.announced_us[name] = now
                 with self.fleet.link.lock:
                     own = self.fleet.member
                     others = [row.address for row in own.view.records.values() if row.id != own.id]
-                self.duties.announce(name, epoch, charge.notice(), others)
+                self.duties.announce(name, epoch, task.announcement_body(), others)
 
-    def heard(self, now: int, notice: Announcement) -> None:
+    def apply_announcement(self, now: int, announcement: Announcement) -> None:
         """Apply an announcement, unless this server holds the lease itself."""
-        charge = self.charges.get(notice.duty)
-        if charge is not None and self.duties.held_epoch(now, notice.duty) is None:
-            charge.heard(now, notice)
+        task = self.tasks.get(announcement.duty)
+        if task is not None and self.duties.held_epoch(now, announcement.duty) is None:
+            task.apply_announcement(now, announcement)
 
-    def obey(self, now: int, order: Instruction) -> None:
+    def apply_instruction(self, now: int, instruction: Instruction) -> None:
         """Carry out an instruction; only rolling restarts send any."""
-        charge = self.charges.get(order.duty)
-        if isinstance(charge, Roll):
-            charge.obey(now, order)
+        task = self.tasks.get(instruction.duty)
+        if isinstance(task, RollingRestart):
+            task.apply_instruction(now, instruction)
 
-    def pleaded(self, now: int, plea: ForwardedCommand) -> None:
+    def accept_forwarded_command(self, now: int, command: ForwardedCommand) -> None:
         """Carry out an operator's command that another server has forwarded to the holder.
 
         A thread of its own does so, since the command takes locks that the link's thread must not.
         """
-        words = plea.what.split()[:8]
-        if words and plea.duty in self.charges:
-            threading.Thread(target=self.command, args=(plea.duty, words), daemon=True).start()
+        words = command.what.split()[:8]
+        if words and command.duty in self.tasks:
+            threading.Thread(
+                target=self.execute_command, args=(command.duty, words), daemon=True
+            ).start()
 
-    def command(self, duty: str, words: list[str]) -> dict:
+    def execute_command(self, duty: str, words: list[str]) -> dict:
         """Carry out an operator's command here, and return the answer."""
         if words[0] == "hand-over":
             return self.hand_over(duty, words[1] if len(words) > 1 else "")
         if self.duties.held_epoch(clock.now(), duty) is None:
             return {"fault": "not held here"}
-        return self.charges[duty].asked(clock.now(), words)
+        return self.tasks[duty].execute_command(clock.now(), words)
 
     # Giving leases up.
 
-    def next(self, duty: str) -> str:
+    def best_other_candidate(self, duty: str) -> str:
         """Return the name of the best candidate other than this server; "" where there is none."""
         own_name = self.fleet.daemon.configuration.name
         ranked = rank_candidates(
-            duty, [candidate for candidate in self.placed if candidate.name != own_name]
+            duty, [candidate for candidate in self.placements if candidate.name != own_name]
         )
         return ranked[0] if ranked else ""
 
     def hand_over(self, duty: str, to: str = "") -> dict:
         """Hand a lease over to a member, or to the best candidate; return the answer."""
-        to = to or self.next(duty)
+        to = to or self.best_other_candidate(duty)
         if not to or not self.duties.hand_over(duty, to):
             return {"fault": f"{duty} is not held here, or there is nobody else"}
         return {"duty": duty, "to": to}
 
     def begin_drain(self) -> None:
         """Hand each lease over to its best candidate."""
-        for name in self.charges:
+        for name in self.tasks:
             if self.duties.held_epoch(clock.now(), name) is not None:
                 self.hand_over(name)
 
     def close(self) -> None:
         """Give up all leases and close the voter's folder."""
         self.ended = True
-        for name in self.charges:
+        for name in self.tasks:
             self.duties.leave(name, "the server ends")
         if self.committer is not None:
-            self.committer.close(CLOSE)
+            self.committer.close(CLOSE_TIMEOUT_S)
             self.files.close()
 
     # Commands of the status server.
 
-    def known(self, now: int, name: str) -> tuple[str, int]:
+    def known_holder(self, now: int, name: str) -> tuple[str, int]:
         """Return the holder of a lease, as far as this server knows, and the newest epoch."""
         candidate, known = self.duties.candidates[name], self.duties.known_holders.by_duty.get(name)
         epoch = self.duties.held_epoch(now, name)
@@ -429,25 +444,25 @@
         if known is None:
             return "", candidate.highest_epoch
         return (
-            known.announcement.name if now - known.received_at_us < YOUNG else "",
+            known.announcement.name if now - known.received_at_us < ANNOUNCEMENT_VALID_US else "",
             known.announcement.epoch,
         )
 
-    def holder(self, now: int, name: str) -> dict:
+    def lease_status(self, now: int, name: str) -> dict:
         """Return the state of a lease and of its task."""
-        candidate, (holder, epoch) = self.duties.candidates[name], self.known(now, name)
+        candidate, (holder, epoch) = self.duties.candidates[name], self.known_holder(now, name)
         return {
             "holder": holder,
             "epoch": epoch,
             "left_ms": candidate.remaining_us(now) // 1000,
             "state": candidate.state.value,
-            **self.charges[name].told(now),
+            **self.tasks[name].status(now),
         }
 
-    def asked_duties(self, words: list[str]) -> dict:
+    def answer_duties(self, words: list[str]) -> dict:
         """Answer the command `duties`: the leases, this server's vote and the last changes."""
         now, voter = clock.now(), self.duties.voter
-        leases = {name: self.holder(now, name) for name in self.charges}
+        leases = {name: self.lease_status(now, name) for name in self.tasks}
         with self.duties.lock:
             vote = (
                 None
@@ -465,7 +480,8 @@
                 }
             )
             turns = [
-                {"ago_ms": (now - change.at) // 1000, **change._asdict()} for change in self.turns
+                {"ago_ms": (now - change.at) // 1000, **change._asdict()}
+                for change in self.lease_changes
             ]
         return {
             "name": self.fleet.daemon.configuration.name,
@@ -476,26 +492,26 @@
             "started": self.fleet.member.record.version // REFUTATIONS_PER_START,
         }
 
-    def asked_hand_over(self, words: list[str]) -> dict:
+    def answer_hand_over(self, words: list[str]) -> dict:
         """Answer the command `hand-over`."""
-        if not words or words[0] not in self.charges:
-            return {"fault": f"right would be one of {', '.join(self.charges)}"}
-        return self.passed_on(words[0], ["hand-over", *words[1:2]])
+        if not words or words[0] not in self.tasks:
+            return {"fault": f"right would be one of {', '.join(self.tasks)}"}
+        return self.execute_or_forward(words[0], ["hand-over", *words[1:2]])
 
-    def asked_roll(self, words: list[str]) -> dict:
+    def answer_roll(self, words: list[str]) -> dict:
         """Answer the command `roll`, which starts, shows and stops rolling restarts."""
-        if "roll" not in self.charges:
+        if "roll" not in self.tasks:
             return {"fault": "duties.roll is off in the operator's file"}
         if words[:1] == ["status"]:
-            return self.holder(clock.now(), "roll")
-        return self.passed_on("roll", words)
+            return self.lease_status(clock.now(), "roll")
+        return self.execute_or_forward("roll", words)
 
-    def passed_on(self, duty: str, words: list[str]) -> dict:
+    def execute_or_forward(self, duty: str, words: list[str]) -> dict:
         """Carry a command out if this server holds the lease, else forward it to the holder."""
         now = clock.now()
         if self.duties.held_epoch(now, duty) is not None:
-            return self.command(duty, words)
-        holder = self.holder(now, duty)["holder"]
+            return self.execute_command(duty, words)
+        holder = self.lease_status(now, duty)["holder"]
         if not holder:
             return {"fault": f"nobody is known to hold {duty}"}
         self.duties.forward_command(duty, " ".join(words), holder)
@@ -504,14 +520,14 @@
     def log_status(self) -> None:
         """Log a line for each lease."""
         now = clock.now()
-        for name in self.charges:
+        for name in self.tasks:
             log.info(
                 "duty stands",
                 extra=log_fields(
                     duty=name,
                     **{
                         key: value
-                        for key, value in self.holder(now, name).items()
+                        for key, value in self.lease_status(now, name).items()
                         if key in ("holder", "epoch", "left_ms", "state")
                     },
                 ),
--- a/tests/compatibility/test_duty_messages.py
+++ b/tests/compatibility/test_duty_messages.py
@@ -9,7 +9,13 @@
 from unittest import mock
 
 from compatibility.recorded import temporary_folder
-from gullyoke.extensions.charges import Ask, Book, Record, Roll, Told
+from gullyoke.extensions.charges import (
+    ApplicationLease,
+    DependencyHealthCheck,
+    FleetRecord,
+    OrphanedQuotaLender,
+    RollingRestart,
+)
 from gullyoke.extensions.data_folders import DataFolder
 from gullyoke.leases.announcements import Announcement, Instruction
 from gullyoke.leases.rolling_restart import RestartPlan
@@ -30,26 +36,31 @@
 class DutyMessages(unittest.TestCase):
     def test_dependency_notice(self):
         """`ask`: dead or well, as the holder sees it and as the others take it."""
-        holder, other = (Ask(fleet_of(name), mock.MagicMock()) for name in ("server-1", "server-2"))
-        self.assertEqual(holder.notice(), b"well")
+        holder, other = (
+            DependencyHealthCheck(fleet_of(name), mock.MagicMock())
+            for name in ("server-1", "server-2")
+        )
+        self.assertEqual(holder.announcement_body(), b"well")
         for at in range(20):
             holder.probe.record_call(1_000_000 + at * 100_000, False)
-        self.assertEqual(holder.notice(), b"dead")
+        self.assertEqual(holder.announcement_body(), b"dead")
         for body, dead in ((b"dead", True), (b"well", False)):
-            other.heard(5, Announcement("ask", EPOCH, 7, "server-1", body))
+            other.apply_announcement(5, Announcement("ask", EPOCH, 7, "server-1", body))
             self.assertEqual(other.probe.announced.dead, dead)
 
     def test_book_notice(self):
         """`book`: by home that ended, the address of who lends for it."""
-        book = Book.__new__(Book)
-        book.fleet, book.shares, book.gone = (
+        book = OrphanedQuotaLender.__new__(OrphanedQuotaLender)
+        book.fleet, book.shares, book.gone_lenders = (
             fleet_of("server-1"),
             mock.MagicMock(),
             ("server-3",),
         )
         book.fleet.wanted.advertise = "10.0.0.1:7900"
-        self.assertEqual(book.notice(), b'{"server-3": "10.0.0.1:7900"}')
-        book.heard(5, Announcement("book", EPOCH, 7, "server-1", book.notice()))
+        self.assertEqual(book.announcement_body(), b'{"server-3": "10.0.0.1:7900"}')
+        book.apply_announcement(
+            5, Announcement("book", EPOCH, 7, "server-1", book.announcement_body())
+        )
         self.assertEqual(book.shares.shared.substitutes[0], {"server-3": "10.0.0.1:7900"})
 
     def test_roll_order(self):
@@ -59,20 +70,20 @@
             1: MemberRecord("server-2", EPOCH << 20, Status.ALIVE, "a:1", "-", 2)
         }
         duties.held_epoch.return_value = 9
-        roll = Roll(fleet, duties)
+        roll = RollingRestart(fleet, duties)
         roll.plan = RestartPlan(1, "going", EPOCH + 1, 0.1, 0.5, (("server-2", 5, EPOCH),))
-        roll.send(5_000_000, 9)
+        roll.send_instructions(5_000_000, 9)
         duties.instruct.assert_called_once_with("roll", 9, "server-2", "drain", b"1700000000")
-        told = roll.notice()
-        roll.heard(5, Announcement("roll", EPOCH, 7, "server-1", told))
+        body = roll.announcement_body()
+        roll.apply_announcement(5, Announcement("roll", EPOCH, 7, "server-1", body))
         self.assertEqual(
             roll.plan, RestartPlan(1, "going", EPOCH + 1, 0.1, 0.5, (("server-2", 5, EPOCH),))
         )
         fleet.member.record.version, fleet.daemon.dispatcher.stop_at = EPOCH << 20, None
         with mock.patch.object(roll, "drain") as drain:
-            roll.obey(6, Instruction("roll", 9, 7, "drain", b"1699999999"))
+            roll.apply_instruction(6, Instruction("roll", 9, 7, "drain", b"1699999999"))
             drain.assert_not_called()
-            roll.obey(6, Instruction("roll", 9, 7, "drain", b"1700000000"))
+            roll.apply_instruction(6, Instruction("roll", 9, 7, "drain", b"1700000000"))
             drain.assert_called_once_with(6, 9)
 
     def test_record_line(self):
@@ -81,7 +92,7 @@
         data_folder = DataFolder(str(folder), 2**20, Counters())
         self.addCleanup(data_folder.monitor.stop)
         record, register = (
-            Record(fleet_of("server-1"), mock.MagicMock(), data_folder),
+            FleetRecord(fleet_of("server-1"), mock.MagicMock(), data_folder),
             mock.MagicMock(),
         )
         record.count, record.epoch = 41, EPOCH
@@ -106,14 +117,14 @@
 
     def test_application_line(self):
         """An application is told of its duty in one line; its STALE lets the duty go."""
-        heard = []
+        received = []
         listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(listener.close)
 
         def serve():
             conn, _ = listener.accept()
             with conn:
-                heard.append(conn.recv(256))
+                received.append(conn.recv(256))
                 conn.sendall(b"STALE\n")
 
         server = threading.Thread(target=serve)
@@ -122,14 +133,14 @@
         duties.incarnation = 0x1122
         duties.held_epoch.return_value = EPOCH
         duties.candidates["report"].remaining_us.return_value = 1_500_999
-        told = Told(
+        lease = ApplicationLease(
             fleet_of("server-1"), duties, OwnDuty("report", listener.getsockname(), 400_000)
         )
-        told.going.acquire()
-        told.tell(EPOCH)
+        lease.message_lock.acquire()
+        lease.notify_application(EPOCH)
         server.join(PATIENCE)
-        self.assertEqual(heard, [b"HOLD report 1700000000 4386 1500\n"])
-        self.assertEqual(told.stale, 1)
+        self.assertEqual(received, [b"HOLD report 1700000000 4386 1500\n"])
+        self.assertEqual(lease.stale, 1)
         duties.leave.assert_called_once()
 
 
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -10,8 +10,8 @@
 from gullyoke.coordination.quota_participant import QuotaParticipant
 from gullyoke.coordination.signals import LoadReport, ReceivedReports, ServingStage
 from gullyoke.durability.disk_health import DiskState
-from gullyoke.extensions.charges import Roll
-from gullyoke.extensions.duties import Duty
+from gullyoke.extensions.charges import RollingRestart
+from gullyoke.extensions.duties import FleetLeases
 from gullyoke.leases.candidate import Candidate
 from gullyoke.leases.candidate_state import CandidateState, LeaseChange
 from gullyoke.leases.durations import LeaseDurations
@@ -203,17 +203,19 @@
             self.member,
             "server-1",
         )
-        self.roll = Roll(fleet, self.duties)
-        self.part = Duty(
+        self.roll = RollingRestart(fleet, self.duties)
+        self.part = FleetLeases(
             Dutied(VOTERS, 4, 3_000_000, 1000, "/var/lib/gullyoke", False, False, True, False, ())
         )
         self.part.fleet, self.part.duties = fleet, self.duties
-        self.part.charges = {"roll": self.roll}
-        self.part.turns = [LeaseChange(now, "held", 1_700_000_001, "granted by server-1, server-2")]
+        self.part.tasks = {"roll": self.roll}
+        self.part.lease_changes = [
+            LeaseChange(now, "held", 1_700_000_001, "granted by server-1, server-2")
+        ]
         self.link.commands |= {
-            "duties": self.part.asked_duties,
-            "roll": self.part.asked_roll,
-            "hand-over": self.part.asked_hand_over,
+            "duties": self.part.answer_duties,
+            "roll": self.part.answer_roll,
+            "hand-over": self.part.answer_hand_over,
         }
 
     def test_duties(self):
--- a/tests/compatibility/test_promise_cells.py
+++ b/tests/compatibility/test_promise_cells.py
@@ -4,7 +4,7 @@
 import unittest
 
 from compatibility.recorded import DATA, files_in, temporary_folder
-from gullyoke.extensions.duties import FOLDER, OURS, ours
+from gullyoke.extensions.duties import FOLDER_NAME, OWNER_KEY, unpack_owner
 from gullyoke.leases.durations import LeaseDurations
 from gullyoke.leases.messages import EpochQuery, EpochReply, LeaseRequest
 from gullyoke.leases.promises import Promise
@@ -66,9 +66,9 @@
     disk = StorageFolder(folder)
     slots = SlotFile(disk)
     first = Promise(1_700_000_001, 1, "server-3")
-    slots.put([(OURS, b"server-2 2"), ("promise ask", encode_promise(first))])
+    slots.put([(OWNER_KEY, b"server-2 2"), ("promise ask", encode_promise(first))])
     slots.put([("promise gone", encode_promise(Promise(5, 6, "server-1")))])
-    slots.put([(OURS, RAW["voter"]), ("promise ask", encode_promise(PROMISED["ask"]))])
+    slots.put([(OWNER_KEY, RAW["voter"]), ("promise ask", encode_promise(PROMISED["ask"]))])
     slots.put([("promise roll", encode_promise(PROMISED["roll"])), ("kept roll", RAW["kept roll"])])
     slots.put([("promise gone", None)])
     disk.close()
@@ -92,14 +92,15 @@
 
     def test_constants(self):
         self.assertEqual(
-            (FOLDER, OURS, SLOT_FILE_NAME, SLOT_COPY_BYTES), ("duties", "voter", "cells", 1024)
+            (FOLDER_NAME, OWNER_KEY, SLOT_FILE_NAME, SLOT_COPY_BYTES),
+            ("duties", "voter", "cells", 1024),
         )
 
     def test_recorded_slot_file_is_read(self):
         slots = self.opened()
         found = dict(slots.items())
         self.assertEqual((slots.dropped_copies, found), (0, RAW))
-        self.assertEqual(ours(found.pop(OURS)), ("server-2", 3))
+        self.assertEqual(unpack_owner(found.pop(OWNER_KEY)), ("server-2", 3))
         self.assertEqual(decode_rows(found.items()), (PROMISED, KEPT))
 
     def test_slot_file_is_written_with_the_same_bytes(self):
--- a/tests/leases/test_duty.py
+++ b/tests/leases/test_duty.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from gullyoke.emulator.duty import SECOND, Play
-from gullyoke.extensions.duties import Duty
+from gullyoke.extensions.duties import FleetLeases
 from gullyoke.fault_testing import history
 from gullyoke.fault_testing.standins import Act
 from gullyoke.leases import rolling_restart as roll
@@ -156,7 +156,7 @@
         else.
         """
         three = {"a": "1:1", "b": "1:2", "c": "1:3"}
-        part = Duty(Dutied(three, 4, 10**6, 1000, "/f", False, False, False, False, ()))
+        part = FleetLeases(Dutied(three, 4, 10**6, 1000, "/f", False, False, False, False, ()))
         part.fleet = mock.Mock()
         part.fleet.daemon.configuration.name = "b"
         for voters, number, fits in (
@@ -171,9 +171,13 @@
             (three, 5, True),
         ):
             with self.subTest(voters=voters, number=number):
-                self.assertEqual(part.fits(part.wanted._replace(voters=voters, set=number)), fits)
+                self.assertEqual(
+                    part.is_next_voter_set(part.wanted._replace(voters=voters, set=number)), fits
+                )
         part.wanted = part.wanted._replace(folder="")
-        self.assertFalse(part.fits(part.wanted._replace(voters=three | {"d": "1:4"}, set=5)))
+        self.assertFalse(
+            part.is_next_voter_set(part.wanted._replace(voters=three | {"d": "1:4"}, set=5))
+        )
 
 
 class Placing(unittest.TestCase):
