--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -94,12 +94,12 @@
     def request_slot(self, now: int, waiting: int) -> bool:
         if not self.slots.request_slot(now, waiting):
             return False
-        if not self.probe.dead and self.probe.opened is None:
+        if not self.probe.dead and self.probe.recovered_at_us is None:
             return True  # the usual case takes no lock
         held = self.is_lease_held(now) if self.probe.dead else False
         with self.lock:
-            self.probe.set_lease_held(held)
-            return self.probe.allows_call(now)
+            self.probe.set_is_holder(held)
+            return self.probe.admit_call(now)
 
     def secured_until(self, now: int) -> float:
         return self.slots.secured_until(now)
@@ -235,7 +235,7 @@
         self.instructed_us: dict[str, int] = {}  # by member: when it was last instructed to drain
 
     def act(self, now: int, epoch: int) -> None:
-        register = self.duties.register(self.name)
+        register = self.duties.held_record(self.name)
         if register is None or register.body is None:
             return
         if self.epoch != epoch:  # just acquired: go on with the plan of the last holder
@@ -264,7 +264,7 @@
                 "roll", extra=log_fields(number=plan.number, state=plan.state, why=plan.why or why)
             )
         self.plan = plan
-        register = self.duties.register(self.name)
+        register = self.duties.held_record(self.name)
         if register is not None:
             register.put(plan.pack())
 
@@ -347,7 +347,7 @@
         )
 
     def execute_command(self, now: int, words: list[str]) -> dict:
-        register = self.duties.register(self.name)
+        register = self.duties.held_record(self.name)
         if register is None or register.body is None:
             return {"fault": "this server does not conduct"}
         try:
@@ -410,7 +410,7 @@
         self.last, self.epoch, self.count = None, 0, 0
 
     def act(self, now: int, epoch: int) -> None:
-        register = self.duties.register(self.name)
+        register = self.duties.held_record(self.name)
         if register is None or register.body is None or not register.committed:
             return
         if self.epoch != epoch:
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -34,7 +34,7 @@
 from gullyoke.membership.join_state import JoinStage
 from gullyoke.membership.member_record import REFUTATIONS_PER_START
 from gullyoke.operator_config.wanted import Dutied, Wanted
-from gullyoke.peer_transport.lease_codec import decode_rows
+from gullyoke.peer_transport.lease_codec import decode_voter_entries
 from gullyoke.peer_transport.lease_service import TOPIC, LeaseService
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
@@ -140,7 +140,9 @@
             candidate.listeners.append(lambda change, name=name: self.on_lease_change(name, change))
         self.tasks = {name: self.create_task(name) for name in names}
         link, duties = fleet.link, self.duties
-        duties.send = lambda datagrams: link.act(lambda: link.posted(TOPIC, datagrams))
+        duties.send = lambda datagrams: link.run_locked(
+            lambda: link.outgoing_messages(TOPIC, datagrams)
+        )
         duties.on_announcement, duties.on_instruction, duties.on_forwarded_command = (
             self.apply_announcement,
             self.apply_instruction,
@@ -200,7 +202,7 @@
             stored = dict(store.items())
             owner, stored_set = unpack_owner(stored.pop(OWNER_KEY, b""))
             if owner == name and stored_set <= number <= stored_set + 1:
-                rows, record_rows = decode_rows(stored.items())
+                rows, record_rows = decode_voter_entries(stored.items())
             elif owner:
                 log.warning(
                     "promises of another not used",
@@ -357,7 +359,7 @@
                 task.stop(now)
                 continue
             task.act(clock.now(), epoch)
-            register = self.duties.register(name)
+            register = self.duties.held_record(name)
             if (
                 now - self.announced_us.get(name, 0) >= ANNOUNCEMENT_INTERVAL_US
                 and register is not None
