--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -229,10 +229,9 @@
     def __init__(self, fleet: Fleet, duties: LeaseService) -> None:
         super().__init__(fleet, duties)
         self.plan, self.next, self.epoch = rolls.RestartPlan(), 0, 0
-        self.alive_since_us: dict[
-            str, int
-        ] = {}  # by member: since when it has been alive without a break
-        self.instructed_us: dict[str, int] = {}  # by member: when it was last instructed to drain
+        # By member: since when it has been alive without a break, and when it was last instructed.
+        self.alive_since_us: dict[str, int] = {}
+        self.instructed_us: dict[str, int] = {}
 
     def act(self, now: int, epoch: int) -> None:
         register = self.duties.held_record(self.name)
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -37,7 +37,14 @@
 from gullyoke.executors import Executor
 from gullyoke.extensions.base import BaseExtension
 from gullyoke.extensions.data_folders import DataFolders
-from gullyoke.extensions.promised import NOTE, Promised, digest, encode, packed, unpacked
+from gullyoke.extensions.promised import (
+    RECORD_KEY_PREFIX,
+    DurableExecutor,
+    encode,
+    pack_key_record,
+    record_key,
+    unpack_key_record,
+)
 from gullyoke.membership.member_record import REFUTATIONS_PER_START
 from gullyoke.operator_config.wanted import Kept, Wanted
 from gullyoke.runtime import clock
@@ -50,35 +57,38 @@
 if TYPE_CHECKING:
     from gullyoke.extensions.fleet import Fleet
 
-FOLDER, MARK = "keys", "mark"
-SWEEP, LOOK = (
+FOLDER_NAME, MARK_KEY = "keys", "mark"
+SWEEP_INTERVAL_US, CHECK_INTERVAL_US = (
     50_000,
     1_000_000,
 )  # microseconds between checks for overdue writes, and between all other checks
-OPEN, CLOSE = 5.0, 0.5  # seconds for which a start waits for the folder, and an end for the queue
-RESULTS = 16 * 2**20  # the most bytes of records and results in memory
+OPEN_TIMEOUT_S, CLOSE_TIMEOUT_S = (
+    5.0,
+    0.5,
+)  # Seconds for which a start waits for the folder, and an end for the queue
+MAX_MEMORY_BYTES = 16 * 2**20  # the most bytes of records and results in memory
 
 decode_mark = msgspec.msgpack.Decoder(tuple[int, str, int, int]).decode
 
 
-class Remembered(DuplicateTable):
+class PersistentDuplicateTable(DuplicateTable):
     """Finds duplicates of requests of this start and of earlier ones."""
 
     def __init__(
         self,
         fresh_for: int,
-        past: Callable[[int, str], KeyRecord | None],
-        doubts: Callable[[int], bool],
+        find_record: Callable[[int, str], KeyRecord | None],
+        doubts_retries: Callable[[int], bool],
     ) -> None:
         """Create the table.
 
         Args:
             fresh_for: for how long a result in memory is used, in microseconds.
-            past: returns the record of an earlier request by the time and its key.
-            doubts: returns whether retries of unknown requests may be duplicates now.
+            find_record: returns the record of an earlier request by the time and its key.
+            doubts_retries: returns whether retries of unknown requests may be duplicates now.
         """
         super().__init__(fresh_for)
-        self.past, self.doubts = past, doubts
+        self.find_record, self.doubts_retries = find_record, doubts_retries
 
     def find(self, request: PendingRequest, now: int):
         """Find what a request is a duplicate of, in memory or among the records."""
@@ -89,13 +99,13 @@
             or request.request_class.idempotency is Idempotency.IDEMPOTENT
         ):
             return entry, prior
-        record = self.past(now, digest(request.request_class.name, request.key))
+        record = self.find_record(now, record_key(request.request_class.name, request.key))
         if record is not None:
             entry = KeyEntry(None, record.window_end_us)
             if record.phase is RunPhase.ENDED and record.status:
                 entry.result = Answer(record.status, record.body, record.fields)
             return entry, REMEMBERED_REQUEST
-        if request.is_retry and self.doubts(now):
+        if request.is_retry and self.doubts_retries(now):
             return KeyEntry(None, now), REMEMBERED_REQUEST
         return None, None
 
@@ -108,11 +118,11 @@
         ready: set once the folder has been read, or could not be.
         trust: how far the folder is trusted; None before `ready`.
         mark: what identifies the folder, as it is stored; None before the folder could be read.
-        last: the number of the start before this one.
-        doubted: until when retries of unknown requests may be duplicates.
-        next: when all the other checks are due.
-        shut: whether the request classes with keys accept no requests.
-        lost: whether the folder has to be read again once the disk can be used.
+        previous_start: the number of the start before this one.
+        doubted_until_us: until when retries of unknown requests may be duplicates.
+        next_check_us: when all the other checks are due.
+        rejecting: whether the request classes with keys accept no requests.
+        must_reopen: whether the folder has to be read again once the disk can be used.
     """
 
     name = section = "kept"
@@ -124,96 +134,113 @@
         self.ready = threading.Event()
         self.trust: FolderTrust | None = None
         self.mark: FolderMark | None = None
-        self.last = self.doubted = self.next = 0
-        self.shut = self.lost = False
+        self.previous_start = self.doubted_until_us = self.next_check_us = 0
+        self.rejecting = self.must_reopen = False
 
     # The parts of the daemon.
 
-    def create_duplicate_table(self, configuration: DaemonConfiguration) -> Remembered:
+    def create_duplicate_table(
+        self, configuration: DaemonConfiguration
+    ) -> PersistentDuplicateTable:
         """Create a table that also finds the records of earlier starts of this server."""
-        return Remembered(configuration.facts.fleet.read_cache_ttl, self.past, self.doubts)
+        return PersistentDuplicateTable(
+            configuration.facts.fleet.read_cache_ttl, self.find_record, self.doubts_retries
+        )
 
     def wrap_executor(self, daemon: DaemonParts, executor: Executor) -> Executor:
         """Put the executor behind one that makes records durable."""
         self.daemon = daemon
         self.ledger = KeyLedger(
-            int(time.time()), UndurablePolicy(self.kept.without), min(RESULTS, self.kept.quota // 2)
+            int(time.time()),
+            UndurablePolicy(self.kept.without),
+            min(MAX_MEMORY_BYTES, self.kept.quota // 2),
         )
         self.folder = self.folders.open(self.kept.folder, self.kept.quota, daemon.metrics)
         self.window = max(
             [request_class.key_ttl for request_class in daemon.configuration.facts.request_classes],
             default=0,
         )
-        self.promised = Promised(
-            executor, daemon.dispatcher, self.ledger, self.fit, self.put, daemon.metrics
+        self.durable_executor = DurableExecutor(
+            executor,
+            daemon.dispatcher,
+            self.ledger,
+            self.disk_accepts,
+            self.queue_write,
+            daemon.metrics,
         )
-        return self.promised
+        return self.durable_executor
 
     def attach(self, daemon: DaemonParts) -> None:
         """Read the folder on a thread of its own, so that a disk that hangs can't block the start."""
-        threading.Thread(target=self.open, name="keys", daemon=True).start()
-        if not self.ready.wait(OPEN):
+        threading.Thread(target=self.read_folder, name="keys", daemon=True).start()
+        if not self.ready.wait(OPEN_TIMEOUT_S):
             log.error("keys not read yet", extra=log_fields(folder=self.kept.folder))
 
     def start(self) -> None:
         """Start the checks, and register the records with the folder's quota."""
         self.folder.register(DataKind.KEY_RECORDS, self.ledger.record_bytes)
-        self.folder.register(DataKind.RESULTS, self.ledger.result_bytes, self.give)
-        self.folder.add_compaction(self.tidy)
+        self.folder.register(DataKind.RESULTS, self.ledger.result_bytes, self.delete_results)
+        self.folder.add_compaction(self.compact)
         self.folder.start()
-        self.folder.monitor.listeners.append(self.turned)
-        self.daemon.timer.call_at(clock.now() + SWEEP, self.sweep)
+        self.folder.monitor.listeners.append(self.on_disk_change)
+        self.daemon.timer.call_at(clock.now() + SWEEP_INTERVAL_US, self.sweep)
 
-    def opened(self) -> Store:
+    def open_store(self) -> Store:
         """Open the folder and return its store."""
-        self.files = self.folder.monitor.open_folder(os.path.join(self.kept.folder, FOLDER))
+        self.files = self.folder.monitor.open_folder(os.path.join(self.kept.folder, FOLDER_NAME))
         return Store(
             self.files, segment_bytes=max(4096, self.kept.quota // 8), quota_bytes=self.kept.quota
         )
 
-    def open(self) -> None:
+    def read_folder(self) -> None:
         """Read the folder, judge how far it is trusted, and write the present records to it.
 
         At the start there are no present records; after the folder was lost there may be many.
         """
         now, stored, mark = clock.now(), [], None
         try:
-            store = self.opened()
+            store = self.open_store()
             for key, value in store.items():
-                if key == MARK:
+                if key == MARK_KEY:
                     mark = FolderMark(*decode_mark(value))
-                elif key.startswith(NOTE) and (key_record := unpacked(value)) is not None:
+                elif (
+                    key.startswith(RECORD_KEY_PREFIX)
+                    and (key_record := unpack_key_record(value)) is not None
+                ):
                     stored.append((key, key_record))
         except (OSError, ValueError, msgspec.MsgspecError) as failure:
             self.daemon.metrics.increment("keys.unread")
             log.error("keys not read", extra=log_fields(folder=self.kept.folder, why=failure))
             if self.trust is None:
-                self.trust, self.doubted = (
+                self.trust, self.doubted_until_us = (
                     FolderTrust(False, False, True, str(failure)),
                     now + self.window,
                 )
             # Read it again once the disk can be used; a store of another version stays unreadable.
-            self.lost = not isinstance(failure, StoreVersionError)
+            self.must_reopen = not isinstance(failure, StoreVersionError)
             self.ready.set()
             return
         trust = assess_folder(mark, len(stored), self.daemon.configuration.name, 0, now)
-        with self.promised.pen:
-            rows = [(key, packed(row.record)) for key, row in self.ledger.rows.items()]
+        with self.durable_executor.lock:
+            rows = [(key, pack_key_record(row.record)) for key, row in self.ledger.rows.items()]
             known = {key for key, _ in rows}
             stored = [(key, key_record) for key, key_record in stored if key not in known]
             past = self.ledger.recover(now, stored if trust.believed else [])
             if self.mark is None:
-                self.last = mark.number if mark is not None else 0
+                self.previous_start = mark.number if mark is not None else 0
                 self.mark = next_mark(mark, self.daemon.configuration.name, int(time.time()), now)
             if self.trust is None:
-                self.trust, self.doubted = trust, now + self.window if trust.doubts_retries else 0
+                self.trust, self.doubted_until_us = (
+                    trust,
+                    now + self.window if trust.doubts_retries else 0,
+                )
             unused = past if trust.believed else [key for key, _ in stored]
             first_batch = [
-                (MARK, encode(tuple(self.mark))),
+                (MARK_KEY, encode(tuple(self.mark))),
                 *rows,
                 *((key, None) for key in unused),
             ]
-            self.committer, self.lost = (
+            self.committer, self.must_reopen = (
                 GroupCommitter(store, initial_batch=first_batch) if trust.writable else None,
                 False,
             )
@@ -230,7 +257,7 @@
             ),
         )
 
-    def compare(self, now: int) -> None:
+    def check_start_number(self, now: int) -> None:
         """Compare the folder's start number with the one that the other members know.
 
         A folder with a lower number is an older copy, and is no longer trusted. The number in the
@@ -243,111 +270,119 @@
             member.join_state.known_version // REFUTATIONS_PER_START,
             member.record.version // REFUTATIONS_PER_START,
         )
-        if self.trust.believed and is_older_copy(self.last, known):
+        if self.trust.believed and is_older_copy(self.previous_start, known):
             self.trust = FolderTrust(
-                False, True, True, f"an older copy: start {self.last}, others know {known}"
+                False,
+                True,
+                True,
+                f"an older copy: start {self.previous_start}, others know {known}",
             )
-            self.doubted = now + self.window
-            with self.promised.pen:
+            self.doubted_until_us = now + self.window
+            with self.durable_executor.lock:
                 for key in self.ledger.forget_other_starts():
-                    self.put(key, None)
+                    self.queue_write(key, None)
             self.daemon.metrics.increment("keys.older_copy")
             log.error("keys not believed", extra=log_fields(why=self.trust.reason))
         if own > self.mark.number:
             self.mark = self.mark._replace(number=own, written_us=now)
-            self.put(MARK, encode(tuple(self.mark)))
+            self.queue_write(MARK_KEY, encode(tuple(self.mark)))
 
     # Called by the duplicate table and the executor.
 
-    def past(self, now: int, key: str) -> KeyRecord | None:
+    def find_record(self, now: int, key: str) -> KeyRecord | None:
         """Return the record of a key; None where there is none."""
-        with self.promised.pen:
+        with self.durable_executor.lock:
             return self.ledger.find(now, key)
 
-    def doubts(self, now: int) -> bool:
+    def doubts_retries(self, now: int) -> bool:
         """Return whether retries of unknown requests may be duplicates now."""
-        return not self.ready.is_set() or now < self.doubted
+        return not self.ready.is_set() or now < self.doubted_until_us
 
-    def fit(self) -> bool:
+    def disk_accepts(self) -> bool:
         """Return whether the disk accepts a write that a request waits for."""
         return self.committer is not None and self.folder.monitor.admit_write()
 
-    def put(
-        self, key: str, value: bytes | None, told: Callable[[bool], None] = lambda durable: None
+    def queue_write(
+        self,
+        key: str,
+        value: bytes | None,
+        on_written: Callable[[bool], None] = lambda durable: None,
     ) -> bool:
         """Queue a write, and return whether that was possible.
 
         Args:
             key: the key.
             value: the value; None removes the key.
-            told: called with whether the write is durable.
+            on_written: called with whether the write is durable.
         """
-        return self.committer is not None and self.committer.put(key, value, told)
+        return self.committer is not None and self.committer.put(key, value, on_written)
 
     # Called on the timer's thread.
 
     def sweep(self) -> None:
         """Act on overdue writes and on the state of the disk; at longer intervals, expire keys."""
         now = clock.now()
-        self.daemon.timer.call_at(now + SWEEP, self.sweep)
-        self.promised.overdue(now)
+        self.daemon.timer.call_at(now + SWEEP_INTERVAL_US, self.sweep)
+        self.durable_executor.apply_timeouts(now)
         bad = self.folder.monitor.update_state() in BAD_STATES
-        self.state(not bad and self.committer is not None)
-        if now >= self.next:
-            self.next = now + LOOK
+        self.update_accepting(not bad and self.committer is not None)
+        if now >= self.next_check_us:
+            self.next_check_us = now + CHECK_INTERVAL_US
             if not bad:
-                with self.promised.pen:
+                with self.durable_executor.lock:
                     for key in self.ledger.expire(now):
-                        self.put(key, None)
-            self.compare(now)
+                        self.queue_write(key, None)
+            self.check_start_number(now)
 
-    def state(self, fit: bool) -> None:
+    def update_accepting(self, writable: bool) -> None:
         """Let the request classes with keys accept requests, or not.
 
         Args:
-            fit: whether records can be written.
+            writable: whether records can be written.
         """
-        shut = not fit and self.ledger.policy is UndurablePolicy.REJECT
-        if shut != self.shut:
-            self.shut = shut
+        rejects = not writable and self.ledger.policy is UndurablePolicy.REJECT
+        if rejects != self.rejecting:
+            self.rejecting = rejects
             for request_class in self.daemon.configuration.facts.request_classes:
                 request_class.accepting = not (
-                    shut and request_class.idempotency is Idempotency.KEYED
+                    rejects and request_class.idempotency is Idempotency.KEYED
                 )
 
-    def give(self, size: int) -> None:
+    def delete_results(self, size: int) -> None:
         """Drop results, the oldest first."""
-        with self.promised.pen:
+        with self.durable_executor.lock:
             writes = self.ledger.drop_results(clock.now(), size)
             for write in writes:
-                self.put(
+                self.queue_write(
                     write.key,
-                    packed(write.record),
-                    lambda durable, write=write: self.promised.told(write, durable),
+                    pack_key_record(write.record),
+                    lambda durable, write=write: self.durable_executor.on_write_finished(
+                        write, durable
+                    ),
                 )
         self.daemon.metrics.increment("keys.results_dropped", len(writes))
 
-    def tidy(self) -> None:
+    def compact(self) -> None:
         """Have the store compacted."""
         if self.committer is not None:
             self.committer.request_compaction()
 
-    def turned(self, change: DiskStateChange) -> None:
+    def on_disk_change(self, change: DiskStateChange) -> None:
         """Read a folder again that was missing and is back: its records may be lost or another's.
 
         Called under the monitor's lock.
         """
-        self.lost |= change.current is DiskState.MISSING
-        if self.lost and change.current not in BAD_STATES:
-            threading.Thread(target=self.again, name="keys", daemon=True).start()
+        self.must_reopen |= change.current is DiskState.MISSING
+        if self.must_reopen and change.current not in BAD_STATES:
+            threading.Thread(target=self.reopen, name="keys", daemon=True).start()
 
-    def again(self) -> None:
+    def reopen(self) -> None:
         """Close the folder and read it again."""
         if self.committer is not None:
-            self.committer.close(CLOSE)
+            self.committer.close(CLOSE_TIMEOUT_S)
             self.files.close()
         self.daemon.metrics.increment("keys.begun_anew")
-        self.open()
+        self.read_folder()
 
     def ignored_changes(self, new: Wanted) -> list[str]:
         """Return nothing: `Memory` has the same section and reports its changes."""
@@ -355,7 +390,7 @@
 
     def log_status(self) -> None:
         """Log the figures of the ledger."""
-        with self.promised.pen:
+        with self.durable_executor.lock:
             key_ledger, pending, committer = self.ledger, self.ledger.pending_writes, self.committer
             row = {
                 "notes": len(key_ledger.rows),
@@ -379,5 +414,5 @@
     def close(self) -> None:
         """Write what is queued; a disk that hangs delays this only for a short time."""
         self.folder.monitor.stop()
-        if self.committer is not None and not self.committer.close(CLOSE):
+        if self.committer is not None and not self.committer.close(CLOSE_TIMEOUT_S):
             log.error("keys not all written", extra=log_fields(held=self.committer.pending_bytes))
--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -2,7 +2,7 @@
 
 It stands between the dispatcher and the executor that runs the requests. The key ledger
 (gullyoke/durability/key_ledger.py) is called, and its writes are queued for the disk, under one
-lock, `pen`, so that the disk gets the writes of a key in the ledger's order. Nothing waits for the
+lock, so that the disk gets the writes of a key in the ledger's order. Nothing waits for the
 disk under this lock.
 """
 
@@ -30,50 +30,52 @@
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.pending_request import PendingRequest
 
-NOTE = "n"  # the first character of the key of each record
-ENDS = (RequestEvent.COMPLETED, RequestEvent.FAILED, RequestEvent.CANCELLED)
+RECORD_KEY_PREFIX = "n"  # the first character of the key of each record
+END_EVENTS = (RequestEvent.COMPLETED, RequestEvent.FAILED, RequestEvent.CANCELLED)
 
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(
+_decode = msgspec.msgpack.Decoder(
     tuple[int, int, int, int, int, tuple[tuple[str, str], ...], bytes]
 ).decode
 
-Disk = Callable[[str, bytes | None, Callable[[bool], None]], bool]
+QueueWrite = Callable[[str, bytes | None, Callable[[bool], None]], bool]
 
 
-def digest(request_class: str, key: str) -> str:
+def record_key(request_class: str, key: str) -> str:
     """Return the key under which a request's record is stored."""
-    return NOTE + blake2b(f"{request_class}\0{key}".encode(), digest_size=16).hexdigest()
+    return (
+        RECORD_KEY_PREFIX + blake2b(f"{request_class}\0{key}".encode(), digest_size=16).hexdigest()
+    )
 
 
-def packed(note: KeyRecord | None) -> bytes | None:
+def pack_key_record(record: KeyRecord | None) -> bytes | None:
     """Return a record as it is stored; None, which removes it, for None."""
-    return None if note is None else encode(tuple(note))
+    return None if record is None else encode(tuple(record))
 
 
-def unpacked(data: bytes) -> KeyRecord | None:
+def unpack_key_record(data: bytes) -> KeyRecord | None:
     """Return a stored record; None if the data is invalid."""
     try:
-        phase, *rest = decode(data)
+        phase, *rest = _decode(data)
         return KeyRecord(RunPhase(phase), *rest)
     except (msgspec.MsgspecError, ValueError):
         return None
 
 
-def noted(request: PendingRequest) -> bool:
+def needs_record(request: PendingRequest) -> bool:
     """Return whether a request needs a record: it has a key and is not idempotent."""
     return bool(request.key) and request.request_class.idempotency is not Idempotency.IDEMPOTENT
 
 
-class Promised:
+class DurableExecutor:
     """Delays runs and the reports of their ends until their records are durable.
 
     The entries of a request are removed at the end of its run, or when it is abandoned unrun.
 
     Attributes:
-        going: the requests whose records are being written or that run, by key.
-        keys: the keys of these requests, by request id.
-        ends: by key, what reports the end of a run once that is durable, or False if it can't be.
+        pending_requests: the requests whose records are being written or that run, by key.
+        key_by_request: the keys of these requests, by request id.
+        end_reports: by key, what is called with whether the end of the run is durable.
     """
 
     def __init__(
@@ -81,8 +83,8 @@
         inner: Executor,
         dispatcher: Dispatcher,
         ledger: KeyLedger,
-        fit: Callable[[], bool],
-        disk: Disk,
+        disk_accepts: Callable[[], bool],
+        queue_write: QueueWrite,
         metrics: Metrics,
     ) -> None:
         """Create the executor.
@@ -91,21 +93,21 @@
             inner: the executor that runs the requests.
             dispatcher: the dispatcher.
             ledger: decides what has to be durable.
-            fit: returns whether the disk accepts writes that requests wait for.
-            disk: queues a write; returns whether that was possible.
+            disk_accepts: returns whether the disk accepts writes that requests wait for.
+            queue_write: queues a write; returns whether that was possible.
             metrics: counts the outcomes.
         """
-        self.inner, self.real, self.ledger, self.fit, self.disk = (
+        self.inner, self._dispatcher, self.ledger, self.disk_accepts, self.queue_write = (
             inner,
             dispatcher,
             ledger,
-            fit,
-            disk,
+            disk_accepts,
+            queue_write,
         )
-        self.metrics, self.pen = metrics, threading.RLock()
-        self.going: dict[str, PendingRequest] = {}
-        self.keys: dict[str, str] = {}
-        self.ends: dict[str, Callable[[bool], None]] = {}
+        self.metrics, self.lock = metrics, threading.RLock()
+        self.pending_requests: dict[str, PendingRequest] = {}
+        self.key_by_request: dict[str, str] = {}
+        self.end_reports: dict[str, Callable[[bool], None]] = {}
         self.send_call_reply, self.skip_call, self.cancel_run, self.flush = (
             inner.send_call_reply,
             inner.skip_call,
@@ -127,53 +129,53 @@
 
     def start_run(self, request: PendingRequest) -> None:
         """Start the run of a request, if it needs a record once that is durable."""
-        if not noted(request):
+        if not needs_record(request):
             self.inner.start_run(request)
             return
-        key, now, keyed_class, fit = (
-            digest(request.request_class.name, request.key),
-            self.real.now,
+        key, now, keyed_class, disk_ok = (
+            record_key(request.request_class.name, request.key),
+            self._dispatcher.now,
             request.request_class,
-            self.fit(),
+            self.disk_accepts(),
         )
         window_end = max(now, request.arrived) + (keyed_class.key_ttl or 2 * keyed_class.timeout)
 
         def begin_run() -> RecordWrite | LedgerAction:
             if self.ledger.find(now, key) is None:
-                self.going[key], self.keys[request.request_id] = request, key
+                self.pending_requests[key], self.key_by_request[request.request_id] = request, key
             return self.ledger.request_run(
                 now,
                 key,
                 request.arrived,
                 window_end,
                 request.deadline,
-                self.real.controller.queue.run_times[keyed_class],
-                fit,
+                self._dispatcher.controller.queue.run_times[keyed_class],
+                disk_ok,
             )
 
-        action = self.ruled(begin_run)
+        action = self.call_ledger(begin_run)
         # A duplicate of a request that may have run before.
         if action is not None and action.kind is ActionKind.REPORT_DUPLICATE:
             self.metrics.increment("keys.known")
-            self.real.post_event(request, RequestEvent.FAILED)
+            self._dispatcher.post_event(request, RequestEvent.FAILED)
         elif action is not None:
-            self.carry(action, True)
+            self.perform(action, True)
 
     def post_event(self, request: PendingRequest, event: RequestEvent) -> None:
         """Deliver an event on a run that was just started, and abandon one that did not start."""
         if event in (RequestEvent.NO_CAPACITY, RequestEvent.NOT_STARTED):
-            self.left(request.request_id)
-        self.real.post_event(request, event)
+            self.abandon_request(request.request_id)
+        self._dispatcher.post_event(request, event)
 
     # Called by the inner executor.
 
     def on_run_ended(self, request_id: str, end: RunOutcome, result: bytes) -> None:
         """Report the end of a run at the engine once it is durable."""
         if end is RunOutcome.NOT_STARTED:
-            self.left(request_id)
+            self.abandon_request(request_id)
             self.listener.on_run_ended(request_id, end, result)
             return
-        self.over(
+        self.record_end(
             request_id,
             Answer(200 if end is RunOutcome.COMPLETED else 0, result),
             lambda durable: self.listener.on_run_ended(
@@ -185,11 +187,11 @@
         self, request: PendingRequest, event: RequestEvent, answer: Answer | None
     ) -> None:
         """Report the end of a run at a back end once it is durable."""
-        if event not in ENDS:
-            self.left(request.request_id)
+        if event not in END_EVENTS:
+            self.abandon_request(request.request_id)
             self.listener.on_backend_run_ended(request, event, answer)
             return
-        self.over(
+        self.record_end(
             request.request_id,
             answer if answer is not None and event is RequestEvent.COMPLETED else Answer(0),
             lambda durable: self.listener.on_backend_run_ended(
@@ -200,16 +202,16 @@
     def on_command_refused(self, command: str, request_id: str) -> None:
         """Abandon the request where the engine has refused its run."""
         if command == "RUN":
-            self.left(request_id)
+            self.abandon_request(request_id)
         self.listener.on_command_refused(command, request_id)
 
-    def over(self, request_id: str, answer: Answer, tell: Callable[[bool], None]) -> None:
+    def record_end(self, request_id: str, answer: Answer, tell: Callable[[bool], None]) -> None:
         """Record the end of a run, then call `tell` with whether it is durable."""
-        fit = self.fit()
+        disk_ok = self.disk_accepts()
 
         def finish_run() -> RecordWrite | LedgerAction:
-            self.going.pop(key, None)
-            self.ends[key] = tell
+            self.pending_requests.pop(key, None)
+            self.end_reports[key] = tell
             completed = answer.status == 200
             return self.ledger.end_run(
                 clock.now(),
@@ -217,99 +219,103 @@
                 answer.status if completed else 0,
                 answer.fields if completed else (),
                 answer.body if completed else b"",
-                fit,
+                disk_ok,
             )
 
-        with self.pen:
-            key = self.keys.pop(request_id, None)
+        with self.lock:
+            key = self.key_by_request.pop(request_id, None)
         if key is None:
             tell(True)
             return
-        action = self.ruled(finish_run)
+        action = self.call_ledger(finish_run)
         if action is not None:
-            self.carry(action, False)
+            self.perform(action, False)
 
-    def left(self, request_id: str) -> None:
+    def abandon_request(self, request_id: str) -> None:
         """Abandon the record of a request that has not run."""
-        with self.pen:
-            key = self.keys.pop(request_id, None)
+        with self.lock:
+            key = self.key_by_request.pop(request_id, None)
             if key is None:
                 return
-            self.going.pop(key, None)
-            self.ruled(lambda: self.ledger.abandon(clock.now(), key))
+            self.pending_requests.pop(key, None)
+            self.call_ledger(lambda: self.ledger.abandon(clock.now(), key))
 
     # The ledger and its writes.
 
-    def ruled(self, rule: Callable[[], RecordWrite | LedgerAction | None]) -> LedgerAction | None:
-        """Call the ledger by `rule`, queue the write that it returns, or return the action.
+    def call_ledger(
+        self, call: Callable[[], RecordWrite | LedgerAction | None]
+    ) -> LedgerAction | None:
+        """Call the ledger by `call`, queue the write that it returns, or return the action.
 
         The write is queued under the lock, so before the ledger can return another one.
         """
-        with self.pen:
-            outcome = rule()
+        with self.lock:
+            outcome = call()
             while isinstance(outcome, RecordWrite):
                 write = outcome
-                queued = self.disk(
+                queued = self.queue_write(
                     write.key,
-                    packed(write.record),
-                    lambda durable, write=write: self.told(write, durable),
+                    pack_key_record(write.record),
+                    lambda durable, write=write: self.on_write_finished(write, durable),
                 )
                 outcome = None if queued else self.ledger.write_rejected(clock.now(), write)
             return outcome
 
-    def told(self, put: RecordWrite, durable: bool) -> None:
+    def on_write_finished(self, write: RecordWrite, durable: bool) -> None:
         """Pass the outcome of a write to the ledger; called on the committer's thread."""
         self.metrics.increment("keys.kept" if durable else "keys.unkept")
-        action = self.ruled(lambda: self.ledger.write_finished(clock.now(), put, durable))
+        action = self.call_ledger(lambda: self.ledger.write_finished(clock.now(), write, durable))
         if action is not None:
-            self.carry(action, False)
+            self.perform(action, False)
 
-    def carry(self, act: LedgerAction, inside: bool) -> None:
+    def perform(self, action: LedgerAction, locked: bool) -> None:
         """Carry out an action of the ledger.
 
         Args:
-            act: the action.
-            inside: whether the caller holds the dispatcher's lock.
+            action: the action.
+            locked: whether the caller holds the dispatcher's lock.
         """
-        with self.pen:
+        with self.lock:
             tell = (
-                self.ends.pop(act.key, None)
-                if act.kind in (ActionKind.REPORT_END, ActionKind.REPORT_UNKNOWN)
+                self.end_reports.pop(action.key, None)
+                if action.kind in (ActionKind.REPORT_END, ActionKind.REPORT_UNKNOWN)
                 else None
             )
-            request = self.going.get(act.key)
+            request = self.pending_requests.get(action.key)
         if tell is not None:
-            if act.kind is ActionKind.REPORT_UNKNOWN:
+            if action.kind is ActionKind.REPORT_UNKNOWN:
                 self.metrics.increment("keys.unknown")
-            tell(act.kind is ActionKind.REPORT_END)
-        elif act.kind is ActionKind.REJECT and request is not None:
+            tell(action.kind is ActionKind.REPORT_END)
+        elif action.kind is ActionKind.REJECT and request is not None:
             self.metrics.increment("keys.unrun")
-            self.left(request.request_id)
-            (self.real.post_event if inside else self.real.notify)(
+            self.abandon_request(request.request_id)
+            (self._dispatcher.post_event if locked else self._dispatcher.notify)(
                 request, RequestEvent.NO_CAPACITY
             )
-        elif act.kind is ActionKind.RUN and request is not None:
-            if inside:
+        elif action.kind is ActionKind.RUN and request is not None:
+            if locked:
                 self.inner.start_run(request)
             else:
-                self.real.handle(lambda: self.go(request), request)
+                self._dispatcher.handle(lambda: self.start_recorded_run(request), request)
 
-    def go(self, request: PendingRequest) -> None:
+    def start_recorded_run(self, request: PendingRequest) -> None:
         """Start a request whose record is durable, unless no client waits for it any more."""
         if (
-            self.real.requests.get(request.request_id) is request
+            self._dispatcher.requests.get(request.request_id) is request
             and not request.answered
             and not request.client_disconnected
         ):
             self.inner.start_run(request)
         else:
-            self.left(request.request_id)
-            self.real.controller.on_event(self.real.now, request, RequestEvent.NO_CAPACITY)
+            self.abandon_request(request.request_id)
+            self._dispatcher.controller.on_event(
+                self._dispatcher.now, request, RequestEvent.NO_CAPACITY
+            )
 
-    def overdue(self, now: int) -> None:
+    def apply_timeouts(self, now: int) -> None:
         """Act on the requests whose writes are not durable in time, as the policy says."""
-        with self.pen:
+        with self.lock:
             actions = self.ledger.time_out_writes(now)
         for action in actions:
             self.metrics.increment("keys.overdue")
-            self.carry(action, False)
+            self.perform(action, False)
--- a/tests/compatibility/test_note_store.py
+++ b/tests/compatibility/test_note_store.py
@@ -13,8 +13,14 @@
 )
 from gullyoke.durability.folder_trust import FOLDER_FORMAT, next_mark
 from gullyoke.durability.key_record import DuplicateVerdict, judge_record
-from gullyoke.extensions.keys import FOLDER, MARK, decode_mark
-from gullyoke.extensions.promised import NOTE, digest, encode, packed, unpacked
+from gullyoke.extensions.keys import FOLDER_NAME, MARK_KEY, decode_mark
+from gullyoke.extensions.promised import (
+    RECORD_KEY_PREFIX,
+    encode,
+    pack_key_record,
+    record_key,
+    unpack_key_record,
+)
 from gullyoke.peer_transport.start_number import FOLDER as NUMBER_FOLDER
 from gullyoke.peer_transport.start_number import KEY as NUMBER_KEY
 from gullyoke.peer_transport.start_number import StoredStartNumber
@@ -62,17 +68,17 @@
     store = Store(disk, segment_bytes=4096, quota_bytes=2**20)
     store.put(
         [
-            (MARK, encode(tuple(FolderMark(2, "server-1", 40, NOW - 1_000_000)))),
-            (RUNNING, packed(RUNNING_RECORD)),
-            (REMOVED, packed(REMOVED_RECORD)),
-            (ENDED, packed(RUNNING_RECORD)),
+            (MARK_KEY, encode(tuple(FolderMark(2, "server-1", 40, NOW - 1_000_000)))),
+            (RUNNING, pack_key_record(RUNNING_RECORD)),
+            (REMOVED, pack_key_record(REMOVED_RECORD)),
+            (ENDED, pack_key_record(RUNNING_RECORD)),
         ]
     )
     store.put(
         [
-            (ENDED, packed(ENDED_RECORD)),
-            (REMOVED, packed(None)),
-            (OTHER_START, packed(OTHER_START_RECORD)),
+            (ENDED, pack_key_record(ENDED_RECORD)),
+            (REMOVED, pack_key_record(None)),
+            (OTHER_START, pack_key_record(OTHER_START_RECORD)),
         ]
     )
     disk.close()
@@ -81,7 +87,7 @@
 def write_second_start(folder):
     """A second start, which begins a segment of its own."""
     disk = StorageFolder(folder)
-    Store(disk, segment_bytes=4096, quota_bytes=2**20).put([(MARK, encode(tuple(MARK_VALUE)))])
+    Store(disk, segment_bytes=4096, quota_bytes=2**20).put([(MARK_KEY, encode(tuple(MARK_VALUE)))])
     disk.close()
 
 
@@ -95,13 +101,13 @@
         """Numbers and names that are part of the stored form."""
         self.assertEqual((*RecordKind, SEGMENT_FORMAT, FOLDER_FORMAT), (1, 2, 3, 2, 2))
         self.assertEqual([int(phase) for phase in RunPhase], [1, 2])
-        self.assertEqual((FOLDER, MARK, NOTE), ("keys", "mark", "n"))
+        self.assertEqual((FOLDER_NAME, MARK_KEY, RECORD_KEY_PREFIX), ("keys", "mark", "n"))
         self.assertEqual((NUMBER_FOLDER, NUMBER_KEY), ("fleet", "number"))
         self.assertEqual([one.value for one in UndurablePolicy], ["shed", "go on"])
 
     def test_key_digest(self):
-        self.assertEqual(digest("book", "order-77"), RUNNING)
-        self.assertEqual(digest("pay", "größe"), "n04c77956e0ef5ff39f7938843a195e11")
+        self.assertEqual(record_key("book", "order-77"), RUNNING)
+        self.assertEqual(record_key("pay", "größe"), "n04c77956e0ef5ff39f7938843a195e11")
 
     def test_record(self):
         """The bytes of a record: magic, size, kind, checksum, MessagePack payload."""
@@ -121,17 +127,19 @@
         """The recorded folder gives the same keys and values."""
         store = self.opened()
         self.assertEqual((store.dropped_bytes, store.oldest_format, store.next_segment), (0, 2, 3))
-        self.assertEqual(sorted(store.keys()), sorted([MARK, RUNNING, ENDED, OTHER_START]))
-        self.assertEqual(FolderMark(*decode_mark(store.get(MARK))), MARK_VALUE)
-        self.assertEqual(unpacked(store.get(RUNNING)), RUNNING_RECORD)
-        self.assertEqual(unpacked(store.get(ENDED)), ENDED_RECORD)
-        self.assertEqual(unpacked(store.get(OTHER_START)), OTHER_START_RECORD)
+        self.assertEqual(sorted(store.keys()), sorted([MARK_KEY, RUNNING, ENDED, OTHER_START]))
+        self.assertEqual(FolderMark(*decode_mark(store.get(MARK_KEY))), MARK_VALUE)
+        self.assertEqual(unpack_key_record(store.get(RUNNING)), RUNNING_RECORD)
+        self.assertEqual(unpack_key_record(store.get(ENDED)), ENDED_RECORD)
+        self.assertEqual(unpack_key_record(store.get(OTHER_START)), OTHER_START_RECORD)
         self.assertIsNone(store.get(REMOVED))
 
     def test_recorded_key_records_are_in_force(self):
         """After a restart the recorded keys have the same effect on duplicates."""
         store = self.opened()
-        records = [(key, unpacked(value)) for key, value in store.items() if key != MARK]
+        records = [
+            (key, unpack_key_record(value)) for key, value in store.items() if key != MARK_KEY
+        ]
         ledger = KeyLedger(START + 10, UndurablePolicy.REJECT, 2**20)
         self.assertEqual(ledger.recover(NOW, records), [OTHER_START])
         self.assertEqual(ledger.find(NOW, RUNNING), RUNNING_RECORD)
@@ -139,7 +147,7 @@
         self.assertEqual(ledger.find(NOW, ENDED), ENDED_RECORD)
         self.assertIs(judge_record(ledger.find(NOW, ENDED), NOW), DuplicateVerdict.RESULT)
         self.assertIsNone(ledger.find(WINDOW_END + 1, ENDED))
-        mark = FolderMark(*decode_mark(store.get(MARK)))
+        mark = FolderMark(*decode_mark(store.get(MARK_KEY)))
         self.assertEqual(
             tuple(assess_folder(mark, len(records), "server-1", 41, NOW))[:3], (True, True, False)
         )
@@ -183,8 +191,10 @@
         """The committer's thread writes the same records as the store."""
         folder = temporary_folder(self)
         disk = StorageFolder(folder)
-        committer = GroupCommitter(Store(disk), initial_batch=[(MARK, encode(tuple(MARK_VALUE)))])
-        committer.put(RUNNING, packed(RUNNING_RECORD))
+        committer = GroupCommitter(
+            Store(disk), initial_batch=[(MARK_KEY, encode(tuple(MARK_VALUE)))]
+        )
+        committer.put(RUNNING, pack_key_record(RUNNING_RECORD))
         committer.put(RUNNING, None)
         self.assertTrue(committer.close(10))
         disk.close()
@@ -193,8 +203,8 @@
             found,
             [
                 Record(2, "", b"", RecordKind.HEADER),
-                Record(1, MARK, encode(tuple(MARK_VALUE))),
-                Record(2, RUNNING, packed(RUNNING_RECORD)),
+                Record(1, MARK_KEY, encode(tuple(MARK_VALUE))),
+                Record(2, RUNNING, pack_key_record(RUNNING_RECORD)),
                 Record(3, RUNNING, b"", RecordKind.DELETED),
             ],
         )
