--- a/gullyoke/experiments/experiment.py
+++ b/gullyoke/experiments/experiment.py
@@ -14,7 +14,7 @@
 from gullyoke.emulator.fleet import LIMITS, RESERVE, Node, deciding
 from gullyoke.emulator.kinds import grown
 from gullyoke.experiments import experiment_pb2 as schema
-from gullyoke.operator_config.checked import parsed
+from gullyoke.operator_config.checked import parse_checked
 
 LINE = 4  # reqs a core in the line of the plain pool
 
@@ -100,7 +100,7 @@
 
     Raises `Faulty` with a line for each thing that can't be right.
     """
-    found = parsed(path, schema.Experiment(), faults_of)
+    found = parse_checked(path, schema.Experiment(), faults_of)
     with open(path, encoding="utf-8") as file:
         return Experiment(found.name, file.read(), found)
 
--- a/gullyoke/extensions/back_ends.py
+++ b/gullyoke/extensions/back_ends.py
@@ -12,7 +12,7 @@
 from gullyoke.executors.backend_attempt import AttemptSettings
 from gullyoke.executors.scgi_backends import ScgiBackendPool
 from gullyoke.extensions.base import BaseExtension
-from gullyoke.operator_config.wanted import BackEnd, Pooled, Wanted
+from gullyoke.operator_config.wanted import BackEnd, BackendsSection, OperatorSettings
 from gullyoke.routing import BackendPool, BackendSettings, OutlierDetector, RetryBudget, Router
 from gullyoke.runtime.metrics import Metrics
 
@@ -36,7 +36,7 @@
 
     backends: ScgiBackendPool
 
-    def __init__(self, path: str, wanted: Pooled) -> None:
+    def __init__(self, path: str, wanted: BackendsSection) -> None:
         """Create the extension.
 
         Args:
@@ -100,7 +100,7 @@
         """Log a line for each back end."""
         self.backends.log_backends()
 
-    def check_reload(self, new: Wanted) -> None:
+    def check_reload(self, new: OperatorSettings) -> None:
         """Check that the new back ends leave descriptors for client connections.
 
         Raises:
@@ -109,7 +109,7 @@
         if new.pool is not None:
             self._check_descriptors(new.pool)
 
-    def apply_reload(self, new: Wanted) -> dict[str, object]:
+    def apply_reload(self, new: OperatorSettings) -> dict[str, object]:
         """Use the back ends of the new file; the other settings need a restart."""
         if new.pool is not None:
             self.wanted = self.wanted._replace(back_ends=new.pool.back_ends)
@@ -118,17 +118,17 @@
             self._configure_backends()
         return {"back_ends": len(self.wanted.back_ends)}
 
-    def ignored_changes(self, new: Wanted) -> list[str]:
+    def ignored_changes(self, new: OperatorSettings) -> list[str]:
         """Return the settings that differ, other than the back ends themselves."""
         if new.pool is None:
             return [self.name]
         return [
             field
-            for field in Pooled._fields
+            for field in BackendsSection._fields
             if field != "back_ends" and getattr(self.wanted, field) != getattr(new.pool, field)
         ]
 
-    def _check_descriptors(self, wanted: Pooled) -> None:
+    def _check_descriptors(self, wanted: BackendsSection) -> None:
         limit = self.max_descriptors // DESCRIPTORS_PER_BACKEND_CONNECTION
         if wanted.most() > limit:
             raise ConfigurationError(
@@ -154,7 +154,7 @@
         )
 
 
-def _replace_engine_facts(facts: SiteFacts, wanted: Pooled) -> None:
+def _replace_engine_facts(facts: SiteFacts, wanted: BackendsSection) -> None:
     """Replace the settings' facts about the engine by those about the back ends.
 
     Whether a run can be cancelled depends on the application; its calls of a dependency do not pass
@@ -165,7 +165,7 @@
     facts.dependency.call_quota = None
 
 
-def _create_router(wanted: Pooled, rng: random.Random) -> Router:
+def _create_router(wanted: BackendsSection, rng: random.Random) -> Router:
     ejecting = wanted.ejecting
 
     def create_detector(draw: Callable[[], float]) -> OutlierDetector:
--- a/gullyoke/extensions/base.py
+++ b/gullyoke/extensions/base.py
@@ -5,7 +5,7 @@
 from gullyoke.daemon.configuration import DaemonConfiguration
 from gullyoke.daemon.extension import DaemonParts
 from gullyoke.executors import Executor
-from gullyoke.operator_config.wanted import Wanted
+from gullyoke.operator_config.wanted import OperatorSettings
 from gullyoke.runtime.duplicate_table import DuplicateTable
 from gullyoke.runtime.metrics import Metrics
 
@@ -63,13 +63,13 @@
     def close(self) -> None:
         """Do nothing."""
 
-    def check_reload(self, new: Wanted) -> None:
+    def check_reload(self, new: OperatorSettings) -> None:
         """Accept the file."""
 
-    def apply_reload(self, new: Wanted) -> dict[str, object]:
+    def apply_reload(self, new: OperatorSettings) -> dict[str, object]:
         """Apply nothing."""
         return {}
 
-    def ignored_changes(self, new: Wanted) -> list[str]:
+    def ignored_changes(self, new: OperatorSettings) -> list[str]:
         """Return this extension's name where its section differs from that of the start."""
         return [] if getattr(new, self.section) == self.initial else [self.name]
--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -26,7 +26,7 @@
 from gullyoke.leases.dependency_probe import DependencyProbe
 from gullyoke.membership import Status
 from gullyoke.membership.member_record import REFUTATIONS_PER_START
-from gullyoke.operator_config.wanted import OwnDuty
+from gullyoke.operator_config.wanted import ApplicationLeaseSection
 from gullyoke.peer_transport.lease_service import LeaseService
 from gullyoke.peer_transport.quota_service import Substitutes
 from gullyoke.runtime import clock
@@ -456,7 +456,7 @@
     as a fencing token: the application compares it with the newest epoch that it has seen.
     """
 
-    def __init__(self, fleet: Fleet, duties: LeaseService, wanted: OwnDuty) -> None:
+    def __init__(self, fleet: Fleet, duties: LeaseService, wanted: ApplicationLeaseSection) -> None:
         super().__init__(fleet, duties)
         self.name, self.wanted, self.next, self.faults, self.stale = wanted.name, wanted, 0, 0, 0
         self.message_lock = threading.Lock()  # held while a message to the application is under way
--- a/gullyoke/extensions/class_pools.py
+++ b/gullyoke/extensions/class_pools.py
@@ -5,7 +5,7 @@
 from gullyoke.daemon.extension import DaemonParts
 from gullyoke.errors import ConfigurationError
 from gullyoke.extensions.base import BaseExtension
-from gullyoke.operator_config.wanted import Classed
+from gullyoke.operator_config.wanted import PoolsSection
 
 
 class ClassPools(BaseExtension):
@@ -13,7 +13,7 @@
 
     name = section = "classed"
 
-    def __init__(self, path: str, wanted: Classed) -> None:
+    def __init__(self, path: str, wanted: PoolsSection) -> None:
         """Create the extension.
 
         Args:
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -33,7 +33,7 @@
 from gullyoke.membership import MemberRecord, Status
 from gullyoke.membership.join_state import JoinStage
 from gullyoke.membership.member_record import REFUTATIONS_PER_START
-from gullyoke.operator_config.wanted import Dutied, Wanted
+from gullyoke.operator_config.wanted import DutiesSection, OperatorSettings
 from gullyoke.peer_transport.lease_codec import decode_voter_entries
 from gullyoke.peer_transport.lease_service import TOPIC, LeaseService
 from gullyoke.runtime import clock
@@ -66,7 +66,7 @@
         placements: what the members were last ranked by.
     """
 
-    def __init__(self, wanted: Dutied) -> None:
+    def __init__(self, wanted: DutiesSection) -> None:
         self.wanted, self.fleet, self.duties = wanted, None, None
         self.tasks: dict[str, SingletonTask] = {}
         self.lease_changes: list[LeaseChange] = []
@@ -231,7 +231,7 @@
 
     # Another voter set, while the server runs.
 
-    def apply_reload(self, new: Wanted) -> dict[str, object]:
+    def apply_reload(self, new: OperatorSettings) -> dict[str, object]:
         """Use a voter set that has one voter more or fewer and the next number.
 
         Leases that were granted under the old set last to their end. A server that becomes a voter
@@ -267,7 +267,7 @@
         )
         return {"set": wanted.set}
 
-    def is_next_voter_set(self, new: Dutied) -> bool:
+    def is_next_voter_set(self, new: DutiesSection) -> bool:
         """Return whether it is the next voter set: one voter more or fewer, the others unchanged.
 
         Majorities of two sets that differ by more need not have a voter in common.
@@ -282,13 +282,13 @@
             and folder_ok
         )
 
-    def ignored_changes(self, new: Wanted) -> list[str]:
+    def ignored_changes(self, new: OperatorSettings) -> list[str]:
         """Return the settings that differ and need a restart."""
         if new.duties is None:
             return ["duties"]
         return [
             f"duties.{name}"
-            for name in Dutied._fields
+            for name in DutiesSection._fields
             if getattr(self.wanted, name) != getattr(new.duties, name)
             and not (name in ("voters", "set") and self.is_next_voter_set(new.duties))
         ]
--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -18,7 +18,7 @@
 from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.membership import Change, Member, MemberRecord, Status, start_version
 from gullyoke.membership.member_record import member_id
-from gullyoke.operator_config.wanted import Kept, Together, Wanted
+from gullyoke.operator_config.wanted import FleetSection, OperatorSettings, StoreSection
 from gullyoke.peer_transport.link import PeerLink
 from gullyoke.peer_transport.seal import Seal, UnusableKeyError, parse_keys
 from gullyoke.peer_transport.start_number import StoredStartNumber
@@ -56,8 +56,8 @@
     def __init__(
         self,
         path: str,
-        wanted: Together,
-        kept: Kept | None,
+        wanted: FleetSection,
+        kept: StoreSection | None,
         parts: Sequence[FleetExtension] = (),
         folders: DataFolders | None = None,
     ) -> None:
@@ -91,7 +91,7 @@
         for part in self.parts:
             part.attach(self)
 
-    def keys(self, wanted: Together) -> tuple[bytes, ...]:
+    def keys(self, wanted: FleetSection) -> tuple[bytes, ...]:
         """Read the key file.
 
         Raises:
@@ -238,7 +238,7 @@
 
     # Reloading, which applies other seeds and keys.
 
-    def check_reload(self, new: Wanted) -> None:
+    def check_reload(self, new: OperatorSettings) -> None:
         """Read the new keys, which `apply_reload` uses.
 
         They are read only here, so that a key file that changes in between can't make a reload
@@ -250,7 +250,7 @@
         if new.fleet is not None:
             self.read = self.keys(new.fleet)
 
-    def apply_reload(self, new: Wanted) -> dict[str, object]:
+    def apply_reload(self, new: OperatorSettings) -> dict[str, object]:
         """Use the new seeds and keys, and let the parts apply their sections."""
         if new.fleet is None:
             return {}
@@ -266,13 +266,13 @@
             applied |= part.apply_reload(new)
         return applied
 
-    def ignored_changes(self, new: Wanted) -> list[str]:
+    def ignored_changes(self, new: OperatorSettings) -> list[str]:
         """Return the settings that differ and need a restart."""
         if new.fleet is None:
             return [self.name]
         return [
             f"fleet.{name}"
-            for name in Together._fields
+            for name in FleetSection._fields
             if name not in ("seeds", "key_file")
             and getattr(self.wanted, name) != getattr(new.fleet, name)
         ] + [name for part in self.parts for name in part.ignored_changes(new)]
--- a/gullyoke/extensions/fleet_extension.py
+++ b/gullyoke/extensions/fleet_extension.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from gullyoke.operator_config.wanted import Wanted
+from gullyoke.operator_config.wanted import OperatorSettings
 
 if TYPE_CHECKING:
     from gullyoke.extensions.fleet import Fleet
@@ -43,7 +43,7 @@
     def close(self) -> None:
         """Release what is open; the daemon ends right after."""
 
-    def apply_reload(self, new: Wanted) -> dict[str, object]:
+    def apply_reload(self, new: OperatorSettings) -> dict[str, object]:
         """Apply what may change while the daemon runs.
 
         Returns:
@@ -51,6 +51,6 @@
         """
         return {}
 
-    def ignored_changes(self, new: Wanted) -> list[str]:
+    def ignored_changes(self, new: OperatorSettings) -> list[str]:
         """Return the names of the settings that differ and need a restart."""
         return []
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -46,7 +46,7 @@
     unpack_key_record,
 )
 from gullyoke.membership.member_record import REFUTATIONS_PER_START
-from gullyoke.operator_config.wanted import Kept, Wanted
+from gullyoke.operator_config.wanted import OperatorSettings, StoreSection
 from gullyoke.runtime import clock
 from gullyoke.runtime.duplicate_table import DuplicateTable, KeyEntry
 from gullyoke.runtime.logs import log, log_fields
@@ -127,7 +127,9 @@
 
     name = section = "kept"
 
-    def __init__(self, kept: Kept, folders: DataFolders, fleet: Fleet | None = None) -> None:
+    def __init__(
+        self, kept: StoreSection, folders: DataFolders, fleet: Fleet | None = None
+    ) -> None:
         super().__init__(kept)
         self.kept, self.folders, self.fleet = kept, folders, fleet
         self.committer: GroupCommitter | None = None
@@ -384,7 +386,7 @@
         self.daemon.metrics.increment("keys.begun_anew")
         self.read_folder()
 
-    def ignored_changes(self, new: Wanted) -> list[str]:
+    def ignored_changes(self, new: OperatorSettings) -> list[str]:
         """Return nothing: `Memory` has the same section and reports its changes."""
         return []
 
--- a/gullyoke/extensions/listeners.py
+++ b/gullyoke/extensions/listeners.py
@@ -7,7 +7,7 @@
 from gullyoke.frontends.http1 import Http1
 from gullyoke.frontends.listener import Frontend
 from gullyoke.frontends.scgi import Scgi
-from gullyoke.operator_config.wanted import Way
+from gullyoke.operator_config.wanted import ListenerSection
 
 
 class Listeners(BaseExtension):
@@ -15,7 +15,7 @@
 
     name = section = "ways"
 
-    def __init__(self, listeners: tuple[Way, ...]) -> None:
+    def __init__(self, listeners: tuple[ListenerSection, ...]) -> None:
         """Create the extension from the listeners in the file."""
         super().__init__(listeners)
         self.listeners = listeners
@@ -30,7 +30,7 @@
             daemon.connections.listen(listener.address, _create_front_end(daemon, listener))
 
 
-def _create_front_end(daemon: DaemonParts, listener: Way) -> Frontend:
+def _create_front_end(daemon: DaemonParts, listener: ListenerSection) -> Frontend:
     if listener.protocol == "SCGI":
         return Scgi(daemon.message_handler, listener.name)
     return Http1(daemon.message_handler, listener.name)
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -20,7 +20,7 @@
     WARMUP_KEY,
     MemoryStore,
 )
-from gullyoke.operator_config.wanted import Kept
+from gullyoke.operator_config.wanted import StoreSection
 from gullyoke.runtime import clock
 from gullyoke.storage import run_time_history, warmup_history
 from gullyoke.storage.run_time_history import RunTimeSnapshot, StartHistory
@@ -43,7 +43,7 @@
     run_times: RunTimeRecorder
     warmup: WarmupTracker
 
-    def __init__(self, wanted: Kept, folders: DataFolders) -> None:
+    def __init__(self, wanted: StoreSection, folders: DataFolders) -> None:
         """Create the extension.
 
         Args:
--- a/gullyoke/extensions/operator_file.py
+++ b/gullyoke/extensions/operator_file.py
@@ -11,7 +11,12 @@
 from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.extensions.listeners import Listeners
 from gullyoke.operator_config.read import read
-from gullyoke.operator_config.wanted import Dutied, OperatorFileError, Together, Wanted
+from gullyoke.operator_config.wanted import (
+    DutiesSection,
+    FleetSection,
+    OperatorFileError,
+    OperatorSettings,
+)
 from gullyoke.runtime.logs import log, log_fields
 
 #: The attribute of the parsed file that has a section, by the section's name in the log.
@@ -28,21 +33,21 @@
 class ReloadableExtension(Extension, Protocol):
     """An extension that takes part in reloads of the operator's file."""
 
-    def check_reload(self, new: Wanted) -> None:
+    def check_reload(self, new: OperatorSettings) -> None:
         """Check a new file before any of it is applied.
 
         Raises:
             ConfigurationError: this extension can't apply it.
         """
 
-    def apply_reload(self, new: Wanted) -> dict[str, object]:
+    def apply_reload(self, new: OperatorSettings) -> dict[str, object]:
         """Apply what may change while the daemon runs.
 
         Returns:
             What has been applied, as fields of a log line.
         """
 
-    def ignored_changes(self, new: Wanted) -> list[str]:
+    def ignored_changes(self, new: OperatorSettings) -> list[str]:
         """Return the names of the settings that differ and need a restart."""
 
 
@@ -87,7 +92,7 @@
         )
         return True
 
-    def _sections_added(self, new: Wanted) -> list[str]:
+    def _sections_added(self, new: OperatorSettings) -> list[str]:
         """Return the sections that the file did not have: no extension can apply them."""
         return [
             name
@@ -96,7 +101,7 @@
         ]
 
 
-def create_extensions(path: str, wanted: Wanted) -> list[ReloadableExtension]:
+def create_extensions(path: str, wanted: OperatorSettings) -> list[ReloadableExtension]:
     """Create the extensions that the file asks for, in the order in which they attach.
 
     Modules that only some files need are imported here, since they take memory.
@@ -116,7 +121,7 @@
 
 
 def _create_stateful_extensions(
-    path: str, wanted: Wanted, back_ends: BackEnds | None
+    path: str, wanted: OperatorSettings, back_ends: BackEnds | None
 ) -> list[ReloadableExtension]:
     """Create the extensions that write to folders; they share the monitor of a folder."""
     from gullyoke.extensions.data_folders import DataFolders
@@ -147,7 +152,7 @@
 
 
 def create_fleet_extensions(
-    wanted: Together, duties: Dutied | None, back_ends: BackEnds | None
+    wanted: FleetSection, duties: DutiesSection | None, back_ends: BackEnds | None
 ) -> list[FleetExtension]:
     """Create the extensions of the fleet's membership."""
     extensions: list[FleetExtension] = []
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -17,7 +17,7 @@
 from gullyoke.errors import ConfigurationError
 from gullyoke.extensions.fleet import Fleet
 from gullyoke.extensions.fleet_extension import FleetExtension
-from gullyoke.operator_config.wanted import Slotted
+from gullyoke.operator_config.wanted import SharesSection
 from gullyoke.peer_transport.quota_codec import configuration_digest
 from gullyoke.peer_transport.quota_service import (
     TENANT_QUOTA_TOPIC,
@@ -52,7 +52,7 @@
 
     fleet: Fleet
 
-    def __init__(self, wanted: Slotted) -> None:
+    def __init__(self, wanted: SharesSection) -> None:
         """Create the extension from its section of the operator's file."""
         self.wanted = wanted
         self.shared: SharedSlots | None = None
--- a/gullyoke/operator_config/checked.py
+++ b/gullyoke/operator_config/checked.py
@@ -18,13 +18,15 @@
 from gullyoke.operator_config import operator_pb2 as schema
 from gullyoke.operator_config.wanted import OperatorFileError
 
-LONGEST = 2**20  # bytes of a file that are read
-NAME = re.compile(r"[A-Za-z_]\w*")
-PLACE = re.compile(r"(?:(\d+):(\d+) : )?(.*)", re.DOTALL)
+MAX_BYTES = 2**20  # bytes of a file that are read
+KEY_NAME = re.compile(r"[A-Za-z_]\w*")
+PARSE_ERROR = re.compile(r"(?:(\d+):(\d+) : )?(.*)", re.DOTALL)
 Kind = TypeVar("Kind", bound=Message)
 
 
-def parsed(path: str, empty: Kind, more: Callable[[Kind], Iterable[tuple[str, str]]]) -> Kind:
+def parse_checked(
+    path: str, empty: Kind, more: Callable[[Kind], Iterable[tuple[str, str]]]
+) -> Kind:
     """Read a file and return it as a message.
 
     Args:
@@ -37,10 +39,12 @@
     """
     try:
         with open(path, "rb") as file:
-            data = file.read(LONGEST + 1)
-        if len(data) > LONGEST:
+            data = file.read(MAX_BYTES + 1)
+        if len(data) > MAX_BYTES:
             raise OperatorFileError(
-                [f"{path}:1: the file: over {LONGEST} bytes; right would be a file of a few pages"]
+                [
+                    f"{path}:1: the file: over {MAX_BYTES} bytes; right would be a file of a few pages"
+                ]
             )
         text = data.decode("utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -48,15 +52,15 @@
     try:
         message = text_format.Parse(text, empty)
     except text_format.ParseError as error:
-        line, _, description = PLACE.fullmatch(str(error)).groups()
+        line, _, description = PARSE_ERROR.fullmatch(str(error)).groups()
         raise OperatorFileError(
-            [f"{path}:{line or 1}: {one_line(description, empty.DESCRIPTOR)}"]
+            [f"{path}:{line or 1}: {describe_parse_error(description, empty.DESCRIPTOR)}"]
         ) from None
-    lines = places(text)
+    lines = key_lines(text)
     faults = sorted(
         (
             (lines.get(key) or lines.get(key.rpartition(".")[0]) or 1, key, why)
-            for key, why in [*unbound(message, ""), *more(message)]
+            for key, why in [*bound_faults(message, ""), *more(message)]
         ),
         key=lambda row: row[0],
     )
@@ -65,7 +69,7 @@
     return message
 
 
-def one_line(said: str, root: Descriptor) -> str:
+def describe_parse_error(said: str, root: Descriptor) -> str:
     """Return the parser's message as one line, with the valid keys where a key is unknown."""
     said = " ".join(said.split())
     match = re.search(r'Message type "([\w.]+)" has no field named "(\w+)"', said)
@@ -77,7 +81,7 @@
     )
 
 
-def places(text: str) -> dict[str, int]:
+def key_lines(text: str) -> dict[str, int]:
     """Return the line of each key by its path, such as `backends.backend[1].weight`."""
     lines: dict[str, int] = {}
     count: dict[str, int] = {}
@@ -86,8 +90,8 @@
     tokens = text_format.Tokenizer(text.splitlines())
     while not tokens.AtEnd():
         token, at = tokens.token, tokens.ParseError("").GetLine()
-        if token in (":", "{", "<") and (NAME.fullmatch(last) or last in ("[", ",")):
-            if NAME.fullmatch(last):
+        if token in (":", "{", "<") and (KEY_NAME.fullmatch(last) or last in ("[", ",")):
+            if KEY_NAME.fullmatch(last):
                 key, place = last, last_at
             else:
                 place = at  # a further message of a list
@@ -107,11 +111,11 @@
     return single | lines
 
 
-def unbound(message: Message, path: str) -> Iterator[tuple[str, str]]:
+def bound_faults(message: Message, path: str) -> Iterator[tuple[str, str]]:
     """Yield each field of a message, nested ones included, that violates the schema's bounds."""
     for field in message.DESCRIPTOR.fields:
         bounds = field.GetOptions().Extensions[schema.bounds]
-        values = given(message, field)
+        values = field_values(message, field)
         key = f"{path}{field.name}"
         if bounds.required and not any(values):
             yield key, f"missing; right would be {bounds.right}"
@@ -119,12 +123,12 @@
         for i, value in enumerate(values):
             at = f"{key}[{i}]" if field.is_repeated else key
             if isinstance(value, Message):
-                yield from unbound(value, at + ".")
-            elif not within(value, bounds):
+                yield from bound_faults(value, at + ".")
+            elif not is_within(value, bounds):
                 yield at, f"{value!r} can't be; right would be {bounds.right}"
 
 
-def given(message: Message, field: FieldDescriptor) -> list:
+def field_values(message: Message, field: FieldDescriptor) -> list:
     """Return the values of a field in a message; none where it is not set."""
     if field.is_repeated:
         return list(getattr(message, field.name))
@@ -133,11 +137,11 @@
     return [getattr(message, field.name)]
 
 
-def within(value: object, bounds: schema.Bounds) -> bool:
+def is_within(value: object, bounds: schema.Bounds) -> bool:
     """Return whether a value is within the bounds."""
     if isinstance(value, str):
         return not bounds.pattern or (
-            re.fullmatch(bounds.pattern, value) is not None and port_of(value)
+            re.fullmatch(bounds.pattern, value) is not None and has_valid_port(value)
         )
     if isinstance(value, float) and not math.isfinite(value):
         return False
@@ -147,7 +151,7 @@
     )
 
 
-def port_of(value: str) -> bool:
+def has_valid_port(value: str) -> bool:
     """Return whether the port is valid, if the text is a host and a port."""
     _, mark, port = value.rpartition(":")
     return not mark or not port.isdigit() or 0 < int(port) < 65536
--- a/gullyoke/operator_config/read.py
+++ b/gullyoke/operator_config/read.py
@@ -7,33 +7,33 @@
 from google.protobuf.message import Message
 
 from gullyoke.operator_config import operator_pb2 as schema
-from gullyoke.operator_config.checked import parsed
+from gullyoke.operator_config.checked import parse_checked
 from gullyoke.operator_config.wanted import (
     Address,
+    ApplicationLeaseSection,
     BackEnd,
-    Classed,
-    Dutied,
-    Ejecting,
-    Kept,
-    OwnDuty,
-    Pooled,
-    Slotted,
-    Together,
-    Wanted,
-    Way,
+    BackendsSection,
+    DutiesSection,
+    EjectionSection,
+    FleetSection,
+    ListenerSection,
+    OperatorSettings,
+    PoolsSection,
+    SharesSection,
+    StoreSection,
 )
 
 
-def read(path: str) -> Wanted:
+def read(path: str) -> OperatorSettings:
     """Read a file.
 
     Raises:
         OperatorFileError: with all faults, in the order of their lines.
     """
-    return wanted(parsed(path, schema.Operator(), faults_of))
+    return convert(parse_checked(path, schema.Operator(), relation_faults))
 
 
-def faults_of(found: schema.Operator) -> Iterator[tuple[str, str]]:
+def relation_faults(found: schema.Operator) -> Iterator[tuple[str, str]]:
     """Yield the faults between fields: the key of each, and a text."""
     names: set[str] = set()
     addresses: set[str] = set()
@@ -62,7 +62,7 @@
                 f"{one.address!r} stands twice; right would be once",
             )
         addresses.add(one.address)
-        least, most = bounds_of(one)
+        least, most = connection_limits(one)
         if least > most:
             yield (
                 f"backends.backend[{i}].most",
@@ -84,7 +84,7 @@
     if homes and len(homes) % 2 == 0:
         yield "fleet.shares.home", f"{len(homes)} of them; right would be an odd number"
     if found.HasField("duties"):
-        yield from faults_of_duties(found)
+        yield from duties_faults(found)
     if found.backends.subset and not found.HasField("fleet"):
         yield (
             "backends.subset",
@@ -99,7 +99,7 @@
         )
 
 
-def faults_of_duties(found: schema.Operator) -> Iterator[tuple[str, str]]:
+def duties_faults(found: schema.Operator) -> Iterator[tuple[str, str]]:
     """Yield the faults between the fields of the leases."""
     duties, names = found.duties, set()
     if not found.HasField("fleet"):
@@ -128,7 +128,7 @@
 # Conversion, with the defaults of what is not set.
 
 
-def address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Return the path of a Unix socket, or a host and a port."""
     if text.startswith("unix:"):
         return text.removeprefix("unix:")
@@ -136,19 +136,19 @@
     return host, int(port)
 
 
-def bounds_of(one: schema.Backend) -> tuple[int, int]:
+def connection_limits(one: schema.Backend) -> tuple[int, int]:
     """Return the least and the greatest limit of a back end's connections."""
     least = one.least if one.HasField("least") else 1
     return least, one.most if one.HasField("most") else max(64, least)
 
 
-def wanted(found: schema.Operator) -> Wanted:
+def convert(found: schema.Operator) -> OperatorSettings:
     """Convert a file."""
     ways = tuple(
-        Way(
+        ListenerSection(
             entry.name,
             schema.Listener.Protocol.Name(entry.protocol),
-            address(entry.address),
+            parse_address(entry.address),
         )
         for entry in found.listener
     )
@@ -158,25 +158,27 @@
         classes = {
             handler: pool.name for pool in getattr(found.pools, "class") for handler in pool.handler
         }
-        classed = Classed(found.pools.minimum if found.pools.HasField("minimum") else 0.02, classes)
+        classed = PoolsSection(
+            found.pools.minimum if found.pools.HasField("minimum") else 0.02, classes
+        )
     kept = None
     if found.HasField("store"):
         quota = found.store.quota_mb if found.store.HasField("quota_mb") else 16
         without = schema.Keys.Without.Name(found.store.keys.without).lower().replace("_", " ")
-        kept = Kept(
+        kept = StoreSection(
             found.store.folder, quota * 2**20, without if found.store.HasField("keys") else ""
         )
-    fleet = together(found.fleet) if found.HasField("fleet") else None
-    duties = dutied(found.duties) if found.HasField("duties") else None
+    fleet = convert_fleet(found.fleet) if found.HasField("fleet") else None
+    duties = convert_duties(found.duties) if found.HasField("duties") else None
     if not found.HasField("backends"):
-        return Wanted(json_log, ways, None, classed, kept, fleet, duties)
+        return OperatorSettings(json_log, ways, None, classed, kept, fleet, duties)
     pool_section, eject = found.backends, found.backends.ejection
 
     def value_or(message: Message, name: str, default):
         return getattr(message, name) if message.HasField(name) else default
 
     first_out = value_or(eject, "first_out_ms", 1000) * 1000
-    ejecting = Ejecting(
+    ejecting = EjectionSection(
         value_or(eject, "consecutive", 5),
         value_or(eject, "over_peers", 0.3),
         value_or(eject, "pool_share", 0.5),
@@ -186,14 +188,18 @@
     )
     back_ends = tuple(
         BackEnd(
-            b.address, address(b.address), value_or(b, "weight", 1.0), *bounds_of(b), b.zone or "-"
+            b.address,
+            parse_address(b.address),
+            value_or(b, "weight", 1.0),
+            *connection_limits(b),
+            b.zone or "-",
         )
         for b in pool_section.backend
     )
-    return Wanted(
+    return OperatorSettings(
         json_log,
         ways,
-        Pooled(
+        BackendsSection(
             back_ends,
             value_or(pool_section, "linger_ms", 2000) * 1000,
             pool_section.stops_on_close,
@@ -211,34 +217,36 @@
     )
 
 
-def together(found: schema.Fleet) -> Together:
+def convert_fleet(found: schema.Fleet) -> FleetSection:
     """Convert the section `fleet`."""
-    return Together(
+    return FleetSection(
         found.name,
-        address(found.listen),
+        parse_address(found.listen),
         found.advertise or found.listen,
         tuple(found.seed),
         found.zone or "-",
         found.key_file,
-        address(found.status) if found.status else None,
+        parse_address(found.status) if found.status else None,
         found.size,
         found.signals or found.heed,
         found.heed,
-        shared(found.shares) if found.HasField("shares") else None,
+        convert_shares(found.shares) if found.HasField("shares") else None,
     )
 
 
-def dutied(found: schema.Duties) -> Dutied:
+def convert_duties(found: schema.Duties) -> DutiesSection:
     """Convert the section `duties`."""
 
     def value_or(name: str, default: int) -> int:
         return getattr(found, name) if found.HasField(name) else default
 
     own = tuple(
-        OwnDuty(d.name, address(d.address), (d.every_ms if d.HasField("every_ms") else 500) * 1000)
+        ApplicationLeaseSection(
+            d.name, parse_address(d.address), (d.every_ms if d.HasField("every_ms") else 500) * 1000
+        )
         for d in found.duty
     )
-    return Dutied(
+    return DutiesSection(
         {v.name: v.address for v in found.voter},
         value_or("set", 1),
         value_or("lease_ms", 3000) * 1000,
@@ -252,9 +260,9 @@
     )
 
 
-def shared(found: schema.Shares) -> Slotted:
+def convert_shares(found: schema.Shares) -> SharesSection:
     """Convert the section `fleet.shares`."""
-    return Slotted(
+    return SharesSection(
         {home.name: home.address for home in found.home},
         found.slots,
         found.largest,
--- a/gullyoke/operator_config/wanted.py
+++ b/gullyoke/operator_config/wanted.py
@@ -21,7 +21,7 @@
         self.faults = faults
 
 
-class Way(NamedTuple):
+class ListenerSection(NamedTuple):
     """A further listener, next to the one of the daemon's own configuration."""
 
     name: str
@@ -49,7 +49,7 @@
     zone: str = "-"
 
 
-class Ejecting(NamedTuple):
+class EjectionSection(NamedTuple):
     """When a back end is ejected, for how long, and how long its slow start takes."""
 
     consecutive: int
@@ -60,7 +60,7 @@
     slow_start: int
 
 
-class Pooled(NamedTuple):
+class BackendsSection(NamedTuple):
     """The back ends, how long a run may take to end, the limits of answers and of retries."""
 
     back_ends: tuple[BackEnd, ...]
@@ -70,7 +70,7 @@
     first_limit: int
     retry_share: float
     retry_burst: float
-    ejecting: Ejecting
+    ejecting: EjectionSection
     subset: int = 0
 
     def most(self) -> int:
@@ -78,7 +78,7 @@
         return sum(b.most for b in self.back_ends)
 
 
-class Classed(NamedTuple):
+class PoolsSection(NamedTuple):
     """Class pools.
 
     Attributes:
@@ -90,7 +90,7 @@
     classes: dict[str, str]
 
 
-class Kept(NamedTuple):
+class StoreSection(NamedTuple):
     """The folder of the data that is kept over restarts.
 
     Attributes:
@@ -105,7 +105,7 @@
     without: str = ""
 
 
-class Slotted(NamedTuple):
+class SharesSection(NamedTuple):
     """The limits that all servers share: calls of the dependency, and quotas of tenants.
 
     Attributes:
@@ -127,7 +127,7 @@
     quotas: bool = False
 
 
-class Together(NamedTuple):
+class FleetSection(NamedTuple):
     """The fleet that this server is a member of, and how it reaches the other members."""
 
     name: str
@@ -140,10 +140,10 @@
     size: bool
     signals: bool = False
     heed: bool = False
-    shares: Slotted | None = None
+    shares: SharesSection | None = None
 
 
-class OwnDuty(NamedTuple):
+class ApplicationLeaseSection(NamedTuple):
     """A lease of the application's own.
 
     Attributes:
@@ -157,7 +157,7 @@
     every: int
 
 
-class Dutied(NamedTuple):
+class DutiesSection(NamedTuple):
     """The leases of the fleet.
 
     Attributes:
@@ -182,16 +182,16 @@
     book: bool
     roll: bool
     record: bool
-    own: tuple[OwnDuty, ...]
+    own: tuple[ApplicationLeaseSection, ...]
 
 
-class Wanted(NamedTuple):
+class OperatorSettings(NamedTuple):
     """The whole file; None for a section that is absent."""
 
     json_log: bool
-    ways: tuple[Way, ...]
-    pool: Pooled | None
-    classed: Classed | None = None
-    kept: Kept | None = None
-    fleet: Together | None = None
-    duties: Dutied | None = None
+    ways: tuple[ListenerSection, ...]
+    pool: BackendsSection | None
+    classed: PoolsSection | None = None
+    kept: StoreSection | None = None
+    fleet: FleetSection | None = None
+    duties: DutiesSection | None = None
--- a/tests/compatibility/test_duty_messages.py
+++ b/tests/compatibility/test_duty_messages.py
@@ -20,7 +20,7 @@
 from gullyoke.leases.announcements import Announcement, Instruction
 from gullyoke.leases.rolling_restart import RestartPlan
 from gullyoke.membership import MemberRecord, Status
-from gullyoke.operator_config.wanted import OwnDuty
+from gullyoke.operator_config.wanted import ApplicationLeaseSection
 from gullyoke.runtime.metrics import Metrics as Counters
 
 EPOCH = 1_700_000_000
@@ -134,7 +134,9 @@
         duties.held_epoch.return_value = EPOCH
         duties.candidates["report"].remaining_us.return_value = 1_500_999
         lease = ApplicationLease(
-            fleet_of("server-1"), duties, OwnDuty("report", listener.getsockname(), 400_000)
+            fleet_of("server-1"),
+            duties,
+            ApplicationLeaseSection("report", listener.getsockname(), 400_000),
         )
         lease.message_lock.acquire()
         lease.notify_application(EPOCH)
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -20,7 +20,7 @@
 from gullyoke.leases.voter import Promise, Voter
 from gullyoke.membership import Member, MemberRecord, Status
 from gullyoke.membership.join_state import JoinStage
-from gullyoke.operator_config.wanted import Dutied
+from gullyoke.operator_config.wanted import DutiesSection
 from gullyoke.peer_transport.lease_service import LeaseService
 from gullyoke.peer_transport.link import PeerLink
 from gullyoke.peer_transport.quota_codec import configuration_digest
@@ -205,7 +205,9 @@
         )
         self.roll = RollingRestart(fleet, self.duties)
         self.part = FleetLeases(
-            Dutied(VOTERS, 4, 3_000_000, 1000, "/var/lib/gullyoke", False, False, True, False, ())
+            DutiesSection(
+                VOTERS, 4, 3_000_000, 1000, "/var/lib/gullyoke", False, False, True, False, ()
+            )
         )
         self.part.fleet, self.part.duties = fleet, self.duties
         self.part.tasks = {"roll": self.roll}
--- a/tests/compatibility/test_operator_file.py
+++ b/tests/compatibility/test_operator_file.py
@@ -10,18 +10,18 @@
 from gullyoke.operator_config import operator_pb2 as schema
 from gullyoke.operator_config.read import read
 from gullyoke.operator_config.wanted import (
+    ApplicationLeaseSection,
     BackEnd,
-    Classed,
-    Dutied,
-    Ejecting,
-    Kept,
+    BackendsSection,
+    DutiesSection,
+    EjectionSection,
+    FleetSection,
+    ListenerSection,
     OperatorFileError,
-    OwnDuty,
-    Pooled,
-    Slotted,
-    Together,
-    Wanted,
-    Way,
+    OperatorSettings,
+    PoolsSection,
+    SharesSection,
+    StoreSection,
 )
 
 FILE, DEFAULTS = DATA / "operator.textproto", DATA / "operator-defaults.textproto"
@@ -64,13 +64,13 @@
         self.assertEqual(
             found[1],
             (
-                Way("second", "HTTP_1", ("127.0.0.1", 4001)),
-                Way("local", "SCGI", "/run/gullyoke/scgi.sock"),
+                ListenerSection("second", "HTTP_1", ("127.0.0.1", 4001)),
+                ListenerSection("local", "SCGI", "/run/gullyoke/scgi.sock"),
             ),
         )
         self.assertEqual(
             found[2],
-            Pooled(
+            BackendsSection(
                 (
                     BackEnd("127.0.0.1:9001", ("127.0.0.1", 9001), 2.5, 3, 32, "makati"),
                     BackEnd("unix:/run/app/scgi.sock", "/run/app/scgi.sock", 1.0, 1, 64, "-"),
@@ -81,17 +81,17 @@
                 12,
                 0.25,
                 20.0,
-                Ejecting(7, 0.375, 0.625, 1_100_000, 31_000_000, 4_500_000),
+                EjectionSection(7, 0.375, 0.625, 1_100_000, 31_000_000, 4_500_000),
                 2,
             ),
         )
         self.assertEqual(
-            found[3], Classed(0.0625, {"view": "reads", "list": "reads", "book": "writes"})
+            found[3], PoolsSection(0.0625, {"view": "reads", "list": "reads", "book": "writes"})
         )
-        self.assertEqual(found[4], Kept("/var/lib/gullyoke", 25_165_824, "go on"))
+        self.assertEqual(found[4], StoreSection("/var/lib/gullyoke", 25_165_824, "go on"))
         self.assertEqual(
             found[5],
-            Together(
+            FleetSection(
                 "orders",
                 ("10.0.0.4", 7900),
                 "192.168.0.4:7901",
@@ -102,12 +102,12 @@
                 True,
                 True,
                 True,
-                Slotted(HOMES, 120, 12, 0.5, 1.75, True, True),
+                SharesSection(HOMES, 120, 12, 0.5, 1.75, True, True),
             ),
         )
         self.assertEqual(
             found[6],
-            Dutied(
+            DutiesSection(
                 HOMES,
                 4,
                 2_500_000,
@@ -118,8 +118,8 @@
                 True,
                 True,
                 (
-                    OwnDuty("report", ("127.0.0.1", 9100), 400_000),
-                    OwnDuty("billing", ("127.0.0.1", 9101), 500_000),
+                    ApplicationLeaseSection("report", ("127.0.0.1", 9100), 400_000),
+                    ApplicationLeaseSection("billing", ("127.0.0.1", 9101), 500_000),
                 ),
             ),
         )
@@ -129,10 +129,10 @@
         home = {"server-1": "10.0.0.4:7900"}
         self.assertEqual(
             read(str(DEFAULTS)),
-            Wanted(
+            OperatorSettings(
                 False,
-                (Way("scgi", "SCGI", ("127.0.0.1", 4000)),),
-                Pooled(
+                (ListenerSection("scgi", "SCGI", ("127.0.0.1", 4000)),),
+                BackendsSection(
                     (
                         BackEnd("127.0.0.1:9001", ("127.0.0.1", 9001), 1.0, 1, 64, "-"),
                         BackEnd("127.0.0.1:9002", ("127.0.0.1", 9002), 1.0, 70, 70, "-"),
@@ -143,12 +143,12 @@
                     8,
                     0.1,
                     10.0,
-                    Ejecting(5, 0.3, 0.5, 1_000_000, 30_000_000, 5_000_000),
+                    EjectionSection(5, 0.3, 0.5, 1_000_000, 30_000_000, 5_000_000),
                     0,
                 ),
-                Classed(0.02, {}),
-                Kept("/var/lib/gullyoke", 16_777_216, "shed"),
-                Together(
+                PoolsSection(0.02, {}),
+                StoreSection("/var/lib/gullyoke", 16_777_216, "shed"),
+                FleetSection(
                     "orders",
                     ("10.0.0.4", 7900),
                     "10.0.0.4:7900",
@@ -159,9 +159,9 @@
                     False,
                     False,
                     False,
-                    Slotted(home, 40, 3, 0.25, 1.0, False, False),
+                    SharesSection(home, 40, 3, 0.25, 1.0, False, False),
                 ),
-                Dutied(
+                DutiesSection(
                     home,
                     1,
                     3_000_000,
@@ -171,17 +171,19 @@
                     False,
                     False,
                     False,
-                    (OwnDuty("report", ("127.0.0.1", 9100), 500_000),),
+                    (ApplicationLeaseSection("report", ("127.0.0.1", 9100), 500_000),),
                 ),
             ),
         )
 
     def test_empty_file(self):
-        self.assertEqual(self.read_text(""), Wanted(False, (), None, None, None, None, None))
+        self.assertEqual(
+            self.read_text(""), OperatorSettings(False, (), None, None, None, None, None)
+        )
 
     def test_store_without_keys(self):
         found = self.read_text('store { folder: "/var/lib/gullyoke" }')
-        self.assertEqual(found[4], Kept("/var/lib/gullyoke", 16_777_216, ""))
+        self.assertEqual(found[4], StoreSection("/var/lib/gullyoke", 16_777_216, ""))
 
     def test_signals_and_heed(self):
         """A server that acts on signals also sends them."""
--- a/tests/leases/test_duty.py
+++ b/tests/leases/test_duty.py
@@ -36,7 +36,7 @@
     StoredRecord,
 )
 from gullyoke.leases.voter import Voter
-from gullyoke.operator_config.wanted import Dutied
+from gullyoke.operator_config.wanted import DutiesSection
 
 
 class Leases(unittest.TestCase):
@@ -156,7 +156,9 @@
         removed.
         """
         three = {"a": "1:1", "b": "1:2", "c": "1:3"}
-        part = FleetLeases(Dutied(three, 4, 10**6, 1000, "/f", False, False, False, False, ()))
+        part = FleetLeases(
+            DutiesSection(three, 4, 10**6, 1000, "/f", False, False, False, False, ())
+        )
         part.fleet = mock.Mock()
         part.fleet.daemon.configuration.name = "b"
         for voters, number, fits in (
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -20,7 +20,7 @@
 from gullyoke.membership.messages import OutgoingMessage, TopicMessage
 from gullyoke.membership.size_estimate import SizeEstimate
 from gullyoke.operator_config.read import read
-from gullyoke.operator_config.wanted import OperatorFileError, Together
+from gullyoke.operator_config.wanted import FleetSection, OperatorFileError
 from gullyoke.peer_transport.link import PeerLink
 from gullyoke.peer_transport.seal import Seal
 from gullyoke.peer_transport.start_number import StoredStartNumber
@@ -222,7 +222,7 @@
             dispatcher=types.SimpleNamespace(lock=threading.Lock()),
             timer=types.SimpleNamespace(call_at=lambda *_: None),
         )
-        wanted = Together("f", ("", 0), "", (), "-", "", None, True)
+        wanted = FleetSection("f", ("", 0), "", (), "-", "", None, True)
         unit = Fleet("file", wanted, None)
         unit.daemon, unit.told, unit.size = daemon, 12, 12
         unit.link = types.SimpleNamespace(lock=threading.Lock())
@@ -287,7 +287,7 @@
                 with self.subTest(more), self.assertRaisesRegex(OperatorFileError, message):
                     read(str(path))
             self.assertEqual(
-                set(Together._fields) - {"seeds", "key_file"},
+                set(FleetSection._fields) - {"seeds", "key_file"},
                 {
                     "name",
                     "listen",
