--- a/gullyoke/operator_config/checked.py
+++ b/gullyoke/operator_config/checked.py
@@ -43,7 +43,8 @@
         if len(data) > MAX_BYTES:
             raise OperatorFileError(
                 [
-                    f"{path}:1: the file: over {MAX_BYTES} bytes; right would be a file of a few pages"
+                    f"{path}:1: the file: over {MAX_BYTES} bytes; "
+                    "right would be a file of a few pages"
                 ]
             )
         text = data.decode("utf-8")
