--- a/gullyoke/extensions/charges.py
+++ b/gullyoke/extensions/charges.py
@@ -170,7 +170,7 @@
     def __init__(self, fleet: Fleet, duties: LeaseService) -> None:
         super().__init__(fleet, duties)
         wanted = fleet.wanted.shares
-        self.shares = next(part for part in fleet.parts if isinstance(part, Shares))
+        self.shares = next(part for part in fleet.fleet_extensions if isinstance(part, Shares))
         self.homes = wanted.homes
         _, self.tokens = split_limit(
             wanted.slots * self.shares.tokens_per_slot(),
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -132,7 +132,7 @@
             records,
             candidates,
             wanted.voters,
-            fleet.taken,
+            fleet.address_of,
             self.queue_write,
             fleet.daemon.metrics,
         )
--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -26,10 +26,10 @@
 from gullyoke.runtime import clock
 from gullyoke.runtime.logs import log, log_fields
 
-LOOK = 1_000_000  # microseconds between updates of the size
+SIZE_INTERVAL_US = 1_000_000  # microseconds between updates of the size
 # How often it is announced that this server has left, and seconds between the announcements.
-LAST_WORDS, BETWEEN = 3, 0.02
-DESCRIPTORS = 4
+LEFT_ANNOUNCEMENTS, LEFT_INTERVAL_S = 3, 0.02
+MAX_DESCRIPTORS = 4
 
 
 class Fleet(BaseExtension):
@@ -38,10 +38,10 @@
     Attributes:
         wanted: the section of the file, with the seeds and keys in force.
         kept: the folder that the start number is kept in; None where there is none.
-        told: the fleet's size in the settings.
+        configured_size: the fleet's size in the settings.
         size: the fleet's size that the decisions use.
-        read: the keys of a file that is about to be applied.
-        parts: what is added to the membership.
+        new_keys: the keys of a file that is about to be applied.
+        fleet_extensions: what is added to the membership.
     """
 
     name = section = "fleet"
@@ -51,29 +51,29 @@
     link: PeerLink
     # Set by `start`.
     member: Member
-    number: StoredStartNumber
+    start_number: StoredStartNumber
 
     def __init__(
         self,
         path: str,
         wanted: FleetSection,
         kept: StoreSection | None,
-        parts: Sequence[FleetExtension] = (),
+        fleet_extensions: Sequence[FleetExtension] = (),
         folders: DataFolders | None = None,
     ) -> None:
         super().__init__(wanted)
         self.folders = folders or DataFolders()
         self.path, self.wanted, self.kept = path, wanted, kept
-        self.told = self.size = 0
-        self.read: tuple[bytes, ...] = ()
-        self.parts = tuple(parts)
+        self.configured_size = self.size = 0
+        self.new_keys: tuple[bytes, ...] = ()
+        self.fleet_extensions = tuple(fleet_extensions)
 
     def reserved_descriptors(self) -> int:
         """Return how many descriptors the link and the status server may take."""
-        return DESCRIPTORS
+        return MAX_DESCRIPTORS
 
     def attach(self, daemon: DaemonParts) -> None:
-        """Open the link to the other members, and attach the parts.
+        """Open the link to the other members, and attach the extensions.
 
         Raises:
             ConfigurationError: the key file can't be read or is invalid.
@@ -81,17 +81,17 @@
         """
         self.daemon = daemon
         self.link = PeerLink(
-            self.wanted.listen, Seal(self.wanted.name, self.keys(self.wanted)), daemon.metrics
+            self.wanted.listen, Seal(self.wanted.name, self.read_keys(self.wanted)), daemon.metrics
         )
-        self.answers = (
+        self.status_server = (
             StatusServer(self.wanted.status, self.link, daemon.metrics)
             if self.wanted.status
             else None
         )
-        for part in self.parts:
-            part.attach(self)
+        for extension in self.fleet_extensions:
+            extension.attach(self)
 
-    def keys(self, wanted: FleetSection) -> tuple[bytes, ...]:
+    def read_keys(self, wanted: FleetSection) -> tuple[bytes, ...]:
         """Read the key file.
 
         Raises:
@@ -106,36 +106,36 @@
             ) from None
 
     def start(self) -> None:
-        """Join the fleet, and start the parts."""
+        """Join the fleet, and start the extensions."""
         daemon, wanted = self.daemon, self.wanted
-        self.told = self.size = daemon.configuration.facts.fleet.size
+        self.configured_size = self.size = daemon.configuration.facts.fleet.size
         folder_opener = None
         if self.kept:
             folder_opener = self.folders.open(
                 self.kept.folder, self.kept.quota, daemon.metrics
             ).monitor.open_folder
-        self.number = StoredStartNumber(
+        self.start_number = StoredStartNumber(
             self.kept.folder if self.kept else None, daemon.metrics, folder_opener
         )
         rng = random.Random(daemon.configuration.seed ^ 0x5EED)
         row = MemberRecord(
             daemon.configuration.name,
-            start_version(int(time.time()), self.number.known()),
+            start_version(int(time.time()), self.start_number.known()),
             Status.JOINING,
             wanted.advertise,
             wanted.zone,
             rng.getrandbits(63),
         )
-        self.number.keep(row.version)
+        self.start_number.keep(row.version)
         self.member = Member(clock.now(), row, wanted.seeds, rng)
-        self.member.listeners.append(self.changed)
+        self.member.listeners.append(self.on_view_change)
         self.link.status_sections["disks"] = lambda now: self.folders.states()
-        for part in self.parts:
-            part.start(self)
+        for extension in self.fleet_extensions:
+            extension.start(self)
         self.link.begin(self.member)
-        if self.answers:
-            self.answers.start()
-        daemon.timer.call_at(clock.now() + LOOK, self.look)
+        if self.status_server:
+            self.status_server.start()
+        daemon.timer.call_at(clock.now() + SIZE_INTERVAL_US, self.update_size)
         log.info(
             "fleet",
             extra=log_fields(
@@ -147,7 +147,7 @@
             ),
         )
 
-    def changed(self, change: Change) -> None:
+    def on_view_change(self, change: Change) -> None:
         """Log and count a change of the view; called on the link's thread."""
         row, suspicion = change.record, change.update
         self.daemon.metrics.increment(f"fleet.{change.kind}")
@@ -162,18 +162,18 @@
                 evidence=f"{suspicion.accusing}/{suspicion.eligible}" if suspicion else "own",
             ),
         )
-        if row.id == self.member.id and row.version > self.number.latest:
-            self.number.keep(row.version)
+        if row.id == self.member.id and row.version > self.start_number.latest:
+            self.start_number.keep(row.version)
 
-    def look(self) -> None:
-        """Update the parts, and give the fleet's size to the decisions where the file says so."""
+    def update_size(self) -> None:
+        """Update the extensions, and give the fleet's size to the decisions where the file says so."""
         daemon = self.daemon
-        daemon.timer.call_at(clock.now() + LOOK, self.look)
-        for part in self.parts:
-            part.update(clock.now())
+        daemon.timer.call_at(clock.now() + SIZE_INTERVAL_US, self.update_size)
+        for extension in self.fleet_extensions:
+            extension.update(clock.now())
         with self.link.lock:
             size = self.member.size(clock.now())
-        in_force = size.in_force(self.told)
+        in_force = size.in_force(self.configured_size)
         if not self.wanted.size or in_force == self.size:
             return
         self.size = in_force
@@ -183,7 +183,7 @@
             "fleet size",
             extra=log_fields(
                 size=in_force,
-                told=self.told,
+                told=self.configured_size,
                 seen=size.seen,
                 age_ms=size.age_us // 1000,
                 confidence=f"{size.confidence:.2f}",
@@ -191,7 +191,7 @@
         )
 
     def log_status(self) -> None:
-        """Log the membership and the state of the parts."""
+        """Log the membership and the state of the extensions."""
         with self.link.lock:
             own, size = self.member, self.member.size(clock.now())
             stage, view, digest = (
@@ -210,31 +210,31 @@
                 confidence=f"{size.confidence:.2f}",
             ),
         )
-        for part in self.parts:
-            part.log_status()
+        for extension in self.fleet_extensions:
+            extension.log_status()
 
-    def taken(self, name: str) -> str | None:
+    def address_of(self, name: str) -> str | None:
         """Return the address of the member with a name; called under the link's lock."""
         row = self.member.view.records.get(member_id(name))
         return row.address if row is not None else None
 
     def begin_drain(self) -> None:
         """Announce that this server is leaving."""
-        for part in self.parts:
-            part.begin_drain()
+        for extension in self.fleet_extensions:
+            extension.begin_drain()
         self.link.run_locked(lambda: self.member.leave(clock.now()))
 
     def close(self) -> None:
         """Announce that this server has left, and close the link."""
-        for part in self.parts:
-            part.close()
-        for _ in range(LAST_WORDS):
+        for extension in self.fleet_extensions:
+            extension.close()
+        for _ in range(LEFT_ANNOUNCEMENTS):
             self.link.run_locked(lambda: self.member.announce_left(clock.now()))
-            time.sleep(BETWEEN)
-        if self.answers:
-            self.answers.end()
+            time.sleep(LEFT_INTERVAL_S)
+        if self.status_server:
+            self.status_server.end()
         self.link.end()
-        self.number.close()
+        self.start_number.close()
 
     # Reloading, which applies other seeds and keys.
 
@@ -248,13 +248,13 @@
             ConfigurationError: the key file can't be read or is invalid.
         """
         if new.fleet is not None:
-            self.read = self.keys(new.fleet)
+            self.new_keys = self.read_keys(new.fleet)
 
     def apply_reload(self, new: OperatorSettings) -> dict[str, object]:
-        """Use the new seeds and keys, and let the parts apply their sections."""
+        """Use the new seeds and keys, and let the extensions apply their sections."""
         if new.fleet is None:
             return {}
-        self.link.seal.keys = self.read
+        self.link.seal.keys = self.new_keys
         with self.link.lock:
             self.member.join_state.seeds = new.fleet.seeds
         self.wanted = self.wanted._replace(seeds=new.fleet.seeds, key_file=new.fleet.key_file)
@@ -262,8 +262,8 @@
             "seeds": len(new.fleet.seeds),
             "keys": len(self.link.seal.keys),
         }
-        for part in self.parts:
-            applied |= part.apply_reload(new)
+        for extension in self.fleet_extensions:
+            applied |= extension.apply_reload(new)
         return applied
 
     def ignored_changes(self, new: OperatorSettings) -> list[str]:
@@ -275,4 +275,4 @@
             for name in FleetSection._fields
             if name not in ("seeds", "key_file")
             and getattr(self.wanted, name) != getattr(new.fleet, name)
-        ] + [name for part in self.parts for name in part.ignored_changes(new)]
+        ] + [name for extension in self.fleet_extensions for name in extension.ignored_changes(new)]
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -125,7 +125,7 @@
             else ConcurrencyPart(participation.participant, dependency.linger)
         )
         digest = configuration_digest(wanted.homes, tokens, participation.floor)
-        self.shared = SharedSlots(part, wanted.homes, digest, self.fleet.taken)
+        self.shared = SharedSlots(part, wanted.homes, digest, self.fleet.address_of)
         dependency.slots = self.shared
         self.fleet.link.topics[TOPIC] = self.shared
         self.fleet.link.status_sections["shares"] = self.shared.status
@@ -147,7 +147,7 @@
             self.wanted.homes, tokens, participation.floor, tenant.name, f"{tenant.quota:g}"
         )
         part = tenant_quotas.TenantQuotaPart(participation.participant, tenant.quota, tokens)
-        return SharedQuota(part, self.wanted.homes, digest, self.fleet.taken)
+        return SharedQuota(part, self.wanted.homes, digest, self.fleet.address_of)
 
     def _quota_status(self, now: int) -> Mapping[str, Any]:
         return {
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -224,7 +224,7 @@
         )
         wanted = FleetSection("f", ("", 0), "", (), "-", "", None, True)
         unit = Fleet("file", wanted, None)
-        unit.daemon, unit.told, unit.size = daemon, 12, 12
+        unit.daemon, unit.configured_size, unit.size = daemon, 12, 12
         unit.link = types.SimpleNamespace(lock=threading.Lock())
         sizes = []
         unit.member = types.SimpleNamespace(size=lambda now: sizes[-1])
@@ -235,11 +235,11 @@
             (SizeEstimate(9, 9, 40_000_000, 0.9), 12),
         ):
             sizes.append(size)
-            unit.look()
+            unit.update_size()
             self.assertEqual(fleet_facts.size, expected)
         unit.wanted = wanted._replace(size=False)
         sizes.append(SizeEstimate(5, 5, 0, 1.0))
-        unit.look()
+        unit.update_size()
         self.assertEqual(fleet_facts.size, 12)
 
     def test_operator_file(self):
@@ -257,7 +257,7 @@
                 ("127.0.0.1:7900", "-", None, False),
             )
             unit = Fleet(str(path), wanted, None)
-            self.assertEqual(unit.keys(wanted), (bytes.fromhex("ab" * 32),))
+            self.assertEqual(unit.read_keys(wanted), (bytes.fromhex("ab" * 32),))
             key.write_text("short")
             with self.assertRaisesRegex(ConfigurationError, "key_file.*expected 32"):
                 unit.check_reload(types.SimpleNamespace(fleet=wanted))
