--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -12,7 +12,9 @@
 import time
 
 from gullyoke.errors import ConfigurationError
-from gullyoke.extensions.charges import (
+from gullyoke.extensions.fleet import Fleet
+from gullyoke.extensions.fleet_extension import FleetExtension
+from gullyoke.extensions.singleton_tasks import (
     ANNOUNCEMENT_VALID_US,
     ApplicationLease,
     DependencyHealthCheck,
@@ -21,8 +23,6 @@
     RollingRestart,
     SingletonTask,
 )
-from gullyoke.extensions.fleet import Fleet
-from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.leases.announcements import Announcement, ForwardedCommand, Instruction
 from gullyoke.leases.candidate import Candidate
 from gullyoke.leases.candidate_rank import CandidatePlacement, candidate_delay_us, rank_candidates
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -37,7 +37,7 @@
 from gullyoke.executors import Executor
 from gullyoke.extensions.base import BaseExtension
 from gullyoke.extensions.data_folders import DataFolders
-from gullyoke.extensions.promised import (
+from gullyoke.extensions.durable_executor import (
     RECORD_KEY_PREFIX,
     DurableExecutor,
     encode,
--- a/tests/compatibility/test_duty_messages.py
+++ b/tests/compatibility/test_duty_messages.py
@@ -9,14 +9,14 @@
 from unittest import mock
 
 from compatibility.recorded import temporary_folder
-from gullyoke.extensions.charges import (
+from gullyoke.extensions.data_folders import DataFolder
+from gullyoke.extensions.singleton_tasks import (
     ApplicationLease,
     DependencyHealthCheck,
     FleetRecord,
     OrphanedQuotaLender,
     RollingRestart,
 )
-from gullyoke.extensions.data_folders import DataFolder
 from gullyoke.leases.announcements import Announcement, Instruction
 from gullyoke.leases.rolling_restart import RestartPlan
 from gullyoke.membership import MemberRecord, Status
--- a/tests/compatibility/test_note_store.py
+++ b/tests/compatibility/test_note_store.py
@@ -13,14 +13,14 @@
 )
 from gullyoke.durability.folder_trust import FOLDER_FORMAT, next_mark
 from gullyoke.durability.key_record import DuplicateVerdict, judge_record
-from gullyoke.extensions.keys import FOLDER_NAME, MARK_KEY, decode_mark
-from gullyoke.extensions.promised import (
+from gullyoke.extensions.durable_executor import (
     RECORD_KEY_PREFIX,
     encode,
     pack_key_record,
     record_key,
     unpack_key_record,
 )
+from gullyoke.extensions.keys import FOLDER_NAME, MARK_KEY, decode_mark
 from gullyoke.peer_transport.start_number import FOLDER as NUMBER_FOLDER
 from gullyoke.peer_transport.start_number import KEY as NUMBER_KEY
 from gullyoke.peer_transport.start_number import StoredStartNumber
--- a/tests/compatibility/test_operator_asks.py
+++ b/tests/compatibility/test_operator_asks.py
@@ -10,8 +10,8 @@
 from gullyoke.coordination.quota_participant import QuotaParticipant
 from gullyoke.coordination.signals import LoadReport, ReceivedReports, ServingStage
 from gullyoke.durability.disk_health import DiskState
-from gullyoke.extensions.charges import RollingRestart
 from gullyoke.extensions.duties import FleetLeases
+from gullyoke.extensions.singleton_tasks import RollingRestart
 from gullyoke.leases.candidate import Candidate
 from gullyoke.leases.candidate_state import CandidateState, LeaseChange
 from gullyoke.leases.durations import LeaseDurations
