--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -205,7 +205,7 @@
                 rows, record_rows = decode_voter_entries(stored.items())
             elif owner:
                 log.warning(
-                    "promises of another not used",
+                    "promises of another voter ignored",
                     extra=log_fields(whose=owner, set=stored_set, here=number),
                 )
             self.committer = GroupCommitter(store)
@@ -213,7 +213,8 @@
         except (OSError, ValueError) as failure:
             self.fleet.daemon.metrics.increment("duty.unkept")
             log.error(
-                "promises can't be kept", extra=log_fields(folder=self.wanted.folder, why=failure)
+                "voter folder can't be used",
+                extra=log_fields(folder=self.wanted.folder, why=failure),
             )
         others = [other for other in self.wanted.voters if other != name]
         voter = Voter(clock.now(), name, row.incarnation, others, durations, rows, number)
@@ -335,7 +336,7 @@
         self.lease_changes = [*self.lease_changes[-MAX_LEASE_CHANGES + 1 :], change]
         self.fleet.daemon.metrics.increment(f"duty.{change.what}")
         log.warning(
-            "duty",
+            "lease change",
             extra=log_fields(duty=name, what=change.what, epoch=change.epoch, why=change.why),
         )
 
@@ -524,7 +525,7 @@
         now = clock.now()
         for name in self.tasks:
             log.info(
-                "duty stands",
+                "lease status",
                 extra=log_fields(
                     duty=name,
                     **{
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -176,7 +176,7 @@
         """Read the folder on a thread of its own, so that a disk that hangs can't block the start."""
         threading.Thread(target=self.read_folder, name="keys", daemon=True).start()
         if not self.ready.wait(OPEN_TIMEOUT_S):
-            log.error("keys not read yet", extra=log_fields(folder=self.kept.folder))
+            log.error("key records not read yet", extra=log_fields(folder=self.kept.folder))
 
     def start(self) -> None:
         """Start the checks, and register the records with the folder's quota."""
@@ -212,7 +212,9 @@
                     stored.append((key, key_record))
         except (OSError, ValueError, msgspec.MsgspecError) as failure:
             self.daemon.metrics.increment("keys.unread")
-            log.error("keys not read", extra=log_fields(folder=self.kept.folder, why=failure))
+            log.error(
+                "key records can't be read", extra=log_fields(folder=self.kept.folder, why=failure)
+            )
             if self.trust is None:
                 self.trust, self.doubted_until_us = (
                     FolderTrust(False, False, True, str(failure)),
@@ -417,4 +419,6 @@
         """Write what is queued; a disk that hangs delays this only for a short time."""
         self.folder.monitor.stop()
         if self.committer is not None and not self.committer.close(CLOSE_TIMEOUT_S):
-            log.error("keys not all written", extra=log_fields(held=self.committer.pending_bytes))
+            log.error(
+                "key records not all written", extra=log_fields(held=self.committer.pending_bytes)
+            )
--- a/gullyoke/extensions/memory_store.py
+++ b/gullyoke/extensions/memory_store.py
@@ -70,7 +70,9 @@
             self._open(quota_bytes)
         except OSError as error:
             metrics.increment("memory.faults")
-            log.error("memory not used", extra=log_fields(folder=folder.path, why=error))
+            log.error(
+                "memory folder can't be used", extra=log_fields(folder=folder.path, why=error)
+            )
 
     def put(self, key: str, row: msgspec.Struct) -> None:
         """Queue a row to be written, unless the disk is short of space for it."""
--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -101,7 +101,7 @@
             daemon.lifecycle.ready = not alone_slow
         daemon.metrics.increment("fleet.slow_alone" if alone_slow else "fleet.well_again")
         log.warning(
-            "slow alone" if alone_slow else "no longer slow alone",
+            "slower than the peers" if alone_slow else "no longer slower than the peers",
             extra=log_fields(
                 pace=f"{reading.latency_ratio:.2f}",
                 peers=f"{peers.latency_ratio:.2f}" if peers else "-",
--- a/gullyoke/extensions/singleton_tasks.py
+++ b/gullyoke/extensions/singleton_tasks.py
@@ -192,7 +192,9 @@
     def lend_for(self, gone: tuple[str, ...]) -> None:
         """Lend for these lenders and for no others."""
         if gone != self.gone_lenders:
-            log.warning("book of shares", extra=log_fields(lends_for=",".join(gone) or "-"))
+            log.warning(
+                "lending of orphaned quota", extra=log_fields(lends_for=",".join(gone) or "-")
+            )
         self.gone_lenders = gone
         shared = self.shares.shared
         with shared.lock:
@@ -292,7 +294,7 @@
     def drain(self, now: int, epoch: int) -> None:
         """Drain this server as SIGTERM does."""
         self.fleet.daemon.metrics.increment("duty.drained")
-        log.warning("roll: this server's turn", extra=log_fields(epoch=epoch))
+        log.warning("roll: draining this server", extra=log_fields(epoch=epoch))
         os.kill(os.getpid(), signal.SIGTERM)
 
     def apply_instruction(self, now: int, instruction: Instruction) -> None:
