--- a/gullyoke/extensions/operator_file.py
+++ b/gullyoke/extensions/operator_file.py
@@ -169,7 +169,7 @@
 
         extensions.append(Subsets(back_ends.wanted.subset, back_ends))
     if duties is not None:
-        from gullyoke.extensions.duties import Duty
+        from gullyoke.extensions.duties import FleetLeases
 
-        extensions.append(Duty(duties))
+        extensions.append(FleetLeases(duties))
     return extensions
