--- a/gullyoke/extensions/fleet_extension.py
+++ b/gullyoke/extensions/fleet_extension.py
@@ -1,10 +1,10 @@
-"""The base of what is added to a fleet's membership: signals, shares, subsets and duties."""
+"""The base class of the extensions of a fleet's membership: signals, shares, subsets and leases."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from gullyoke.operator_config.wanted import Wanted
+from gullyoke.operator_config.wanted import OperatorSettings
 
 if TYPE_CHECKING:
     from gullyoke.extensions.fleet import Fleet
@@ -21,7 +21,7 @@
         """Check the configuration, while the daemon is built.
 
         Raises:
-            ConfigurationError: it can't be met.
+            ConfigurationError: this server can't do what it asks for.
         """
 
     def start(self, fleet: Fleet) -> None:
@@ -38,12 +38,12 @@
         """Log the state, next to the counters."""
 
     def begin_drain(self) -> None:
-        """Take note that the daemon has begun to drain."""
+        """Prepare for the drain that begins now."""
 
     def close(self) -> None:
         """Release what is open; the daemon ends right after."""
 
-    def apply_reload(self, new: Wanted) -> dict[str, object]:
+    def apply_reload(self, new: OperatorSettings) -> dict[str, object]:
         """Apply what may change while the daemon runs.
 
         Returns:
@@ -51,6 +51,6 @@
         """
         return {}
 
-    def ignored_changes(self, new: Wanted) -> list[str]:
-        """Return the names of what differs and needs a restart."""
+    def ignored_changes(self, new: OperatorSettings) -> list[str]:
+        """Return the names of the settings that differ and need a restart."""
         return []
--- a/gullyoke/extensions/operator_file.py
+++ b/gullyoke/extensions/operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file in force, the extensions that it asks for, and reading it again."""
+"""The operator's file in force, the extensions that it asks for, and its reload."""
 
 from __future__ import annotations
 
@@ -11,10 +11,15 @@
 from gullyoke.extensions.fleet_extension import FleetExtension
 from gullyoke.extensions.listeners import Listeners
 from gullyoke.operator_config.read import read
-from gullyoke.operator_config.wanted import Dutied, OperatorFileError, Together, Wanted
+from gullyoke.operator_config.wanted import (
+    DutiesSection,
+    FleetSection,
+    OperatorFileError,
+    OperatorSettings,
+)
 from gullyoke.runtime.logs import log, log_fields
 
-#: By a section's name in the log, the attribute of the parsed file that has it.
+#: The attribute of the parsed file that has a section, by the section's name in the log.
 SECTIONS: Final = {
     "ways": "ways",
     "classed": "classed",
@@ -26,24 +31,24 @@
 
 
 class ReloadableExtension(Extension, Protocol):
-    """An extension as its file sees it."""
+    """An extension that takes part in reloads of the operator's file."""
 
-    def check_reload(self, new: Wanted) -> None:
+    def check_reload(self, new: OperatorSettings) -> None:
         """Check a new file before any of it is applied.
 
         Raises:
             ConfigurationError: this extension can't apply it.
         """
 
-    def apply_reload(self, new: Wanted) -> dict[str, object]:
+    def apply_reload(self, new: OperatorSettings) -> dict[str, object]:
         """Apply what may change while the daemon runs.
 
         Returns:
             What has been applied, as fields of a log line.
         """
 
-    def ignored_changes(self, new: Wanted) -> list[str]:
-        """Return the names of what differs and needs a restart."""
+    def ignored_changes(self, new: OperatorSettings) -> list[str]:
+        """Return the names of the settings that differ and need a restart."""
 
 
 class OperatorFile:
@@ -87,7 +92,7 @@
         )
         return True
 
-    def _sections_added(self, new: Wanted) -> list[str]:
+    def _sections_added(self, new: OperatorSettings) -> list[str]:
         """Return the sections that the file did not have: no extension can apply them."""
         return [
             name
@@ -96,10 +101,10 @@
         ]
 
 
-def create_extensions(path: str, wanted: Wanted) -> list[ReloadableExtension]:
+def create_extensions(path: str, wanted: OperatorSettings) -> list[ReloadableExtension]:
     """Create the extensions that the file asks for, in the order in which they attach.
 
-    What only some files need is imported here, since it takes memory.
+    Modules that only some files need are imported here, since they take memory.
     """
     extensions: list[ReloadableExtension] = []
     back_ends = None
@@ -116,9 +121,9 @@
 
 
 def _create_stateful_extensions(
-    path: str, wanted: Wanted, back_ends: BackEnds | None
+    path: str, wanted: OperatorSettings, back_ends: BackEnds | None
 ) -> list[ReloadableExtension]:
-    """Create those that write to folders; they share the watch of a folder."""
+    """Create the extensions that write to folders; they share the monitor of a folder."""
     from gullyoke.extensions.data_folders import DataFolders
 
     folders = DataFolders()
@@ -147,9 +152,9 @@
 
 
 def create_fleet_extensions(
-    wanted: Together, duties: Dutied | None, back_ends: BackEnds | None
+    wanted: FleetSection, duties: DutiesSection | None, back_ends: BackEnds | None
 ) -> list[FleetExtension]:
-    """Create what the file adds to the fleet's membership."""
+    """Create the extensions of the fleet's membership."""
     extensions: list[FleetExtension] = []
     if wanted.signals:
         from gullyoke.extensions.signals import Signals
@@ -164,7 +169,7 @@
 
         extensions.append(Subsets(back_ends.wanted.subset, back_ends))
     if duties is not None:
-        from gullyoke.extensions.duties import Duty
+        from gullyoke.extensions.duties import FleetLeases
 
-        extensions.append(Duty(duties))
+        extensions.append(FleetLeases(duties))
     return extensions
--- a/gullyoke/operator_config/read.py
+++ b/gullyoke/operator_config/read.py
@@ -1,4 +1,4 @@
-"""Reads an operator's file and gives what it says in the program's own words."""
+"""Reads an operator's file into the types of wanted.py."""
 
 from __future__ import annotations
 
@@ -7,33 +7,34 @@
 from google.protobuf.message import Message
 
 from gullyoke.operator_config import operator_pb2 as schema
-from gullyoke.operator_config.checked import parsed
+from gullyoke.operator_config.checked import parse_checked
 from gullyoke.operator_config.wanted import (
     Address,
+    ApplicationLeaseSection,
     BackEnd,
-    Classed,
-    Dutied,
-    Ejecting,
-    Kept,
-    OwnDuty,
-    Pooled,
-    Slotted,
-    Together,
-    Wanted,
-    Way,
+    BackendsSection,
+    DutiesSection,
+    EjectionSection,
+    FleetSection,
+    ListenerSection,
+    OperatorSettings,
+    PoolsSection,
+    SharesSection,
+    StoreSection,
 )
 
 
-def read(path: str) -> Wanted:
-    """What the file says.
+def read(path: str) -> OperatorSettings:
+    """Read a file.
 
-    Raises `Faulty` with all that is wrong with it, in the order of its lines.
+    Raises:
+        OperatorFileError: with all faults, in the order of their lines.
     """
-    return wanted(parsed(path, schema.Operator(), faults_of))
+    return convert(parse_checked(path, schema.Operator(), relation_faults))
 
 
-def faults_of(found: schema.Operator) -> Iterator[tuple[str, str]]:
-    """What holds between fields: each key that can't be right, and why."""
+def relation_faults(found: schema.Operator) -> Iterator[tuple[str, str]]:
+    """Yield the faults between fields: the key of each, and a text."""
     names: set[str] = set()
     addresses: set[str] = set()
     for i, way in enumerate(found.listener):
@@ -61,7 +62,7 @@
                 f"{one.address!r} stands twice; right would be once",
             )
         addresses.add(one.address)
-        least, most = bounds_of(one)
+        least, most = connection_limits(one)
         if least > most:
             yield (
                 f"backends.backend[{i}].most",
@@ -83,7 +84,7 @@
     if homes and len(homes) % 2 == 0:
         yield "fleet.shares.home", f"{len(homes)} of them; right would be an odd number"
     if found.HasField("duties"):
-        yield from faults_of_duties(found)
+        yield from duties_faults(found)
     if found.backends.subset and not found.HasField("fleet"):
         yield (
             "backends.subset",
@@ -98,7 +99,8 @@
         )
 
 
-def faults_of_duties(found: schema.Operator) -> Iterator[tuple[str, str]]:
+def duties_faults(found: schema.Operator) -> Iterator[tuple[str, str]]:
+    """Yield the faults between the fields of the leases."""
     duties, names = found.duties, set()
     if not found.HasField("fleet"):
         yield "duties", "there is no fleet; right would be fleet { ... } as well"
@@ -123,75 +125,90 @@
         taken.add(duty.name)
 
 
-# In the program's own words, with what stands where nothing is said.
+# Conversion, with the defaults of what is not set.
 
 
-def address(text: str) -> Address:
+def parse_address(text: str) -> Address:
+    """Return the path of a Unix socket, or a host and a port."""
     if text.startswith("unix:"):
         return text.removeprefix("unix:")
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
-def bounds_of(one: schema.Backend) -> tuple[int, int]:
+def connection_limits(one: schema.Backend) -> tuple[int, int]:
+    """Return the least and the greatest limit of a back end's connections."""
     least = one.least if one.HasField("least") else 1
     return least, one.most if one.HasField("most") else max(64, least)
 
 
-def wanted(found: schema.Operator) -> Wanted:
+def convert(found: schema.Operator) -> OperatorSettings:
+    """Convert a file."""
     ways = tuple(
-        Way(w.name, schema.Listener.Protocol.Name(w.protocol), address(w.address))
-        for w in found.listener
+        ListenerSection(
+            entry.name,
+            schema.Listener.Protocol.Name(entry.protocol),
+            parse_address(entry.address),
+        )
+        for entry in found.listener
     )
     json_log = found.log.form == schema.Log.JSON
     classed = None
     if found.HasField("pools"):
         classes = {
-            handler: one.name for one in getattr(found.pools, "class") for handler in one.handler
+            handler: pool.name for pool in getattr(found.pools, "class") for handler in pool.handler
         }
-        classed = Classed(found.pools.minimum if found.pools.HasField("minimum") else 0.02, classes)
+        classed = PoolsSection(
+            found.pools.minimum if found.pools.HasField("minimum") else 0.02, classes
+        )
     kept = None
     if found.HasField("store"):
         quota = found.store.quota_mb if found.store.HasField("quota_mb") else 16
         without = schema.Keys.Without.Name(found.store.keys.without).lower().replace("_", " ")
-        kept = Kept(
+        kept = StoreSection(
             found.store.folder, quota * 2**20, without if found.store.HasField("keys") else ""
         )
-    fleet = together(found.fleet) if found.HasField("fleet") else None
-    duties = dutied(found.duties) if found.HasField("duties") else None
+    fleet = convert_fleet(found.fleet) if found.HasField("fleet") else None
+    duties = convert_duties(found.duties) if found.HasField("duties") else None
     if not found.HasField("backends"):
-        return Wanted(json_log, ways, None, classed, kept, fleet, duties)
-    told, eject = found.backends, found.backends.ejection
+        return OperatorSettings(json_log, ways, None, classed, kept, fleet, duties)
+    pool_section, eject = found.backends, found.backends.ejection
 
-    def said(message: Message, name: str, default):
+    def value_or(message: Message, name: str, default):
         return getattr(message, name) if message.HasField(name) else default
 
-    first_out = said(eject, "first_out_ms", 1000) * 1000
-    ejecting = Ejecting(
-        said(eject, "consecutive", 5),
-        said(eject, "over_peers", 0.3),
-        said(eject, "pool_share", 0.5),
+    first_out = value_or(eject, "first_out_ms", 1000) * 1000
+    ejecting = EjectionSection(
+        value_or(eject, "consecutive", 5),
+        value_or(eject, "over_peers", 0.3),
+        value_or(eject, "pool_share", 0.5),
         first_out,
-        max(first_out, said(eject, "longest_out_ms", 30_000) * 1000),
-        said(eject, "slow_start_ms", 5000) * 1000,
+        max(first_out, value_or(eject, "longest_out_ms", 30_000) * 1000),
+        value_or(eject, "slow_start_ms", 5000) * 1000,
     )
     back_ends = tuple(
-        BackEnd(b.address, address(b.address), said(b, "weight", 1.0), *bounds_of(b), b.zone or "-")
-        for b in told.backend
+        BackEnd(
+            b.address,
+            parse_address(b.address),
+            value_or(b, "weight", 1.0),
+            *connection_limits(b),
+            b.zone or "-",
+        )
+        for b in pool_section.backend
     )
-    return Wanted(
+    return OperatorSettings(
         json_log,
         ways,
-        Pooled(
+        BackendsSection(
             back_ends,
-            said(told, "linger_ms", 2000) * 1000,
-            told.stops_on_close,
-            said(told, "answer_kb", 64) * 1024,
-            said(told, "first_limit", 8),
-            said(told, "retry_share", 0.1),
-            said(told, "retry_burst", 10.0),
+            value_or(pool_section, "linger_ms", 2000) * 1000,
+            pool_section.stops_on_close,
+            value_or(pool_section, "answer_kb", 64) * 1024,
+            value_or(pool_section, "first_limit", 8),
+            value_or(pool_section, "retry_share", 0.1),
+            value_or(pool_section, "retry_burst", 10.0),
             ejecting,
-            told.subset,
+            pool_section.subset,
         ),
         classed,
         kept,
@@ -200,35 +217,40 @@
     )
 
 
-def together(found: schema.Fleet) -> Together:
-    return Together(
+def convert_fleet(found: schema.Fleet) -> FleetSection:
+    """Convert the section `fleet`."""
+    return FleetSection(
         found.name,
-        address(found.listen),
+        parse_address(found.listen),
         found.advertise or found.listen,
         tuple(found.seed),
         found.zone or "-",
         found.key_file,
-        address(found.status) if found.status else None,
+        parse_address(found.status) if found.status else None,
         found.size,
         found.signals or found.heed,
         found.heed,
-        shared(found.shares) if found.HasField("shares") else None,
+        convert_shares(found.shares) if found.HasField("shares") else None,
     )
 
 
-def dutied(found: schema.Duties) -> Dutied:
-    def said(name: str, default: int) -> int:
+def convert_duties(found: schema.Duties) -> DutiesSection:
+    """Convert the section `duties`."""
+
+    def value_or(name: str, default: int) -> int:
         return getattr(found, name) if found.HasField(name) else default
 
     own = tuple(
-        OwnDuty(d.name, address(d.address), (d.every_ms if d.HasField("every_ms") else 500) * 1000)
+        ApplicationLeaseSection(
+            d.name, parse_address(d.address), (d.every_ms if d.HasField("every_ms") else 500) * 1000
+        )
         for d in found.duty
     )
-    return Dutied(
+    return DutiesSection(
         {v.name: v.address for v in found.voter},
-        said("set", 1),
-        said("lease_ms", 3000) * 1000,
-        said("drift_ppm", 1000),
+        value_or("set", 1),
+        value_or("lease_ms", 3000) * 1000,
+        value_or("drift_ppm", 1000),
         found.folder,
         found.ask,
         found.book,
@@ -238,8 +260,9 @@
     )
 
 
-def shared(found: schema.Shares) -> Slotted:
-    return Slotted(
+def convert_shares(found: schema.Shares) -> SharesSection:
+    """Convert the section `fleet.shares`."""
+    return SharesSection(
         {home.name: home.address for home in found.home},
         found.slots,
         found.largest,
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -20,7 +20,7 @@
 from gullyoke.membership.messages import OutgoingMessage, TopicMessage
 from gullyoke.membership.size_estimate import SizeEstimate
 from gullyoke.operator_config.read import read
-from gullyoke.operator_config.wanted import OperatorFileError, Together
+from gullyoke.operator_config.wanted import FleetSection, OperatorFileError
 from gullyoke.peer_transport.link import PeerLink
 from gullyoke.peer_transport.seal import Seal
 from gullyoke.peer_transport.start_number import StoredStartNumber
@@ -222,9 +222,9 @@
             dispatcher=types.SimpleNamespace(lock=threading.Lock()),
             timer=types.SimpleNamespace(call_at=lambda *_: None),
         )
-        wanted = Together("f", ("", 0), "", (), "-", "", None, True)
+        wanted = FleetSection("f", ("", 0), "", (), "-", "", None, True)
         unit = Fleet("file", wanted, None)
-        unit.daemon, unit.told, unit.size = daemon, 12, 12
+        unit.daemon, unit.configured_size, unit.size = daemon, 12, 12
         unit.link = types.SimpleNamespace(lock=threading.Lock())
         sizes = []
         unit.member = types.SimpleNamespace(size=lambda now: sizes[-1])
@@ -235,11 +235,11 @@
             (SizeEstimate(9, 9, 40_000_000, 0.9), 12),
         ):
             sizes.append(size)
-            unit.look()
+            unit.update_size()
             self.assertEqual(fleet_facts.size, expected)
         unit.wanted = wanted._replace(size=False)
         sizes.append(SizeEstimate(5, 5, 0, 1.0))
-        unit.look()
+        unit.update_size()
         self.assertEqual(fleet_facts.size, 12)
 
     def test_operator_file(self):
@@ -257,7 +257,7 @@
                 ("127.0.0.1:7900", "-", None, False),
             )
             unit = Fleet(str(path), wanted, None)
-            self.assertEqual(unit.keys(wanted), (bytes.fromhex("ab" * 32),))
+            self.assertEqual(unit.read_keys(wanted), (bytes.fromhex("ab" * 32),))
             key.write_text("short")
             with self.assertRaisesRegex(ConfigurationError, "key_file.*expected 32"):
                 unit.check_reload(types.SimpleNamespace(fleet=wanted))
@@ -287,7 +287,7 @@
                 with self.subTest(more), self.assertRaisesRegex(OperatorFileError, message):
                     read(str(path))
             self.assertEqual(
-                set(Together._fields) - {"seeds", "key_file"},
+                set(FleetSection._fields) - {"seeds", "key_file"},
                 {
                     "name",
                     "listen",
