--- a/tests/durability/test_rules.py
+++ b/tests/durability/test_rules.py
@@ -307,7 +307,7 @@
 
 
 class SlotFileTest(unittest.TestCase):
-    def test_write_cut_at_every_byte(self):
+    def test_interrupted_write(self):
         """A write interrupted at every seventh byte leaves the old or the new value, intact.
 
         The other values stay; the file can be opened again and written to.
