--- a/gullyoke/extensions/promised.py
+++ b/gullyoke/extensions/promised.py
@@ -130,7 +130,7 @@
                 request.arrived,
                 until,
                 request.deadline,
-                self.real.server.queue.run_times[h],
+                self.real.controller.queue.run_times[h],
                 fit,
             )
 
@@ -277,7 +277,7 @@
             self.inner.start_run(request)
         else:
             self.left(request.request_id)
-            self.real.server.on_event(self.real.now, request, RequestEvent.NO_CAPACITY)
+            self.real.controller.on_event(self.real.now, request, RequestEvent.NO_CAPACITY)
 
     def overdue(self, now: int) -> None:
         """Those that have waited for too long, for their run or for their end, go on without."""
