--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -75,12 +75,12 @@
             if dispatcher.controller is None:
                 return None
             load = dispatcher.controller.load_snapshot(dispatcher.now)
-            return LoadReport.of(load, _stage(dispatcher, load))
+            return LoadReport.from_snapshot(load, _stage(dispatcher, load))
 
     def _judge(self, reading: LoadReport) -> LoadReport:
         """Judge a reading by the peers' and return what is sent of it; under the link's lock."""
         now = clock.now()
-        pauses = self.fleet.member.local_health.woke_at
+        pauses = self.fleet.member.local_health.resumed_at
         if pauses != self.seen_pauses:  # this process was stopped: what it had received is old
             self.seen_pauses = pauses
             self.received.clear()
