--- a/gullyoke/admission/learner.py
+++ b/gullyoke/admission/learner.py
@@ -1,10 +1,11 @@
 """UCRL-M: learns the number of requests in the server from which rejecting the next one is better.
 
 After "Learning Optimal Admission Control in Partially Observable Queueing Networks" (cited as "the
-paper"). The server is modeled as one queue whose state is the number of its requests; the sections
-on the aggregated MDP justify that. Time is divided into steps with at most one arrival or departure
-each. A state and an action form a pair; in pair `2 * state + action`, action 0 is to reject an
-arrival and action 1 is to admit it. "Own addition" marks what the paper does not contain.
+paper"). The server is modeled as one queue whose state is the number of its requests; the paper's
+sections on the aggregated MDP justify this model. Time is divided into steps with at most one
+arrival or departure each. A state and an action form a pair; in pair `2 * state + action`, action 0
+is to reject an arrival and action 1 is to admit it. "Own addition" marks what the paper does not
+contain.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 MODULES: Final = 3
 """Number of modules, the paper's tau_mix (section 4); step t is in module t modulo this number."""
 WIDTH_SCALE: Final = 0.02
-"""Factor on the confidence widths; at full width learning takes longer than a server runs."""
+"""Factor on the confidence widths; with a factor of 1, learning takes longer than a server runs."""
 PRIOR_VISITS: Final = 4.0
-"""Visits that each pair and module starts with, as if seen at a full server at load 1."""
+"""Visits that each pair and module starts with, as if a full server had been observed at load 1."""
 STEPS_PER_COMPLETION: Final = 12
 """Time steps per request that a full server completes; own addition."""
 MAX_SWEEPS: Final = 30
 """Largest number of sweeps of an extended value iteration; own addition."""
 SPAN_TOLERANCE: Final = 1 / 8
-"""Sweeps end when the gains differ by less than this share of the cost of a request for a step."""
+"""Sweeps end when the gains differ by less than this share of one request's cost per time step."""
 
 
 class Learner:
@@ -67,7 +68,7 @@
         self.requests = 0
         self.cores_busy = False
         self.run_capacity = math.inf  # runs that back ends can take at once; inf without back ends
-        self.step_cost = holding_cost * self.step_us  # of a request per time step
+        self.step_cost = holding_cost * self.step_us  # cost of a request per time step
 
         self._count_prior(cores * self.step_us / run_time, prior_visits)
         self.visits_before_episode = [row[:] for row in self.visits]
@@ -121,8 +122,9 @@
     def is_binding(self) -> bool:
         """Return whether the policy is applied, which is the case only while the cores are busy.
 
-        The gauge reports the last half second, so there must also be as many requests as cores:
-        with fewer, a core is free now. This condition is an own addition.
+        The gauge of busy cores covers the last half second, so the number of requests must also
+        reach the number of cores, or of runs that back ends can take at once if that is smaller.
+        With fewer requests, a core is free now. This condition is an own addition.
         """
         return self.cores_busy and self.requests >= min(self.cores, self.run_capacity)
 
--- a/gullyoke/admission/request_path.py
+++ b/gullyoke/admission/request_path.py
@@ -68,12 +68,12 @@
         self.arrivals = ArrivalDecisions(state)
 
     def request_path(self, request: Request) -> RequestPath:
-        """Lead a request from its arrival to its one final answer and its end."""
+        """Process a request from its arrival to its one final answer and its end."""
         state = self.state
         request_class = request.request_class
         self._count_against_quota(request)
         if not state.safety.may_run(request, state.now):
-            # The first request of a duplicate may have run, so a rejection could be wrong.
+            # A duplicate's first request may have run, so rejecting the duplicate could be wrong.
             yield FAIL if request.duplicate_of else state.feedback.reject(False, unavailable=True)
             return
         is_keyed = request_class.idempotency is Idempotency.KEYED
@@ -105,7 +105,7 @@
 
         Args:
             request: The request.
-            cache_ttl: Microseconds after the answer for which it may serve duplicates.
+            cache_ttl: Microseconds for which the answer may serve duplicates after it was given.
         """
         state = self.state
         state.queue.advance_virtual_time(request)
@@ -175,7 +175,11 @@
         return (yield SKIP_DEPENDENCY_CALL)
 
     def _make_call(self, request: Request, is_idempotent: bool) -> SubPath:
-        """Make the call; return the event that ended it, or the one that asks for another call."""
+        """Make the call.
+
+        Returns:
+            The event that ended the call; `DEPENDENCY_CALL_NEEDED` if it has to be repeated.
+        """
         state = self.state
         started_at = state.now
         timeout = state.dependency.call_timeout(request, state.now)
@@ -192,7 +196,7 @@
         return event
 
     def _abandon(self, request: Request, event: RequestEvent) -> SubPath:
-        """Answer the request if that is still due, and cancel its run if that is safe."""
+        """Answer a connected client that has no answer yet; cancel the run if that is safe."""
         state = self.state
         if not request.client_disconnected and not request.answered:
             request.answered = True
@@ -204,8 +208,8 @@
     def _answer_from_duplicate(self, request: Request) -> RequestPath:
         """Answer a duplicate from the first request; a duplicate neither runs nor is rejected."""
         state = self.state
-        # It is too late, or memory is short. As the first request may have run, this is a failure
-        # and not a rejection.
+        # A duplicate near its deadline, or one for which memory is short, fails at once. It is not
+        # rejected, as the first request may have run.
         if request.deadline <= state.now + TICK_US or not state.safety.has_memory(
             request.memory_kb
         ):
@@ -227,7 +231,7 @@
             yield state.feedback.reject(False, backlog=state.queue_time())
 
     def _count_run(self, request: Request, event: RequestEvent) -> None:
-        """Count a run that has ended; the time of one that did not complete is a lower bound."""
+        """Count a run that has ended; the time of an incomplete run is a lower bound."""
         state = self.state
         request_class = request.request_class
         run_time = state.now - request.started_at
@@ -238,7 +242,10 @@
             state.queue.run_finished(request_class, run_time)
 
     def _count_against_quota(self, request: Request) -> None:
-        """Count the request in this server's part of its tenant's quota; mark it if it is over."""
+        """Count a request against this server's part of its tenant's quota.
+
+        A request that exceeds this part is marked as over quota.
+        """
         state = self.state
         tenant = request.tenant
         if tenant is None:
--- a/gullyoke/cli/fleet.py
+++ b/gullyoke/cli/fleet.py
@@ -329,7 +329,7 @@
 
 
 def ordered(at: str, what: str) -> None:
-    """Send a command of rolling restarts, and print the answer."""
+    """Send a rolling restart command, and print the answer."""
     found = said(asked(at, f"roll {what}"))
     click.echo(
         f"roll {what}: "
--- a/gullyoke/coordination/borrower.py
+++ b/gullyoke/coordination/borrower.py
@@ -1,7 +1,7 @@
 """A process that borrows tokens of a fleet's limit from the lenders.
 
-The process needs no lease for its floor. It counts a quota lease from before it sent the request,
-so a lease ends at the borrower before it ends at the lender.
+The process needs no lease for the tokens of its floor. It counts the duration of a quota lease from
+before it sent the request, so the lease ends at the borrower before it ends at the lender.
 """
 
 from __future__ import annotations
@@ -57,7 +57,8 @@
             floor: Tokens that the process may use without a lease.
             lenders: Names of all lenders.
             own_lender: The lender in this process, if any; it receives requests first.
-            begins_us: When the floor begins to count; until then an earlier process may use it.
+            begins_us: When the floor begins to count; until then an earlier process may use the
+                tokens of the floor.
         """
         self.incarnation = incarnation
         self.floor = floor
@@ -84,7 +85,7 @@
     def secured_until(self, now: int, count: int) -> float:
         """Return the time until which this process may use `count` tokens.
 
-        Infinity where the floor covers them; `now` where the process has fewer.
+        Infinity if the floor covers them; `now` if the process may use fewer tokens.
         """
         count -= self.guaranteed(now)
         if count <= 0:
@@ -98,8 +99,8 @@
     def next_requests(self, now: int, needed: int) -> list[QuotaRequest]:
         """Return the requests that are due to bring the tokens in force to `needed`.
 
-        All leases are renewed together. Missing tokens are requested from a single lender, the next
-        one each time, and at a shorter interval than renewals.
+        All leases are renewed together. Missing tokens are requested at a shorter interval than
+        renewals, each time from the next lender in the order of `lenders`.
         """
         missing = max(0, needed - self.in_force(now))
         renews = now >= self.next_renewal_us
@@ -131,8 +132,8 @@
     def handle_grant(self, now: int, grant: QuotaGrant, used: int = 0) -> QuotaReturn | None:
         """Apply a grant; return the message that gives unused tokens back to the lender.
 
-        A smaller grant takes effect at once, except for tokens that are still in use. A grant that
-        answers an older request or another process is ignored.
+        A smaller grant takes effect at once, except for tokens that are still in use. A grant
+        for another process, or for an older request, is ignored.
         """
         pending = self.pending.get(grant.lender)
         if grant.borrower != self.incarnation:
--- a/gullyoke/daemon/composition.py
+++ b/gullyoke/daemon/composition.py
@@ -31,7 +31,7 @@
 from gullyoke.runtime.timer import Timer
 
 THREAD_STACK_BYTES: Final = 128 * 1024  # the deepest call path needs under 32 KiB
-#: The longest time that a computing thread keeps the interpreter from the other threads.
+#: How long a computing thread may hold the interpreter lock while other threads wait for it.
 THREAD_SWITCH_INTERVAL_S: Final = 0.001
 
 
@@ -44,7 +44,7 @@
 
     Args:
         configuration: the configuration of the daemon.
-        operator_file: the operator's file; None for none.
+        operator_file: the operator's file; None if there is none.
         log_formatter: formats the lines of the log; None for key=value lines.
 
     Raises:
@@ -158,7 +158,8 @@
 ) -> None:
     """Listen for the daemon's own front end and for those of the extensions.
 
-    The listeners share the limit on connections. None accepts connections before the start.
+    The listeners share the limit on connections. None of them accepts connections before
+    the daemon is started.
     """
     parts.connections.listen(parts.configuration.listen, Http1(parts.message_handler))
     for extension in extensions:
@@ -171,7 +172,7 @@
     database: DependencyClient,
     service_discovery: ServiceDiscoveryReporter | None,
 ) -> dict[str, AddressedClient]:
-    """Return the parts whose address a reload may change, by the configuration field."""
+    """Return the parts whose address a reload may change, by the name of the field."""
     clients: dict[str, AddressedClient] = {"engine": executor, "database": database}
     if service_discovery is not None:
         clients["name_service"] = service_discovery
--- a/gullyoke/dependencies/client.py
+++ b/gullyoke/dependencies/client.py
@@ -39,11 +39,12 @@
 
     A connection returns to the pool only after exactly one complete reply with the id of its call.
     An invalid or missing reply or a broken connection therefore affects one call only. Replies
-    carry nothing but the request's id, so a request never makes its next call on the connection of
-    its last one: a duplicate reply would be taken for the reply to the next call.
+    identify their call by the request's id alone, so a request's next call never uses the
+    connection of its last call: there, a duplicate reply would be taken for the reply to the next
+    call.
 
-    The lock guards the pool. It may be acquired under the dispatcher's lock, which must not be
-    acquired while this one is held.
+    `lock` guards the pool. It may be acquired while the dispatcher's lock is held; the dispatcher's
+    lock must not be acquired while `lock` is held.
 
     Attributes:
         idle: Connections without a call, the most recently used last.
@@ -61,7 +62,7 @@
         """Create a client without connections.
 
         Args:
-            address: Address of the dependency; None if none is configured, and all calls fail.
+            address: Address of the dependency; None if none is configured; all calls then fail.
             max_connections: Maximum number of connections.
             timer: Runs the timeouts of calls.
             metrics: Counters.
@@ -100,7 +101,10 @@
             connection.shut_down()
 
     def close_idle(self) -> None:
-        """Close idle connections well before the peer does, as that could collide with a call."""
+        """Close idle connections well before the peer does.
+
+        A connection that the peer closes could be in use for a new call at that moment.
+        """
         with self.lock:
             oldest = clock.now() - IDLE_TIMEOUT_US
             expired = [connection for connection in self.idle if connection.idle_since < oldest]
@@ -124,7 +128,7 @@
         connection.send(call)
 
     def abandon(self, request: PendingRequest) -> None:
-        """Withdraw the call of a request that is over, if there is one."""
+        """Withdraw the call, if any, of a request that is over."""
         call = request.dependency_call
         if call is not None:
             request.dependency_call = None
@@ -135,8 +139,8 @@
     def _take_idle(self, request_id: str) -> DependencyConnection | None:
         """Remove and return an idle connection for a call of this request; None if there is none.
 
-        It is the most recently used one that did not carry the request's last call. Unusable
-        connections found on the way are shut down.
+        The connection is the most recently used one that did not carry the request's last call.
+        Unusable connections found on the way are shut down.
         """
         for index in range(len(self.idle) - 1, -1, -1):
             if self.idle[index].last_request_id != request_id:
@@ -194,7 +198,7 @@
             )
 
     def claim_end(self, call: DependencyCall) -> bool:
-        """Mark the call as ended; return whether the caller was the first and has to report it."""
+        """Mark the call as ended; return whether the caller is first and has to report the end."""
         with self._request_lock:
             is_first = call.request.dependency_call is call
             if is_first:
--- a/gullyoke/durability/key_ledger.py
+++ b/gullyoke/durability/key_ledger.py
@@ -1,7 +1,7 @@
 """The ledger of idempotency keys of one server start.
 
-It decides what must be on the disk before a request runs and before its answer is sent, and what
-happens if the disk fails or is too slow:
+The ledger decides what must be on the disk before a request runs and before its answer is sent, and
+what happens if the disk fails or is too slow:
 
     request_run --write--> RECORDING_START --durable--> RUNNING --end_run--> RECORDING_END
                                 |                                                 |
@@ -13,7 +13,7 @@
 after its request was abandoned starts no run. gullyoke/model_checking/key_ledger.py explores every
 order of these events.
 
-No I/O and no clock. Times are microseconds of the Unix clock.
+The ledger does no I/O and reads no clock. Times are microseconds of the Unix clock.
 """
 
 from __future__ import annotations
@@ -72,10 +72,10 @@
         Args:
             now_us: The current time.
             key: The key of the request.
-            arrived_us: When it arrived.
+            arrived_us: When the request arrived.
             window_end_us: The time until which a duplicate of it must not run.
-            deadline_us: By when its answer must be sent.
-            run_us: How long its run usually takes.
+            deadline_us: The time by which the request must be answered.
+            run_us: How long the request's run usually takes.
             disk_accepts: Whether the disk accepts writes that requests wait for.
 
         Returns:
@@ -111,7 +111,7 @@
     def write_finished(
         self, now_us: int, write: RecordWrite, persisted: bool
     ) -> LedgerAction | None:
-        """Handle the outcome of a write; it is ignored unless the write is the last of its row."""
+        """Handle the outcome of a write; ignored unless the write is the last one of its row."""
         row = self._finish_write(now_us, write, persisted)
         if row is None:
             return None
@@ -224,7 +224,7 @@
             self.rejected += 1
             return LedgerAction(ActionKind.REJECT, key)
         self.unrecorded_runs += 1
-        if self.fits(record.memory_bytes()):  # otherwise a duplicate may run
+        if self.fits(record.memory_bytes()):  # without a row, a duplicate may run
             row = LedgerRow(KeyStage.RUNNING_UNRECORDED, record, now_us, deadline_us)
             self._put_row(key, row)
         return LedgerAction(ActionKind.RUN, key)
@@ -238,7 +238,7 @@
         return LedgerAction(ActionKind.REPORT_END, key)
 
     def _report_without_record(self, row: LedgerRow, key: str) -> LedgerAction | None:
-        """Report the end of a run that is not on the disk, unless it was reported before."""
+        """Report the end of a run whose end is not on the disk, unless it was reported before."""
         if row.end_reported:
             return None
         row.end_reported = True
--- a/gullyoke/executors/scgi_backends.py
+++ b/gullyoke/executors/scgi_backends.py
@@ -143,8 +143,8 @@
     def cancel_run(self, request: PendingRequest) -> None:
         """Cancel the run: a queued one at once, one at a back end by closing its connection.
 
-        The connection is closed only if that stops the application. The thread of the attempt then
-        sees the connection end and reports the end of the run.
+        The connection is closed only if `cancel_by_close` says that this stops the application. The
+        thread of the attempt then sees the connection end and reports the end of the run.
         """
         with self._lock:
             run = self._runs.get(request)
@@ -174,7 +174,7 @@
     # Actions of the router.
 
     def _carry_out_locked(self, actions: Iterable[RouterAction]) -> None:
-        """Carry out actions under the dispatcher's lock: ends are posted as events."""
+        """Carry out actions under the dispatcher's lock; the ends of runs are posted as events."""
         for action in actions:
             if isinstance(action, SendAttempt):
                 self._send(action)
--- a/gullyoke/extensions/singleton_tasks.py
+++ b/gullyoke/extensions/singleton_tasks.py
@@ -1,7 +1,7 @@
 """The singleton tasks: work that only one server of a fleet does at a time, under a lease.
 
 A task is called on the thread of `duties.py` with the epoch of its lease while this server holds
-the lease. After every wait it checks that the lease is still held.
+the lease. After every wait the task checks that the lease is still held.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 from gullyoke.storage.append_file import AppendFile
 
 ANNOUNCEMENT_VALID_US = 6_000_000  # microseconds for which an announcement is valid
-MAX_RECORD_FILE_BYTES = 2**20  # bytes of the file of the fleet's record
+MAX_RECORD_FILE_BYTES = 2**20  # largest size of the file with the fleet's record
 
 
 class SingletonTask:
@@ -119,8 +119,8 @@
 class DependencyHealthCheck(SingletonTask):
     """The dependency health check.
 
-    The holder probes a dependency that is down; the others learn its health from the holder's
-    announcements.
+    The holder probes a dependency that is down; the others learn the dependency's health
+    from the holder's announcements.
     """
 
     name = "ask"
@@ -160,9 +160,9 @@
 class OrphanedQuotaLender(SingletonTask):
     """Lends the orphaned quota: the tokens of lenders that are no longer members.
 
-    A majority of the lenders decides who lends for one that is gone, so two servers can't lend
-    the same tokens. The lease only keeps two servers from trying at once, and its holder announces
-    to all members whom to ask.
+    A majority of the lenders decides who lends for a lender that is gone, so two servers can't lend
+    the same tokens. The lease only keeps two servers from trying at the same time. Its holder
+    announces to all members which server to borrow from.
     """
 
     name = "book"
@@ -190,7 +190,7 @@
         self.lend_for(gone)
 
     def lend_for(self, gone: tuple[str, ...]) -> None:
-        """Lend for these lenders and for no others."""
+        """Lend in place of these lenders and of no others."""
         if gone != self.gone_lenders:
             log.warning(
                 "lending of orphaned quota", extra=log_fields(lends_for=",".join(gone) or "-")
@@ -209,7 +209,7 @@
         return json.dumps(dict.fromkeys(self.gone_lenders, address)).encode()
 
     def apply_announcement(self, now: int, announcement: Announcement) -> None:
-        """Borrow from the substitutes of these lenders while the announcement is valid."""
+        """Borrow from the substitutes in the announcement while it is valid."""
         try:
             addresses = {
                 str(home): str(address)
@@ -224,22 +224,23 @@
 
 
 class RollingRestart(SingletonTask):
-    """Conducts a rolling restart; each step is stored by a majority before it is acted on."""
+    """Conducts a rolling restart; each step is stored by a majority before it is carried out."""
 
     name = "roll"
 
     def __init__(self, fleet: Fleet, duties: LeaseService) -> None:
         super().__init__(fleet, duties)
         self.plan, self.next, self.epoch = rolls.RestartPlan(), 0, 0
-        # By member: since when it has been alive without a break, and when it was last instructed.
+        # By member name: the time since which the member has been alive without a break.
         self.alive_since_us: dict[str, int] = {}
+        # By member name: when the member was last instructed.
         self.instructed_us: dict[str, int] = {}
 
     def act(self, now: int, epoch: int) -> None:
         register = self.duties.held_record(self.name)
         if register is None or register.body is None:
             return
-        if self.epoch != epoch:  # just acquired: go on with the plan of the last holder
+        if self.epoch != epoch:  # the lease is new here: continue the last holder's plan
             try:
                 self.plan = rolls.unpack_plan(register.body)
             except (ValueError, TypeError, KeyError):
@@ -270,7 +271,7 @@
             register.put(plan.pack())
 
     def send_instructions(self, now: int, epoch: int) -> None:
-        """Instruct the members of this step to drain, again each second until they have restarted.
+        """Instruct the members of this step to drain; repeat it each second until they restarted.
 
         A member that is draining ignores the repeats.
         """
@@ -300,8 +301,8 @@
     def apply_instruction(self, now: int, instruction: Instruction) -> None:
         """Drain, if the lease holder's instruction is for the present start of this server.
 
-        The instruction has the number of the start, so a late one does not drain the server again
-        after its restart.
+        The instruction names the start that it is for, so a delayed instruction does not drain the
+        server again after its restart.
         """
         own_start = self.fleet.member.record.version // REFUTATIONS_PER_START
         applies = instruction.what == "drain" and instruction.body == str(own_start).encode()
@@ -391,8 +392,8 @@
 class FleetRecord(SingletonTask):
     """The fleet's record: a line for each change of the members and for each new holder.
 
-    The lines are in the holder's folder, each with the epoch. They are numbered; the next holder
-    continues the numbers.
+    The lines are stored in the holder's folder. Each contains the epoch and a number; the next
+    holder continues the numbering.
     """
 
     name = "record"
@@ -452,10 +453,11 @@
 
 
 class ApplicationLease(SingletonTask):
-    """A lease of the application's own.
+    """A lease for the application's own use.
 
-    While this server holds the lease it tells the application so at each interval, with the epoch
-    as a fencing token: the application compares it with the newest epoch that it has seen.
+    While this server holds the lease, it notifies the application at each interval. The message
+    contains the epoch as a fencing token, which the application compares with the newest epoch that
+    it has seen.
     """
 
     def __init__(self, fleet: Fleet, duties: LeaseService, wanted: ApplicationLeaseSection) -> None:
@@ -472,9 +474,9 @@
             ).start()
 
     def notify_application(self, epoch: int) -> None:
-        """Tell the application of the lease, and give the lease up where the application can't act.
+        """Notify the application of the lease; give the lease up if the application can't act.
 
-        That is so if it has seen a newer epoch, or if it can't be reached three times in a row.
+        It can't act if it has seen a newer epoch, or could not be reached three times in a row.
         """
         try:
             with socket.create_connection(self.wanted.address, 1) as conn:
--- a/gullyoke/frontends/connections.py
+++ b/gullyoke/frontends/connections.py
@@ -26,7 +26,7 @@
 from gullyoke.runtime.sockets import Receiver
 from gullyoke.runtime.worker_pool import WorkerPool
 
-DESCRIPTOR_POLL_S: Final = 0.1  # between checks for a free descriptor
+DESCRIPTOR_POLL_S: Final = 0.1  # interval between checks for a free descriptor
 LOGGED_REASONS: Final = frozenset({CloseReason.GARBLED, CloseReason.STALLED, CloseReason.CUT})
 
 
@@ -34,12 +34,12 @@
     """All client connections of all listeners.
 
     The dictionaries keep connections in the order of insertion. A connection is removed from all of
-    them when it is closed, at the latest.
+    them no later than when it is closed.
 
     Args:
         limits: The limits for the number of connections.
         dispatcher: Receives the events of requests whose client disconnected.
-        lifecycle: The server's idle timeout, and whether it is closing.
+        lifecycle: Has the server's idle timeout, and whether the server is closing.
         metrics: The server's counters.
 
     Attributes:
@@ -100,8 +100,8 @@
         """Wait while closing connections hold more descriptors than are reserved for them.
 
         Guards against new connections that arrive faster than the connections evicted for them
-        close. Together they would use the descriptors that the engine, the database and the
-        service registry need.
+        close. New and closing connections together would use up the descriptors that the engine,
+        the database and the service registry need.
         """
         with self.descriptor_freed:
             while (
@@ -177,7 +177,8 @@
         self.unanswered.pop(connection, None)
         self.idle.pop(connection, None)
         try:
-            connection.close(reason)  # may take a while; until then it counts towards the limit
+            # May take a while; until then the connection counts towards the limit.
+            connection.close(reason)
         finally:
             connection.listener.connections.pop(connection, None)
             self.open.pop(connection, None)
--- a/gullyoke/leases/candidate.py
+++ b/gullyoke/leases/candidate.py
@@ -2,9 +2,9 @@
 
 A candidate sends two rounds of messages. It requests the lease under a new epoch only after a
 majority has answered a pre-vote that it would grant the lease, so a process that is cut off uses up
-no epochs. The lease counts from before the request, and the holder stops by itself when it ends. In
-the second half of its lease a holder no longer renews: otherwise a process that can send but not
-receive would keep the lease from all others.
+no epochs. The duration of the lease is counted from before the request was sent, and the holder
+stops by itself when the lease ends. In the second half of its lease a holder no longer renews:
+otherwise a process that can send but not receive would keep the lease from all others.
 """
 
 from __future__ import annotations
@@ -37,11 +37,12 @@
     All times are microseconds of this process's monotonic clock.
 
     Attributes:
-        wants_lease: Whether it competes for the lease; set by the owner.
-        delay_us: How long it leaves a free lease to candidates that rank higher; set by the owner.
-        not_before_us: The owner should not let it compete before this time, since the work failed
-            here.
-        highest_epoch: The highest epoch that it has seen.
+        wants_lease: Whether the candidate competes for the lease; set by the owner.
+        delay_us: How long the candidate leaves a free lease to others that rank higher; set by the
+            owner.
+        not_before_us: The time before which the owner should not let the candidate compete, since
+            the work failed in this process.
+        highest_epoch: The highest epoch that the candidate has seen.
         holder: Name of the last known holder; empty if unknown.
         granted_by: Voters that granted in the current round.
         rejected_by: Voters that rejected in the current round.
@@ -187,7 +188,7 @@
         return [AddressedMessage(voter, message) for voter in sorted(self.voters)]
 
     def _give_up(self, now: int) -> list[AddressedMessage]:
-        """End a request that got no majority; release the grants of some voters."""
+        """End a request that got no majority; release any grants that it did get."""
         release = LeaseRelease(self.duty, self.incarnation, self.epoch, "", False)
         self.state = CandidateState.IDLE
         self.next_round_us = now + int(self.pause_us * (1 + self.draw()))
@@ -233,8 +234,8 @@
                 return self._start_request(now)
             self.next_round_us = min(self.next_round_us, earliest_us)
         elif self.expected_end_us > now and now >= self.eager_until_us:
-            # Another process holds the lease: retry when it would end, or after the duration of a
-            # lease if that is sooner.
+            # Another process holds the lease: retry when that lease would end, or after the
+            # duration of a lease if that is sooner.
             self.pause_us = FIRST_PAUSE_US
             end_us = min(now + self.durations.lease_us, self.expected_end_us)
             self.next_round_us = end_us + int(FIRST_PAUSE_US * self.draw())
--- a/gullyoke/leases/rolling_restart.py
+++ b/gullyoke/leases/rolling_restart.py
@@ -1,11 +1,11 @@
 """The plan of a rolling restart: a few servers at a time drain and start again.
 
 The holder of a lease, the coordinator, advances the plan. The membership view shows which servers
-are done: those that started after the plan was made. So a coordinator that takes over midway needs
-no list of them. The plan contains the servers that are instructed to restart, and a majority of
-voters stores the plan before they are instructed. So no server is drained twice or forgotten. The
-restart stops when the fleet rejects clearly more requests than at the beginning, or when a server
-does not come back in time.
+are done: those that started after the plan was made. A coordinator that takes over midway therefore
+needs no list of the servers that are done. The plan contains the servers that are instructed to
+restart, and a majority of voters stores the plan before they are instructed. Therefore no server is
+drained twice or forgotten. The restart stops when the fleet rejects clearly more requests than at
+the beginning, or when a server does not come back in time.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 RETURN_TIMEOUT_US: Final = 60_000_000  # time for a server to come back before the restart stops
 MAX_REJECTED_RISE: Final = 0.15  # rise of the share of rejected requests since the start
 MAX_REASON_CHARS: Final = 80
-MAX_STRAYS: Final = 8  # servers with clocks behind that a restart tolerates
+MAX_STRAYS: Final = 8  # servers whose clock is behind; with more, the restart stops
 
 
 class RestartState(StrEnum):
@@ -43,7 +43,7 @@
         name: The server.
         instructed_at_us: When it was instructed or the restart was last resumed, by the
             coordinator's clock.
-        start: The second of its start before the restart.
+        start: The second in which the server last started before this restart.
     """
 
     name: str
@@ -218,7 +218,7 @@
 
 
 def _without_returned(plan: RestartPlan, now: int, members: dict[str, MemberState]) -> RestartPlan:
-    """Return the plan without the servers that are back; those with late clocks become strays."""
+    """Return the plan without the servers that are back; those whose clock is behind are strays."""
     back = {server.name for server in plan.doing if _is_back(server, now, members)}
     behind = tuple(name for name in back if members[name].start < plan.before)
     doing = tuple(server for server in plan.doing if server.name not in back)
@@ -226,7 +226,11 @@
 
 
 def _is_back(server: Restarting, now: int, members: dict[str, MemberState]) -> bool:
-    """Return whether a server started again, is healthy and present for `RETURN_DWELL_US`."""
+    """Return whether a server is back.
+
+    A server is back if it has started again, is healthy, and has been present for at least
+    `RETURN_DWELL_US`.
+    """
     member = members.get(server.name)
     if member is None or member.start <= server.start:
         return False
@@ -254,9 +258,9 @@
 ) -> list[str]:
     """Return the servers that restart next.
 
-    Together with all unavailable servers they stay within the plan's share of the fleet and of each
-    zone. Only present members are chosen, and the coordinator only when no other member is left to
-    restart or unavailable.
+    The chosen and all unavailable servers together stay within the plan's share of the fleet and of
+    each zone. Only present members are chosen, and the coordinator only when no other member is
+    left to restart or unavailable.
     """
     unavailable = {*restarting} | {member.name for member in fleet.members if not member.present}
     zones: dict[str, set[str]] = {}
--- a/gullyoke/membership/join_state.py
+++ b/gullyoke/membership/join_state.py
@@ -20,10 +20,10 @@
 SETTLE_US: Final = 2_000_000  # probes have to succeed this long after the first removal
 MAX_SETTLE_US: Final = 60_000_000  # the settle time doubles with each removal, up to this
 MAX_SETTLE_DOUBLINGS: Final = 6
-MAX_FAILING_SHARE: Final = 0.2  # of its own probes, for a removed member to settle
+MAX_FAILING_SHARE: Final = 0.2  # share of probes that may fail while a removed member settles
 REFUTE_PERIOD_US: Final = 500_000  # minimum between two refutations
 MAX_REFUTE_PERIOD_US: Final = 8_000_000  # the period doubles while accusations continue, up to this
-NAME_HOLDER_TIMEOUT_US: Final = 2_500_000  # for another process with this name to answer a probe
+NAME_HOLDER_TIMEOUT_US: Final = 2_500_000  # for a process with the same name to answer a probe
 RETRY_PERIOD_US: Final = 10_000_000  # between hellos once joined, or while the name is taken
 MAX_RECENT_ADDRESSES: Final = 32
 
@@ -55,8 +55,8 @@
         seeds: The configured seeds' addresses.
         stage: See `JoinStage`.
         recent_addresses: Addresses of recently known members, contacted like seeds.
-        known_version: The newest version of its name that other members knew before this start.
-        removals: The number of times it was removed.
+        known_version: The newest version that others knew under this name before this start.
+        removals: The number of times this member was removed.
         next_contact_at: When the next hellos are due.
     """
 
@@ -108,7 +108,7 @@
         return self.random.sample(addresses, min(SEEDS_PER_CONTACT, len(addresses)))
 
     def contact_received(self, now: int, address: str) -> None:
-        """Contact an unknown member soon that sent a message while this member is alone."""
+        """Contact the sender of a message soon if it is unknown and this member is alone."""
         if self.stage is not JoinStage.ALONE or address in self.recent_addresses:
             return
         self.recent_addresses = [*self.recent_addresses[-MAX_RECENT_ADDRESSES:], address]
@@ -209,11 +209,11 @@
         return self.record
 
     def removal_received(self, version: int, addresses: list[str]) -> None:
-        """Leave the fleet, as the others have removed this member, until it has settled.
+        """Leave the fleet until this member has settled, as the others have removed it.
 
         Args:
             version: The version under which it was removed.
-            addresses: The addresses in its view; a random sample is kept to rejoin by.
+            addresses: The addresses in this member's view; a random sample is kept for rejoining.
         """
         if self.stage is not JoinStage.OUT:
             self.stage = JoinStage.OUT
--- a/gullyoke/membership/removal.py
+++ b/gullyoke/membership/removal.py
@@ -17,7 +17,7 @@
 from gullyoke.membership.suspicion_tally import RemovalTimer, SuspicionCount
 from gullyoke.membership.update_processing import UpdateProcessor
 
-REPEAT_PERIOD_US: Final = 500_000  # between repetitions of a report to the members concerned
+REPEAT_PERIOD_US: Final = 500_000  # interval at which a report to the members concerned is repeated
 REPEAT_FOR_US: Final = 4_000_000  # a report is repeated for this time after it changed
 MAX_CONCERNED: Final = 24  # members to which a report is sent directly
 
@@ -28,7 +28,7 @@
     JOINING = "joining"
     ALIVE = "alive"
     SUSPECT = "suspect"  # will be removed if the suspicion lasts
-    UNREACHABLE = "unreachable"  # from this member, or too little of the fleet is seen to remove it
+    UNREACHABLE = "unreachable"  # this member can't reach it, or sees too few others to remove it
     LEAVING = "leaving"
     LEFT = "left"
     DEAD = "dead"
@@ -64,8 +64,8 @@
     def report_suspicions(self, now: int) -> None:
         """Send the report of suspicions if it has changed, or repeat it.
 
-        Gossip brings the report to all members in time. The suspects and their observers receive it
-        directly, the suspects first.
+        Gossip spreads the report to all members eventually. The suspects and their observers
+        receive it directly, the suspects first.
         """
         before = self.report
         unsure = self._state.local_health.unsure(now)
@@ -162,7 +162,7 @@
             count.accusing,
             count.eligible,
         )
-        # Tells a member whose own messages do not arrive that it has been removed.
+        # Informs the removed member, which may receive messages although its own do not arrive.
         self._dissemination.send_gossip(record.id, (update,))
         self._updates.learn(now, update)
 
--- a/gullyoke/operator_config/read.py
+++ b/gullyoke/operator_config/read.py
@@ -34,7 +34,7 @@
 
 
 def relation_faults(found: schema.Operator) -> Iterator[tuple[str, str]]:
-    """Yield the faults between fields: the key of each, and a text."""
+    """Yield the conflicts between fields, each as the key of a field and a text."""
     names: set[str] = set()
     addresses: set[str] = set()
     for i, way in enumerate(found.listener):
@@ -100,7 +100,7 @@
 
 
 def duties_faults(found: schema.Operator) -> Iterator[tuple[str, str]]:
-    """Yield the faults between the fields of the leases."""
+    """Yield the conflicts that concern the section `duties`, in the same form."""
     duties, names = found.duties, set()
     if not found.HasField("fleet"):
         yield "duties", "there is no fleet; right would be fleet { ... } as well"
@@ -125,7 +125,7 @@
         taken.add(duty.name)
 
 
-# Conversion, with the defaults of what is not set.
+# Conversion; fields that are not set get their defaults.
 
 
 def parse_address(text: str) -> Address:
@@ -143,7 +143,7 @@
 
 
 def convert(found: schema.Operator) -> OperatorSettings:
-    """Convert a file."""
+    """Convert a checked file to settings."""
     ways = tuple(
         ListenerSection(
             entry.name,
--- a/gullyoke/peer_transport/link.py
+++ b/gullyoke/peer_transport/link.py
@@ -32,7 +32,7 @@
 IP_RECVERR: Final = getattr(socket, "IP_RECVERR", 11)  # Linux: ICMP errors go to the error queue
 MSG_ERRQUEUE: Final = getattr(socket, "MSG_ERRQUEUE", 0x2000)
 MAX_BURST: Final = 256  # datagrams received in one iteration, so that ticks are not late
-SEND_ATTEMPTS: Final = 4  # for one datagram, as errors of earlier datagrams may surface
+SEND_ATTEMPTS: Final = 4  # to send a datagram, as errors of earlier ones may be reported
 MAX_ADDRESSES: Final = 4096  # cached socket addresses
 SHORTEST_WAIT_S: Final = 0.0005
 ERROR_PAUSE_S: Final = 0.05  # after a program error
@@ -94,7 +94,7 @@
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         try:
             self.sock.setsockopt(socket.IPPROTO_IP, IP_RECVERR, 1)
-        except OSError:  # closed ports are then detected only by silence
+        except OSError:  # closed ports are then detected only by missing answers
             metrics.increment("peers.no_refusals")
         self.address = self.sock.getsockname()
         self.seal = seal
@@ -121,7 +121,7 @@
             self.sock.close()
 
     def run_locked(self, action: Callable[[], list[OutgoingMessage] | None]) -> None:
-        """Call an action under the lock; send the messages that it returns, and the member's."""
+        """Call an action under the lock; send the messages that it and the member return."""
         with self.lock:
             more = action() or []
             out = self.member.take_outgoing() + more
@@ -221,7 +221,8 @@
             self.metrics.increment("peers.too_long")
             return
         # `sendto` may report the error of an earlier datagram. In that case the error queue is read
-        # and this datagram sent again; otherwise each datagram after one to a closed port is lost.
+        # and this datagram is sent again; without that, each datagram that follows one to a closed
+        # port would be lost.
         for _ in range(SEND_ATTEMPTS):
             try:
                 self.sock.sendto(data, self._system_address(send.address))
@@ -234,7 +235,7 @@
         self.metrics.increment("peers.unsent")
 
     def _system_address(self, address: str) -> tuple[str, int]:
-        """Return an address's host and port; port 0, to which sending fails, if it has none."""
+        """Return an address's host and port; without a valid port, 0, to which sending fails."""
         found = self._system_addresses.get(address)
         if found is None:
             host, _, port = address.rpartition(":")
--- a/gullyoke/routing/pool.py
+++ b/gullyoke/routing/pool.py
@@ -26,13 +26,14 @@
     """Balances runs by the power of two choices.
 
     Two back ends are drawn at random and the one with the lower score is chosen (runs in flight
-    over weight, times response time). The load is nearly as even as with a comparison of all, and
-    runs do not all go at once to the back end that last looked best (Mitzenmacher 2001).
+    over weight, times response time). The load is nearly as even as if all scores were compared,
+    and simultaneous runs do not all go to the back end that last had the lowest score
+    (Mitzenmacher 2001).
 
     Attributes:
         backends: Back ends by name: those that are configured or still have runs.
-        may_probe: Returns whether this server may probe the back end of a name now; used where
-            several servers coordinate their probes.
+        may_probe: Returns whether this server may now probe the back end with the given name; used
+            where several servers coordinate their probes.
     """
 
     def __init__(
@@ -48,7 +49,8 @@
         Args:
             rng: Random generator.
             max_ejected_share: Largest share of the pool that may be ejected for failures at once.
-                A back end becomes unreachable regardless of this bound, and then counts towards it.
+                A back end may become unreachable regardless of this bound; an unreachable one
+                counts towards it.
             initial_limit: Concurrency limit of a new back end.
             linger_us: How long an abandoned run that may still be executed counts as in flight,
                 in microseconds.
@@ -115,7 +117,7 @@
     def typical_us(self) -> float:
         """Return the median response time of the back ends; 0 while none is measured.
 
-        Ejected back ends count only where no other has a measurement.
+        Ejected back ends count only if no other back end has a measurement.
         """
         known = [
             backend.response_time_us
@@ -159,7 +161,7 @@
     def _begin_probe(
         self, now: int, attempted: Sequence[Backend], others_accept: bool
     ) -> Backend | None:
-        """Change the first back end that may be probed now to probing; None if there is none."""
+        """Change the first back end that may be probed now to probing, and return it, if any."""
         for backend in self.backends.values():
             if (
                 backend not in attempted
--- a/gullyoke/runtime/dispatcher.py
+++ b/gullyoke/runtime/dispatcher.py
@@ -48,7 +48,7 @@
     Args:
         facts: The site's settings.
         metrics: The server's counters.
-        flush: Writes the commands of a call of the controller after it ended; must not block.
+        flush: Called at the end of `handle` to write the controller's commands; must not block.
         duplicates: The duplicate table; None for one in memory.
 
     Attributes:
@@ -60,7 +60,7 @@
         stop_at: When the process stops; None until the drain begins.
         handling: Whether a thread is inside `handle` and holds the lock.
         deferred_events: Events caused by a call, delivered before the lock is released.
-        answer_gates: The gates of the requests answered in a call, released after the lock is.
+        answer_gates: The gates of the requests answered during a call, to release after the lock.
         pending_log_lines: The controller's log lines, written after the lock is released.
     """
 
@@ -156,7 +156,8 @@
             self.answer_gates = []
             self.handling = False
             self.lock.release()
-        for gate in answer_gates:  # if released under the lock, their threads would wait for it
+        # If released under the lock, the threads that wait at the gates would wait for the lock.
+        for gate in answer_gates:
             gate.release()
         self._flush()
         while self.pending_log_lines:
@@ -183,7 +184,7 @@
         self.controller.on_event(self.now, request, event)
 
     def post_event(self, request: PendingRequest, event: RequestEvent) -> None:
-        """Queue an event that was caused under the lock; `handle` delivers it before releasing."""
+        """Queue an event caused under the lock; `handle` delivers it before unlocking."""
         self.deferred_events.append((request, event))
 
     def on_finished(self, request: PendingRequest) -> None:
@@ -210,7 +211,7 @@
         """Run a tick of the controller.
 
         Args:
-            gauges: The engine's gauges by the names that it uses; a missing one is not measured.
+            gauges: The gauges by the engine's names for them; a missing gauge was not measured.
         """
 
         def act() -> None:
--- a/gullyoke/settings/reader.py
+++ b/gullyoke/settings/reader.py
@@ -135,8 +135,9 @@
 def flatten_settings(value: object, path: str = "") -> dict[str, str]:
     """Convert nested JSON to pairs of a dotted path and a text.
 
-    The values of a plain list are joined by commas. The items of a list of objects or lists have
-    their index as a key, and the key `count` holds their number. Null values are left out.
+    A list that contains no objects or lists becomes one text, its values joined by commas. In any
+    other list the key of each item is its index, and the key `count` holds the number of items.
+    Null values are left out.
     """
     if value is None:
         return {}
--- a/gullyoke/storage/disk_monitor.py
+++ b/gullyoke/storage/disk_monitor.py
@@ -1,7 +1,7 @@
 """Monitors the disk of one folder.
 
-It times every operation and records the errors, checks the free space, and probes a disk in a bad
-state. gullyoke/durability/disk_health.py decides the state of the disk from this.
+The monitor times every operation and records the errors, checks the free space, and probes a disk
+in a bad state. gullyoke/durability/disk_health.py decides the state of the disk from the results.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
             OSError: The folder can't be opened, as for `StorageFolder`.
         """
         with self.timed("open"):
-            # Looked up in its module at each call, since fault tests replace the class there.
+            # The class is looked up in its module at each call, since fault tests replace it there.
             return MonitoredFolder(storage_folder.StorageFolder(path, locked, create), self)
 
     def update_state(self) -> DiskState:
@@ -184,7 +184,7 @@
 class MonitoredFolder:
     """A `StorageFolder` whose operations are timed.
 
-    The names that are passed to the monitor appear in the log.
+    The names of operations that are passed to the monitor appear in the log.
     """
 
     def __init__(self, folder: StorageFolder, monitor: DiskMonitor) -> None:
@@ -241,7 +241,7 @@
             self.folder.sync_folder()
 
     def allocate(self, name: str, size_bytes: int) -> None:
-        """Create a file of a size, or extend it to that size, with its space reserved."""
+        """Create a file or extend it, to the given size, with its space reserved."""
         with self.monitor.timed("make"):
             self.folder.allocate(name, size_bytes)
 
@@ -251,6 +251,6 @@
             self.folder.write_at(name, offset, data)
 
     def free_space(self) -> FreeSpace:
-        """Return how much space the disk has."""
+        """Return the free and the total space of the disk."""
         with self.monitor.timed("free"):
             return self.folder.free_space()
--- a/gullyoke/storage/store.py
+++ b/gullyoke/storage/store.py
@@ -36,20 +36,20 @@
 class StoreFaultedError(GullyokeError, OSError):
     """A batch could not be made durable, because of an error of the disk.
 
-    It is not applied, but any of its records may be found after a crash. `Store` then closes the
-    segment, and the next batch begins a new one.
+    The batch is not applied, but any of its records may be found after a crash. `Store` then closes
+    the segment, and the next batch begins a new one.
     """
 
 
 class StoreVersionError(GullyokeError, OSError):
-    """A later release wrote the folder. It is neither used nor written to."""
+    """A later release wrote the folder, which is neither used nor written to."""
 
 
 class Store:
-    """A store in a folder, opened whether or not its files are damaged. Not thread-safe.
+    """A store in a folder; it opens even if its files are damaged. Not thread-safe.
 
-    It never appends to a segment that an earlier process wrote: each start begins a new one, so
-    that an incomplete record can only be the last of its segment.
+    The store never appends to a segment that an earlier process wrote: each start begins a new one,
+    so that an incomplete record can only be the last of its segment.
 
     Attributes:
         plan: The index, the usage of the segments, and the choice of compactions.
@@ -206,7 +206,7 @@
         return number
 
     def _close_active(self, uncertain_bytes: int) -> None:
-        """Close the active segment, which may have a number of uncertain bytes at its end."""
+        """Close the active segment; `uncertain_bytes` at its end may or may not be written."""
         if self.active_segment is None:
             return
         self.plan.add_dead_bytes(self.active_segment, uncertain_bytes)
@@ -232,7 +232,7 @@
 
         Args:
             max_segments: How many segments to remove at most.
-            eager: Whether to compact also if few bytes are dead.
+            eager: Whether to compact even if few bytes are dead.
 
         Returns:
             How many segments were removed.
@@ -257,7 +257,7 @@
     def _copy_live_records(self, oldest: int) -> None:
         """Copy the live records of the oldest segment, with their sequence numbers.
 
-        After a crash between copy and removal, copy and original are the same record.
+        After a crash between copy and removal, both segments hold the same records.
         """
         records = []
         for key in self.plan.live_keys(oldest):
