--- a/gullyoke/extensions/singleton_tasks.py
+++ b/gullyoke/extensions/singleton_tasks.py
@@ -70,12 +70,12 @@
         return {"fault": f"{self.name} takes no commands"}
 
     def status(self, now: int) -> dict:
-        """Return what the status answer shows of the task."""
+        """Return the fields that the status answer has for this task."""
         return {}
 
 
 class GatedDependencySlots:
-    """Dependency slots that hold back the calls of a dependency that is down.
+    """Dependency slots that hold back calls to a dependency that is down.
 
     While the dependency counts as down, only the holder of the lease calls it, as a probe.
     """
--- a/gullyoke/frontends/connections.py
+++ b/gullyoke/frontends/connections.py
@@ -192,5 +192,5 @@
         """Move a connection to `closing`; it no longer counts towards its listener's limit."""
         connection.listener.connections.pop(connection, None)
         self.closing[connection] = None
-        if connection not in self.open:  # its own thread has closed it meanwhile
+        if connection not in self.open:  # the connection's own thread has closed it
             self.closing.pop(connection, None)
--- a/gullyoke/leases/rolling_restart.py
+++ b/gullyoke/leases/rolling_restart.py
@@ -4,8 +4,9 @@
 are done: those that started after the plan was made. A coordinator that takes over midway therefore
 needs no list of the servers that are done. The plan contains the servers that are instructed to
 restart, and a majority of voters stores the plan before they are instructed. Therefore no server is
-drained twice or forgotten. The restart stops when the fleet rejects clearly more requests than at
-the beginning, or when a server does not come back in time.
+drained twice or forgotten. The restart stops when the fleet rejects clearly more requests than
+when the restart began or was resumed, when a server does not come back in time, or when the clocks
+of too many servers are behind.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 RETURN_DWELL_US: Final = 3_000_000  # how long a server must be back before the next one restarts
 RETURN_TIMEOUT_US: Final = 60_000_000  # time for a server to come back before the restart stops
-MAX_REJECTED_RISE: Final = 0.15  # rise of the share of rejected requests since the start
+MAX_REJECTED_RISE: Final = 0.15  # rise of the rejected share since start or resumption
 MAX_REASON_CHARS: Final = 80
 MAX_STRAYS: Final = 8  # servers whose clock is behind; with more, the restart stops
 
@@ -112,9 +113,9 @@
         name: The member's name.
         zone: Its zone.
         start: The second of its start.
-        present: Whether it is in the view and answers.
-        present_since_us: When it last became present.
-        healthy: Whether it rejects few requests.
+        present: Whether the member is in the view and answers.
+        present_since_us: When the member last became present.
+        healthy: Whether the member rejects few requests.
     """
 
     name: str
