--- a/gullyoke/extensions/singleton_tasks.py
+++ b/gullyoke/extensions/singleton_tasks.py
@@ -38,7 +38,7 @@
 
 
 class SingletonTask:
-    """The base of the singleton tasks; it does nothing.
+    """The base of the singleton tasks, with methods that do nothing.
 
     Attributes:
         name: the name of the lease.
@@ -89,9 +89,15 @@
     def update_mean_limit(
         self, now: int, stated: float | None, used_call_time: float
     ) -> float | None:
+        """Report the used call time; return the limit on the mean of calls in flight, if any."""
         return self.slots.update_mean_limit(now, stated, used_call_time)
 
     def request_slot(self, now: int, waiting: int) -> bool:
+        """Request a slot for one more call; return whether the call may start now.
+
+        While the dependency is down only probes may start; during the slow start that follows,
+        only a share of the calls.
+        """
         if not self.slots.request_slot(now, waiting):
             return False
         if not self.probe.dead and self.probe.recovered_at_us is None:
@@ -102,15 +108,19 @@
             return self.probe.admit_call(now)
 
     def secured_until(self, now: int) -> float:
+        """Return the time by which the next call has to end, including its linger time."""
         return self.slots.secured_until(now)
 
     def concurrency(self, now: int) -> float:
+        """Return the number of calls that may be in flight at a time."""
         return self.slots.concurrency(now)
 
     def call_started(self) -> None:
+        """Count a started call."""
         self.slots.call_started()
 
     def call_ended(self, now: int, lost: bool, succeeded: bool) -> None:
+        """Count an ended call, and record its result as evidence of the dependency's health."""
         self.slots.call_ended(now, lost, succeeded)
         with self.lock:
             self.probe.record_call(now, succeeded)
@@ -147,13 +157,16 @@
             log.warning("dependency", extra=log_fields(dead=self._logged_dead, epoch=epoch))
 
     def announcement_body(self) -> bytes:
+        """Return whether the dependency is down: `dead` or `well`."""
         return b"dead" if self.probe.dead else b"well"
 
     def apply_announcement(self, now: int, announcement: Announcement) -> None:
+        """Record the dependency's health that the holder announced."""
         with self.gated_slots.lock:
             self.probe.record_announcement(now, announcement.epoch, announcement.body == b"dead")
 
     def status(self, now: int) -> dict:
+        """Return whether the dependency is down, and the number of probes sent."""
         return {"dead": self.probe.dead, "tries": self.probe.probes_sent}
 
 
@@ -181,11 +194,12 @@
         self.gone_lenders: tuple[str, ...] = ()
 
     def act(self, now: int, epoch: int) -> None:
+        """Lend for all lenders that are no longer members; for none while the size is uncertain."""
         with self.fleet.link.lock:
             members = {row.name for row in self.fleet.member.view.records.values()}
             size_usable = self.fleet.member.size(now).usable()
         gone = (
-            tuple(sorted(home for home in self.homes if home not in members)) if size_usable else ()
+            tuple(sorted(name for name in self.homes if name not in members)) if size_usable else ()
         )
         self.lend_for(gone)
 
@@ -198,13 +212,15 @@
         self.gone_lenders = gone
         shared = self.shares.shared
         with shared.lock:
-            shared.own.participant.take_over({home: self.tokens[home] for home in gone})
+            shared.own.participant.take_over({name: self.tokens[name] for name in gone})
 
     def stop(self, now: int) -> None:
+        """Stop lending for other lenders."""
         if self.gone_lenders:
             self.lend_for(())
 
     def announcement_body(self) -> bytes:
+        """Return as JSON the address to borrow from, by the name of each lender that is gone."""
         address = self.fleet.wanted.advertise
         return json.dumps(dict.fromkeys(self.gone_lenders, address)).encode()
 
@@ -212,14 +228,15 @@
         """Borrow from the substitutes in the announcement while it is valid."""
         try:
             addresses = {
-                str(home): str(address)
-                for home, address in json.loads(announcement.body or b"{}").items()
+                str(name): str(address)
+                for name, address in json.loads(announcement.body or b"{}").items()
             }
         except (ValueError, AttributeError):
             return
         self.shares.shared.substitutes = Substitutes(addresses, now + ANNOUNCEMENT_VALID_US)
 
     def status(self, now: int) -> dict:
+        """Return the names of the lenders that this server lends for."""
         return {"lends_for": list(self.gone_lenders)}
 
 
@@ -237,6 +254,10 @@
         self.instructed_us: dict[str, int] = {}
 
     def act(self, now: int, epoch: int) -> None:
+        """Continue the plan at most once in 300 ms, if a majority has stored it.
+
+        Either stores the plan's next step, or instructs the members of the stored step.
+        """
         register = self.duties.held_record(self.name)
         if register is None or register.body is None:
             return
@@ -349,6 +370,7 @@
         )
 
     def execute_command(self, now: int, words: list[str]) -> dict:
+        """Start, pause, resume or cancel the rolling restart, and return the new plan."""
         register = self.duties.held_record(self.name)
         if register is None or register.body is None:
             return {"fault": "this server does not conduct"}
@@ -370,15 +392,18 @@
         return {"plan": plan._asdict()}
 
     def announcement_body(self) -> bytes:
+        """Return the plan as JSON."""
         return self.plan.pack()
 
     def apply_announcement(self, now: int, announcement: Announcement) -> None:
+        """Take over the plan in the announcement; count an announcement that can't be read."""
         try:
             self.plan = rolls.unpack_plan(announcement.body)
         except (ValueError, TypeError, KeyError):
             self.fleet.daemon.metrics.increment("duty.roll_unreadable")
 
     def status(self, now: int) -> dict:
+        """Return the plan, the members that are still to be restarted and the number of members."""
         fields = self.plan._asdict()
         fleet = self.update_fleet_state(now)
         return fields | {
@@ -412,6 +437,10 @@
         self.last, self.epoch, self.count = None, 0, 0
 
     def act(self, now: int, epoch: int) -> None:
+        """Write a line for a new holder and for each change of the members.
+
+        Gives up the lease if this server's disk fails.
+        """
         register = self.duties.held_record(self.name)
         if register is None or register.body is None or not register.committed:
             return
@@ -449,6 +478,7 @@
         register.put(str(self.count).encode())
 
     def status(self, now: int) -> dict:
+        """Return the number of the last line that this server wrote; 0 before the first."""
         return {"count": self.count}
 
 
