--- a/gullyoke/cli/first.py
+++ b/gullyoke/cli/first.py
@@ -1,4 +1,4 @@
-"""`gullyoke try`: a real daemon that is offered more than it can do, as a demonstration."""
+"""`gullyoke try`: a demonstration of a real daemon under overload."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
     "members",
     type=click.IntRange(3, 12),
     metavar="N",
-    help="Show a fleet of N servers instead, one of which is killed and one cut off.",
+    help="Run a fleet of N servers instead; one is killed, and another is cut off from the rest.",
 )
 def try_(seconds: int, load: float, seed: int, members: int | None) -> None:
-    """Start a real daemon on loopback with an emulated engine, database and name service, and offer it more
-    than it can do. Shows a live table, then a summary beside a simulated plain pool.
+    """Start a real daemon on loopback with an emulated engine, database and name service, and overload
+    it. Shows a live table, then a summary with the result of a simulated plain pool for comparison.
 
     \b
     Example:
@@ -37,7 +37,7 @@
       gullyoke try --fleet 5
     """
     if members is not None:
-        together(members, seed)
+        run_fleet(members, seed)
         return
     from rich.console import Console
     from rich.live import Live
@@ -47,55 +47,55 @@
     from gullyoke.emulator.fleet import Running
     from gullyoke.experiments.world import daemon
 
-    works = (
+    request_classes = (
         Work("box-view", 0.57, 70_000, 0.6, 1_000_000, 2_500_000, 1.0, 0.1, True, 0.3),
         Work("schedule-set", 0.30, 95_000, 0.6, 1_200_000, 3_000_000, 2.0, 0.1),
         Work("drop-status", 0.13, 40_000, 0.6, 600_000, 1_500_000, 3.0, 0.1),
     )
-    day = drawn(works, Machines(servers=1, reading=1), load, seconds * SECOND, seed)
+    day = drawn(request_classes, Machines(servers=1, reading=1), load, seconds * SECOND, seed)
     click.echo(
         f"{len(day.arrivals)} reqs in {seconds} s, {load:g} times what 6 emulated cores can do"
     )
     try:
         with (
             daemon(day) as (gateways, process),
-            Live(table(day, gateways), refresh_per_second=4) as live,
+            Live(outcome_table(day, gateways), refresh_per_second=4) as live,
         ):
             thread = threading.Thread(target=gateways.play, daemon=True)
             thread.start()
             while thread.is_alive():
                 time.sleep(0.25)
-                live.update(table(day, gateways))
+                live.update(outcome_table(day, gateways))
             if process.poll() is not None:
                 refuse([f"the daemon ended with {process.returncode}"])
     except ChildProcessError as error:
         refuse([str(error)])
     earned, offered = sum(gateways.value.values()), sum(gateways.offered.values())
-    plain = Running(
+    plain_pool = Running(
         day._replace(callers=day.callers._replace(tries=0)), lambda node: PlainPool(node, 6, 24)
     ).play()
     Console().print(
         f"value earned: {earned / offered:.0%} of what was offered; "
-        f"a plain pool, simulated on the same reqs: {plain.share():.0%}"
+        f"a plain pool, simulated on the same reqs: {plain_pool.share():.0%}"
     )
 
 
-def table(day, gateways):
+def outcome_table(day, gateways):
     """Return a table of the outcomes by request class."""
     from rich.table import Table
 
-    out = Table("class", "asked", "done", "late", "shed", "errored", "value earned")
+    table = Table("class", "asked", "done", "late", "shed", "errored", "value earned")
     with gateways.pen:
         for work in day.works:
-            row = [
+            counts = [
                 gateways.rows[work.name, outcome] for outcome in ("done", "late", "shed", "errored")
             ]
             share = gateways.value[work.name] / (gateways.offered[work.name] or 1)
-            out.add_row(work.name, str(sum(row)), *map(str, row), f"{share:.0%}")
-    return out
+            table.add_row(work.name, str(sum(counts)), *map(str, counts), f"{share:.0%}")
+    return table
 
 
-FLEET = """
+FLEET_SCRIPT = """
 members {n} zones {n} seed {seed} load 10
 at 2 kill m1
 by 8 gone m1
@@ -109,8 +109,8 @@
 """
 
 
-def together(members: int, seed: int) -> None:
-    """Run a fleet, print the changes of its members, then the outcome of each fault."""
+def run_fleet(members: int, seed: int) -> None:
+    """Run a fleet under faults; print the changes of its members, then the result of each check."""
     from gullyoke.fault_testing.play import Play
     from gullyoke.fault_testing.script import read
 
@@ -118,7 +118,7 @@
         f"{members} servers on loopback, 10 reqs a second to each; m1 is killed and comes back, then "
         "m0 is cut off from all others"
     )
-    play = Play(read(FLEET.format(n=members, seed=seed)), click.echo)
+    play = Play(read(FLEET_SCRIPT.format(n=members, seed=seed)), click.echo)
     try:
         verdict = play.run()
     except ChildProcessError as error:
--- a/gullyoke/cli/fleet.py
+++ b/gullyoke/cli/fleet.py
@@ -17,7 +17,7 @@
     default="127.0.0.1:7990",
     show_default=True,
     metavar="ADDRESS",
-    help="`fleet.status` of the server's operator's file.",
+    help="Address of the server's status listener: `fleet.status` in its operator's file.",
 )
 AS_JSON = click.option(
     "--json", "as_json", is_flag=True, help="One JSON object instead of a table."
@@ -36,12 +36,12 @@
     """
 
 
-def asked(at: str, what: str) -> dict:
+def send_command(at: str, command: str) -> dict:
     """Send a command to the status server at an address, and return its answer."""
     host, _, port = at.rpartition(":")
     try:
         with socket.create_connection((host, int(port)), 3) as conn:
-            conn.sendall(f"{what}\n".encode())
+            conn.sendall(f"{command}\n".encode())
             with conn.makefile("rb") as file:
                 return json.loads(file.read())
     except (OSError, ValueError) as error:
@@ -62,8 +62,8 @@
       gullyoke fleet status --watch
     """
     while True:
-        answer = asked(at, "status")
-        click.echo(json.dumps(answer) if as_json else told(answer))
+        answer = send_command(at, "status")
+        click.echo(json.dumps(answer) if as_json else format_status(answer))
         if not watch:
             sys.exit(
                 0 if all(row["state"] in ("alive", "joining") for row in answer["rows"]) else 1
@@ -71,18 +71,18 @@
         time.sleep(1)
 
 
-def told(found: dict) -> str:
+def format_status(answer: dict) -> str:
     """Return a status answer as text: a line about the fleet, then a line for each member."""
     lines = [
-        f"{found['name']} is {found['stage']}; {found['members']} members, {found['seen']} seen, "
-        f"confidence {found['confidence']:.2f}; view {found['view']} {found['digest']}"
+        f"{answer['name']} is {answer['stage']}; {answer['members']} members, {answer['seen']} seen, "
+        f"confidence {answer['confidence']:.2f}; view {answer['view']} {answer['digest']}"
     ]
-    for row in found["rows"]:
-        trip = "-" if row["round_trip_ms"] is None else f"{row['round_trip_ms']:.2f}"
+    for row in answer["rows"]:
+        round_trip = "-" if row["round_trip_ms"] is None else f"{row['round_trip_ms']:.2f}"
         lines.append(
             f"{row['name']:20} {row['state']:12} {row['zone']:12} {row['address']:22} "
             f"start {row['start']} refuted {row['refuted']} accused by {row['accused_by']} "
-            f"round trip {trip} ms"
+            f"round trip {round_trip} ms"
             + (
                 ""
                 if row.get("room") is None
@@ -91,13 +91,13 @@
         )
     lines += [
         f"the disk of {folder} is {state}"
-        for folder, state in sorted(found.get("disks", {}).items())
+        for folder, state in sorted(answer.get("disks", {}).items())
         if state != "well"
     ]
     lines += [
         f"quota of {name}: {quota['reqs_a_second']:g} reqs a second here, "
         f"{quota['refused']} times short"
-        for name, quota in sorted(found.get("quotas", {}).items())
+        for name, quota in sorted(answer.get("quotas", {}).items())
     ]
     return "\n".join(lines)
 
@@ -112,7 +112,7 @@
     Example:
       gullyoke fleet events --at 127.0.0.1:7990
     """
-    answer = asked(at, "events")
+    answer = send_command(at, "events")
     if as_json:
         click.echo(json.dumps(answer))
         return
@@ -139,11 +139,11 @@
 @click.option(
     "--keep",
     type=click.Path(file_okay=False),
-    help="Write the time line and its chart to this folder.",
+    help="Write the timeline and its chart to this folder.",
 )
 @AS_JSON
 def play(script: str, keep: str | None, as_json: bool) -> None:
-    """Play a SCRIPT of faults on a fleet of processes on loopback, under a load of requests.
+    """Run a fault injection SCRIPT on a fleet of processes on loopback, under a load of requests.
 
     Exit codes: 0 all checks hold, 1 not all, 2 the script is invalid or the fleet did not start.
 
@@ -156,17 +156,17 @@
     from gullyoke.fault_testing.play import Play
     from gullyoke.fault_testing.script import ScriptError, read
 
-    say = (lambda text: None) if as_json else click.echo
+    print_line = (lambda text: None) if as_json else click.echo
     try:
-        found = read(pathlib.Path(script).read_text(encoding="utf-8"))
-        verdict = Play(found, say).run()
+        parsed = read(pathlib.Path(script).read_text(encoding="utf-8"))
+        verdict = Play(parsed, print_line).run()
     except (ScriptError, ChildProcessError, UnicodeDecodeError) as error:
         refuse([f"{script}: {error}"])
     if keep:
         from gullyoke.fault_testing.report import write
 
-        for path in write(verdict, found, pathlib.Path(keep)):
-            say(f"kept {path}")
+        for path in write(verdict, parsed, pathlib.Path(keep)):
+            print_line(f"kept {path}")
     if as_json:
         click.echo(
             json.dumps(
@@ -201,41 +201,43 @@
     Example:
       gullyoke fleet duties --at 127.0.0.1:7990
     """
-    found = said(asked(at, "duties"))
+    answer = exit_on_fault(send_command(at, "duties"))
     if as_json:
-        click.echo(json.dumps(found))
+        click.echo(json.dumps(answer))
     else:
-        for name, one in found["duties"].items():
+        for name, lease in answer["duties"].items():
             click.echo(
-                f"{name:12} {one['holder'] or 'nobody':20} epoch {one['epoch']:<6} here {one['state']}"
-                + (f", {one['left_ms']} ms left" if one["left_ms"] else "")
+                f"{name:12} {lease['holder'] or 'nobody':20} epoch {lease['epoch']:<6} here {lease['state']}"
+                + (f", {lease['left_ms']} ms left" if lease["left_ms"] else "")
             )
-        votes = found["votes"]
+        votes = answer["votes"]
         if votes is not None:
             click.echo(
                 f"votes in set {votes['set']}: {'yes' if votes['speaks'] else 'not now'}"
                 + (", has lost its promises" if votes["fresh"] else "")
                 + ("" if votes["disk_well"] else ", its disk fails")
             )
-        for turn in found["turns"][-8:]:
+        for change in answer["turns"][-8:]:
             click.echo(
-                f"{turn['ago_ms'] / 1000:9.1f} s ago  {turn['what']} epoch {turn['epoch']}: "
-                f"{turn['why']}"
+                f"{change['ago_ms'] / 1000:9.1f} s ago  {change['what']} epoch {change['epoch']}: "
+                f"{change['why']}"
             )
-    sys.exit(0 if all(one["holder"] for one in found["duties"].values()) else 1)
+    sys.exit(0 if all(lease["holder"] for lease in answer["duties"].values()) else 1)
 
 
-def said(found: dict) -> dict:
-    """Return an answer; exit if it is an error."""
-    if "fault" in found:
-        refuse([found["fault"]])
-    return found
+def exit_on_fault(answer: dict) -> dict:
+    """Return an answer unchanged; exit with code 2 if it reports a fault."""
+    if "fault" in answer:
+        refuse([answer["fault"]])
+    return answer
 
 
 @fleet.command("hand-over")
 @AT
 @click.argument("duty")
-@click.option("--to", default="", help="The member to hold it; the best candidate if not given.")
+@click.option(
+    "--to", default="", help="The member to hand the lease to; the best candidate if not given."
+)
 def hand_over(at: str, duty: str, to: str) -> None:
     """Hand the lease DUTY over from its holder to another member, without a gap.
 
@@ -243,21 +245,21 @@
     Example:
       gullyoke fleet hand-over roll --to n3
     """
-    found = said(asked(at, f"hand-over {duty} {to}".strip()))
+    answer = exit_on_fault(send_command(at, f"hand-over {duty} {to}".strip()))
     click.echo(
         f"{duty}: "
         + (
-            f"asked of its holder {found['sent_to']}"
-            if "sent_to" in found
-            else f"handed to {found['to']}"
+            f"asked of its holder {answer['sent_to']}"
+            if "sent_to" in answer
+            else f"handed to {answer['to']}"
         )
     )
 
 
 @fleet.group()
 def roll() -> None:
-    """Control a rolling restart: the holder of the lease `roll` drains the servers by turns, and a supervisor
-    has to start them again.
+    """Control a rolling restart: the holder of the lease `roll` drains a few servers at a time, and a
+    supervisor has to start them again.
 
     \b
     Examples:
@@ -273,23 +275,23 @@
     type=click.FloatRange(0.001, 1),
     default=0.1,
     show_default=True,
-    help="The share of the fleet that may be away at the same time; at least one member.",
+    help="The share of the fleet that may be restarting at the same time; at least one member.",
 )
 @click.option(
     "--a-zone",
     type=click.FloatRange(0.001, 1),
     default=0.5,
     show_default=True,
-    help="The share of a zone that may be away at the same time.",
+    help="The share of a zone that may be restarting at the same time.",
 )
 def start(at: str, at_once: float, a_zone: float) -> None:
-    """Restart all present members, by turns.
+    """Restart all present members, a few at a time.
 
     \b
     Example:
       gullyoke fleet roll start --at-once 0.05 --a-zone 0.25
     """
-    ordered(at, f"start {at_once:g} {a_zone:g}")
+    send_roll_command(at, f"start {at_once:g} {a_zone:g}")
 
 
 @roll.command()
@@ -301,7 +303,7 @@
     Example:
       gullyoke fleet roll pause
     """
-    ordered(at, "pause")
+    send_roll_command(at, "pause")
 
 
 @roll.command()
@@ -313,30 +315,30 @@
     Example:
       gullyoke fleet roll resume
     """
-    ordered(at, "resume")
+    send_roll_command(at, "resume")
 
 
 @roll.command()
 @AT
 def cancel(at: str) -> None:
-    """End the rolling restart; members that are away come back by themselves.
+    """End the rolling restart; members that are already draining still restart.
 
     \b
     Example:
       gullyoke fleet roll cancel
     """
-    ordered(at, "cancel")
+    send_roll_command(at, "cancel")
 
 
-def ordered(at: str, what: str) -> None:
+def send_roll_command(at: str, command: str) -> None:
     """Send a rolling restart command, and print the answer."""
-    found = said(asked(at, f"roll {what}"))
+    answer = exit_on_fault(send_command(at, f"roll {command}"))
     click.echo(
-        f"roll {what}: "
+        f"roll {command}: "
         + (
-            f"asked of its conductor {found['sent_to']}"
-            if "sent_to" in found
-            else found["plan"]["state"]
+            f"asked of its conductor {answer['sent_to']}"
+            if "sent_to" in answer
+            else answer["plan"]["state"]
         )
     )
 
@@ -344,36 +346,37 @@
 @roll.command("status")
 @AT
 @AS_JSON
-@click.option("--watch", is_flag=True, help="Show a progress bar until it is over.")
+@click.option("--watch", is_flag=True, help="Show a progress bar until the restart is over.")
 def roll_status(at: str, as_json: bool, watch: bool) -> None:
-    """Show the progress. Exit codes: 0 none is going, or done; 1 going; 2 no answer; 3 stopped or paused.
+    """Show the progress. Exit codes: 0 no restart is unfinished, 1 one is going, 2 no answer, 3 it
+    has stopped or is paused.
 
     \b
     Example:
       gullyoke fleet roll status --watch
     """
-    found = said(asked(at, "roll status"))
+    answer = exit_on_fault(send_command(at, "roll status"))
     if watch and not as_json:
-        found = watched(at, found)
+        answer = show_progress(at, answer)
     click.echo(
-        json.dumps(found)
+        json.dumps(answer)
         if as_json
-        else f"roll {found['number']} {found['state']}: {len(found['left'])} of {found['members']} left"
-        + "".join(f", {name} is away" for name, *_ in found["doing"])
-        + (f" ({found['why']})" if found["why"] else "")
+        else f"roll {answer['number']} {answer['state']}: {len(answer['left'])} of {answer['members']} left"
+        + "".join(f", {name} is away" for name, *_ in answer["doing"])
+        + (f" ({answer['why']})" if answer["why"] else "")
     )
-    sys.exit({"going": 1, "paused": 3, "stopped": 3}.get(found["state"], 0))
+    sys.exit({"going": 1, "paused": 3, "stopped": 3}.get(answer["state"], 0))
 
 
-def watched(at: str, found: dict) -> dict:
-    """Show a progress bar until the rolling restart is over; return the last answer."""
-    with click.progressbar(length=found["members"], label="restarted") as bar:
-        while found["state"] == "going":
-            bar.update(max(0, found["members"] - len(found["left"]) - bar.pos))
+def show_progress(at: str, answer: dict) -> dict:
+    """Show a progress bar until the rolling restart is no longer going; return the last status."""
+    with click.progressbar(length=answer["members"], label="restarted") as bar:
+        while answer["state"] == "going":
+            bar.update(max(0, answer["members"] - len(answer["left"]) - bar.pos))
             time.sleep(1)
-            found = said(asked(at, "roll status"))
-        bar.update(max(0, found["members"] - len(found["left"]) - bar.pos))
-    return found
+            answer = exit_on_fault(send_command(at, "roll status"))
+        bar.update(max(0, answer["members"] - len(answer["left"]) - bar.pos))
+    return answer
 
 
 @fleet.command()
@@ -396,15 +399,15 @@
     "--yes-two-may-act",
     "second",
     is_flag=True,
-    help="Confirm that what they had promised is not known.",
+    help="Confirm that the promises of the lost voters are not known.",
 )
 def reform(folder: str, name: str, number: int, first: bool, second: bool) -> None:
     """Move a stopped voter to a new voter set, after a majority of the voters was lost for good.
 
     This may break guarantees: a server that got a lease from the lost voters may act until that lease ends, and
-    what such a majority had stored (a rolling restart that is going) is lost. Epochs are raised by a million, so
-    that whatever compares them refuses the old ones. Run it on every voter that is left, stop all others for
-    good, wait a minute, and start them with the new set in their files.
+    data that only the lost majority had stored (such as a rolling restart that is going) is lost. Epochs are
+    raised by a million, so that every check of a fencing token rejects the old ones. Run it on every voter that
+    is left, stop all others for good, wait a minute, and start them with the new set in their files.
 
     \b
     Example:
@@ -426,18 +429,23 @@
     files = StorageFolder(os.path.join(folder, FOLDER_NAME))
     try:
         store = SlotFile(files)
-        promised, _ = decode_voter_entries(
+        promises, _ = decode_voter_entries(
             (key, value) for key, value in store.items() if key != OWNER_KEY
         )
-        raised = {duty: Promise(row.epoch + 1_000_000, 0, "") for duty, row in promised.items()}
+        raised_promises = {
+            duty: Promise(row.epoch + 1_000_000, 0, "") for duty, row in promises.items()
+        }
         store.put(
             [
                 (OWNER_KEY, f"{name} {number}".encode()),
-                *((f"promise {duty}", encode_promise(row)) for duty, row in raised.items()),
+                *(
+                    (f"promise {duty}", encode_promise(row))
+                    for duty, row in raised_promises.items()
+                ),
             ]
         )
     except OSError as error:
         refuse([f"{folder}: {error}"])
     finally:
         files.close()
-    click.echo(f"{name} votes in set {number}; {len(promised)} epochs went up by a million")
+    click.echo(f"{name} votes in set {number}; {len(promises)} epochs went up by a million")
--- a/gullyoke/cli/lab.py
+++ b/gullyoke/cli/lab.py
@@ -12,7 +12,7 @@
 
 @click.group()
 def lab() -> None:
-    """Run experiments on the emulator: all arms get the same days; the output is tables, charts and a report.
+    """Run experiments on the emulator: all arms run on the same days; the output is tables, charts and a report.
 
     \b
     Examples:
@@ -30,7 +30,7 @@
     help="The folder for rows, tables, charts and the report.",
 )
 @click.option(
-    "--resume", is_flag=True, help="Keep the rows that are in the folder, and run what is missing."
+    "--resume", is_flag=True, help="Keep the rows in the folder, and run only the missing ones."
 )
 @click.option(
     "--workers",
@@ -52,21 +52,23 @@
     from gullyoke.operator_config.wanted import OperatorFileError
 
     try:
-        found = read(experiment)
+        parsed = read(experiment)
         with Progress() as progress:
-            task = progress.add_task(found.name)
+            task = progress.add_task(parsed.name)
             rows = run(
                 experiment,
                 out,
                 resume,
                 workers=workers,
-                done=lambda n, of: progress.update(task, completed=n, total=of),
+                done=lambda completed, total: progress.update(
+                    task, completed=completed, total=total
+                ),
             )
-    except OperatorFileError as faulty:
-        refuse(faulty.faults)
+    except OperatorFileError as file_error:
+        refuse(file_error.faults)
     except (OSError, ValueError) as error:
         refuse([str(error)])
-    click.echo(report(found.name, rows, [w.name for w in found.found.work], out))
+    click.echo(report(parsed.name, rows, [w.name for w in parsed.found.work], out))
 
 
 @lab.command("bound")
@@ -74,7 +76,7 @@
 @click.option("--day", required=True, help="The day's name.")
 @click.option("--seed", type=int, default=1, show_default=True)
 def bound_(experiment: str, day: str, seed: int) -> None:
-    """Print an upper bound of what any policy could earn on a day, by a planner that knows all of the day.
+    """Print an upper bound of the value that any policy could earn on a day, from a planner that knows the whole day.
 
     \b
     Example:
@@ -85,19 +87,19 @@
     from gullyoke.operator_config.wanted import OperatorFileError
 
     try:
-        found = read(experiment)
-    except OperatorFileError as faulty:
-        refuse(faulty.faults)
-    if day not in [d.name for d in found.found.day]:
+        parsed = read(experiment)
+    except OperatorFileError as file_error:
+        refuse(file_error.faults)
+    if day not in [d.name for d in parsed.found.day]:
         refuse(
-            [f"no day {day!r}; right would be one of {', '.join(d.name for d in found.found.day)}"]
+            [f"no day {day!r}; right would be one of {', '.join(d.name for d in parsed.found.day)}"]
         )
-    drawn = found.day(day, seed)
-    best, blind = bound(drawn), bound(drawn, sizes=False)
-    click.echo(f"{len(drawn.arrivals)} reqs, {best.offered:.0f} of value offered")
+    day_requests = parsed.day(day, seed)
+    known_sizes, unknown_sizes = bound(day_requests), bound(day_requests, sizes=False)
+    click.echo(f"{len(day_requests.arrivals)} reqs, {known_sizes.offered:.0f} of value offered")
     click.echo(
-        f"bound {best.value:.0f}, {best.share():.3f} of it; without knowing sizes {blind.share():.3f}"
+        f"bound {known_sizes.value:.0f}, {known_sizes.share():.3f} of it; without knowing sizes {unknown_sizes.share():.3f}"
     )
-    for work, value in zip(drawn.works, best.by_class, strict=True):
+    for work, value in zip(day_requests.works, known_sizes.by_class, strict=True):
         click.echo(f"  {work.name} {value:.0f}")
     sys.exit(0)
--- a/gullyoke/cli/main.py
+++ b/gullyoke/cli/main.py
@@ -62,8 +62,8 @@
 
     try:
         operator_file = OperatorFile(operator)
-    except OperatorFileError as faulty:
-        refuse(faulty.faults)
+    except OperatorFileError as file_error:
+        refuse(file_error.faults)
     log_formatter = None
     if operator_file.wanted.json_log:
         from gullyoke.extensions.json_log import JsonLogFormatter
@@ -75,7 +75,7 @@
 @main.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def check(file: str) -> None:
-    """Check an operator's FILE against its schema. Exit codes: 0 valid, 2 with a line for each fault.
+    """Check an operator's FILE against its schema. Exit codes: 0 valid, 2 invalid, with a line for each fault.
 
     \b
     Example:
@@ -85,16 +85,18 @@
     from gullyoke.operator_config.wanted import OperatorFileError
 
     try:
-        found = read(file)
-    except OperatorFileError as faulty:
-        refuse(faulty.faults)
-    pool = f"{len(found.pool.back_ends)} back ends" if found.pool else "the engine"
-    fleet = (
-        f", in the fleet {found.fleet.name} by {len(found.fleet.seeds)} seeds"
-        if found.fleet
+        settings = read(file)
+    except OperatorFileError as file_error:
+        refuse(file_error.faults)
+    pool_note = f"{len(settings.pool.back_ends)} back ends" if settings.pool else "the engine"
+    fleet_note = (
+        f", in the fleet {settings.fleet.name} by {len(settings.fleet.seeds)} seeds"
+        if settings.fleet
         else ""
     )
-    click.echo(f"{file}: right; {len(found.ways)} further listeners, work at {pool}{fleet}")
+    click.echo(
+        f"{file}: right; {len(settings.ways)} further listeners, work at {pool_note}{fleet_note}"
+    )
 
 
 @main.command()
--- a/gullyoke/cli/say.py
+++ b/gullyoke/cli/say.py
@@ -1,4 +1,4 @@
-"""How the commands report errors."""
+"""Error output of the commands."""
 
 from __future__ import annotations
 
--- a/gullyoke/cli/store.py
+++ b/gullyoke/cli/store.py
@@ -25,26 +25,26 @@
     """
 
 
-def opened(folder: str):
-    """Open the store of a folder, with the lock of a writer."""
+def open_store(folder: str):
+    """Open the store in a folder under its writer lock; exit if that fails."""
     from gullyoke.storage import StorageFolder, Store
 
     try:
-        disk = StorageFolder(folder)
-        click.get_current_context().call_on_close(disk.close)
-        return Store(disk)
+        storage_folder = StorageFolder(folder)
+        click.get_current_context().call_on_close(storage_folder.close)
+        return Store(storage_folder)
     except BlockingIOError:
         refuse([f"{folder}: another process has it; right would be to stop that first"])
     except OSError as error:
         refuse([f"{folder}: can't be read: {error}"])
 
 
-def told(found: dict, as_json: bool) -> None:
+def print_answer(answer: dict, as_json: bool) -> None:
     """Print an answer as JSON or as lines."""
     click.echo(
-        json.dumps(found)
+        json.dumps(answer)
         if as_json
-        else "\n".join(f"{key} {value}" for key, value in found.items())
+        else "\n".join(f"{key} {value}" for key, value in answer.items())
     )
 
 
@@ -52,20 +52,20 @@
 @click.argument("folder", type=FOLDER)
 @AS_JSON
 def check(folder: str, as_json: bool) -> None:
-    """Read every record. Exit code 1 if bytes were dropped that are no whole record."""
-    found = opened(folder)
-    count = sum(1 for _ in found.items())
-    told(
+    """Read every record. Exit code 1 if bytes that are not a whole record were dropped."""
+    opened_store = open_store(folder)
+    count = sum(1 for _ in opened_store.items())
+    print_answer(
         {
             "keys": count,
-            "segments": len(found.plan.segments),
-            "bytes": found.plan.total_bytes(),
-            "live_bytes": found.plan.live_bytes(),
-            "dropped_bytes": found.dropped_bytes,
+            "segments": len(opened_store.plan.segments),
+            "bytes": opened_store.plan.total_bytes(),
+            "live_bytes": opened_store.plan.live_bytes(),
+            "dropped_bytes": opened_store.dropped_bytes,
         },
         as_json,
     )
-    sys.exit(1 if found.dropped_bytes else 0)
+    sys.exit(1 if opened_store.dropped_bytes else 0)
 
 
 @store.command("list")
@@ -73,8 +73,11 @@
 @AS_JSON
 def list_(folder: str, as_json: bool) -> None:
     """List the keys, with the size of each record."""
-    found = opened(folder)
-    told({key: found.plan.index[key].size_bytes for key in sorted(found.keys())}, as_json)
+    opened_store = open_store(folder)
+    print_answer(
+        {key: opened_store.plan.index[key].size_bytes for key in sorted(opened_store.keys())},
+        as_json,
+    )
 
 
 @store.command()
@@ -82,7 +85,7 @@
 @AS_JSON
 def dump(folder: str, as_json: bool) -> None:
     """Print the keys and their values, as hex digits."""
-    told({key: value.hex() for key, value in sorted(opened(folder).items())}, as_json)
+    print_answer({key: value.hex() for key, value in sorted(open_store(folder).items())}, as_json)
 
 
 @store.command()
@@ -92,20 +95,20 @@
     """Copy the live records out of every old segment, and remove the segment."""
     from rich.progress import Progress
 
-    found = opened(folder)
-    found.plan.max_dead_share = 0.0
-    before = found.plan.total_bytes()
+    opened_store = open_store(folder)
+    opened_store.plan.max_dead_share = 0.0
+    bytes_before = opened_store.plan.total_bytes()
     with Progress(disable=as_json or not sys.stderr.isatty()) as progress:
-        task = progress.add_task("segments", total=len(found.plan.segments))
-        while found.compact():
+        task = progress.add_task("segments", total=len(opened_store.plan.segments))
+        while opened_store.compact():
             progress.advance(task)
-    told(
+    print_answer(
         {
-            "segments_removed": found.compacted_segments,
-            "bytes_before": before,
-            "bytes": found.plan.total_bytes(),
-            "faults": found.faults,
+            "segments_removed": opened_store.compacted_segments,
+            "bytes_before": bytes_before,
+            "bytes": opened_store.plan.total_bytes(),
+            "faults": opened_store.faults,
         },
         as_json,
     )
-    sys.exit(1 if found.faults else 0)
+    sys.exit(1 if opened_store.faults else 0)
