--- a/gullyoke/cli/first.py
+++ b/gullyoke/cli/first.py
@@ -7,7 +7,7 @@
 
 import click
 
-from gullyoke.cli.say import refuse
+from gullyoke.cli.say import exit_with_faults
 
 
 @click.command("try")
@@ -67,9 +67,9 @@
                 time.sleep(0.25)
                 live.update(outcome_table(day, gateways))
             if process.poll() is not None:
-                refuse([f"the daemon ended with {process.returncode}"])
+                exit_with_faults([f"the daemon ended with {process.returncode}"])
     except ChildProcessError as error:
-        refuse([str(error)])
+        exit_with_faults([str(error)])
     earned, offered = sum(gateways.value.values()), sum(gateways.offered.values())
     plain_pool = Running(
         day._replace(callers=day.callers._replace(tries=0)), lambda node: PlainPool(node, 6, 24)
@@ -122,5 +122,5 @@
     try:
         verdict = play.run()
     except ChildProcessError as error:
-        refuse([str(error)])
+        exit_with_faults([str(error)])
     click.echo("\n".join(verdict.lines()))
--- a/gullyoke/cli/fleet.py
+++ b/gullyoke/cli/fleet.py
@@ -10,7 +10,7 @@
 
 import click
 
-from gullyoke.cli.say import refuse
+from gullyoke.cli.say import exit_with_faults
 
 AT = click.option(
     "--at",
@@ -45,7 +45,7 @@
             with conn.makefile("rb") as file:
                 return json.loads(file.read())
     except (OSError, ValueError) as error:
-        refuse(
+        exit_with_faults(
             [f"{at}: no answer: {error}; right would be `fleet.status` of a running server's file"]
         )
 
@@ -161,7 +161,7 @@
         parsed = read(pathlib.Path(script).read_text(encoding="utf-8"))
         verdict = Play(parsed, print_line).run()
     except (ScriptError, ChildProcessError, UnicodeDecodeError) as error:
-        refuse([f"{script}: {error}"])
+        exit_with_faults([f"{script}: {error}"])
     if keep:
         from gullyoke.fault_testing.report import write
 
@@ -228,7 +228,7 @@
 def exit_on_fault(answer: dict) -> dict:
     """Return an answer unchanged; exit with code 2 if it reports a fault."""
     if "fault" in answer:
-        refuse([answer["fault"]])
+        exit_with_faults([answer["fault"]])
     return answer
 
 
@@ -414,7 +414,7 @@
       gullyoke fleet reform /var/lib/gullyoke --name n1 --set 9 --yes-a-majority-is-lost --yes-two-may-act
     """
     if not (first and second):
-        refuse(
+        exit_with_faults(
             [
                 "both --yes-a-majority-is-lost and --yes-two-may-act are needed; --help says what may break"
             ]
@@ -445,7 +445,7 @@
             ]
         )
     except OSError as error:
-        refuse([f"{folder}: {error}"])
+        exit_with_faults([f"{folder}: {error}"])
     finally:
         files.close()
     click.echo(f"{name} votes in set {number}; {len(promises)} epochs went up by a million")
--- a/gullyoke/cli/lab.py
+++ b/gullyoke/cli/lab.py
@@ -7,7 +7,7 @@
 
 import click
 
-from gullyoke.cli.say import refuse
+from gullyoke.cli.say import exit_with_faults
 
 
 @click.group()
@@ -65,9 +65,9 @@
                 ),
             )
     except OperatorFileError as file_error:
-        refuse(file_error.faults)
+        exit_with_faults(file_error.faults)
     except (OSError, ValueError) as error:
-        refuse([str(error)])
+        exit_with_faults([str(error)])
     click.echo(report(parsed.name, rows, [w.name for w in parsed.found.work], out))
 
 
@@ -89,9 +89,9 @@
     try:
         parsed = read(experiment)
     except OperatorFileError as file_error:
-        refuse(file_error.faults)
+        exit_with_faults(file_error.faults)
     if day not in [d.name for d in parsed.found.day]:
-        refuse(
+        exit_with_faults(
             [f"no day {day!r}; right would be one of {', '.join(d.name for d in parsed.found.day)}"]
         )
     day_requests = parsed.day(day, seed)
--- a/gullyoke/cli/main.py
+++ b/gullyoke/cli/main.py
@@ -14,7 +14,7 @@
 from gullyoke.cli.first import try_
 from gullyoke.cli.fleet import fleet
 from gullyoke.cli.lab import lab
-from gullyoke.cli.say import refuse
+from gullyoke.cli.say import exit_with_faults
 from gullyoke.cli.store import store
 from gullyoke.runtime import signals
 
@@ -63,7 +63,7 @@
     try:
         operator_file = OperatorFile(operator)
     except OperatorFileError as file_error:
-        refuse(file_error.faults)
+        exit_with_faults(file_error.faults)
     log_formatter = None
     if operator_file.wanted.json_log:
         from gullyoke.extensions.json_log import JsonLogFormatter
@@ -87,7 +87,7 @@
     try:
         settings = read(file)
     except OperatorFileError as file_error:
-        refuse(file_error.faults)
+        exit_with_faults(file_error.faults)
     pool_note = f"{len(settings.pool.back_ends)} back ends" if settings.pool else "the engine"
     fleet_note = (
         f", in the fleet {settings.fleet.name} by {len(settings.fleet.seeds)} seeds"
--- a/gullyoke/cli/say.py
+++ b/gullyoke/cli/say.py
@@ -8,7 +8,7 @@
 import click
 
 
-def refuse(faults: list[str]) -> NoReturn:
+def exit_with_faults(faults: list[str]) -> NoReturn:
     """Print each fault on a line of standard error, and exit with code 2."""
     for line in faults:
         click.echo(line, err=True)
--- a/gullyoke/cli/store.py
+++ b/gullyoke/cli/store.py
@@ -7,7 +7,7 @@
 
 import click
 
-from gullyoke.cli.say import refuse
+from gullyoke.cli.say import exit_with_faults
 
 FOLDER = click.Path(exists=True, file_okay=False)
 AS_JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object instead of lines.")
@@ -34,9 +34,9 @@
         click.get_current_context().call_on_close(storage_folder.close)
         return Store(storage_folder)
     except BlockingIOError:
-        refuse([f"{folder}: another process has it; right would be to stop that first"])
+        exit_with_faults([f"{folder}: another process has it; right would be to stop that first"])
     except OSError as error:
-        refuse([f"{folder}: can't be read: {error}"])
+        exit_with_faults([f"{folder}: can't be read: {error}"])
 
 
 def print_answer(answer: dict, as_json: bool) -> None:
