--- a/gullyoke/cli/lab.py
+++ b/gullyoke/cli/lab.py
@@ -60,9 +60,7 @@
                 out,
                 resume,
                 workers=workers,
-                done=lambda completed, total: progress.update(
-                    task, completed=completed, total=total
-                ),
+                done=lambda finished, count: progress.update(task, completed=finished, total=count),
             )
     except OperatorFileError as file_error:
         exit_with_faults(file_error.faults)
--- a/gullyoke/extensions/singleton_tasks.py
+++ b/gullyoke/extensions/singleton_tasks.py
@@ -199,7 +199,9 @@
             members = {row.name for row in self.fleet.member.view.records.values()}
             size_usable = self.fleet.member.size(now).usable()
         gone = (
-            tuple(sorted(name for name in self.homes if name not in members)) if size_usable else ()
+            tuple(sorted(lender for lender in self.homes if lender not in members))
+            if size_usable
+            else ()
         )
         self.lend_for(gone)
 
@@ -212,7 +214,7 @@
         self.gone_lenders = gone
         shared = self.shares.shared
         with shared.lock:
-            shared.own.participant.take_over({name: self.tokens[name] for name in gone})
+            shared.own.participant.take_over({lender: self.tokens[lender] for lender in gone})
 
     def stop(self, now: int) -> None:
         """Stop lending for other lenders."""
@@ -228,8 +230,8 @@
         """Borrow from the substitutes in the announcement while it is valid."""
         try:
             addresses = {
-                str(name): str(address)
-                for name, address in json.loads(announcement.body or b"{}").items()
+                str(lender): str(address)
+                for lender, address in json.loads(announcement.body or b"{}").items()
             }
         except (ValueError, AttributeError):
             return
