--- a/gullyoke/operator_config/checked.py
+++ b/gullyoke/operator_config/checked.py
@@ -1,7 +1,7 @@
 """Reads files in protobuf text format and checks them against their schema.
 
 Each fault is reported as one line that names the valid values. The bounds of each field are in the
-schema, as its option `gullyoke.bounds` (operator.proto).
+schema, as the option `gullyoke.bounds` (operator.proto).
 """
 
 from __future__ import annotations
@@ -25,17 +25,19 @@
 
 
 def parse_checked(
-    path: str, empty: Kind, more: Callable[[Kind], Iterable[tuple[str, str]]]
+    path: str, empty: Kind, extra_faults: Callable[[Kind], Iterable[tuple[str, str]]]
 ) -> Kind:
     """Read a file and return it as a message.
 
     Args:
         path: the file.
         empty: a new message of the file's type.
-        more: returns the faults that the schema can't state, as a key and a text each.
+        extra_faults: returns the faults that the schema can't state, each as a key and a
+            description.
 
     Raises:
-        OperatorFileError: with all faults, in the order of their lines.
+        OperatorFileError: the file can't be read or is invalid; with all faults, in the order of
+            their lines.
     """
     try:
         with open(path, "rb") as file:
@@ -61,7 +63,7 @@
     faults = sorted(
         (
             (lines.get(key) or lines.get(key.rpartition(".")[0]) or 1, key, why)
-            for key, why in [*bound_faults(message, ""), *more(message)]
+            for key, why in [*bound_faults(message, ""), *extra_faults(message)]
         ),
         key=lambda row: row[0],
     )
@@ -70,13 +72,13 @@
     return message
 
 
-def describe_parse_error(said: str, root: Descriptor) -> str:
+def describe_parse_error(description: str, root: Descriptor) -> str:
     """Return the parser's message as one line, with the valid keys where a key is unknown."""
-    said = " ".join(said.split())
-    match = re.search(r'Message type "([\w.]+)" has no field named "(\w+)"', said)
+    description = " ".join(description.split())
+    match = re.search(r'Message type "([\w.]+)" has no field named "(\w+)"', description)
     kind = match and root.file.message_types_by_name.get(match[1].rpartition(".")[2])
     if not kind:
-        return said
+        return description
     return (
         f"{match[2]}: no such key; right would be one of {', '.join(f.name for f in kind.fields)}"
     )
@@ -87,33 +89,36 @@
     lines: dict[str, int] = {}
     count: dict[str, int] = {}
     parents: list[str] = []  # the open messages, with their numbers in their lists
-    last, last_at, key = "", 1, ""
+    last, last_line, key = "", 1, ""
     tokens = text_format.Tokenizer(text.splitlines())
     while not tokens.AtEnd():
-        token, at = tokens.token, tokens.ParseError("").GetLine()
+        token, line = tokens.token, tokens.ParseError("").GetLine()
         if token in (":", "{", "<") and (KEY_NAME.fullmatch(last) or last in ("[", ",")):
             if KEY_NAME.fullmatch(last):
-                key, place = last, last_at
+                key, key_line = last, last_line
             else:
-                place = at  # a further message of a list
+                key_line = line  # a further message of a list
             path = ".".join([*parents, key])
             nth = count[path] = count.get(path, -1) + 1
             numbered = f"{key}[{nth}]"
-            lines[".".join([*parents, numbered])] = place
+            lines[".".join([*parents, numbered])] = key_line
             if not nth:
-                lines[path] = place
+                lines[path] = key_line
         if token in ("{", "<"):
             parents.append(numbered)
         elif token in ("}", ">") and parents:
             key = parents.pop().partition("[")[0]
-        last, last_at = token, at
+        last, last_line = token, line
         tokens.NextToken()
-    single = {re.sub(r"\[0\](?=\.)", "", key): at for key, at in lines.items()}
+    single = {re.sub(r"\[0\](?=\.)", "", key): line for key, line in lines.items()}
     return single | lines
 
 
 def bound_faults(message: Message, path: str) -> Iterator[tuple[str, str]]:
-    """Yield each field of a message, nested ones included, that violates the schema's bounds."""
+    """Yield the fields of a message, nested ones too, that violate the schema's bounds.
+
+    Each is a key and a description.
+    """
     for field in message.DESCRIPTOR.fields:
         bounds = field.GetOptions().Extensions[schema.bounds]
         values = field_values(message, field)
@@ -122,11 +127,11 @@
             yield key, f"missing; right would be {bounds.right}"
             continue
         for i, value in enumerate(values):
-            at = f"{key}[{i}]" if field.is_repeated else key
+            value_key = f"{key}[{i}]" if field.is_repeated else key
             if isinstance(value, Message):
-                yield from bound_faults(value, at + ".")
+                yield from bound_faults(value, value_key + ".")
             elif not is_within(value, bounds):
-                yield at, f"{value!r} can't be; right would be {bounds.right}"
+                yield value_key, f"{value!r} can't be; right would be {bounds.right}"
 
 
 def field_values(message: Message, field: FieldDescriptor) -> list:
