--- a/gullyoke/model_checking/__init__.py
+++ b/gullyoke/model_checking/__init__.py
@@ -1,5 +1,5 @@
-"""Walks through all that can happen to small worlds made of the very modules that run.
+"""Explores all orders of events in small models that run the production modules.
 
-Messages lost, doubled, reordered and late, stalls, restarts, clocks that differ. For tests and
-measurements, not for the daemon.
+The events are lost, duplicated, reordered and late messages, stalls, restarts and clocks that
+differ. The package is for tests and measurements; the daemon does not use it.
 """
--- a/gullyoke/model_checking/explore.py
+++ b/gullyoke/model_checking/explore.py
@@ -1,8 +1,9 @@
-"""Every state that a world can come to within so many moves, each looked at once.
+"""Checks every state that a world can reach within a number of moves, each state once.
 
-Breadth first, so that the first wrong state found has the shortest way to it. A state is kept as
-the digest of its key; worlds on the frontier are kept pickled. Moves that a world says to be alike
-for what is asked (its `moves` leaves them out) are not walked: that is where a world reduces.
+The search is breadth first, so the first violation found is one with the fewest moves. A state that
+was seen is kept as the digest of its key, and a world whose moves are still to be made is kept
+pickled. A world keeps the number of states small by leaving out of its `moves` those that make no
+difference to its checks.
 """
 
 from __future__ import annotations
@@ -16,26 +17,31 @@
 
 
 class World(Protocol):
-    """A state that can be pickled and moved on in place."""
+    """A state that can be pickled; a move changes it in place."""
 
     def moves(self) -> Sequence[Move]:
-        """All that can happen next."""
+        """Return the moves that are possible in this state."""
 
     def make(self, move: Move) -> None:
-        """Let one thing happen."""
+        """Make one move: change the state in place."""
 
     def key(self) -> Hashable:
-        """What tells two states apart; equal keys go on alike."""
+        """Return the key of the state; states with equal keys behave alike from here on."""
 
     def wrong(self) -> str | None:
-        """What must not be so and is, in words."""
+        """Return a description of the violation in this state; None if there is none."""
 
 
 class Walked(NamedTuple):
-    """`states`, how many were looked at; `depth`, how many moves deep all of them.
-
-    `whole`, whether nothing was left out for want of room; `found`, the first wrong thing with the
-    way to it.
+    """The result of an exploration.
+
+    Attributes:
+        states: How many different states were seen.
+        depth: The number of moves within which all states were checked; with a violation, the
+            number of moves that lead to it.
+        whole: Whether the exploration ended before the limit on states was reached.
+        found: A description of the first violation; None if none was found.
+        way: The moves from the start to the violation.
     """
 
     states: int
@@ -45,15 +51,20 @@
     way: tuple[Move, ...]
 
     def script(self) -> str:
-        """The way as lines, for people and for the rig."""
+        """Return the moves to the violation, one a line."""
         return "\n".join(" ".join(map(str, move)) for move in self.way)
 
 
 def walked(
     start: World, depth: int, most: int = 10**6, every: Callable[[int], None] | None = None
 ) -> Walked:
-    """Walk until something is wrong, nothing is new, `depth` moves are made or `most` states are
-    seen.
+    """Explore the states that can be reached from a start.
+
+    Args:
+        start: The world to start from.
+        depth: How many moves to make from the start at most.
+        most: How many states may be seen before the exploration stops.
+        every: Called after each level of moves with the number of states seen.
     """
     first = pickle.dumps(start, -1)
     seen: dict[bytes, tuple[bytes, Move] | None] = {digest(start.key()): None}
@@ -87,8 +98,16 @@
 def from_all(
     names: Iterable[str], begun: Callable[[str], World], depth: int, most: int
 ) -> tuple[int, str | None]:
-    """States walked from each start by its name, and the first wrong thing with its start and
-    way.
+    """Explore from each start in turn until a violation is found.
+
+    Args:
+        names: The names of the starts.
+        begun: Returns the world of a start.
+        depth: How many moves to make from each start at most.
+        most: How many states may be seen from one start.
+
+    Returns:
+        How many states were seen, and the first violation with its start and the moves to it.
     """
     states = 0
     for name in names:
@@ -100,12 +119,15 @@
 
 
 def digest(key: Hashable) -> bytes:
-    """Return what a state is remembered by."""
+    """Return the digest of a state's key, which stands for the state once it was seen."""
     return blake2b(repr(key).encode(), digest_size=12).digest()
 
 
 def way(seen: dict[bytes, tuple[bytes, Move] | None], name: bytes) -> tuple[Move, ...]:
-    """Return the moves from the start to a state, by the digests of those before it."""
+    """Return the moves from the start to a state.
+
+    `seen` has the digest of the state before each state and the move between the two.
+    """
     moves: list[Move] = []
     while (step := seen[name]) is not None:
         name = step[0]
--- a/gullyoke/model_checking/key_ledger.py
+++ b/gullyoke/model_checking/key_ledger.py
@@ -1,7 +1,7 @@
 """Explores every order of events around one idempotency key, with all guards and without each.
 
-The world is gullyoke/model_checking/key_ledger_world.py. A mutant takes one guard out of the rules;
-that the exploration then finds a violation shows that it can.
+The world is gullyoke/model_checking/key_ledger_world.py. A mutant removes one guard from the rules.
+The exploration must then find a violation, which shows that it can detect the missing guard.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class Exploration(NamedTuple):
-    """How many states were looked at, and the violation that was found with the way to it."""
+    """How many states were seen, and the first violation with the moves to it."""
 
     states: int
     violation: str | None
@@ -111,13 +111,13 @@
     return mock.patch.object(KeyLedger, "drop_results", drop_records)
 
 
-# By the guard that each takes out.
+# By the guard that each mutant removes.
 MUTANTS: Final[dict[str, Mutant]] = {
     "a record is durable before its run": _run_before_record,
-    "an end is durable before its answer": _report_before_recorded_end,
-    "what may have run does not run": _unknown_may_run,
-    "a late write starts nothing": _late_write_runs,
-    "writes stay in order": _writes_out_of_order,
+    "an end is durable before it is reported": _report_before_recorded_end,
+    "a request that may have run does not run again": _unknown_may_run,
+    "a late write starts no run": _late_write_runs,
+    "writes finish in order": _writes_out_of_order,
     "a record stays when its result is dropped": _record_dropped_with_result,
 }
 
@@ -128,7 +128,7 @@
     policy: UndurablePolicy = UndurablePolicy.REJECT,
     max_states: int = MAX_STATES,
 ) -> Exploration:
-    """Explore the world to a depth, with one guard taken out or none."""
+    """Explore the world to a depth, with one guard removed or none."""
     with MUTANTS[mutant]() if mutant else contextlib.nullcontext():
         exploration = walked(KeyLedgerWorld(policy=policy), depth, max_states)
     return Exploration(
--- a/gullyoke/model_checking/key_ledger_events.py
+++ b/gullyoke/model_checking/key_ledger_events.py
@@ -1,4 +1,4 @@
-"""The events of the world of one idempotency key, and what its callers are answered."""
+"""The events in the model of one idempotency key, and the outcomes reported to its callers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Event(StrEnum):
-    """What can happen next; the first part of a move."""
+    """What can happen; the first part of a move."""
 
     ATTEMPT = "try"
     ATTEMPT_ON_BAD_DISK = "try-unfit"
@@ -20,14 +20,14 @@
 
 
 class FailedWrite(StrEnum):
-    """Whether a write that failed is on the disk."""
+    """Whether the record of a failed write is on the disk nevertheless."""
 
     THERE = "there"
     NOT_THERE = "not-there"
 
 
 class RunEnd(StrEnum):
-    """How a run ends."""
+    """How a run ends: well, with a failure, or well while the disk refuses its record."""
 
     WELL = "well"
     ILL = "ill"
@@ -35,7 +35,7 @@
 
 
 class Report(Enum):
-    """What a caller is answered."""
+    """The outcome that is reported to a caller."""
 
     RESULT = "made"
     FAILED = "errored"
--- a/gullyoke/model_checking/key_ledger_world.py
+++ b/gullyoke/model_checking/key_ledger_world.py
@@ -1,11 +1,12 @@
-"""One request with an idempotency key in small, as a world to be explored.
+"""A small model of one request with an idempotency key.
 
-Attempts of it, a disk that fails or keeps what it said it did not, an engine that runs it, and
-crashes in which any of the writes in flight may have come to the disk.
+The events include attempts of the request, the end of its run in the engine, writes that succeed,
+time out, or fail with the record on the disk or without, and crashes in which any of the writes in
+flight may have reached the disk.
 
-What must never be: a second run within a window, an attempt rejected after a run, an end that was
-reported and is not known any more, one reported that never was. The rules are those of production
-(gullyoke/durability); the disk, the engine and the callers are the world's.
+A violation is a second run within a window, an attempt rejected after a run, a reported result that
+is no longer known, or the report of a result without a successful run. The rules are those of
+production (gullyoke/durability); the model replaces the disk, the engine and the callers.
 """
 
 from __future__ import annotations
@@ -38,20 +39,20 @@
     """The state of the world.
 
     Attributes:
-        disk: What the disk has of the key.
+        disk: The key's record on the disk.
         writes: Writes in flight, in order.
-        runs: Runs begun in this window.
-        good_ends: Runs that ended well in this window.
-        pending: Whether an attempt waits for its run or its end.
-        running: Whether the engine runs it.
-        reports: What callers were answered, without rejections.
-        violation: What went wrong, in words.
+        runs: How many runs began in this window.
+        good_ends: How many runs ended well in this window.
+        pending: Whether an attempt waits for its run to start or to end.
+        running: Whether the engine runs the request.
+        reports: The outcomes reported to callers in this window, without rejections.
+        violation: A description of the last violation; empty if there was none.
 
     Args:
-        attempts: How many attempts may come.
-        crashes: How many crashes.
-        faults: How many faults of the disk.
-        policy: What is done where the disk can't make a record durable.
+        attempts: How many attempts may be made.
+        crashes: How many crashes may happen.
+        faults: How many faults of the disk may happen.
+        policy: What the ledger does if the disk can't make a record durable.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
         self.violation = ""
 
     def moves(self) -> list[Move]:
-        """List all that can happen next."""
+        """List the moves that are possible in this state."""
         queue_has_space = len(self.writes) < MAX_WRITES_IN_FLIGHT
         moves: list[Move] = []
         if self.attempts and queue_has_space:
@@ -107,7 +108,7 @@
         return [(Event.WRITE_PERSISTED,), *((Event.WRITE_FAILED, outcome) for outcome in outcomes)]
 
     def make(self, move: Move) -> None:
-        """Let a move happen."""
+        """Make one move."""
         self.now += 1
         event = move[0]
         if event in (Event.ATTEMPT, Event.ATTEMPT_ON_BAD_DISK):
@@ -129,23 +130,23 @@
             self._end_window()
 
     def take(self, command: RecordWrite | LedgerAction | None) -> None:
-        """Do what the ledger asks."""
+        """Start the write or carry out the action that the ledger returned, if any."""
         if isinstance(command, RecordWrite):
             self.writes.append(command)
         elif command is not None:
             self.carry_out(command)
 
     def carry_out(self, action: LedgerAction) -> None:
-        """Carry out an action, and see whether it was right."""
+        """Carry out an action of the ledger, and check that it is allowed."""
         if action.kind is ActionKind.RUN:
             self.runs += 1
             self.running = True
             if self.runs > 1:
-                self.violation = "run a second time"
+                self.violation = "the request ran a second time"
         elif action.kind is ActionKind.REJECT:
             self.pending = False
             if self.runs:
-                self.violation = "rejected after a run"
+                self.violation = "the request was rejected after a run"
             self.take(self.ledger.abandon(self.now, KEY))
         elif action.kind in (ActionKind.REPORT_END, ActionKind.REPORT_UNKNOWN):
             self.pending = False
@@ -153,14 +154,14 @@
             self._report(Report.RESULT if ended_well else Report.FAILED)
 
     def finish_write(self, persisted: bool) -> None:
-        """Let the oldest write finish."""
+        """Finish the oldest write and tell the ledger."""
         write = self.writes.pop(0)
         if persisted:
             self.disk = write.record
         self.take(self.ledger.write_finished(self.now, write, persisted))
 
     def key(self) -> tuple[object, ...]:
-        """Give what tells two states apart."""
+        """Return the key of this state."""
         rows = [self._row_key(row) for row in self.ledger.rows.values()]
         writes = [
             (self._record_key(write.record), write.number - self.ledger.last_write_number)
@@ -185,15 +186,15 @@
         )
 
     def wrong(self) -> str | None:
-        """Give what went wrong, in words."""
+        """Return a description of the violation, if any."""
         return self.violation or None
 
     def _attempt(self, disk_accepts: bool) -> None:
-        """An attempt waits for one in flight, is answered from the ledger, or asks to run."""
+        """Make an attempt: it joins a pending one, gets the recorded outcome, or requests a run."""
         self.attempts -= 1
         self.faults -= not disk_accepts
         if self.pending:
-            return  # answered with that one
+            return  # gets the answer of the pending attempt
         record = self.ledger.find(self.now, KEY)
         if record is not None:
             has_result = judge_record(record, self.now) is DuplicateVerdict.RESULT
@@ -237,16 +238,16 @@
 
     def _report(self, report: Report) -> None:
         if report is Report.RESULT and not self.good_ends:
-            self.violation = "an end was reported that never was"
+            self.violation = "a result was reported without a successful run"
         lost = report is Report.FAILED and Report.RESULT in self.reports
         if lost and self.policy is UndurablePolicy.REJECT:
-            self.violation = "an end that was reported is not known any more"
+            self.violation = "a reported result is no longer known"
         self.reports.append(report)
 
     def _crash(self, mask: int) -> None:
-        """Some of the writes in flight came to the disk, in order; all else is forgotten."""
+        """Crash and restart: the writes in `mask` reach the disk in order; all else is lost."""
         self.crashes -= 1
-        if self.ledger.unrecorded_runs:  # the price of running without a record
+        if self.ledger.unrecorded_runs:  # a run without a record may be repeated after a crash
             self.runs = 0
             self.reports = []
         for i, write in enumerate(self.writes):
--- a/gullyoke/model_checking/lease_script.py
+++ b/gullyoke/model_checking/lease_script.py
@@ -1,8 +1,8 @@
-"""The way to a state of the exploration of leases as a script for real processes.
+"""Turns moves of the exploration of leases into a script for real processes.
 
-The script (`gullyoke fleet play`) has the same stalls, restarts, lost folders and failing disks.
-What the exploration does in one move takes a process a while, so the script is the nearest that can
-be had, not the same order of events to the letter.
+The script (`gullyoke fleet play`) has the same stalls, restarts, lost folders and failing disks. A
+single move of the exploration takes real processes some time, so the script reproduces the order of
+events only approximately.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from gullyoke.model_checking.lease_world import Event
 
 LEASE_S: Final = 1.5
-TICK_S: Final = LEASE_S / 3  # a lease of the exploration is three ticks
-FAULT_INTERVAL_S: Final = 1.0  # after a fault before the next of the same move
-MOVE_INTERVAL_S: Final = 0.1  # after other moves
-FIRST_HOLDER_S: Final = 4.0  # for somebody to hold the lease before the first fault
-LAST_HOLDER_S: Final = 12.0  # for somebody to hold it after the last
-ARRIVAL_MARGIN_S: Final = 0.1  # that a late act is late beyond its ticks
-HOLDER: Final = "holder"  # stands for the candidates of the exploration
+TICK_S: Final = LEASE_S / 3  # a lease lasts three ticks in the exploration
+FAULT_INTERVAL_S: Final = 1.0  # after each fault of a move that has several
+MOVE_INTERVAL_S: Final = 0.1  # after the fault of a move that has one
+FIRST_HOLDER_S: Final = 4.0  # when the lease must have a holder; then comes the first fault
+LAST_HOLDER_S: Final = 12.0  # how long after the last fault it must have one again
+ARRIVAL_MARGIN_S: Final = 0.1  # added to the ticks by which an act is late
+HOLDER: Final = "holder"  # the present holder in a script; either candidate of the exploration
 MEMBERS: Final = {"v0": "m0", "v1": "m1", "v2": "m2", "a": HOLDER, "b": HOLDER}
 
 
 def script(way: Iterable[Move], seed: int = 1) -> str:
-    """Return the lines of a script that goes this way."""
+    """Return the text of a script with the faults of these moves."""
     lines = [
         f"members 5 zones 5 seed {seed} load 4 voters 3 lease_ms {LEASE_S * 1000:g}",
         "at 0 heal",
@@ -49,7 +49,7 @@
 
 
 def _faults(event: str, member: str, later: Sequence[Move]) -> list[str]:
-    """Return the faults that a move stands for; none for what processes do by themselves."""
+    """Return the faults of a move; none for events that real processes cause by themselves."""
     match event:
         case Event.ACT_BEGINS:
             return _late_act(later)
@@ -69,7 +69,7 @@
 
 
 def _late_act(later: Sequence[Move]) -> list[str]:
-    """Return the fault of an act that is on its way until the exploration lets it arrive."""
+    """Return the fault that delays an act by the ticks until it arrives in the exploration."""
     arrives = next((i for i, move in enumerate(later) if move[0] == Event.ACT_ARRIVES), len(later))
     ticks = sum(move[0] == Event.TICK for move in later[:arrives])
     return [f"late x {ticks * TICK_S + ARRIVAL_MARGIN_S:g}"] if ticks else []
--- a/gullyoke/model_checking/lease_state_key.py
+++ b/gullyoke/model_checking/lease_state_key.py
@@ -1,4 +1,4 @@
-"""What tells two states of the world of leases apart; times as seen from each process' clock."""
+"""The key by which the exploration of leases tells two states of its world apart."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def state_key(world: LeaseWorld) -> Hashable:
-    """Return what tells two states apart; times as seen from each process' clock."""
+    """Return the key of a state; times are relative to the clock of their process."""
     clock_differences = tuple(clock - world.clocks["b"] for clock in world.clocks.values())
     late_replies = [
         (
--- a/gullyoke/model_checking/lease_world.py
+++ b/gullyoke/model_checking/lease_world.py
@@ -1,11 +1,11 @@
-"""A lease in small: three voters with disks, two candidates, one resource with a fence.
-
-Times are a few ticks; the clocks of two processes may be a tick apart in all. The world makes
-rounds that reach some voters only, late replies, stalls of any length in the middle of an act, a
-disk that fails a promise, and restarts of voters, with their promises or without, and of a
-candidate. It looks for two holders at once, an act taken after one of a newer epoch, two processes
-whose acts are taken under one epoch, and a voter's promise whose epoch goes back. The rules are
-those that run (gullyoke/leases).
+"""A small model of one lease: three voters with disks, two candidates, a resource with a fence.
+
+Times are a few ticks, and one process's clock may get a tick ahead of the others. The events are
+rounds that reach only a majority of the voters, late replies, stalls of any length in the middle of
+an act, a disk that fails to write a promise, and restarts of a candidate and of a voter, with its
+promises or without. A violation is two holders at once, an act admitted after one of a newer epoch,
+acts of two processes admitted under one epoch, or a voter's promise whose epoch goes back. The
+rules are those of production (gullyoke/leases).
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 MAX_LATE_REPLIES: Final = 2
 VOTERS: Final = ("v0", "v1", "v2")
 CANDIDATES: Final = ("a", "b")
-MAJORITIES: Final = ("v0+v1", "v1+v2")  # whom a round reaches; they have one voter in common
+MAJORITIES: Final = ("v0+v1", "v1+v2")  # the voters that a round reaches; both have v1
 
 
 class Event(StrEnum):
-    """What can happen; the values are the words of scripts (lease_script.py)."""
+    """What can happen; the values are the first words of moves written as text (leases.STARTS)."""
 
     TICK = "time"
     CLOCK_AHEAD = "ahead"
@@ -55,7 +55,7 @@
 
 
 class TickDurations(LeaseDurations):
-    """Durations in ticks, of which a clock may be one ahead."""
+    """Durations in ticks; `with_clock_drift_us` adds one, the most by which clocks differ here."""
 
     def renew_interval_us(self) -> int:
         """Return one tick."""
@@ -66,7 +66,7 @@
 
 
 class LateReply(NamedTuple):
-    """A voter's reply that is on its way."""
+    """A voter's reply that has not arrived yet."""
 
     voter: str
     candidate: str
@@ -74,7 +74,7 @@
 
 
 def durations_in_ticks() -> contextlib.ExitStack:
-    """Return a context in which the durations of the rules are a few ticks."""
+    """Return a context in which the constants of candidates and voters are one or two ticks."""
     ticks = {
         candidate_module: {
             "REPLY_TIMEOUT_US": 1,
@@ -97,16 +97,18 @@
 
     Attributes:
         clocks: Ticks by process.
-        disks: What each voter's disk has; None for an empty folder.
-        late_replies: Replies on their way.
-        acts: The epoch under which a candidate has begun an act that has not arrived yet.
-        actors: By epoch, the process whose acts were taken.
-        newest_epoch: Of the acts that were taken.
-        violation: What went wrong with an act, in words.
+        disks: The promises on each voter's disk; None for an empty folder.
+        late_replies: Replies that have not arrived yet.
+        acts: By candidate, the epoch under which it began an act that has not arrived yet.
+        actors: By epoch, the process whose acts were admitted.
+        newest_epoch: The newest epoch of the admitted acts.
+        violation: A description of the last act that broke a rule; empty if there was none.
+        highest_promises: By voter, its highest promised epoch since its folder was last wiped, as
+            `wrong` stored it.
 
     Args:
-        restarts: How many restarts and wiped folders.
-        faults: How many faults of disks.
+        restarts: How many restarts may happen, with the promises or without.
+        faults: How many writes to disks may fail.
         fenced: Whether the resource has a fence.
     """
 
@@ -115,7 +117,7 @@
         self.disks: dict[str, dict[str, Promise] | None] = {name: {} for name in VOTERS}
         self.voters = {name: self._new_voter(name, {}) for name in VOTERS}
         for voter in self.voters.values():
-            voter.silent_until_us = 0  # the first start of all: nothing was ever granted
+            voter.silent_until_us = 0  # nothing was granted before the first start
         self.last_incarnation = 10
         self.candidates: dict[str, Candidate] = {}
         for name in CANDIDATES:
@@ -142,10 +144,10 @@
         candidate.wants_lease = True
         self.candidates[name] = candidate
 
-    # What can happen.
+    # Moves.
 
     def moves(self) -> list[Move]:
-        """List all that can happen next."""
+        """List the moves that are possible in this state."""
         moves: list[Move] = [(Event.TICK,)]
         moves += [(Event.REPLY_ARRIVES, i) for i in range(len(self.late_replies))]
         for name in CANDIDATES:
@@ -182,7 +184,7 @@
         return moves
 
     def make(self, move: Move) -> None:
-        """Let one thing happen."""
+        """Make one move."""
         event = Event(move[0])
         match event:
             case Event.TICK:
@@ -209,7 +211,7 @@
                 self._round(move[1], move[2].split("+"), event)
 
     def _restart(self, name: str, wiped: bool) -> None:
-        """Restart a process; a voter with what its disk has, or with a new folder."""
+        """Restart a process; a voter with the promises on its disk or, if wiped, with none."""
         self.restarts -= 1
         if name in CANDIDATES:
             self.acts[name] = None
@@ -222,9 +224,9 @@
         self.voters[name] = self._new_voter(name, None if disk is None else dict(disk))
 
     def _round(self, name: str, reached: list[str], event: Event) -> None:
-        """Make a whole round at these voters: a pre-vote and a request, or a renewal.
+        """Make a whole round that reaches these voters: a pre-vote and a request, or a renewal.
 
-        The last voter's reply may stay on its way, or its disk fail the promise.
+        The event tells whether the last voter's reply is late or its disk fails.
         """
         candidate = self.candidates[name]
         if event in (Event.RENEW, Event.RENEW_LATE_REPLY):
@@ -246,7 +248,7 @@
                 self._deliver(LateReply(voter, name, reply))
 
     def _pre_vote(self, name: str, reached: list[str]) -> list[AddressedMessage]:
-        """Make a pre-vote round; return the requests that follow, if a majority would grant."""
+        """Make a pre-vote round; return the requests that follow if a majority would grant."""
         candidate = self.candidates[name]
         now = self.clocks[name]
         candidate.state = CandidateState.IDLE
@@ -263,7 +265,7 @@
     def answer_request(
         self, voter_name: str, request: LeaseRequest, disk_fails: bool
     ) -> VoteReply | None:
-        """Return a voter's reply, after its disk has taken or failed the promise."""
+        """Have a voter answer a request; return its reply after its write finished or failed."""
         voter = self.voters[voter_name]
         now = self.clocks[voter_name]
         answer = voter.answer_request(now, request)
@@ -290,7 +292,7 @@
                 self.voters[voter].release(self.clocks[voter], message)
 
     def _learn(self) -> None:
-        """Let fresh voters learn the promises of the others."""
+        """Let voters with a new folder learn the promises of the others."""
         for name, voter in self.voters.items():
             query = voter.next_epoch_query(self.clocks[name]) if voter.fresh else None
             if query is None:
@@ -307,7 +309,7 @@
                 voter.promise_learned(write, i == len(writes) - 1)
 
     def _act_arrives(self, name: str) -> None:
-        """Let an act come to the resource, however long it took."""
+        """Let a begun act reach the resource, and check its epoch against the acts before it."""
         epoch = self.acts[name]
         self.acts[name] = None
         if epoch is None:
@@ -317,19 +319,19 @@
             return
         actor = f"{name}{incarnation}"
         if epoch < self.newest_epoch:
-            self.violation = f"an act of epoch {epoch} after one of {self.newest_epoch}"
+            self.violation = f"an act of epoch {epoch} admitted after one of {self.newest_epoch}"
         elif self.actors.setdefault(epoch, actor) != actor:
-            self.violation = f"two acted under epoch {epoch}"
+            self.violation = f"acts of two processes admitted under epoch {epoch}"
         self.newest_epoch = max(self.newest_epoch, epoch)
 
-    # What is asked of it.
+    # Key and checks.
 
     def key(self) -> Hashable:
-        """Return what tells two states apart."""
+        """Return the key of this state."""
         return state_key(self)
 
     def wrong(self) -> str | None:
-        """Return what must not be so and is, in words."""
+        """Return a description of the violation, if any; store the highest epoch of each voter."""
         if self.violation:
             return self.violation
         holders = [
@@ -338,10 +340,10 @@
             if candidate.held_epoch(self.clocks[name]) is not None
         ]
         if len(holders) > 1:
-            return "two hold it at once"
+            return "two candidates hold the lease at once"
         for name, voter in self.voters.items():
             epoch = voter.promises[DUTY].epoch if DUTY in voter.promises else 0
             if epoch < self.highest_promises[name] and not voter.fresh:
-                return f"{name}'s promise went back to {epoch}"
+                return f"{name}'s promised epoch went back to {epoch}"
             self.highest_promises[name] = max(self.highest_promises[name], epoch)
         return None
--- a/gullyoke/model_checking/leases.py
+++ b/gullyoke/model_checking/leases.py
@@ -1,7 +1,7 @@
 """Explores orders of events around one lease, with all guards and without each.
 
-The world is gullyoke/model_checking/lease_world.py. A mutant takes one guard out of the rules; that
-the exploration then finds a violation shows that it can.
+The world is gullyoke/model_checking/lease_world.py. A mutant removes one guard from the rules. The
+exploration must then find a violation, which shows that it can detect the missing guard.
 """
 
 from __future__ import annotations
@@ -25,28 +25,28 @@
 
 Mutant = Callable[[], contextlib.AbstractContextManager[object]]
 
-# Where explorations begin, by name: the way there, as a script (lease_script.py).
+# The states from which explorations start, by name: the moves that lead there.
 STARTS: Final = {
-    "nobody holds it": "",
-    "one holds it": "try a v0+v1",
+    "no holder": "",
+    "one holder": "try a v0+v1",
     "in the middle of an act": "try a v0+v1; act-begin a; time; time; time; time",
-    "another has it meanwhile": (
+    "another holder before the act arrives": (
         "try a v0+v1; act-begin a; time; time; time; time; try b v1+v2; act-begin b"
     ),
-    "about to end": "try a v0+v1; time; time; renew a v0+v1; time; time",
-    "a word is late": "try-late a v1+v2; time",
-    "a word on a renewal is late": (
+    "the lease is about to end": "try a v0+v1; time; time; renew a v0+v1; time; time",
+    "a late reply to a request": "try-late a v1+v2; time",
+    "a late reply to a renewal": (
         "try a v0+v1; time; renew-late a v1+v2; time; time; come 0; time"
     ),
     "a voter starts anew": "try a v0+v1; act-begin a; restart v1; time; time",
     "a voter lost its promises": "try a v0+v1; act-begin a; act a; wipe v1",
-    "lost, and the rest is past": "try a v0+v1; act-begin a; wipe v1; time; time; time; time",
+    "lost promises and an ended lease": "try a v0+v1; act-begin a; wipe v1; time; time; time; time",
     "a disk failed a promise": "try-ill a v1+v2; restart v1; time; time; time; time",
 }
 
 
 def begun(name: str, fenced: bool = True) -> LeaseWorld:
-    """Return the world of a start."""
+    """Return the world of the start with this name."""
     script = STARTS[name]
     restarts = 2 if "restart" in script or "wipe" in script else 1
     world = LeaseWorld(restarts, fenced=fenced)
@@ -127,22 +127,22 @@
     return mock.patch.object(Voter, "__init__", vote_at_once)
 
 
-# By the guard that each takes out.
+# By the guard that each mutant removes.
 MUTANTS: Final[dict[str, Mutant]] = {
-    "a promise is durable": _reply_before_durable,
-    "clocks that differ": _clocks_alike,
-    "the end is counted from before it asked": _lease_from_the_reply,
+    "a promise is durable before its reply": _reply_before_durable,
+    "allowance for clock drift": _clocks_alike,
+    "a lease counts from before its request": _lease_from_the_reply,
     "the fence": _no_fence,
-    "each vote once": _votes_counted_twice,
-    "a fresh folder does not vote": _fresh_voter_votes,
+    "each vote counts once": _votes_counted_twice,
+    "a voter with a new folder does not vote at once": _fresh_voter_votes,
 }
 
 
 def found(mutant: str | None, depth: int, most: int = MAX_STATES) -> tuple[int, str | None]:
-    """Explore from all starts to a depth, with one guard taken out or none.
+    """Explore from all starts to a depth, with one guard removed or none.
 
     Returns:
-        How many states were looked at, and the violation that was found with the way to it.
+        How many states were seen, and the first violation with the moves to it.
     """
     with durations_in_ticks(), MUTANTS[mutant]() if mutant else contextlib.nullcontext():
         return from_all(STARTS, begun, depth, most)
--- a/gullyoke/model_checking/quota_lease_state_key.py
+++ b/gullyoke/model_checking/quota_lease_state_key.py
@@ -1,4 +1,4 @@
-"""What tells two states of the world of quota leases apart; times as seen from each clock."""
+"""The key by which the exploration of quota leases tells two states of its world apart."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def state_key(world: QuotaLeaseWorld) -> Hashable:
-    """Return what tells two states apart; times as seen from each process' clock."""
+    """Return the key of a state; times are relative to the clock of their process."""
     clock_differences = tuple(clock - world.clocks["b1"] for clock in world.clocks.values())
     return (
         [_voter_key(world, name) for name in world.voters],
@@ -27,7 +27,7 @@
 
 
 def _ticks_until(world: QuotaLeaseWorld, name: str, time: int, past: int = -1) -> int:
-    """Return ticks until a time; all those before `past` are alike."""
+    """Return the ticks until a time, but not less than `past`: earlier times count alike."""
     return max(past, time - world.clocks[name])
 
 
@@ -99,12 +99,15 @@
 
 
 def _sequence(world: QuotaLeaseWorld, borrower: Hashable) -> int:
-    """Return the last request's number of the borrower of that incarnation."""
+    """Return the number of the last request of the borrower with this incarnation."""
     return next(one.sequence for one in world.borrowers.values() if one.incarnation == borrower)
 
 
 def _message_key(world: QuotaLeaseWorld, late: LateMessage) -> Hashable:
-    """Return a message with its numbers as seen from where they are counted."""
+    """Return the key of a message; round and sequence numbers are relative to the latest ones.
+
+    The round of a claim is kept as it is.
+    """
     message = late.message
     head = (late.sender, late.recipient, type(message).__name__)
     if isinstance(message, LenderClaim):
--- a/gullyoke/model_checking/quota_lease_world.py
+++ b/gullyoke/model_checking/quota_lease_world.py
@@ -1,10 +1,12 @@
-"""Quota leases in small: three voters, one lender's name and two processes under it, two borrowers.
-
-Times are a few ticks; the clocks of two processes may be a tick apart in all. The whole at once
-grows too fast, so there are two explorations. In one the lender's name is safe, and whatever can
-happen between it and its borrowers does. In the other the borrowers ask without faults, and
-whatever can happen to the name does. Both look for more of the lender's tokens in force than there
-are. The rules are those that run (gullyoke/coordination).
+"""A small model of quota leases: three voters, two processes with one lender's name, two borrowers.
+
+Times are a few ticks, and one process's clock may get a tick ahead of the others. A single
+exploration of all events would have too many states, so there are two. In the first, the lender
+holds its name from its start on, but it may restart, and messages between it and the borrowers may
+be late or lost. In the second, the borrowers' requests meet no faults, but processes have to claim
+the name: votes may be late, a voter or the lender may restart, and a second process may start with
+the same name. A violation is more tokens in force than the lender has. The rules are those of
+production (gullyoke/coordination).
 """
 
 from __future__ import annotations
@@ -30,12 +32,12 @@
 from gullyoke.model_checking.explore import Move
 from gullyoke.model_checking.quota_lease_state_key import state_key
 
-TOKENS: Final = 2  # what the lender has
+TOKENS: Final = 2  # of the lender
 MAX_LATE_MESSAGES: Final = 2
 FOREVER: Final = 10**6  # ticks
-MAJORITIES: Final = ("v0+v1", "v1+v2")  # whom a round reaches; they have one voter in common
+MAJORITIES: Final = ("v0+v1", "v1+v2")  # the voters that a round reaches; both have v1
 LENDERS: Final = ("h0", "h1", "h2")
-LENDER: Final = "h0"  # the one that lends here
+LENDER: Final = "h0"  # the only lender that lends in this model
 VOTERS: Final = ("v0", "v1", "v2")
 BORROWERS: Final = ("b0", "b1")
 FIRST_BORROWER_INCARNATION: Final = 20
@@ -52,7 +54,7 @@
 
 
 class Event(StrEnum):
-    """What can happen; the values are the words of scripts (quota_leases.py)."""
+    """What can happen; the values are the first words of moves in quota_leases.STARTS."""
 
     TICK = "time"
     CLOCK_AHEAD = "ahead"
@@ -65,7 +67,7 @@
 
 
 class Exchange(StrEnum):
-    """How a request of a borrower goes: to its end, or until a message is late or lost."""
+    """How far a borrower's request gets: to its end, or until a message is late or lost."""
 
     DONE = "done"
     RETURN_LOST = "no-return"
@@ -82,7 +84,7 @@
 
 
 class LateMessage(NamedTuple):
-    """A message that is on its way between two processes."""
+    """A message between two processes that has not arrived yet."""
 
     sender: str
     recipient: str
@@ -91,7 +93,7 @@
 
 @contextlib.contextmanager
 def durations_in_ticks() -> Iterator[None]:
-    """Make the durations of the rules the fewest ticks that keep their order."""
+    """Set the durations of the rules to the fewest ticks that keep their order."""
     with contextlib.ExitStack() as stack:
         for name, ticks in DURATIONS.items():
             stack.enter_context(mock.patch.object(quota_durations, name, ticks))
@@ -103,14 +105,14 @@
 
     Attributes:
         clocks: Ticks by process.
-        lenders: Processes under the lender's name; the second one starts later.
-        borrowers: They want all tokens that there are.
-        late_messages: Messages on their way.
-        lender_of: The process that a borrower takes for the lender.
+        lenders: The processes with the lender's name; the second one starts later.
+        borrowers: Each requests all tokens of the lender.
+        late_messages: Messages that have not arrived yet.
+        lender_of: By borrower, the process to which it sends its requests.
 
     Args:
-        names: Whether the lender's name is at stake.
-        restarts: How many restarts and double starts.
+        names: Whether processes must claim the lender's name; otherwise they always hold it.
+        restarts: How many restarts and starts of a second process may happen.
     """
 
     def __init__(self, names: bool, restarts: int = 1) -> None:
@@ -135,17 +137,17 @@
     def _start_lender(self, name: str) -> None:
         self.last_incarnation += 1
         tenure = LenderTenure(LENDER, self.last_incarnation, LENDERS)
-        if not self.names:  # the name is its own from its start on
+        if not self.names:  # the process holds the name from its start on
             tenure.since_us = self.clocks[name]
             tenure.until_us = FOREVER
             tenure.next_claim_us = FOREVER
         self.lenders[name] = Lender(tenure, TOKENS)
 
-    # What can happen. An exchange that nothing comes between is one move; whatever of it can be
-    # lost or late is a move of its own.
+    # An exchange of messages without loss or delay is one move. For each of its messages that may
+    # be late or lost, there is a further move.
 
     def moves(self) -> list[Move]:
-        """List all that can happen next."""
+        """List the moves that are possible in this state."""
         moves: list[Move] = [(Event.TICK,)]
         moves += [(Event.MESSAGE_ARRIVES, i) for i in range(len(self.late_messages))]
         may_be_late = len(self.late_messages) < MAX_LATE_MESSAGES
@@ -185,7 +187,7 @@
         return moves
 
     def make(self, move: Move) -> None:
-        """Let one thing happen."""
+        """Make one move."""
         event = Event(move[0])
         match event:
             case Event.TICK:
@@ -200,7 +202,7 @@
                 self._claim(move[1], move[2], event is Event.CLAIM_LATE_VOTE)
             case Event.REQUEST:
                 self._request(move[1], Exchange(move[2]))
-            case Event.DOUBLE_START:  # and one of the borrowers takes it for the lender
+            case Event.DOUBLE_START:  # one borrower sends its requests to the new process
                 self.restarts -= 1
                 self._start_lender("l1")
                 self.lender_of["b1"] = "l1"
@@ -216,7 +218,7 @@
             self.voters[name] = LenderVoter(self.clocks[name], lender, LENDERS)
 
     def _claim(self, name: str, reached: str, late: bool) -> None:
-        """Make a round of claims at these voters; the last vote may stay on its way."""
+        """Make a round of claims that reaches these voters; `late` delays the last vote."""
         claim = self.lenders[name].tenure.next_claim(self.clocks[name])
         if claim is None:
             return
@@ -232,14 +234,14 @@
                 self._exchange(message, Exchange.DONE)
 
     def _request(self, name: str, exchange: Exchange) -> None:
-        """Send the requests of a borrower that are due, up to one that does not end."""
+        """Send a borrower's requests that are due, up to the first with a late or lost message."""
         for request in self.borrowers[name].next_requests(self.clocks[name], TOKENS):
             message = LateMessage(name, self.lender_of[name], request)
             if not self._exchange(message, exchange):
                 return
 
     def _exchange(self, late: LateMessage, exchange: Exchange) -> bool:
-        """Deliver a message and all that it brings about; False where one is late or lost."""
+        """Deliver a message and the answers that follow; return False if one is late or lost."""
         current: LateMessage | None = late
         while current is not None:
             if exchange in STOPPED_BY.get(type(current.message), ()):
@@ -265,15 +267,15 @@
                 self.lenders[to].handle_return(now, message)
         return None
 
-    # What is asked of it.
+    # Key and checks.
 
     def key(self) -> Hashable:
-        """Return what tells two states apart."""
+        """Return the key of this state."""
         return state_key(self)
 
     def wrong(self) -> str | None:
-        """Return what must not be so and is, in words."""
+        """Return a description of the violation in this state; None if there is none."""
         in_force = sum(
             borrower.in_force(self.clocks[name]) for name, borrower in self.borrowers.items()
         )
-        return f"{in_force} of {TOKENS} in force" if in_force > TOKENS else None
+        return f"{in_force} of {TOKENS} tokens in force" if in_force > TOKENS else None
--- a/gullyoke/model_checking/quota_leases.py
+++ b/gullyoke/model_checking/quota_leases.py
@@ -1,7 +1,7 @@
 """Explores orders of events around one lender's tokens, with all guards and without each.
 
-The world is gullyoke/model_checking/quota_lease_world.py. A mutant takes one guard out of the
-rules; that the exploration then finds a violation shows that it can.
+The world is gullyoke/model_checking/quota_lease_world.py. A mutant removes one guard from the
+rules. The exploration must then find a violation, which shows that it can detect the missing guard.
 """
 
 from __future__ import annotations
@@ -38,28 +38,30 @@
 
 
 class Start(NamedTuple):
-    """Where an exploration begins: whether the lender's name is at stake, and the way there."""
+    """Where an exploration starts: whether processes claim the name, and the moves to the state."""
 
     names: bool
     script: str
 
 
-# By name, each in the middle of something.
+# By name; `lending` makes the moves before those of the script.
 STARTS: Final = {
-    "all is well": Start(False, ""),
+    "no fault": Start(False, ""),
     "a late grant": Start(False, "time; ask b0 grant-late; time; time"),
-    "a want that is late": Start(False, "time; ask b0 want-late; time"),
-    "another wants as well": Start(False, "ask b1 done; time"),
-    "what is late and another": Start(False, "ask b1 done; time; ask b0 return-late"),
-    "the home starts anew": Start(False, "time; ask b0 done; restart l0"),
-    "the name is held": Start(True, ""),
-    "its holder starts anew": Start(True, "time; time; ask b0 done; restart l0; time; time"),
-    "two of one name": Start(
+    "a late request": Start(False, "time; ask b0 want-late; time"),
+    "a second borrower": Start(False, "ask b1 done; time"),
+    "a late return and a second borrower": Start(False, "ask b1 done; time; ask b0 return-late"),
+    "the lender restarts": Start(False, "time; ask b0 done; restart l0"),
+    "the name is granted": Start(True, ""),
+    "the holder of the name restarts": Start(
+        True, "time; time; ask b0 done; restart l0; time; time"
+    ),
+    "two processes with one name": Start(
         True,
         "time; claim l0 v0+v1; double; claim l1 v1+v2; time; time; ask b0 done; "
         "claim l1 v1+v2; time",
     ),
-    "two, and a voter starts anew": Start(
+    "two processes with one name, a voter restarts": Start(
         True,
         "time; claim l0 v0+v1; double; restart v1; claim l1 v1+v2; time; "
         "time; ask b0 done; claim l1 v1+v2; time",
@@ -68,7 +70,7 @@
 
 
 def lending(names: bool, restarts: int = 1) -> QuotaLeaseWorld:
-    """Return a world that came without faults to where the first borrower has all tokens."""
+    """Return a world after moves without faults that lend all tokens to the first borrower."""
     world = QuotaLeaseWorld(names, restarts)
     for _ in range(MAX_TICKS_TO_LEND):
         for move in (
@@ -84,7 +86,7 @@
 
 
 def begun(name: str) -> QuotaLeaseWorld:
-    """Return the world of a start."""
+    """Return the world of the start with this name."""
     start = STARTS[name]
     restarts = 2 if "restart" in start.script and "double" in start.script else 1
     world = lending(start.names, restarts)
@@ -158,22 +160,22 @@
     return mock.patch.object(LenderTenure, "handle_vote", count_any)
 
 
-# By the guard that each takes out.
+# By the guard that each mutant removes.
 MUTANTS: Final[dict[str, Mutant]] = {
-    "the borrower counts from before it asked": _lease_from_the_grant,
-    "shrinking frees nothing before it is told": _smaller_grant_frees,
-    "clocks that differ": _clocks_alike,
-    "a home waits out a loan": _lends_at_once,
-    "a voter that starts is mute": _voter_forgets,
-    "a majority": _one_vote_is_enough,
+    "a lease counts from before its request": _lease_from_the_grant,
+    "a smaller grant frees no tokens before their return": _smaller_grant_frees,
+    "allowance for clock drift": _clocks_alike,
+    "a new lender waits until earlier leases have ended": _lends_at_once,
+    "a voter grants nothing at first after its start": _voter_forgets,
+    "a majority grants the name": _one_vote_is_enough,
 }
 
 
 def found(mutant: str | None, depth: int, most: int = MAX_STATES) -> tuple[int, str | None]:
-    """Explore from all starts to a depth, with one guard taken out or none.
+    """Explore from all starts to a depth, with one guard removed or none.
 
     Returns:
-        How many states were looked at, and the violation that was found with the way to it.
+        How many states were seen, and the first violation with the moves to it.
     """
     with durations_in_ticks(), MUTANTS[mutant]() if mutant else contextlib.nullcontext():
         return from_all(STARTS, begun, depth, most)
--- a/tests/model_checking/test_walk.py
+++ b/tests/model_checking/test_walk.py
@@ -1,4 +1,4 @@
-"""The explorer on a world whose states are known, and the protocol of shares walked through."""
+"""The explorer on a world with known states, and the explorations of quota leases and leases."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class Counting:
-    """Two counters that go up by one, or by two; wrong where both are at `never`."""
+    """Two counters up to 4 that grow by one or two; a violation if both are at `never`."""
 
     def __init__(self, never):
         self.at, self.never = [0, 0], never
@@ -28,9 +28,7 @@
 
 class Walk(unittest.TestCase):
     def test_explorer(self):
-        """All states are seen once, the shortest way to a wrong one is found, and a bound is
-        kept.
-        """
+        """Each state is seen once, a violation is found with the fewest moves, and limits hold."""
         whole = walked(Counting(9), 20)
         self.assertEqual((whole.states, whole.whole, whole.found), (25, True, None))
         found = walked(Counting(4), 20)
@@ -40,8 +38,10 @@
         self.assertEqual(walked(Counting(9), 20, 7)[:3:2], (7, False))
 
     def test_shares(self):
-        """No order of losses, late messages, restarts, double starts and clocks a tick apart brings
-        more in force than there is; without one of the guards some does.
+        """No order of events brings more tokens in force than the lender has.
+
+        The events are lost and late messages, restarts, two processes with one name, and clocks a
+        tick apart. With any one of the guards removed, the exploration finds a violation.
         """
         states, wrong = quota_leases.found(None, 4)
         self.assertIsNone(wrong)
@@ -51,9 +51,11 @@
                 self.assertIsNotNone(quota_leases.found(guard, 4)[1])
 
     def test_duty(self):
-        """No order of losses, late words, stalls, restarts, wiped and failing disks and clocks a
-        tick apart brings two holders at once, an act after one of a newer epoch, or an epoch that
-        goes back; without one of the guards some does.
+        """A lease never has two holders at once, and no epoch goes back, in any order of events.
+
+        Nor is an act admitted after one of a newer epoch. The events are lost and late replies,
+        stalls, restarts, wiped and failing disks, and clocks a tick apart. With any one of the
+        guards removed, the exploration finds a violation.
         """
         states, wrong = leases.found(None, 3)
         self.assertIsNone(wrong)
@@ -63,9 +65,7 @@
                 self.assertIsNotNone(leases.found(guard, 3)[1])
 
     def test_played(self):
-        """The way to each of the walk's starts is a script that the rig takes, with the faults in
-        it.
-        """
+        """The moves to each start of the exploration become a valid script with their faults."""
         faults = {
             "a voter lost its promises": "disk m1 lost",
             "a disk failed a promise": "disk m2 ill",
