--- a/gullyoke/model_checking/explore.py
+++ b/gullyoke/model_checking/explore.py
@@ -32,7 +32,7 @@
         """Return a description of the violation in this state; None if there is none."""
 
 
-class Walked(NamedTuple):
+class ExplorationResult(NamedTuple):
     """The result of an exploration.
 
     Attributes:
@@ -56,24 +56,24 @@
 
 
 def walked(
-    start: World, depth: int, most: int = 10**6, every: Callable[[int], None] | None = None
-) -> Walked:
+    start: World, depth: int, max_states: int = 10**6, on_level: Callable[[int], None] | None = None
+) -> ExplorationResult:
     """Explore the states that can be reached from a start.
 
     Args:
         start: The world to start from.
         depth: How many moves to make from the start at most.
-        most: How many states may be seen before the exploration stops.
-        every: Called after each level of moves with the number of states seen.
+        max_states: How many states may be seen before the exploration stops.
+        on_level: Called after each level of moves with the number of states seen.
     """
     first = pickle.dumps(start, -1)
     seen: dict[bytes, tuple[bytes, Move] | None] = {digest(start.key()): None}
     frontier = [(first, digest(start.key()))]
-    if (wrong := start.wrong()) is not None:
-        return Walked(1, 0, True, wrong, ())
+    if (violation := start.wrong()) is not None:
+        return ExplorationResult(1, 0, True, violation, ())
     for level in range(1, depth + 1):
-        later: list[tuple[bytes, bytes]] = []
-        for data, at in frontier:
+        next_frontier: list[tuple[bytes, bytes]] = []
+        for data, previous in frontier:
             moves = pickle.loads(data).moves()
             for move in moves:
                 world = pickle.loads(data)
@@ -81,40 +81,42 @@
                 name = digest(world.key())
                 if name in seen:
                     continue
-                seen[name] = at, move
-                if (wrong := world.wrong()) is not None:
-                    return Walked(len(seen), level, True, wrong, way(seen, name))
-                if len(seen) >= most:
-                    return Walked(len(seen), level - 1, False, None, ())
-                later.append((pickle.dumps(world, -1), name))
-        if every is not None:
-            every(len(seen))
-        if not later:
-            return Walked(len(seen), level, True, None, ())
-        frontier = later
-    return Walked(len(seen), depth, True, None, ())
+                seen[name] = previous, move
+                if (violation := world.wrong()) is not None:
+                    return ExplorationResult(
+                        len(seen), level, True, violation, moves_to(seen, name)
+                    )
+                if len(seen) >= max_states:
+                    return ExplorationResult(len(seen), level - 1, False, None, ())
+                next_frontier.append((pickle.dumps(world, -1), name))
+        if on_level is not None:
+            on_level(len(seen))
+        if not next_frontier:
+            return ExplorationResult(len(seen), level, True, None, ())
+        frontier = next_frontier
+    return ExplorationResult(len(seen), depth, True, None, ())
 
 
 def from_all(
-    names: Iterable[str], begun: Callable[[str], World], depth: int, most: int
+    names: Iterable[str], start_world: Callable[[str], World], depth: int, max_states: int
 ) -> tuple[int, str | None]:
     """Explore from each start in turn until a violation is found.
 
     Args:
         names: The names of the starts.
-        begun: Returns the world of a start.
+        start_world: Returns the world of a start.
         depth: How many moves to make from each start at most.
-        most: How many states may be seen from one start.
+        max_states: How many states may be seen from one start.
 
     Returns:
         How many states were seen, and the first violation with its start and the moves to it.
     """
     states = 0
     for name in names:
-        walk = walked(begun(name), depth, most)
-        states += walk.states
-        if walk.found:
-            return states, f"{name}: {walk.found}\n{walk.script()}"
+        result = walked(start_world(name), depth, max_states)
+        states += result.states
+        if result.found:
+            return states, f"{name}: {result.found}\n{result.script()}"
     return states, None
 
 
@@ -123,7 +125,7 @@
     return blake2b(repr(key).encode(), digest_size=12).digest()
 
 
-def way(seen: dict[bytes, tuple[bytes, Move] | None], name: bytes) -> tuple[Move, ...]:
+def moves_to(seen: dict[bytes, tuple[bytes, Move] | None], name: bytes) -> tuple[Move, ...]:
     """Return the moves from the start to a state.
 
     `seen` has the digest of the state before each state and the move between the two.
--- a/gullyoke/model_checking/key_ledger.py
+++ b/gullyoke/model_checking/key_ledger.py
@@ -48,23 +48,23 @@
 def _run_before_record() -> contextlib.AbstractContextManager[object]:
     take = KeyLedgerWorld.take
 
-    def take_at_once(self: KeyLedgerWorld, command: Command) -> None:
+    def run_at_once(self: KeyLedgerWorld, command: Command) -> None:
         take(self, command)
         if isinstance(command, RecordWrite) and _is_write_of(command, RunPhase.STARTED):
             take(self, self.ledger.write_finished(self.now, command, True))
 
-    return mock.patch.object(KeyLedgerWorld, "take", take_at_once)
+    return mock.patch.object(KeyLedgerWorld, "take", run_at_once)
 
 
 def _report_before_recorded_end() -> contextlib.AbstractContextManager[object]:
     take = KeyLedgerWorld.take
 
-    def take_at_once(self: KeyLedgerWorld, command: Command) -> None:
+    def report_at_once(self: KeyLedgerWorld, command: Command) -> None:
         take(self, command)
         if _is_write_of(command, RunPhase.ENDED):
             self.carry_out(LedgerAction(ActionKind.REPORT_END, KEY))
 
-    return mock.patch.object(KeyLedgerWorld, "take", take_at_once)
+    return mock.patch.object(KeyLedgerWorld, "take", report_at_once)
 
 
 def _unknown_may_run() -> contextlib.AbstractContextManager[object]:
@@ -78,7 +78,7 @@
 def _late_write_runs() -> contextlib.AbstractContextManager[object]:
     finish_write = KeyLedger._finish_write
 
-    def revive(
+    def finish_abandoned(
         self: KeyLedger, now_us: int, write: RecordWrite, persisted: bool
     ) -> LedgerRow | None:
         row = finish_write(self, now_us, write, persisted) or self.rows.get(write.key)
@@ -86,7 +86,7 @@
             row.stage = KeyStage.RECORDING_START
         return row
 
-    return mock.patch.object(KeyLedger, "_finish_write", revive)
+    return mock.patch.object(KeyLedger, "_finish_write", finish_abandoned)
 
 
 def _writes_out_of_order() -> contextlib.AbstractContextManager[object]:
--- a/gullyoke/model_checking/leases.py
+++ b/gullyoke/model_checking/leases.py
@@ -58,7 +58,7 @@
 def _reply_before_durable() -> contextlib.AbstractContextManager[object]:
     answer_request = LeaseWorld.answer_request
 
-    def forget(
+    def answer_unwritten(
         self: LeaseWorld, voter_name: str, request: LeaseRequest, disk_fails: bool
     ) -> VoteReply | None:
         disk = self.disks[voter_name]
@@ -66,26 +66,26 @@
         self.disks[voter_name] = disk
         return reply
 
-    return mock.patch.object(LeaseWorld, "answer_request", forget)
+    return mock.patch.object(LeaseWorld, "answer_request", answer_unwritten)
 
 
-def _clocks_alike() -> contextlib.AbstractContextManager[object]:
-    def same(self: LeaseDurations, duration_us: int) -> int:
+def _no_drift_allowance() -> contextlib.AbstractContextManager[object]:
+    def add_nothing(self: LeaseDurations, duration_us: int) -> int:
         return duration_us
 
-    return mock.patch.object(LeaseDurations, "with_clock_drift_us", same)
+    return mock.patch.object(LeaseDurations, "with_clock_drift_us", add_nothing)
 
 
 def _lease_from_the_reply() -> contextlib.AbstractContextManager[object]:
     count_grants = Candidate._count_grants
 
-    def count_late(self: Candidate, now: int) -> None:
+    def count_from_reply(self: Candidate, now: int) -> None:
         requested_at_us = self.requested_at_us
         self.requested_at_us = now
         count_grants(self, now)
         self.requested_at_us = requested_at_us
 
-    return mock.patch.object(Candidate, "_count_grants", count_late)
+    return mock.patch.object(Candidate, "_count_grants", count_from_reply)
 
 
 def _no_fence() -> contextlib.AbstractContextManager[object]:
@@ -99,8 +99,8 @@
     handle_reply = Candidate.handle_reply
 
     def count_twice(self: Candidate, now: int, reply: VoteReply) -> list[AddressedMessage]:
-        ours = reply.round == self.round and reply.recipient == self.incarnation
-        if reply.granted and ours:
+        is_own_reply = reply.round == self.round and reply.recipient == self.incarnation
+        if reply.granted and is_own_reply:
             self.granted_by.add(f"{reply.voter} again")
         return handle_reply(self, now, reply)
 
@@ -130,7 +130,7 @@
 # By the guard that each mutant removes.
 MUTANTS: Final[dict[str, Mutant]] = {
     "a promise is durable before its reply": _reply_before_durable,
-    "allowance for clock drift": _clocks_alike,
+    "allowance for clock drift": _no_drift_allowance,
     "a lease counts from before its request": _lease_from_the_reply,
     "the fence": _no_fence,
     "each vote counts once": _votes_counted_twice,
@@ -138,11 +138,11 @@
 }
 
 
-def found(mutant: str | None, depth: int, most: int = MAX_STATES) -> tuple[int, str | None]:
+def found(mutant: str | None, depth: int, max_states: int = MAX_STATES) -> tuple[int, str | None]:
     """Explore from all starts to a depth, with one guard removed or none.
 
     Returns:
         How many states were seen, and the first violation with the moves to it.
     """
     with durations_in_ticks(), MUTANTS[mutant]() if mutant else contextlib.nullcontext():
-        return from_all(STARTS, begun, depth, most)
+        return from_all(STARTS, begun, depth, max_states)
--- a/gullyoke/model_checking/quota_lease_state_key.py
+++ b/gullyoke/model_checking/quota_lease_state_key.py
@@ -100,7 +100,7 @@
 
 def _sequence(world: QuotaLeaseWorld, borrower: Hashable) -> int:
     """Return the number of the last request of the borrower with this incarnation."""
-    return next(one.sequence for one in world.borrowers.values() if one.incarnation == borrower)
+    return next(each.sequence for each in world.borrowers.values() if each.incarnation == borrower)
 
 
 def _message_key(world: QuotaLeaseWorld, late: LateMessage) -> Hashable:
--- a/gullyoke/model_checking/quota_lease_world.py
+++ b/gullyoke/model_checking/quota_lease_world.py
@@ -111,11 +111,11 @@
         lender_of: By borrower, the process to which it sends its requests.
 
     Args:
-        names: Whether processes must claim the lender's name; otherwise they always hold it.
+        name_claimed: Whether processes must claim the lender's name; otherwise they always hold it.
         restarts: How many restarts and starts of a second process may happen.
     """
 
-    def __init__(self, names: bool, restarts: int = 1) -> None:
+    def __init__(self, name_claimed: bool, restarts: int = 1) -> None:
         self.clocks = dict.fromkeys((*VOTERS, "l0", "l1", *BORROWERS), 0)
         self.voters = {
             voter: LenderVoter(0, lender, LENDERS)
@@ -127,7 +127,7 @@
             for i, name in enumerate(BORROWERS)
         }
         self.late_messages: list[LateMessage] = []
-        self.names = names
+        self.name_claimed = name_claimed
         self.clock_steps = 1
         self.restarts = restarts
         self.last_incarnation = 10
@@ -137,7 +137,7 @@
     def _start_lender(self, name: str) -> None:
         self.last_incarnation += 1
         tenure = LenderTenure(LENDER, self.last_incarnation, LENDERS)
-        if not self.names:  # the process holds the name from its start on
+        if not self.name_claimed:  # the process holds the name from its start on
             tenure.since_us = self.clocks[name]
             tenure.until_us = FOREVER
             tenure.next_claim_us = FOREVER
@@ -159,7 +159,7 @@
         for name in BORROWERS:
             moves += self._request_moves(name, may_be_late)
         if self.clock_steps:
-            ahead = ("l0", "b0", "v1") if self.names else ("l0", "b0")
+            ahead = ("l0", "b0", "v1") if self.name_claimed else ("l0", "b0")
             moves += [(Event.CLOCK_AHEAD, name) for name in ahead]
         if self.restarts:
             moves += self._start_moves()
@@ -170,7 +170,7 @@
         if self.clocks[name] < min(borrower.next_renewal_us, borrower.next_short_retry_us):
             return []
         moves: list[Move] = [(Event.REQUEST, name, Exchange.DONE)]
-        if self.names:
+        if self.name_claimed:
             return moves
         moves.append((Event.REQUEST, name, Exchange.RETURN_LOST))
         if may_be_late:
@@ -180,7 +180,7 @@
 
     def _start_moves(self) -> list[Move]:
         moves: list[Move] = [(Event.RESTART, "l0")]
-        if self.names:
+        if self.name_claimed:
             moves.append((Event.RESTART, "v1"))
             if "l1" not in self.lenders:
                 moves.append((Event.DOUBLE_START,))
--- a/gullyoke/model_checking/quota_leases.py
+++ b/gullyoke/model_checking/quota_leases.py
@@ -40,7 +40,7 @@
 class Start(NamedTuple):
     """Where an exploration starts: whether processes claim the name, and the moves to the state."""
 
-    names: bool
+    name_claimed: bool
     script: str
 
 
@@ -69,9 +69,9 @@
 }
 
 
-def lending(names: bool, restarts: int = 1) -> QuotaLeaseWorld:
+def lending(name_claimed: bool, restarts: int = 1) -> QuotaLeaseWorld:
     """Return a world after moves without faults that lend all tokens to the first borrower."""
-    world = QuotaLeaseWorld(names, restarts)
+    world = QuotaLeaseWorld(name_claimed, restarts)
     for _ in range(MAX_TICKS_TO_LEND):
         for move in (
             (Event.CLAIM, "l0", MAJORITIES[0]),
@@ -89,7 +89,7 @@
     """Return the world of the start with this name."""
     start = STARTS[name]
     restarts = 2 if "restart" in start.script and "double" in start.script else 1
-    world = lending(start.names, restarts)
+    world = lending(start.name_claimed, restarts)
     for move in filter(None, (step.strip() for step in start.script.split(";"))):
         world.make(tuple(move.split()))
     return world
@@ -98,7 +98,7 @@
 def _lease_from_the_grant() -> contextlib.AbstractContextManager[object]:
     handle_grant = Borrower.handle_grant
 
-    def count_late(
+    def count_from_grant(
         self: Borrower, now: int, grant: QuotaGrant, used: int = 0
     ) -> QuotaReturn | None:
         returned = handle_grant(self, now, grant, used)
@@ -107,7 +107,7 @@
             self.leases[grant.lender] = self.leases[grant.lender]._replace(until_us=until_us)
         return returned
 
-    return mock.patch.object(Borrower, "handle_grant", count_late)
+    return mock.patch.object(Borrower, "handle_grant", count_from_grant)
 
 
 def _smaller_grant_frees() -> contextlib.AbstractContextManager[object]:
@@ -122,11 +122,11 @@
     return mock.patch.object(Lender, "answer_request", free_at_once)
 
 
-def _clocks_alike() -> contextlib.AbstractContextManager[object]:
-    def same(duration_us: int) -> int:
+def _no_drift_allowance() -> contextlib.AbstractContextManager[object]:
+    def add_nothing(duration_us: int) -> int:
         return duration_us
 
-    return mock.patch.object(quota_durations, "with_clock_drift_us", same)
+    return mock.patch.object(quota_durations, "with_clock_drift_us", add_nothing)
 
 
 def _lends_at_once() -> contextlib.AbstractContextManager[object]:
@@ -136,14 +136,14 @@
     return mock.patch.object(LenderTenure, "may_lend", may_lend)
 
 
-def _voter_forgets() -> contextlib.AbstractContextManager[object]:
+def _fresh_voter_votes() -> contextlib.AbstractContextManager[object]:
     init = LenderVoter.__init__
 
-    def forget(self: LenderVoter, now: int, name: str, lenders: Iterable[str]) -> None:
+    def vote_at_once(self: LenderVoter, now: int, name: str, lenders: Iterable[str]) -> None:
         init(self, now, name, lenders)
         self.silent_until_us = now
 
-    return mock.patch.object(LenderVoter, "__init__", forget)
+    return mock.patch.object(LenderVoter, "__init__", vote_at_once)
 
 
 def _one_vote_is_enough() -> contextlib.AbstractContextManager[object]:
@@ -151,8 +151,8 @@
 
     def count_any(self: LenderTenure, now: int, vote: LenderVote) -> None:
         handle_vote(self, now, vote)
-        ours = (vote.lender, vote.incarnation) == (self.name, self.incarnation)
-        if ours and vote.granted:
+        is_own_vote = (vote.lender, vote.incarnation) == (self.name, self.incarnation)
+        if is_own_vote and vote.granted:
             self.since_us = self.since_us if self.is_valid(now) else now
             until_us = self.claimed_at_us + quota_durations.TENURE_US
             self.until_us = max(self.until_us, until_us)
@@ -164,18 +164,18 @@
 MUTANTS: Final[dict[str, Mutant]] = {
     "a lease counts from before its request": _lease_from_the_grant,
     "a smaller grant frees no tokens before their return": _smaller_grant_frees,
-    "allowance for clock drift": _clocks_alike,
+    "allowance for clock drift": _no_drift_allowance,
     "a new lender waits until earlier leases have ended": _lends_at_once,
-    "a voter grants nothing at first after its start": _voter_forgets,
+    "a voter grants nothing at first after its start": _fresh_voter_votes,
     "a majority grants the name": _one_vote_is_enough,
 }
 
 
-def found(mutant: str | None, depth: int, most: int = MAX_STATES) -> tuple[int, str | None]:
+def found(mutant: str | None, depth: int, max_states: int = MAX_STATES) -> tuple[int, str | None]:
     """Explore from all starts to a depth, with one guard removed or none.
 
     Returns:
         How many states were seen, and the first violation with the moves to it.
     """
     with durations_in_ticks(), MUTANTS[mutant]() if mutant else contextlib.nullcontext():
-        return from_all(STARTS, begun, depth, most)
+        return from_all(STARTS, begun, depth, max_states)
