--- a/gullyoke/model_checking/explore.py
+++ b/gullyoke/model_checking/explore.py
@@ -1,8 +1,9 @@
-"""Every state that a world can come to within so many moves, each looked at once.
+"""Checks every state that a world can reach within a number of moves, each state once.
 
-Breadth first, so that the first wrong state found has the shortest way to it. A state is kept as
-the digest of its key; worlds on the frontier are kept pickled. Moves that a world says to be alike
-for what is asked (its `moves` leaves them out) are not walked: that is where a world reduces.
+The search is breadth first, so the first violation found is one with the fewest moves. A state that
+was seen is kept as the digest of its key, and a world whose moves are still to be made is kept
+pickled. A world keeps the number of states small by leaving out of its `moves` those that make no
+difference to its checks.
 """
 
 from __future__ import annotations
@@ -16,26 +17,31 @@
 
 
 class World(Protocol):
-    """A state that can be pickled and moved on in place."""
+    """A state that can be pickled; a move changes it in place."""
 
     def moves(self) -> Sequence[Move]:
-        """All that can happen next."""
+        """Return the moves that are possible in this state."""
 
     def make(self, move: Move) -> None:
-        """Let one thing happen."""
+        """Make one move: change the state in place."""
 
     def key(self) -> Hashable:
-        """What tells two states apart; equal keys go on alike."""
+        """Return the key of the state; states with equal keys behave alike from here on."""
 
     def wrong(self) -> str | None:
-        """What must not be so and is, in words."""
+        """Return a description of the violation in this state; None if there is none."""
 
 
-class Walked(NamedTuple):
-    """`states`, how many were looked at; `depth`, how many moves deep all of them.
+class ExplorationResult(NamedTuple):
+    """The result of an exploration.
 
-    `whole`, whether nothing was left out for want of room; `found`, the first wrong thing with the
-    way to it.
+    Attributes:
+        states: How many different states were seen.
+        depth: The number of moves within which all states were checked; with a violation, the
+            number of moves that lead to it.
+        whole: Whether the exploration ended before the limit on states was reached.
+        found: A description of the first violation; None if none was found.
+        way: The moves from the start to the violation.
     """
 
     states: int
@@ -45,24 +51,29 @@
     way: tuple[Move, ...]
 
     def script(self) -> str:
-        """The way as lines, for people and for the rig."""
+        """Return the moves to the violation, one a line."""
         return "\n".join(" ".join(map(str, move)) for move in self.way)
 
 
 def walked(
-    start: World, depth: int, most: int = 10**6, every: Callable[[int], None] | None = None
-) -> Walked:
-    """Walk until something is wrong, nothing is new, `depth` moves are made or `most` states are
-    seen.
+    start: World, depth: int, max_states: int = 10**6, on_level: Callable[[int], None] | None = None
+) -> ExplorationResult:
+    """Explore the states that can be reached from a start.
+
+    Args:
+        start: The world to start from.
+        depth: How many moves to make from the start at most.
+        max_states: How many states may be seen before the exploration stops.
+        on_level: Called after each level of moves with the number of states seen.
     """
     first = pickle.dumps(start, -1)
     seen: dict[bytes, tuple[bytes, Move] | None] = {digest(start.key()): None}
     frontier = [(first, digest(start.key()))]
-    if (wrong := start.wrong()) is not None:
-        return Walked(1, 0, True, wrong, ())
+    if (violation := start.wrong()) is not None:
+        return ExplorationResult(1, 0, True, violation, ())
     for level in range(1, depth + 1):
-        later: list[tuple[bytes, bytes]] = []
-        for data, at in frontier:
+        next_frontier: list[tuple[bytes, bytes]] = []
+        for data, previous in frontier:
             moves = pickle.loads(data).moves()
             for move in moves:
                 world = pickle.loads(data)
@@ -70,42 +81,55 @@
                 name = digest(world.key())
                 if name in seen:
                     continue
-                seen[name] = at, move
-                if (wrong := world.wrong()) is not None:
-                    return Walked(len(seen), level, True, wrong, way(seen, name))
-                if len(seen) >= most:
-                    return Walked(len(seen), level - 1, False, None, ())
-                later.append((pickle.dumps(world, -1), name))
-        if every is not None:
-            every(len(seen))
-        if not later:
-            return Walked(len(seen), level, True, None, ())
-        frontier = later
-    return Walked(len(seen), depth, True, None, ())
+                seen[name] = previous, move
+                if (violation := world.wrong()) is not None:
+                    return ExplorationResult(
+                        len(seen), level, True, violation, moves_to(seen, name)
+                    )
+                if len(seen) >= max_states:
+                    return ExplorationResult(len(seen), level - 1, False, None, ())
+                next_frontier.append((pickle.dumps(world, -1), name))
+        if on_level is not None:
+            on_level(len(seen))
+        if not next_frontier:
+            return ExplorationResult(len(seen), level, True, None, ())
+        frontier = next_frontier
+    return ExplorationResult(len(seen), depth, True, None, ())
 
 
 def from_all(
-    names: Iterable[str], begun: Callable[[str], World], depth: int, most: int
+    names: Iterable[str], start_world: Callable[[str], World], depth: int, max_states: int
 ) -> tuple[int, str | None]:
-    """States walked from each start by its name, and the first wrong thing with its start and
-    way.
+    """Explore from each start in turn until a violation is found.
+
+    Args:
+        names: The names of the starts.
+        start_world: Returns the world of a start.
+        depth: How many moves to make from each start at most.
+        max_states: How many states may be seen from one start.
+
+    Returns:
+        How many states were seen, and the first violation with its start and the moves to it.
     """
     states = 0
     for name in names:
-        walk = walked(begun(name), depth, most)
-        states += walk.states
-        if walk.found:
-            return states, f"{name}: {walk.found}\n{walk.script()}"
+        result = walked(start_world(name), depth, max_states)
+        states += result.states
+        if result.found:
+            return states, f"{name}: {result.found}\n{result.script()}"
     return states, None
 
 
 def digest(key: Hashable) -> bytes:
-    """Return what a state is remembered by."""
+    """Return the digest of a state's key, which stands for the state once it was seen."""
     return blake2b(repr(key).encode(), digest_size=12).digest()
 
 
-def way(seen: dict[bytes, tuple[bytes, Move] | None], name: bytes) -> tuple[Move, ...]:
-    """Return the moves from the start to a state, by the digests of those before it."""
+def moves_to(seen: dict[bytes, tuple[bytes, Move] | None], name: bytes) -> tuple[Move, ...]:
+    """Return the moves from the start to a state.
+
+    `seen` has the digest of the state before each state and the move between the two.
+    """
     moves: list[Move] = []
     while (step := seen[name]) is not None:
         name = step[0]
--- a/gullyoke/model_checking/key_ledger.py
+++ b/gullyoke/model_checking/key_ledger.py
@@ -1,7 +1,7 @@
 """Explores every order of events around one idempotency key, with all guards and without each.
 
-The world is gullyoke/model_checking/key_ledger_world.py. A mutant takes one guard out of the rules;
-that the exploration then finds a violation shows that it can.
+The world is gullyoke/model_checking/key_ledger_world.py. A mutant removes one guard from the rules.
+The exploration must then find a violation, which shows that it can detect the missing guard.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class Exploration(NamedTuple):
-    """How many states were looked at, and the violation that was found with the way to it."""
+    """How many states were seen, and the first violation with the moves to it."""
 
     states: int
     violation: str | None
@@ -48,23 +48,23 @@
 def _run_before_record() -> contextlib.AbstractContextManager[object]:
     take = KeyLedgerWorld.take
 
-    def take_at_once(self: KeyLedgerWorld, command: Command) -> None:
+    def run_at_once(self: KeyLedgerWorld, command: Command) -> None:
         take(self, command)
         if isinstance(command, RecordWrite) and _is_write_of(command, RunPhase.STARTED):
             take(self, self.ledger.write_finished(self.now, command, True))
 
-    return mock.patch.object(KeyLedgerWorld, "take", take_at_once)
+    return mock.patch.object(KeyLedgerWorld, "take", run_at_once)
 
 
 def _report_before_recorded_end() -> contextlib.AbstractContextManager[object]:
     take = KeyLedgerWorld.take
 
-    def take_at_once(self: KeyLedgerWorld, command: Command) -> None:
+    def report_at_once(self: KeyLedgerWorld, command: Command) -> None:
         take(self, command)
         if _is_write_of(command, RunPhase.ENDED):
             self.carry_out(LedgerAction(ActionKind.REPORT_END, KEY))
 
-    return mock.patch.object(KeyLedgerWorld, "take", take_at_once)
+    return mock.patch.object(KeyLedgerWorld, "take", report_at_once)
 
 
 def _unknown_may_run() -> contextlib.AbstractContextManager[object]:
@@ -78,7 +78,7 @@
 def _late_write_runs() -> contextlib.AbstractContextManager[object]:
     finish_write = KeyLedger._finish_write
 
-    def revive(
+    def finish_abandoned(
         self: KeyLedger, now_us: int, write: RecordWrite, persisted: bool
     ) -> LedgerRow | None:
         row = finish_write(self, now_us, write, persisted) or self.rows.get(write.key)
@@ -86,7 +86,7 @@
             row.stage = KeyStage.RECORDING_START
         return row
 
-    return mock.patch.object(KeyLedger, "_finish_write", revive)
+    return mock.patch.object(KeyLedger, "_finish_write", finish_abandoned)
 
 
 def _writes_out_of_order() -> contextlib.AbstractContextManager[object]:
@@ -111,13 +111,13 @@
     return mock.patch.object(KeyLedger, "drop_results", drop_records)
 
 
-# By the guard that each takes out.
+# By the guard that each mutant removes.
 MUTANTS: Final[dict[str, Mutant]] = {
     "a record is durable before its run": _run_before_record,
-    "an end is durable before its answer": _report_before_recorded_end,
-    "what may have run does not run": _unknown_may_run,
-    "a late write starts nothing": _late_write_runs,
-    "writes stay in order": _writes_out_of_order,
+    "an end is durable before it is reported": _report_before_recorded_end,
+    "a request that may have run does not run again": _unknown_may_run,
+    "a late write starts no run": _late_write_runs,
+    "writes finish in order": _writes_out_of_order,
     "a record stays when its result is dropped": _record_dropped_with_result,
 }
 
@@ -128,7 +128,7 @@
     policy: UndurablePolicy = UndurablePolicy.REJECT,
     max_states: int = MAX_STATES,
 ) -> Exploration:
-    """Explore the world to a depth, with one guard taken out or none."""
+    """Explore the world to a depth, with one guard removed or none."""
     with MUTANTS[mutant]() if mutant else contextlib.nullcontext():
         exploration = walked(KeyLedgerWorld(policy=policy), depth, max_states)
     return Exploration(
