--- a/gullyoke/emulator/__init__.py
+++ b/gullyoke/emulator/__init__.py
@@ -1,6 +1,6 @@
-"""A discrete-event model of a fleet that drives the same decisions through the port.
+"""A discrete-event model of a fleet, which runs the real admission controller on simulated servers.
 
-For trying changes and drawing charts, not for the daemon: it and what it imports are the extra
-`lab`. Times are whole microseconds; a day and all chance in it come from one seed, so the same seed
-is the same day.
+It serves to evaluate changes and to draw charts and is not part of the daemon: its dependencies are
+the extra `lab`. Times are whole microseconds. All randomness of a day comes from one seed, so the
+same seed gives the same day.
 """
--- a/gullyoke/emulator/baselines.py
+++ b/gullyoke/emulator/baselines.py
@@ -1,4 +1,4 @@
-"""Policies to compare the decisions with: a plain worker pool, and strict priority by value."""
+"""Policies for comparison: a plain worker pool, and strict priority by value."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class PlainPool:
-    """A fixed number of runs and a queue with a fixed length, as many servers have them.
+    """A fixed number of concurrent runs and a queue of bounded length, as in many servers.
 
-    Called as `AdmissionController` is. A queued request whose deadline is near fails at the next
-    tick; runs are never stopped, and calls are bound by the deadline alone.
+    It has the entry points of `AdmissionController`. A queued request whose deadline comes before
+    the next tick fails; runs are never stopped, and calls are bound by the deadline alone.
 
     Args:
-        executor: What carries out the decisions.
+        executor: Carries out the decisions.
         max_running: Requests that run at once.
         max_queued: Requests that wait for a run.
-        by_value: Whether the most valuable request goes first, and not the one that came first.
+        by_value: Whether the request with the highest priority weight runs first, not the oldest.
     """
 
     def __init__(
@@ -39,11 +39,11 @@
         self.by_value = by_value
         self.running = 0
         self.queue: deque[Request] = deque()
-        self.open_requests: dict[Request, None] = {}  # in their order
+        self.open_requests: dict[Request, None] = {}  # in order of arrival
         executor.schedule_tick(TICK_US)
 
     def on_request(self, now: int, request: Request) -> None:
-        """Queue the request; where the queue is full, reject it or one that is worth less."""
+        """Queue the request; when pool and queue are full, reject it or one worth less."""
         if len(self.queue) >= self.max_queued and self.running >= self.max_running:
             victim = self._least_valuable(request)
             self.executor.execute(victim, Reject())
@@ -55,14 +55,14 @@
         self.queue.append(request)
 
     def _least_valuable(self, newcomer: Request) -> Request:
-        """Return the queued request that is worth less than the newcomer, or the newcomer."""
+        """Return the newcomer or, with `by_value`, a queued request that is worth less."""
         if not self.by_value or not self.queue:
             return newcomer
         queued = min(self.queue, key=_value)
         return newcomer if _value(queued) >= _value(newcomer) else queued
 
     def on_event(self, now: int, request: Request, event: RequestEvent) -> None:
-        """Take the end of a run, or make the call that it needs; a failed call fails the run."""
+        """End a run or make the dependency call that it needs; a failed call fails the run."""
         if event in (RequestEvent.COMPLETED, RequestEvent.FAILED):
             self._end_run(request)
         elif event is RequestEvent.DEPENDENCY_CALL_NEEDED:
@@ -97,7 +97,7 @@
             self.executor.execute(request, RUN)
 
     def begin_drain(self, now: int, stop_at: int) -> None:
-        """Do nothing: a plain pool does not know of drains."""
+        """Do nothing: a plain pool does not support drains."""
 
 
 def _value(request: Request) -> float:
--- a/gullyoke/emulator/beside.py
+++ b/gullyoke/emulator/beside.py
@@ -1,7 +1,7 @@
-"""Servers of the model that tell each other how they stand and share the dependency's slots.
+"""Simulated servers that exchange load reports and share the dependency's slots.
 
-The same modules as on sockets, with delay, loss and cuts between them. All figures from here are
-simulated.
+They run the same coordination modules as real servers, over a network with delay, loss and
+partitions. All figures from here are simulated.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
     16,
     5,
     0.25,
-)  # who hears a signal; who lends; the part that is one's own by right
+)  # receivers of a load report; lenders; the share of the limit that needs no lease
 
-Cut = Callable[[int, int, int], bool]  # whether what one sends another at a time is lost
+Cut = Callable[[int, int, int], bool]  # (time, sender, receiver): whether the message is lost
 
 
 class Peer:
-    """What one node has of the others."""
+    """The coordination state of one node."""
 
     def __init__(self, beside: Beside, node: Node, below: DependencyFacts, fleet: Fleet) -> None:
         self.beside, self.node, self.count = beside, node, 0
@@ -68,12 +68,12 @@
                 below.quota_window,
             )
             self.own = below.slots = MeanConcurrencyPart(part, below.linger, below.quota_window)
-        # Those who were there at the start know each other, as after a while of running.
+        # Nodes that exist at the start know each other, as they do after running for a while.
         node.fleet.at(chance.randrange(TURN), self.turn)
         node.fleet.at(chance.randrange(SECOND), self.look)
 
     def look(self) -> None:
-        """Once a second: how this one stands, told to some, and what the others told."""
+        """Once a second: assess the own load against received reports, and send a report."""
         node, now = self.node, self.node.fleet.now()
         if not node.up or now > node.fleet.last:
             return
@@ -104,9 +104,11 @@
             )
 
     def hear_word(self, sender: int, count: int, word: int) -> None:
+        """Take a load report of another node."""
         self.heard.take(self.node.fleet.now(), sender, count, word)
 
     def turn(self) -> None:
+        """Advance the quota participant and send its messages; repeats every TURN."""
         now = self.node.fleet.now()
         if self.own is None or not self.node.up or now > self.node.fleet.last:
             return
@@ -115,10 +117,12 @@
             self.post(letter, -1)
 
     def post(self, letter: AddressedQuotaMessage, asker: int) -> None:
+        """Send a quota message; `asker` is the node that it answers, or -1."""
         to, me = asker if letter.to == Recipient.REQUESTER else int(letter.lender), self.node.number
         self.beside.send(me, to, lambda peer: peer.hear_letter(me, letter.message))
 
     def hear_letter(self, sender: int, message) -> None:
+        """Handle a quota message and send the reply, if any."""
         if self.own is not None:
             answer = self.own.handle(self.node.fleet.now(), message)
             if answer is not None:
@@ -126,11 +130,12 @@
 
 
 class Beside:
-    """An arm: which parts are on.
+    """The coordination of a simulated fleet, with a choice of features and faults.
 
-    `loss` of what they send, `cut` as a function of time and two numbers, `liar` the number of one
-    that says it has all room there is. `largest`: the largest fleet stated for shares. `frozen`:
-    from when on all signals stay as they were.
+    `signals`, `shares`: whether load reports are acted on and slots are shared. `loss`: probability
+    that a message is lost; `cut`: partitions; `liar`: the number of a node that always reports no
+    load. `largest`: the configured maximum fleet size for shares, 0 for the true one. `frozen`:
+    time from which on all load reports keep their values, 0 for never.
     """
 
     def __init__(
@@ -154,20 +159,22 @@
         self.peers[node.number] = Peer(self, node, below, fleet)
 
     def neighbours(self, number: int) -> list[int]:
-        """Whom one tells: the same few for a while, as members observe each other."""
+        """Return the nodes that get reports of this one, unchanged while the same nodes are up."""
         there = [n for n, peer in self.peers.items() if peer.node.up and n != number]
         chance = random.Random(number * 7919 + len(there))
         return chance.sample(there, min(PEERS, len(there)))
 
     def lie(self, number: int, word: int) -> int:
+        """Return the report that node `number` sends in place of the true one, after faults."""
         if number == self.liar:
             return LoadReport(1.0, 0.0, 0.0, ServingStage.WARM).pack()
         now = self.peers[number].node.fleet.now()
-        if self.frozen and now >= self.frozen:  # all reporters are stuck at what they said then
+        if self.frozen and now >= self.frozen:  # repeats the first report after that time
             return self.words.setdefault(number, word)
         return word
 
     def send(self, from_: int, to: int, act: Callable[[Peer], None]) -> None:
+        """Call `act` on the receiver after a random delay, unless the message is lost."""
         there = self.peers.get(to)
         if there is None or not there.node.up:
             return
@@ -178,5 +185,5 @@
 
 
 def playing(day, beside: Beside | None) -> Running:
-    """A day on the module's decisions, with the others' word or without."""
+    """Return a simulation without class pools, coordinated if `beside` is given."""
     return Running(day, deciding(False, beside=beside) if beside else deciding(False))
--- a/gullyoke/emulator/bound.py
+++ b/gullyoke/emulator/bound.py
@@ -1,10 +1,11 @@
-"""The best that any policy could earn on a day: a planner that sees all of it, as a relaxation.
+"""An upper bound on the value that any policy can earn on a day.
 
-What is relaxed, each of which can only raise the value: the fleet's cores are one; a req may be
-served in part, in any order, put down and taken up; crowding costs nothing; memory is not counted;
-only what is served needs reading; a call may take its slots' time in the slot of its run or, with
-the slots doubled, the next. What stays: when a req comes, its target and timeout, its own work, the
-work of the cores in each slot. Solved by HiGHS through scipy.
+A planner that knows the whole day solves a linear program with HiGHS through scipy. Relaxations,
+each of which can only raise the value: all cores of the fleet are pooled; a request may be served
+in part, in any order, and be preempted and resumed; crowding costs nothing; memory is not counted;
+only requests that are served need reading; a dependency call may use slot time in the time slot of
+its run or, with the slots doubled, in the next. Kept: each request's arrival, target, timeout and
+work, and the work that the cores can do in each time slot.
 """
 
 from __future__ import annotations
@@ -19,20 +20,21 @@
 
 
 class Bound(NamedTuple):
-    """The bound on the value earned, by class the value in the plan, and the value offered."""
+    """The bound on the value earned, the planned value by class, and the value offered."""
 
     value: float
     by_class: list[float]
     offered: float
 
     def share(self) -> float:
+        """Return the bound as a share of the value offered."""
         return self.value / max(1e-9, self.offered)
 
 
 def room(day: Day, slot: int, count: int) -> np.ndarray:
-    """The work that all cores do in each slot, by the speeds of the day.
+    """Return the work that all cores can do in each time slot, given the day's speed changes.
 
-    Servers that leave count on, which only raises the bound.
+    Servers that leave are still counted, which can only raise the bound.
     """
     m, out = day.machines, np.zeros(count)
     changes = [(0, 1.0), *sorted(m.speeds)]
@@ -44,12 +46,12 @@
 
 
 def bound(day: Day, slot: int = 500_000, sizes: bool = True) -> Bound:
-    """The planner's bound on a day, in slots of so many microseconds.
+    """Return the planner's bound on a day, with time slots of `slot` microseconds.
 
-    A slot counts for a req if any part of it lies between its arrival and its end, so wide slots
-    only raise the bound. Without `sizes` each req is taken to be as large as its class's mean: no
-    bound on a day, but what a planner that can't know them may expect, for reading what knowledge
-    is worth. Raises `ArithmeticError` where the solver gives up.
+    A request may use a time slot if any part of the slot lies between its arrival and its timeout,
+    so wide slots can only raise the bound. Without `sizes` each request has the mean work of its
+    class: that is no bound on the day, but the value that a planner without knowledge of the sizes
+    may expect. Raises `ArithmeticError` if the solver fails.
     """
     if not day.arrivals:
         return Bound(0.0, [0.0] * len(day.works), 0.0)
--- a/gullyoke/emulator/cores.py
+++ b/gullyoke/emulator/cores.py
@@ -1,4 +1,4 @@
-"""Cores shared by all that runs on them: equal parts, less in all past some crowd."""
+"""Processor sharing on a server's cores, with a loss of throughput when they are crowded."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Cores:
-    """Processor sharing by one virtual time: each job ends when that has moved on by its work.
+    """Processor sharing by virtual time: a job ends when virtual time has advanced by its work.
 
-    `at` is called with a delay and an act: it is the model's clock; `now()` its time. Table: the
-    heap, left by each job at its end.
+    `at(delay, act)` schedules an action on the simulated clock and `now()` returns its time. The
+    heap holds the jobs that run; each is removed when it ends.
     """
 
     def __init__(
@@ -28,13 +28,13 @@
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.count = itertools.count()
         self.done = 0.0  # work done so far
-        self.weighted, self.busy = 0.0, 0.0  # integrals over time: jobs there, cores busy
+        self.weighted, self.busy = 0.0, 0.0  # integrals over time: jobs running, cores busy
 
     def __len__(self) -> int:
         return len(self.heap)
 
     def rate(self) -> float:
-        """Work that each job gets in a microsecond."""
+        """Return the work that each job gets in a microsecond."""
         n = len(self.heap)
         if not n:
             return 0.0
@@ -42,7 +42,7 @@
         return self.speed * min(1.0, self.cores / n) / (1 + self.loss * over)
 
     def catch_up(self) -> None:
-        """Bring the virtual time and the integrals up to now."""
+        """Advance the virtual time and the integrals to the present."""
         now = self.now()
         span, rate = now - self.last, self.rate()
         self.virtual += span * rate
@@ -52,11 +52,13 @@
         self.last = now
 
     def add(self, work: float, ended: Callable[[], None]) -> None:
+        """Start a job of `work` core microseconds and call `ended` when it is done."""
         self.catch_up()
         heapq.heappush(self.heap, (self.virtual + work, next(self.count), ended))
         self._next()
 
     def set_speed(self, speed: float) -> None:
+        """Change the speed of all cores from now on."""
         self.catch_up()
         self.speed = speed
         self._next()
--- a/gullyoke/emulator/day.py
+++ b/gullyoke/emulator/day.py
@@ -1,6 +1,6 @@
-"""A day: who asks what and when, and on what machines.
+"""A day: the arrivals of requests, the fleet, its clients and its dependency.
 
-Drawn by numpy's generator; all arms see the same.
+Days are drawn by numpy's generator; all policies under comparison get the same day.
 """
 
 from __future__ import annotations
@@ -15,10 +15,11 @@
 
 
 class Work(NamedTuple):
-    """A class of work.
+    """A class of work; times are in microseconds.
 
-    `work` is its mean time on a core of speed 1, drawn lognormal with `cv`; times in microseconds;
-    `calls` whether each run calls below once; `window`, of its keys where it is uniqued.
+    `work` is the mean time on a core of speed 1, drawn lognormal with the coefficient of variation
+    `cv`. `calls`: whether each run calls the dependency once. `window`: the window of the
+    idempotency keys, 0 without keys.
     """
 
     name: str
@@ -34,6 +35,7 @@
     window: int = 0
 
     def request_class(self) -> RequestClass:
+        """Return the request class that the admission controller gets for this work."""
         return RequestClass(
             self.name,
             self.target,
@@ -49,15 +51,15 @@
 
 
 class Machines(NamedTuple):
-    """The fleet: so many servers alike.
-
-    `crowd_at` running a core is where loss begins, `loss` how much each further one a core costs;
-    `reading` is work; `speeds` are changes of all cores' speed, (time, speed); `fresh` is whether
-    they start cold, at a quarter of their speed, warm after 10 s. `slow`: this share of them has
-    half the speed. `leave`: at a time this share of those there has notice to leave, of which
-    callers learn 2 s later; `join`: at a time so many more start, cold. `links`: connections that
-    one takes; `handshake`: work for a new one. `told`: the size that all are told, where it is
-    another.
+    """The fleet: a number of servers of one kind.
+
+    `crowd_at`: running jobs a core above which throughput is lost; `loss`: the loss for each
+    further job a core. `reading`: work to read a request. `speeds`: changes of the speed of all
+    cores, (time, speed). `fresh`: whether the servers start cold, at a quarter of their speed, and
+    are warm after 10 s. `slow`: the share of servers that have half the speed. `leave`: (time,
+    share) of the servers that get notice to leave, of which gateways learn 2 s later. `join`:
+    (time, count) of servers that start cold. `links`: connections that a server accepts, 0 for no
+    limit; `handshake`: work for a new one. `told`: the configured fleet size, 0 for the true size.
     """
 
     servers: int = 1
@@ -80,10 +82,10 @@
 
 
 class Shared(NamedTuple):
-    """What all servers call below: `slots` at once, `span` each; it takes longer when crowded.
+    """The dependency of all servers: `slots` calls at once, `span` each, longer when crowded.
 
-    `survives`: more than so many in hand, in the mean of 5 s, and it is down for good; 0: it bears
-    any number. `slower`: from, to, and how many times `span` it takes there.
+    `survives`: if the mean number of open calls over 5 s exceeds this, it fails for good; 0 for no
+    limit. `slower`: start, end, and the factor by which calls take longer between them.
     """
 
     slots: int
@@ -95,10 +97,10 @@
 class Callers(NamedTuple):
     """Gateways and the clients behind them.
 
-    Further tries after sheds and errors, whether these are marked, the share that heeds advice, and
-    the pause before a further try. `count` of them, the busiest first by `skew` (Zipf's exponent);
-    `by_subject`: each has a server that it asks first; `idle`: microseconds for which they keep a
-    connection.
+    `tries`: retries after rejects and errors; `marked`: whether retries are marked as such; `heed`:
+    the share that obeys retry advice; `pause`: microseconds before a retry. `count`: the number of
+    callers, the busiest first by `skew` (Zipf's exponent). `by_subject`: whether each prefers one
+    server. `idle`: microseconds for which they keep an idle connection.
     """
 
     tries: int = 1
@@ -112,7 +114,7 @@
 
 
 class Day(NamedTuple):
-    """`arrivals`: rows of time, class, work, and the number of its caller, in the order of time."""
+    """A day; `arrivals` has rows of time, class, work and caller number, ordered by time."""
 
     works: tuple[Work, ...]
     machines: Machines
@@ -124,14 +126,14 @@
 
 
 def capacity(machines: Machines) -> float:
-    """Work that the fleet does in a microsecond, uncrowded, at speed 1."""
+    """Return the work that the fleet does in a microsecond, uncrowded, at speed 1."""
     return float(machines.servers * machines.cores) * (1 - machines.slow / 2)
 
 
 def later(day: Day, lead: int) -> Day:
-    """The same day after a time in which nobody asks.
+    """Return the same day shifted by `lead` microseconds without requests.
 
-    What is among the servers has come together then.
+    The servers' coordination settles during that time.
     """
     m, shared = day.machines, day.shared
     if shared and shared.slower:
@@ -162,11 +164,11 @@
     burst: tuple[int, int, float] | None = None,
     silent: tuple[int, int] | None = None,
 ) -> Day:
-    """A day at `load` times what the cores can do, Poisson arrivals.
+    """Draw a day with Poisson arrivals at `load` times the capacity of the cores.
 
-    `swing`: every so many microseconds the shares are turned round among the classes. `burst`:
-    from, to, and how many times the rate there. `silent`: this class's number says nothing before
-    this time, then comes with ten times its share.
+    `swing`: the interval in microseconds at which the shares rotate among the classes. `burst`:
+    start, end, and the factor on the rate between them. `silent`: (class number, time); the class
+    has no requests before that time and ten times its share after it.
     """
     chance = np.random.default_rng(seed)
     base = np.array([w.share for w in works], dtype=float)
--- a/gullyoke/emulator/duty.py
+++ b/gullyoke/emulator/duty.py
@@ -1,7 +1,8 @@
-"""Duties without sockets.
+"""A simulation of singleton tasks (duties) without sockets.
 
-Voters with disks, candidates with clocks of their own, and a network that loses, delays, doubles
-and cuts; a resource that takes acts by their epoch. All figures from here are simulated.
+It has voters with disks, candidates with independent clocks, a network that loses, delays and
+duplicates messages and can be partitioned, and a resource that admits actions by their epoch. All
+figures from here are simulated.
 """
 
 from __future__ import annotations
@@ -35,11 +36,11 @@
 
 
 class Play:
-    """Members m0 and on, the first of them voters.
+    """A simulation with members `m0`, `m1` and so on, the first of which are voters.
 
-    `deaf`: members whose messages are lost on the way out or in; `ill`: those whose disks fail;
-    `slow`: a resource's acts stay on their way for up to so long. `most`: how many held it at once
-    at the most.
+    `deaf`: pairs of a member and the direction, `in` or `out`, in which its messages are lost.
+    `ill`: members whose disks fail. `slow`: the maximum delay of an action to the resource. `most`:
+    the maximum number of simultaneous lease holders.
     """
 
     def __init__(
@@ -66,9 +67,11 @@
     # Processes.
 
     def time(self, name: str) -> int:
+        """Return a member's local clock."""
         return self.offsets[name] + int(self.now * self.rates[name])
 
     def start(self, name: str) -> None:
+        """Start or restart a member with a new incarnation."""
         self.up.add(name)
         self.paused.pop(name, None)
         self.starts[name] += 1
@@ -83,26 +86,29 @@
         self.after(self.chance.randrange(TURN), self.turn, name, self.starts[name])
 
     def vote(self, name: str, life: int, now: int) -> None:
+        """Make a member's voter from the promises on its disk."""
         others, disk = [n for n in self.set if n != name], self.disks[name]
         self.voters[name] = Voter(
             now, name, life, others, self.spans, None if disk is None else dict(disk), self.number
         )
 
     def kill(self, name: str) -> None:
+        """End the process of a member."""
         self.up.discard(name)
 
     def wipe(self, name: str) -> None:
-        """Its folder is lost, and it starts anew."""
+        """Lose a member's disk and restart it."""
         self.disks[name] = None
         self.start(name)
 
     def pause(self, name: str, span: int) -> None:
+        """Suspend a member for `span` microseconds."""
         self.paused[name] = self.now + span
 
     def set_voters(self, names: list[str]) -> None:
-        """One voter more or fewer, taken over by each at a moment of its own.
+        """Change the set of voters; each member adopts it after a random delay.
 
-        A new one starts with nothing.
+        A new voter starts with an empty disk.
         """
         self.number += 1
         old, self.set = self.set, list(names)
@@ -110,6 +116,7 @@
             self.after(self.chance.randrange(SECOND), self.take_set, name, old)
 
     def take_set(self, name: str, old: list[str]) -> None:
+        """Make a member adopt the present set of voters."""
         one = self.candidates[name]
         one.set_voters(self.time(name), self.set, self.number)
         if name in self.set and name not in old:
@@ -120,12 +127,14 @@
         else:
             self.voters.pop(name, None)
 
-    # The model's clock.
+    # The simulated clock.
 
     def after(self, span: int, act: Callable, *given: object) -> None:
+        """Schedule an action after `span` microseconds."""
         heapq.heappush(self.queue, (self.now + span, next(self.count), act, given))
 
     def run(self, until: int) -> None:
+        """Run all events until that time, and record the maximum number of holders."""
         while self.queue and self.queue[0][0] <= until:
             self.now, _, act, given = heapq.heappop(self.queue)
             act(*given)
@@ -133,6 +142,7 @@
         self.now = until
 
     def turn(self, name: str, starts: int) -> None:
+        """Advance a member: tick, send messages and perhaps act; repeats every TURN."""
         if name not in self.up or self.starts[name] != starts:
             return
         if self.paused.get(name, 0) > self.now:
@@ -148,8 +158,8 @@
         self.post(name, one.tick(now))
         epoch = one.held_epoch(now)
         if epoch is not None and self.chance.random() < TURN / ACT:
-            # On its way it may be for as long as it likes: the process may stall between looking
-            # and acting.
+            # The delay is not bounded by the lease: the process may stall between checking the
+            # lease and acting.
             self.after(
                 self.chance.randrange(1, max(2, self.slow)),
                 self.act,
@@ -160,10 +170,12 @@
         self.after(TURN, self.turn, name, starts)
 
     def act(self, epoch: int, life: int, came: int) -> None:
+        """Let the resource admit or refuse an action by its epoch, and record the action."""
         taken = self.fence.admit(DUTY, epoch, life)
         self.acts.append(Act(came / 1e6, self.now / 1e6, DUTY, epoch, str(life), taken))
 
     def post(self, from_: str, posts: list[AddressedMessage]) -> None:
+        """Send messages with loss, delay and duplication."""
         for to, message in posts:
             if (
                 self.chance.random() < self.loss
@@ -175,6 +187,7 @@
                 self.after(self.chance.randrange(200, 5_000), self.come, from_, to, message)
 
     def come(self, from_: str, to: str, message: object) -> None:
+        """Deliver a message and send the replies; a paused member gets it when it resumes."""
         if to not in self.up:
             return
         if self.paused.get(to, 0) > self.now:
@@ -195,6 +208,7 @@
     def voted(
         self, now: int, from_: str, to: str, voter: Voter, message: object
     ) -> list[AddressedMessage]:
+        """Handle a message to a voter and return the replies that are ready at once."""
         if isinstance(message, PreVote):
             return [AddressedMessage(from_, voter.answer_pre_vote(now, message))]
         if isinstance(message, LeaseRequest):
@@ -218,8 +232,9 @@
         return []
 
     def synced(self, from_: str, to: str, voter: Voter, write: PromiseWrite) -> None:
-        """The disk has spoken; a process that ended meanwhile hears nothing of it, and its disk may
-        have it.
+        """Finish a disk write and send the vote.
+
+        A process that ended meanwhile gets no result, though its disk may hold the write.
         """
         durable = to not in self.ill
         if durable or self.chance.random() < 0.5:
@@ -228,10 +243,10 @@
             said = voter.write_finished(self.time(to), write, durable)
             self.post(to, [AddressedMessage(from_, said)] if said is not None else [])
 
-    # Faults, and what is asked.
+    # Faults and queries.
 
     def trouble(self, span: int) -> None:
-        """Everything at once for so long, never a majority of disks lost."""
+        """Inject random faults of all kinds for `span` microseconds; at most one disk is lost."""
         chance, until, wiped = self.chance, self.now + span, 0
         while self.now < until:
             self.run(self.now + chance.choice((1, 3)) * SECOND // 2)
@@ -256,6 +271,7 @@
                 self.wipe(name)
 
     def heal(self) -> None:
+        """End all faults and start the members that are down."""
         self.deaf.clear()
         self.ill.clear()
         self.paused.clear()
@@ -265,12 +281,13 @@
                 self.start(name)
 
     def pass_to(self, name: str, to: str) -> None:
+        """Let a member offer its lease to another."""
         self.post(name, self.candidates[name].offer_handover(self.time(name), to))
 
     def holders(self) -> list[str]:
-        """Who may act at this moment, by its own clock; one that stands still may not.
+        """Return the running members that hold the lease by their own clocks.
 
-        It asks when it wakes.
+        Paused members are included.
         """
         return [
             name
@@ -279,4 +296,5 @@
         ]
 
     def epochs(self) -> int:
+        """Return the highest epoch of an action that the resource admitted."""
         return max((act.epoch for act in self.acts if act.taken), default=0)
--- a/gullyoke/emulator/fleet.py
+++ b/gullyoke/emulator/fleet.py
@@ -1,6 +1,4 @@
-"""The fleet of a day: servers with their cores and decisions, what they call below, and their
-callers.
-"""
+"""The simulation of a day: servers with their admission controllers, a dependency and callers."""
 
 from __future__ import annotations
 
@@ -39,15 +37,16 @@
 LEARN, STOP = (
     2_000_000,
     4_000_000,
-)  # from the notice to leave: when callers know, and when it is over
-LIMITS, RESERVE = "limits", "reserve"  # pools with one part only, to see what each does
-COLD, WARM = 0.25, 10_000_000  # a fresh server's speed, and how long until it is warm
+)  # from the notice to leave until callers know, and until the server stops
+LIMITS, RESERVE = "limits", "reserve"  # class pools with one mechanism only, to measure its effect
+COLD, WARM = 0.25, 10_000_000  # speed of a fresh server, and time until it is warm
 
 
 class Told(NamedTuple):
-    """What a caller was answered at last, for one first try.
+    """The last answer to a request, over all its attempts.
 
-    The time, and `done`, `shed` or `errored`.
+    `at`: its time; `what`: `done`, `shed` or `errored`; `poorer`: whether the dependency call was
+    skipped.
     """
 
     at: int
@@ -56,9 +55,9 @@
 
 
 class Dependency:
-    """Slots; what finds none waits, first in first out, and each takes longer the more wait.
+    """The dependency: a number of slots and a FIFO queue; calls take longer the more of them wait.
 
-    It is `down` once it has had more in hand than it survives, in the mean of MEAN.
+    It is `down` for good once the mean number of open calls over MEAN exceeds `survives`.
     """
 
     def __init__(self, shared: Shared, now: Callable[[], int], at) -> None:
@@ -68,6 +67,7 @@
         self.calls = self.failed = 0
 
     def call(self, done: Callable[[bool], None]) -> None:
+        """Start or queue a call; `done` gets whether it succeeded."""
         self.calls += 1
         self._weigh()
         if self.down:
@@ -102,13 +102,13 @@
 
 
 class Asked(Request):
-    """A req in the model: its work, which first try it stands for, and where it is."""
+    """An attempt: a request with its work, its row in the arrivals and its progress."""
 
     __slots__ = ("answered_at", "call", "first", "left", "poorer", "read_at", "tries", "work")
 
 
 class Node:
-    """One server: the port's Door around the decisions that `make` gives."""
+    """A simulated server: the command executor of the admission controller that `make` returns."""
 
     def __init__(self, number: int, fleet: Running, make: Callable[[Node], object]) -> None:
         day, self.fleet, self.number = fleet.day, fleet, number
@@ -117,9 +117,9 @@
         self.unread: deque[Asked] = deque()
         self.reading, self.kb, self.worst_kb, self.worst_crowd = 0, 0.0, 0.0, 0.0
         self.busy, self.window, self.seen = 0.0, deque(maxlen=20), (0.0, 0.0)
-        # Spread evenly over the numbers: so many of any first few are slow.
+        # Slow servers are spread evenly over the numbers, so any prefix has its share of them.
         self.pace = 0.5 if int((number + 1) * m.slow) > int(number * m.slow) else 1.0
-        self.links: dict[int, int] = {}  # connections by caller, and when each was last used
+        self.links: dict[int, int] = {}  # by caller, when its connection was last used
         self.keeps, self.listed, self.up, self.good = day.callers.idle, True, True, True
         self.fresh = m.fresh or fleet.now() > 0
         self.server = None
@@ -131,6 +131,7 @@
             self.cores.set_speed(self.pace)
 
     def warm(self, so_far: int) -> None:
+        """Set the speed after `so_far` microseconds of warm-up and schedule the next step."""
         self.cores.set_speed(
             min(1.0, COLD + (1 - COLD) * so_far / WARM) * self.fleet.speed * self.pace
         )
@@ -138,7 +139,7 @@
             self.fleet.at(TICK, lambda: self.warm(so_far + TICK))
 
     def leave(self) -> None:
-        """Its notice; callers learn of it later, and then it is over."""
+        """Begin a drain; callers avoid the server after LEARN, and it is down after STOP."""
         now = self.fleet.now()
         self.server.begin_drain(now, now + STOP)
         self.server.dispatch(now)
@@ -148,9 +149,9 @@
     # Connections.
 
     def connected(self, caller: int) -> bool:
-        """Whether it has one with this caller now.
+        """Reuse or open a connection for a caller, and return whether there is one.
 
-        A new one costs work, and a full table takes none.
+        A new connection costs work and is refused when the table is full.
         """
         m, now = self.fleet.day.machines, self.fleet.now()
         if not m.links or now - self.links.get(caller, -(10**12)) < self.keeps:
@@ -166,9 +167,10 @@
         self.cores.add(m.handshake, lambda: None)
         return True
 
-    # Arrival and reading: one a core at a time.
+    # Arrival and reading; at most one request is read per core at a time.
 
     def arrive(self, request: Asked) -> None:
+        """Queue a request to be read."""
         self.unread.append(request)
         self._read()
 
@@ -189,16 +191,18 @@
         self._read()
 
     def held(self, kb: float) -> None:
+        """Add to the memory in use (negative: free it) and record the maximum."""
         self.kb += kb
         self.worst_kb = max(self.worst_kb, self.kb)
 
-    # The Door.
+    # The command executor.
 
     def execute(self, request: Asked, command) -> None:
+        """Carry out a command of the admission controller."""
         if command is RUN:
             self.held(request.memory_kb * (self.fleet.day.machines.blowup - 1))
             request.left = request.work
-            # A run that calls below does half of its work first.
+            # A run with a dependency call does half of its work before the call.
             first = request.work // 2 if request.call else request.work
             self.cores.add(first, lambda: self._ran(request, first))
         elif isinstance(command, CallDependency):
@@ -245,10 +249,12 @@
         self.fleet.at(try_for, lambda: end(RequestEvent.CALL_OUTCOME_UNKNOWN))
 
     def tell(self, request: Asked, word: RequestEvent) -> None:
+        """Report an event of a request to the admission controller."""
         self.server.on_event(self.fleet.now(), request, word)
         self.server.dispatch(self.fleet.now())
 
     def schedule_tick(self, after: int) -> None:
+        """Schedule the next tick after `after` microseconds."""
         self.fleet.at(after, self._wake)
 
     def _wake(self) -> None:
@@ -256,7 +262,7 @@
         span = self.fleet.day.machines.cores * TICK
         self.busy += (
             (self.cores.busy - self.seen[0]) / span - self.busy
-        ) / 3  # half a second old, about
+        ) / 3  # smoothed: about half a second behind
         self.window.append((self.cores.weighted - self.seen[1]) / span)
         self.seen = self.cores.busy, self.cores.weighted
         if len(self.window) == self.window.maxlen:
@@ -271,23 +277,25 @@
         self.server.dispatch(self.fleet.now())
 
     def set_health(self, good: bool, cheap: bool) -> None:
+        """Set whether callers see the server as healthy."""
         self.good = good
 
     def set_load_signal(self, level: float) -> None: ...
 
     def set_idle_timeout(self, span: int) -> None:
-        """Idle connections are closed here after so long."""
+        """Close idle connections after `span` microseconds, or earlier if callers do."""
         self.keeps = min(span, self.fleet.day.callers.idle)
 
     def log(self, text: str) -> None: ...
 
     def run_in_background(self, work) -> None:
+        """Run all steps of the work at once."""
         for _ in work:
             pass
 
 
 class Running:
-    """A day being played. `make(node)` gives each node its decisions."""
+    """The simulation of one day; `make(node)` returns the admission controller of a node."""
 
     def __init__(self, day: Day, make: Callable[[Node], object]) -> None:
         self.day, self.env, self.speed = day, simpy.Environment(), 1.0
@@ -296,11 +304,11 @@
         self.below = Dependency(day.shared, self.now, self.at) if day.shared else None
         self.request_classes = [w.request_class() for w in day.works]
         self.answers: list[Told | None] = [None] * len(day.arrivals)
-        self.away: dict[tuple[int, int], int] = {}  # until when a caller stays away from a server
+        self.away: dict[tuple[int, int], int] = {}  # until when a caller avoids a server
         self.heeds = self.chance.random(day.callers.count) < day.callers.heed
         self.sent = self.overdue = self.handshakes = self.unlinked = 0
         self.make, self.nodes = make, []
-        self.moves: dict[tuple[int, int], int] = {}  # tries by second and server, to see herds
+        self.moves: dict[tuple[int, int], int] = {}  # attempts by second and server
         for number in range(day.machines.servers):
             self.nodes.append(Node(number, self, make))
         for time, speed in day.machines.speeds:
@@ -312,32 +320,38 @@
         self.feed(0)
 
     def now(self) -> int:
+        """Return the simulated time in microseconds."""
         return int(self.env.now)
 
     def at(self, delay: int, act: Callable[[], None]) -> None:
+        """Schedule an action after `delay` microseconds."""
         self.env.timeout(delay).callbacks.append(lambda _: act())
 
     def set_speed(self, speed: float) -> None:
+        """Change the speed of all servers."""
         self.speed = speed
         for node in self.nodes:
             node.cores.set_speed(speed * node.pace)
 
     def shrink(self, share: float) -> None:
+        """Give a random `share` of the servers notice to leave."""
         there = [n for n in self.nodes if n.up and n.listed]
         for i in self.chance.permutation(len(there))[: int(share * len(there))]:
             there[i].leave()
 
     def grow(self, count: int) -> None:
+        """Start `count` more servers."""
         for _ in range(count):
             self.nodes.append(Node(len(self.nodes), self, self.make))
 
     def feed(self, i: int) -> None:
-        """Arrivals one after another, so that the model's heap stays small."""
+        """Schedule arrivals from row `i` on, one at a time to keep the event heap small."""
         if i < len(self.day.arrivals):
             wait = max(0, self.day.arrivals[i][0] - self.now())
             self.at(wait, lambda: (self.arrive(i, 1), self.feed(i + 1)))
 
     def arrive(self, i: int, tries: int, avoid: int = -1) -> None:
+        """Send attempt `tries` of arrival `i`, if possible not to the server `avoid`."""
         time, kind, work, caller = self.day.arrivals[i]
         request_class, now = self.request_classes[kind], self.now()
         node = self.chosen(caller, now, avoid)
@@ -378,9 +392,10 @@
         node.arrive(request)
 
     def chosen(self, caller: int, now: int, avoid: int) -> Node:
-        """Whom a caller asks: one of those that are listed, healthy, not avoided, and that it was
-        not told to stay away from; where it goes by subject its own, and else the next. Drawn a few
-        times before all are looked at, since the list may be long.
+        """Return a server for a caller: listed, healthy, and not one that the caller avoids.
+
+        By subject, the search begins at the caller's preferred server. Otherwise the choice is
+        random; in a large fleet a few draws come before a scan of all servers, which is slow.
         """
         nodes, away = self.nodes, self.away
         if self.day.callers.by_subject:
@@ -410,7 +425,7 @@
         return left[int(self.chance.integers(len(left)))]
 
     def told(self, request: Asked, node: Node, what) -> None:
-        """A try's final answer; a further try may follow."""
+        """Record the final answer to an attempt, and schedule a retry if one is due."""
         if request.answered_at:
             return
         request.answered_at = self.now()
@@ -431,18 +446,21 @@
             )
 
     def play(self) -> Result:
+        """Run the whole day and return its result."""
         self.env.run(until=self.last + 1)
         return result(self)
 
 
 class Result(NamedTuple):
-    """What a day came to.
-
-    By class: offered and earned value, and counts; times in microseconds to the answer of those
-    done; worst memory and crowd as a share of their limits; first tries without an answer, and
-    answers to what was read in time that came after its time. `jain`: fairness of what was done by
-    server, for its speed; `herd`: the largest share of all tries that moved between servers from
-    one second to the next; `down`: whether what they call did not survive.
+    """The result of a day.
+
+    `offered`, `earned`, `counts`, `times`: by class, the value, the number of requests by outcome,
+    and the microseconds to the answer of completed requests. `memory`, `crowd`: the maximum as a
+    share of the limit. `tries`: attempts per request. `unanswered`: requests without an answer.
+    `overdue`: answers after the deadline to requests read in time. `by_second`: earned value by
+    class and second of arrival. `jain`: fairness of completed work among servers relative to their
+    speed. `herd`: the largest share of attempts that moved between servers from one second to the
+    next. `down`: whether the dependency failed.
     """
 
     offered: list[float]
@@ -460,10 +478,12 @@
     down: bool = False
 
     def share(self) -> float:
+        """Return the value earned as a share of the value offered."""
         return sum(self.earned) / max(1e-9, sum(self.offered))
 
 
 def result(run: Running) -> Result:
+    """Compute the result of a simulated day."""
     day, n = run.day, len(run.day.works)
     offered, earned = [0.0] * n, [0.0] * n
     counts = [{"done": 0, "late": 0, "shed": 0, "errored": 0} for _ in range(n)]
@@ -510,16 +530,18 @@
 
 
 def jain(run: Running) -> float:
-    """Jain's index of what each server of the first did for its speed (Jain, Chiu and Hawe
-    1984).
+    """Return Jain's fairness index (Jain, Chiu and Hawe 1984) of the requests done per speed.
+
+    Only servers that run from the start and are still up count.
     """
     done = [x.done / x.pace for x in run.nodes[: run.day.machines.servers] if x.up]
     return sum(done) ** 2 / max(1e-9, len(done) * sum(x * x for x in done)) if done else 1.0
 
 
 def herd(run: Running) -> float:
-    """The largest share of a second's tries that went to servers that had fewer in the second
-    before.
+    """Return the largest share of attempts that changed servers between two seconds.
+
+    Seconds that follow one with 50 attempts or fewer are not counted.
     """
     seconds: dict[int, dict[int, int]] = {}
     for (second, number), count in run.moves.items():
@@ -541,10 +563,10 @@
     minimum: float = 0.02,
     beside: Callable[[Node, DependencyFacts, Fleet], None] = lambda node, below, fleet: None,
 ) -> Callable[[Node], AdmissionController]:
-    """Makes the module's decisions for a node.
+    """Return a function that makes the admission controller of a node.
 
-    With pools, without, or with only one part of them. `beside` may put in what other servers
-    state.
+    `pools`: whether it has class pools, or LIMITS or RESERVE for one mechanism of them. `beside`
+    may connect the controller's facts to those of other servers.
     """
 
     def make(node: Node) -> AdmissionController:
--- a/gullyoke/emulator/kinds.py
+++ b/gullyoke/emulator/kinds.py
@@ -1,8 +1,8 @@
-"""Kinds of days like those of grown deployments.
+"""Days like those of deployments that have grown over time.
 
-Two thirds of the machines half as fast, four callers a server, connections that cost a tenth of a
-run, a dependency whose limit is shared, and a size told at the start that is a third too large,
-since it is told for the fleet at its largest.
+Two thirds of the machines have half the speed, each server has four callers, a new connection costs
+a tenth of a run, the dependency's limit is shared, and the configured fleet size is a third too
+large, since it states the fleet at its largest.
 """
 
 from __future__ import annotations
@@ -14,16 +14,17 @@
     Work("schedule-set", 0.30, 385_000, 0.6, 2_300_000, 5_700_000, 2.0, 0.1),
     Work("drop-status", 0.13, 165_000, 0.6, 1_000_000, 2_500_000, 3.0, 0.1, True, 0.5),
 )
-LEAD = 14 * SECOND  # before the first req: what is among the servers has come together
+LEAD = 14 * SECOND  # before the first request, so that the servers' coordination has settled
 KINDS = ("calm", "shrink", "burst", "subject")
 
 
 def grown(kind: str, seed: int, servers: int = 48, length: int = 20 * SECOND) -> Day:
-    """`calm`: 0.7 of what the cores can do.
+    """Return a day of one of `KINDS`, loaded to a share of the cores' capacity.
 
-    `shrink`: 0.85, and a quarter leave after 5 s. `burst`: 0.75, 1.9 times as much for 5 s, and a
-    dependency that takes four times as long for 6 s. `subject`: 0.8, each caller has a server that
-    it asks first, a few ask far more than the rest. Raises `KeyError` for another.
+    `calm`: 0.7. `shrink`: 0.85, and a quarter of the servers leave after 5 s. `burst`: 0.75, with
+    1.9 times the rate for 5 s and a dependency that takes four times as long for 6 s. `subject`:
+    0.8, each caller prefers one server, and a few callers send far more than the rest. Raises
+    `KeyError` for an unknown kind.
     """
     s = SECOND
     callers = Callers(2, True, 0.65, 50_000, count=4 * servers, skew=0.6)
--- a/gullyoke/emulator/peers.py
+++ b/gullyoke/emulator/peers.py
@@ -25,13 +25,13 @@
 from gullyoke.membership.messages import Message
 from gullyoke.membership.view import ChangeKind, View
 
-SECOND: Final = 1_000_000  # in the microseconds of simulated time
-DATAGRAM_OVERHEAD_BYTES: Final = 130  # of a datagram besides what it carries, about
-DIGEST_BYTES: Final = 6  # of one bucket's digest, about
+SECOND: Final = 1_000_000  # in microseconds of simulated time
+DATAGRAM_OVERHEAD_BYTES: Final = 130  # approximate size of a datagram without its records
+DIGEST_BYTES: Final = 6  # approximate size of one bucket's digest
 WALL_CLOCK_AT_START: Final = 1_800_000_000  # seconds
 INCARNATION_BITS: Final = 60
 SEED_COUNT: Final = 3  # of a simulated fleet's members
-LEFT_ANNOUNCEMENTS: Final = 2  # that a member sends before it ends
+LEFT_ANNOUNCEMENTS: Final = 2  # sent by a member before it ends
 
 LossBetween = Callable[[int, "Host", "Host"], float]
 """The probability that a datagram between two hosts is lost now, besides the loss everywhere."""
@@ -60,10 +60,10 @@
         address: Where it receives datagrams.
         member: A `Member`, or another detector with the same entry points.
         up: Whether it runs.
-        refuses: Whether its machine reports that nobody listens while it does not run.
+        refuses: Whether its machine reports a closed port while it does not run.
         starts: How often it was started.
-        paused_until: Until when it stands still, in simulated microseconds.
-        inbox: What came while it stood still.
+        paused_until: Until when it is paused, in simulated microseconds.
+        inbox: Messages that arrived while it was paused.
         sent: Datagrams sent.
         sent_bytes: Their bytes, where the network counts them.
     """
@@ -128,7 +128,7 @@
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._by_address: dict[str, Host] = {}
 
-    # What happens to hosts.
+    # Starts, ends and pauses of hosts.
 
     def start(
         self,
@@ -145,7 +145,7 @@
             name: The member's name.
             seeds: The addresses to join by.
             zone: The member's zone, where the host is new.
-            behind: By how many seconds its clock has gone back.
+            behind: How many seconds its wall clock is behind.
             address: The host's address, where the host is new and it is not the key.
             host: The host's key, which tells two processes of one name apart; the name by default.
         """
@@ -169,17 +169,17 @@
         return started
 
     def kill(self, key: str, refuses: bool = True) -> None:
-        """End a process; `refuses` is whether its machine goes on and reports that it is gone."""
+        """End a process; `refuses` is whether its machine stays up and reports the closed port."""
         host = self.hosts[key]
         host.up = False
         host.refuses = refuses
 
     def pause(self, key: str, duration_us: int) -> None:
-        """Let a process stand still for so long."""
+        """Pause a process for `duration_us`."""
         self.hosts[key].paused_until = self.now + duration_us
 
     def leave(self, key: str, drain_us: int = 500_000) -> None:
-        """End a process in order: it leaves, and has left after so long."""
+        """End a process in order: it leaves now and ends after `drain_us`."""
         host = self.hosts[key]
         starts = host.starts
         host.member.leave(self.now)
@@ -197,17 +197,17 @@
     # The simulated clock.
 
     def schedule(self, delay_us: int, action: Callable[..., None], *arguments: object) -> None:
-        """Call an action after so long."""
+        """Call an action after `delay_us`."""
         event = (self.now + delay_us, next(self._event_count), action, arguments)
         heapq.heappush(self._events, event)
 
     def run(
         self, until: int, done: Callable[[], bool] | None = None, check_every_us: int = 100_000
     ) -> bool:
-        """Run until that time, or until `done` is found true.
+        """Run until that time, or until `done` returns true.
 
         Returns:
-            Whether `done` was true at last.
+            Whether `done` returned true at the end.
         """
         events = self._events
         check_at = self.now
@@ -221,7 +221,7 @@
         self.now = until
         return done is not None and done()
 
-    # What is asked of the whole.
+    # Queries of the whole network.
 
     def running(self) -> list[Host]:
         """Return the hosts that are up."""
@@ -237,7 +237,7 @@
         )
 
     def removals_of(self, name: str, since: int = 0) -> list[ObservedChange]:
-        """Return who saw a member removed since that time, and when."""
+        """Return the removals of a member in all views since that time."""
         member = member_id(name)
         return [
             seen
@@ -252,7 +252,7 @@
     def _tick(self, host: Host, starts: int) -> None:
         if not host.up or host.starts != starts:
             return
-        if host.paused_until > self.now:  # it stands still, and wakes with all that came meanwhile
+        if host.paused_until > self.now:  # handles its inbox when it resumes
             self.schedule(host.paused_until - self.now, self._tick, host, starts)
             return
         inbox = host.inbox
@@ -299,7 +299,7 @@
 
 
 def datagram_bytes(message: Message) -> int:
-    """Return the bytes of a message's datagram, about."""
+    """Return the approximate size of a message's datagram in bytes."""
     carried = getattr(message, "updates", ()) or getattr(message, "records", ())
     digests = getattr(message, "buckets", ())
     return DATAGRAM_OVERHEAD_BYTES + sum(map(wire_size, carried)) + DIGEST_BYTES * len(digests)
@@ -313,12 +313,12 @@
     joined: bool = False,
     **network: Any,
 ) -> Network:
-    """Return a network with a fleet that has come together.
+    """Return a network with a fleet whose members have joined.
 
     Args:
         size: The number of members, named `m0` and so on.
         seed: The seed of all randomness.
-        zones: The number of zones, which take turns.
+        zones: The number of zones, assigned in rotation.
         settle_us: For how long the fleet runs before it is returned, in simulated microseconds.
         joined: Whether the members know each other from the start, which saves the time that it
             takes to simulate how they join.
@@ -341,8 +341,8 @@
 
 
 def acquaint(net: Network, hosts: list[Host]) -> None:
-    """Let all hosts' members have joined with a view of all of them."""
-    if not isinstance(hosts[0].member, Member):  # a detector to compare with
+    """Make all members join at once with a view of all of them."""
+    if not isinstance(hosts[0].member, Member):  # another detector, for comparison
         for host in hosts:
             host.member.acquaint([other.member.record for other in hosts], net.now)
         return
@@ -350,4 +350,4 @@
     for host in hosts:
         view.merge(net.now, host.member.join_state.join(net.now))
     for host in hosts:
-        host.member.adopt_view(view.copy_live())  # copied, as a thousand merges take long
+        host.member.adopt_view(view.copy_live())  # a copy, since a thousand merges take long
--- a/gullyoke/emulator/quotas.py
+++ b/gullyoke/emulator/quotas.py
@@ -1,7 +1,7 @@
-"""A customer's quota among servers of the model.
+"""A tenant's quota, divided among simulated servers.
 
-What of its reqs counts as within it, where each server goes by the fleet's size and where the quota
-is lent. All figures from here are simulated.
+Measures how many of the tenant's requests count as within the quota, with a fixed equal part for
+each server or with parts that are leased. All figures from here are simulated.
 """
 
 from __future__ import annotations
@@ -16,12 +16,13 @@
 
 
 class Bucket:
-    """What `Server.note_share` keeps of a customer on one server, in few words."""
+    """A simplified model of the token bucket that `Server.note_share` keeps for a tenant."""
 
     def __init__(self) -> None:
         self.saved, self.at = 8.0, 0
 
     def within(self, now: int, rate: float) -> bool:
+        """Take a token if there is one, and return whether there was."""
         self.saved = min(max(8.0, 2 * rate), self.saved + rate * (now - self.at) / SECOND)
         self.at = now
         inside = self.saved >= 1
@@ -30,10 +31,11 @@
 
 
 class Counted(NamedTuple):
-    """Of the customer's reqs the share that was within its quota.
+    """The result of a simulation of a tenant's quota.
 
-    `over`, the most that the parts of all servers came to over the quota, at any look; `rate`, what
-    was let in over the quota's rate.
+    `within`: the share of the tenant's requests within its quota. `over`: the largest relative
+    excess of the sum of all servers' parts over the quota in any sample. `rate`: the rate of
+    requests within the quota, relative to the quota.
     """
 
     within: float
@@ -52,8 +54,10 @@
     moves: bool = False,
     loss: float = 0.0,
 ) -> Counted:
-    """A customer asks `hit` of `servers` at `load` times its quota for `span`, after a while in
-    which the homes come to hold their names; half way it asks others where it `moves`.
+    """Simulate a tenant that sends `load` times its quota to `hit` of the `servers` for `span`.
+
+    The requests begin after the lenders have settled. With `moves` the tenant switches to other
+    servers half way. `lent`: whether the quota's parts are leased instead of equal and fixed.
     """
     homes = min(5, servers)
     whole = tokens(servers)
--- a/gullyoke/emulator/shares.py
+++ b/gullyoke/emulator/shares.py
@@ -1,8 +1,8 @@
-"""Shares without sockets.
+"""A simulation of shared limits without sockets.
 
-Processes with clocks of their own that lend and borrow, and a network between them that loses,
-delays and doubles. What is in force is summed at every event; where processes use what they have,
-so is what a dependency has in hand. All figures from here are simulated.
+Processes with independent clocks lend and borrow tokens over a network that loses, delays and
+duplicates messages. The tokens in force are summed after every event, and so are the dependency's
+open calls where processes make calls. All figures from here are simulated.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 SECOND = 1_000_000
 TURN = 100_000
-LINGER = 300_000  # a call given up, or whose process ended, stays below for so long
+LINGER = 300_000  # how long the dependency may keep an abandoned call
 
 
 class Process:
-    """One process: its part in the limit, and a clock of its own, made by `rate` and `ahead`."""
+    """A process: its part of the limit, and its local clock, given by `rate` and `ahead`."""
 
     def __init__(self, play: Play, key: str, home: str | None, votes: bool) -> None:
         chance = play.chance
@@ -45,8 +45,8 @@
         )
         self.borrower = self.part.borrower
         self.own = ConcurrencyPart(self.part, LINGER)
-        self.calls = 0  # how many it would make at once
-        self.quota: LimitPart | None = None  # what stands on the part instead, if not calls
+        self.calls = 0  # concurrent calls that it wants
+        self.quota: LimitPart | None = None  # the limit part in use instead of `own`, if any
         self.out: set[Call] = set()
 
     @property
@@ -58,19 +58,20 @@
         self.part.needed = need
 
     def now(self) -> int:
+        """Return the process's local clock."""
         return self.ahead + int(self.play.now * self.rate)
 
     def turn(self) -> None:
+        """Make calls, tick the limit part and send its messages."""
         if self.calls:
             self.call()
         for letter in (self.quota or (self.own if self.calls else self.part)).tick(self.now()):
             self.post(letter, "")
 
     def call(self) -> None:
-        """Calls as slots are free, each given up by when it has to be over.
+        """Start calls while slots are free; each is given up LINGER before its slot is insecure.
 
-        The dependency keeps that time as well: it is told of it, and a process that stands still
-        can't give anything up.
+        The dependency enforces that deadline too, since a paused process can't give up a call.
         """
         while len(self.out) < self.calls and self.own.request_slot(
             self.now(), self.calls - len(self.out) - 1
@@ -82,19 +83,22 @@
             span = self.play.chance.randrange(10_000, 6 * SECOND)
             self.play.below += 1
             self.play.worst_below = max(self.play.worst_below, self.play.below)
-            if span <= most:  # it comes back by itself
+            if span <= most:  # the call ends in time
                 self.play.after(int(span / self.rate), call.over)
             else:
                 self.play.after(int(most / self.rate), call.given_up)
 
     def hear(self, from_: str, message) -> None:
+        """Handle a message and send the reply, if any."""
         letter = (self.quota or (self.own if self.calls else self.part)).handle(self.now(), message)
         if letter is not None:
             self.post(letter, from_)
 
     def post(self, letter: AddressedQuotaMessage, asker: str) -> None:
-        """Votes are asked for at a home's stated address, loans where this process takes that home
-        to be.
+        """Send a message to its recipient.
+
+        A vote request goes to the lender's configured address, a loan request to the address at
+        which this process believes the lender to be.
         """
         taken = self.play.takes.get((self.key, letter.lender), letter.lender)
         to = {Recipient.VOTER: letter.lender, Recipient.LENDER: taken, Recipient.REQUESTER: asker}[
@@ -103,33 +107,36 @@
         self.play.send(self.key, to, letter.message)
 
     def lent(self) -> int:
-        """Tokens above its floor that are in force here now."""
+        """Return the tokens above the floor that are in force in this process."""
         return self.borrower.in_force(self.now()) - self.borrower.floor
 
 
 class Call:
-    """One call below. The dependency has it in hand until it is over, or its linger is."""
+    """A call, open at the dependency until it ends or, if abandoned, for up to LINGER."""
 
     def __init__(self, process: Process) -> None:
         self.process, self.play, self.below = process, process.play, True
 
     def over(self) -> None:
-        """Its answer has come; one that stands still reads it later."""
+        """End the call with an answer; a paused process reads it when it resumes."""
         if self.below:
             self.below = False
             self.play.below -= 1
         self.read(False)
 
     def given_up(self) -> None:
+        """Abandon the call; the dependency ends it within LINGER."""
         self.play.after(self.play.chance.randrange(LINGER), self.gone)
         self.read(True)
 
     def gone(self) -> None:
+        """End the call at the dependency."""
         if self.below:
             self.below = False
             self.play.below -= 1
 
     def read(self, lost: bool) -> None:
+        """Report the end of the call to the limit part once the process is not paused."""
         process = self.process
         if process.paused > self.play.now:
             self.play.after(process.paused - self.play.now, lambda: self.read(lost))
@@ -139,8 +146,9 @@
 
 
 class Play:
-    """`homes` are names; a message to one goes to the process at its address, which is that of its
-    first start.
+    """A simulation of lenders (`homes`) and of processes that only borrow.
+
+    A message to a lender goes to the process at the address of the lender's first start.
     """
 
     def __init__(
@@ -159,30 +167,33 @@
         self.now, self.queue, self.count = 0, [], itertools.count()
         self.processes: dict[str, Process] = {}
         self.cut: set[tuple[str, str]] = set()
-        self.takes: dict[tuple[str, str], str] = {}  # whom a process takes for a home, if another
-        self.worst = 0  # of one home's tokens, the most that were in force
-        self.below = self.worst_below = 0  # calls in hand there, now and at the most
+        self.takes: dict[tuple[str, str], str] = {}  # wrong address by process and lender
+        self.worst = 0  # the maximum of one lender's tokens in force
+        self.below = self.worst_below = 0  # open calls at the dependency, now and maximum
         for name in self.homes:
             self.start(name, name)
         for i in range(others):
             self.start(f"b{i}", None)
 
     def start(self, key: str, home: str | None) -> Process:
-        """At `key`; a home's name at another key is a double start, which gets no votes to give."""
+        """Start a process; a lender whose `key` is not its name is a double start without votes."""
         process = self.processes[key] = Process(self, key, home, key == home)
         self.after(self.chance.randrange(TURN), lambda: self.turn(process))
         return process
 
     def kill(self, key: str) -> None:
+        """End a process; the dependency ends its calls within LINGER."""
         process = self.processes[key]
         process.up = False
         for call in process.out:  # their connections end with it
             self.after(self.chance.randrange(LINGER), call.gone)
 
     def after(self, span: int, act) -> None:
+        """Schedule an action after `span` microseconds."""
         heapq.heappush(self.queue, (self.now + span, next(self.count), act))
 
     def turn(self, process: Process) -> None:
+        """Advance a process unless it is paused; repeats every TURN."""
         if self.processes.get(process.key) is not process or not process.up:
             return
         if process.paused <= self.now:
@@ -190,6 +201,7 @@
         self.after(TURN, lambda: self.turn(process))
 
     def send(self, from_: str, to: str, message) -> None:
+        """Send a message with loss, delay and duplication."""
         if self.chance.random() < self.loss or (from_, to) in self.cut:
             return
         for _ in range(1 + (self.chance.random() < 0.1)):
@@ -198,6 +210,7 @@
             )
 
     def come(self, from_: str, to: str, message) -> None:
+        """Deliver a message; a paused process gets it when it resumes."""
         there = self.processes.get(to)
         if there is None or not there.up:
             return
@@ -207,10 +220,11 @@
         there.hear(from_, message)
 
     def lent(self) -> int:
+        """Return the tokens above the floors that are in force in all processes."""
         return sum(p.lent() for p in self.processes.values() if p.up)
 
     def lent_by(self) -> dict[str, int]:
-        """Tokens of each home that are in force anywhere."""
+        """Return the tokens in force by lender."""
         sums = dict.fromkeys(self.homes, 0)
         for process in self.processes.values():
             if process.up:
@@ -220,6 +234,7 @@
         return sums
 
     def run(self, until: int) -> None:
+        """Run all events until that time, and record the maximum of tokens in force."""
         while self.queue and self.queue[0][0] <= until:
             self.now, _, act = heapq.heappop(self.queue)
             act()
--- a/gullyoke/emulator/swim.py
+++ b/gullyoke/emulator/swim.py
@@ -22,7 +22,7 @@
 INDIRECT_PROBES: Final = 3
 GOSSIP_FANOUT: Final = 3
 UPDATES_PER_MESSAGE: Final = 6
-ROUNDS_PER_LOG10: Final = 4  # an update is carried so often, times log10 of the fleet's size
+ROUNDS_PER_LOG10: Final = 4  # how often an update is sent, times log10 of the fleet's size
 MIN_SUSPICION_PERIODS: Final = 4  # times log10 of the fleet's size
 MAX_SUSPICION_FACTOR: Final = 6  # Lifeguard: of an unconfirmed suspicion
 CONFIRMATIONS: Final = 3  # Lifeguard: after which a suspicion times out soonest
@@ -65,7 +65,7 @@
 
 
 class PeerState:
-    """What a member knows of another one."""
+    """What a member knows of another member."""
 
     def __init__(self, record: MemberRecord, now: int) -> None:
         self.record = record
@@ -76,7 +76,7 @@
 
 
 class PendingProbe:
-    """The probe of the present period, while it is not answered."""
+    """The unanswered probe of the present period."""
 
     def __init__(self, target: int, seq: int, sent_at: int) -> None:
         self.target = target
@@ -86,7 +86,7 @@
 
 
 class QueuedUpdate:
-    """An update, and how often it is still to be carried."""
+    """An update, and how often it is still to be sent."""
 
     def __init__(self, update: SwimUpdate, rounds_left: int) -> None:
         self.update = update
@@ -130,13 +130,13 @@
         }
 
     def take_outgoing(self) -> list[tuple[str, Probe | Echo, int]]:
-        """Hand over the messages to be sent."""
+        """Remove and return the messages to be sent."""
         outgoing = self._outgoing
         self._outgoing = []
         return outgoing
 
     def tick(self, now: int) -> None:
-        """Do what is due at this time."""
+        """Do the work that is due: suspicions, probes and gossip."""
         self._expire_suspicions(now)
         if self._pending is not None:
             self._probe_indirectly(now, self._pending)
@@ -289,7 +289,7 @@
         updates = [queued.update for queued in picked]
         peer = self.peers.get(to)
         if self.lifeguard and peer is not None and peer.state is State.SUSPECTED:
-            # Lifeguard's buddy system: a suspect learns of it with the next message to it.
+            # Lifeguard's buddy system: the next message to a suspect tells it of the suspicion.
             updates.append(SwimUpdate(to, peer.incarnation, State.SUSPECTED, self.record.id))
         return tuple(updates)
 
--- a/tests/emulator/test_class_pools.py
+++ b/tests/emulator/test_class_pools.py
@@ -1,6 +1,6 @@
-"""Pools and the reserve.
+"""Tests of class pools and the reserve.
 
-The hard cases on emulated days, limits under random demand, and the lab.
+They cover limits under random demand, hard cases on emulated days, and the command `lab`.
 """
 
 import pathlib
@@ -29,9 +29,9 @@
 
 class Limits(unittest.TestCase):
     def demand(self, pools, rates, seconds, now=0):
-        """Each handler asks for so many cores' worth of work; what fits is done.
+        """Offer each class work for a number of cores, and return the admitted shares.
 
-        Shares of asks that fit.
+        The result also has the time at the end.
         """
         fits, asked = {}, {}
         for _ in range(seconds * 10):
@@ -46,9 +46,10 @@
         return {h: fits.get(h, 0) / asked[h] for h in asked}, now
 
     def test_order(self):
-        """At three times the capacity the class worth most gets all it asks for, the last what is
-        left and never less than its minimum; what one leaves is lent, and had back within a run's
-        time.
+        """At three times the capacity the most valuable class gets its full demand.
+
+        The least valuable one gets the rest and at least its minimum. Capacity that a class does
+        not use is lent, and returned within the time of a run.
         """
         low, high = request_class("low", 1.0, 200_000), request_class("high", 3.0, 100_000)
         pools = ClassPools(0, 4, {low: 1, high: 2}, minimum_share=0.05)
@@ -56,18 +57,20 @@
         got, now = self.demand(pools, {low: 10.0, high: 2.0}, 5, 5 * SECOND)
         self.assertEqual(got[high], 1.0)
         self.assertTrue(0.15 < got[low] < 0.30, got)
-        got, now = self.demand(pools, {low: 10.0}, 5, now)  # the high one is silent: lent
+        got, now = self.demand(
+            pools, {low: 10.0}, 5, now
+        )  # the high class is silent and its capacity lent
         self.assertGreater(got[low], 0.35)
-        got, now = self.demand(pools, {low: 10.0, high: 4.0}, 1, now)  # back at once, at full share
+        got, now = self.demand(pools, {low: 10.0, high: 4.0}, 1, now)  # returned at once, in full
         self.assertEqual(got[high], 1.0)
         self.demand(pools, {low: 10.0, high: 8.0}, 5, now)
         got, now = self.demand(pools, {low: 10.0, high: 8.0}, 5, now)
-        self.assertGreater(got[low], 0.01)  # its minimum
+        self.assertGreater(got[low], 0.01)  # the minimum share
 
     def test_alone(self):
-        """A class with nobody worth more beside it is never bound by its pool.
+        """A class without a more valuable class beside it is never limited by its pool.
 
-        The threshold is its limit.
+        Only the admission threshold limits it.
         """
         one = request_class("one", 1.0, 100_000)
         pools = ClassPools(0, 2, {one: one})
@@ -76,9 +79,9 @@
         self.assertEqual(pools.reserved_requests(one), 0)
 
     def test_no_room(self):
-        """Guards against a limit of next to nothing, whose wait is no number that fits.
+        """Guards against a limit close to zero, by which the computed wait overflows.
 
-        Advice is bounded.
+        The retry advice stays bounded.
         """
         low, high = request_class("low", 1.0, 2201), request_class("high", 1.0, 2200)
         pools = ClassPools(0, 1, {low: low, high: high}, 2.2e-309)
@@ -98,10 +101,10 @@
         st.floats(0, 0.01),
     )
     def test_sums(self, classes, cores, minimum):
-        """A hundred classes, one core.
+        """Invariants hold with up to a hundred classes on up to 32 cores.
 
-        Limits together stay under what is completed and a tenth, nobody gets more than it asks for,
-        and the reserve leaves half of the cores to everybody.
+        The sum of the limits stays under 1.11 times the capacity, no limit exceeds the demand of
+        its class, and the reserve leaves half of the cores to all classes.
         """
         rates = {
             request_class(f"h{i}", value, work): load
@@ -124,7 +127,7 @@
 
 
 class Days(unittest.TestCase):
-    """Emulated: each day with pools and without, on the same arrivals."""
+    """Compares emulated days with and without class pools, on the same arrivals."""
 
     def both(self, load, seconds=8, machines=None, works=W, **more):
         day = drawn(works, machines or Machines(servers=2), load, seconds * SECOND, 3, **more)
@@ -142,9 +145,9 @@
         return counts["done"] / max(1, sum(counts.values()))
 
     def test_floods(self):
-        """At 2, 5 and 10 times the capacity the class worth most is kept in time.
+        """At 2, 5 and 10 times the capacity pools keep the most valuable class in time.
 
-        Without pools it is not.
+        At 5 and 10 times, clearly more of it is in time than without pools.
         """
         for load, least, more in ((2.0, 0.97, -0.01), (5.0, 0.75, 0.1), (10.0, 0.45, 0.2)):
             without, pooled = self.both(load)
@@ -153,27 +156,27 @@
             self.assertGreater(pooled.share(), without.share())
 
     def test_drop(self):
-        """Capacity falls to a third within an instant while all pools are full, and comes back."""
+        """Capacity falls to a third at once while all pools are full, and recovers."""
         speeds = (4 * SECOND, 0.33), (8 * SECOND, 1.0)
         without, pooled = self.both(2.0, 12, Machines(servers=2, speeds=speeds))
         self.assertGreater(self.inside(pooled, DROP), 0.6)
         self.assertGreater(pooled.share(), 0.95 * without.share())
 
     def test_swing(self):
-        """Traffic swings between the classes every 2 s."""
+        """The traffic shares rotate among the classes every 2 s."""
         without, pooled = self.both(2.0, 12, swing=2 * SECOND)
         self.assertGreater(pooled.share(), without.share())
 
     def test_silent(self):
-        """A class that was silent comes with ten times its share.
+        """A silent class returns with ten times its share.
 
-        Nothing stands in its way for long.
+        Capacity lent to other classes does not delay it for long.
         """
         without, pooled = self.both(2.0, 10, silent=(DROP, 5 * SECOND))
         self.assertGreater(self.inside(pooled, DROP), max(0.55, self.inside(without, DROP) - 0.02))
 
     def test_odd(self):
-        """All reqs of one class; one core; cold servers; calm days lose next to nothing."""
+        """With a single class, one core, cold servers or low load, pools cost next to nothing."""
         one = (W[BOX],)
         without, pooled = self.both(2.0, works=one)
         self.assertEqual(without.earned, pooled.earned)
@@ -185,14 +188,14 @@
         self.assertGreater(pooled.share(), without.share() - 0.02)
 
     def test_memory(self):
-        """Memory full of the low class when the high one comes: it goes in, and nobody dies."""
+        """With little memory the high class is still admitted, and memory stays within its limit."""
         _, pooled = self.both(2.0, machines=Machines(servers=2, memory_kb=2500.0, held_kb=60.0))
         self.assertGreater(self.inside(pooled, DROP), 0.9)
 
     def test_heavy(self):
-        """A class whose runs are ten times its first guess.
+        """A class whose runs take ten times as long does not starve the others.
 
-        Its cost is learned, the others go on.
+        Its cost is learned.
         """
         works = (
             W[BOX]._replace(work=2_800_000, target=8_000_000, timeout=12_000_000),
@@ -203,13 +206,13 @@
         self.assertGreater(self.inside(pooled, DROP), 0.8)
 
     def test_dependency(self):
-        """What one class calls below is slow, the others do not call: they go on."""
+        """A slow dependency of one class does not hold up classes that make no calls."""
         works = (W[BOX]._replace(calls=True, skip_share=0.3), W[SET], W[DROP])
         _, pooled = self.both(1.5, 10, works=works, shared=Shared(4, 400_000))
         self.assertGreater(self.inside(pooled, DROP), 0.9)
 
     def test_drain(self):
-        """A drain while pools lend: all is answered, nothing that came after the grace is run."""
+        """In a drain while pools lend, all requests are answered and late arrivals are not run."""
         day = drawn(W, Machines(servers=2), 2.0, 6 * SECOND, 3)
         running = Running(day, deciding())
         node = running.nodes[0]
@@ -237,9 +240,9 @@
     )
 
     def test_run(self):
-        """Tables, charts and a report come out; a cut row is played again and the rest stands.
+        """Writes tables, charts and a report; `--resume` repeats a truncated row and keeps the rest.
 
-        Another experiment's rows are refused.
+        Rows of another experiment are refused.
         """
         with tempfile.TemporaryDirectory() as name:
             folder, file = pathlib.Path(name, "out"), pathlib.Path(name, "t.experiment")
@@ -272,9 +275,9 @@
             self.assertIn(":2: work[1].timeout_ms: 9 is under", wrong.stderr)
 
     def test_try(self):
-        """A newcomer's first run.
+        """The command `try` runs a daemon and an emulated platform on loopback.
 
-        A real daemon and its emulated platform on loopback answer every req.
+        Every request gets an answer.
         """
         got = CliRunner().invoke(main, ["try", "--seconds", "2", "--load", "2"])
         self.assertEqual(got.exit_code, 0, got.output)
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator against theory, and the planner's bound against brute force on tiny days."""
+"""Tests of the emulator against queueing theory, and of the bound against brute force."""
 
 import itertools
 import math
@@ -22,7 +22,7 @@
 
 
 def exponential(cores, load, length, seed):
-    """Poisson arrivals of exponential work on one server that reads for nothing."""
+    """Return Poisson arrivals of exponential work on one server with negligible reading work."""
     chance, now, rows = np.random.default_rng(seed), 0, []
     while now < length:
         now += max(1, int(chance.exponential(ONE.work / cores / load)))
@@ -40,14 +40,14 @@
 
 class Emulator(unittest.TestCase):
     def interval(self, of, wanted, runs=10):
-        """The mean over runs holds the wanted value in its 99.9% interval."""
+        """Check that the 99.9% confidence interval of the mean contains the wanted value."""
         got = [of(seed) for seed in range(runs)]
         half = stats.t.ppf(0.9995, runs - 1) * np.std(got, ddof=1) / math.sqrt(runs)
         self.assertLess(abs(np.mean(got) - wanted), half, f"{np.mean(got)} is not {wanted}")
-        self.assertLess(half, 0.5 * wanted)  # and says something
+        self.assertLess(half, 0.5 * wanted)  # the interval is narrow enough to be meaningful
 
     def test_erlang_b(self):
-        """No line: the share that finds all cores taken."""
+        """Without a queue, the rejected share agrees with Erlang B."""
 
         def shed(seed):
             day = exponential(6, 0.9, 150 * SECOND, seed)
@@ -57,7 +57,7 @@
         self.interval(shed, erlang_b(6, 0.9))
 
     def test_erlang_c(self):
-        """A line without end, first come first served: the mean wait."""
+        """With an unbounded FIFO queue, the mean response time agrees with Erlang C."""
         blocked = erlang_b(4, 0.8)
         waits = blocked / (1 - 0.8 * (1 - blocked))
         wanted = ONE.work + waits * ONE.work / 4 / (1 - 0.8)
@@ -69,9 +69,9 @@
         self.interval(mean, wanted)
 
     def test_sharing(self):
-        """All run at once on one core.
+        """With all jobs running at once on one core, the mean is that of processor sharing.
 
-        The mean of processor sharing, whatever the spread of work.
+        It does not depend on the distribution of work.
         """
 
         def mean(seed):
@@ -81,7 +81,7 @@
         self.interval(mean, ONE.work / (1 - 0.6))
 
     def test_same(self):
-        """The same seed is the same day and the same answers; another seed is another."""
+        """The same seed gives the same result; another seed gives another."""
 
         def play(seed):
             return Running(
@@ -92,9 +92,9 @@
         self.assertNotEqual(play(3), play(4))
 
     def test_answers(self):
-        """Each first try gets its last answer within its time, over all kinds of trouble.
+        """Each request gets its final answer in time under overload, swings and bursts.
 
-        No server near its memory or crowd.
+        No server comes near its limits of memory and crowding.
         """
         for pools in (False, True):
             for load, more in (
@@ -118,8 +118,9 @@
                 self.assertLess(max(got.memory, got.crowd), 0.95)
 
     def test_bound(self):
-        """On tiny days no plan found by trying all subsets in all orders earns more than the bound;
-        and the bound is not idle: it is within half of the best plan's value on most.
+        """On tiny days no order of any subset of the requests earns more than the bound.
+
+        The bound is also tight enough: at most 1.5 times the best value on more than half the days.
         """
         chance, close = random.Random(3), 0
         for _ in range(12):
@@ -159,7 +160,7 @@
         self.assertGreater(close, 6)
 
     def test_bound_holds(self):
-        """No policy of ours earns more than the planner says is possible."""
+        """No implemented policy earns more than the planner's bound."""
         for load in (0.8, 2.0):
             day = drawn(W, Machines(servers=2), load, 6 * SECOND, 2)
             most = bound(day)
