--- a/gullyoke/emulator/beside.py
+++ b/gullyoke/emulator/beside.py
@@ -28,7 +28,7 @@
 from gullyoke.emulator.fleet import Node, Running, deciding
 
 SECOND, TURN = 1_000_000, 100_000
-PEERS, HOMES, FLOOR = (
+REPORT_RECEIVERS, LENDER_COUNT, FLOOR_SHARE = (
     16,
     5,
     0.25,
@@ -43,41 +43,43 @@
     def __init__(self, beside: Beside, node: Node, below: DependencyFacts, fleet: Fleet) -> None:
         self.beside, self.node, self.count = beside, node, 0
         chance = beside.chance
-        self.telling, self.heard = ReportSmoother(), ReceivedReports()
-        self.judgement = LoadAssessment(random.Random(chance.getrandbits(40)).random)
-        self.own: MeanConcurrencyPart | None = None
+        self.smoother, self.received = ReportSmoother(), ReceivedReports()
+        self.assessment = LoadAssessment(random.Random(chance.getrandbits(40)).random)
+        self.quota_part: MeanConcurrencyPart | None = None
         if beside.signals:
-            fleet.feedback = self.judgement
+            fleet.feedback = self.assessment
         day, now = node.fleet.day, node.fleet.now()
         if beside.shares and day.shared and day.shared.survives:
-            homes = [str(i) for i in range(min(HOMES, day.machines.servers))]
+            lenders = [str(i) for i in range(min(LENDER_COUNT, day.machines.servers))]
             largest = beside.largest or day.machines.servers + sum(n for _, n in day.machines.join)
             floor, tokens = split_limit(
-                day.shared.survives * TOKENS_PER_CALL, largest, homes, FLOOR
+                day.shared.survives * TOKENS_PER_CALL, largest, lenders, FLOOR_SHARE
             )
-            home = str(node.number) if str(node.number) in homes else None
+            own_lender = str(node.number) if str(node.number) in lenders else None
             part = QuotaParticipant(
                 now,
                 chance.getrandbits(40),
-                homes,
-                tokens.get(home, 0),
+                lenders,
+                tokens.get(own_lender, 0),
                 floor,
-                home,
-                home is not None,
+                own_lender,
+                own_lender is not None,
                 below.linger,
                 below.quota_window,
             )
-            self.own = below.slots = MeanConcurrencyPart(part, below.linger, below.quota_window)
+            self.quota_part = below.slots = MeanConcurrencyPart(
+                part, below.linger, below.quota_window
+            )
         # Nodes that exist at the start know each other, as they do after running for a while.
-        node.fleet.at(chance.randrange(TURN), self.turn)
-        node.fleet.at(chance.randrange(SECOND), self.look)
+        node.fleet.at(chance.randrange(TURN), self.tick_quota)
+        node.fleet.at(chance.randrange(SECOND), self.exchange_reports)
 
-    def look(self) -> None:
+    def exchange_reports(self) -> None:
         """Once a second: assess the own load against received reports, and send a report."""
         node, now = self.node, self.node.fleet.now()
         if not node.up or now > node.fleet.last:
             return
-        node.fleet.at(SECOND, self.look)
+        node.fleet.at(SECOND, self.exchange_reports)
         server = node.server
         if not isinstance(server, AdmissionController) or server.learner is None:
             return
@@ -90,41 +92,50 @@
             else ServingStage.WARM
         )
         reading = LoadReport.from_snapshot(load, stage)
-        judged, was = self.judgement, self.judgement.withdrawn
-        judged.update(now, reading, self.heard.valid(now))
+        judged, was_withdrawn = self.assessment, self.assessment.withdrawn
+        judged.update(now, reading, self.received.valid(now))
         if judged.withdrawn and stage is ServingStage.WARM:
             reading = reading._replace(stage=ServingStage.WITHDRAWN)
-        if judged.withdrawn != was and self.beside.signals and not load.draining:
+        if judged.withdrawn != was_withdrawn and self.beside.signals and not load.draining:
             node.good = not judged.withdrawn
         self.count += 1
-        word = self.beside.lie(node.number, self.telling.pack(reading))
+        packed_report = self.beside.apply_report_faults(node.number, self.smoother.pack(reading))
         for other in self.beside.neighbours(node.number):
             self.beside.send(
-                node.number, other, lambda peer: peer.hear_word(node.number, self.count, word)
+                node.number,
+                other,
+                lambda peer: peer.receive_report(node.number, self.count, packed_report),
             )
 
-    def hear_word(self, sender: int, count: int, word: int) -> None:
+    def receive_report(self, sender: int, count: int, packed_report: int) -> None:
         """Take a load report of another node."""
-        self.heard.take(self.node.fleet.now(), sender, count, word)
+        self.received.take(self.node.fleet.now(), sender, count, packed_report)
 
-    def turn(self) -> None:
+    def tick_quota(self) -> None:
         """Advance the quota participant and send its messages; repeats every TURN."""
         now = self.node.fleet.now()
-        if self.own is None or not self.node.up or now > self.node.fleet.last:
+        if self.quota_part is None or not self.node.up or now > self.node.fleet.last:
             return
-        self.node.fleet.at(TURN, self.turn)
-        for letter in self.own.tick(now):
-            self.post(letter, -1)
-
-    def post(self, letter: AddressedQuotaMessage, asker: int) -> None:
-        """Send a quota message; `asker` is the node that it answers, or -1."""
-        to, me = asker if letter.to == Recipient.REQUESTER else int(letter.lender), self.node.number
-        self.beside.send(me, to, lambda peer: peer.hear_letter(me, letter.message))
+        self.node.fleet.at(TURN, self.tick_quota)
+        for outgoing in self.quota_part.tick(now):
+            self.post(outgoing, -1)
+
+    def post(self, outgoing: AddressedQuotaMessage, requester: int) -> None:
+        """Send a quota message; `requester` is the node that it answers, or -1."""
+        to, sender_number = (
+            requester if outgoing.to == Recipient.REQUESTER else int(outgoing.lender),
+            self.node.number,
+        )
+        self.beside.send(
+            sender_number,
+            to,
+            lambda peer: peer.receive_quota_message(sender_number, outgoing.message),
+        )
 
-    def hear_letter(self, sender: int, message) -> None:
+    def receive_quota_message(self, sender: int, message) -> None:
         """Handle a quota message and send the reply, if any."""
-        if self.own is not None:
-            answer = self.own.handle(self.node.fleet.now(), message)
+        if self.quota_part is not None:
+            answer = self.quota_part.handle(self.node.fleet.now(), message)
             if answer is not None:
                 self.post(answer, sender)
 
@@ -153,7 +164,7 @@
         self.signals, self.shares, self.loss, self.cut, self.liar = signals, shares, loss, cut, liar
         self.largest, self.frozen = largest, frozen
         self.peers: dict[int, Peer] = {}
-        self.words: dict[int, int] = {}
+        self.frozen_reports: dict[int, int] = {}
 
     def __call__(self, node: Node, below: DependencyFacts, fleet: Fleet) -> None:
         self.peers[node.number] = Peer(self, node, below, fleet)
@@ -162,16 +173,16 @@
         """Return the nodes that get reports of this one, unchanged while the same nodes are up."""
         there = [n for n, peer in self.peers.items() if peer.node.up and n != number]
         chance = random.Random(number * 7919 + len(there))
-        return chance.sample(there, min(PEERS, len(there)))
+        return chance.sample(there, min(REPORT_RECEIVERS, len(there)))
 
-    def lie(self, number: int, word: int) -> int:
+    def apply_report_faults(self, number: int, packed_report: int) -> int:
         """Return the report that node `number` sends in place of the true one, after faults."""
         if number == self.liar:
             return LoadReport(1.0, 0.0, 0.0, ServingStage.WARM).pack()
         now = self.peers[number].node.fleet.now()
         if self.frozen and now >= self.frozen:  # repeats the first report after that time
-            return self.words.setdefault(number, word)
-        return word
+            return self.frozen_reports.setdefault(number, packed_report)
+        return packed_report
 
     def send(self, from_: int, to: int, act: Callable[[Peer], None]) -> None:
         """Call `act` on the receiver after a random delay, unless the message is lost."""
--- a/gullyoke/emulator/bound.py
+++ b/gullyoke/emulator/bound.py
@@ -31,7 +31,7 @@
         return self.value / max(1e-9, self.offered)
 
 
-def room(day: Day, slot: int, count: int) -> np.ndarray:
+def slot_capacity(day: Day, slot: int, count: int) -> np.ndarray:
     """Return the work that all cores can do in each time slot, given the day's speed changes.
 
     Servers that leave are still counted, which can only raise the bound.
@@ -69,7 +69,7 @@
                 worth.append(value)
     i, k, value = np.array(request), np.array(at), np.array(worth)
     rows, data = [i, len(need) + k], [np.ones(len(i)), np.ones(len(i))]
-    limit = [np.array(need), room(day, slot, count)]
+    limit = [np.array(need), slot_capacity(day, slot, count)]
     bare = np.array([w.calls and not w.skip_share for w in day.works])
     if day.shared is not None and bare.any():
         kinds = np.array([a[1] for a in day.arrivals])
@@ -80,16 +80,16 @@
         (np.concatenate(data), (np.concatenate(rows), np.tile(np.arange(len(i)), len(rows)))),
         shape=(sum(len(x) for x in limit), len(i)),
     ).tocsr()
-    found = linprog(
+    solution = linprog(
         -value, A_ub=matrix, b_ub=np.concatenate(limit), bounds=(0, None), method="highs"
     )
-    if found.status != 0:
-        raise ArithmeticError(f"the planner found no plan: {found.message}")
+    if solution.status != 0:
+        raise ArithmeticError(f"the planner found no plan: {solution.message}")
     earned = np.bincount(
-        [day.arrivals[j][1] for j in request], weights=found.x * value, minlength=len(day.works)
+        [day.arrivals[j][1] for j in request], weights=solution.x * value, minlength=len(day.works)
     )
     return Bound(
-        float(-found.fun),
+        float(-solution.fun),
         [float(x) for x in earned],
         float(sum(day.works[a[1]].value for a in day.arrivals)),
     )
--- a/gullyoke/emulator/cores.py
+++ b/gullyoke/emulator/cores.py
@@ -78,5 +78,5 @@
         while self.heap and self.heap[0][0] <= self.virtual + 1e-6:
             ended.append(heapq.heappop(self.heap)[2])
         self._next()
-        for act in ended:
-            act()
+        for action in ended:
+            action()
--- a/gullyoke/emulator/day.py
+++ b/gullyoke/emulator/day.py
@@ -170,36 +170,36 @@
     start, end, and the factor on the rate between them. `silent`: (class number, time); the class
     has no requests before that time and ten times its share after it.
     """
-    chance = np.random.default_rng(seed)
+    generator = np.random.default_rng(seed)
     base = np.array([w.share for w in works], dtype=float)
     base /= base.sum()
     mean = float((base * np.array([w.work for w in works])).sum()) + machines.reading
     rate = load * capacity(machines) / mean
-    rows, now, who = [], 0, None
+    rows, now, cumulative_shares = [], 0, None
     if callers and callers.skew:
         odds = 1 / np.arange(1, callers.count + 1) ** callers.skew
-        who = np.cumsum(odds / odds.sum())
+        cumulative_shares = np.cumsum(odds / odds.sum())
     peak = rate * max(1.0, burst[2] if burst else 1.0)
     while True:
-        now += max(1, int(chance.exponential(1 / peak)))
+        now += max(1, int(generator.exponential(1 / peak)))
         if now >= length:
             break
-        there = rate * (burst[2] if burst and burst[0] <= now < burst[1] else 1.0)
-        if chance.random() * peak > there:
+        current_rate = rate * (burst[2] if burst and burst[0] <= now < burst[1] else 1.0)
+        if generator.random() * peak > current_rate:
             continue
         shares = np.roll(base, now // swing % len(base)) if swing else base
         if silent:
             shares = base.copy()
             shares[silent[0]] *= 0.0 if now < silent[1] else 10.0
             shares /= shares.sum()
-        kind = int(chance.choice(len(base), p=shares))
+        kind = int(generator.choice(len(base), p=shares))
         work = works[kind]
         sigma = np.sqrt(np.log(1 + work.cv**2))
-        size = work.work * chance.lognormal(-(sigma**2) / 2, sigma) if work.cv else work.work
+        size = work.work * generator.lognormal(-(sigma**2) / 2, sigma) if work.cv else work.work
         caller = (
-            int(chance.integers(callers.count if callers else 16))
-            if who is None
-            else int(np.searchsorted(who, chance.random()))
+            int(generator.integers(callers.count if callers else 16))
+            if cumulative_shares is None
+            else int(np.searchsorted(cumulative_shares, generator.random()))
         )
         rows.append((now, kind, max(1, int(size)), caller))
     return Day(works, machines, callers or Callers(), shared, length, rows, seed)
--- a/gullyoke/emulator/duty.py
+++ b/gullyoke/emulator/duty.py
@@ -76,10 +76,10 @@
         self.paused.pop(name, None)
         self.starts[name] += 1
         life, now = next(self.lives), self.time(name)
-        self.candidates[name] = one = Candidate(
+        self.candidates[name] = candidate = Candidate(
             DUTY, name, life, self.set, self.spans, self.chance.random, self.number
         )
-        one.wants_lease = True
+        candidate.wants_lease = True
         self.voters.pop(name, None)
         if name in self.set:
             self.vote(name, life, now)
@@ -113,15 +113,15 @@
         self.number += 1
         old, self.set = self.set, list(names)
         for name in self.members:
-            self.after(self.chance.randrange(SECOND), self.take_set, name, old)
+            self.after(self.chance.randrange(SECOND), self.adopt_voters, name, old)
 
-    def take_set(self, name: str, old: list[str]) -> None:
+    def adopt_voters(self, name: str, old: list[str]) -> None:
         """Make a member adopt the present set of voters."""
-        one = self.candidates[name]
-        one.set_voters(self.time(name), self.set, self.number)
+        candidate = self.candidates[name]
+        candidate.set_voters(self.time(name), self.set, self.number)
         if name in self.set and name not in old:
             self.disks[name] = None
-            self.vote(name, one.incarnation, self.time(name))
+            self.vote(name, candidate.incarnation, self.time(name))
         elif name in self.voters and name in self.set:
             self.voters[name].set_others((n for n in self.set if n != name), self.number)
         else:
@@ -129,15 +129,15 @@
 
     # The simulated clock.
 
-    def after(self, span: int, act: Callable, *given: object) -> None:
+    def after(self, span: int, act: Callable, *arguments: object) -> None:
         """Schedule an action after `span` microseconds."""
-        heapq.heappush(self.queue, (self.now + span, next(self.count), act, given))
+        heapq.heappush(self.queue, (self.now + span, next(self.count), act, arguments))
 
     def run(self, until: int) -> None:
         """Run all events until that time, and record the maximum number of holders."""
         while self.queue and self.queue[0][0] <= until:
-            self.now, _, act, given = heapq.heappop(self.queue)
-            act(*given)
+            self.now, _, act, arguments = heapq.heappop(self.queue)
+            act(*arguments)
             self.most = max(self.most, len(self.holders()))
         self.now = until
 
@@ -148,15 +148,17 @@
         if self.paused.get(name, 0) > self.now:
             self.after(self.paused[name] - self.now, self.turn, name, starts)
             return
-        now, one = self.time(name), self.candidates[name]
-        there = [CandidatePlacement(n) for n in self.members if n in self.up]
-        one.delay_us = candidate_delay_us(DUTY, name, there) or 0
+        now, candidate = self.time(name), self.candidates[name]
+        placements = [CandidatePlacement(n) for n in self.members if n in self.up]
+        candidate.delay_us = candidate_delay_us(DUTY, name, placements) or 0
         voter = self.voters.get(name)
-        learn = voter.next_epoch_query(now) if voter is not None else None
-        if learn is not None:
-            self.post(name, [AddressedMessage(other, learn) for other in sorted(voter.others)])
-        self.post(name, one.tick(now))
-        epoch = one.held_epoch(now)
+        epoch_query = voter.next_epoch_query(now) if voter is not None else None
+        if epoch_query is not None:
+            self.post(
+                name, [AddressedMessage(other, epoch_query) for other in sorted(voter.others)]
+            )
+        self.post(name, candidate.tick(now))
+        epoch = candidate.held_epoch(now)
         if epoch is not None and self.chance.random() < TURN / ACT:
             # The delay is not bounded by the lease: the process may stall between checking the
             # lease and acting.
@@ -164,15 +166,15 @@
                 self.chance.randrange(1, max(2, self.slow)),
                 self.act,
                 epoch,
-                one.incarnation,
+                candidate.incarnation,
                 self.now,
             )
         self.after(TURN, self.turn, name, starts)
 
-    def act(self, epoch: int, life: int, came: int) -> None:
+    def act(self, epoch: int, life: int, sent_at: int) -> None:
         """Let the resource admit or refuse an action by its epoch, and record the action."""
         taken = self.fence.admit(DUTY, epoch, life)
-        self.acts.append(Act(came / 1e6, self.now / 1e6, DUTY, epoch, str(life), taken))
+        self.acts.append(Act(sent_at / 1e6, self.now / 1e6, DUTY, epoch, str(life), taken))
 
     def post(self, from_: str, posts: list[AddressedMessage]) -> None:
         """Send messages with loss, delay and duplication."""
@@ -193,19 +195,19 @@
         if self.paused.get(to, 0) > self.now:
             self.after(self.paused[to] - self.now, self.come, from_, to, message)
             return
-        now, one, voter = self.time(to), self.candidates[to], self.voters.get(to)
+        now, candidate, voter = self.time(to), self.candidates[to], self.voters.get(to)
         answer: list[AddressedMessage] = []
         if isinstance(message, VoteReply):
-            answer = one.handle_reply(now, message) if from_ in self.set else []
+            answer = candidate.handle_reply(now, message) if from_ in self.set else []
         elif isinstance(message, HandoverOffer):
-            answer = one.accept_handover(now, from_, message)
+            answer = candidate.accept_handover(now, from_, message)
         elif isinstance(message, HandoverAccept):
-            answer = one.handle_handover_accept(now, from_, message)
+            answer = candidate.handle_handover_accept(now, from_, message)
         elif voter is not None:
-            answer = self.voted(now, from_, to, voter, message)
+            answer = self.handle_voter_message(now, from_, to, voter, message)
         self.post(to, answer)
 
-    def voted(
+    def handle_voter_message(
         self, now: int, from_: str, to: str, voter: Voter, message: object
     ) -> list[AddressedMessage]:
         """Handle a message to a voter and return the replies that are ready at once."""
@@ -214,14 +216,16 @@
         if isinstance(message, LeaseRequest):
             answer = voter.answer_request(now, message)
             if isinstance(answer, PromiseWrite):
-                self.after(self.chance.randrange(1, SYNC), self.synced, from_, to, voter, answer)
+                self.after(
+                    self.chance.randrange(1, SYNC), self.write_done, from_, to, voter, answer
+                )
                 return []
             return [AddressedMessage(from_, answer)] if answer is not None else []
         if isinstance(message, LeaseRelease):
             voter.release(now, message)
         elif isinstance(message, EpochQuery):
-            said = voter.answer_epoch_query(now, message)
-            return [AddressedMessage(from_, said)] if said is not None else []
+            reply = voter.answer_epoch_query(now, message)
+            return [AddressedMessage(from_, reply)] if reply is not None else []
         elif isinstance(message, EpochReply):
             writes = voter.learn_epochs(now, message)
             for i, write in enumerate(writes):
@@ -231,7 +235,7 @@
                 self.disks[to] = {}
         return []
 
-    def synced(self, from_: str, to: str, voter: Voter, write: PromiseWrite) -> None:
+    def write_done(self, from_: str, to: str, voter: Voter, write: PromiseWrite) -> None:
         """Finish a disk write and send the vote.
 
         A process that ended meanwhile gets no result, though its disk may hold the write.
@@ -240,8 +244,8 @@
         if durable or self.chance.random() < 0.5:
             self.disks[to] = {**(self.disks[to] or {}), write.duty: write.promise}
         if self.voters.get(to) is voter and to in self.up:
-            said = voter.write_finished(self.time(to), write, durable)
-            self.post(to, [AddressedMessage(from_, said)] if said is not None else [])
+            reply = voter.write_finished(self.time(to), write, durable)
+            self.post(to, [AddressedMessage(from_, reply)] if reply is not None else [])
 
     # Faults and queries.
 
@@ -250,21 +254,21 @@
         chance, until, wiped = self.chance, self.now + span, 0
         while self.now < until:
             self.run(self.now + chance.choice((1, 3)) * SECOND // 2)
-            name, what = chance.choice(self.members), chance.randrange(8)
-            if what == 0:
+            name, fault = chance.choice(self.members), chance.randrange(8)
+            if fault == 0:
                 self.pause(name, chance.randrange(7 * SECOND))
-            elif what == 1:
+            elif fault == 1:
                 self.kill(name)
                 self.after(chance.randrange(4 * SECOND), self.start, name)
-            elif what == 2:
+            elif fault == 2:
                 self.deaf.add((name, chance.choice(("in", "out"))))
-            elif what == 3:
+            elif fault == 3:
                 self.deaf.clear()
-            elif what == 4:
+            elif fault == 4:
                 self.loss = chance.choice((0.0, 0.2))
-            elif what == 5:
+            elif fault == 5:
                 self.ill = {name} if chance.random() < 0.5 else set()
-            elif what == 6:
+            elif fault == 6:
                 self.slow = chance.choice((1, 6 * SECOND))
             elif not wiped and name in self.set:
                 wiped = 1
--- a/gullyoke/emulator/fleet.py
+++ b/gullyoke/emulator/fleet.py
@@ -42,7 +42,7 @@
 COLD, WARM = 0.25, 10_000_000  # speed of a fresh server, and time until it is warm
 
 
-class Told(NamedTuple):
+class LastAnswer(NamedTuple):
     """The last answer to a request, over all its attempts.
 
     `at`: its time; `what`: `done`, `shed` or `errored`; `poorer`: whether the dependency call was
@@ -62,40 +62,40 @@
 
     def __init__(self, shared: Shared, now: Callable[[], int], at) -> None:
         self.shared, self.now, self.at, self.busy, self.most = shared, now, at, 0, 0
-        self.line: deque[Callable[[], None]] = deque()
+        self.waiting: deque[Callable[[], None]] = deque()
         self.down, self.mean, self.seen = False, 0.0, 0
         self.calls = self.failed = 0
 
     def call(self, done: Callable[[bool], None]) -> None:
         """Start or queue a call; `done` gets whether it succeeded."""
         self.calls += 1
-        self._weigh()
+        self._update_mean()
         if self.down:
             self.failed += 1
             self.at(1000, lambda: done(False))
             return
-        self.line.append(done)
-        self.most = max(self.most, self.busy + len(self.line))
+        self.waiting.append(done)
+        self.most = max(self.most, self.busy + len(self.waiting))
         self._next()
 
-    def _weigh(self) -> None:
+    def _update_mean(self) -> None:
         now = self.now()
         part = min(1.0, (now - self.seen) / MEAN)
-        self.mean += (self.busy + len(self.line) - self.mean) * part
+        self.mean += (self.busy + len(self.waiting) - self.mean) * part
         self.seen = now
         self.down |= 0 < self.shared.survives < self.mean
 
     def _next(self) -> None:
-        while self.line and self.busy < self.shared.slots:
-            done = self.line.popleft()
+        while self.waiting and self.busy < self.shared.slots:
+            done = self.waiting.popleft()
             self.busy += 1
-            crowd, slower = 1 + 0.2 * len(self.line) / self.shared.slots, self.shared.slower
+            crowd, slower = 1 + 0.2 * len(self.waiting) / self.shared.slots, self.shared.slower
             if slower and slower[0] <= self.now() < slower[1]:
                 crowd *= slower[2]
             self.at(int(self.shared.span * crowd), lambda done=done: self._ended(done))
 
     def _ended(self, done: Callable[[bool], None]) -> None:
-        self._weigh()
+        self._update_mean()
         self.busy -= 1
         done(True)
         self._next()
@@ -120,7 +120,7 @@
         # Slow servers are spread evenly over the numbers, so any prefix has its share of them.
         self.pace = 0.5 if int((number + 1) * m.slow) > int(number * m.slow) else 1.0
         self.links: dict[int, int] = {}  # by caller, when its connection was last used
-        self.keeps, self.listed, self.up, self.good = day.callers.idle, True, True, True
+        self.idle_timeout, self.listed, self.up, self.good = day.callers.idle, True, True, True
         self.fresh = m.fresh or fleet.now() > 0
         self.server = None
         self.server = make(self)
@@ -154,12 +154,12 @@
         A new connection costs work and is refused when the table is full.
         """
         m, now = self.fleet.day.machines, self.fleet.now()
-        if not m.links or now - self.links.get(caller, -(10**12)) < self.keeps:
+        if not m.links or now - self.links.get(caller, -(10**12)) < self.idle_timeout:
             self.links[caller] = now
             return True
         self.links.pop(caller, None)
         if len(self.links) >= m.links:
-            self.links = {c: at for c, at in self.links.items() if now - at < self.keeps}
+            self.links = {c: at for c, at in self.links.items() if now - at < self.idle_timeout}
         if len(self.links) >= m.links:
             return False
         self.links[caller] = now
@@ -179,18 +179,18 @@
             self.reading += 1
             request = self.unread.popleft()
             self.cores.add(
-                self.fleet.day.machines.reading, lambda request=request: self._been_read(request)
+                self.fleet.day.machines.reading, lambda request=request: self._read_done(request)
             )
 
-    def _been_read(self, request: Asked) -> None:
+    def _read_done(self, request: Asked) -> None:
         self.reading -= 1
         request.read_at = self.fleet.now()
-        self.held(request.memory_kb)
+        self.add_memory(request.memory_kb)
         self.server.on_request(self.fleet.now(), request)
         self.server.dispatch(self.fleet.now())
         self._read()
 
-    def held(self, kb: float) -> None:
+    def add_memory(self, kb: float) -> None:
         """Add to the memory in use (negative: free it) and record the maximum."""
         self.kb += kb
         self.worst_kb = max(self.worst_kb, self.kb)
@@ -200,7 +200,7 @@
     def execute(self, request: Asked, command) -> None:
         """Carry out a command of the admission controller."""
         if command is RUN:
-            self.held(request.memory_kb * (self.fleet.day.machines.blowup - 1))
+            self.add_memory(request.memory_kb * (self.fleet.day.machines.blowup - 1))
             request.left = request.work
             # A run with a dependency call does half of its work before the call.
             first = request.work // 2 if request.call else request.work
@@ -212,7 +212,7 @@
             self.cores.add(request.left, lambda: self._ran(request, request.left))
         elif isinstance(command, Reject) or command is FAIL:
             if request.state not in (RUNNING, CALLING_DEPENDENCY) and not request.left:
-                self.held(-request.memory_kb)
+                self.add_memory(-request.memory_kb)
             self.fleet.told(request, self, command)
 
     def finished(self, request: Asked) -> None: ...
@@ -220,37 +220,37 @@
     def _ran(self, request: Asked, done: int) -> None:
         request.left -= done
         if request.call and request.left > 0:
-            self.tell(request, RequestEvent.DEPENDENCY_CALL_NEEDED)
+            self.report_event(request, RequestEvent.DEPENDENCY_CALL_NEEDED)
             return
-        self.held(-request.memory_kb * self.fleet.day.machines.blowup)
+        self.add_memory(-request.memory_kb * self.fleet.day.machines.blowup)
         request.left = 0
         if not request.answered_at:
             self.fleet.told(request, self, "done")
             self.done += 1
-        self.tell(request, RequestEvent.COMPLETED)
+        self.report_event(request, RequestEvent.COMPLETED)
 
-    def _call(self, request: Asked, try_for: int) -> None:
+    def _call(self, request: Asked, timeout_us: int) -> None:
         over = []
 
-        def end(word: RequestEvent) -> None:
+        def end(outcome: RequestEvent) -> None:
             if over:
                 return
-            over.append(word)
-            if word is RequestEvent.CALL_SUCCEEDED:
+            over.append(outcome)
+            if outcome is RequestEvent.CALL_SUCCEEDED:
                 request.call = False
                 self.cores.add(request.left, lambda: self._ran(request, request.left))
-            self.tell(request, word)
+            self.report_event(request, outcome)
 
         self.fleet.below.call(
             lambda well: end(
                 RequestEvent.CALL_SUCCEEDED if well else RequestEvent.CALL_OUTCOME_UNKNOWN
             )
         )
-        self.fleet.at(try_for, lambda: end(RequestEvent.CALL_OUTCOME_UNKNOWN))
+        self.fleet.at(timeout_us, lambda: end(RequestEvent.CALL_OUTCOME_UNKNOWN))
 
-    def tell(self, request: Asked, word: RequestEvent) -> None:
+    def report_event(self, request: Asked, event: RequestEvent) -> None:
         """Report an event of a request to the admission controller."""
-        self.server.on_event(self.fleet.now(), request, word)
+        self.server.on_event(self.fleet.now(), request, event)
         self.server.dispatch(self.fleet.now())
 
     def schedule_tick(self, after: int) -> None:
@@ -284,7 +284,7 @@
 
     def set_idle_timeout(self, span: int) -> None:
         """Close idle connections after `span` microseconds, or earlier if callers do."""
-        self.keeps = min(span, self.fleet.day.callers.idle)
+        self.idle_timeout = min(span, self.fleet.day.callers.idle)
 
     def log(self, text: str) -> None: ...
 
@@ -303,8 +303,8 @@
         self.chance = np.random.default_rng(day.seed + 1)
         self.below = Dependency(day.shared, self.now, self.at) if day.shared else None
         self.request_classes = [w.request_class() for w in day.works]
-        self.answers: list[Told | None] = [None] * len(day.arrivals)
-        self.away: dict[tuple[int, int], int] = {}  # until when a caller avoids a server
+        self.answers: list[LastAnswer | None] = [None] * len(day.arrivals)
+        self.avoided_until: dict[tuple[int, int], int] = {}  # until when a caller avoids a server
         self.heeds = self.chance.random(day.callers.count) < day.callers.heed
         self.sent = self.overdue = self.handshakes = self.unlinked = 0
         self.make, self.nodes = make, []
@@ -317,7 +317,7 @@
             self.at(time, lambda share=share: self.shrink(share))
         for time, count in day.machines.join:
             self.at(time, lambda count=count: self.grow(count))
-        self.feed(0)
+        self.schedule_arrivals(0)
 
     def now(self) -> int:
         """Return the simulated time in microseconds."""
@@ -344,17 +344,17 @@
         for _ in range(count):
             self.nodes.append(Node(len(self.nodes), self, self.make))
 
-    def feed(self, i: int) -> None:
+    def schedule_arrivals(self, i: int) -> None:
         """Schedule arrivals from row `i` on, one at a time to keep the event heap small."""
         if i < len(self.day.arrivals):
             wait = max(0, self.day.arrivals[i][0] - self.now())
-            self.at(wait, lambda: (self.arrive(i, 1), self.feed(i + 1)))
+            self.at(wait, lambda: (self.arrive(i, 1), self.schedule_arrivals(i + 1)))
 
     def arrive(self, i: int, tries: int, avoid: int = -1) -> None:
         """Send attempt `tries` of arrival `i`, if possible not to the server `avoid`."""
         time, kind, work, caller = self.day.arrivals[i]
         request_class, now = self.request_classes[kind], self.now()
-        node = self.chosen(caller, now, avoid)
+        node = self.choose_server(caller, now, avoid)
         if not node.connected(caller):
             self.unlinked += 1
             if (
@@ -363,7 +363,7 @@
             ):
                 self.at(self.day.callers.pause, lambda: self.arrive(i, tries + 1, node.number))
             elif self.answers[i] is None:
-                self.answers[i] = Told(now, "errored")
+                self.answers[i] = LastAnswer(now, "errored")
             return
         self.moves[now // 1_000_000, node.number] = (
             self.moves.get((now // 1_000_000, node.number), 0) + 1
@@ -391,13 +391,13 @@
         self.sent += 1
         node.arrive(request)
 
-    def chosen(self, caller: int, now: int, avoid: int) -> Node:
+    def choose_server(self, caller: int, now: int, avoid: int) -> Node:
         """Return a server for a caller: listed, healthy, and not one that the caller avoids.
 
         By subject, the search begins at the caller's preferred server. Otherwise the choice is
         random; in a large fleet a few draws come before a scan of all servers, which is slow.
         """
-        nodes, away = self.nodes, self.away
+        nodes, avoided_until = self.nodes, self.avoided_until
         if self.day.callers.by_subject:
             first = caller * 2_654_435_761 % 2**32 * len(nodes) >> 32
             for step in range(len(nodes)):
@@ -406,7 +406,7 @@
                     node.listed
                     and node.good
                     and node.number != avoid
-                    and away.get((caller, node.number), 0) <= now
+                    and avoided_until.get((caller, node.number), 0) <= now
                 ):
                     return node
         elif len(nodes) > 16:
@@ -416,11 +416,15 @@
                     node.listed
                     and node.good
                     and node.number != avoid
-                    and away.get((caller, node.number), 0) <= now
+                    and avoided_until.get((caller, node.number), 0) <= now
                 ):
                     return node
         there = [n for n in nodes if n.listed and n.good] or [n for n in nodes if n.listed] or nodes
-        left = [n for n in there if away.get((caller, n.number), 0) <= now and n.number != avoid]
+        left = [
+            n
+            for n in there
+            if avoided_until.get((caller, n.number), 0) <= now and n.number != avoid
+        ]
         left = left or [n for n in there if n.number != avoid] or there
         return left[int(self.chance.integers(len(left)))]
 
@@ -430,14 +434,14 @@
             return
         request.answered_at = self.now()
         self.overdue += self.now() > request.deadline > request.read_at + TICK
-        word = what if what == "done" else "shed" if isinstance(what, Reject) else "errored"
-        self.answers[request.first] = Told(self.now(), word, request.poorer)
-        if word == "done":
+        outcome = what if what == "done" else "shed" if isinstance(what, Reject) else "errored"
+        self.answers[request.first] = LastAnswer(self.now(), outcome, request.poorer)
+        if outcome == "done":
             return
         caller = self.day.arrivals[request.first][3]
         again = request.tries <= self.day.callers.tries
         if isinstance(what, Reject) and self.heeds[caller]:
-            self.away[caller, node.number] = self.now() + what.retry_after
+            self.avoided_until[caller, node.number] = self.now() + what.retry_after
             again &= not what.stop_retrying
         if again and self.now() + self.day.callers.pause < request.deadline:
             self.at(
--- a/gullyoke/emulator/shares.py
+++ b/gullyoke/emulator/shares.py
@@ -65,8 +65,8 @@
         """Make calls, tick the limit part and send its messages."""
         if self.calls:
             self.call()
-        for letter in (self.quota or (self.own if self.calls else self.part)).tick(self.now()):
-            self.post(letter, "")
+        for outgoing in (self.quota or (self.own if self.calls else self.part)).tick(self.now()):
+            self.post(outgoing, "")
 
     def call(self) -> None:
         """Start calls while slots are free; each is given up LINGER before its slot is insecure.
@@ -77,34 +77,38 @@
             self.now(), self.calls - len(self.out) - 1
         ):
             now, call = self.now(), Call(self)
-            most = min(self.own.secured_until(now) - now, 60 * SECOND) - LINGER
+            time_limit = min(self.own.secured_until(now) - now, 60 * SECOND) - LINGER
             self.own.call_started()
             self.out.add(call)
             span = self.play.chance.randrange(10_000, 6 * SECOND)
             self.play.below += 1
             self.play.worst_below = max(self.play.worst_below, self.play.below)
-            if span <= most:  # the call ends in time
+            if span <= time_limit:  # the call ends in time
                 self.play.after(int(span / self.rate), call.over)
             else:
-                self.play.after(int(most / self.rate), call.given_up)
+                self.play.after(int(time_limit / self.rate), call.abandon)
 
-    def hear(self, from_: str, message) -> None:
+    def receive(self, from_: str, message) -> None:
         """Handle a message and send the reply, if any."""
-        letter = (self.quota or (self.own if self.calls else self.part)).handle(self.now(), message)
-        if letter is not None:
-            self.post(letter, from_)
+        outgoing = (self.quota or (self.own if self.calls else self.part)).handle(
+            self.now(), message
+        )
+        if outgoing is not None:
+            self.post(outgoing, from_)
 
-    def post(self, letter: AddressedQuotaMessage, asker: str) -> None:
+    def post(self, outgoing: AddressedQuotaMessage, requester: str) -> None:
         """Send a message to its recipient.
 
         A vote request goes to the lender's configured address, a loan request to the address at
         which this process believes the lender to be.
         """
-        taken = self.play.takes.get((self.key, letter.lender), letter.lender)
-        to = {Recipient.VOTER: letter.lender, Recipient.LENDER: taken, Recipient.REQUESTER: asker}[
-            letter.to
-        ]
-        self.play.send(self.key, to, letter.message)
+        believed_address = self.play.takes.get((self.key, outgoing.lender), outgoing.lender)
+        to = {
+            Recipient.VOTER: outgoing.lender,
+            Recipient.LENDER: believed_address,
+            Recipient.REQUESTER: requester,
+        }[outgoing.to]
+        self.play.send(self.key, to, outgoing.message)
 
     def lent(self) -> int:
         """Return the tokens above the floor that are in force in this process."""
@@ -124,7 +128,7 @@
             self.play.below -= 1
         self.read(False)
 
-    def given_up(self) -> None:
+    def abandon(self) -> None:
         """Abandon the call; the dependency ends it within LINGER."""
         self.play.after(self.play.chance.randrange(LINGER), self.gone)
         self.read(True)
@@ -211,13 +215,13 @@
 
     def come(self, from_: str, to: str, message) -> None:
         """Deliver a message; a paused process gets it when it resumes."""
-        there = self.processes.get(to)
-        if there is None or not there.up:
+        receiver = self.processes.get(to)
+        if receiver is None or not receiver.up:
             return
-        if there.paused > self.now:
-            self.after(there.paused - self.now, lambda: self.come(from_, to, message))
+        if receiver.paused > self.now:
+            self.after(receiver.paused - self.now, lambda: self.come(from_, to, message))
             return
-        there.hear(from_, message)
+        receiver.receive(from_, message)
 
     def lent(self) -> int:
         """Return the tokens above the floors that are in force in all processes."""
