--- a/gullyoke/fault_testing/__init__.py
+++ b/gullyoke/fault_testing/__init__.py
@@ -1,3 +1,1 @@
-"""Several processes of this program on loopback, faults between them from a script, and a verdict
-(extra `lab`).
-"""
+"""Fault tests: runs a fleet on loopback, injects scripted faults and checks it (extra `lab`)."""
--- a/gullyoke/fault_testing/faults.py
+++ b/gullyoke/fault_testing/faults.py
@@ -1,4 +1,4 @@
-"""What happens to a datagram on its way from one member to another, by the script alone.
+"""Faults on the links between members: loss, delay, duplication and reordering of datagrams.
 
 No I/O.
 """
@@ -11,20 +11,23 @@
 
 
 class Faults:
-    """`cuts`: who is lost to whom, and how likely; the rest holds for all pairs."""
+    """The faults in force; `cuts` has senders, receivers and a loss probability.
+
+    The other faults apply to all pairs of members.
+    """
 
     def __init__(self, script: Script) -> None:
         self.script, self.chance = script, random.Random(script.seed)
         self.heal()
 
     def heal(self) -> None:
-        """No fault on any link."""
+        """Remove the faults from all links."""
         self.cuts: list[tuple[set[str], set[str], float]] = []
         self.loss = self.double = self.reorder = 0.0
         self.delay = (0.0, 0.0)
 
     def take(self, step: Step) -> None:
-        """A step of the script that concerns the links."""
+        """Apply a step of the script that changes the links."""
         words = step.words
         if step.what == "cut":
             one, other = (set(self.script.chosen((w,))) for w in (words[0], words[2]))
@@ -40,9 +43,9 @@
             setattr(self, step.what, float(words[0]))
 
     def fate(self, from_: str, to: str) -> list[float]:
-        """Seconds after which each copy of it arrives.
+        """Draw the delay in seconds of each copy of a datagram.
 
-        None where it is lost, two where it is doubled.
+        The list is empty for a lost datagram and has two entries for a duplicated one.
         """
         lost = max([self.loss, *(share for a, b, share in self.cuts if from_ in a and to in b)])
         if lost and self.chance.random() < lost:
--- a/gullyoke/fault_testing/faulty.py
+++ b/gullyoke/fault_testing/faulty.py
@@ -1,13 +1,14 @@
-"""The command line with faults under its disks, by a file that says which.
+"""Runs the command line with disk faults, which a file selects.
 
-For plays and tests alone.
+For fault tests and tests only.
 
     python -m gullyoke.fault_testing.faulty FILE serve --operator ...
 
-The file holds one word, read again at each call, and none where it is missing: `full` (what needs
-new room does not fit), `failing` (an error of the device), `hang` (syncs and writes in place come
-back once the word changes), `slow MS`, `low BYTES` (so much is left), `read-only`, `gone`. Files
-that were made before go on being written in place on a full disk, as they do.
+The file names one fault and is read again at each call; a missing file means no fault. The faults:
+`full` (calls that need new space fail), `failing` (I/O errors), `hang` (syncs and writes in place
+return after the file changes), `slow MS` (each sync is delayed), `low BYTES` (the free space that is
+reported), `read-only`, `gone`. As on a real full disk, `full` does not affect writes in place to
+existing files.
 """
 
 from __future__ import annotations
@@ -19,8 +20,8 @@
 
 from gullyoke.storage import folder as storage_folder
 
-POLL = 0.02  # seconds between looks at the file while a call hangs
-# The folder's methods that may fail, and what the file's words and the faults call them.
+POLL = 0.02  # seconds between reads of the file while a call hangs
+# The folder's methods that may fail, each with its name in FAULTS and in error messages.
 FAILING_METHODS = {
     "list_files": "names",
     "read": "read",
@@ -43,6 +44,7 @@
 
 
 def word(path: pathlib.Path) -> list[str]:
+    """Return the fault that the file names, with its argument; `well` without a fault."""
     try:
         return path.read_text().split() or ["well"]
     except OSError:
@@ -50,7 +52,7 @@
 
 
 def fail(path: pathlib.Path, call: str) -> None:
-    """What the file says of a call, before it is made. Raises `OSError`."""
+    """Apply the fault in the file to a call: delay it, or raise `OSError`."""
     what, *more = word(path)
     fault, calls = FAULTS.get(what, (0, ()))
     if call in calls:
@@ -62,7 +64,7 @@
 
 
 def layer(path: pathlib.Path) -> type[storage_folder.StorageFolder]:
-    """A folder whose calls ask the file first."""
+    """Return a folder class that applies the fault in the file to each call."""
 
     class Faulty(storage_folder.StorageFolder):
         def free_space(self) -> storage_folder.FreeSpace:
@@ -75,7 +77,7 @@
                 free_bytes = int(more[0])
             return storage_folder.FreeSpace(free_bytes, total_bytes)
 
-    def asked(method: str, call_name: str):
+    def with_faults(method: str, call_name: str):
         own = getattr(storage_folder.StorageFolder, method)
 
         def call(self, *given):
@@ -85,13 +87,14 @@
         return call
 
     for method, call_name in FAILING_METHODS.items():
-        setattr(Faulty, method, asked(method, call_name))
+        setattr(Faulty, method, with_faults(method, call_name))
     return Faulty
 
 
 def main() -> None:
+    """Replace the storage folder class and run the command line."""
     path = pathlib.Path(sys.argv[1])
-    storage_folder.StorageFolder = layer(path)  # before anything else takes it by its name
+    storage_folder.StorageFolder = layer(path)  # before other modules import the class
     sys.argv[1:2] = []
     from gullyoke.cli.main import main as command
 
--- a/gullyoke/fault_testing/history.py
+++ b/gullyoke/fault_testing/history.py
@@ -1,7 +1,6 @@
-"""Whether a history of acts on a resource is one that duties of one may leave.
+"""Checks the history of a resource that the holder of a singleton task writes to.
 
-Each epoch one process's, epochs that only grow, nothing taken that is older than something taken
-before. Pure.
+Each epoch belongs to one process, and no act is accepted after one of a newer epoch. No I/O.
 """
 
 from __future__ import annotations
@@ -12,7 +11,7 @@
 
 
 def faults(acts: Iterable[Act]) -> list[str]:
-    """What is wrong with a history, in the order of its acts; empty where nothing is."""
+    """Return the violations in a history, in the order of its acts."""
     found: list[str] = []
     newest: dict[str, int] = {}
     whose: dict[tuple[str, int], str] = {}
@@ -30,7 +29,7 @@
 
 
 def gaps(acts: Iterable[Act], duty: str) -> list[float]:
-    """Seconds from the last act taken under one epoch to the first under the next."""
+    """Return the seconds from the last accepted act of each epoch to the first of the next."""
     out, last = [], None
     for act in sorted(acts, key=lambda act: act.at):
         if act.duty == duty and act.taken:
@@ -41,7 +40,7 @@
 
 
 def held_share(acts: Iterable[Act], duty: str, begin: float, end: float, every: float) -> float:
-    """The share of a time in which the last act was no older than three times `every`."""
+    """Return the share of a period in which the last act was no older than three times `every`."""
     times = sorted(
         act.at for act in acts if act.duty == duty and act.taken and begin <= act.at <= end
     )
--- a/gullyoke/fault_testing/relay.py
+++ b/gullyoke/fault_testing/relay.py
@@ -1,7 +1,7 @@
 """The links between members.
 
-A socket of the rig's own at each member's advertised address, through which all that is sent to it
-must come; by who sent it, the pair is known and its faults apply.
+The relay listens at each member's advertised address and forwards what it receives to the member's
+real address. The source address of a datagram names the sender, so the faults of the pair apply.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class Relay(threading.Thread):
-    """Tables: `queue`, datagrams on their way.
+    """Forwards datagrams between members, with faults.
 
-    `sockets`, one a member, none while its process is killed, so that its machine's refusals are
-    real.
+    `queue` has the datagrams in flight. `sockets` has one socket per member, except while its
+    process is killed: the operating system then refuses datagrams to that address.
     """
 
     def __init__(self, real: dict[str, tuple[str, int]], faults: Faults) -> None:
@@ -43,7 +43,7 @@
             self.open(name)
 
     def open(self, name: str) -> None:
-        """Its address listens, the same one each time."""
+        """Listen at a member's advertised address, which stays the same over restarts."""
         with self.lock:
             if name in self.sockets:
                 return
@@ -56,7 +56,7 @@
             self.selector.register(sock, selectors.EVENT_READ, name)
 
     def close(self, name: str) -> None:
-        """Nobody listens at its address: who sends there is refused."""
+        """Stop listening at a member's address, so that datagrams to it are refused."""
         with self.lock:
             sock = self.sockets.pop(name, None)
             if sock is not None:
@@ -64,6 +64,7 @@
                 sock.close()
 
     def run(self) -> None:
+        """Receive and forward datagrams until the end."""
         while not self.ended:
             wait = 0.02
             with self.lock:
@@ -77,6 +78,7 @@
             self.deliver()
 
     def take(self, data: bytes, source: tuple[str, int], to: str) -> None:
+        """Queue the copies of a received datagram, or drop it, as the faults say."""
         from_ = self.by_address.get(source, "?")
         arrivals = self.faults.fate(from_, to)
         self.sent += 1
@@ -88,6 +90,7 @@
             heapq.heappush(self.queue, (now + after, next(self.count), data, to))
 
     def deliver(self) -> None:
+        """Send the queued datagrams whose delay has passed."""
         now = time.monotonic()
         while self.queue and self.queue[0][0] <= now:
             _, _, data, to = heapq.heappop(self.queue)
@@ -95,6 +98,7 @@
                 self.out.sendto(data, self.real[to])
 
     def end(self) -> None:
+        """Stop the thread and close all sockets."""
         self.ended = True
         self.join(1)
         for name in list(self.sockets):
--- a/gullyoke/fault_testing/report.py
+++ b/gullyoke/fault_testing/report.py
@@ -1,6 +1,4 @@
-"""A play kept: every change on one time line as CSV and Parquet, and a chart of who was taken for
-what.
-"""
+"""Writes the timeline of a fault test as CSV and Parquet, and a chart of the members' states."""
 
 from __future__ import annotations
 
@@ -21,7 +19,7 @@
 
 
 def write(verdict: Verdict, script: Script, folder: pathlib.Path) -> list[pathlib.Path]:
-    """The files written there."""
+    """Write the report to a folder and return the paths of its files."""
     import pyarrow as arrow
     from pyarrow import parquet
 
@@ -57,7 +55,7 @@
 
 
 def chart(verdict: Verdict, script: Script, path: pathlib.Path) -> None:
-    """A band a pair: how each member stood with each other one over time; faults as lines."""
+    """Draw one band per pair: the state of a member in the view of another; faults as lines."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/gullyoke/fault_testing/script.py
+++ b/gullyoke/fault_testing/script.py
@@ -1,12 +1,19 @@
-"""A play's script: how many members, what happens when, and what must be so by when.
-
-No I/O.
-
-members 5 zones 3 seed 7 load 20 # load: reqs a second to each member up 4 slots 12 call_ms 100 #
-the first four at the start; slots below, shared by the fleet backends 8 subset 3 work_ms 20 # SCGI
-back ends in the engines' place voters 3 lease_ms 1500 # duties of one, with a resource that takes
-acts by their epoch uniqued 0.3 go_on 0 # of the load, with keys that are kept; go on where they
-can't be at 8 kill m1 by 14 gone m1 at 20 start m1 by 30 equal never removed m0 m2..m4 end 32
+"""Parses the script of a fault test: the fleet, the faults and the checks with their times.
+
+No I/O. An example; the text after `#` on a line is a comment:
+
+    members 5 zones 3 seed 7 load 20    # load: requests per second to each member
+    up 4 slots 12 call_ms 100           # members started first; slots of the shared dependency
+    backends 8 subset 3 work_ms 20      # SCGI back ends in place of the engines
+    voters 3 lease_ms 1500              # singleton tasks, with a resource that checks epochs
+    uniqued 0.3 go_on 0                 # share of requests with stored idempotency keys; go_on 1
+                                        # continues where keys can't be stored
+    at 8 kill m1
+    by 14 gone m1
+    at 20 start m1
+    by 30 equal
+    never removed m0 m2..m4
+    end 32
 """
 
 from __future__ import annotations
@@ -16,7 +23,7 @@
 
 from gullyoke.errors import GullyokeError
 
-# What can happen, with how many words follow: at the least, at the most.
+# Faults and commands, each with the least and the greatest number of words that follow.
 FAULTS = {
     "kill": (1, 99),
     "down": (1, 99),
@@ -64,11 +71,11 @@
 
 
 class ScriptError(GullyokeError, ValueError):
-    """A script that can't be right: the line, and what would be."""
+    """An invalid script; the message names the line and the accepted values."""
 
 
 class Step(NamedTuple):
-    """`what` with its words at `at` seconds; a check counts from the fault that stands above it."""
+    """A fault at `at` seconds, or a check that must hold by then, with its words."""
 
     at: float
     what: str
@@ -77,6 +84,8 @@
 
 
 class Script(NamedTuple):
+    """A parsed script: the settings of the fleet and the steps."""
+
     members: int
     zones: int
     seed: int
@@ -97,33 +106,37 @@
     end: float
 
     def names(self) -> list[str]:
+        """Return the names of all members."""
         return [f"m{i}" for i in range(self.members)]
 
     def at_first(self) -> list[str]:
-        """Those that are up when the play begins."""
+        """Return the members that are started before the first step."""
         return self.names()[: self.up or self.members]
 
     def homes(self) -> list[str]:
-        """Who lends the slots, and votes."""
+        """Return the members that lend the slots: the first five, three or one."""
         first = self.at_first()
         return first[: 5 if len(first) >= 5 else 3 if len(first) >= 3 else 1]
 
     def faulty(self) -> bool:
-        """Whether disks are to fail."""
+        """Return whether the script has disk faults."""
         return any("disk" in (step.what, *step.words[:1]) for step in self.faults)
 
     def fault_of(self, check: Step) -> Step | None:
-        """The fault that a check is on: the one that stands above it."""
+        """Return the last fault above a check in the script; the check applies from that fault on."""
         return max(
             (f for f in self.faults if f.line < check.line), key=lambda f: f.line, default=None
         )
 
     def zone(self, name: str) -> str:
+        """Return the zone of a member."""
         return f"z{int(name[1:]) % self.zones}"
 
     def chosen(self, words: tuple[str, ...]) -> list[str]:
-        """What words name: `m1`, `m1..m3`, `z0`, `all`, back ends `b0..b2`, with commas or
-        without.
+        """Return the members and back ends that words name.
+
+        Accepts `m1`, `m1..m3`, `z0`, `all`, `none` and back ends as `b0..b2`; commas separate
+        several in one word.
         """
         found: list[str] = []
         for word in (part for text in words for part in text.split(",")):
@@ -139,7 +152,7 @@
 
 
 def read(text: str) -> Script:
-    """Raises `Misplayed` at the first line that can't be right."""
+    """Parse a script. Raises `ScriptError` at the first invalid line."""
     head = {
         "members": 3.0,
         "zones": 1.0,
@@ -210,6 +223,7 @@
 
 
 def known_step(words: list[str], known: dict[str, tuple[int, int]], number: int) -> tuple:
+    """Return the step's name, its words and its line number, after checking the first two."""
     if not words or words[0] not in known:
         wrong(number, repr(words[0]) if words else "nothing", ", ".join(known))
     least, most = known[words[0]]
@@ -219,6 +233,7 @@
 
 
 def figure(text: str, number: int) -> float:
+    """Return the number that a word of a line states."""
     try:
         return float(text)
     except ValueError:
@@ -226,4 +241,5 @@
 
 
 def wrong(number: int, what: str, right: str):
+    """Raise `ScriptError` for a line."""
     raise ScriptError(f"line {number}: {what} can't be; right would be {right}")
--- a/gullyoke/fault_testing/standins.py
+++ b/gullyoke/fault_testing/standins.py
@@ -1,7 +1,7 @@
-"""What the members of a play share below.
+"""Stand-ins for what the members of a fault test share.
 
-A dependency that counts what it has in hand, and SCGI back ends that count their runs. They speak
-their published protocols on loopback; what is counted is what crossed the sockets.
+A dependency that counts its concurrent calls, a resource that checks epochs, and SCGI back ends
+that count their runs. They speak their published protocols on loopback and count what they receive.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from gullyoke.runtime.messages import Answer, BadRequestError
 from gullyoke.runtime.sockets import Receiver
 
-LINGER = 0.15  # seconds for which a call given up stays in hand
+LINGER = 0.15  # seconds for which an abandoned call still occupies the dependency
 
 
 class Below(Peer):
-    """A dependency: each call takes `span` seconds, its stated time at the most.
+    """A dependency: each call takes `span` seconds, bounded by its stated time limit.
 
-    `most` is the most it had in hand at once; `asked`, calls so far; a call given up stays in hand
-    for LINGER.
+    `hand` counts the calls in progress, `most` is their maximum and `asked` counts all calls. An
+    abandoned call stays in progress for LINGER seconds.
     """
 
     def __init__(self, span: float) -> None:
@@ -39,10 +39,11 @@
             threading.Lock(),
         )  # `dead`: every call fails at once
         self.hand = self.most = self.asked = 0
-        self.times: list[float] = []  # when each call came while it was dead
+        self.times: list[float] = []  # arrival times of calls while `dead` was set
         super().__init__()
 
     def message(self, link: socket.socket, file, words: list[str]) -> None:
+        """Handle a call and answer it, unless the caller has given up."""
         if words[0] != "Q":
             return
         file.read(int(words[-1]) + 2)
@@ -57,7 +58,7 @@
             self.hand += 1
             self.most = max(self.most, self.hand)
         try:
-            # Readable while its call is out: the caller has given up, for it sends nothing else.
+            # The caller sends nothing during a call, so a readable link means that it has given up.
             gone = bool(select.select([link], [], [], min(self.span, int(words[2]) / 1000))[0])
             if gone:
                 time.sleep(LINGER)
@@ -70,9 +71,10 @@
 
 
 class Act(NamedTuple):
-    """An act that came to the resource.
+    """An act that the resource received.
 
-    When it came and was dealt with, in seconds, and whether it was taken.
+    `came` and `at` are when it was received and handled, in seconds; `taken`, whether it was
+    accepted.
     """
 
     came: float
@@ -84,9 +86,9 @@
 
 
 class Resource(Peer):
-    """What a duty acts on: takes acts by their epoch, refuses those older than the newest it has
-    taken, and keeps the history. `late`: for so many seconds an act of this process's stays on its
-    way, by its life.
+    """The resource of a singleton task: refuses acts of old epochs and keeps the history.
+
+    `late` is the delay in seconds of the next act that arrives.
     """
 
     def __init__(self) -> None:
@@ -94,10 +96,11 @@
         super().__init__()
 
     def message(self, link: socket.socket, file, words: list[str]) -> None:
+        """Accept or refuse an act by its epoch, and record it."""
         if words[:1] != ["HOLD"] or len(words) != 5:
             return
         duty, epoch, life, came = words[1], int(words[2]), words[3], time.monotonic()
-        late, self.late = self.late, 0.0  # one act is late, the next ones are not
+        late, self.late = self.late, 0.0  # only one act is delayed
         if late:
             time.sleep(late)
         with self.pen:
@@ -122,12 +125,13 @@
         self.well()
 
     def well(self) -> None:
+        """Accept connections."""
         if self.listener is None:
             self.listener = socket.create_server(self.address, backlog=256)
             threading.Thread(target=self.accept, args=(self.listener,), daemon=True).start()
 
     def lame(self) -> None:
-        """It refuses from now on; what it has it ends."""
+        """Refuse new connections; requests in progress are completed."""
         listener, self.listener = self.listener, None
         if listener is not None:
             with contextlib.suppress(OSError):
@@ -135,12 +139,14 @@
             listener.close()
 
     def accept(self, listener: socket.socket) -> None:
+        """Serve each connection on a thread of its own until the listener is closed."""
         with contextlib.suppress(OSError):
             while True:
                 conn, _ = listener.accept()
                 threading.Thread(target=self.serve, args=(conn,), daemon=True).start()
 
     def serve(self, conn: socket.socket) -> None:
+        """Count and answer the request of a connection."""
         with contextlib.suppress(OSError, ConnectionClosedError, BadRequestError), conn:
             message = scgi.read(Buffer(Receiver(conn), scgi.MAX_MESSAGE_BYTES))
             if message is None:
@@ -151,4 +157,5 @@
             conn.sendall(scgi.encode_answer(Answer(200, b"done")))
 
     def close(self) -> None:
+        """Stop accepting connections."""
         self.lame()
