--- a/gullyoke/fault_testing/compare_builds.py
+++ b/gullyoke/fault_testing/compare_builds.py
@@ -82,7 +82,7 @@
     "peers_dropped_seal",
     "peers_dropped_topic",
 )
-"""Counters of what a process could not read of stored data or of its peers; as they are logged."""
+"""Logged counters of stored data and messages of peers that a process could not read."""
 
 
 def run_module(checkout: pathlib.Path, module: str, *arguments: str, data: bytes = b"") -> bytes:
@@ -124,7 +124,7 @@
 
 
 class LoadReportPlay(Play):
-    """A play that records who showed a load report of whom, and by which start of theirs."""
+    """A run that records which load reports members show, by the starts of both members."""
 
     def __init__(self, checkouts: tuple[pathlib.Path, ...]) -> None:
         super().__init__(read(REPLACEMENT), print, checkouts)
@@ -132,7 +132,7 @@
         """Pairs of starts: the reader's, the reporter's."""
 
     def look(self) -> None:
-        """Look at the members, and record the load reports that they show."""
+        """Poll the members, and record the load reports that they show."""
         super().look()
         for reader, view in self.views.items():
             for row in (view or {}).get("rows", ()):
@@ -142,7 +142,7 @@
 
 
 def replace_members(name: str, checkouts: tuple[pathlib.Path, ...]) -> Iterator[str]:
-    """Play the replacement of a fleet; yield what did not hold.
+    """Run the replacement of a fleet; yield each check that failed.
 
     Args:
         name: The direction, for messages.
--- a/gullyoke/fault_testing/faulty.py
+++ b/gullyoke/fault_testing/faulty.py
@@ -20,7 +20,7 @@
 
 from gullyoke.storage import folder as storage_folder
 
-POLL = 0.02  # seconds between reads of the file while a call hangs
+HANG_POLL_INTERVAL_S = 0.02  # between reads of the file
 # The folder's methods that may fail, each with its name in FAULTS and in error messages.
 FAILING_METHODS = {
     "list_files": "names",
@@ -60,7 +60,7 @@
     if what == "slow" and call == "sync":
         time.sleep(float(more[0]) / 1000)
     while call in ("sync", "write_at") and word(path)[0] == "hang":
-        time.sleep(POLL)
+        time.sleep(HANG_POLL_INTERVAL_S)
 
 
 def layer(path: pathlib.Path) -> type[storage_folder.StorageFolder]:
--- a/gullyoke/fault_testing/load.py
+++ b/gullyoke/fault_testing/load.py
@@ -14,13 +14,9 @@
 
 WORK = Work("view", 1.0, 10_000, 0.3, 1_000_000, 2_000_000, 1.0, 0.1, False, 0.0)
 OUTCOMES = {"200": "done", "503": "shed", "500": "errored", "refused": "refused"}
-SPAN = 8_000  # microseconds of work per request
+WORK_US = 8_000  # microseconds of work per request
 KEYED = WORK._replace(name=UNIQUED, share=1.0, calls=False, window=120_000_000)
-TRIES, AGAIN, BACK = (
-    4,
-    0.3,
-    20.0,
-)  # attempts per key; seconds between attempts; seconds to wait for a restart
+ATTEMPTS, RETRY_DELAY_S, RESTART_TIMEOUT_S = 4, 0.3, 20.0  # of a request with a key
 
 
 class Load:
@@ -32,7 +28,7 @@
     """
 
     def __init__(
-        self, processes: list[Process], rate: float, span: int = SPAN, uniqued: float = 0.0
+        self, processes: list[Process], rate: float, span: int = WORK_US, uniqued: float = 0.0
     ) -> None:
         self.processes, self.rate, self.span, self.uniqued = processes, rate, span, uniqued
         self.rates = {p.name: rate for p in processes}
@@ -45,11 +41,11 @@
     def start(self) -> None:
         """Start one sending thread per member."""
         for process in self.processes if self.rate else ():
-            thread = threading.Thread(target=self.ask_on, args=(process,), daemon=True)
+            thread = threading.Thread(target=self.send_at_rate, args=(process,), daemon=True)
             self.threads.append(thread)
             thread.start()
 
-    def ask_on(self, process: Process) -> None:
+    def send_at_rate(self, process: Process) -> None:
         """Send requests to a member at its rate until the end, each on a thread of its own."""
         due = time.monotonic()
         while not self.ended.is_set():
@@ -60,7 +56,7 @@
                 self.number += 1
                 number = self.number
             keyed = number * self.uniqued % 1 + self.uniqued >= 1  # spread evenly over the requests
-            ask = self.ask_keyed if keyed else self.ask
+            ask = self.send_keyed if keyed else self.ask
             thread = threading.Thread(target=ask, args=(process, number), daemon=True)
             thread.start()
             self.threads.append(thread)
@@ -89,13 +85,13 @@
         with self.pen:
             self.rows[what] += 1
 
-    def ask_keyed(self, process: Process, number: int) -> None:
+    def send_keyed(self, process: Process, number: int) -> None:
         """Send a request with a key until it is done or shed, also across restarts of the server.
 
         Every fourth request that is done is sent again, and its outcome has to be done again.
         """
         outcomes: list[str] = []
-        for i in range(TRIES):
+        for i in range(ATTEMPTS):
             data = asked(
                 UNIQUED, number << 3 | i, 1, KEYED.timeout, self.span, True, f"k{number}", i > 0
             )
@@ -118,14 +114,14 @@
                 what in ("done", "shed", "twice", "late", "none") and not again
             ) or self.ended.is_set():
                 break
-            until = time.monotonic() + BACK
+            until = time.monotonic() + RESTART_TIMEOUT_S
             while (
                 process.name in self.disturbed
                 and time.monotonic() < until
                 and not self.ended.is_set()
             ):
                 time.sleep(0.05)
-            time.sleep(AGAIN)
+            time.sleep(RETRY_DELAY_S)
         answered = [what for what in outcomes if what not in ("gone", "refused")]
         last = (
             next((what for what in reversed(answered) if what != "done"), "done")
--- a/gullyoke/fault_testing/play.py
+++ b/gullyoke/fault_testing/play.py
@@ -19,9 +19,9 @@
 from gullyoke.fault_testing.relay import Relay
 from gullyoke.fault_testing.script import Script, Step
 
-LOOK = 0.1  # seconds between polls of the members
-TOGETHER = 20.0  # seconds for the members to agree on the fleet before the script begins
-STARVED = 6.0  # seconds that a member may lack slots while another has unused ones
+POLL_INTERVAL_S = 0.1  # of the members' status
+FORMATION_TIMEOUT_S = 20.0  # until the members agree on the fleet
+MAX_STARVED_S = 6.0  # a member without slots while another has unused ones
 
 
 class Held(NamedTuple):
@@ -155,13 +155,13 @@
         for process in first:
             process.wait()
         self.began = time.monotonic()
-        until = self.began + TOGETHER
+        until = self.began + FORMATION_TIMEOUT_S
         while not self.equal():
             if time.monotonic() > until:
                 raise ChildProcessError(
                     f"the members did not agree on the fleet in time: {self.views}"
                 )
-            time.sleep(LOOK)
+            time.sleep(POLL_INTERVAL_S)
         self.say(f"fleet formed after {self.now():.1f} s")
         self.began = time.monotonic()
         cpu = {p.name: p.cpu() for p in first}
@@ -213,7 +213,7 @@
                         )
                     )
                     self.say(f"{self.now():6.1f} s  {'held' if so else 'NOT SO'}: {held[-1].what}")
-            time.sleep(LOOK)
+            time.sleep(POLL_INTERVAL_S)
         held += [Held(f"by {c.at:g} {c.what}: no fault before it", False, 0.0) for c in checks]
         return held
 
@@ -287,12 +287,12 @@
         self.load.disturb(process.name, True)
         process.signal(signal.SIGSTOP)
 
-        def on() -> None:
+        def resume() -> None:
             process.signal(signal.SIGCONT)
             time.sleep(0.5)
             self.load.disturb(process.name, False)
 
-        timer = threading.Timer(float(span), on)
+        timer = threading.Timer(float(span), resume)
         timer.daemon = True
         timer.start()
 
@@ -559,8 +559,8 @@
                     0.0,
                 ),
                 Held(
-                    f"nobody without a slot for over {STARVED:g} s while others had some unused",
-                    self.starved <= STARVED,
+                    f"nobody without a slot for over {MAX_STARVED_S:g} s while others had some unused",
+                    self.starved <= MAX_STARVED_S,
                     0.0,
                 ),
             ]
--- a/gullyoke/fault_testing/processes.py
+++ b/gullyoke/fault_testing/processes.py
@@ -29,7 +29,7 @@
 
 DUTY = "play"  # the application's singleton task in fault tests
 UNIQUED = "set"  # the class of the requests with idempotency keys
-COME_UP = 20.0  # seconds until a started process has to answer its health check
+STARTUP_TIMEOUT_S = 20.0  # seconds until a started process has to answer its health check
 
 
 def text(address: tuple[str, int]) -> str:
@@ -198,7 +198,7 @@
 
     def wait(self) -> None:
         """Wait until the process answers its health check. Raises `ChildProcessError`."""
-        until = time.monotonic() + COME_UP
+        until = time.monotonic() + STARTUP_TIMEOUT_S
         while not good(self.listen):
             if time.monotonic() > until or not self.up():
                 code = self.child.poll()
--- a/gullyoke/fault_testing/relay.py
+++ b/gullyoke/fault_testing/relay.py
@@ -17,7 +17,7 @@
 from gullyoke.experiments.ports import free
 from gullyoke.fault_testing.faults import Faults
 
-LONGEST = 2048
+MAX_DATAGRAM_BYTES = 2048
 
 
 class Relay(threading.Thread):
@@ -73,7 +73,7 @@
             for key, _ in self.selector.select(wait):
                 with contextlib.suppress(OSError):
                     while True:
-                        data, source = key.fileobj.recvfrom(LONGEST)
+                        data, source = key.fileobj.recvfrom(MAX_DATAGRAM_BYTES)
                         self.take(data, source, key.data)
             self.deliver()
 
--- a/gullyoke/fault_testing/script.py
+++ b/gullyoke/fault_testing/script.py
@@ -67,7 +67,7 @@
     "logged": (2, 9),
 }
 NEVER = {"removed": (1, 99)}
-SPAN = re.compile(r"([mb])(\d+)\.\.\1(\d+)")
+RANGE = re.compile(r"([mb])(\d+)\.\.\1(\d+)")
 
 
 class ScriptError(GullyokeError, ValueError):
@@ -142,7 +142,7 @@
         for word in (part for text in words for part in text.split(",")):
             if word == "all":
                 found += self.names()
-            elif span := SPAN.fullmatch(word):
+            elif span := RANGE.fullmatch(word):
                 found += [f"{span[1]}{i}" for i in range(int(span[2]), int(span[3]) + 1)]
             elif word.startswith("z"):
                 found += [name for name in self.names() if self.zone(name) == word]
@@ -178,20 +178,20 @@
         first = words[0]
         if first in head:
             for key, value in zip(words[::2], words[1::2], strict=len(words) % 2 == 0):
-                head[key if key in head else wrong(number, f"{key!r}", ", ".join(head))] = figure(
-                    value, number
+                head[key if key in head else wrong(number, f"{key!r}", ", ".join(head))] = (
+                    parse_number(value, number)
                 )
         elif first in ("at", "by"):
             known = FAULTS if first == "at" else CHECKS
             if len(words) < 3:
                 wrong(number, line.strip(), f"`{first} SECONDS WHAT`")
             steps[first].append(
-                Step(figure(words[1], number), *known_step(words[2:], known, number))
+                Step(parse_number(words[1], number), *parse_step(words[2:], known, number))
             )
         elif first == "never":
-            steps["never"].append(Step(0.0, *known_step(words[1:], NEVER, number)))
+            steps["never"].append(Step(0.0, *parse_step(words[1:], NEVER, number)))
         elif first == "end" and len(words) == 2:
-            end = figure(words[1], number)
+            end = parse_number(words[1], number)
         else:
             wrong(number, repr(first), "members, at, by, never or end")
     last = max([step.at for step in steps["at"] + steps["by"]], default=0.0)
@@ -222,7 +222,7 @@
     return script
 
 
-def known_step(words: list[str], known: dict[str, tuple[int, int]], number: int) -> tuple:
+def parse_step(words: list[str], known: dict[str, tuple[int, int]], number: int) -> tuple:
     """Return the step's name, its words and its line number, after checking the first two."""
     if not words or words[0] not in known:
         wrong(number, repr(words[0]) if words else "nothing", ", ".join(known))
@@ -232,7 +232,7 @@
     return words[0], tuple(words[1:]), number
 
 
-def figure(text: str, number: int) -> float:
+def parse_number(text: str, number: int) -> float:
     """Return the number that a word of a line states."""
     try:
         return float(text)
--- a/gullyoke/fault_testing/standins.py
+++ b/gullyoke/fault_testing/standins.py
@@ -22,14 +22,14 @@
 from gullyoke.runtime.messages import Answer, BadRequestError
 from gullyoke.runtime.sockets import Receiver
 
-LINGER = 0.15  # seconds for which an abandoned call still occupies the dependency
+ABANDONED_CALL_S = 0.15  # for which an abandoned call still occupies the dependency
 
 
 class Below(Peer):
     """A dependency: each call takes `span` seconds, bounded by its stated time limit.
 
     `hand` counts the calls in progress, `most` is their maximum and `asked` counts all calls. An
-    abandoned call stays in progress for LINGER seconds.
+    abandoned call stays in progress for ABANDONED_CALL_S.
     """
 
     def __init__(self, span: float) -> None:
@@ -61,7 +61,7 @@
             # The caller sends nothing during a call, so a readable link means that it has given up.
             gone = bool(select.select([link], [], [], min(self.span, int(words[2]) / 1000))[0])
             if gone:
-                time.sleep(LINGER)
+                time.sleep(ABANDONED_CALL_S)
         finally:
             with self.pen:
                 self.hand -= 1
