--- a/gullyoke/fault_testing/faulty.py
+++ b/gullyoke/fault_testing/faulty.py
@@ -6,7 +6,7 @@
 
 The file names one fault and is read again at each call; a missing file means no fault. The faults:
 `full` (calls that need new space fail), `failing` (I/O errors), `hang` (syncs and writes in place
-return after the file changes), `slow MS` (each sync is delayed), `low BYTES` (the free space that is
+return after the file changes), `slow MS` (each sync is delayed), `low BYTES` (the free space
 reported), `read-only`, `gone`. As on a real full disk, `full` does not affect writes in place to
 existing files.
 """
--- a/gullyoke/fault_testing/play.py
+++ b/gullyoke/fault_testing/play.py
@@ -21,7 +21,7 @@
 
 POLL_INTERVAL_S = 0.1  # of the members' status
 FORMATION_TIMEOUT_S = 20.0  # until the members agree on the fleet
-MAX_STARVED_S = 6.0  # a member without slots while another has unused ones
+STARVED_S = 6.0  # a member without slots while another has unused ones
 
 
 class Held(NamedTuple):
@@ -559,8 +559,8 @@
                     0.0,
                 ),
                 Held(
-                    f"nobody without a slot for over {MAX_STARVED_S:g} s while others had some unused",
-                    self.starved <= MAX_STARVED_S,
+                    f"nobody without a slot for over {STARVED_S:g} s while others had some unused",
+                    self.starved <= STARVED_S,
                     0.0,
                 ),
             ]
--- a/gullyoke/fault_testing/script.py
+++ b/gullyoke/fault_testing/script.py
@@ -123,7 +123,7 @@
         return any("disk" in (step.what, *step.words[:1]) for step in self.faults)
 
     def fault_of(self, check: Step) -> Step | None:
-        """Return the last fault above a check in the script; the check applies from that fault on."""
+        """Return the last fault above a check in the script; the check applies after it."""
         return max(
             (f for f in self.faults if f.line < check.line), key=lambda f: f.line, default=None
         )
