--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,4 +1,4 @@
-"""Measurements of this project on the machine at hand, none part of CI.
+"""Benchmarks to run by hand; none is part of CI.
 
-Each prints one JSON object last.
+The last line that each prints is a JSON object.
 """
--- a/benchmarks/disk.py
+++ b/benchmarks/disk.py
@@ -1,10 +1,10 @@
-"""Disks that fill, fail and hang under a running server, and keys over its restarts.
+"""Full, failing and hanging disks under a running server, and idempotency keys over restarts.
 
     python -m benchmarks.disk [--short]
 
-`--short` takes under 50 s on eight cores. The last line is one JSON object. `crash_states` are
-walked; `cold_*` is simulated; all else is of real processes on this machine's disk, with faults by
-a layer under it.
+`--short` takes under 50 s on eight cores. The last line is one JSON object. `crash_states`
+comes from the model checker and `cold_*` from the simulator; all else is measured on real processes
+and this machine's disk, with faults injected by a layer below the store.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 from gullyoke.model_checking import key_ledger
 from gullyoke.storage import warmup_history
 
-LOAD = 24.0  # reqs a second: what the play's servers do with ease
-QUEUE, RESULTS = 4, 16  # MB that may wait for the disk, and that notes and results may take
+LOAD = 24.0  # requests per second, well below the servers' capacity
+QUEUE, RESULTS = 4, 16  # MB that may wait for the disk, and that stored keys and results may take
 
 
 @contextmanager
-def playing(script: str):
-    """A play that goes on beside what is done here, and its verdict at the end in `verdict`."""
+def running_scenario(script: str):
+    """Runs a scenario in a thread during the block; its verdict is then in `verdict`."""
     play = Play(read(script))
     thread = threading.Thread(target=lambda: setattr(play, "verdict", play.run()), daemon=True)
     thread.start()
@@ -43,6 +43,7 @@
 
 
 def script(uniqued: float, faults: str, go_on: int = 0, end: float = 8, load: float = LOAD) -> str:
+    """A scenario script for one server with the given faults."""
     return (
         f"members 1 seed 3 load {load} uniqued {uniqued} go_on {go_on}\nat 0.1 heal\n{faults}\n"
         f"end {end}\n"
@@ -50,20 +51,21 @@
 
 
 def played(text: str) -> Play:
-    with playing(text) as play:
+    """Runs a scenario to its end."""
+    with running_scenario(text) as play:
         pass
     return play
 
 
 def value(play: Play) -> float:
-    """The share of the reqs that were done."""
+    """The share of the requests that were done."""
     rows = play.verdict.requests
     all_ = sum(n for what, n in rows.items() if what not in ("lost", "refused", "gone"))
     return (rows.get("done", 0) + rows.get("keyed done", 0)) / max(1, all_)
 
 
-def killed(seed: int, kills: int) -> dict:
-    """One server killed at random moments, while callers with keys ask and ask again."""
+def run_with_kills(seed: int, kills: int) -> dict:
+    """Kills one server at random moments while clients send and retry keyed requests."""
     chance, at, lines = random.Random(seed), 0.5, []
     for _ in range(kills):
         at += chance.uniform(0.6, 1.6)
@@ -82,10 +84,8 @@
     }
 
 
-def took(uniqued: bool, seconds: float) -> tuple[list[float], dict]:
-    """How long uniqued reqs take, in ms, with and without their notes, and what the server printed
-    of keys.
-    """
+def keyed_latencies(uniqued: bool, seconds: float) -> tuple[list[float], dict]:
+    """Latencies in ms of requests, with keys if `uniqued`, and the server's last log line of keys."""
     import socket
 
     from gullyoke.experiments.world import asked
@@ -95,7 +95,7 @@
     if not uniqued:
         text = text.replace("uniqued 0.01", "uniqued 0")
     times: list[float] = []
-    with playing(text) as play:
+    with running_scenario(text) as play:
         while not hasattr(play, "processes") or not play.began or play.now() < 0.2:
             time.sleep(0.05)
         listen = play.processes["m0"].listen
@@ -118,16 +118,16 @@
 
         with ThreadPoolExecutor(8) as pool:
             list(pool.map(ask_on, range(1, 9)))
-    said = [
+    key_log_lines = [
         line
         for line in play.processes["m0"].lines
         if line.get("event") == "keys" and "group" in line
     ]
-    return times, said[-1] if said else {}
+    return times, key_log_lines[-1] if key_log_lines else {}
 
 
 def hung() -> dict:
-    """A sync that hangs for 4 s under load, and the drain of one whose disk hangs."""
+    """A disk that hangs for 4 s under load."""
     play = played(
         script(
             0.5,
@@ -146,6 +146,7 @@
 
 
 def full(go_on: int) -> tuple[Play, float]:
+    """A disk that is full for 6.5 s; returns the run and the seconds until it is well."""
     play = played(
         script(
             0.5,
@@ -157,10 +158,10 @@
     return play, next(one.after for one in play.verdict.held if "disks m0 well" in one.what)
 
 
-def promises() -> dict:
-    """Three voters whose disks are full.
+def lease_with_full_disks() -> dict:
+    """A change of holder while the disks of three voters are full.
 
-    The holder is killed, and the next one has to be promised it.
+    The holder is killed, and the voters have to promise the lease to the next one.
     """
     play = played(
         "members 4 zones 2 seed 5 load 4 voters 3 lease_ms 1000\nat 0 heal\nby 6 held\n"
@@ -173,8 +174,8 @@
     }
 
 
-def coldly(given: tuple[int, float]) -> float:
-    """What the memory of an earlier cold start adds to the first 30 s of another."""
+def warmup_history_gain(given: tuple[int, float]) -> float:
+    """Gain in value over the first 30 s of a cold start from the history of an earlier one."""
     seed, load = given
 
     def day(seed: int) -> Running:
@@ -207,22 +208,25 @@
 
 
 def quantile(values: list[float], share: float) -> float:
+    """The given quantile of the values, or 0 for none."""
     ranked = sorted(values)
     return ranked[min(len(ranked) - 1, int(share * len(ranked)))] if ranked else 0.0
 
 
 def main() -> None:
+    """Runs the measurements and prints the results."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--short", action="store_true")
     short = parser.parse_args().short
     out: dict = {"short": short}
     with ThreadPoolExecutor(8) as plays:
         kills = [
-            plays.submit(killed, seed, 5 if short else 40) for seed in range(2 if short else 8)
+            plays.submit(run_with_kills, seed, 5 if short else 40)
+            for seed in range(2 if short else 8)
         ]
         hang, shed, going_on = plays.submit(hung), plays.submit(full, 0), plays.submit(full, 1)
         well = plays.submit(played, script(0.5, "", end=10))
-        voters = plays.submit(promises)
+        voters = plays.submit(lease_with_full_disks)
         rows = [one.result() for one in kills]
         out |= {
             "kills": sum(r["kills"] for r in rows),
@@ -251,8 +255,8 @@
         }
         out["promises_kept_when_full"] = voters.result()["kept"]
         out["promised_when_full_s"] = voters.result()["moved_s"]
-    with_, said = took(True, 4 if short else 20)
-    without, _ = took(False, 4 if short else 20)
+    with_, said = keyed_latencies(True, 4 if short else 20)
+    without, _ = keyed_latencies(False, 4 if short else 20)
     out |= {
         "p50_ms": round(quantile(with_, 0.5), 2),
         "p99_ms": round(quantile(with_, 0.99), 2),
@@ -267,7 +271,7 @@
         ]
         mutants = [pool.submit(key_ledger.explore_ledger, guard, 8) for guard in key_ledger.MUTANTS]
         for load in (1.0, 1.5) if short else (0.6, 1.0, 1.5):
-            gains = list(pool.map(coldly, [(seed, load) for seed in range(1, 31)]))
+            gains = list(pool.map(warmup_history_gain, [(seed, load) for seed in range(1, 31)]))
             half = 2.05 * statistics.stdev(gains) / len(gains) ** 0.5
             out[f"cold_start_gain_{load}"] = [round(statistics.mean(gains), 4), round(half, 4)]
         out |= {
--- a/benchmarks/duty.py
+++ b/benchmarks/duty.py
@@ -1,4 +1,4 @@
-"""Duties of one, measured: walked through, in the model with faults, and five real processes.
+"""Singleton tasks: model checking, simulation with faults, and real processes.
 
     python -m benchmarks.duty [--short]
 
@@ -35,8 +35,8 @@
 """
 
 
-def troubled(seed: int) -> dict:
-    """A play of everything at once."""
+def run_with_faults(seed: int) -> dict:
+    """Simulates a minute of random faults; counts holders, overlaps and refused stale actions."""
     play = Play(seed, voters=3 + 2 * (seed % 2), members=7)
     play.run(6 * SECOND)
     play.trouble(60 * SECOND)
@@ -47,8 +47,8 @@
     }
 
 
-def handed(seed: int, how: str) -> float:
-    """Seconds without a holder: asked for, killed, or cut off one way."""
+def handover_s(seed: int, how: str) -> float:
+    """Seconds until another holder: after a requested handover, a kill or a one-way partition."""
     play = Play(seed, voters=3, members=8)
     play.run(6 * SECOND + seed * 37_000)
     (old,) = play.holders()
@@ -67,7 +67,7 @@
 
 
 def one_sided(seed: int) -> int:
-    """Epochs of a minute of one-sided cut."""
+    """Number of epochs started in a minute of a one-way partition of the holder."""
     play = Play(seed, voters=3, members=8)
     play.run(6 * SECOND)
     (old,) = play.holders()
@@ -77,10 +77,8 @@
     return play.epochs() - before
 
 
-def held(seed: int) -> float:
-    """The share of five minutes in which somebody held it, with a fault every 30 s and a majority
-    always up.
-    """
+def held_share(seed: int) -> float:
+    """Share of five minutes that had a holder, with a fault every 30 s and a majority always up."""
     play, share = Play(seed, voters=3, members=8), 0
     play.run(6 * SECOND)
     began, chance = play.now, random.Random(seed)
@@ -104,8 +102,8 @@
     return share / (play.now - began)
 
 
-def asks(servers: int, duty: bool) -> float:
-    """Tries a minute at a dead dependency, of all servers that would call all the time."""
+def attempts_at_dead_dependency(servers: int, duty: bool) -> float:
+    """Attempts in a minute at a dead dependency by servers that all try to call it constantly."""
     chance = random.Random(servers)
     all_ = [DependencyProbe(chance.random) for _ in range(servers)]
     for one in all_:
@@ -125,16 +123,19 @@
 
 
 def real(script: str) -> tuple[object, Real]:
+    """Runs a scenario with real processes; returns its verdict and the run."""
     play = Real(read(script))
     return play.run(), play
 
 
 def quantile(values: list[float], share: float) -> float:
+    """The given quantile of the values, rounded to three decimals."""
     ranked = sorted(values)
     return round(ranked[min(len(ranked) - 1, int(share * len(ranked)))], 3)
 
 
 def main() -> None:
+    """Runs the measurements and prints the results."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--short", action="store_true")
     short = parser.parse_args().short
@@ -145,14 +146,14 @@
     with ProcessPoolExecutor(os.cpu_count()) as pool:
         right = pool.submit(walk.found, None, 3 if short else 5)
         mutants = {guard: pool.submit(walk.found, guard, 3) for guard in walk.MUTANTS}
-        plays = [pool.submit(troubled, seed) for seed in range(24 if short else 400)]
+        plays = [pool.submit(run_with_faults, seed) for seed in range(24 if short else 400)]
         n = range(30 if short else 300)
         handovers = {
-            how: [pool.submit(handed, seed, how) for seed in n]
+            how: [pool.submit(handover_s, seed, how) for seed in n]
             for how in ("asked", "killed", "in", "out")
         }
         epochs = [pool.submit(one_sided, seed) for seed in range(4 if short else 40)]
-        shares = [pool.submit(held, seed) for seed in range(3 if short else 30)]
+        shares = [pool.submit(held_share, seed) for seed in range(3 if short else 30)]
         states, wrong = right.result()
         out |= {
             "states_walked": states,
@@ -180,8 +181,8 @@
         }
     for servers in (10, 100):
         out[f"asks_a_minute_{servers}"] = {
-            "with": asks(servers, True),
-            "without": asks(servers, False),
+            "with": attempts_at_dead_dependency(servers, True),
+            "without": attempts_at_dead_dependency(servers, False),
         }
     acts = play.shared.resource.acts
     rolled = [row for row in verdict.faults if row[1].startswith("roll")]
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,9 +1,9 @@
-"""Membership measured: simulated at 10, 100 and 1,000 members, and five real processes on loopback.
+"""Membership: simulations of 10, 100 and 1,000 members, and five real processes on loopback.
 
 python -m benchmarks.members [--short] [--against]
 
 `--short` takes under 50 s on eight cores; without it there are more seeds and the long cases at
-every size. `--against` plays the published detectors on the same network instead
+every size. `--against` simulates the published detectors on the same network instead
 (docs/members-design.md has the table). The last line is one JSON object; all of it but the `real_`
 figures is simulated.
 """
@@ -30,9 +30,7 @@
 
 
 def detect(size: int, seed: int, refuses: bool, make: str = "ours") -> list[float]:
-    """Seconds from the end of one member in a hundred, one at the least, until all others have it
-    removed.
-    """
+    """Seconds until all others have removed a killed member; one in a hundred, or one, is killed."""
     net = fleet(size, seed, joined=True, settle_us=3 * SECOND, make_member=MAKES[make])
     gone = [f"m{i}" for i in range(3, 3 + max(1, size // 100))]
     began = net.now
@@ -49,8 +47,10 @@
     return out
 
 
-def wrongly(size: int, seed: int, loss: float, pauses: bool, span: int, make: str = "ours") -> int:
-    """Members that were well, or paused for 3 s, and yet removed by anybody."""
+def false_removals(
+    size: int, seed: int, loss: float, pauses: bool, span: int, make: str = "ours"
+) -> int:
+    """Number of members removed by any other although they were healthy or only paused for 3 s."""
     net = fleet(size, seed, joined=True, settle_us=2 * SECOND, loss=loss, make_member=MAKES[make])
     names, until = list(net.hosts), net.now + span
 
@@ -67,9 +67,9 @@
 
 
 def flaps(size: int, seed: int, span: int, make: str = "ours") -> tuple[int, int]:
-    """Ten members lose 80% of what comes in.
+    """Ten members lose 80% of their incoming messages.
 
-    Removals of the others, and of these beyond their first.
+    Returns the number of other members removed, and the repeated removals of these ten.
     """
     net = fleet(size, seed, joined=True, settle_us=2 * SECOND, make_member=MAKES[make])
     bad = {f"m{i}" for i in range(10)}
@@ -83,7 +83,7 @@
 
 
 def costs(size: int, seed: int) -> tuple[float, float]:
-    """Messages and bytes a second that a member sends while nothing happens."""
+    """Messages and bytes per second that a member sends while membership is stable."""
     net = fleet(size, seed, joined=True, settle_us=2 * SECOND, count_bytes=True)
     net.run(net.now + 4 * SECOND)
     up = net.running()
@@ -91,7 +91,7 @@
 
 
 def heal(size: int, seed: int) -> float:
-    """Seconds from the end of a cut in halves of 10 s until all views are one again."""
+    """Seconds from the end of a 10 s partition into halves until all views agree again."""
     net = fleet(size, seed, joined=True, settle_us=2 * SECOND)
     left = set(list(net.hosts)[: size // 2])
     net.cut = lambda now, a, b: 1.0 if (a.name in left) != (b.name in left) else 0.0
@@ -103,7 +103,7 @@
 
 
 def join(size: int, seed: int) -> float:
-    """Seconds until `size` who start at once on three seeds are one fleet."""
+    """Seconds until `size` members that start at once with three seed members have equal views."""
     net = Network(seed)
     for i in range(size):
         net.start(f"m{i}", ["m0", "m1", "m2"], f"z{i % 3}")
@@ -111,7 +111,7 @@
 
 
 def real() -> dict:
-    """Five processes: idle first, then one killed, with a few reqs a second beside."""
+    """Five real processes: idle first, then one is killed under a light load of requests."""
     from gullyoke.fault_testing.play import Play
     from gullyoke.fault_testing.script import read
 
@@ -152,6 +152,7 @@
 
 
 def quantile(values: list[float], share: float) -> float:
+    """The given quantile of the values, or NaN for none."""
     ranked = sorted(values)
     return (
         round(ranked[min(len(ranked) - 1, int(share * len(ranked)))], 2) if ranked else float("nan")
@@ -159,6 +160,7 @@
 
 
 def main() -> None:
+    """Parses the options and runs the measurements."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--short", action="store_true", help="under 50 s on eight cores")
     parser.add_argument(
@@ -166,10 +168,11 @@
     )
     given = parser.parse_args()
     with ProcessPoolExecutor(os.cpu_count()) as pool:
-        against(pool) if given.against else measure(pool, given.short)
+        compare_detectors(pool) if given.against else measure(pool, given.short)
 
 
 def measure(pool: ProcessPoolExecutor, short: bool) -> None:
+    """Runs all measurements of this project's detector and prints the results."""
     seeds = {10: 8, 100: 1, 1000: 1} if short else {10: 60, 100: 12, 1000: 3}
     tasks, at = {}, pool.submit
     tasks["join", 200] = [at(join, 200, s) for s in range(1 if short else 3)]
@@ -181,7 +184,9 @@
         long = n if size < 1000 or not short else ()
         span = {10: 30 if short else 40, 100: 10 if short else 40, 1000: 20}[size] * SECOND
         for loss, pauses in ((0.0, True), (0.1, True), (0.3, False)):
-            tasks["wrongly", size, loss] = [at(wrongly, size, s, loss, pauses, span) for s in long]
+            tasks["wrongly", size, loss] = [
+                at(false_removals, size, s, loss, pauses, span) for s in long
+            ]
         half_deaf = (60 if not short or size == 10 else 12) * SECOND
         tasks["flaps", size] = [at(flaps, size, 1, half_deaf)] if long else []
         tasks["heal", size] = [at(heal, size, s) for s in long]
@@ -214,14 +219,17 @@
     print(json.dumps(out))
 
 
-def against(pool: ProcessPoolExecutor) -> None:
+def compare_detectors(pool: ProcessPoolExecutor) -> None:
+    """Runs this project's and the published detectors on the same cases and prints the results."""
     out = {}
     for size, seeds in ((10, 20), (100, 6)):
         for make in MAKES:
             n = range(seeds)
             silent = [pool.submit(detect, size, s, False, make) for s in n]
             cases = {
-                name: [pool.submit(wrongly, size, s, loss, pauses, 40 * SECOND, make) for s in n]
+                name: [
+                    pool.submit(false_removals, size, s, loss, pauses, 40 * SECOND, make) for s in n
+                ]
                 for name, loss, pauses in (
                     ("pauses", 0.0, True),
                     ("loss 10% and pauses", 0.1, True),
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -1,6 +1,6 @@
-"""What pools and the reserve are worth, and what they cost.
+"""Value gained by pools and the reserve, and the CPU cost of their decisions.
 
-Values are simulated on the emulator.
+The values are simulated on the emulator.
 
 python -m benchmarks.pools [--short]
 """
@@ -22,34 +22,33 @@
     Work("schedule-set", 0.30, 385_000, 0.6, 2_300_000, 5_700_000, 2.0, 0.1),
     Work("drop-status", 0.13, 165_000, 0.6, 1_000_000, 2_500_000, 3.0, 0.1),
 )
-DROP = ((7 * SECOND, 0.33), (14 * SECOND, 1.0))
+SPEED_DROP = ((7 * SECOND, 0.33), (14 * SECOND, 1.0))
 DAYS = {
     "steady": (2.0, {}, ()),
     "swinging": (2.0, {"swing": 2 * SECOND}, ()),
-    "drop": (2.0, {}, DROP),
+    "drop": (2.0, {}, SPEED_DROP),
     "five": (5.0, {}, ()),
     "ten": (10.0, {}, ()),
 }
 
 
 def play(kind: str, seed: int) -> dict:
+    """Runs a day with and without pools and relates the values to the planner's bounds."""
     load, more, speeds = DAYS[kind]
     day = drawn(W, Machines(servers=3, speeds=speeds), load, 20 * SECOND, seed, **more)
-    best, blind, row = bound(day), bound(day, sizes=False), {"kind": kind}
+    best, without_sizes, row = bound(day), bound(day, sizes=False), {"kind": kind}
     for name, pools in (("without", False), ("with", True)):
         got = Running(day, deciding(pools)).play()
         counts = got.counts[2]
         row[name] = sum(got.earned) / best.value
-        row[name + "_blind"] = sum(got.earned) / blind.value
+        row[name + "_blind"] = sum(got.earned) / without_sizes.value
         row[name + "_reserve"] = counts["done"] / max(1, sum(counts.values()))
         row[name + "_worst"] = (got.memory, got.crowd, got.unanswered + got.overdue)
     return row
 
 
-def cost(pools: bool) -> float:
-    """Microseconds of decision a req, over a busy day, reading and all else of the model taken
-    off.
-    """
+def decision_cost_us(pools: bool) -> float:
+    """Microseconds of scheduling per request on a busy day, without the time of the simulator."""
     day, spent = drawn(W, Machines(servers=1), 2.0, 20 * SECOND, 1), 0.0
     running = Running(day, deciding(pools))
     server = running.nodes[0].server
@@ -70,6 +69,7 @@
 
 
 def main() -> None:
+    """Runs all days and prints the results."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--short", action="store_true", help="under 50 s")
     seeds = 6 if parser.parse_args().short else 30
@@ -91,7 +91,10 @@
         "worst_memory": round(max(w[0] for w in worst), 3),
         "worst_crowd": round(max(w[1] for w in worst), 3),
         "unanswered_or_late": sum(w[2] for w in worst),
-        "decision_us": {"without": round(cost(False), 1), "with": round(cost(True), 1)},
+        "decision_us": {
+            "without": round(decision_cost_us(False), 1),
+            "with": round(decision_cost_us(True), 1),
+        },
     }
     print(json.dumps(out))
 
--- a/benchmarks/scgi.py
+++ b/benchmarks/scgi.py
@@ -1,12 +1,12 @@
-"""What a req costs through each front.
+"""Cost of a request through each front end.
 
-CPU of the daemon, time to the answer, and its memory when idle.
+Measures the daemon's CPU time, the response time, and the daemon's memory when idle.
 
     python -m benchmarks.scgi [--short] [--before COMMIT]
 
-Blocks of reqs go through HTTP/1.1 and SCGI in turn, each on a connection of its own, so that both
-do the same; HTTP/1.1 on kept connections is beside them. The engine is a stand-in that answers at
-once.
+Blocks of requests go through HTTP/1.1 and SCGI in turn, each request on a connection of its own, so
+that both do the same work; HTTP/1.1 on a persistent connection is measured too. The engine is a
+stand-in that answers at once.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 @contextlib.contextmanager
 def daemon(operator: bool, cwd: pathlib.Path = ROOT):
-    """A daemon at a stand-in engine; yields it with its peers."""
+    """Starts a daemon with a stand-in engine; yields the daemon and its peers."""
     with contextlib.closing(Sockets()) as scene:
         scene.engine.down()
         scene.engine = Busy(2, 0.0)
@@ -46,9 +46,9 @@
 
 
 def block(scene, way: str, count: int, first: int) -> list[float]:
-    """`count` reqs one after another; seconds to each whole answer.
+    """Sends `count` requests one after another; returns the seconds to each complete answer.
 
-    An answer that is not 200 is lost.
+    The time is -1 for an answer other than 200, which counts as lost.
     """
     took, kept = [], None
     address = scene.scgi if way == "scgi" else scene.listen
@@ -74,7 +74,8 @@
     return took
 
 
-def measured(blocks: int, count: int) -> dict:
+def measure_front_ends(blocks: int, count: int) -> dict:
+    """CPU time, response times and lost requests of each front end."""
     found = {way: {"cpu": [], "took": []} for way in ("close", "scgi", "kept")}
     with daemon(True) as scene:
         for way in found:
@@ -99,7 +100,7 @@
 
 
 def idle(cwd: pathlib.Path) -> int:
-    """The least resident memory, in KiB, of three idle daemons without an operator's file."""
+    """The lowest resident memory, in KiB, of three idle daemons without an operator's file."""
     sizes = []
     for _ in range(3):
         with daemon(False, cwd) as scene:
@@ -109,13 +110,14 @@
 
 
 def main() -> None:
+    """Runs the measurements and prints the results."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--short", action="store_true", help="under 50 s")
     parser.add_argument(
         "--before", default="ab97135", help="the commit whose idle memory stands beside ours"
     )
     given = parser.parse_args()
-    ways = measured(6 if given.short else 20, 500)
+    ways = measure_front_ends(6 if given.short else 20, 500)
     for way, row in ways.items():
         print(way, row)
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,5 +1,6 @@
-"""What the store does on this machine's disk, and what a memory is worth after a restart
-(simulated).
+"""Throughput of the store on this machine's disk, and the value of stored run times at a restart.
+
+The restart is simulated.
 
 python -m benchmarks.store [--short]
 """
@@ -21,17 +22,17 @@
 
 
 def durable(waiting: int, seconds: float) -> dict:
-    """Records a second and the wait for each, with so many waiting at once."""
+    """Commits per second and the latency of each, with `waiting` concurrent writers."""
     took, until = [], time.perf_counter() + seconds
     with tempfile.TemporaryDirectory() as folder:
         committer = GroupCommitter(Store(StorageFolder(folder)))
 
         def one(n: int) -> None:
-            told, i = threading.Semaphore(0), 0
+            committed, i = threading.Semaphore(0), 0
             while time.perf_counter() < until:
                 began, i = time.perf_counter(), i + 1
-                committer.put(f"k{n}-{i % 50}", b"x" * 100, lambda ok: told.release())
-                told.acquire()
+                committer.put(f"k{n}-{i % 50}", b"x" * 100, lambda ok: committed.release())
+                committed.acquire()
                 took.append(time.perf_counter() - began)
 
         threads = [threading.Thread(target=one, args=(n,)) for n in range(waiting)]
@@ -50,7 +51,7 @@
 
 
 def recovery(megabytes: int) -> float:
-    """Seconds to open a store of that size."""
+    """Seconds to open a store with `megabytes` MB of values."""
     with tempfile.TemporaryDirectory() as folder:
         disk = StorageFolder(folder)
         store = Store(disk, segment_bytes=2**24, quota_bytes=2**30)
@@ -62,9 +63,9 @@
         return round(time.perf_counter() - began, 2)
 
 
-def overwritten() -> float:
-    """Bytes written over bytes asked for, under steady overwrites of a few keys."""
-    written = asked = 0
+def write_amplification() -> float:
+    """Bytes written to disk per byte put, under steady overwrites of a few keys."""
+    written = requested = 0
     with tempfile.TemporaryDirectory() as folder:
         disk = StorageFolder(folder)
         store, append = Store(disk, segment_bytes=2**16), disk.append
@@ -77,14 +78,15 @@
         disk.append = counted
         for i in range(5000):
             store.put([(f"k{i % 200}", b"x" * 100)])
-            asked += 100 + 30
-    return round(written / asked, 2)
+            requested += 100 + 30
+    return round(written / requested, 2)
 
 
 def restart(seed: int) -> dict:
-    """Share of the value in the first 30 s after a cold start at 1.5 times the load.
+    """Share of the value in the first 30 s after a cold start at 1.5 times the capacity.
 
-    Without a memory, with one of such a day, with one of a server that was ten times slower.
+    Compares no stored run times, those of a similar day, and those of a server that was ten times
+    slower.
     """
 
     def learned(speed: float) -> run_time_history.RunTimeSnapshot:
@@ -111,11 +113,12 @@
 
 
 def main() -> None:
+    """Runs the measurements and prints the results."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--short", action="store_true", help="under 50 s")
     short = parser.parse_args().short
     out: dict = {f"waiting_{n}": durable(n, 2.0 if short else 10.0) for n in (1, 16, 128)}
-    out |= {"recover_100_mb_s": recovery(100), "written_over_asked": overwritten()}
+    out |= {"recover_100_mb_s": recovery(100), "written_over_asked": write_amplification()}
     with ProcessPoolExecutor() as pool:
         rows = list(pool.map(restart, range(1, 31)))
     for key in ("without", "with", "stale"):
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -1,10 +1,11 @@
-"""Choices that add up, measured.
+"""Coordination between servers.
 
-The protocol of shares walked through, days with and without, subsets, and a play of real processes.
+Model checking of the quota protocol, simulated days with and without coordination, subsets, and a
+scenario with real processes.
 
     python -m benchmarks.together [--short] [--large]
 
-`--short` takes under 50 s on eight cores; without it there are 30 seeds a day; `--large` adds
+`--short` takes under 50 s on eight cores; without it there are 30 seeds per kind of day; `--large` adds
 fleets of 10 and 200. The last line is one JSON object; all of it but the `real_` figures is
 simulated.
 """
@@ -49,18 +50,24 @@
 
 
 def day(kind: str, seed: int, arm: str, servers: int) -> dict:
-    """One play: the share of value, and how even and how much like a herd it was."""
-    told = ARMS[arm]
-    got = playing(grown(kind, seed, servers), Beside(seed, *told) if told else None).play()
+    """Simulates a day; returns its share of value, fairness, herding and whether the dependency failed."""
+    mechanisms = ARMS[arm]
+    got = playing(
+        grown(kind, seed, servers), Beside(seed, *mechanisms) if mechanisms else None
+    ).play()
     return {"share": got.share(), "jain": got.jain, "herd": got.herd, "down": got.down}
 
 
 def best(kind: str, seed: int, servers: int) -> float:
+    """The share of value that the planner's bound earns on a day."""
     return bound(grown(kind, seed, servers)).share()
 
 
 def in_use(seed: int, dies: bool) -> float:
-    """The share of what could be lent that is, where all want more; 5 s after a third has ended."""
+    """Share of the lendable quota that is lent under excess demand.
+
+    With `dies`, it is measured 5 s after a third of the processes was killed.
+    """
     play = model.Play(seed, homes=5, others=10, tokens=20)
     for one in play.processes.values():
         one.need = 100
@@ -69,14 +76,14 @@
         return play.lent() / 100
     for key in list(play.processes)[
         10:
-    ]:  # borrowers: what a home that ends lends is a duty's affair
+    ]:  # borrowers only; the quota of a lender that ends is not covered here
         play.kill(key)
     play.run(play.now + 5 * SECOND)
     return play.lent() / 100
 
 
-def letters() -> tuple[float, float]:
-    """Letters and bytes that a member sends a second for its share, where all want more."""
+def quota_message_rate() -> tuple[float, float]:
+    """Quota messages and bytes per second that a member sends under excess demand."""
     play, count, size = model.Play(1, homes=5, others=45, tokens=40), 0, 0
     send = play.send
 
@@ -94,7 +101,7 @@
 
 
 def subsets() -> dict:
-    """The most over the mean, and what one leaving moves against the ideal of one in so many."""
+    """Maximum over mean load of the subsets, and the share moved when one server leaves."""
     out = {}
     for n, k in ((10, 3), (200, 20), (2000, 20)):
         servers, back_ends = [f"s{i}" for i in range(n)], [f"b{i}" for i in range(n)]
@@ -112,10 +119,10 @@
     return out
 
 
-def cost() -> float:
-    """Microseconds that the others' word adds to a req.
+def decision_cost_us() -> float:
+    """Microseconds that coordination adds to a request.
 
-    Asked for slots at a call, for advice at a shed.
+    Covers a slot request at a dependency call and the retry advice at a rejection.
     """
     sharing = QuotaParticipant(0, 1, ("h0",), 100, 20)
     mean, judged, n = (
@@ -140,6 +147,7 @@
 
 
 def main() -> None:
+    """Runs the measurements and prints the results."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--short", action="store_true")
     parser.add_argument("--large", action="store_true")
@@ -185,12 +193,12 @@
         )
     }
     out |= subsets()
-    out["decision_us_a_req"] = round(cost(), 2)
-    count, size = letters()
+    out["decision_us_a_req"] = round(decision_cost_us(), 2)
+    count, size = quota_message_rate()
     out |= {"letters_s": round(count, 1), "letters_bytes_s": round(size)}
-    held = {one.what.partition(" ")[0]: one.held for one in verdict.held}
+    held_by_check = {one.what.partition(" ")[0]: one.held for one in verdict.held}
     out |= {
-        "real_over_limit": int(not held["in"]),
+        "real_over_limit": int(not held_by_check["in"]),
         "real_held": verdict.good(),
         "real_reqs_without_answer": verdict.requests.get("none", 0)
         + verdict.requests.get("late", 0),
@@ -200,9 +208,7 @@
 
 
 def compared(plays: dict, size: int, kind: str, bounds: dict) -> dict:
-    """A kind of day: value before and after, the paired difference of each arm with its
-    interval.
-    """
+    """Results of a kind of day: values, and each arm's paired difference with its interval."""
     rows = {
         (arm, s): one.result() for (n, k, arm, s), one in plays.items() if (n, k) == (size, kind)
     }
--- a/gullyoke/experiments/__init__.py
+++ b/gullyoke/experiments/__init__.py
@@ -1,4 +1,4 @@
-"""Experiments on the emulator: arms, days and seeds in, tables, charts and a report out.
+"""Experiments on the emulator: inputs are arms, days and seeds.
 
-The extra `lab`.
+The results are tables, charts and a report. Needs the optional dependencies `lab`.
 """
--- a/gullyoke/experiments/compare.py
+++ b/gullyoke/experiments/compare.py
@@ -1,4 +1,4 @@
-"""What the rows of an experiment say: means with intervals, and paired differences between arms."""
+"""Statistics of an experiment's rows: means with intervals, and paired differences of arms."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def mean_of(values: list[float]) -> Mean:
-    """Student's interval over independent seeds."""
+    """The mean over independent seeds with its Student's t interval."""
     n = len(values)
     if n < 2:
         return Mean(float(np.mean(values)), math.inf, n)
@@ -32,7 +32,7 @@
 
 
 def shares(rows: list[dict]) -> dict[tuple[str, str], Mean]:
-    """The share of value earned, by day and arm."""
+    """The mean share of the offered value that was earned, by day and arm."""
     kinds = dict.fromkeys((r["day"], r["arm"]) for r in rows)
     return {
         key: mean_of([r["share"] for r in rows if (r["day"], r["arm"]) == key]) for key in kinds
@@ -40,9 +40,9 @@
 
 
 def differences(rows: list[dict], base: str) -> dict[tuple[str, str], Mean]:
-    """Each arm less the base arm on the same day and seed.
+    """The mean difference of each arm from the base arm, by day and arm.
 
-    Pairs, so that a hard day is hard for both.
+    Values are paired by day and seed, so that the difficulty of a day cancels out.
     """
     at = {(r["day"], r["arm"], r["seed"]): r["share"] for r in rows}
     out = {}
@@ -58,7 +58,7 @@
 
 
 def of_bound(rows: list[dict], arm: str) -> dict[str, Mean]:
-    """An arm's value as a share of the planner's bound, by day, seed by seed."""
+    """The mean ratio of an arm's value to the planner's bound of the same seed, by day."""
     at = {(r["day"], r["arm"], r["seed"]): r["share"] for r in rows}
     out: dict[str, list[float]] = {}
     for (day, a, seed), share in at.items():
--- a/gullyoke/experiments/experiment.py
+++ b/gullyoke/experiments/experiment.py
@@ -1,6 +1,6 @@
-"""Reads an experiment and says what is to be played.
+"""Reads an experiment file and lists its simulation runs.
 
-Jobs of arm, day and seed, the same day for all.
+Each job is an arm, a day and a seed; all arms of a day and seed get the same arrivals.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from gullyoke.experiments import experiment_pb2 as schema
 from gullyoke.operator_config.checked import parse_checked
 
-LINE = 4  # reqs a core in the line of the plain pool
+QUEUE_PER_CORE = 4  # queued requests per core in the plain pool
 
 
 class Job(NamedTuple):
-    """One play; `arm` is empty where the planner's bound is asked for."""
+    """One simulation run; an empty `arm` computes the planner's bound instead."""
 
     arm: str
     day: str
@@ -28,13 +28,14 @@
 
 
 class Experiment(NamedTuple):
-    """An experiment as it is played; `text` is its file, for the record."""
+    """A parsed experiment; `text` is the content of its file, which is saved with the results."""
 
     name: str
     text: str
     found: schema.Experiment
 
     def jobs(self) -> list[Job]:
+        """All runs of the experiment, ordered by seed, day and arm."""
         seeds = self.found.seeds if self.found.HasField("seeds") else 10
         arms = [a.name for a in self.found.arm] + ([""] if self.found.bound else [])
         return [
@@ -45,6 +46,7 @@
         ]
 
     def day(self, name: str, seed: int) -> Day:
+        """The day with the given name, generated for a seed."""
         found = self.found
         length = int((found.length_s if found.HasField("length_s") else 20.0) * SECOND)
         kind = next(d for d in found.day if d.name == name)
@@ -72,20 +74,20 @@
         return drawn(works, machines, kind.load, length, seed, swing=int(kind.swing_s * SECOND))
 
     def policy(self, name: str) -> Callable[[Node], object]:
-        """What makes the decisions of each server in an arm."""
+        """A factory for the scheduler of each server in an arm."""
         arm = next(a for a in self.found.arm if a.name == name)
         cores = self.found.cores or 6
         if arm.policy in (schema.Arm.PLAIN_POOL, schema.Arm.STRICT):
             return lambda node: PlainPool(
-                node, cores, LINE * cores, arm.policy == schema.Arm.STRICT
+                node, cores, QUEUE_PER_CORE * cores, arm.policy == schema.Arm.STRICT
             )
-        told = {
+        mechanisms = {
             schema.Arm.SIGNALS: (True, False),
             schema.Arm.SHARES: (False, True),
             schema.Arm.TOGETHER: (True, True),
         }.get(arm.policy)
-        if told is not None:  # made anew for each play
-            return deciding(False, beside=Beside(1, *told))
+        if mechanisms is not None:  # a new Beside for each run: it keeps state
+            return deciding(False, beside=Beside(1, *mechanisms))
         part = {
             schema.Arm.POOLS: True,
             schema.Arm.NO_POOLS: False,
@@ -98,7 +100,7 @@
 def read(path: str) -> Experiment:
     """The experiment in a file.
 
-    Raises `Faulty` with a line for each thing that can't be right.
+    Raises `Faulty` with a line for each invalid value.
     """
     found = parse_checked(path, schema.Experiment(), faults_of)
     with open(path, encoding="utf-8") as file:
@@ -106,7 +108,7 @@
 
 
 def faults_of(found: schema.Experiment) -> Iterator[tuple[str, str]]:
-    """Names that stand twice, and times that contradict each other."""
+    """The path and message of each duplicate name and of each timeout below its target."""
     for key in ("work", "day", "arm"):
         names: set[str] = set()
         for i, one in enumerate(getattr(found, key)):
--- a/gullyoke/experiments/ports.py
+++ b/gullyoke/experiments/ports.py
@@ -1,8 +1,8 @@
-"""Loopback ports for those who listen later, in another process.
+"""Loopback ports for listeners that another process binds later.
 
-Guards against one that is asked of the system, let go and given to somebody else before it is
-bound: these lie under those that the system gives by itself, each process has a block of its own,
-and hands out each once before it begins anew.
+A port that the operating system assigned and that was closed again may be assigned to another
+process before it is bound. The ports here lie below the ephemeral range, each process uses a block
+of its own, and a port is repeated only after all others of the block.
 """
 
 from __future__ import annotations
@@ -13,31 +13,32 @@
 import pathlib
 import socket
 
-LOWEST, ITS_OWN = 10_000, 32_768  # from where on; where the system's own begin, if it does not say
-BLOCK = 1000  # ports of one process; neighbours by their numbers have different ones
+# The second is the start of the ephemeral range where the system does not report one.
+FIRST_PORT, DEFAULT_EPHEMERAL_START = 10_000, 32_768
+PORTS_PER_PROCESS = 1000  # processes with neighbouring ids get different blocks
 
 Address = tuple[str, int]
 
 
 def until() -> int:
-    """The first port that the system gives by itself."""
+    """The first port of the system's ephemeral range."""
     with contextlib.suppress(OSError, ValueError):
         return int(pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
-    return ITS_OWN
+    return DEFAULT_EPHEMERAL_START
 
 
-BLOCKS = max(1, (until() - LOWEST) // BLOCK)
-COUNT = itertools.count()
+PORT_BLOCKS = max(1, (until() - FIRST_PORT) // PORTS_PER_PROCESS)
+_port_counter = itertools.count()
 
 
 def free() -> Address:
-    """An address that nobody has, for datagrams and connections alike.
+    """A loopback address whose port is free for both UDP and TCP; each call takes the next port.
 
-    Raises `OSError` where there is none.
+    Raises `OSError` if every port of the process's block is in use.
     """
-    first = LOWEST + os.getpid() % BLOCKS * BLOCK
-    for number in itertools.islice(COUNT, BLOCK):
-        address = "127.0.0.1", first + number % BLOCK
+    first = FIRST_PORT + os.getpid() % PORT_BLOCKS * PORTS_PER_PROCESS
+    for number in itertools.islice(_port_counter, PORTS_PER_PROCESS):
+        address = "127.0.0.1", first + number % PORTS_PER_PROCESS
         with (
             contextlib.suppress(OSError),
             socket.socket(socket.AF_INET, socket.SOCK_STREAM) as one,
@@ -46,4 +47,4 @@
             one.bind(address)
             other.bind(address)
             return address
-    raise OSError(f"no port is free from {first} to {first + BLOCK}")
+    raise OSError(f"no free loopback port from {first} to {first + PORTS_PER_PROCESS}")
--- a/gullyoke/experiments/report.py
+++ b/gullyoke/experiments/report.py
@@ -1,4 +1,4 @@
-"""An experiment's rows as tables (Parquet, CSV), charts (SVG, PNG) and a report to read."""
+"""Writes an experiment's rows as tables (Parquet, CSV), charts (SVG, PNG) and a report."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def tables(rows: list[dict], names: list[str], folder: pathlib.Path) -> None:
-    """One row a play and class: `plays.parquet` and `plays.csv`."""
+    """Writes `plays.parquet` and `plays.csv` with one row per run and request class."""
     flat = []
     for row in rows:
         for i, name in enumerate(names):
@@ -39,9 +39,9 @@
 
 
 def charts(rows: list[dict], names: list[str], folder: pathlib.Path) -> list[str]:
-    """Value over time by class, response times, and shares with intervals.
+    """Draws value over time by class, response times, and shares with intervals.
 
-    The files' names, no ending.
+    Returns the names of the written files without their extensions.
     """
     made, played = [], [r for r in rows if r["arm"] != "bound"]
     for day in dict.fromkeys(r["day"] for r in played):
@@ -89,6 +89,7 @@
 
 
 def save(figure, folder: pathlib.Path, name: str) -> str:
+    """Saves the figure as SVG and PNG, closes it, and returns `name`."""
     figure.tight_layout()
     for ending in ("svg", "png"):
         figure.savefig(folder / f"{name}.{ending}")
@@ -97,7 +98,7 @@
 
 
 def report(title: str, rows: list[dict], names: list[str], folder: pathlib.Path) -> pathlib.Path:
-    """All of it, and `report.md` that brings it together; its path."""
+    """Writes the tables, the charts and `report.md`; returns the path of `report.md`."""
     tables(rows, names, folder)
     made, found = charts(rows, names, folder), shares(rows)
     arms = list(dict.fromkeys(arm for _, arm in found if arm != "bound"))
@@ -110,7 +111,7 @@
         "| day | arm | share | less " + arms[0] + " | of the bound | in target, by class |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
-    apart, bounds = differences(rows, arms[0]), {arm: of_bound(rows, arm) for arm in arms}
+    paired, bounds = differences(rows, arms[0]), {arm: of_bound(rows, arm) for arm in arms}
     for (day, arm), share in found.items():
         own = [
             r["in_target"] for r in rows if (r["day"], r["arm"]) == (day, arm) and "in_target" in r
@@ -118,10 +119,10 @@
         means = np.mean(own, axis=0) if own else ()
         inside = ", ".join(f"{n} {x:.2f}" for n, x in zip(names, means, strict=bool(own)))
         lines.append(
-            f"| {day} | {arm} | {share} | {apart.get((day, arm), '')} | "
+            f"| {day} | {arm} | {share} | {paired.get((day, arm), '')} | "
             f"{bounds.get(arm, {}).get(day, '')} | {inside} |"
         )
-    blind = {
+    without_sizes = {
         day: np.mean([r["blind"] for r in rows if r["day"] == day and "blind" in r])
         for day, arm in found
         if arm == "bound"
@@ -130,7 +131,7 @@
         "",
         *(
             f"A planner that can't know how large each req is would expect {x:.3f} on {day}."
-            for day, x in blind.items()
+            for day, x in without_sizes.items()
         ),
     ]
     played = [r for r in rows if "memory" in r]
--- a/gullyoke/experiments/run.py
+++ b/gullyoke/experiments/run.py
@@ -1,5 +1,7 @@
-"""Plays an experiment on all cores, row by row into a file, so a cut loses only what was being
-played.
+"""Runs an experiment on all cores.
+
+Each row is written to a file as soon as its job ends, so an interruption loses only the jobs in
+progress.
 """
 
 from __future__ import annotations
@@ -17,26 +19,29 @@
 from gullyoke.emulator.fleet import Running
 from gullyoke.experiments.experiment import Job, read
 
-LONGEST = 600_000_000  # microseconds that a histogram tells apart, to three digits
+MAX_LATENCY_US = 600_000_000  # upper bound of the histograms, which keep three digits
+
 
+def run_job(path: str, job: Job) -> dict:
+    """Runs one job and returns its row.
 
-def one(path: str, job: Job) -> dict:
-    """One job's row. Values are numbers, or lists by class; `histogram` is by class, encoded."""
+    Values are numbers or lists by class; `histogram` has one encoded histogram per class.
+    """
     experiment = read(path)
     day = experiment.day(job.day, job.seed)
     row = {"arm": job.arm, "day": job.day, "seed": job.seed, "reqs": len(day.arrivals)}
     if not job.arm:
-        best, blind = bound(day), bound(day, sizes=False)
+        with_sizes, without_sizes = bound(day), bound(day, sizes=False)
         return row | {
             "arm": "bound",
-            "share": best.share(),
-            "blind": blind.share(),
-            "earned": best.by_class,
+            "share": with_sizes.share(),
+            "blind": without_sizes.share(),
+            "earned": with_sizes.by_class,
         }
     got = Running(day, experiment.policy(job.arm)).play()
     histograms = []
     for times in got.times:
-        histogram = HdrHistogram(1, LONGEST, 3)
+        histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
         for took in times:
             histogram.record_value(max(1, took))
         histograms.append(histogram.encode().decode())
@@ -64,10 +69,11 @@
     done: Callable[[int, int], None],
     workers: int | None = None,
 ) -> list[dict]:
-    """All rows of an experiment, in the order of its jobs.
+    """Runs an experiment and returns all its rows, in the order of its jobs.
 
-    With `resume`, rows that are in the folder stand. Raises `FileExistsError` where there are some
-    and they are not to be resumed, and `ValueError` where they are of another experiment.
+    With `resume`, jobs whose rows are in the folder are not run again. Raises `FileExistsError` if
+    the folder has rows and `resume` is false, and `ValueError` if they belong to another
+    experiment.
     """
     experiment, rows = read(path), {}
     folder.mkdir(parents=True, exist_ok=True)
@@ -82,7 +88,7 @@
             rows[Job("" if row["arm"] == "bound" else row["arm"], row["day"], row["seed"])] = row
         file.write_text(
             "".join(line + "\n" for line in whole), encoding="utf-8"
-        )  # less a row cut off
+        )  # drops a row that was only partly written
     record.write_text(experiment.text, encoding="utf-8")
     jobs = experiment.jobs()
     left = [job for job in jobs if job not in rows]
@@ -91,7 +97,7 @@
         file.open("a", encoding="utf-8") as out,
         ProcessPoolExecutor(workers or os.cpu_count()) as pool,
     ):
-        going = {pool.submit(one, path, job): job for job in left}
+        going = {pool.submit(run_job, path, job): job for job in left}
         for future in as_completed(going):
             rows[going[future]] = future.result()
             out.write(json.dumps(rows[going[future]]) + "\n")
--- a/gullyoke/experiments/world.py
+++ b/gullyoke/experiments/world.py
@@ -1,7 +1,7 @@
-"""A small world for `gullyoke try`.
+"""A local test environment for `gullyoke try`.
 
-The platform's engine, database and name service on real sockets, speaking their published
-protocols, around the emulator's cores; and gateways that ask.
+Stand-ins for the engine, the database and the name service speak their published protocols on real
+sockets, with the cores of the emulator; gateways send the requests.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 from gullyoke.runtime.metrics import Metrics
 from gullyoke.runtime.timer import Timer
 
-QUERY = 0.015  # seconds that the database takes for a call
+QUERY_S = 0.015  # duration of a database call
 
 
 class Peer:
-    """One that listens on a loopback port of its own; a thread a connection reads lines."""
+    """A line-protocol server on a loopback port of its own, with one thread per connection."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -40,6 +40,7 @@
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self) -> None:
+        """Accepts connections and starts a thread for each until the listener is closed."""
         with contextlib.suppress(OSError):
             while True:
                 link, _ = self.listener.accept()
@@ -47,6 +48,7 @@
                 threading.Thread(target=self.read, args=(link,), daemon=True).start()
 
     def read(self, link: socket.socket) -> None:
+        """Passes each line of a connection to `message`."""
         with contextlib.suppress(OSError, ValueError), link, link.makefile("rb") as file:
             for line in file:
                 self.message(link, file, line.decode("latin-1").split())
@@ -55,16 +57,17 @@
         raise NotImplementedError
 
     def close(self) -> None:
+        """Stops listening."""
         with contextlib.suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
 
 
 class Engine(Peer):
-    """Runs reqs on the emulator's cores in real time.
+    """Runs requests on the emulator's cores in real time.
 
-    A req's work stands in its body, in microseconds; every second class calls the database once,
-    half way.
+    The body of a request is its work in microseconds. Requests of the classes in `calls` call the
+    database once, half way.
     """
 
     def __init__(self, cores: int, calls: set[str]) -> None:
@@ -76,6 +79,8 @@
         super().__init__()
 
     def later(self, delay: int, act) -> None:
+        """Calls `act` after `delay` microseconds with the lock held."""
+
         def locked() -> None:
             with self.pen:
                 act()
@@ -101,6 +106,7 @@
                 self.cores.add(self.runs[words[1]] / 2, lambda: self.done(words[1]))
 
     def stat(self, tag: str) -> None:
+        """Sends the load statistics and updates the smoothed core use."""
         self.cores.catch_up()
         now, (then, busy) = clock.now(), self.seen
         if now - then > 50_000:
@@ -109,28 +115,35 @@
         self.say(f"STATS {tag} {min(1.0, self.busy):.3f} {len(self.cores)} 0.1 10")
 
     def need(self, request_id: str) -> None:
+        """Sends a NEED notice: the request calls the database."""
         self.notices += 1
         self.say(f"NEED {self.notices} {request_id} 6\r\nselect")
 
     def done(self, request_id: str) -> None:
+        """Forgets the request and sends its DONE notice."""
         self.notices += 1
         self.runs.pop(request_id, None)
         self.say(f"DONE {self.notices} {request_id} ok 1 4\r\ndone")
 
     def say(self, text: str) -> None:
+        """Sends a line to the attached daemon; a failed connection is ignored."""
         with contextlib.suppress(OSError):
             self.link.sendall(f"{text}\r\n".encode())
 
 
 class Database(Peer):
+    """Answers each query with one row after `QUERY_S` seconds."""
+
     def message(self, link, file, words: list[str]) -> None:
         if words[0] == "Q":
             file.read(int(words[-1]) + 2)
-            time.sleep(QUERY)
+            time.sleep(QUERY_S)
             link.sendall(f"{words[1]} ROWS 3\r\nrow\r\n".encode())
 
 
 class Names(Peer):
+    """A name service that answers every request with 204."""
+
     def message(self, link, file, words: list[str]) -> None:
         size = 0
         while line := file.readline().strip():
@@ -141,7 +154,7 @@
 
 
 def settings(day: Day) -> dict:
-    """The day's fleet as a site's settings, one server."""
+    """The site settings that correspond to the day, for a fleet of one server."""
     m, calls = day.machines, [w.calls for w in day.works]
     return {
         "Profiles": [
@@ -200,7 +213,7 @@
     stop_ms: int = 3000,
     sockets: int = 1024,
 ) -> str:
-    """The file that a daemon reads, with this engine, database and name service."""
+    """The daemon's configuration file; `peers` are the engine, database and name service."""
     engine, database, names = peers
     return json.dumps(
         {
@@ -227,10 +240,10 @@
     key: str = "",
     again: bool = False,
 ) -> bytes:
-    """A req as a gateway writes it.
+    """The bytes of a request as a gateway sends it.
 
-    `timeout` and `work` in microseconds, `close` for a connection of its own, `again` for a further
-    try.
+    `timeout` and `work` are in microseconds, `close` asks for the connection to be closed after the
+    answer, and `again` marks a retry.
     """
     body = str(work).encode()
     return (
@@ -245,9 +258,9 @@
 
 
 class Gateways:
-    """Asks what a day says when it says so, each req once, on connections that are kept.
+    """Sends the requests of a day at their arrival times, once each, on persistent connections.
 
-    `rows` counts by class and outcome; `value` is what was earned by class.
+    `rows` counts requests by class and outcome; `value` is the value earned by class.
     """
 
     def __init__(self, day: Day, listen: tuple[str, int]) -> None:
@@ -257,6 +270,7 @@
         self.threads: list[threading.Thread] = []
 
     def play(self) -> None:
+        """Sends all requests of the day and waits for their answers."""
         began = time.monotonic()
         for number, (at, kind, work, caller) in enumerate(self.day.arrivals):
             if (wait := began + at / 1e6 - time.monotonic()) > 0:
@@ -270,6 +284,7 @@
             thread.join(10)
 
     def ask(self, number: int, kind: int, work: int, caller: int) -> None:
+        """Sends one request and records its outcome and value."""
         w, began = self.day.works[kind], time.monotonic()
         try:
             status = self.exchange(
@@ -286,6 +301,7 @@
             self.value[w.name] += worth
 
     def exchange(self, data: bytes, patience: float) -> str:
+        """Sends a request on a pooled or new connection and returns the status code."""
         with self.pen:
             conn = self.kept.pop() if self.kept else None
         conn = conn or socket.create_connection(self.listen, patience)
@@ -312,9 +328,9 @@
 
 @contextlib.contextmanager
 def daemon(day: Day) -> Iterator[tuple[Gateways, subprocess.Popen]]:
-    """A real daemon on loopback with its world around it, and the gateways that will ask it.
+    """Starts a real daemon on loopback with its peers; yields its gateways and its process.
 
-    Raises `ChildProcessError` where it does not come up.
+    Raises `ChildProcessError` if the daemon is not healthy within 10 s.
     """
     engine = Engine(day.machines.cores, {w.name for w in day.works if w.calls})
     peers = engine, Database(), Names()
@@ -331,7 +347,7 @@
             until = time.monotonic() + 10
             while not good(listen):
                 if time.monotonic() > until or process.poll() is not None:
-                    raise ChildProcessError("the daemon did not come up")
+                    raise ChildProcessError("daemon did not become healthy within 10 s, or exited")
                 time.sleep(0.05)
             yield Gateways(day, listen), process
         finally:
@@ -344,7 +360,7 @@
 
 
 def good(listen: tuple[str, int]) -> bool:
-    """Whether its health check is."""
+    """Whether the daemon at this address answers its health check with 200."""
     with contextlib.suppress(OSError), socket.create_connection(listen, 1) as conn:
         conn.sendall(b"GET /ping HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         return b" 200 " in conn.recv(100)[:20]
