--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -30,7 +30,10 @@
 
 
 def detect(size: int, seed: int, refuses: bool, make: str = "ours") -> list[float]:
-    """Seconds until all others have removed a killed member; one in a hundred, or one, is killed."""
+    """Seconds from the kill of each member until all others have removed it.
+
+    One member in a hundred is killed, and at least one.
+    """
     net = fleet(size, seed, joined=True, settle_us=3 * SECOND, make_member=MAKES[make])
     gone = [f"m{i}" for i in range(3, 3 + max(1, size // 100))]
     began = net.now
--- a/benchmarks/scgi.py
+++ b/benchmarks/scgi.py
@@ -75,7 +75,7 @@
 
 
 def measure_front_ends(blocks: int, count: int) -> dict:
-    """CPU time, response times and lost requests of each front end."""
+    """Measures CPU time, response times and lost requests of each front end."""
     found = {way: {"cpu": [], "took": []} for way in ("close", "scgi", "kept")}
     with daemon(True) as scene:
         for way in found:
--- a/gullyoke/experiments/run.py
+++ b/gullyoke/experiments/run.py
@@ -80,9 +80,9 @@
     file, record = folder / "rows.jsonl", folder / "experiment.textproto"
     if file.exists():
         if not resume:
-            raise FileExistsError(f"{file} is there; --resume goes on with it")
+            raise FileExistsError(f"{file} already exists; --resume continues it")
         if record.read_text(encoding="utf-8") != experiment.text:
-            raise ValueError(f"{record} is another experiment than {path}")
+            raise ValueError(f"{record} differs from the experiment in {path}")
         whole = [line for line in file.read_text(encoding="utf-8").split("\n")[:-1] if line]
         for row in map(json.loads, whole):
             rows[Job("" if row["arm"] == "bound" else row["arm"], row["day"], row["seed"])] = row
--- a/gullyoke/experiments/world.py
+++ b/gullyoke/experiments/world.py
@@ -106,7 +106,7 @@
                 self.cores.add(self.runs[words[1]] / 2, lambda: self.done(words[1]))
 
     def stat(self, tag: str) -> None:
-        """Sends the load statistics and updates the smoothed core use."""
+        """Updates the smoothed core use and sends the load statistics."""
         self.cores.catch_up()
         now, (then, busy) = clock.now(), self.seen
         if now - then > 50_000:
