--- a/tests/crossing/live.py
+++ b/tests/crossing/live.py
@@ -1,7 +1,7 @@
-"""A whole server inside the test's own process, so that a test can stop it between two lines.
+"""A whole server inside the test's process, so that a test can pause it between two lines.
 
-`apart` runs a test in a process of its own: what a server leaves behind (threads, the size of
-stacks) ends there. `REPEATS` is how often each crossing is forced; GULLYOKE_REPEATS sets it.
+`apart` runs a test in a child process, so that the threads and the stack size that a server leaves
+behind end with it. `REPEATS` is how often a test forces each race; GULLYOKE_REPEATS sets it.
 """
 
 import contextlib
@@ -26,11 +26,11 @@
 
 REPEATS = int(os.environ.get("GULLYOKE_REPEATS", "100"))
 CHILD = "GULLYOKE_CHILD"
-SIDE_BY_SIDE = 4  # tests that run apart at once
+SIDE_BY_SIDE = 4  # child processes at once
 
 
 def in_child(name):
-    """Run one test in a process of its own: its exit code and what it printed."""
+    """Run one test in a child process; return its exit code and its standard error."""
     env = os.environ | {CHILD: "1", "PYTHONPATH": f"{ROOT}{os.pathsep}{ROOT / 'tests'}"}
     got = subprocess.run(
         [sys.executable, "-m", "unittest", name],
@@ -44,10 +44,10 @@
 
 
 class Children:
-    """The tests that run apart, a few at a time, since they wait more than they work.
+    """The tests that run in child processes, a few at a time, since they mostly wait.
 
-    Where all of a module are to run, the first that is asked for starts them all. Table: `going`, a
-    row a test.
+    The first result asked for starts all of them, unless `-k` selects tests. `going` has the future
+    of each test that was started.
     """
 
     def __init__(self):
@@ -66,7 +66,7 @@
 
 
 def apart(test):
-    """Run a test method in a process of its own."""
+    """Run a test method in a child process."""
     name = f"{test.__module__}.{test.__qualname__}"
     CHILDREN.names.append(name)
 
@@ -82,7 +82,7 @@
 
 
 def eventually(ask, what):
-    """Wait for what must come."""
+    """Wait until `ask` returns a true value; fail with `what` after `PATIENCE` seconds."""
     until = time.monotonic() + PATIENCE
     while not ask():
         assert time.monotonic() < until, f"never came: {what}"
@@ -101,9 +101,9 @@
         self.sock.sendall(message(name, request_class, **fields))
 
     def answer(self):
-        """Status and body of the next answer; None at the connection's end.
+        """Read the status and body of the next answer; None if the connection was closed.
 
-        Raises where it was reset.
+        Raises an error if the connection was reset.
         """
         first = self.file.readline().split()
         if not first:
@@ -120,7 +120,7 @@
 
 
 class Live(contextlib.ExitStack):
-    """A server and its stand-ins. `hook` puts a function before one of the server's own."""
+    """A server and the test doubles of its peers. `hook` runs code before a server function."""
 
     def __init__(self, **given):
         super().__init__()
@@ -148,7 +148,7 @@
         return Client(self.peers.listen)
 
     def hook(self, owner, name, before):
-        """Call `before` with what the owner's function is given, then that function."""
+        """Patch a function of `owner` to call `before` first, with the same arguments."""
         real = getattr(owner, name)
 
         @functools.wraps(real)
@@ -163,28 +163,28 @@
             return self.metrics.counters[name]
 
     def run(self, name, again=()):
-        """Wait for the engine to be told to run it.
+        """Wait until the engine receives RUN for this request.
 
-        `again`: what may be given once more before that.
+        Messages about the requests named in `again` may come before that.
         """
         while (got := self.engine.heard.get(timeout=PATIENCE))[1] in again:
             pass
         assert got[:2] == ["RUN", name], f"heard {got[:3]}"
 
     def done(self, name, text="fine", end="ok"):
-        """The engine says that its run is over."""
+        """Let the engine report that the run has ended."""
         self.engine.notices += 1
         self.engine.say(
             f"DONE {self.engine.notices} {request_id(name)} {end} 12 {len(text)}\r\n{text}\r\n"
         )
 
     def need(self, name, text="question"):
-        """The engine says that its run waits for a call."""
+        """Let the engine report that the run needs a dependency call."""
         self.engine.notices += 1
         self.engine.say(f"NEED {self.engine.notices} {request_id(name)} {len(text)}\r\n{text}\r\n")
 
     def served(self, client, name, **fields):
-        """One request, from its first byte to its answer."""
+        """Send a request, let its run complete and check the answer."""
         client.send(name, **fields)
         self.run(name)
         self.done(name)
@@ -192,13 +192,13 @@
         assert got == (200, "fine"), got
 
     def unheard(self):
-        """Whether the engine has been told nothing that is not yet named here."""
+        """Fail if the engine has received a message that the test has not yet taken."""
         with contextlib.suppress(queue.Empty):
             got = self.engine.heard.get_nowait()
             raise AssertionError(f"heard {got[:3]}")
 
     def connection(self, client):
-        """The server's side of a client's connection."""
+        """Return the server's side of a client's connection, once accepted."""
 
         def find():
             ours = client.sock.getsockname()
@@ -213,7 +213,7 @@
 
 
 def unread(sock):
-    """Whether something has come on a socket that nobody has read yet."""
+    """Whether a socket has received bytes that nobody has read yet."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
     except BlockingIOError:
--- a/tests/crossing/test_dependency.py
+++ b/tests/crossing/test_dependency.py
@@ -1,6 +1,4 @@
-"""Thirty servers of one process each, every one deciding alone, over one dependency that is cold
-and slow.
-"""
+"""Thirty server processes that decide independently and share one cold, slow dependency."""
 
 import contextlib
 import json
@@ -19,17 +17,17 @@
 from gullyoke.experiments.ports import free
 
 SERVERS = 30
-SHARE, SPAN_S = 0.5, 2.0  # the calls in hand that each server may have, in the mean of a span
-LINGER_S = 0.2  # a call given up stays in the dependency's hands so long
-COLD_S, LOAD_S = 3.0, 6.0  # how long the dependency is cold, and how long the clients go on
-COLD_CALL_S, CALL_S = 0.5, 0.05  # a call's time while it is cold, and later
-SLOTS = 6  # in hand beyond these, all calls take longer
+SHARE, SPAN_S = 0.5, 2.0  # calls in flight allowed to each server, mean over a span
+LINGER_S = 0.2  # how long the dependency goes on with an abandoned call
+COLD_S, LOAD_S = 3.0, 6.0  # how long the dependency is cold, and how long clients send
+COLD_CALL_S, CALL_S = 0.5, 0.05  # a call's time while the dependency is cold, and later
+SLOTS = 6  # with more calls in flight, every call takes longer
 
 
 class Dependency(StandIn):
     """Answers each call after its time.
 
-    Table: `spans`, when each call came into its hands and left them.
+    `spans` has the start and the end of each call.
     """
 
     def __init__(self):
@@ -55,7 +53,7 @@
 
     @staticmethod
     def closed(link, until):
-        """Whether the caller closes the connection before the call's time is over."""
+        """Wait until a time; return whether the caller closed the connection before."""
         try:
             while (left := until - time.monotonic()) > 0:
                 link.settimeout(left)
@@ -72,7 +70,7 @@
         return False
 
     def most(self):
-        """The highest mean of calls in hand over any span of the stated length."""
+        """The highest mean of calls in flight over any span of `SPAN_S`."""
         edges = sorted({t for span in self.spans for t in span})
         return max(
             sum(max(0.0, min(b, edge) - max(a, edge - SPAN_S)) for a, b in self.spans) / SPAN_S
@@ -81,7 +79,7 @@
 
 
 class CallingEngine(Engine):
-    """Each run makes one call, and is over once that was answered or left out."""
+    """Each run needs one call and ends once that was answered or skipped."""
 
     def message(self, link, file, words):
         if words[0] == "RUN":
@@ -141,7 +139,7 @@
         return False
 
     def load(self, until, lane):
-        """One client, a request after the other, as fast as they are answered."""
+        """One client: sends each request once the previous one is answered."""
         with socket.create_connection(self.listen, PATIENCE) as conn, conn.makefile("rb") as file:
             n = 0
             while time.monotonic() < until:
@@ -155,15 +153,15 @@
                 file.read(length)
                 self.served += status == 200
                 if status != 200:
-                    time.sleep(0.02)  # what is turned away comes again soon, and again
+                    time.sleep(0.02)  # a client sends again soon after a rejection
 
 
 class Cold(unittest.TestCase):
     def test_sum_of_all_calls(self):
-        """All together never hold more calls in the mean of a span than their shares add up to.
+        """The mean of calls in flight of all servers never exceeds the sum of their shares.
 
-        Neither while the dependency is cold and the callers come again at once, nor as it gets
-        well.
+        A server that did not count abandoned calls would exceed its share while the dependency is
+        cold and clients retry at once, or as the dependency recovers.
         """
         with contextlib.ExitStack() as stack:
             folder = stack.enter_context(tempfile.TemporaryDirectory())
@@ -199,7 +197,7 @@
                 file=sys.stderr,
             )
             self.assertLessEqual(most, total)
-            self.assertGreater(most, total / 4)  # the bound was near enough to matter
+            self.assertGreater(most, total / 4)  # the load was high enough to test the bound
             self.assertGreater(sum(one.served for one in servers), SERVERS)
 
 
--- a/tests/crossing/test_signals.py
+++ b/tests/crossing/test_signals.py
@@ -1,9 +1,10 @@
-"""Signals that come between two lines.
+"""Signals that arrive at inconvenient points of the server's life.
 
-Before the masks, while the server is put together, in a reload, in the drain. Each is raised by the
-server's process itself, at a point that a hook names.
+A signal that comes before signals are blocked, while the server is built, in a reload or in the
+drain could be lost, kill the server or drain it twice. A hook makes the server's process send
+itself the signal at the chosen point.
 
-Run as a program, this file is that process: `test_signals.py POINT`.
+Run as a program, `test_signals.py POINT`, this file is that process.
 """
 
 import contextlib
@@ -23,9 +24,9 @@
 
     from crossing.live import REPEATS, SIDE_BY_SIDE
 
-    TIMES = max(1, REPEATS // 10)  # a process each: fewer than crossings within one
+    TIMES = max(1, REPEATS // 10)  # fewer, since each needs a process
 
-# By point: what is hooked (module, owner, function), and the signals raised there, call by call.
+# By point: the hooked functions (module, owner, name) and the signal raised at each of their calls.
 TERM, HUP = signal.SIGTERM, signal.SIGHUP
 POINTS = {
     "configuration": [("gullyoke.daemon.serve", None, "load_configuration", [TERM])],
@@ -59,7 +60,7 @@
 
 
 def raising(real, signals):
-    """The function, with a signal to this process before each of its first calls."""
+    """Wrap a function: each of its first calls sends this process the next of `signals`."""
     left = list(signals)
 
     def hooked(*given, **named):
@@ -71,7 +72,7 @@
 
 
 class Importing:
-    """Raises the notice to leave as the server's own modules begin to be imported."""
+    """Sends SIGTERM as the import of the server's own modules begins."""
 
     def find_spec(self, name, path=None, target=None):
         if name == "gullyoke.daemon":
@@ -81,11 +82,13 @@
 
 
 def server(point):
-    """The server, as `python -m gullyoke` starts it, with the point's hooks."""
+    """Run the server as `python -m gullyoke` does, with the hooks of the point."""
     if point == IMPORTING:
         sys.meta_path.insert(0, Importing())
     else:
-        signal.pthread_sigmask(signal.SIG_BLOCK, {TERM, HUP})  # the hooks import what they hook
+        signal.pthread_sigmask(
+            signal.SIG_BLOCK, {TERM, HUP}
+        )  # as the daemon does before its imports
         for module, owner, name, signals in POINTS[point]:
             at = __import__(module, fromlist=["x"])
             at = getattr(at, owner) if owner else at
@@ -95,7 +98,7 @@
 
 class Signals(unittest.TestCase):
     def play(self, point):
-        """One process: it ends by itself, in order, within the stated time; what it logged."""
+        """Run one server process to its end; return its exit code and its log."""
         with contextlib.closing(Sockets()) as scene:
             scene.given["stop_ms"] = 300.0
             scene.engine.state = "warm"
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,6 +1,4 @@
-"""Stand-ins for what a real server talks to, on loopback, and the script that plays a scenario with
-them.
-"""
+"""Test doubles, on loopback, for the peers of a real server, and the runner of socket scenarios."""
 
 import contextlib
 import json
@@ -22,7 +20,7 @@
 from gullyoke.experiments.ports import free
 
 ROOT = pathlib.Path(__file__).parent.parent
-PATIENCE = 20  # seconds for what must come; what is fast enough never waits that long
+PATIENCE = 20  # seconds before an expected event counts as missing
 HANDLERS = (
     ("view", "repeatable", 1.0, True, 0.3),
     ("book", "by_key", 2.0, False, 0.0),
@@ -31,7 +29,7 @@
 
 
 def site(**over):
-    """A configuration with the settings' own names; `over` changes a few of them."""
+    """The `settings` part of a configuration; `over` replaces some of its values."""
     g = {
         "timeout": 60_000,
         "target": 20_000,
@@ -111,9 +109,9 @@
 
 
 def message(name, request_class, length="", scgi=False, of=None, **fields):
-    """A gateway's req; fields that are given as 'no' are left out.
+    """A gateway's request, as bytes; header fields with the value 'no' are left out.
 
-    `of` is the first try that this one repeats: a repeat carries the same body.
+    `of` names the first attempt that this request retries: a retry carries the same body.
     """
     body = f"body of {of or name}".encode()
     if scgi:
@@ -146,9 +144,9 @@
 
 
 class StandIn:
-    """One that listens.
+    """A peer that listens and records what it receives.
 
-    What comes is put in `heard`, message by message; `links` holds its connections.
+    `heard` queues the received messages; `links` lists the accepted connections.
     """
 
     def __init__(self):
@@ -158,7 +156,10 @@
             None,
             ("127.0.0.1", 0),
         )
-        self.joined, self.carries = queue.Queue(), {}  # ATTACH's numbers; the links a name came on
+        self.joined, self.carries = (
+            queue.Queue(),
+            {},
+        )  # numbers of ATTACH; by request name, its links
         self.up()
 
     def up(self):
@@ -173,7 +174,7 @@
         self.drop()
 
     def move(self):
-        """Another address: the old one accepts nothing new, its connections stay."""
+        """Listen on another address; connections accepted on the old one stay open."""
         with contextlib.suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
@@ -210,7 +211,7 @@
 
 
 class Engine(StandIn):
-    """Answers STAT by itself, and ATTACH once it is up."""
+    """An engine that answers STAT by itself, and ATTACH once `state` is set."""
 
     def __init__(self):
         self.state, self.notices, self.beats, self.needs = None, 0, threading.Semaphore(0), {}
@@ -230,7 +231,7 @@
             super().message(link, file, words)
 
     def beat(self):
-        """Two wake-ups from now: all that was given before has been read."""
+        """Wait for two more STAT messages: the engine has then read all that was sent before."""
         while self.beats.acquire(blocking=False):
             pass
         for _ in range(2):
@@ -238,9 +239,9 @@
 
 
 class Busy(Engine):
-    """An engine that works by itself.
+    """An engine that completes runs by itself.
 
-    `cores` runs at a time, `span` seconds each, in their order.
+    It executes `cores` runs at a time, `span` seconds each, in order of arrival.
     """
 
     def __init__(self, cores, span):
@@ -286,7 +287,7 @@
 
 
 class BackEnd(StandIn):
-    """An application server that speaks SCGI: a req a connection, answered as the scenario says."""
+    """An SCGI application server: one request a connection, answered as the scenario says."""
 
     def read(self, link):
         with contextlib.suppress(OSError, ValueError), link.makefile("rb") as file:
@@ -299,7 +300,7 @@
             name = named(headers["HTTP_TRACE_ID"])
             self.carries.setdefault(name, []).append(link)
             self.heard.put([name, body, headers, link])
-            if not file.read(1):  # closed by the server
+            if not file.read(1):  # the server closed the connection
                 self.joined.put(name)
 
     def answer(self, name, text):
@@ -316,7 +317,7 @@
 
 
 class Sockets:
-    """One real server under a scenario; tests/README.md has the notation."""
+    """Runs a scenario on one real server; tests/README.md has the notation."""
 
     def __init__(self):
         self.wanted, self.backends, self.folder = [], {}, tempfile.TemporaryDirectory()
@@ -325,7 +326,7 @@
         self.engine, self.db, self.naming = Engine(), StandIn(), Names()
         self.root, self.rest, self.latest, self.pooled, self.rows = ROOT, {}, {}, [], None
         self.given, self.gateways, self.process, self.lines, self.config = {}, {}, None, [], None
-        self.firsts = {}  # by key, the name of its first try
+        self.firsts = {}  # by idempotency key, the name of the first attempt
 
     def close(self):
         for peer in (self.engine, self.db, self.naming, *self.backends.values()):
@@ -357,7 +358,7 @@
         self.said("event=started")
 
     def configure_file(self):
-        """The configuration, in a file that `close` takes away."""
+        """Write the configuration file, which `close` deletes once the server was started."""
         if self.config is None:
             self.config = tempfile.mkstemp(".json")[1]
         self.configure()
@@ -395,7 +396,7 @@
                 self.lines.append(line)
 
     def said(self, text):
-        """Wait for a log line that holds the text."""
+        """Wait for a log line that contains the text."""
         self.eventually(
             lambda: next((x for x in self.lines if text in x), None), f"'{text}' in the log"
         )
@@ -421,7 +422,7 @@
         if who == "pool":
             self.pooled.append(" ".join(rest))
             return
-        if who == "backends":  # those it is to use from now on, and their stand-ins
+        if who == "backends":  # the back ends to use from now on; new ones are started
             self.rows = [name.split(",") for name in rest]
             for name, *_ in self.rows:
                 if name not in self.backends:
@@ -452,7 +453,7 @@
     # The peers.
 
     def any_backend(self, who, rest):
-        """Whichever has that req."""
+        """A step at whichever back end received the request."""
         if who == "b*>":
 
             def asked():
@@ -549,7 +550,7 @@
         self.process.send_signal(signal.SIGTERM)
 
     def at_reload(self, *peers):
-        """A new configuration, with new addresses of these peers, or one that is torn."""
+        """Reload a configuration with new addresses for these peers; `torn` truncates its file."""
         for name in peers:
             if name != "torn":
                 {"engine": self.engine, "db": self.db, "naming": self.naming}[name].move()
@@ -559,7 +560,7 @@
         self.process.send_signal(signal.SIGHUP)
 
     def at_wait(self, ms):
-        """What must have passed, for scenarios about a span that the server keeps."""
+        """Let a time pass, for scenarios about a time limit of the server."""
         time.sleep(int(ms) / 1000)
 
     def at_pause(self):
@@ -579,15 +580,15 @@
         self.lines.clear()
 
     def at_disk(self, *words):
-        """How the disk is from now on; what happens to the folder itself happens there."""
+        """Set the disk faults from now on, or change the store folder itself."""
         store = pathlib.Path(self.folder.name, "store")
         if words[0] == "lost":
             store.rename(store.with_name(f"lost{time.monotonic_ns()}"))
         elif words[0] == "made":
             store.mkdir()
-        elif words[0] == "limit":  # bytes that a file may have, by the system
+        elif words[0] == "limit":  # largest file in bytes that the system allows
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (int(words[1]), -1))
-        elif words[0] == "mark":  # by another name, or of a later format
+        elif words[0] == "mark":  # a store of another server's name or of a later format
             from gullyoke.storage import StorageFolder, Store
 
             files = StorageFolder(store / "keys")
@@ -600,7 +601,7 @@
         self.said(" ".join(words))
 
     def counters(self):
-        """The counters as they stand now, by their names."""
+        """Ask the server to log its counters; return the last ones logged, by name."""
         self.process.send_signal(signal.SIGUSR1)
         time.sleep(0.05)
         last = next((x for x in reversed(self.lines) if "event=counters" in x), "")
@@ -613,7 +614,7 @@
         )
 
     def at_ended(self, wanted):
-        """So many connections of gateways have ended by now, however."""
+        """Wait until this many gateway connections have ended, for whatever reason."""
 
         def ask():
             return sum(
@@ -629,13 +630,13 @@
             self.gateways[f"crowd{i}"] = socket.create_connection(self.listen, PATIENCE), None
 
     def at_swarm(self, kind, count, request_class):
-        """So many connections, each with a req of its own; those that find no place are closed."""
+        """Open `count` connections with a request on each; ignore those that the server refuses."""
         for i in range(int(count)):
             with contextlib.suppress(OSError):
                 self.gateway(f"{kind}{1000 + i}", ["read", f"w{i}", request_class])
 
     def at_each(self, count, verb, what, *rest):
-        """The same on connections 1 to `count`: a req each, or the answer that each gets."""
+        """On connections 1 to `count`, send a request on each or check the answer of each."""
         for i in range(1, int(count) + 1):
             self.gateway(
                 str(i) if verb == "read" else f"{i}<",
@@ -677,9 +678,9 @@
             if rest[0] != "torn":
                 conn.sendall(data if rest[0] == "read" else data[:-3])
         elif rest[0] == "raw":
-            with contextlib.suppress(OSError):  # it may be refused before its end
+            with contextlib.suppress(OSError):  # the server may close before it has read all of it
                 conn.sendall(" ".join(rest[1:]).encode().decode("unicode_escape").encode("latin-1"))
-        elif rest[0] == "rest":  # what `stuck` has left out
+        elif rest[0] == "rest":  # the bytes that `stuck` held back
             conn.sendall(self.rest[number])
         elif rest[0] == "flood":
             with contextlib.suppress(OSError):
@@ -696,7 +697,7 @@
             raise AssertionError(f"unknown '{rest[0]}'")
 
     def answered(self, file, wanted):
-        """STATUS [BODY...] [+field[=value]...], or `end`."""
+        """Check the answer: STATUS [BODY...] [+field[=value]...], `any`, or `end` for a close."""
         try:
             first = file.readline().split()
         except ConnectionResetError:
