--- a/tests/crossing/test_connections.py
+++ b/tests/crossing/test_connections.py
@@ -1,5 +1,6 @@
-"""Client connections: a request, half of one, or an end that comes between two lines of the
-server's own.
+"""Races of client connections.
+
+A hook lets a request, part of one or a close come between two lines of the server.
 """
 
 import contextlib
@@ -33,12 +34,13 @@
 
 
 class Idle(unittest.TestCase):
-    """The end of an idle connection, and a request on its way."""
+    """A request arrives while the server closes its idle connection."""
 
     def crossed(self, when):
-        """A request sent `before` or `after` the half-close reaches the server.
+        """Let a request arrive just `before` or just `after` the server's half-close.
 
-        The client sees an orderly end, and nothing of the request is run.
+        The client must see an orderly close and the request must not run. Closing with unread
+        bytes would reset the connection, and the client could not tell whether it is safe to retry.
         """
         with Live() as live:
             for i in range(REPEATS):
@@ -58,7 +60,7 @@
 
                 with mock.patch.object(connection_module, "half_close", close):
                     self.assertTrue(ours.close_if_idle(CloseReason.IDLE))
-                self.assertIsNone(client.answer())  # raises where the connection was reset
+                self.assertIsNone(client.answer())  # raises an error if the connection was reset
                 eventually(
                     lambda ended=ended: live.count("ends.gateway.idle") == ended + 1, "its end"
                 )
@@ -77,7 +79,10 @@
 
     @apart
     def test_first_bytes_are_in_the_socket(self):
-        """What has come and is not yet read keeps a connection from being taken for idle."""
+        """A connection with unread bytes in its socket is not closed as idle.
+
+        The state still says idle until the owning thread reads, so the state alone would close it.
+        """
         with Live() as live:
             client = live.client()
             live.served(client, "first")
@@ -90,15 +95,14 @@
                     reached.set()
                     go.wait(10)
 
-                # The owner has read nothing yet: it stands before its receive, the bytes lie in the
-                # socket.
+                # The owning thread is held before its receive, so the bytes stay in the socket.
                 with live.hook(Connection, "become_idle", wait):
                     live.served(client, f"a{i}")
                     self.assertTrue(reached.wait(10))
                     client.send(f"b{i}")
                     eventually(lambda: unread(ours.sock), "bytes in the socket")
                     with ours.lock:
-                        ours.state = State.IDLE  # as it was a moment before
+                        ours.state = State.IDLE  # the state before the hook held the thread
                     self.assertFalse(ours.close_if_idle(CloseReason.IDLE))
                     go.set()
                 live.run(f"b{i}")
@@ -107,9 +111,9 @@
 
     @apart
     def test_read_but_not_begun(self):
-        """The owner has received the first bytes and the end is decided before it notes that.
+        """The close is decided after the first bytes are received, but before the state changes.
 
-        Orderly, unrun.
+        The connection must close in an orderly way and the request must not run.
         """
         with Live() as live:
             for i in range(REPEATS):
@@ -131,9 +135,7 @@
 
     @apart
     def test_half_a_message_is_not_idle(self):
-        """Half a line has come: no sweep takes the connection for idle, and the rest of it is
-        answered.
-        """
+        """A connection with part of a message is not closed as idle, and the whole is answered."""
         with Live(idle=200) as live:
             client = live.client()
             live.served(client, "first")
@@ -152,8 +154,9 @@
 
     @apart
     def test_peer_that_never_closes(self):
-        """A client that keeps its side open after our half-close holds no thread or descriptor for
-        long.
+        """A client that never closes its side after the half-close doesn't keep the connection open.
+
+        Without a bound on that wait, such clients would use up descriptors.
         """
         with Live() as live:
             for i in range(max(3, REPEATS // 10)):
@@ -174,7 +177,10 @@
 class Stalled(unittest.TestCase):
     @apart
     def test_last_byte_meets_the_stall(self):
-        """The last byte of a slow message comes as it is given up: run and answered, or neither."""
+        """The last byte of a slow message arrives while the connection is aborted as stalled.
+
+        The message must not run: nobody could receive the answer.
+        """
         with Live() as live:
             real = connection_module.shutdown_both
             for i in range(REPEATS):
@@ -203,9 +209,9 @@
 
     @apart
     def test_sweep_meets_a_message_that_is_whole(self):
-        """The sweep has seen an old message in the making.
+        """The sweep finds a stalled message that becomes complete before the sweep acts.
 
-        By the time it acts, its request is in flight.
+        The request is then in flight and must be answered, not aborted.
         """
         with Live() as live:
             client = live.client()
@@ -222,7 +228,7 @@
                         client.sock.sendall(data[-1:])
                         live.run(f"x{i}")
                         complete.set()
-                    complete.wait(10)  # the server's own sweep may be at it too
+                    complete.wait(10)  # the server's own sweep may call this as well
 
                 with live.hook(Connection, "abort", rest):
                     ours.state_since -= 2 * connection_sweep_module.STALL_TIMEOUT_US
@@ -236,9 +242,9 @@
 class Listeners(unittest.TestCase):
     @apart
     def test_connection_between_last_accept_and_close(self):
-        """It is neither run nor left open.
+        """A connection made as the listener shuts down is neither served nor left open.
 
-        The client sees the end of the connection at once.
+        Otherwise its client would wait for an answer from a server that has stopped accepting.
         """
         dispatcher = Dispatcher(parse_site_facts(flatten_settings(site())), Metrics())
         real = listener_module.shutdown_both
@@ -262,8 +268,7 @@
             except OSError as fault:
                 self.assertEqual(fault.errno, errno.ECONNRESET)
                 answer = None
-            # Its accepting thread may have been quicker: then the request is answered, unrun, and
-            # closed.
+            # If the thread accepted it in time, the request is rejected and the connection closed.
             self.assertIn(answer, (None, (503, "")))
             clients[0].close()
             eventually(lambda table=table: not table.open, "closed")
@@ -271,8 +276,9 @@
 
     @apart
     def test_newcomers_wait_for_closing_ones(self):
-        """However fast newcomers come, those that close hold no more descriptors than are set
-        aside.
+        """Under a flood of new connections, closing ones stay within the reserved descriptors.
+
+        If accepting didn't wait for them, it would run out of descriptors and fail.
         """
         with Live(sockets=64) as live:
             table, most = live.connections, live.daemon.connection_limits.max_connections
@@ -297,7 +303,7 @@
 
 
 class LateBox:
-    """A worker's box whose first wait ends without a task, just as one is put there."""
+    """A worker's inbox whose first wait times out just as a task is assigned."""
 
     def __init__(self, workers, task):
         self.workers, self.task, self.items, self.bell = workers, task, [], threading.Event()
@@ -318,9 +324,9 @@
 
 class Workers(unittest.TestCase):
     def test_handed_over_as_it_stops_resting(self):
-        """A worker's rest is over in the very moment in which it is handed a connection.
+        """A worker's idle wait times out at the moment a task is assigned to it.
 
-        It serves it.
+        The worker must run the task before it ends; otherwise the task would be lost.
         """
         for _ in range(REPEATS):
             acted = []
@@ -336,9 +342,9 @@
 
 
 class BadInput(unittest.TestCase):
-    """Each kind of what can't be read gets its status and its counter.
+    """Each kind of unreadable request gets its status and is counted.
 
-    No thread or descriptor is left.
+    A path that closes badly would leak a thread or a descriptor, or reset the connection.
     """
 
     CASES = (
@@ -373,11 +379,11 @@
         with Live() as live:
             warm = live.client()
             live.served(warm, "first")
-            for data, status in self.CASES:  # threads that rest are there from now on
+            for data, status in self.CASES:  # starts the worker threads that stay
                 self.ask(live, data, status)
             eventually(lambda: len(live.connections.open) == 1, "closed")
             threads, open_descriptors = threading.active_count(), descriptors()
-            over_unread = []  # closing over unread bytes would reset the connection
+            over_unread = []  # closing with unread bytes would reset it
             live.enter_context(
                 live.hook(
                     connection_module,
@@ -410,7 +416,7 @@
         try:
             client.sock.sendall(data)
         except OSError:
-            pass  # refused before its end
+            pass  # the server may close before it has read all of it
         try:
             self.assertEqual(client.answer(), (status, ""))
             self.assertIsNone(client.answer())
@@ -419,7 +425,7 @@
 
     @apart
     def test_cut_and_torn(self):
-        """Messages cut off at any byte, by an end or a reset, leave nothing behind."""
+        """A message cut off at any byte, by a close or a reset, leaks no thread or descriptor."""
         with Live() as live:
             warm = live.client()
             live.served(warm, "first")
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -1,6 +1,6 @@
-"""Requests, runs and calls.
+"""Races of requests, runs and dependency calls.
 
-An answer, a duplicate, a reply or a broken link that comes between two lines of the server's own.
+A hook lets an answer, a duplicate, a reply or a broken link come between two lines of the server.
 """
 
 import socket
@@ -27,7 +27,7 @@
 
 
 class Gate:
-    """Stands in for the lock that a request's thread waits at: a test lets its time run out."""
+    """Replaces the lock that a request's thread waits on; `expire` ends that wait as a timeout."""
 
     def __init__(self):
         self.bell, self.locked, self.over = threading.Condition(), False, False
@@ -52,9 +52,10 @@
 
 class Deadline(unittest.TestCase):
     def meet(self, first):
-        """A request's time is up as its run ends.
+        """Let a request reach its deadline while the end of its run is handled.
 
-        `first` is which of the two comes first by a moment.
+        `first` says which of the two answers the request. It must get exactly one answer: if both
+        sides took it for open, it would be answered and counted twice.
         """
         with Live() as live:
             client = live.client()
@@ -69,7 +70,7 @@
                 if first == "deadline":
                     eventually(lambda: request.outcome is not None, "answered at its deadline")
 
-            def before_counted(outcome):  # between the last guard and the answer's writing
+            def before_counted(outcome):  # after the last check, before the answer is written
                 eventually(lambda: not live.dispatcher.requests, "the run's end handled")
 
             with (
@@ -106,9 +107,10 @@
 
 class Keyed(unittest.TestCase):
     def meet(self, first):
-        """A duplicate comes as the run of the request that it duplicates ends.
+        """Let a duplicate arrive while the end of the first request's run is handled.
 
-        Both are answered by that one run.
+        Both are answered by that one run: a duplicate that misses the end would wait until its
+        deadline or start a second run.
         """
         with Live() as live:
             one, two = live.client(), live.client()
@@ -119,7 +121,7 @@
                     two.send(
                         f"r{i}", "book", of=f"k{i}", **{"Replay-Key": f"k{i}", "Is-Retry": "1"}
                     )
-                    if first == "duplicate":  # it waits for the lock that this thread has
+                    if first == "duplicate":  # it waits for the lock that this thread holds
                         eventually(lambda: live.connection(two).request is not None, "handed on")
 
                 one.send(f"f{i}", "book", of=f"k{i}", **{"Replay-Key": f"k{i}"})
@@ -141,8 +143,9 @@
 
     @apart
     def test_duplicate_in_flight_at_the_end(self):
-        """The duplicate is in flight, waiting for the run, when that completes, fails, or was never
-        begun.
+        """A duplicate that waits for a run gets its answer when the run completes, fails or is void.
+
+        If the run's end did not reach the waiting duplicate, that would stay in flight.
         """
         for end, wanted in (("ok", (200, "fine")), ("failed", (500, "")), ("void", (500, ""))):
             with self.subTest(end), Live() as live:
@@ -162,9 +165,10 @@
                     live.unheard()
 
     def test_end_of_a_window(self):
-        """To the microsecond: within the window it is a duplicate, later another request.
+        """A request is a duplicate up to the last microsecond of the window, and a new one after it.
 
-        While the first is in flight it is a duplicate whenever it comes.
+        While the first request is in flight, a repeat is a duplicate even after the window. An
+        error by one microsecond would run a keyed request twice.
         """
         request_class = RequestClass(
             "book", 1, 1, 1.0, Idempotency.KEYED, 0.0, 1000, False, 0.0, 0.0
@@ -194,9 +198,10 @@
 
 class Calls(unittest.TestCase):
     def meet(self, first):
-        """A call's reply comes as the call is given up.
+        """Let a call's reply arrive while the call times out.
 
-        The decisions hear one of them, and the run goes on or fails by that one.
+        Only one of the two events may reach admission, and it decides whether the run goes on or
+        fails. With both, the run would be continued and failed.
         """
         with Live() as live:
             heard, turn = [], {}
@@ -243,7 +248,7 @@
                         live.done(f"p{i}")
                         self.assertEqual(client.answer(), (200, "fine"))
                         self.assertEqual(heard, [RequestEvent.CALL_SUCCEEDED])
-                    else:  # it may have had its effect, and is not made again
+                    else:  # the call may have taken effect, so it is not retried
                         self.assertEqual(client.answer(), (500, ""))
                         self.assertEqual(heard, [RequestEvent.CALL_OUTCOME_UNKNOWN])
                         live.done(f"p{i}", "", "halted")
@@ -261,9 +266,9 @@
 
     @apart
     def test_taken_back_while_it_connects(self):
-        """A call is given up while its connection comes about.
+        """A call times out while its connection is being opened.
 
-        The connection carries the next call.
+        The new connection goes to the pool for the next call; otherwise it would stay open unused.
         """
         with (
             Live() as live,
@@ -291,7 +296,7 @@
                     live.run(f"g{i}")
                     live.need(f"g{i}")
                     eventually(lambda: dependency.idle, "its connection in the pool")
-                live.engine.heard.get(timeout=PATIENCE)  # it goes on without the call
+                live.engine.heard.get(timeout=PATIENCE)  # the run goes on without the call
                 live.done(f"g{i}")
                 self.assertEqual(client.answer(), (200, "fine"))
                 self.assertEqual(len(dependency.idle), 1)
@@ -299,9 +304,9 @@
 
     @apart
     def test_reused_id(self):
-        """Replies bear ids alone.
+        """A repeated reply to one call never answers the next call of the same run.
 
-        A second copy of the last reply never answers the next call of its id.
+        Replies carry only the request's id, so the copy can't be told from the next call's reply.
         """
         with Live() as live:
             client = live.client()
@@ -323,9 +328,9 @@
 class Links(unittest.TestCase):
     @apart
     def test_link_breaks_after_the_run_is_written(self):
-        """The link breaks with a run's notices on their way.
+        """The link breaks before the run's notices arrive; each comes twice on the new link.
 
-        On the new link they are sent, twice each under one number: one call, one answer.
+        Both copies have one number, so they must lead to one call and one answer.
         """
         with Live() as live:
             client = live.client()
@@ -356,9 +361,9 @@
 
     @apart
     def test_address_moves_while_it_attaches(self):
-        """A new address that comes while a link to the old one is made.
+        """The engine's address changes while the server connects to the old one.
 
-        The link goes to the new one.
+        The server must attach at the new address and not keep the link to the old one.
         """
         with Live() as live:
             client, real = live.client(), EngineLink.attach_and_read.__globals__["open_connection"]
@@ -386,9 +391,10 @@
 
     @apart
     def test_closed_beside_a_writer(self):
-        """The link is closed as another thread writes on it.
+        """The link breaks while another thread writes to its socket.
 
-        Never before that thread is done with it.
+        The reading thread must not close the socket before that write ends: the descriptor could
+        be reused, and the rest would go to another connection.
         """
         with Live() as live:
             writer, client = live.daemon.executor.writer, live.client()
@@ -397,9 +403,7 @@
                 sock, closed_under = writer.sock, []
 
                 class Slow:
-                    """A socket whose writes take a while, and that tells who closes it
-                    meanwhile.
-                    """
+                    """A socket with slow writes that records whether it is closed during one."""
 
                     def __init__(self, sock, closed_under=closed_under):
                         self.sock, self.closed_under, self.writing = sock, closed_under, False
@@ -409,7 +413,7 @@
 
                     def sendall(self, data):
                         self.writing = True
-                        self.sock.shutdown(socket.SHUT_RDWR)  # the reading side finds the end now
+                        self.sock.shutdown(socket.SHUT_RDWR)  # the reading thread now finds the end
                         eventually(lambda: not writer.attached, "the reading side at its close")
                         self.writing = False
 
--- a/tests/crossing/test_signals.py
+++ b/tests/crossing/test_signals.py
@@ -86,9 +86,8 @@
     if point == IMPORTING:
         sys.meta_path.insert(0, Importing())
     else:
-        signal.pthread_sigmask(
-            signal.SIG_BLOCK, {TERM, HUP}
-        )  # as the daemon does before its imports
+        # As the daemon does before its imports; the hooks import its modules earlier.
+        signal.pthread_sigmask(signal.SIG_BLOCK, {TERM, HUP})
         for module, owner, name, signals in POINTS[point]:
             at = __import__(module, fromlist=["x"])
             at = getattr(at, owner) if owner else at
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,6 +1,6 @@
-"""Plays the scenarios beside this file against the decisions alone.
+"""Runs the scenarios of this folder on the admission controller, and on real servers.
 
-Their notation is in tests/README.md.
+The notation of scenarios is in tests/README.md.
 """
 
 import contextlib
@@ -101,7 +101,7 @@
 
 
 class TrippedError(Exception):
-    """What a scenario has break."""
+    """The error that a scenario raises by `trip`, in place of a command."""
 
 
 class Named(Request):
@@ -109,7 +109,7 @@
 
 
 def numbers(parts):
-    """key=value pairs, numbers where they are numbers."""
+    """Parse key=value pairs; values that look like numbers become floats."""
     out = {}
     for key, value in (p.split("=", 1) for p in parts):
         out[key] = float(value) if value.replace(".", "", 1).isdigit() else value
@@ -117,9 +117,9 @@
 
 
 class Scene:
-    """One server under a scenario.
+    """Runs a scenario on one admission controller.
 
-    The port's Door, the script's events, statements on what came of it.
+    It executes the controller's commands, feeds it the script's events and checks the results.
     """
 
     def __init__(self):
@@ -148,7 +148,7 @@
         self.said, self.ever, self.notes, self.most = [], [], {}, 0
         self.running, self.trip = set(), None
 
-    # The Door.
+    # What the controller calls.
 
     def execute(self, request, command):
         text = f"{COMMANDS[type(command)]} {request.name}"
@@ -231,7 +231,7 @@
         self.server = AdmissionController(self.now, self, facts)
 
     def until(self, time):
-        """Let the wake-ups up to then come."""
+        """Advance the clock to `time` and run the ticks that are due."""
         while self.due is not None and self.due <= time:
             self.now, self.due = self.due, None
             self.server.on_tick(self.now, Gauges(self.use, len(self.running), self.links))
@@ -361,10 +361,7 @@
 
 
 def on_sockets(case, folder):
-    """Plays a folder's scenarios on real servers, three side by side.
-
-    They wait more than they work.
-    """
+    """Run a folder's scenarios on real servers, three at once since they mostly wait."""
 
     def one(path):
         with contextlib.closing(Sockets()) as scene:
@@ -379,7 +376,7 @@
 
 
 class Pieces:
-    """What a buffer receives by: these pieces, one after another."""
+    """A receive function for a buffer that returns these pieces, one after another."""
 
     def __init__(self, *pieces):
         self.pieces = [p for p in pieces[:-1] if p] + [pieces[-1]]
@@ -395,9 +392,9 @@
 
 class Scenarios(unittest.TestCase):
     def test_wire(self):
-        """What is not the wire is told in one line that names the line.
+        """Malformed simulator input raises an error that names the line.
 
-        The input's end is no fault.
+        The end of the input between two batches is no error.
         """
         frame = "frame TimeUs=5 seq=1\n"
         self.assertEqual(
@@ -423,7 +420,10 @@
         return out.getvalue()
 
     def test_torn(self):
-        """Messages torn at every byte, and with more behind them, are read as whole ones are."""
+        """A message split at any byte, with another behind it, reads like a whole one.
+
+        A reader that took one receive for one message would lose or mix up bytes.
+        """
         ask = b"POST /call/view HTTP/1.1\r\nTrace-Id: 0a\r\nContent-Length: 4\r\n\r\nA\r\nB"
         load_configuration = b"DONE 7 0a ok 12 3\r\n\n\r\n\r\n"
         for at in range(1, len(ask) + 1):
@@ -449,12 +449,12 @@
                 self.assertIs(cut.exception.reason, CloseReason.CUT)
         long = Buffer(Pieces(*[b"x" * 4096] * 9), lines.MAX_MESSAGE_BYTES)
         self.assertRaises(ConnectionClosedError, lines.read, long)
-        self.assertLess(len(long.data), 9 * 4096)  # endless input does not grow it without end
+        self.assertLess(len(long.data), 9 * 4096)  # input without a line end doesn't fill memory
 
     def test_options(self):
-        """One plain line that names the key, whatever is wrong with it.
+        """Whatever is wrong with a configuration, the error names the key.
 
-        Both fronts read the same facts.
+        A bad value that went unnoticed would only show once the server runs.
         """
         whole = {
             "name": "n3",
@@ -524,16 +524,13 @@
 
     @staticmethod
     def profiles(number, **over):
-        """The site's classes, one of them with other settings."""
+        """The request classes of `site()`, one of them with other settings."""
         rows = site()["Profiles"]
         rows[number] |= over
         return rows
 
     def test_no_dependency(self):
-        """Where the settings name nothing below, no address of a database is needed.
-
-        Where they do, it is.
-        """
+        """The database address is required only if the settings name a dependency."""
         alone = {
             "name": "n3",
             "listen": "127.0.0.1:7001",
@@ -551,8 +548,9 @@
             self.load(alone | {"db": "nowhere"})
 
     def test_another_servers_file(self):
-        """A new configuration with another name, other classes or other tenants is another
-        server's.
+        """A reload detects the configuration of another server.
+
+        A different name, other request classes or other tenants are a mismatch; addresses are not.
         """
         whole = {
             "name": "n3",
@@ -586,8 +584,9 @@
             return load_configuration({"NODE_CONFIG": file.name})
 
     def test_gauges(self):
-        """A wake-up waits for its gauges from its own time on, however long ago the last event
-        was.
+        """A tick waits for its gauges from the current time on, not from the last event.
+
+        After a quiet period, that wait would otherwise end at once.
         """
         times, dispatcher = [], mock.Mock(now=0)
         route = CommandRouter(
@@ -603,7 +602,7 @@
         dispatcher.now, route.gauge_poller.scheduled_at = (
             1_000_300,
             1_000_000,
-        )  # handled a little late: the beat stays
+        )  # the tick is handled late; the next one stays on schedule
         route.schedule_tick(TICK)
         self.assertEqual(times[1], 1_000_000 + TICK)
 
@@ -625,7 +624,7 @@
         self.assertFalse(dispatcher.lock.locked() or dispatcher.requests)
 
     def test_next_tick_after_an_internal_error(self):
-        """An internal error at a tick: the next tick comes all the same."""
+        """After an internal error in a tick, the next tick is scheduled all the same."""
         scene = Scene()
         for line in ("handler view timeout=300", "0 read a view", "0 trip fail a"):
             scene.play(line.split())
@@ -634,9 +633,9 @@
         self.assertEqual(scene.due, scene.now + TICK)
 
     def test_background_work_runs_in_steps(self):
-        """A learning episode runs in steps.
+        """A learning episode runs in steps, with the lock free and the old policy between them.
 
-        Between them the lock is free and the last policy applies.
+        An episode in one step would hold up all requests until it ends.
         """
         dispatcher, learner = (
             Dispatcher(parse_site_facts(flatten_settings(site())), Metrics()),
@@ -647,7 +646,7 @@
         work, steps = learner.start_episode(), 0
         self.assertEqual(
             learner.visits_before_episode, learner.visits
-        )  # it began with that, not with its first step
+        )  # recorded when the episode starts, not at its first step
         while dispatcher.background_work.run_step(work):
             steps += 1
             self.assertIs(learner.policy, last)
@@ -656,9 +655,9 @@
         self.assertIsNot(learner.policy, last)
 
     def test_log_rate_limit(self):
-        """Of one event few lines a window are written; the next says how many were left out.
+        """Log lines of one event beyond a limit per window are dropped, except errors.
 
-        Errors are all written.
+        The next line that is written says how many were dropped.
         """
         handler = RateLimitedQueueHandler(queue.Queue(), lines_per_window=2, window_s=10.0)
         records = [
@@ -673,9 +672,10 @@
         )
 
     def test_events_for_closed_connections(self):
-        """Every reason a connection closes for has its event for each peer.
+        """Each reason for which a connection closes has an event for each kind of peer.
 
-        Only one that was never opened proves that no call ran.
+        Only a connection that was never opened proves that the call was not sent; for any other
+        reason the call may have run and must not be retried as unsent.
         """
         for reason in CloseReason:
             event = event_for_closed(PeerKind.DATABASE, reason)
