--- a/tests/crossing/test_connections.py
+++ b/tests/crossing/test_connections.py
@@ -176,7 +176,7 @@
 
 class Stalled(unittest.TestCase):
     @apart
-    def test_last_byte_meets_the_stall(self):
+    def test_last_byte_as_a_stalled_connection_is_aborted(self):
         """The last byte of a slow message arrives while the connection is aborted as stalled.
 
         The message must not run: nobody could receive the answer.
@@ -208,7 +208,7 @@
             self.assertEqual(live.count("ends.gateway.stalled"), REPEATS)
 
     @apart
-    def test_sweep_meets_a_message_that_is_whole(self):
+    def test_sweep_of_a_message_just_completed(self):
         """The sweep finds a stalled message that becomes complete before the sweep acts.
 
         The request is then in flight and must be answered, not aborted.
@@ -275,7 +275,7 @@
             eventually(lambda listener=listener: listener.sock.fileno() < 0, "the listener closed")
 
     @apart
-    def test_newcomers_wait_for_closing_ones(self):
+    def test_new_connections_wait_for_closing_ones(self):
         """Under a flood of new connections, closing ones stay within the reserved descriptors.
 
         If accepting didn't wait for them, it would run out of descriptors and fail.
@@ -323,7 +323,7 @@
 
 
 class Workers(unittest.TestCase):
-    def test_handed_over_as_it_stops_resting(self):
+    def test_task_assigned_as_the_idle_wait_ends(self):
         """A worker's idle wait times out at the moment a task is assigned to it.
 
         The worker must run the task before it ends; otherwise the task would be lost.
@@ -424,7 +424,7 @@
             client.close()
 
     @apart
-    def test_cut_and_torn(self):
+    def test_truncated_messages(self):
         """A message cut off at any byte, by a close or a reset, leaks no thread or descriptor."""
         with Live() as live:
             warm = live.client()
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -261,11 +261,11 @@
         self.meet("reply")
 
     @apart
-    def test_given_up_first(self):
+    def test_timeout_first(self):
         self.meet("limit")
 
     @apart
-    def test_taken_back_while_it_connects(self):
+    def test_call_times_out_while_it_connects(self):
         """A call times out while its connection is being opened.
 
         The new connection goes to the pool for the next call; otherwise it would stay open unused.
@@ -390,7 +390,7 @@
                 old.down()
 
     @apart
-    def test_closed_beside_a_writer(self):
+    def test_link_breaks_while_a_thread_writes(self):
         """The link breaks while another thread writes to its socket.
 
         The reading thread must not close the socket before that write ends: the descriptor could
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -391,7 +391,7 @@
 
 
 class Scenarios(unittest.TestCase):
-    def test_wire(self):
+    def test_malformed_simulator_input(self):
         """Malformed simulator input raises an error that names the line.
 
         The end of the input between two batches is no error.
@@ -419,39 +419,41 @@
         batches.answer_batches(io.BytesIO(text.encode()), out)
         return out.getvalue()
 
-    def test_torn(self):
+    def test_split_messages(self):
         """A message split at any byte, with another behind it, reads like a whole one.
 
         A reader that took one receive for one message would lose or mix up bytes.
         """
-        ask = b"POST /call/view HTTP/1.1\r\nTrace-Id: 0a\r\nContent-Length: 4\r\n\r\nA\r\nB"
-        load_configuration = b"DONE 7 0a ok 12 3\r\n\n\r\n\r\n"
-        for at in range(1, len(ask) + 1):
-            buffer = Buffer(Pieces(ask[:at], ask[at:] + ask, b""), http.MAX_MESSAGE_BYTES)
+        request = b"POST /call/view HTTP/1.1\r\nTrace-Id: 0a\r\nContent-Length: 4\r\n\r\nA\r\nB"
+        notice = b"DONE 7 0a ok 12 3\r\n\n\r\n\r\n"
+        for at in range(1, len(request) + 1):
+            buffer = Buffer(
+                Pieces(request[:at], request[at:] + request, b""), http.MAX_MESSAGE_BYTES
+            )
             first, again = http.read(buffer), http.read(buffer)
             self.assertEqual(first, again)
             self.assertEqual((first.start_line[1], first.fields["trace-id"]), ("/call/view", "0a"))
             self.assertEqual(first.body, b"A\r\nB")
             self.assertIsNone(http.read(buffer))
-        for at in range(1, len(load_configuration) + 1):
+        for at in range(1, len(notice) + 1):
             buffer = Buffer(
-                Pieces(load_configuration[:at], load_configuration[at:] + load_configuration, b""),
+                Pieces(notice[:at], notice[at:] + notice, b""),
                 lines.MAX_MESSAGE_BYTES,
             )
             for _ in range(2):
                 self.assertEqual(lines.read(buffer), ["DONE", "7", "0a", "ok", "12", "3"])
                 self.assertEqual(lines.read_body(buffer, "3"), b"\n\r\n")
             self.assertIsNone(lines.read(buffer))
-            if at < len(load_configuration):
+            if at < len(notice):
                 with self.assertRaises(ConnectionClosedError) as cut:
-                    buffer = Buffer(Pieces(load_configuration[:at], b""), lines.MAX_MESSAGE_BYTES)
+                    buffer = Buffer(Pieces(notice[:at], b""), lines.MAX_MESSAGE_BYTES)
                     lines.read_body(buffer, lines.read(buffer)[-1])
                 self.assertIs(cut.exception.reason, CloseReason.CUT)
         long = Buffer(Pieces(*[b"x" * 4096] * 9), lines.MAX_MESSAGE_BYTES)
         self.assertRaises(ConnectionClosedError, lines.read, long)
         self.assertLess(len(long.data), 9 * 4096)  # input without a line end doesn't fill memory
 
-    def test_options(self):
+    def test_configuration_errors(self):
         """Whatever is wrong with a configuration, the error names the key.
 
         A bad value that went unnoticed would only show once the server runs.
