--- a/tests/crossing/live.py
+++ b/tests/crossing/live.py
@@ -29,7 +29,7 @@
 SIDE_BY_SIDE = 4  # child processes at once
 
 
-def in_child(name):
+def run_in_child(name):
     """Run one test in a child process; return its exit code and its standard error."""
     env = os.environ | {CHILD: "1", "PYTHONPATH": f"{ROOT}{os.pathsep}{ROOT / 'tests'}"}
     got = subprocess.run(
@@ -43,39 +43,39 @@
     return got.returncode, got.stderr
 
 
-class Children:
+class ChildRuns:
     """The tests that run in child processes, a few at a time, since they mostly wait.
 
-    The first result asked for starts all of them, unless `-k` selects tests. `going` has the future
-    of each test that was started.
+    The first result asked for starts all of them, unless `-k` selects tests. `futures` has the
+    future of each test that was started.
     """
 
     def __init__(self):
         self.pool = ThreadPoolExecutor(SIDE_BY_SIDE)
-        self.names, self.going = [], {}
+        self.names, self.futures = [], {}
 
     def result(self, name):
-        wanted = [name] if "-k" in sys.argv else [name, *self.names]
-        for each in wanted:
-            if each not in self.going:
-                self.going[each] = self.pool.submit(in_child, each)
-        return self.going[name].result()
+        selected = [name] if "-k" in sys.argv else [name, *self.names]
+        for test_name in selected:
+            if test_name not in self.futures:
+                self.futures[test_name] = self.pool.submit(run_in_child, test_name)
+        return self.futures[name].result()
 
 
-CHILDREN = Children()
+CHILD_RUNS = ChildRuns()
 
 
 def apart(test):
     """Run a test method in a child process."""
     name = f"{test.__module__}.{test.__qualname__}"
-    CHILDREN.names.append(name)
+    CHILD_RUNS.names.append(name)
 
     @functools.wraps(test)
     def run(self):
         if os.environ.get(CHILD):
             test(self)
             return
-        code, printed = CHILDREN.result(name)
+        code, printed = CHILD_RUNS.result(name)
         self.assertEqual(code, 0, printed[-6000:])
 
     return run
--- a/tests/crossing/test_connections.py
+++ b/tests/crossing/test_connections.py
@@ -122,11 +122,11 @@
                 ours = live.connection(client)
                 eventually(lambda ours=ours: ours.state is State.IDLE, "idle")
 
-                def decide(connection, state, ours=ours):
+                def close_before_reading(connection, state, ours=ours):
                     if connection is ours and state is State.READING:
                         self.assertTrue(ours.close_if_idle(CloseReason.IDLE))
 
-                with live.hook(Connection, "_set_state", decide):
+                with live.hook(Connection, "_set_state", close_before_reading):
                     client.send(f"x{i}")
                     self.assertIsNone(client.answer())
                 client.close()
@@ -154,7 +154,7 @@
 
     @apart
     def test_peer_that_never_closes(self):
-        """A client that never closes its side after the half-close doesn't keep the connection open.
+        """After a half-close, a client that never closes doesn't keep the connection open.
 
         Without a bound on that wait, such clients would use up descriptors.
         """
@@ -191,13 +191,13 @@
                 client.sock.sendall(data[:-1])
                 eventually(lambda ours=ours: ours.state is State.READING, "reading")
 
-                def late(sock, client=client, data=data, ours=ours):
+                def send_last_byte(sock, client=client, data=data, ours=ours):
                     if sock is ours.sock and threading.current_thread() is threading.main_thread():
                         client.sock.sendall(data[-1:])
                         eventually(lambda: not unread(sock), "the last byte read")
                     real(sock)
 
-                with mock.patch.object(connection_module, "shutdown_both", late):
+                with mock.patch.object(connection_module, "shutdown_both", send_last_byte):
                     decided = ours.abort(CloseReason.STALLED, {State.READING}, ours.state_since)
                 self.assertTrue(decided)
                 with self.subTest(i), contextlib.suppress(ConnectionResetError):
@@ -223,14 +223,16 @@
                 eventually(lambda: ours.state is State.READING, "reading")
                 first, complete = threading.Lock(), threading.Event()
 
-                def rest(connection, *given, data=data, i=i, first=first, complete=complete):
+                def complete_message(
+                    connection, *given, data=data, i=i, first=first, complete=complete
+                ):
                     if connection is ours and first.acquire(blocking=False):
                         client.sock.sendall(data[-1:])
                         live.run(f"x{i}")
                         complete.set()
                     complete.wait(10)  # the server's own sweep may call this as well
 
-                with live.hook(Connection, "abort", rest):
+                with live.hook(Connection, "abort", complete_message):
                     ours.state_since -= 2 * connection_sweep_module.STALL_TIMEOUT_US
                     live.connections.sweep()
                     self.assertTrue(complete.wait(10))
@@ -284,10 +286,10 @@
             table, most = live.connections, live.daemon.connection_limits.max_connections
             clients, peak = [], [0]
 
-            def look(sock, listener):
+            def record_peak(sock, listener):
                 peak[0] = max(peak[0], len(table.open))
 
-            with live.hook(table, "add", look):
+            with live.hook(table, "add", record_peak):
                 for _ in range(3 * most + REPEATS):
                     client = live.client()
                     clients.append(client)
@@ -302,15 +304,15 @@
                 client.close()
 
 
-class LateBox:
+class LateInbox:
     """A worker's inbox whose first wait times out just as a task is assigned."""
 
     def __init__(self, workers, task):
-        self.workers, self.task, self.items, self.bell = workers, task, [], threading.Event()
+        self.workers, self.task, self.items, self.assigned = workers, task, [], threading.Event()
 
     def put(self, item):
         self.items.append(item)
-        self.bell.set()
+        self.assigned.set()
 
     def get(self, timeout=None):
         if timeout is not None:
@@ -318,7 +320,7 @@
                 task, self.task = self.task, None
                 assert self.workers.assign(task)
             raise queue.Empty
-        assert self.bell.wait(10)
+        assert self.assigned.wait(10)
         return self.items.pop(0)
 
 
@@ -329,15 +331,17 @@
         The worker must run the task before it ends; otherwise the task would be lost.
         """
         for _ in range(REPEATS):
-            acted = []
-            workers = WorkerPool(acted.append)
-            box = LateBox(workers, "second")
-            with mock.patch.object(worker_pool_module.queue, "SimpleQueue", lambda box=box: box):
+            tasks_run = []
+            workers = WorkerPool(tasks_run.append)
+            inbox = LateInbox(workers, "second")
+            with mock.patch.object(
+                worker_pool_module.queue, "SimpleQueue", lambda inbox=inbox: inbox
+            ):
                 thread = threading.Thread(target=workers.run_worker, args=("first",))
                 thread.start()
                 thread.join(10)
             self.assertFalse(thread.is_alive())
-            self.assertEqual(acted, ["first", "second"])
+            self.assertEqual(tasks_run, ["first", "second"])
             self.assertEqual(workers.idle_inboxes, [])
 
 
@@ -380,7 +384,7 @@
             warm = live.client()
             live.served(warm, "first")
             for data, status in self.CASES:  # starts the worker threads that stay
-                self.ask(live, data, status)
+                self.check_answer(live, data, status)
             eventually(lambda: len(live.connections.open) == 1, "closed")
             threads, open_descriptors = threading.active_count(), descriptors()
             over_unread = []  # closing with unread bytes would reset it
@@ -398,7 +402,7 @@
                         live.count("ends.gateway.declared"),
                     )
                     with self.subTest(data=data[:60], i=i):
-                        self.ask(live, data, status)
+                        self.check_answer(live, data, status)
                         eventually(lambda: len(live.connections.open) == 1, "closed")
                         after = (
                             live.count(f"bad_requests.{status}"),
@@ -411,7 +415,7 @@
             live.unheard()
             live.served(warm, "last")
 
-    def ask(self, live, data, status):
+    def check_answer(self, live, data, status):
         client = live.client()
         try:
             client.sock.sendall(data)
--- a/tests/crossing/test_dependency.py
+++ b/tests/crossing/test_dependency.py
@@ -31,22 +31,27 @@
     """
 
     def __init__(self):
-        self.spans, self.in_hand, self.pen, self.began = [], 0, threading.Lock(), time.monotonic()
+        self.spans, self.in_flight, self.lock, self.began = (
+            [],
+            0,
+            threading.Lock(),
+            time.monotonic(),
+        )
         super().__init__()
 
     def message(self, link, file, words):
         file.read(int(words[-1]) + 2)
-        with self.pen:
-            self.in_hand += 1
-            crowd = max(1.0, self.in_hand / SLOTS)
+        with self.lock:
+            self.in_flight += 1
+            slowdown = max(1.0, self.in_flight / SLOTS)
         start = time.monotonic()
         cold = start < self.began + COLD_S
-        until = start + (COLD_CALL_S if cold else CALL_S) * crowd
+        until = start + (COLD_CALL_S if cold else CALL_S) * slowdown
         link.settimeout(max(0.001, until - time.monotonic()))
         given_up = self.closed(link, until)
         end = time.monotonic() + (LINGER_S if given_up else 0.0)
-        with self.pen:
-            self.in_hand -= 1
+        with self.lock:
+            self.in_flight -= 1
             self.spans.append((start, end))
         if not given_up:
             self.say(f"{words[1]} ROWS 4\r\nrows\r\n", link)
@@ -69,7 +74,7 @@
                 link.settimeout(None)
         return False
 
-    def most(self):
+    def highest_mean(self):
         """The highest mean of calls in flight over any span of `SPAN_S`."""
         edges = sorted({t for span in self.spans for t in span})
         return max(
@@ -95,8 +100,8 @@
             super().message(link, file, words)
 
 
-class One:
-    """One server with its engine and its clients."""
+class Server:
+    """One server process with its engine and its clients."""
 
     def __init__(self, number, dependency, naming, folder):
         self.engine, self.listen, self.number = CallingEngine(), free(), number
@@ -168,7 +173,7 @@
             dependency, naming = Dependency(), Names()
             stack.callback(dependency.down)
             stack.callback(naming.down)
-            servers = [One(n, dependency, naming, folder) for n in range(SERVERS)]
+            servers = [Server(n, dependency, naming, folder) for n in range(SERVERS)]
             for one in servers:
                 stack.callback(one.engine.down)
                 stack.callback(one.process.wait)
@@ -190,7 +195,7 @@
             for one in servers:
                 one.process.terminate()
             self.assertEqual({one.process.wait(PATIENCE) for one in servers}, {0})
-            most, total = dependency.most(), SERVERS * SHARE
+            most, total = dependency.highest_mean(), SERVERS * SHARE
             print(
                 f"calls in hand, mean of {SPAN_S:g} s: {most:.1f} at the most of {total:g}; "
                 f"{sum(one.served for one in servers)} requests served",
--- a/tests/crossing/test_requests.py
+++ b/tests/crossing/test_requests.py
@@ -30,28 +30,28 @@
     """Replaces the lock that a request's thread waits on; `expire` ends that wait as a timeout."""
 
     def __init__(self):
-        self.bell, self.locked, self.over = threading.Condition(), False, False
+        self.condition, self.locked, self.expired = threading.Condition(), False, False
 
     def acquire(self, timeout=None):
-        with self.bell:
+        with self.condition:
             if timeout is not None:
-                self.bell.wait_for(lambda: not self.locked or self.over, PATIENCE)
+                self.condition.wait_for(lambda: not self.locked or self.expired, PATIENCE)
             got, self.locked = not self.locked, True
             return got
 
     def release(self):
-        with self.bell:
+        with self.condition:
             self.locked = False
-            self.bell.notify_all()
+            self.condition.notify_all()
 
     def expire(self):
-        with self.bell:
-            self.over = True
-            self.bell.notify_all()
+        with self.condition:
+            self.expired = True
+            self.condition.notify_all()
 
 
 class Deadline(unittest.TestCase):
-    def meet(self, first):
+    def race(self, first):
         """Let a request reach its deadline while the end of its run is handled.
 
         `first` says which of the two answers the request. It must get exactly one answer: if both
@@ -94,11 +94,11 @@
 
     @apart
     def test_run_ends_first(self):
-        self.meet("run")
+        self.race("run")
 
     @apart
     def test_deadline_comes_first(self):
-        self.meet("deadline")
+        self.race("deadline")
 
 
 def request_name(request):
@@ -106,7 +106,7 @@
 
 
 class Keyed(unittest.TestCase):
-    def meet(self, first):
+    def race(self, first):
         """Let a duplicate arrive while the end of the first request's run is handled.
 
         Both are answered by that one run: a duplicate that misses the end would wait until its
@@ -135,15 +135,15 @@
 
     @apart
     def test_duplicate_sent_at_the_end(self):
-        self.meet("end")
+        self.race("end")
 
     @apart
     def test_duplicate_waits_for_the_lock_at_the_end(self):
-        self.meet("duplicate")
+        self.race("duplicate")
 
     @apart
     def test_duplicate_in_flight_at_the_end(self):
-        """A duplicate that waits for a run gets its answer when the run completes, fails or is void.
+        """A duplicate that waits for a run is answered when the run completes, fails or is void.
 
         If the run's end did not reach the waiting duplicate, that would stay in flight.
         """
@@ -165,7 +165,7 @@
                     live.unheard()
 
     def test_end_of_a_window(self):
-        """A request is a duplicate up to the last microsecond of the window, and a new one after it.
+        """A request is a duplicate up to the last microsecond of the window and a new one later.
 
         While the first request is in flight, a repeat is a duplicate even after the window. An
         error by one microsecond would run a keyed request twice.
@@ -197,17 +197,17 @@
 
 
 class Calls(unittest.TestCase):
-    def meet(self, first):
+    def race(self, first):
         """Let a call's reply arrive while the call times out.
 
         Only one of the two events may reach admission, and it decides whether the run goes on or
         fails. With both, the run would be continued and failed.
         """
         with Live() as live:
-            heard, turn = [], {}
+            heard, timed_out = [], {}
 
-            def before_limit(database, call):
-                turn[call] = threading.Event()
+            def before_timeout(database, call):
+                timed_out[call] = threading.Event()
                 name = request_name(call.request)
                 eventually(lambda: name in live.db.carries, "the call at the database")
                 link = live.db.carries[name][-1]
@@ -218,17 +218,17 @@
 
             def before_ended(database, call):
                 reading = threading.current_thread().name == "database"
-                if first == "limit" and reading and call in turn:
+                if first == "limit" and reading and call in timed_out:
                     eventually(lambda: call.request.dependency_call is not call, "given up")
 
-            def called(relay, request, event, reply):
+            def record_event(relay, request, event, reply):
                 heard.append(event)
 
             client = live.client()
             with (
-                live.hook(dependency_module.DependencyClient, "on_timeout", before_limit),
+                live.hook(dependency_module.DependencyClient, "on_timeout", before_timeout),
                 live.hook(dependency_module.DependencyClient, "claim_end", before_ended),
-                live.hook(EventRelay, "on_call_ended", called),
+                live.hook(EventRelay, "on_call_ended", record_event),
                 mock.patch.object(
                     live.dispatcher.controller.dependency,
                     "call_timeout",
@@ -258,11 +258,11 @@
 
     @apart
     def test_reply_first(self):
-        self.meet("reply")
+        self.race("reply")
 
     @apart
     def test_timeout_first(self):
-        self.meet("limit")
+        self.race("limit")
 
     @apart
     def test_call_times_out_while_it_connects(self):
@@ -371,17 +371,17 @@
                 eventually(lambda: live.daemon.executor.writer.attached, "attached")
                 old = live.engine
 
-                def moved(address, patience, old=old):
+                def connect_then_move(address, patience, old=old):
                     sock = real(address, patience)
                     if address == old.address:
-                        other = type(old)()
-                        other.state, other.notices = "warm", old.notices
-                        live.engine = other
-                        live.daemon.executor.update_address(other.address)
+                        moved_engine = type(old)()
+                        moved_engine.state, moved_engine.notices = "warm", old.notices
+                        live.engine = moved_engine
+                        live.daemon.executor.update_address(moved_engine.address)
                     return sock
 
                 with mock.patch.dict(
-                    EngineLink.attach_and_read.__globals__, {"open_connection": moved}
+                    EngineLink.attach_and_read.__globals__, {"open_connection": connect_then_move}
                 ):
                     old.drop()
                     eventually(lambda old=old: live.engine is not old, "moved")
--- a/tests/crossing/test_signals.py
+++ b/tests/crossing/test_signals.py
@@ -59,7 +59,7 @@
 IMPORTING = "importing"
 
 
-def raising(real, signals):
+def with_signals(real, signals):
     """Wrap a function: each of its first calls sends this process the next of `signals`."""
     left = list(signals)
 
@@ -71,7 +71,7 @@
     return hooked
 
 
-class Importing:
+class SignalAtImport:
     """Sends SIGTERM as the import of the server's own modules begins."""
 
     def find_spec(self, name, path=None, target=None):
@@ -84,19 +84,19 @@
 def server(point):
     """Run the server as `python -m gullyoke` does, with the hooks of the point."""
     if point == IMPORTING:
-        sys.meta_path.insert(0, Importing())
+        sys.meta_path.insert(0, SignalAtImport())
     else:
         # As the daemon does before its imports; the hooks import its modules earlier.
         signal.pthread_sigmask(signal.SIG_BLOCK, {TERM, HUP})
         for module, owner, name, signals in POINTS[point]:
             at = __import__(module, fromlist=["x"])
             at = getattr(at, owner) if owner else at
-            setattr(at, name, raising(getattr(at, name), signals))
+            setattr(at, name, with_signals(getattr(at, name), signals))
     runpy.run_module("gullyoke", run_name="__main__", alter_sys=True)
 
 
 class Signals(unittest.TestCase):
-    def play(self, point):
+    def run_point(self, point):
         """Run one server process to its end; return its exit code and its log."""
         with contextlib.closing(Sockets()) as scene:
             scene.given["stop_ms"] = 300.0
@@ -114,9 +114,11 @@
         return process.returncode, printed
 
     def test_points(self):
-        tasks = [point for point in (IMPORTING, *POINTS) for _ in range(TIMES)]
+        points = [point for point in (IMPORTING, *POINTS) for _ in range(TIMES)]
         with ThreadPoolExecutor(SIDE_BY_SIDE) as pool:
-            for point, (code, printed) in zip(tasks, pool.map(self.play, tasks), strict=True):
+            for point, (code, printed) in zip(
+                points, pool.map(self.run_point, points), strict=True
+            ):
                 with self.subTest(point):
                     self.assertEqual(code, 0, printed)
                     self.assertEqual(printed.count("event=draining"), 1, printed)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -144,8 +144,8 @@
             "callers": 1,
         }
         self.request_classes, self.tenants, self.requests = {}, {}, {}
-        self.server, self.now, self.due, self.use, self.links = None, 0, None, 1.0, None
-        self.said, self.ever, self.notes, self.most = [], [], {}, 0
+        self.server, self.now, self.due, self.core_use, self.links = None, 0, None, 1.0, None
+        self.said, self.history, self.notes, self.most = [], [], {}, 0
         self.running, self.trip = set(), None
 
     # What the controller calls.
@@ -159,7 +159,7 @@
         if isinstance(command, Enqueue | Await):
             return
         self.said.append(text)
-        self.ever.append((self.now, text))
+        self.history.append((self.now, text))
         if command is RUN:
             self.running.add(request.name)
 
@@ -170,13 +170,13 @@
         self.due = self.now + after
 
     def set_health(self, good, cheap):
-        self.ever.append((self.now, f"health {'good' if good else 'bad'}"))
+        self.history.append((self.now, f"health {'good' if good else 'bad'}"))
 
     def set_load_signal(self, level):
-        self.ever.append((self.now, f"stamp {level}"))
+        self.history.append((self.now, f"stamp {level}"))
 
     def set_idle_timeout(self, span):
-        self.ever.append((self.now, f"idle {span}"))
+        self.history.append((self.now, f"idle {span}"))
 
     def log(self, text):
         pass
@@ -234,7 +234,7 @@
         """Advance the clock to `time` and run the ticks that are due."""
         while self.due is not None and self.due <= time:
             self.now, self.due = self.due, None
-            self.server.on_tick(self.now, Gauges(self.use, len(self.running), self.links))
+            self.server.on_tick(self.now, Gauges(self.core_use, len(self.running), self.links))
             self.server.dispatch(self.now)
         self.now = time
 
@@ -273,12 +273,14 @@
             assert self.said == wanted, f"wanted {wanted}, got {self.said}"
         elif verb in ("never", "once", "some"):
             text = " ".join(parts[1:])
-            count = sum(said == text or said.startswith(text + " ") for _, said in self.ever)
+            count = sum(said == text or said.startswith(text + " ") for _, said in self.history)
             right = {"never": count == 0, "once": count == 1, "some": count > 0}[verb]
             assert right, f"{count} times '{text}'"
         elif verb == "answered":
             early, late = (int(x) * 1000 for x in parts[2].split("-"))
-            times = [t for t, said in self.ever if said in (f"shed {parts[1]}", f"fail {parts[1]}")]
+            times = [
+                t for t, said in self.history if said in (f"shed {parts[1]}", f"fail {parts[1]}")
+            ]
             assert len(times) == 1 and early <= times[0] <= late, f"{parts[1]} answered at {times}"
         elif verb == "most":
             assert self.most == int(parts[1]), f"most running was {self.most}"
@@ -301,7 +303,7 @@
         elif verb == "trip":
             self.trip = " ".join(parts[1:])
         elif verb == "busy":
-            self.use = float(parts[1])
+            self.core_use = float(parts[1])
             self.until((time // TICK + 1) * TICK)
         elif verb in ("shut", "open"):
             self.request_classes[parts[1]].accepting = verb == "open"
