--- a/tests/crossing/test_signals.py
+++ b/tests/crossing/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that arrive at inconvenient points of the server's life.
+"""Signals that arrive while the server starts, reloads or drains.
 
 A signal that comes before signals are blocked, while the server is built, in a reload or in the
 drain could be lost, kill the server or drain it twice. A hook makes the server's process send
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -156,10 +156,8 @@
             None,
             ("127.0.0.1", 0),
         )
-        self.joined, self.carries = (
-            queue.Queue(),
-            {},
-        )  # numbers of ATTACH; by request name, its links
+        # `joined`: the numbers of ATTACH. `carries`: by request name, the links it came on.
+        self.joined, self.carries = queue.Queue(), {}
         self.up()
 
     def up(self):
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -606,7 +606,7 @@
         dispatcher.now, route.gauge_poller.scheduled_at = (
             1_000_300,
             1_000_000,
-        )  # the tick is handled late; the next one stays on schedule
+        )  # the tick is handled late, and the next one stays on schedule
         route.schedule_tick(TICK)
         self.assertEqual(times[1], 1_000_000 + TICK)
 
