--- a/tests/crossing/test_signals.py
+++ b/tests/crossing/test_signals.py
@@ -1,9 +1,10 @@
-"""Signals that come between two lines.
+"""Signals that arrive while the server starts, reloads or drains.
 
-Before the masks, while the server is put together, in a reload, in the drain. Each is raised by the
-server's process itself, at a point that a hook names.
+A signal that comes before signals are blocked, while the server is built, in a reload or in the
+drain could be lost, kill the server or drain it twice. A hook makes the server's process send
+itself the signal at the chosen point.
 
-Run as a program, this file is that process: `test_signals.py POINT`.
+Run as a program, `test_signals.py POINT`, this file is that process.
 """
 
 import contextlib
@@ -23,9 +24,9 @@
 
     from crossing.live import REPEATS, SIDE_BY_SIDE
 
-    TIMES = max(1, REPEATS // 10)  # a process each: fewer than crossings within one
+    TIMES = max(1, REPEATS // 10)  # fewer, since each needs a process
 
-# By point: what is hooked (module, owner, function), and the signals raised there, call by call.
+# By point: the hooked functions (module, owner, name) and the signal raised at each of their calls.
 TERM, HUP = signal.SIGTERM, signal.SIGHUP
 POINTS = {
     "configuration": [("gullyoke.daemon.serve", None, "load_configuration", [TERM])],
@@ -58,8 +59,8 @@
 IMPORTING = "importing"
 
 
-def raising(real, signals):
-    """The function, with a signal to this process before each of its first calls."""
+def with_signals(real, signals):
+    """Wrap a function: each of its first calls sends this process the next of `signals`."""
     left = list(signals)
 
     def hooked(*given, **named):
@@ -70,8 +71,8 @@
     return hooked
 
 
-class Importing:
-    """Raises the notice to leave as the server's own modules begin to be imported."""
+class SignalAtImport:
+    """Sends SIGTERM as the import of the server's own modules begins."""
 
     def find_spec(self, name, path=None, target=None):
         if name == "gullyoke.daemon":
@@ -81,21 +82,22 @@
 
 
 def server(point):
-    """The server, as `python -m gullyoke` starts it, with the point's hooks."""
+    """Run the server as `python -m gullyoke` does, with the hooks of the point."""
     if point == IMPORTING:
-        sys.meta_path.insert(0, Importing())
+        sys.meta_path.insert(0, SignalAtImport())
     else:
-        signal.pthread_sigmask(signal.SIG_BLOCK, {TERM, HUP})  # the hooks import what they hook
+        # As the daemon does before its imports; the hooks import its modules earlier.
+        signal.pthread_sigmask(signal.SIG_BLOCK, {TERM, HUP})
         for module, owner, name, signals in POINTS[point]:
             at = __import__(module, fromlist=["x"])
             at = getattr(at, owner) if owner else at
-            setattr(at, name, raising(getattr(at, name), signals))
+            setattr(at, name, with_signals(getattr(at, name), signals))
     runpy.run_module("gullyoke", run_name="__main__", alter_sys=True)
 
 
 class Signals(unittest.TestCase):
-    def play(self, point):
-        """One process: it ends by itself, in order, within the stated time; what it logged."""
+    def run_point(self, point):
+        """Run one server process to its end; return its exit code and its log."""
         with contextlib.closing(Sockets()) as scene:
             scene.given["stop_ms"] = 300.0
             scene.engine.state = "warm"
@@ -112,9 +114,11 @@
         return process.returncode, printed
 
     def test_points(self):
-        tasks = [point for point in (IMPORTING, *POINTS) for _ in range(TIMES)]
+        points = [point for point in (IMPORTING, *POINTS) for _ in range(TIMES)]
         with ThreadPoolExecutor(SIDE_BY_SIDE) as pool:
-            for point, (code, printed) in zip(tasks, pool.map(self.play, tasks), strict=True):
+            for point, (code, printed) in zip(
+                points, pool.map(self.run_point, points), strict=True
+            ):
                 with self.subTest(point):
                     self.assertEqual(code, 0, printed)
                     self.assertEqual(printed.count("event=draining"), 1, printed)
