--- a/tests/crossing/test_dependency.py
+++ b/tests/crossing/test_dependency.py
@@ -1,6 +1,4 @@
-"""Thirty servers of one process each, every one deciding alone, over one dependency that is cold
-and slow.
-"""
+"""Thirty server processes that decide independently and share one cold, slow dependency."""
 
 import contextlib
 import json
@@ -19,43 +17,48 @@
 from gullyoke.experiments.ports import free
 
 SERVERS = 30
-SHARE, SPAN_S = 0.5, 2.0  # the calls in hand that each server may have, in the mean of a span
-LINGER_S = 0.2  # a call given up stays in the dependency's hands so long
-COLD_S, LOAD_S = 3.0, 6.0  # how long the dependency is cold, and how long the clients go on
-COLD_CALL_S, CALL_S = 0.5, 0.05  # a call's time while it is cold, and later
-SLOTS = 6  # in hand beyond these, all calls take longer
+SHARE, SPAN_S = 0.5, 2.0  # calls in flight allowed to each server, mean over a span
+LINGER_S = 0.2  # how long the dependency goes on with an abandoned call
+COLD_S, LOAD_S = 3.0, 6.0  # how long the dependency is cold, and how long clients send
+COLD_CALL_S, CALL_S = 0.5, 0.05  # a call's time while the dependency is cold, and later
+SLOTS = 6  # with more calls in flight, every call takes longer
 
 
 class Dependency(StandIn):
     """Answers each call after its time.
 
-    Table: `spans`, when each call came into its hands and left them.
+    `spans` has the start and the end of each call.
     """
 
     def __init__(self):
-        self.spans, self.in_hand, self.pen, self.began = [], 0, threading.Lock(), time.monotonic()
+        self.spans, self.in_flight, self.lock, self.began = (
+            [],
+            0,
+            threading.Lock(),
+            time.monotonic(),
+        )
         super().__init__()
 
     def message(self, link, file, words):
         file.read(int(words[-1]) + 2)
-        with self.pen:
-            self.in_hand += 1
-            crowd = max(1.0, self.in_hand / SLOTS)
+        with self.lock:
+            self.in_flight += 1
+            slowdown = max(1.0, self.in_flight / SLOTS)
         start = time.monotonic()
         cold = start < self.began + COLD_S
-        until = start + (COLD_CALL_S if cold else CALL_S) * crowd
+        until = start + (COLD_CALL_S if cold else CALL_S) * slowdown
         link.settimeout(max(0.001, until - time.monotonic()))
         given_up = self.closed(link, until)
         end = time.monotonic() + (LINGER_S if given_up else 0.0)
-        with self.pen:
-            self.in_hand -= 1
+        with self.lock:
+            self.in_flight -= 1
             self.spans.append((start, end))
         if not given_up:
             self.say(f"{words[1]} ROWS 4\r\nrows\r\n", link)
 
     @staticmethod
     def closed(link, until):
-        """Whether the caller closes the connection before the call's time is over."""
+        """Wait until a time; return whether the caller closed the connection before."""
         try:
             while (left := until - time.monotonic()) > 0:
                 link.settimeout(left)
@@ -71,8 +74,8 @@
                 link.settimeout(None)
         return False
 
-    def most(self):
-        """The highest mean of calls in hand over any span of the stated length."""
+    def highest_mean(self):
+        """The highest mean of calls in flight over any span of `SPAN_S`."""
         edges = sorted({t for span in self.spans for t in span})
         return max(
             sum(max(0.0, min(b, edge) - max(a, edge - SPAN_S)) for a, b in self.spans) / SPAN_S
@@ -81,7 +84,7 @@
 
 
 class CallingEngine(Engine):
-    """Each run makes one call, and is over once that was answered or left out."""
+    """Each run needs one call and ends once that was answered or skipped."""
 
     def message(self, link, file, words):
         if words[0] == "RUN":
@@ -97,8 +100,8 @@
             super().message(link, file, words)
 
 
-class One:
-    """One server with its engine and its clients."""
+class Server:
+    """One server process with its engine and its clients."""
 
     def __init__(self, number, dependency, naming, folder):
         self.engine, self.listen, self.number = CallingEngine(), free(), number
@@ -141,7 +144,7 @@
         return False
 
     def load(self, until, lane):
-        """One client, a request after the other, as fast as they are answered."""
+        """One client: sends each request once the previous one is answered."""
         with socket.create_connection(self.listen, PATIENCE) as conn, conn.makefile("rb") as file:
             n = 0
             while time.monotonic() < until:
@@ -155,22 +158,22 @@
                 file.read(length)
                 self.served += status == 200
                 if status != 200:
-                    time.sleep(0.02)  # what is turned away comes again soon, and again
+                    time.sleep(0.02)  # a client sends again soon after a rejection
 
 
 class Cold(unittest.TestCase):
     def test_sum_of_all_calls(self):
-        """All together never hold more calls in the mean of a span than their shares add up to.
+        """The mean of calls in flight of all servers never exceeds the sum of their shares.
 
-        Neither while the dependency is cold and the callers come again at once, nor as it gets
-        well.
+        A server that did not count abandoned calls would exceed its share while the dependency is
+        cold and clients retry at once, or as the dependency recovers.
         """
         with contextlib.ExitStack() as stack:
             folder = stack.enter_context(tempfile.TemporaryDirectory())
             dependency, naming = Dependency(), Names()
             stack.callback(dependency.down)
             stack.callback(naming.down)
-            servers = [One(n, dependency, naming, folder) for n in range(SERVERS)]
+            servers = [Server(n, dependency, naming, folder) for n in range(SERVERS)]
             for one in servers:
                 stack.callback(one.engine.down)
                 stack.callback(one.process.wait)
@@ -192,14 +195,14 @@
             for one in servers:
                 one.process.terminate()
             self.assertEqual({one.process.wait(PATIENCE) for one in servers}, {0})
-            most, total = dependency.most(), SERVERS * SHARE
+            most, total = dependency.highest_mean(), SERVERS * SHARE
             print(
                 f"calls in hand, mean of {SPAN_S:g} s: {most:.1f} at the most of {total:g}; "
                 f"{sum(one.served for one in servers)} requests served",
                 file=sys.stderr,
             )
             self.assertLessEqual(most, total)
-            self.assertGreater(most, total / 4)  # the bound was near enough to matter
+            self.assertGreater(most, total / 4)  # the load was high enough to test the bound
             self.assertGreater(sum(one.served for one in servers), SERVERS)
 
 
