--- a/gullyoke/emulator/beside.py
+++ b/gullyoke/emulator/beside.py
@@ -42,9 +42,9 @@
 
     def __init__(self, beside: Beside, node: Node, below: DependencyFacts, fleet: Fleet) -> None:
         self.beside, self.node, self.count = beside, node, 0
-        chance = beside.chance
+        generator = beside.generator
         self.smoother, self.received = ReportSmoother(), ReceivedReports()
-        self.assessment = LoadAssessment(random.Random(chance.getrandbits(40)).random)
+        self.assessment = LoadAssessment(random.Random(generator.getrandbits(40)).random)
         self.quota_part: MeanConcurrencyPart | None = None
         if beside.signals:
             fleet.feedback = self.assessment
@@ -58,7 +58,7 @@
             own_lender = str(node.number) if str(node.number) in lenders else None
             part = QuotaParticipant(
                 now,
-                chance.getrandbits(40),
+                generator.getrandbits(40),
                 lenders,
                 tokens.get(own_lender, 0),
                 floor,
@@ -71,8 +71,8 @@
                 part, below.linger, below.quota_window
             )
         # Nodes that exist at the start know each other, as they do after running for a while.
-        node.fleet.at(chance.randrange(TURN), self.tick_quota)
-        node.fleet.at(chance.randrange(SECOND), self.exchange_reports)
+        node.fleet.at(generator.randrange(TURN), self.tick_quota)
+        node.fleet.at(generator.randrange(SECOND), self.exchange_reports)
 
     def exchange_reports(self) -> None:
         """Once a second: assess the own load against received reports, and send a report."""
@@ -160,7 +160,7 @@
         largest: int = 0,
         frozen: int = 0,
     ) -> None:
-        self.chance = random.Random(seed ^ 0xBE51DE)
+        self.generator = random.Random(seed ^ 0xBE51DE)
         self.signals, self.shares, self.loss, self.cut, self.liar = signals, shares, loss, cut, liar
         self.largest, self.frozen = largest, frozen
         self.peers: dict[int, Peer] = {}
@@ -172,8 +172,8 @@
     def neighbours(self, number: int) -> list[int]:
         """Return the nodes that get reports of this one, unchanged while the same nodes are up."""
         there = [n for n, peer in self.peers.items() if peer.node.up and n != number]
-        chance = random.Random(number * 7919 + len(there))
-        return chance.sample(there, min(REPORT_RECEIVERS, len(there)))
+        generator = random.Random(number * 7919 + len(there))
+        return generator.sample(there, min(REPORT_RECEIVERS, len(there)))
 
     def apply_report_faults(self, number: int, packed_report: int) -> int:
         """Return the report that node `number` sends in place of the true one, after faults."""
@@ -190,9 +190,9 @@
         if there is None or not there.node.up:
             return
         fleet = there.node.fleet
-        if self.chance.random() < self.loss or (self.cut and self.cut(fleet.now(), from_, to)):
+        if self.generator.random() < self.loss or (self.cut and self.cut(fleet.now(), from_, to)):
             return
-        fleet.at(self.chance.randrange(200, 2_000), lambda: there.node.up and act(there))
+        fleet.at(self.generator.randrange(200, 2_000), lambda: there.node.up and act(there))
 
 
 def playing(day, beside: Beside | None) -> Running:
--- a/gullyoke/emulator/fleet.py
+++ b/gullyoke/emulator/fleet.py
@@ -300,12 +300,12 @@
     def __init__(self, day: Day, make: Callable[[Node], object]) -> None:
         self.day, self.env, self.speed = day, simpy.Environment(), 1.0
         self.last = day.length + max(w.timeout for w in day.works)
-        self.chance = np.random.default_rng(day.seed + 1)
+        self.generator = np.random.default_rng(day.seed + 1)
         self.below = Dependency(day.shared, self.now, self.at) if day.shared else None
         self.request_classes = [w.request_class() for w in day.works]
         self.answers: list[LastAnswer | None] = [None] * len(day.arrivals)
         self.avoided_until: dict[tuple[int, int], int] = {}  # until when a caller avoids a server
-        self.heeds = self.chance.random(day.callers.count) < day.callers.heed
+        self.heeds = self.generator.random(day.callers.count) < day.callers.heed
         self.sent = self.overdue = self.handshakes = self.unlinked = 0
         self.make, self.nodes = make, []
         self.moves: dict[tuple[int, int], int] = {}  # attempts by second and server
@@ -335,9 +335,9 @@
 
     def shrink(self, share: float) -> None:
         """Give a random `share` of the servers notice to leave."""
-        there = [n for n in self.nodes if n.up and n.listed]
-        for i in self.chance.permutation(len(there))[: int(share * len(there))]:
-            there[i].leave()
+        candidates = [n for n in self.nodes if n.up and n.listed]
+        for i in self.generator.permutation(len(candidates))[: int(share * len(candidates))]:
+            candidates[i].leave()
 
     def grow(self, count: int) -> None:
         """Start `count` more servers."""
@@ -411,7 +411,7 @@
                     return node
         elif len(nodes) > 16:
             for _ in range(8):
-                node = nodes[int(self.chance.integers(len(nodes)))]
+                node = nodes[int(self.generator.integers(len(nodes)))]
                 if (
                     node.listed
                     and node.good
@@ -419,14 +419,16 @@
                     and avoided_until.get((caller, node.number), 0) <= now
                 ):
                     return node
-        there = [n for n in nodes if n.listed and n.good] or [n for n in nodes if n.listed] or nodes
+        candidates = (
+            [n for n in nodes if n.listed and n.good] or [n for n in nodes if n.listed] or nodes
+        )
         left = [
             n
-            for n in there
+            for n in candidates
             if avoided_until.get((caller, n.number), 0) <= now and n.number != avoid
         ]
-        left = left or [n for n in there if n.number != avoid] or there
-        return left[int(self.chance.integers(len(left)))]
+        left = left or [n for n in candidates if n.number != avoid] or candidates
+        return left[int(self.generator.integers(len(left)))]
 
     def told(self, request: Asked, node: Node, what) -> None:
         """Record the final answer to an attempt, and schedule a retry if one is due."""
--- a/gullyoke/emulator/shares.py
+++ b/gullyoke/emulator/shares.py
@@ -51,6 +51,7 @@
 
     @property
     def need(self) -> int:
+        """Tokens that the process needs."""
         return self.part.needed
 
     @need.setter
--- a/gullyoke/emulator/swim.py
+++ b/gullyoke/emulator/swim.py
@@ -106,10 +106,10 @@
     lifeguard = False
 
     def __init__(
-        self, now: int, record: MemberRecord, seeds: tuple[str, ...], chance: random.Random
+        self, now: int, record: MemberRecord, seeds: tuple[str, ...], generator: random.Random
     ) -> None:
         self.record = record
-        self.random = chance
+        self.random = generator
         self.listeners: list[Callable[[Change], None]] = []
         self.peers: dict[int, PeerState] = {}
         self.health = 0
@@ -117,7 +117,7 @@
         self._updates: dict[int, QueuedUpdate] = {}
         self._incarnation = 0
         self._seq = 0
-        self._next_probe_at = now + chance.randrange(PERIOD_US)
+        self._next_probe_at = now + generator.randrange(PERIOD_US)
         self._next_gossip_at = now
         self._pending: PendingProbe | None = None
         self._relays: dict[int, tuple[MemberRecord, int]] = {}  # requester and its seq
--- a/tests/emulator/test_class_pools.py
+++ b/tests/emulator/test_class_pools.py
@@ -33,17 +33,17 @@
 
         The result also has the time at the end.
         """
-        fits, asked = {}, {}
+        admitted, offered = {}, {}
         for _ in range(seconds * 10):
             now += 100_000
             for h, cores in rates.items():
                 for _ in range(max(0, round(cores * 100_000 / pools.by_class[h].cost))):
-                    asked[h] = asked.get(h, 0) + 1
+                    offered[h] = offered.get(h, 0) + 1
                     if pools.take(h):
-                        fits[h] = fits.get(h, 0) + 1
+                        admitted[h] = admitted.get(h, 0) + 1
             pools.completed_core_time = pools.cores * 100_000  # the cores are always full
             pools.adjust(100_000, True)
-        return {h: fits.get(h, 0) / asked[h] for h in asked}, now
+        return {h: admitted.get(h, 0) / offered[h] for h in offered}, now
 
     def test_order(self):
         """At three times the capacity the most valuable class gets its full demand.
@@ -78,7 +78,7 @@
         self.assertEqual(got, {one: 1.0})
         self.assertEqual(pools.reserved_requests(one), 0)
 
-    def test_no_room(self):
+    def test_tiny_limit(self):
         """Guards against a limit close to zero, by which the computed wait overflows.
 
         The retry advice stays bounded.
@@ -284,9 +284,9 @@
         self.assertIn("value earned", got.output)
         last = [line for line in got.output.split("\n") if "drop-status" in line][-1]
         rows = last.replace("│", "|").split("|")
-        asked, done, *rest = (int(x) for x in rows[2:7])
-        self.assertGreater(asked, 10)
-        self.assertEqual(asked, done + sum(rest))
+        offered, done, *rest = (int(x) for x in rows[2:7])
+        self.assertGreater(offered, 10)
+        self.assertEqual(offered, done + sum(rest))
         self.assertGreater(done, 0)
 
 
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -23,10 +23,10 @@
 
 def exponential(cores, load, length, seed):
     """Return Poisson arrivals of exponential work on one server with negligible reading work."""
-    chance, now, rows = np.random.default_rng(seed), 0, []
+    generator, now, rows = np.random.default_rng(seed), 0, []
     while now < length:
-        now += max(1, int(chance.exponential(ONE.work / cores / load)))
-        rows.append((now, 0, max(1, int(chance.exponential(ONE.work))), 0))
+        now += max(1, int(generator.exponential(ONE.work / cores / load)))
+        rows.append((now, 0, max(1, int(generator.exponential(ONE.work))), 0))
     machines = Machines(1, cores, 1e9, 1.0, 1.0, 1e9, 1e9, 0.0, 1)
     return Day((ONE,), machines, Callers(tries=0), None, now + 1, rows, seed)
 
@@ -122,13 +122,13 @@
 
         The bound is also tight enough: at most 1.5 times the best value on more than half the days.
         """
-        chance, close = random.Random(3), 0
+        generator, close = random.Random(3), 0
         for _ in range(12):
             rows = sorted(
                 (
-                    chance.randrange(800_000),
-                    chance.randrange(2),
-                    chance.randrange(100_000, 900_000),
+                    generator.randrange(800_000),
+                    generator.randrange(2),
+                    generator.randrange(100_000, 900_000),
                     0,
                 )
                 for _ in range(5)
