--- a/gullyoke/emulator/duty.py
+++ b/gullyoke/emulator/duty.py
@@ -186,14 +186,14 @@
             ):
                 continue
             for _ in range(1 + (self.chance.random() < 0.05)):
-                self.after(self.chance.randrange(200, 5_000), self.come, from_, to, message)
+                self.after(self.chance.randrange(200, 5_000), self.deliver, from_, to, message)
 
-    def come(self, from_: str, to: str, message: object) -> None:
+    def deliver(self, from_: str, to: str, message: object) -> None:
         """Deliver a message and send the replies; a paused member gets it when it resumes."""
         if to not in self.up:
             return
         if self.paused.get(to, 0) > self.now:
-            self.after(self.paused[to] - self.now, self.come, from_, to, message)
+            self.after(self.paused[to] - self.now, self.deliver, from_, to, message)
             return
         now, candidate, voter = self.time(to), self.candidates[to], self.voters.get(to)
         answer: list[AddressedMessage] = []
--- a/gullyoke/emulator/shares.py
+++ b/gullyoke/emulator/shares.py
@@ -85,7 +85,7 @@
             self.play.below += 1
             self.play.worst_below = max(self.play.worst_below, self.play.below)
             if span <= time_limit:  # the call ends in time
-                self.play.after(int(span / self.rate), call.over)
+                self.play.after(int(span / self.rate), call.finish)
             else:
                 self.play.after(int(time_limit / self.rate), call.abandon)
 
@@ -122,7 +122,7 @@
     def __init__(self, process: Process) -> None:
         self.process, self.play, self.below = process, process.play, True
 
-    def over(self) -> None:
+    def finish(self) -> None:
         """End the call with an answer; a paused process reads it when it resumes."""
         if self.below:
             self.below = False
@@ -131,10 +131,10 @@
 
     def abandon(self) -> None:
         """Abandon the call; the dependency ends it within LINGER."""
-        self.play.after(self.play.chance.randrange(LINGER), self.gone)
+        self.play.after(self.play.chance.randrange(LINGER), self.close)
         self.read(True)
 
-    def gone(self) -> None:
+    def close(self) -> None:
         """End the call at the dependency."""
         if self.below:
             self.below = False
@@ -191,7 +191,7 @@
         process = self.processes[key]
         process.up = False
         for call in process.out:  # their connections end with it
-            self.after(self.chance.randrange(LINGER), call.gone)
+            self.after(self.chance.randrange(LINGER), call.close)
 
     def after(self, span: int, act) -> None:
         """Schedule an action after `span` microseconds."""
@@ -211,16 +211,16 @@
             return
         for _ in range(1 + (self.chance.random() < 0.1)):
             self.after(
-                self.chance.randrange(1, self.slowest), lambda: self.come(from_, to, message)
+                self.chance.randrange(1, self.slowest), lambda: self.deliver(from_, to, message)
             )
 
-    def come(self, from_: str, to: str, message) -> None:
+    def deliver(self, from_: str, to: str, message) -> None:
         """Deliver a message; a paused process gets it when it resumes."""
         receiver = self.processes.get(to)
         if receiver is None or not receiver.up:
             return
         if receiver.paused > self.now:
-            self.after(receiver.paused - self.now, lambda: self.come(from_, to, message))
+            self.after(receiver.paused - self.now, lambda: self.deliver(from_, to, message))
             return
         receiver.receive(from_, message)
 
