--- a/gullyoke/emulator/beside.py
+++ b/gullyoke/emulator/beside.py
@@ -1,7 +1,7 @@
-"""Servers of the model that tell each other how they stand and share the dependency's slots.
+"""Simulated servers that exchange load reports and share the dependency's slots.
 
-The same modules as on sockets, with delay, loss and cuts between them. All figures from here are
-simulated.
+They run the same coordination modules as real servers, over a network with delay, loss and
+partitions. All figures from here are simulated.
 """
 
 from __future__ import annotations
@@ -28,56 +28,58 @@
 from gullyoke.emulator.fleet import Node, Running, deciding
 
 SECOND, TURN = 1_000_000, 100_000
-PEERS, HOMES, FLOOR = (
+REPORT_RECEIVERS, LENDER_COUNT, FLOOR_SHARE = (
     16,
     5,
     0.25,
-)  # who hears a signal; who lends; the part that is one's own by right
+)  # receivers of a load report; lenders; the share of the limit that needs no lease
 
-Cut = Callable[[int, int, int], bool]  # whether what one sends another at a time is lost
+Cut = Callable[[int, int, int], bool]  # (time, sender, receiver): whether the message is lost
 
 
 class Peer:
-    """What one node has of the others."""
+    """The coordination state of one node."""
 
     def __init__(self, beside: Beside, node: Node, below: DependencyFacts, fleet: Fleet) -> None:
         self.beside, self.node, self.count = beside, node, 0
-        chance = beside.chance
-        self.telling, self.heard = ReportSmoother(), ReceivedReports()
-        self.judgement = LoadAssessment(random.Random(chance.getrandbits(40)).random)
-        self.own: MeanConcurrencyPart | None = None
+        generator = beside.generator
+        self.smoother, self.received = ReportSmoother(), ReceivedReports()
+        self.assessment = LoadAssessment(random.Random(generator.getrandbits(40)).random)
+        self.quota_part: MeanConcurrencyPart | None = None
         if beside.signals:
-            fleet.feedback = self.judgement
+            fleet.feedback = self.assessment
         day, now = node.fleet.day, node.fleet.now()
         if beside.shares and day.shared and day.shared.survives:
-            homes = [str(i) for i in range(min(HOMES, day.machines.servers))]
+            lenders = [str(i) for i in range(min(LENDER_COUNT, day.machines.servers))]
             largest = beside.largest or day.machines.servers + sum(n for _, n in day.machines.join)
             floor, tokens = split_limit(
-                day.shared.survives * TOKENS_PER_CALL, largest, homes, FLOOR
+                day.shared.survives * TOKENS_PER_CALL, largest, lenders, FLOOR_SHARE
             )
-            home = str(node.number) if str(node.number) in homes else None
+            own_lender = str(node.number) if str(node.number) in lenders else None
             part = QuotaParticipant(
                 now,
-                chance.getrandbits(40),
-                homes,
-                tokens.get(home, 0),
+                generator.getrandbits(40),
+                lenders,
+                tokens.get(own_lender, 0),
                 floor,
-                home,
-                home is not None,
+                own_lender,
+                own_lender is not None,
                 below.linger,
                 below.quota_window,
             )
-            self.own = below.slots = MeanConcurrencyPart(part, below.linger, below.quota_window)
-        # Those who were there at the start know each other, as after a while of running.
-        node.fleet.at(chance.randrange(TURN), self.turn)
-        node.fleet.at(chance.randrange(SECOND), self.look)
+            self.quota_part = below.slots = MeanConcurrencyPart(
+                part, below.linger, below.quota_window
+            )
+        # Nodes that exist at the start know each other, as they do after running for a while.
+        node.fleet.at(generator.randrange(TURN), self.tick_quota)
+        node.fleet.at(generator.randrange(SECOND), self.exchange_reports)
 
-    def look(self) -> None:
-        """Once a second: how this one stands, told to some, and what the others told."""
+    def exchange_reports(self) -> None:
+        """Once a second: assess the own load against received reports, and send a report."""
         node, now = self.node, self.node.fleet.now()
         if not node.up or now > node.fleet.last:
             return
-        node.fleet.at(SECOND, self.look)
+        node.fleet.at(SECOND, self.exchange_reports)
         server = node.server
         if not isinstance(server, AdmissionController) or server.learner is None:
             return
@@ -90,47 +92,61 @@
             else ServingStage.WARM
         )
         reading = LoadReport.from_snapshot(load, stage)
-        judged, was = self.judgement, self.judgement.withdrawn
-        judged.update(now, reading, self.heard.valid(now))
+        judged, was_withdrawn = self.assessment, self.assessment.withdrawn
+        judged.update(now, reading, self.received.valid(now))
         if judged.withdrawn and stage is ServingStage.WARM:
             reading = reading._replace(stage=ServingStage.WITHDRAWN)
-        if judged.withdrawn != was and self.beside.signals and not load.draining:
+        if judged.withdrawn != was_withdrawn and self.beside.signals and not load.draining:
             node.good = not judged.withdrawn
         self.count += 1
-        word = self.beside.lie(node.number, self.telling.pack(reading))
+        packed_report = self.beside.apply_report_faults(node.number, self.smoother.pack(reading))
         for other in self.beside.neighbours(node.number):
             self.beside.send(
-                node.number, other, lambda peer: peer.hear_word(node.number, self.count, word)
+                node.number,
+                other,
+                lambda peer: peer.receive_report(node.number, self.count, packed_report),
             )
 
-    def hear_word(self, sender: int, count: int, word: int) -> None:
-        self.heard.take(self.node.fleet.now(), sender, count, word)
+    def receive_report(self, sender: int, count: int, packed_report: int) -> None:
+        """Take a load report of another node."""
+        self.received.take(self.node.fleet.now(), sender, count, packed_report)
 
-    def turn(self) -> None:
+    def tick_quota(self) -> None:
+        """Advance the quota participant and send its messages; repeats every TURN."""
         now = self.node.fleet.now()
-        if self.own is None or not self.node.up or now > self.node.fleet.last:
+        if self.quota_part is None or not self.node.up or now > self.node.fleet.last:
             return
-        self.node.fleet.at(TURN, self.turn)
-        for letter in self.own.tick(now):
-            self.post(letter, -1)
-
-    def post(self, letter: AddressedQuotaMessage, asker: int) -> None:
-        to, me = asker if letter.to == Recipient.REQUESTER else int(letter.lender), self.node.number
-        self.beside.send(me, to, lambda peer: peer.hear_letter(me, letter.message))
+        self.node.fleet.at(TURN, self.tick_quota)
+        for outgoing in self.quota_part.tick(now):
+            self.post(outgoing, -1)
+
+    def post(self, outgoing: AddressedQuotaMessage, requester: int) -> None:
+        """Send a quota message; `requester` is the node that it answers, or -1."""
+        to, sender_number = (
+            requester if outgoing.to == Recipient.REQUESTER else int(outgoing.lender),
+            self.node.number,
+        )
+        self.beside.send(
+            sender_number,
+            to,
+            lambda peer: peer.receive_quota_message(sender_number, outgoing.message),
+        )
 
-    def hear_letter(self, sender: int, message) -> None:
-        if self.own is not None:
-            answer = self.own.handle(self.node.fleet.now(), message)
+    def receive_quota_message(self, sender: int, message) -> None:
+        """Handle a quota message and send the reply, if any."""
+        if self.quota_part is not None:
+            answer = self.quota_part.handle(self.node.fleet.now(), message)
             if answer is not None:
                 self.post(answer, sender)
 
 
 class Beside:
-    """An arm: which parts are on.
+    """The coordination of a simulated fleet, with a choice of features and faults.
 
-    `loss` of what they send, `cut` as a function of time and two numbers, `liar` the number of one
-    that says it has all room there is. `largest`: the largest fleet stated for shares. `frozen`:
-    from when on all signals stay as they were.
+    `signals`, `shares`: whether load reports are acted on and slots are shared. `loss`: probability
+    that a message is lost; `cut`: partitions; `liar`: the number of a node that always reports no
+    load. `largest`: the configured maximum fleet size for shares, 0 for the true one. `frozen`:
+    time from which on all load reports keep their values, 0 for never.
     """
 
     def __init__(
@@ -144,39 +160,41 @@
         largest: int = 0,
         frozen: int = 0,
     ) -> None:
-        self.chance = random.Random(seed ^ 0xBE51DE)
+        self.generator = random.Random(seed ^ 0xBE51DE)
         self.signals, self.shares, self.loss, self.cut, self.liar = signals, shares, loss, cut, liar
         self.largest, self.frozen = largest, frozen
         self.peers: dict[int, Peer] = {}
-        self.words: dict[int, int] = {}
+        self.frozen_reports: dict[int, int] = {}
 
     def __call__(self, node: Node, below: DependencyFacts, fleet: Fleet) -> None:
         self.peers[node.number] = Peer(self, node, below, fleet)
 
     def neighbours(self, number: int) -> list[int]:
-        """Whom one tells: the same few for a while, as members observe each other."""
+        """Return the nodes that get reports of this one, unchanged while the same nodes are up."""
         there = [n for n, peer in self.peers.items() if peer.node.up and n != number]
-        chance = random.Random(number * 7919 + len(there))
-        return chance.sample(there, min(PEERS, len(there)))
+        generator = random.Random(number * 7919 + len(there))
+        return generator.sample(there, min(REPORT_RECEIVERS, len(there)))
 
-    def lie(self, number: int, word: int) -> int:
+    def apply_report_faults(self, number: int, packed_report: int) -> int:
+        """Return the report that node `number` sends in place of the true one, after faults."""
         if number == self.liar:
             return LoadReport(1.0, 0.0, 0.0, ServingStage.WARM).pack()
         now = self.peers[number].node.fleet.now()
-        if self.frozen and now >= self.frozen:  # all reporters are stuck at what they said then
-            return self.words.setdefault(number, word)
-        return word
+        if self.frozen and now >= self.frozen:  # repeats the first report after that time
+            return self.frozen_reports.setdefault(number, packed_report)
+        return packed_report
 
     def send(self, from_: int, to: int, act: Callable[[Peer], None]) -> None:
+        """Call `act` on the receiver after a random delay, unless the message is lost."""
         there = self.peers.get(to)
         if there is None or not there.node.up:
             return
         fleet = there.node.fleet
-        if self.chance.random() < self.loss or (self.cut and self.cut(fleet.now(), from_, to)):
+        if self.generator.random() < self.loss or (self.cut and self.cut(fleet.now(), from_, to)):
             return
-        fleet.at(self.chance.randrange(200, 2_000), lambda: there.node.up and act(there))
+        fleet.at(self.generator.randrange(200, 2_000), lambda: there.node.up and act(there))
 
 
 def playing(day, beside: Beside | None) -> Running:
-    """A day on the module's decisions, with the others' word or without."""
+    """Return a simulation without class pools, coordinated if `beside` is given."""
     return Running(day, deciding(False, beside=beside) if beside else deciding(False))
--- a/gullyoke/emulator/duty.py
+++ b/gullyoke/emulator/duty.py
@@ -1,7 +1,8 @@
-"""Duties without sockets.
+"""A simulation of singleton tasks (duties) without sockets.
 
-Voters with disks, candidates with clocks of their own, and a network that loses, delays, doubles
-and cuts; a resource that takes acts by their epoch. All figures from here are simulated.
+It has voters with disks, candidates with independent clocks, a network that loses, delays and
+duplicates messages and can be partitioned, and a resource that admits actions by their epoch. All
+figures from here are simulated.
 """
 
 from __future__ import annotations
@@ -35,11 +36,11 @@
 
 
 class Play:
-    """Members m0 and on, the first of them voters.
+    """A simulation with members `m0`, `m1` and so on, the first of which are voters.
 
-    `deaf`: members whose messages are lost on the way out or in; `ill`: those whose disks fail;
-    `slow`: a resource's acts stay on their way for up to so long. `most`: how many held it at once
-    at the most.
+    `deaf`: pairs of a member and the direction, `in` or `out`, in which its messages are lost.
+    `ill`: members whose disks fail. `slow`: the maximum delay of an action to the resource. `most`:
+    the maximum number of simultaneous lease holders.
     """
 
     def __init__(
@@ -66,104 +67,117 @@
     # Processes.
 
     def time(self, name: str) -> int:
+        """Return a member's local clock."""
         return self.offsets[name] + int(self.now * self.rates[name])
 
     def start(self, name: str) -> None:
+        """Start or restart a member with a new incarnation."""
         self.up.add(name)
         self.paused.pop(name, None)
         self.starts[name] += 1
         life, now = next(self.lives), self.time(name)
-        self.candidates[name] = one = Candidate(
+        self.candidates[name] = candidate = Candidate(
             DUTY, name, life, self.set, self.spans, self.chance.random, self.number
         )
-        one.wants_lease = True
+        candidate.wants_lease = True
         self.voters.pop(name, None)
         if name in self.set:
             self.vote(name, life, now)
         self.after(self.chance.randrange(TURN), self.turn, name, self.starts[name])
 
     def vote(self, name: str, life: int, now: int) -> None:
+        """Make a member's voter from the promises on its disk."""
         others, disk = [n for n in self.set if n != name], self.disks[name]
         self.voters[name] = Voter(
             now, name, life, others, self.spans, None if disk is None else dict(disk), self.number
         )
 
     def kill(self, name: str) -> None:
+        """End the process of a member."""
         self.up.discard(name)
 
     def wipe(self, name: str) -> None:
-        """Its folder is lost, and it starts anew."""
+        """Lose a member's disk and restart it."""
         self.disks[name] = None
         self.start(name)
 
     def pause(self, name: str, span: int) -> None:
+        """Suspend a member for `span` microseconds."""
         self.paused[name] = self.now + span
 
     def set_voters(self, names: list[str]) -> None:
-        """One voter more or fewer, taken over by each at a moment of its own.
+        """Change the set of voters; each member adopts it after a random delay.
 
-        A new one starts with nothing.
+        A new voter starts with an empty disk.
         """
         self.number += 1
         old, self.set = self.set, list(names)
         for name in self.members:
-            self.after(self.chance.randrange(SECOND), self.take_set, name, old)
+            self.after(self.chance.randrange(SECOND), self.adopt_voters, name, old)
 
-    def take_set(self, name: str, old: list[str]) -> None:
-        one = self.candidates[name]
-        one.set_voters(self.time(name), self.set, self.number)
+    def adopt_voters(self, name: str, old: list[str]) -> None:
+        """Make a member adopt the present set of voters."""
+        candidate = self.candidates[name]
+        candidate.set_voters(self.time(name), self.set, self.number)
         if name in self.set and name not in old:
             self.disks[name] = None
-            self.vote(name, one.incarnation, self.time(name))
+            self.vote(name, candidate.incarnation, self.time(name))
         elif name in self.voters and name in self.set:
             self.voters[name].set_others((n for n in self.set if n != name), self.number)
         else:
             self.voters.pop(name, None)
 
-    # The model's clock.
+    # The simulated clock.
 
-    def after(self, span: int, act: Callable, *given: object) -> None:
-        heapq.heappush(self.queue, (self.now + span, next(self.count), act, given))
+    def after(self, span: int, act: Callable, *arguments: object) -> None:
+        """Schedule an action after `span` microseconds."""
+        heapq.heappush(self.queue, (self.now + span, next(self.count), act, arguments))
 
     def run(self, until: int) -> None:
+        """Run all events until that time, and record the maximum number of holders."""
         while self.queue and self.queue[0][0] <= until:
-            self.now, _, act, given = heapq.heappop(self.queue)
-            act(*given)
+            self.now, _, act, arguments = heapq.heappop(self.queue)
+            act(*arguments)
             self.most = max(self.most, len(self.holders()))
         self.now = until
 
     def turn(self, name: str, starts: int) -> None:
+        """Advance a member: tick, send messages and perhaps act; repeats every TURN."""
         if name not in self.up or self.starts[name] != starts:
             return
         if self.paused.get(name, 0) > self.now:
             self.after(self.paused[name] - self.now, self.turn, name, starts)
             return
-        now, one = self.time(name), self.candidates[name]
-        there = [CandidatePlacement(n) for n in self.members if n in self.up]
-        one.delay_us = candidate_delay_us(DUTY, name, there) or 0
+        now, candidate = self.time(name), self.candidates[name]
+        placements = [CandidatePlacement(n) for n in self.members if n in self.up]
+        candidate.delay_us = candidate_delay_us(DUTY, name, placements) or 0
         voter = self.voters.get(name)
-        learn = voter.next_epoch_query(now) if voter is not None else None
-        if learn is not None:
-            self.post(name, [AddressedMessage(other, learn) for other in sorted(voter.others)])
-        self.post(name, one.tick(now))
-        epoch = one.held_epoch(now)
+        epoch_query = voter.next_epoch_query(now) if voter is not None else None
+        if epoch_query is not None:
+            self.post(
+                name, [AddressedMessage(other, epoch_query) for other in sorted(voter.others)]
+            )
+        self.post(name, candidate.tick(now))
+        epoch = candidate.held_epoch(now)
         if epoch is not None and self.chance.random() < TURN / ACT:
-            # On its way it may be for as long as it likes: the process may stall between looking
-            # and acting.
+            # The delay is not bounded by the lease: the process may stall between checking the
+            # lease and acting.
             self.after(
                 self.chance.randrange(1, max(2, self.slow)),
                 self.act,
                 epoch,
-                one.incarnation,
+                candidate.incarnation,
                 self.now,
             )
         self.after(TURN, self.turn, name, starts)
 
-    def act(self, epoch: int, life: int, came: int) -> None:
+    def act(self, epoch: int, life: int, sent_at: int) -> None:
+        """Let the resource admit or refuse an action by its epoch, and record the action."""
         taken = self.fence.admit(DUTY, epoch, life)
-        self.acts.append(Act(came / 1e6, self.now / 1e6, DUTY, epoch, str(life), taken))
+        self.acts.append(Act(sent_at / 1e6, self.now / 1e6, DUTY, epoch, str(life), taken))
 
     def post(self, from_: str, posts: list[AddressedMessage]) -> None:
+        """Send messages with loss, delay and duplication."""
         for to, message in posts:
             if (
                 self.chance.random() < self.loss
@@ -172,42 +186,46 @@
             ):
                 continue
             for _ in range(1 + (self.chance.random() < 0.05)):
-                self.after(self.chance.randrange(200, 5_000), self.come, from_, to, message)
+                self.after(self.chance.randrange(200, 5_000), self.deliver, from_, to, message)
 
-    def come(self, from_: str, to: str, message: object) -> None:
+    def deliver(self, from_: str, to: str, message: object) -> None:
+        """Deliver a message and send the replies; a paused member gets it when it resumes."""
         if to not in self.up:
             return
         if self.paused.get(to, 0) > self.now:
-            self.after(self.paused[to] - self.now, self.come, from_, to, message)
+            self.after(self.paused[to] - self.now, self.deliver, from_, to, message)
             return
-        now, one, voter = self.time(to), self.candidates[to], self.voters.get(to)
+        now, candidate, voter = self.time(to), self.candidates[to], self.voters.get(to)
         answer: list[AddressedMessage] = []
         if isinstance(message, VoteReply):
-            answer = one.handle_reply(now, message) if from_ in self.set else []
+            answer = candidate.handle_reply(now, message) if from_ in self.set else []
         elif isinstance(message, HandoverOffer):
-            answer = one.accept_handover(now, from_, message)
+            answer = candidate.accept_handover(now, from_, message)
         elif isinstance(message, HandoverAccept):
-            answer = one.handle_handover_accept(now, from_, message)
+            answer = candidate.handle_handover_accept(now, from_, message)
         elif voter is not None:
-            answer = self.voted(now, from_, to, voter, message)
+            answer = self.handle_voter_message(now, from_, to, voter, message)
         self.post(to, answer)
 
-    def voted(
+    def handle_voter_message(
         self, now: int, from_: str, to: str, voter: Voter, message: object
     ) -> list[AddressedMessage]:
+        """Handle a message to a voter and return the replies that are ready at once."""
         if isinstance(message, PreVote):
             return [AddressedMessage(from_, voter.answer_pre_vote(now, message))]
         if isinstance(message, LeaseRequest):
             answer = voter.answer_request(now, message)
             if isinstance(answer, PromiseWrite):
-                self.after(self.chance.randrange(1, SYNC), self.synced, from_, to, voter, answer)
+                self.after(
+                    self.chance.randrange(1, SYNC), self.write_done, from_, to, voter, answer
+                )
                 return []
             return [AddressedMessage(from_, answer)] if answer is not None else []
         if isinstance(message, LeaseRelease):
             voter.release(now, message)
         elif isinstance(message, EpochQuery):
-            said = voter.answer_epoch_query(now, message)
-            return [AddressedMessage(from_, said)] if said is not None else []
+            reply = voter.answer_epoch_query(now, message)
+            return [AddressedMessage(from_, reply)] if reply is not None else []
         elif isinstance(message, EpochReply):
             writes = voter.learn_epochs(now, message)
             for i, write in enumerate(writes):
@@ -217,45 +235,47 @@
                 self.disks[to] = {}
         return []
 
-    def synced(self, from_: str, to: str, voter: Voter, write: PromiseWrite) -> None:
-        """The disk has spoken; a process that ended meanwhile hears nothing of it, and its disk may
-        have it.
+    def write_done(self, from_: str, to: str, voter: Voter, write: PromiseWrite) -> None:
+        """Finish a disk write and send the vote.
+
+        A process that ended meanwhile gets no result, though its disk may hold the write.
         """
         durable = to not in self.ill
         if durable or self.chance.random() < 0.5:
             self.disks[to] = {**(self.disks[to] or {}), write.duty: write.promise}
         if self.voters.get(to) is voter and to in self.up:
-            said = voter.write_finished(self.time(to), write, durable)
-            self.post(to, [AddressedMessage(from_, said)] if said is not None else [])
+            reply = voter.write_finished(self.time(to), write, durable)
+            self.post(to, [AddressedMessage(from_, reply)] if reply is not None else [])
 
-    # Faults, and what is asked.
+    # Faults and queries.
 
     def trouble(self, span: int) -> None:
-        """Everything at once for so long, never a majority of disks lost."""
+        """Inject random faults of all kinds for `span` microseconds; at most one disk is lost."""
         chance, until, wiped = self.chance, self.now + span, 0
         while self.now < until:
             self.run(self.now + chance.choice((1, 3)) * SECOND // 2)
-            name, what = chance.choice(self.members), chance.randrange(8)
-            if what == 0:
+            name, fault = chance.choice(self.members), chance.randrange(8)
+            if fault == 0:
                 self.pause(name, chance.randrange(7 * SECOND))
-            elif what == 1:
+            elif fault == 1:
                 self.kill(name)
                 self.after(chance.randrange(4 * SECOND), self.start, name)
-            elif what == 2:
+            elif fault == 2:
                 self.deaf.add((name, chance.choice(("in", "out"))))
-            elif what == 3:
+            elif fault == 3:
                 self.deaf.clear()
-            elif what == 4:
+            elif fault == 4:
                 self.loss = chance.choice((0.0, 0.2))
-            elif what == 5:
+            elif fault == 5:
                 self.ill = {name} if chance.random() < 0.5 else set()
-            elif what == 6:
+            elif fault == 6:
                 self.slow = chance.choice((1, 6 * SECOND))
             elif not wiped and name in self.set:
                 wiped = 1
                 self.wipe(name)
 
     def heal(self) -> None:
+        """End all faults and start the members that are down."""
         self.deaf.clear()
         self.ill.clear()
         self.paused.clear()
@@ -265,12 +285,13 @@
                 self.start(name)
 
     def pass_to(self, name: str, to: str) -> None:
+        """Let a member offer its lease to another."""
         self.post(name, self.candidates[name].offer_handover(self.time(name), to))
 
     def holders(self) -> list[str]:
-        """Who may act at this moment, by its own clock; one that stands still may not.
+        """Return the running members that hold the lease by their own clocks.
 
-        It asks when it wakes.
+        Paused members are included.
         """
         return [
             name
@@ -279,4 +300,5 @@
         ]
 
     def epochs(self) -> int:
+        """Return the highest epoch of an action that the resource admitted."""
         return max((act.epoch for act in self.acts if act.taken), default=0)
--- a/gullyoke/emulator/fleet.py
+++ b/gullyoke/emulator/fleet.py
@@ -1,6 +1,4 @@
-"""The fleet of a day: servers with their cores and decisions, what they call below, and their
-callers.
-"""
+"""The simulation of a day: servers with their admission controllers, a dependency and callers."""
 
 from __future__ import annotations
 
@@ -39,15 +37,16 @@
 LEARN, STOP = (
     2_000_000,
     4_000_000,
-)  # from the notice to leave: when callers know, and when it is over
-LIMITS, RESERVE = "limits", "reserve"  # pools with one part only, to see what each does
-COLD, WARM = 0.25, 10_000_000  # a fresh server's speed, and how long until it is warm
+)  # from the notice to leave until callers know, and until the server stops
+LIMITS, RESERVE = "limits", "reserve"  # class pools with one mechanism only, to measure its effect
+COLD, WARM = 0.25, 10_000_000  # speed of a fresh server, and time until it is warm
 
 
-class Told(NamedTuple):
-    """What a caller was answered at last, for one first try.
+class LastAnswer(NamedTuple):
+    """The last answer to a request, over all its attempts.
 
-    The time, and `done`, `shed` or `errored`.
+    `at`: its time; `what`: `done`, `shed` or `errored`; `poorer`: whether the dependency call was
+    skipped.
     """
 
     at: int
@@ -56,59 +55,60 @@
 
 
 class Dependency:
-    """Slots; what finds none waits, first in first out, and each takes longer the more wait.
+    """The dependency: a number of slots and a FIFO queue; calls take longer the more of them wait.
 
-    It is `down` once it has had more in hand than it survives, in the mean of MEAN.
+    It is `down` for good once the mean number of open calls over MEAN exceeds `survives`.
     """
 
     def __init__(self, shared: Shared, now: Callable[[], int], at) -> None:
         self.shared, self.now, self.at, self.busy, self.most = shared, now, at, 0, 0
-        self.line: deque[Callable[[], None]] = deque()
+        self.waiting: deque[Callable[[], None]] = deque()
         self.down, self.mean, self.seen = False, 0.0, 0
         self.calls = self.failed = 0
 
     def call(self, done: Callable[[bool], None]) -> None:
+        """Start or queue a call; `done` gets whether it succeeded."""
         self.calls += 1
-        self._weigh()
+        self._update_mean()
         if self.down:
             self.failed += 1
             self.at(1000, lambda: done(False))
             return
-        self.line.append(done)
-        self.most = max(self.most, self.busy + len(self.line))
+        self.waiting.append(done)
+        self.most = max(self.most, self.busy + len(self.waiting))
         self._next()
 
-    def _weigh(self) -> None:
+    def _update_mean(self) -> None:
         now = self.now()
         part = min(1.0, (now - self.seen) / MEAN)
-        self.mean += (self.busy + len(self.line) - self.mean) * part
+        self.mean += (self.busy + len(self.waiting) - self.mean) * part
         self.seen = now
         self.down |= 0 < self.shared.survives < self.mean
 
     def _next(self) -> None:
-        while self.line and self.busy < self.shared.slots:
-            done = self.line.popleft()
+        while self.waiting and self.busy < self.shared.slots:
+            done = self.waiting.popleft()
             self.busy += 1
-            crowd, slower = 1 + 0.2 * len(self.line) / self.shared.slots, self.shared.slower
+            crowd, slower = 1 + 0.2 * len(self.waiting) / self.shared.slots, self.shared.slower
             if slower and slower[0] <= self.now() < slower[1]:
                 crowd *= slower[2]
             self.at(int(self.shared.span * crowd), lambda done=done: self._ended(done))
 
     def _ended(self, done: Callable[[bool], None]) -> None:
-        self._weigh()
+        self._update_mean()
         self.busy -= 1
         done(True)
         self._next()
 
 
 class Asked(Request):
-    """A req in the model: its work, which first try it stands for, and where it is."""
+    """An attempt: a request with its work, its row in the arrivals and its progress."""
 
     __slots__ = ("answered_at", "call", "first", "left", "poorer", "read_at", "tries", "work")
 
 
 class Node:
-    """One server: the port's Door around the decisions that `make` gives."""
+    """A simulated server: the command executor of the admission controller that `make` returns."""
 
     def __init__(self, number: int, fleet: Running, make: Callable[[Node], object]) -> None:
         day, self.fleet, self.number = fleet.day, fleet, number
@@ -117,10 +117,10 @@
         self.unread: deque[Asked] = deque()
         self.reading, self.kb, self.worst_kb, self.worst_crowd = 0, 0.0, 0.0, 0.0
         self.busy, self.window, self.seen = 0.0, deque(maxlen=20), (0.0, 0.0)
-        # Spread evenly over the numbers: so many of any first few are slow.
+        # Slow servers are spread evenly over the numbers, so any prefix has its share of them.
         self.pace = 0.5 if int((number + 1) * m.slow) > int(number * m.slow) else 1.0
-        self.links: dict[int, int] = {}  # connections by caller, and when each was last used
-        self.keeps, self.listed, self.up, self.good = day.callers.idle, True, True, True
+        self.links: dict[int, int] = {}  # by caller, when its connection was last used
+        self.idle_timeout, self.listed, self.up, self.good = day.callers.idle, True, True, True
         self.fresh = m.fresh or fleet.now() > 0
         self.server = None
         self.server = make(self)
@@ -131,6 +131,7 @@
             self.cores.set_speed(self.pace)
 
     def warm(self, so_far: int) -> None:
+        """Set the speed after `so_far` microseconds of warm-up and schedule the next step."""
         self.cores.set_speed(
             min(1.0, COLD + (1 - COLD) * so_far / WARM) * self.fleet.speed * self.pace
         )
@@ -138,7 +139,7 @@
             self.fleet.at(TICK, lambda: self.warm(so_far + TICK))
 
     def leave(self) -> None:
-        """Its notice; callers learn of it later, and then it is over."""
+        """Begin a drain; callers avoid the server after LEARN, and it is down after STOP."""
         now = self.fleet.now()
         self.server.begin_drain(now, now + STOP)
         self.server.dispatch(now)
@@ -148,17 +149,17 @@
     # Connections.
 
     def connected(self, caller: int) -> bool:
-        """Whether it has one with this caller now.
+        """Reuse or open a connection for a caller, and return whether there is one.
 
-        A new one costs work, and a full table takes none.
+        A new connection costs work and is refused when the table is full.
         """
         m, now = self.fleet.day.machines, self.fleet.now()
-        if not m.links or now - self.links.get(caller, -(10**12)) < self.keeps:
+        if not m.links or now - self.links.get(caller, -(10**12)) < self.idle_timeout:
             self.links[caller] = now
             return True
         self.links.pop(caller, None)
         if len(self.links) >= m.links:
-            self.links = {c: at for c, at in self.links.items() if now - at < self.keeps}
+            self.links = {c: at for c, at in self.links.items() if now - at < self.idle_timeout}
         if len(self.links) >= m.links:
             return False
         self.links[caller] = now
@@ -166,9 +167,10 @@
         self.cores.add(m.handshake, lambda: None)
         return True
 
-    # Arrival and reading: one a core at a time.
+    # Arrival and reading; at most one request is read per core at a time.
 
     def arrive(self, request: Asked) -> None:
+        """Queue a request to be read."""
         self.unread.append(request)
         self._read()
 
@@ -177,28 +179,30 @@
             self.reading += 1
             request = self.unread.popleft()
             self.cores.add(
-                self.fleet.day.machines.reading, lambda request=request: self._been_read(request)
+                self.fleet.day.machines.reading, lambda request=request: self._read_done(request)
             )
 
-    def _been_read(self, request: Asked) -> None:
+    def _read_done(self, request: Asked) -> None:
         self.reading -= 1
         request.read_at = self.fleet.now()
-        self.held(request.memory_kb)
+        self.add_memory(request.memory_kb)
         self.server.on_request(self.fleet.now(), request)
         self.server.dispatch(self.fleet.now())
         self._read()
 
-    def held(self, kb: float) -> None:
+    def add_memory(self, kb: float) -> None:
+        """Add to the memory in use (negative: free it) and record the maximum."""
         self.kb += kb
         self.worst_kb = max(self.worst_kb, self.kb)
 
-    # The Door.
+    # The command executor.
 
     def execute(self, request: Asked, command) -> None:
+        """Carry out a command of the admission controller."""
         if command is RUN:
-            self.held(request.memory_kb * (self.fleet.day.machines.blowup - 1))
+            self.add_memory(request.memory_kb * (self.fleet.day.machines.blowup - 1))
             request.left = request.work
-            # A run that calls below does half of its work first.
+            # A run with a dependency call does half of its work before the call.
             first = request.work // 2 if request.call else request.work
             self.cores.add(first, lambda: self._ran(request, first))
         elif isinstance(command, CallDependency):
@@ -208,7 +212,7 @@
             self.cores.add(request.left, lambda: self._ran(request, request.left))
         elif isinstance(command, Reject) or command is FAIL:
             if request.state not in (RUNNING, CALLING_DEPENDENCY) and not request.left:
-                self.held(-request.memory_kb)
+                self.add_memory(-request.memory_kb)
             self.fleet.told(request, self, command)
 
     def finished(self, request: Asked) -> None: ...
@@ -216,39 +220,41 @@
     def _ran(self, request: Asked, done: int) -> None:
         request.left -= done
         if request.call and request.left > 0:
-            self.tell(request, RequestEvent.DEPENDENCY_CALL_NEEDED)
+            self.report_event(request, RequestEvent.DEPENDENCY_CALL_NEEDED)
             return
-        self.held(-request.memory_kb * self.fleet.day.machines.blowup)
+        self.add_memory(-request.memory_kb * self.fleet.day.machines.blowup)
         request.left = 0
         if not request.answered_at:
             self.fleet.told(request, self, "done")
             self.done += 1
-        self.tell(request, RequestEvent.COMPLETED)
+        self.report_event(request, RequestEvent.COMPLETED)
 
-    def _call(self, request: Asked, try_for: int) -> None:
+    def _call(self, request: Asked, timeout_us: int) -> None:
         over = []
 
-        def end(word: RequestEvent) -> None:
+        def end(outcome: RequestEvent) -> None:
             if over:
                 return
-            over.append(word)
-            if word is RequestEvent.CALL_SUCCEEDED:
+            over.append(outcome)
+            if outcome is RequestEvent.CALL_SUCCEEDED:
                 request.call = False
                 self.cores.add(request.left, lambda: self._ran(request, request.left))
-            self.tell(request, word)
+            self.report_event(request, outcome)
 
         self.fleet.below.call(
             lambda well: end(
                 RequestEvent.CALL_SUCCEEDED if well else RequestEvent.CALL_OUTCOME_UNKNOWN
             )
         )
-        self.fleet.at(try_for, lambda: end(RequestEvent.CALL_OUTCOME_UNKNOWN))
+        self.fleet.at(timeout_us, lambda: end(RequestEvent.CALL_OUTCOME_UNKNOWN))
 
-    def tell(self, request: Asked, word: RequestEvent) -> None:
-        self.server.on_event(self.fleet.now(), request, word)
+    def report_event(self, request: Asked, event: RequestEvent) -> None:
+        """Report an event of a request to the admission controller."""
+        self.server.on_event(self.fleet.now(), request, event)
         self.server.dispatch(self.fleet.now())
 
     def schedule_tick(self, after: int) -> None:
+        """Schedule the next tick after `after` microseconds."""
         self.fleet.at(after, self._wake)
 
     def _wake(self) -> None:
@@ -256,7 +262,7 @@
         span = self.fleet.day.machines.cores * TICK
         self.busy += (
             (self.cores.busy - self.seen[0]) / span - self.busy
-        ) / 3  # half a second old, about
+        ) / 3  # smoothed: about half a second behind
         self.window.append((self.cores.weighted - self.seen[1]) / span)
         self.seen = self.cores.busy, self.cores.weighted
         if len(self.window) == self.window.maxlen:
@@ -271,36 +277,38 @@
         self.server.dispatch(self.fleet.now())
 
     def set_health(self, good: bool, cheap: bool) -> None:
+        """Set whether callers see the server as healthy."""
         self.good = good
 
     def set_load_signal(self, level: float) -> None: ...
 
     def set_idle_timeout(self, span: int) -> None:
-        """Idle connections are closed here after so long."""
-        self.keeps = min(span, self.fleet.day.callers.idle)
+        """Close idle connections after `span` microseconds, or earlier if callers do."""
+        self.idle_timeout = min(span, self.fleet.day.callers.idle)
 
     def log(self, text: str) -> None: ...
 
     def run_in_background(self, work) -> None:
+        """Run all steps of the work at once."""
         for _ in work:
             pass
 
 
 class Running:
-    """A day being played. `make(node)` gives each node its decisions."""
+    """The simulation of one day; `make(node)` returns the admission controller of a node."""
 
     def __init__(self, day: Day, make: Callable[[Node], object]) -> None:
         self.day, self.env, self.speed = day, simpy.Environment(), 1.0
         self.last = day.length + max(w.timeout for w in day.works)
-        self.chance = np.random.default_rng(day.seed + 1)
+        self.generator = np.random.default_rng(day.seed + 1)
         self.below = Dependency(day.shared, self.now, self.at) if day.shared else None
         self.request_classes = [w.request_class() for w in day.works]
-        self.answers: list[Told | None] = [None] * len(day.arrivals)
-        self.away: dict[tuple[int, int], int] = {}  # until when a caller stays away from a server
-        self.heeds = self.chance.random(day.callers.count) < day.callers.heed
+        self.answers: list[LastAnswer | None] = [None] * len(day.arrivals)
+        self.avoided_until: dict[tuple[int, int], int] = {}  # until when a caller avoids a server
+        self.heeds = self.generator.random(day.callers.count) < day.callers.heed
         self.sent = self.overdue = self.handshakes = self.unlinked = 0
         self.make, self.nodes = make, []
-        self.moves: dict[tuple[int, int], int] = {}  # tries by second and server, to see herds
+        self.moves: dict[tuple[int, int], int] = {}  # attempts by second and server
         for number in range(day.machines.servers):
             self.nodes.append(Node(number, self, make))
         for time, speed in day.machines.speeds:
@@ -309,38 +317,44 @@
             self.at(time, lambda share=share: self.shrink(share))
         for time, count in day.machines.join:
             self.at(time, lambda count=count: self.grow(count))
-        self.feed(0)
+        self.schedule_arrivals(0)
 
     def now(self) -> int:
+        """Return the simulated time in microseconds."""
         return int(self.env.now)
 
     def at(self, delay: int, act: Callable[[], None]) -> None:
+        """Schedule an action after `delay` microseconds."""
         self.env.timeout(delay).callbacks.append(lambda _: act())
 
     def set_speed(self, speed: float) -> None:
+        """Change the speed of all servers."""
         self.speed = speed
         for node in self.nodes:
             node.cores.set_speed(speed * node.pace)
 
     def shrink(self, share: float) -> None:
-        there = [n for n in self.nodes if n.up and n.listed]
-        for i in self.chance.permutation(len(there))[: int(share * len(there))]:
-            there[i].leave()
+        """Give a random `share` of the servers notice to leave."""
+        candidates = [n for n in self.nodes if n.up and n.listed]
+        for i in self.generator.permutation(len(candidates))[: int(share * len(candidates))]:
+            candidates[i].leave()
 
     def grow(self, count: int) -> None:
+        """Start `count` more servers."""
         for _ in range(count):
             self.nodes.append(Node(len(self.nodes), self, self.make))
 
-    def feed(self, i: int) -> None:
-        """Arrivals one after another, so that the model's heap stays small."""
+    def schedule_arrivals(self, i: int) -> None:
+        """Schedule arrivals from row `i` on, one at a time to keep the event heap small."""
         if i < len(self.day.arrivals):
             wait = max(0, self.day.arrivals[i][0] - self.now())
-            self.at(wait, lambda: (self.arrive(i, 1), self.feed(i + 1)))
+            self.at(wait, lambda: (self.arrive(i, 1), self.schedule_arrivals(i + 1)))
 
     def arrive(self, i: int, tries: int, avoid: int = -1) -> None:
+        """Send attempt `tries` of arrival `i`, if possible not to the server `avoid`."""
         time, kind, work, caller = self.day.arrivals[i]
         request_class, now = self.request_classes[kind], self.now()
-        node = self.chosen(caller, now, avoid)
+        node = self.choose_server(caller, now, avoid)
         if not node.connected(caller):
             self.unlinked += 1
             if (
@@ -349,7 +363,7 @@
             ):
                 self.at(self.day.callers.pause, lambda: self.arrive(i, tries + 1, node.number))
             elif self.answers[i] is None:
-                self.answers[i] = Told(now, "errored")
+                self.answers[i] = LastAnswer(now, "errored")
             return
         self.moves[now // 1_000_000, node.number] = (
             self.moves.get((now // 1_000_000, node.number), 0) + 1
@@ -377,12 +391,13 @@
         self.sent += 1
         node.arrive(request)
 
-    def chosen(self, caller: int, now: int, avoid: int) -> Node:
-        """Whom a caller asks: one of those that are listed, healthy, not avoided, and that it was
-        not told to stay away from; where it goes by subject its own, and else the next. Drawn a few
-        times before all are looked at, since the list may be long.
+    def choose_server(self, caller: int, now: int, avoid: int) -> Node:
+        """Return a server for a caller: listed, healthy, and not one that the caller avoids.
+
+        By subject, the search begins at the caller's preferred server. Otherwise the choice is
+        random; in a large fleet a few draws come before a scan of all servers, which is slow.
         """
-        nodes, away = self.nodes, self.away
+        nodes, avoided_until = self.nodes, self.avoided_until
         if self.day.callers.by_subject:
             first = caller * 2_654_435_761 % 2**32 * len(nodes) >> 32
             for step in range(len(nodes)):
@@ -391,38 +406,44 @@
                     node.listed
                     and node.good
                     and node.number != avoid
-                    and away.get((caller, node.number), 0) <= now
+                    and avoided_until.get((caller, node.number), 0) <= now
                 ):
                     return node
         elif len(nodes) > 16:
             for _ in range(8):
-                node = nodes[int(self.chance.integers(len(nodes)))]
+                node = nodes[int(self.generator.integers(len(nodes)))]
                 if (
                     node.listed
                     and node.good
                     and node.number != avoid
-                    and away.get((caller, node.number), 0) <= now
+                    and avoided_until.get((caller, node.number), 0) <= now
                 ):
                     return node
-        there = [n for n in nodes if n.listed and n.good] or [n for n in nodes if n.listed] or nodes
-        left = [n for n in there if away.get((caller, n.number), 0) <= now and n.number != avoid]
-        left = left or [n for n in there if n.number != avoid] or there
-        return left[int(self.chance.integers(len(left)))]
+        candidates = (
+            [n for n in nodes if n.listed and n.good] or [n for n in nodes if n.listed] or nodes
+        )
+        left = [
+            n
+            for n in candidates
+            if avoided_until.get((caller, n.number), 0) <= now and n.number != avoid
+        ]
+        left = left or [n for n in candidates if n.number != avoid] or candidates
+        return left[int(self.generator.integers(len(left)))]
 
     def told(self, request: Asked, node: Node, what) -> None:
-        """A try's final answer; a further try may follow."""
+        """Record the final answer to an attempt, and schedule a retry if one is due."""
         if request.answered_at:
             return
         request.answered_at = self.now()
         self.overdue += self.now() > request.deadline > request.read_at + TICK
-        word = what if what == "done" else "shed" if isinstance(what, Reject) else "errored"
-        self.answers[request.first] = Told(self.now(), word, request.poorer)
-        if word == "done":
+        outcome = what if what == "done" else "shed" if isinstance(what, Reject) else "errored"
+        self.answers[request.first] = LastAnswer(self.now(), outcome, request.poorer)
+        if outcome == "done":
             return
         caller = self.day.arrivals[request.first][3]
         again = request.tries <= self.day.callers.tries
         if isinstance(what, Reject) and self.heeds[caller]:
-            self.away[caller, node.number] = self.now() + what.retry_after
+            self.avoided_until[caller, node.number] = self.now() + what.retry_after
             again &= not what.stop_retrying
         if again and self.now() + self.day.callers.pause < request.deadline:
             self.at(
@@ -431,18 +452,21 @@
             )
 
     def play(self) -> Result:
+        """Run the whole day and return its result."""
         self.env.run(until=self.last + 1)
         return result(self)
 
 
 class Result(NamedTuple):
-    """What a day came to.
-
-    By class: offered and earned value, and counts; times in microseconds to the answer of those
-    done; worst memory and crowd as a share of their limits; first tries without an answer, and
-    answers to what was read in time that came after its time. `jain`: fairness of what was done by
-    server, for its speed; `herd`: the largest share of all tries that moved between servers from
-    one second to the next; `down`: whether what they call did not survive.
+    """The result of a day.
+
+    `offered`, `earned`, `counts`, `times`: by class, the value, the number of requests by outcome,
+    and the microseconds to the answer of completed requests. `memory`, `crowd`: the maximum as a
+    share of the limit. `tries`: attempts per request. `unanswered`: requests without an answer.
+    `overdue`: answers after the deadline to requests read in time. `by_second`: earned value by
+    class and second of arrival. `jain`: fairness of completed work among servers relative to their
+    speed. `herd`: the largest share of attempts that moved between servers from one second to the
+    next. `down`: whether the dependency failed.
     """
 
     offered: list[float]
@@ -460,10 +484,12 @@
     down: bool = False
 
     def share(self) -> float:
+        """Return the value earned as a share of the value offered."""
         return sum(self.earned) / max(1e-9, sum(self.offered))
 
 
 def result(run: Running) -> Result:
+    """Compute the result of a simulated day."""
     day, n = run.day, len(run.day.works)
     offered, earned = [0.0] * n, [0.0] * n
     counts = [{"done": 0, "late": 0, "shed": 0, "errored": 0} for _ in range(n)]
@@ -510,16 +536,18 @@
 
 
 def jain(run: Running) -> float:
-    """Jain's index of what each server of the first did for its speed (Jain, Chiu and Hawe
-    1984).
+    """Return Jain's fairness index (Jain, Chiu and Hawe 1984) of the requests done per speed.
+
+    Only servers that run from the start and are still up count.
     """
     done = [x.done / x.pace for x in run.nodes[: run.day.machines.servers] if x.up]
     return sum(done) ** 2 / max(1e-9, len(done) * sum(x * x for x in done)) if done else 1.0
 
 
 def herd(run: Running) -> float:
-    """The largest share of a second's tries that went to servers that had fewer in the second
-    before.
+    """Return the largest share of attempts that changed servers between two seconds.
+
+    Seconds that follow one with 50 attempts or fewer are not counted.
     """
     seconds: dict[int, dict[int, int]] = {}
     for (second, number), count in run.moves.items():
@@ -541,10 +569,10 @@
     minimum: float = 0.02,
     beside: Callable[[Node, DependencyFacts, Fleet], None] = lambda node, below, fleet: None,
 ) -> Callable[[Node], AdmissionController]:
-    """Makes the module's decisions for a node.
+    """Return a function that makes the admission controller of a node.
 
-    With pools, without, or with only one part of them. `beside` may put in what other servers
-    state.
+    `pools`: whether it has class pools, or LIMITS or RESERVE for one mechanism of them. `beside`
+    may connect the controller's facts to those of other servers.
     """
 
     def make(node: Node) -> AdmissionController:
