--- a/gullyoke/admission/arrivals.py
+++ b/gullyoke/admission/arrivals.py
@@ -20,7 +20,7 @@
 LARGEST_SPARE_MEMORY_SHARE: Final = 0.5
 """Largest share of the memory that queued requests leave free for runs to grow."""
 POOL_WAIT_FACTOR: Final = 3
-"""Backlog for which a rejection by a pool advises, divided by the wait for the pool."""
+"""A rejection by a pool advises a wait as for a backlog of the wait for the pool times this."""
 
 
 class ArrivalDecisions:
@@ -41,7 +41,7 @@
         if rejection is not None:
             return rejection
         pools = state.pools
-        # Pools reject only while there is a queue, and not what could run at once.
+        # Pools reject only while the queue is long, so never a request that could run at once.
         pools_bind = pools is not None and self._has_long_queue(request_class)
         if pools is not None and not pools.take(request_class) and pools_bind:
             self._count_rejection()
@@ -56,10 +56,11 @@
         return self._apply_threshold(request, reserved)
 
     def _reject_unanswerable(self, request: Request) -> Reject | None:
-        """Return the rejection of a request that can't be run, or not in time, or else None."""
+        """Return the rejection if the request can't be run or answered in time, or else None."""
         state = self.state
         accepting = request.request_class.accepting
-        # An answer at the next tick would be too late, or something that runs need is unavailable.
+        # An answer at the next tick would be too late, or runs of the class need something that is
+        # unavailable.
         if request.deadline <= state.now + TICK_US or not accepting:
             return state.feedback.reject(accepting, unavailable=not accepting)
         backlog = state.queue.backlog(request.request_class) / state.machine.cores
@@ -84,7 +85,8 @@
     def _free_memory(self, request: Request) -> bool:
         """Evict queued requests until there is memory for this one.
 
-        Queued requests leave memory free for as many runs as there are free cores.
+        Memory is kept free for the growth of as many runs as there are free cores, but at most
+        `LARGEST_SPARE_MEMORY_SHARE`.
 
         Returns:
             Whether there is memory; False once the request itself would be the next to be evicted.
@@ -109,7 +111,7 @@
 
         Args:
             request: The request.
-            reserved: Number of requests worth more for which capacity is reserved.
+            reserved: Number of more valuable requests for which capacity is reserved.
 
         Returns:
             The rejection if no queued request is worse than this one, or else None.
--- a/gullyoke/admission/class_pools.py
+++ b/gullyoke/admission/class_pools.py
@@ -53,12 +53,13 @@
 
 
 class ClassPools:
-    """Limits the core time of the requests that each class may bring in.
+    """Limits the core time that the admitted requests of each class may take.
 
     Limits are set at each tick. The capacity is the rate at which work is completed while requests
     are queued. It is distributed to the pools in descending order of value per core time, to each
-    up to its recent demand; what a pool leaves goes to the next one at once. No pool gets less than
-    its minimum, if its demand is that high. Limits bind only while the learner's threshold does.
+    up to its recent demand; capacity that a pool leaves goes to the next one at once. No pool gets
+    less than its minimum, if its demand is that high. Limits bind only while the learner's
+    threshold does.
 
     The reserve is trunk reservation (Miller 1969): the threshold is applied to a request as if the
     requests of classes worth more that usually arrive during one of its runs were already in the
@@ -88,7 +89,8 @@
         self.uses_reserve = uses_reserve
         self.capacity = float(cores)  # averaged rate of the completed work
         self.completed_core_time = 0.0  # since the last tick
-        self.virtual_core_time = 0.0  # core time of a request that had run since the start
+        # Core time that a request would have had if it had run since the start.
+        self.virtual_core_time = 0.0
         self.advanced_at = now
         pools: dict[Hashable, ClassPool] = {}
         self.by_class = {
@@ -112,7 +114,10 @@
         self.completed_core_time += core_time
 
     def take(self, request_class: RequestClass) -> bool:
-        """Count an arrival; take its cost from its pool if possible, and return whether it was."""
+        """Count an arrival, and return whether its pool allows it.
+
+        If so, the cost of a run is taken from the pool.
+        """
         pool = self.by_class[request_class]
         pool.arrived_core_time += pool.cost
         if pool.unlimited or pool.balance >= pool.cost or pool.limit >= pool.demand:
@@ -150,8 +155,8 @@
         reserved_minimums = sum(minimums.values())
         demand_before = 0.0
         for pool in sorted(self.pools, key=lambda pool: -pool.value_per_cost):
-            # Without demand from pools worth more, there is nothing to keep the capacity for, and
-            # only the threshold limits.
+            # Without demand from pools worth more, no capacity is kept for them, and only the
+            # threshold limits this pool.
             pool.unlimited = (
                 not self.uses_limits or demand_before < NEGLIGIBLE_SHARE * self.capacity
             )
--- a/gullyoke/admission/controller.py
+++ b/gullyoke/admission/controller.py
@@ -29,12 +29,12 @@
 BUSY_SHARE: Final = 0.9
 """Busy share of the cores above which the threshold binds."""
 FEWEST_STATES: Final = 1.25
-"""Least number of states of the learner per running request that a warm server survives."""
+"""Fewest states of the learner, divided by the running requests that a warm server survives."""
 MOST_STATES: Final = 2.5
-"""Largest such number; there are fewer states if memory holds fewer running requests."""
+"""Most states of the learner, divided likewise; fewer if memory holds fewer running requests."""
 SMALLEST_REQUEST_KB: Final = 0.1
 UNREAD_AGE_DIVISOR: Final = 4
-"""Reading is behind if the last request waited unread for the mean objective divided by this."""
+"""Reading is behind if the last request was unread for over the mean objective divided by this."""
 
 
 class AdmissionController:
@@ -155,8 +155,8 @@
     def _make_learner(self, request: Request) -> Learner:
         """Create the learner, with a state for each running request that fits into memory.
 
-        `FEWEST_STATES` and `MOST_STATES` bound the number of states. The size of the first request
-        stands for all.
+        `FEWEST_STATES` and `MOST_STATES` bound the number of states. All requests are assumed to
+        take as much memory as the first one.
         """
         state = self.state
         runs_in_memory = state.machine.memory_kb / (
@@ -243,8 +243,9 @@
     def _is_reading_behind(self, now: int) -> bool:
         """Return whether the last request waited for long before it was read.
 
-        While reading is behind, it gets the cores first: a request that has to be rejected is then
-        rejected while its client can still try another server, and not shortly before its deadline.
+        While reading is behind, no request is dispatched, and reading gets the cores: a request
+        that has to be rejected is then rejected while its client can still try another server, and
+        not shortly before its deadline.
         """
         return (
             now - self.last_read_at < 2 * TICK_US
--- a/gullyoke/admission/dependency_limiter.py
+++ b/gullyoke/admission/dependency_limiter.py
@@ -45,11 +45,11 @@
 class DependencyLimiter:
     """Limits the time that calls are in flight, and chooses which request calls next.
 
-    This server keeps to its quota of the dependency without the help of others. The call time of
-    the calls that ended within the window and of those in flight, each of these counted to the end
-    of its timeout and its linger, stays below the quota times the window, even if the quota is less
-    than one call. The tables are the waiting requests, which leave when they call or are given up,
-    and the ended calls of one window.
+    This server keeps to its quota of the dependency without the help of other servers. The call
+    time of the calls that ended within the window and of the calls in flight stays below the quota
+    times the window, even if the quota is less than one call. A call in flight counts for its whole
+    timeout plus the linger. The tables hold the waiting requests, which leave when they call or are
+    given up, and the ended calls of one window.
 
     Args:
         now: The time in microseconds.
@@ -77,7 +77,7 @@
         self.concurrency_limit = math.inf
         self.in_flight = 0
         self.peak_in_flight = 0
-        # The recent mean, and the lowest recent mean.
+        # Call times: the recent mean, and the lowest recent mean.
         self.recent_call_time = 0.0
         self.usual_call_time = 0.0
         self.paused_until = now
@@ -97,9 +97,10 @@
     def call_timeout(self, request: Request, now: int) -> int:
         """Return the timeout of a call made now, in microseconds.
 
-        It ends by the request's deadline and while the slot is secured. With a quota, it is also
-        limited to a multiple of the recent call time, or to a share of the remaining call time if
-        that is longer, and always to what window and quota allow for one call.
+        The call ends by the request's deadline, and its linger while the slot is secured. With a
+        quota, the timeout is also limited to a multiple of the recent call time, or to a share of
+        the remaining call time if that is longer, and always to what the window and the quota allow
+        for one call.
         """
         longest: float = min(request.deadline, self.slots.secured_until(now) - self.linger) - now
         if self.quota is not None:
@@ -206,7 +207,8 @@
             and not self.waiting
             and now > self.last_ended_at + self.recent_call_time
         )
-        call_time = 0.0 if is_stale else self.recent_call_time  # if stale, the next call measures
+        # If the recent call time is stale, the next call measures it anew.
+        call_time = 0.0 if is_stale else self.recent_call_time
         if self.quota is None:
             return call_time * (1 + len(self.waiting) / self.slots.concurrency(now))
         wanted = min(self.budget, self.linger + TIMEOUT_CALL_TIMES * call_time)
--- a/gullyoke/admission/fair_queue.py
+++ b/gullyoke/admission/fair_queue.py
@@ -108,9 +108,9 @@
         """Return the request to give up so that another one fits.
 
         The youngest request of a queue is given up if it has just arrived. Queues of requests over
-        their quotas are tried first, and among them the longest for its priority weight. The
-        newcomer counts as queued in its class, and is itself given up if it is over its quota, or
-        if no request of a longer queue can be.
+        their tenants' quotas are tried before those within, and among either the queue with the
+        greatest weighted length first. The newcomer counts as queued in its class. It is given up
+        itself if it is over its tenant's quota, or once the queue of its class would be tried.
         """
         if newcomer.over_quota:
             return newcomer
--- a/gullyoke/admission/interface/facts.py
+++ b/gullyoke/admission/interface/facts.py
@@ -116,7 +116,7 @@
 
     Args:
         answer_slack: Microseconds after the deadline during which an answer still counts.
-        drain_grace: Microseconds after the drain began; requests that arrive later never run.
+        drain_grace: Microseconds after the start of a drain; requests that arrive later never run.
         overload_multiple: Mean number of running requests per core that a warm server survives.
         overload_window: Microseconds over which that mean is taken.
         warmup_capacity: Share of its full speed that a server has when its warm-up begins.
@@ -156,7 +156,7 @@
 
     Args:
         sends_retry_after: Whether the advice when to retry reaches the callers.
-        max_retry_after: The longest advice that callers follow, in microseconds.
+        max_retry_after: The longest advised wait that callers follow, in microseconds.
         load_signal: Kind of the load signal that is sent with answers; None if there is none.
         load_signal_ttl: Microseconds for which callers remember a load signal.
         reports_disconnected_clients: Whether the server learns when a client gives up.
@@ -245,12 +245,12 @@
         arrived: When the request reached the machine.
         deadline: The time by which the client needs the answer.
         memory_kb: Kilobytes that the request takes while it is queued.
-        is_retry: Whether the caller marked it as a retry or a hedged request.
-        duplicate_of: The request that it duplicates, `REMEMBERED_REQUEST` if that has ended, None
-            for none.
+        is_retry: Whether the caller marked the request as a retry or a hedged request.
+        duplicate_of: The request that this one duplicates; `REMEMBERED_REQUEST` if that one has
+            ended; None if this is not a duplicate.
         has_key: Whether the request states a key under which it can be remembered.
-        tenant: The tenant that sent it; None if it states none.
-        cost_hint: The caller's estimate of its work, in microseconds; 0 if there is none.
+        tenant: The tenant that sent the request; None if the request states none.
+        cost_hint: The caller's estimate of the request's work, in microseconds; 0 for no estimate.
         rank: Its place among requests, from 0 to under 1; no decision uses it.
 
     The other attributes are set by the controller.
--- a/gullyoke/admission/interface/fleet_feedback.py
+++ b/gullyoke/admission/interface/fleet_feedback.py
@@ -68,7 +68,7 @@
         """Return whether so many servers reject requests that a retry is not worth it.
 
         Args:
-            own: Whether this server alone rejects that many of its requests.
+            own: Whether this server itself rejects that many of its requests.
         """
 
     def retry_after(self, own_advice: int) -> int:
@@ -111,7 +111,7 @@
     """There are no reports of other servers."""
 
     def is_overloaded(self, own: bool) -> bool:
-        """Return whether this server alone rejects that many of its requests."""
+        """Return whether this server itself rejects that many of its requests."""
         return own
 
     def retry_after(self, own_advice: int) -> int:
--- a/gullyoke/admission/interface/stepper.py
+++ b/gullyoke/admission/interface/stepper.py
@@ -42,7 +42,7 @@
     def run_in_background(self, work: Iterator[None]) -> None:
         """Iterate over `work` to its end, at once or between later calls of the controller.
 
-        No step may run during a call of the controller, nor while another work is unfinished.
+        No step may run during a call of the controller, nor before earlier work has ended.
         """
 
 
--- a/gullyoke/admission/load_snapshot.py
+++ b/gullyoke/admission/load_snapshot.py
@@ -17,7 +17,7 @@
         run_time_ratio: Mean, over all classes, of the run time divided by its first estimate, which
             is the same on all servers; 1 where run times are as estimated.
         warming_up: Whether the server has not reached its full speed yet.
-        draining: Whether its drain has begun.
+        draining: Whether the server's drain has begun.
     """
 
     running: int
--- a/gullyoke/admission/safety_limits.py
+++ b/gullyoke/admission/safety_limits.py
@@ -10,9 +10,9 @@
 USED_MEMORY_SHARE: Final = 0.92
 """Largest share of the memory that is used."""
 USED_OVERLOAD_SHARE: Final = 0.8
-"""Largest share of the running requests that the server survives that is used."""
+"""Used share of the largest number of running requests that the server survives."""
 STOP_MARGIN_US: Final = 2 * TICK_US
-"""Microseconds before the stop at which all requests are answered."""
+"""All requests are answered at the latest this many microseconds before the stop."""
 
 
 class SafetyLimits:
@@ -34,7 +34,7 @@
         self.key_expiries: dict[Request, int] = {}
 
     def speed(self, now: int) -> float:
-        """Return the share of its full speed that the server has at least."""
+        """Return a lower bound of the server's speed, as a share of its full speed."""
         start = self.limits.warmup_capacity if self.machine.needs_warmup else 1.0
         age = now - self.started_at
         return min(1.0, start + (1 - start) * age / max(1, self.limits.warmup_time))
@@ -42,7 +42,7 @@
     def max_on_cores(self, now: int) -> float:
         """Return how many requests may be on the cores, with a margin.
 
-        Those that wait for a dependency call count too, since they resume without being dispatched.
+        Requests that wait for a dependency call count too: they resume without being dispatched.
         """
         return (
             USED_OVERLOAD_SHARE
--- a/gullyoke/admission/server_state.py
+++ b/gullyoke/admission/server_state.py
@@ -62,7 +62,7 @@
         self.pools = pools
         self.learner: Learner | None = None  # created at the first request
         self.tenant_buckets = {tenant: TokenBucket(now) for tenant in facts.tenants}
-        # In the order in which they were read; each leaves when its path ends.
+        # In the order in which the requests were read; each is dropped when its path ends.
         self.open_requests: dict[Request, None] = {}
         self.running = 0
         self.calling_dependency = 0
@@ -77,7 +77,7 @@
                 self._forget(request)
 
     def _forget(self, request: Request) -> None:
-        """Drop a request whose path has ended; after an error it is still in some tables."""
+        """Drop a request whose path has ended; after an error some tables still hold it."""
         was_open = self.open_requests.pop(request, request) is None
         if was_open and request.state in OPEN:
             if self.queue.contains(request):
--- a/gullyoke/admission/tenant_quotas.py
+++ b/gullyoke/admission/tenant_quotas.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 BURST_US: Final = 2_000_000
-"""Microseconds of the quota whose tokens a bucket holds."""
+"""A bucket holds as many tokens as the quota adds in this many microseconds."""
 SMALLEST_BURST: Final = 8.0
 """Least number of tokens that a bucket can hold."""
 FULL: Final = 1e9
--- a/gullyoke/admission/value_iteration.py
+++ b/gullyoke/admission/value_iteration.py
@@ -13,12 +13,12 @@
 SMALLEST_RATE: Final = 1e-9
 
 PairModel = tuple[float, float, float, float, float]
-"""The extremes that the confidence region of a pair allows, per time step.
+"""The extremes that the confidence region of a pair of state and action allows, per time step.
 
 They are, in order: the largest reward (the negated cost, at most 0); the largest probability of a
-departure, and the smallest one of an arrival that goes with it; the smallest probability of a
-departure that goes with the last one, the largest probability of an arrival. The most optimistic
-model of a pair either empties the server (the first two probabilities) or fills it (the last two).
+departure, with the smallest probability of an arrival; the smallest probability of a departure,
+with the largest probability of an arrival. The most optimistic model of a pair either empties the
+server (the first two probabilities) or fills it (the last two).
 The type is a plain tuple because sweeps unpack it often.
 """
 StateModel = tuple[PairModel, PairModel]
@@ -59,8 +59,8 @@
         differences: For each state s, the bias of state s + 1 minus that of state s.
 
     Returns:
-        For each state, the gain of the better action, and whether that action is to admit, which
-        wins ties.
+        For each state, the gain of the better action, and whether that action is to admit;
+        admitting wins ties.
     """
     gains: list[float] = []
     policy: list[bool] = []
--- a/gullyoke/settings/site_settings.py
+++ b/gullyoke/settings/site_settings.py
@@ -70,7 +70,10 @@
 
 
 def _request_classes(site: SettingsReader, family: SettingsReader) -> list[RequestClass]:
-    """Return the classes; two settings list values by class, with defaults past the list's end."""
+    """Return the request classes.
+
+    Two settings list one value for each class; a class past the end of a list gets the default.
+    """
     calls_dependency = family.list_of("CallsByClass", BOOLEANS.__getitem__)
     degraded_value_share = family.list_of("ClassSkipWorth", float)
     classes = []
