--- a/gullyoke/admission/class_pools.py
+++ b/gullyoke/admission/class_pools.py
@@ -184,7 +184,7 @@
         return math.ceil(min(arrival_rate * own.cost, self.cores / 2))
 
     def capacity_wait(self, request_class: RequestClass) -> int:
-        """Return in how many microseconds the pool of the class should have capacity again."""
+        """Return the expected microseconds until the pool of the class has capacity again."""
         pool = self.by_class[request_class]
         missing = max(0.0, pool.cost - pool.balance)
         return int(min(LONGEST_WAIT_US, missing / max(pool.limit, 1e-9)))
--- a/gullyoke/admission/dependency_limiter.py
+++ b/gullyoke/admission/dependency_limiter.py
@@ -73,7 +73,7 @@
         self.ended_calls: deque[EndedCall] = deque()
         self.used_call_time = 0
         self.reserved_call_time = 0
-        # Calls at once: the limit, the current number, and the largest since the last tick.
+        # Calls in flight: the limit, the current number, and the largest since the last tick.
         self.concurrency_limit = math.inf
         self.in_flight = 0
         self.peak_in_flight = 0
