--- a/gullyoke/codec/buffer.py
+++ b/gullyoke/codec/buffer.py
@@ -16,8 +16,8 @@
 
     Args:
         receive: Receives into a view and returns the number of bytes, 0 if the peer has closed its
-            side. Its second argument says whether a message has begun. It raises
-            `ConnectionClosedError` if the connection fails.
+            side. The second argument of `receive` says whether a message has begun. `receive`
+            raises `ConnectionClosedError` if the connection fails.
         limit: The maximum number of unconsumed bytes.
     """
 
--- a/gullyoke/codec/http.py
+++ b/gullyoke/codec/http.py
@@ -28,7 +28,7 @@
 
     Args:
         buffer: The connection's receive buffer.
-        on_first_byte: Called when the first byte of the message is there.
+        on_first_byte: Called when the first byte of the message has arrived.
 
     Returns:
         The message; None if the peer closes its side before the first byte.
--- a/gullyoke/codec/scgi.py
+++ b/gullyoke/codec/scgi.py
@@ -19,8 +19,9 @@
 MAX_HEAD_BYTES: Final = 8192
 MAX_BODY_BYTES: Final = 8192
 MAX_HEADERS: Final = 128
-MAX_LENGTH_DIGITS: Final = 9  # of a netstring's length or a body's
-#: The maximum size of a request: length, colon, headers, comma, body, and one byte too many.
+MAX_LENGTH_DIGITS: Final = 9  # in the length of a netstring or of a body
+#: The maximum size of a request: length, colon, headers, comma and body, and one byte more, so that
+#: a byte after the body is detected.
 MAX_MESSAGE_BYTES: Final = MAX_LENGTH_DIGITS + 1 + MAX_HEAD_BYTES + 1 + MAX_BODY_BYTES + 1
 TOKEN_CHARACTERS: Final = frozenset(
     "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
@@ -35,7 +36,7 @@
 
     Args:
         buffer: The connection's receive buffer.
-        on_first_byte: Called when the first byte of the message is there.
+        on_first_byte: Called when the first byte of the message has arrived.
 
     Returns:
         The message; None if the peer closes its side before the first byte.
--- a/gullyoke/codec/scgi_client.py
+++ b/gullyoke/codec/scgi_client.py
@@ -191,5 +191,5 @@
 
 
 def _is_plain(value: str) -> bool:
-    """Return whether a value has no NUL, CR or LF, which some parsers take for its end."""
+    """Return whether a value has no NUL, CR or LF, at which some parsers end a value."""
     return not any(character in value for character in "\0\r\n")
--- a/gullyoke/daemon/event_relay.py
+++ b/gullyoke/daemon/event_relay.py
@@ -123,7 +123,7 @@
             )
 
     def on_gauges(self, tag: str, gauges: Mapping[str, float]) -> None:
-        """Pass the gauges of a poll on; other tags than those of polls are not numbers."""
+        """Pass on the gauges that the poller requested; tags of other polls are not numbers."""
         if tag.isdigit():
             self._router.gauge_poller.on_gauges(int(tag), gauges)
 
--- a/gullyoke/daemon/gauge_poller.py
+++ b/gullyoke/daemon/gauge_poller.py
@@ -41,8 +41,8 @@
         """Poll the gauges; the tick runs when they arrive, or without gauges after a timeout."""
         self._awaited_tag += 1
         tag = self._awaited_tag
-        # Counted from the current time. The dispatcher's time is that of its last call, which can
-        # be longer ago than the timeout if there are few events.
+        # The timeout counts from the current time. The dispatcher's time is the time of its last
+        # call, which can be longer ago than the timeout if there are few events.
         self._timer.call_at(clock.now() + GAUGES_TIMEOUT_US, lambda: self.on_gauges(tag, NO_GAUGES))
         self._executor.poll_gauges(tag)
 
--- a/gullyoke/dependencies/connection.py
+++ b/gullyoke/dependencies/connection.py
@@ -18,7 +18,8 @@
         address: Address of the dependency.
         call: The current call, or None. Guarded by the client's lock.
         last_request_id: Id of the request whose call was answered last; empty before the first.
-        idle_since: When that call ended or the connection was opened, in microseconds.
+        idle_since: When the last answered call ended, or the connection was opened if there was
+            none, in microseconds.
     """
 
     __slots__ = ("_is_open", "_lock", "address", "call", "idle_since", "last_request_id", "sock")
@@ -45,8 +46,8 @@
     def send(self, call: DependencyCall) -> None:
         """Write a call without blocking.
 
-        There is only one call at a time, so it fits into the socket's buffer. If writing fails, the
-        connection is shut down and its reading thread ends the call.
+        The connection carries one call at a time, so a call fits into the socket's buffer. If
+        writing fails, the connection is shut down and its reading thread ends the call.
         """
         with self._lock:
             if not self._is_open:
--- a/gullyoke/dependencies/reply.py
+++ b/gullyoke/dependencies/reply.py
@@ -28,7 +28,7 @@
 
 
 def read_reply(buffer: Buffer) -> DependencyReply | None:
-    """Wait for the next reply and return it; None if the connection closed between two.
+    """Wait for the next reply and return it; None if the connection closed between two replies.
 
     Raises:
         ConnectionClosedError: The connection ended within a reply, or the line is not a valid
--- a/gullyoke/executors/__init__.py
+++ b/gullyoke/executors/__init__.py
@@ -80,7 +80,7 @@
         """Start the run of a request."""
 
     def send_call_reply(self, request: PendingRequest, reply: bytes) -> None:
-        """Send the run the reply of the dependency that it waits for."""
+        """Send the dependency's reply to the run that waits for it."""
 
     def skip_call(self, request: PendingRequest) -> None:
         """Let the run continue without the call that it waits for."""
--- a/gullyoke/executors/engine_link.py
+++ b/gullyoke/executors/engine_link.py
@@ -87,7 +87,7 @@
         )
 
     def send_call_reply(self, request: PendingRequest, reply: bytes) -> None:
-        """Send the run the reply of the dependency that it waits for."""
+        """Send the dependency's reply to the run that waits for it."""
         self._queue(request, engine_protocol.call_reply(request.request_id, reply))
 
     def skip_call(self, request: PendingRequest) -> None:
@@ -102,7 +102,7 @@
         self.writer.append(SentCommand(data, request, request.notices_read))
 
     def poll_gauges(self, tag: int) -> None:
-        """Request the gauges, unless there is no link: the polls would pile up."""
+        """Request the gauges if there is a link; without one, the polls would pile up."""
         if self.writer.attached:
             self.writer.append(SentCommand(engine_protocol.poll_gauges(tag), tag=tag))
             self.writer.flush()
--- a/gullyoke/executors/engine_protocol.py
+++ b/gullyoke/executors/engine_protocol.py
@@ -96,7 +96,7 @@
 
 
 def read_notice(buffer: Buffer, gauge_count: int) -> Notice | None:
-    """Wait for the next notice and return it; None if the engine closed the link between two.
+    """Wait for and return the next notice; None if the engine closed the link between two notices.
 
     Raises:
         ConnectionClosedError: The link ended within a notice, or the line is not a valid notice.
--- a/gullyoke/executors/engine_writer.py
+++ b/gullyoke/executors/engine_writer.py
@@ -12,7 +12,7 @@
 from gullyoke.runtime.pending_request import PendingRequest
 from gullyoke.runtime.sockets import shutdown_both
 
-MAX_UNCONFIRMED: Final = 256  # unconfirmed commands above which obsolete ones are dropped
+MAX_UNCONFIRMED: Final = 256  # obsolete unconfirmed commands are dropped only above this
 NO_TAG: Final = -1
 
 
@@ -41,9 +41,9 @@
     Attributes:
         outbox: Commands that are not written yet.
         unconfirmed: Commands written since the last poll of the gauges that was answered; the
-            answer proves that the engine read the commands written before that poll. There are a
-            few for each request in flight; if the engine answers no polls for long, commands of
-            finished requests are dropped.
+            answer proves that the engine read the commands written before that poll. Each request
+            in flight has a few unconfirmed commands; if the engine answers no polls for long,
+            commands of finished requests are dropped.
         unwritten: Bytes that the link did not accept at once.
         sock: Socket of the link; None while there is no link.
         attached: Whether commands may be written, because all missed notices have been read.
@@ -92,7 +92,7 @@
             except BlockingIOError:
                 written = 0
             except OSError:
-                shutdown_both(self.sock)  # the reading thread reports how it ended
+                shutdown_both(self.sock)  # the reading thread reports how the link ended
                 return
             if written < len(data):
                 self.unwritten = data[written:]
@@ -114,7 +114,7 @@
             sock.sendall(unwritten + b"".join(command.data for command in batch))
             self._metrics.increment("engine.commands", len(batch))
         except OSError:
-            shutdown_both(sock)  # the reading thread reports how it ended
+            shutdown_both(sock)  # the reading thread reports how the link ended
         finally:
             with self.condition:
                 self._writing = False
@@ -157,10 +157,10 @@
     def attach(self) -> None:
         """Allow writing on the new link, and queue again what the last link may have lost.
 
-        This is every unconfirmed command, except those that a later notice on the request shows to
-        have been read. Repeating is safe: `RUN` may be repeated, and `SKIP` names its notice. A
-        `FEED` may arrive twice if its run continues without a notice; no call of that run waits
-        then.
+        These are the unconfirmed commands of requests in flight. A command is left out if a later
+        notice on its request shows that the engine has read it. Repeating is safe: `RUN` may be
+        repeated, and `SKIP` names its notice. A `FEED` may arrive twice if its run has sent no
+        notice since the first; that run then waits for no call.
         """
         with self.condition:
             resent = [command for command in self.unconfirmed if self._may_be_lost(command)]
--- a/gullyoke/frontends/connection.py
+++ b/gullyoke/frontends/connection.py
@@ -53,7 +53,7 @@
         opened_at: When it was accepted, in microseconds of the clock.
         request: The request in flight; None between two requests.
         answered: Whether an answer was written.
-        close_reason: Why this server closes the connection; None until it has decided to.
+        close_reason: Why this server closes the connection; None before that decision.
     """
 
     def __init__(self, sock: socket.socket, listener: Listener, table: ConnectionTable) -> None:
--- a/gullyoke/frontends/eviction.py
+++ b/gullyoke/frontends/eviction.py
@@ -21,10 +21,10 @@
 class Evictor:
     """Closes connections to make place for new ones.
 
-    Guards against clients that fill the table and send nothing or an incomplete message. Their
-    connections are closed first, the oldest before the others, and then the connection that is
-    longest idle. This can close connections of gateways that connect long before they send their
-    first request.
+    Guards against clients that fill the table and send nothing or an incomplete message: their
+    connections are closed first, starting with the oldest. If there are none, the connection that
+    has been idle longest is closed. This can close connections of gateways that connect long before
+    they send their first request.
 
     Args:
         table: The connection table.
@@ -48,7 +48,7 @@
         return self._close_silent(listener, counts) or self._close_idle(listener, counts)
 
     def _close_silent(self, newcomer: Listener, counts: dict[Listener, int]) -> bool:
-        """Close the oldest connection without a complete message; return whether there was one."""
+        """Close the oldest overdue connection without an answer; return whether there was one."""
         now = clock.now()
         for connection in list(self.table.unanswered):
             if now - connection.opened_at <= FIRST_BYTE_TIMEOUT_US:
--- a/gullyoke/frontends/listener.py
+++ b/gullyoke/frontends/listener.py
@@ -81,7 +81,7 @@
         self.sock.close()
 
     def _handle_accept_error(self, error: OSError) -> None:
-        """Pause after a failed accept: out of descriptors or memory, or the drain has ended.
+        """Pause after a failed accept, when descriptors or memory ran out or the drain has ended.
 
         The connections stay in the backlog meanwhile.
         """
--- a/gullyoke/frontends/message_handler.py
+++ b/gullyoke/frontends/message_handler.py
@@ -35,7 +35,7 @@
         self.metrics = metrics
 
     def answer(self, message: Message, connection: Connection) -> Answer:
-        """Return the answer to a message, blocking until it is there.
+        """Return the answer to a message, blocking until it is available.
 
         Raises:
             BadRequestError: The message is not a valid request.
--- a/gullyoke/routing/backend.py
+++ b/gullyoke/routing/backend.py
@@ -12,7 +12,7 @@
 from gullyoke.routing.routed_run import RoutedRun
 
 RESPONSE_TIME_TAU_US: Final = 2_000_000  # time constant of the smoothed response time
-# Upper bound of the smoothed value's weight: a new response time has at least one eighth.
+# Upper bound of the weight of the previous smoothed value: a new response time weighs at least 1/8.
 LARGEST_REMAINING_WEIGHT: Final = 7 / 8
 FAILURE_PENALTY: Final = 4  # a failure is measured as at least this many typical response times
 
--- a/gullyoke/routing/concurrency_limit.py
+++ b/gullyoke/routing/concurrency_limit.py
@@ -16,9 +16,9 @@
 class ConcurrencyLimit:
     """A limit that rises while it is reached, and falls when runs become slow or are lost.
 
-    While response times are normal and the limit is reached, it rises by about one for each
-    `current` completed runs. While the smoothed response time exceeds twice the baseline, it falls
-    by a tenth, at most once per baseline time. It falls further when a run is lost.
+    While response times are normal and the limit is reached, it rises by 1 / `current` for each
+    completed run. It falls by a tenth while the smoothed response time exceeds twice the baseline,
+    and by three tenths when a run is lost or times out, at most once per baseline time.
 
     The baseline is the lowest smoothed response time, or the result of the last baseline probe:
     a saturated back end regularly gets half of its limit until a few runs are measured. Without
--- a/gullyoke/routing/outlier_detection.py
+++ b/gullyoke/routing/outlier_detection.py
@@ -36,8 +36,8 @@
 
     A back end is ejected after `consecutive_failures` in a row, or when its failure rate exceeds
     that of its peers by more than `rate_margin` and `min_volume` runs are counted. The first
-    ejection lasts `first_ejection_us`. Each further one, after a failed probe or before a run has
-    succeeded past the slow start, lasts twice as long as the one before, up to
+    ejection lasts `first_ejection_us`. Until a run has succeeded after the slow start, each further
+    ejection, also one after a failed probe, lasts twice as long as the one before, up to
     `longest_ejection_us`. `draw` returns a random number from 0 to 1 for the jitter. After the
     ejection one run probes the back end; if it succeeds, a slow start of `slow_start_us` follows.
     """
--- a/gullyoke/routing/wait_queue.py
+++ b/gullyoke/routing/wait_queue.py
@@ -10,8 +10,8 @@
 class WaitQueue:
     """A short first-in, first-out queue; the admission controller has already ordered the runs.
 
-    It holds at most as many runs as the pool's capacity, and none while that is 0: it absorbs
-    short delays before a run is sent, and is not a second admission queue.
+    The queue holds at most as many runs as the pool's capacity, and none while the capacity is 0:
+    it absorbs short delays before a run is sent, and is not a second admission queue.
     """
 
     def __init__(self) -> None:
--- a/gullyoke/runtime/duplicate_table.py
+++ b/gullyoke/runtime/duplicate_table.py
@@ -22,10 +22,11 @@
 
     Attributes:
         request: The request while it is in flight; None after its run has ended.
-        expires_at: Until when later requests are duplicates, in microseconds of the clock.
+        expires_at: Time until which later requests are duplicates, in microseconds of the clock.
         body_digest: A hash of the request body; None if unknown.
         ended_at: When the run ended, in microseconds of the clock; 0 before that.
-        result: The answer; None if the run did not complete or the kept results are too large.
+        result: The answer; None if the run did not complete or the kept results would exceed
+            `MAX_RESULT_BYTES`.
         waiters: Duplicates that wait for the end of the run.
     """
 
--- a/gullyoke/runtime/lifecycle.py
+++ b/gullyoke/runtime/lifecycle.py
@@ -13,7 +13,7 @@
 
     Attributes:
         ready: Whether health checks are answered with success.
-        load_signal: The value sent with every answer; None for none.
+        load_signal: The value sent with every answer; None if no value is sent.
         closing: Whether the last part of the drain has begun, in which connections are closed and
             none is accepted.
         idle_timeout_us: After how many microseconds idle connections are closed; 0 for never.
--- a/gullyoke/runtime/sockets.py
+++ b/gullyoke/runtime/sockets.py
@@ -87,7 +87,7 @@
 class DeadlineSocket:
     """A socket with one deadline for everything that is sent and received on it.
 
-    Guards against a peer that sends or accepts a byte now and then without end.
+    Guards against a peer that keeps the connection open by sending or accepting single bytes.
 
     Args:
         sock: The socket.
--- a/gullyoke/runtime/timer.py
+++ b/gullyoke/runtime/timer.py
@@ -31,7 +31,7 @@
         super().__init__(name="timer", daemon=True)
         self.metrics = metrics
         self.heap: list[_Scheduled] = []
-        self.scheduled = threading.Condition(threading.Lock())  # a new first callback is scheduled
+        self.scheduled = threading.Condition(threading.Lock())  # notified of a new first callback
         self.numbers = itertools.count()
 
     def call_at(self, time: int, callback: Callable[[], None]) -> None:
