--- a/gullyoke/executors/engine_link.py
+++ b/gullyoke/executors/engine_link.py
@@ -125,7 +125,7 @@
             self.writer.close()
             self._metrics.increment(f"ends.engine.{reason.value}")
             # Repeats are logged at debug level, so an unreachable engine does not fill the log;
-            # the counter above counts each.
+            # the counter above counts each closed link.
             log.log(
                 DEBUG if reason is last_reason else WARNING,
                 "link to the engine closed",
@@ -186,7 +186,7 @@
         self._links_made += 1
         # The answer to this poll follows all notices that were missed.
         self._attach_tag = f"mark{self._links_made}"
-        # Written by this thread: the writer starts only after the answer to this poll.
+        # This thread writes the poll, since the writer writes only after the answer to it.
         assert self.writer.sock is not None
         self.writer.sock.sendall(engine_protocol.poll_gauges(self._attach_tag))
 
--- a/gullyoke/routing/router.py
+++ b/gullyoke/routing/router.py
@@ -82,9 +82,10 @@
     def _retry_or_end(self, now: int, run: RoutedRun, outcome: AttemptOutcome) -> RouterAction:
         """Retry the run, or end it.
 
-        A run that has certainly not run may be retried regardless of its idempotency; one that may
-        have run is retried only if it is idempotent. A retry also needs budget, time for a typical
-        response before the deadline, and a back end that the run was not sent to before.
+        A run whose attempt was certainly not started may be retried regardless of its idempotency;
+        after a lost connection, a run is retried only if it is idempotent. Other outcomes end the
+        run. A retry also needs a client that still waits, budget, time for a typical response
+        before the deadline, and a back end that the run was not sent to before.
         """
         lost = outcome is AttemptOutcome.CONNECTION_LOST
         retryable = outcome is AttemptOutcome.NOT_STARTED or (
