--- a/gullyoke/durability/disk_health.py
+++ b/gullyoke/durability/disk_health.py
@@ -2,11 +2,11 @@
 
 A disk becomes bad at the first failure and healthy only slowly. REQUIRED_PROBES probes in a row
 have to succeed, and the disk stays bad for a minimum time that doubles when it fails again soon
-after a recovery. After that, writes are accepted gradually. A call that has not returned counts
-too: once it has taken longer than STALL_AFTER_US, the disk is stalled.
+after a recovery. After that, a growing share of writes is accepted. A call that has not returned
+counts too: once it has taken longer than STALL_AFTER_US, the disk is stalled.
 
-The doubling is flap damping (RFC 2439), with a doubled time in place of its penalty; the gradual
-return is the slow start of load balancers.
+The doubling is flap damping (RFC 2439), with a doubled time where the RFC has a penalty; the
+growing share is the slow start of load balancers.
 
 No I/O; the time and random numbers are passed in. Times are microseconds of one clock.
 """
@@ -23,14 +23,15 @@
 MAX_PROBE_INTERVAL_US: Final = 4_000_000
 REQUIRED_PROBES: Final = 3  # successful probes in a row
 MIN_BAD_US: Final = 1_000_000  # shortest time in a bad state; doubled at each relapse
-MAX_BAD_US: Final = 60_000_000  # longest value of that shortest time
-# A failure this soon after a recovery is a relapse; or within twice the last shortest time in a bad
-# state, if that is longer.
+MAX_BAD_US: Final = 60_000_000  # limit of the doubling of MIN_BAD_US
+# A failure is a relapse if it happens within this time after a recovery, or within twice the
+# previous shortest time in a bad state if that is longer.
 RELAPSE_WITHIN_US: Final = 10_000_000
 SLOW_START_US: Final = 4_000_000  # from the recovery until all writes are accepted again
 MIN_ACCEPTED_SHARE: Final = 0.1  # share of writes accepted at the beginning of the slow start
 
-# Shares of free space: a disk becomes (near) full below the first and stays so up to the second.
+# Shares of free space: a disk becomes near full or full below the first share of a pair, and
+# stays so up to the second.
 NEAR_FULL_BELOW: Final = 0.10
 NEAR_FULL_UNTIL: Final = 0.15
 FULL_BELOW: Final = 0.02
@@ -114,7 +115,7 @@
         self._last_call_number = 0
         self._free_share = 1.0
         self._reported_state = DiskState.HEALTHY
-        self._error_state: DiskState | None = None  # by the results of calls, without free space
+        self._error_state: DiskState | None = None  # by calls only, not by free space
         self._error_reason = ""
         self._bad_since_us = now_us
         self._min_bad_us = MIN_BAD_US
--- a/gullyoke/durability/disk_quota.py
+++ b/gullyoke/durability/disk_quota.py
@@ -1,10 +1,10 @@
 """How much of a disk each kind of data may use, and which data is dropped when space runs short.
 
-Each kind of data has a quota. Near full, dead records are compacted away first, which loses
-nothing. If that is not enough, the least valuable data is dropped first: the usual run times of a
-server, then the fleet's record, then the results of ended requests (a duplicate of such a request
-fails as unknown and is never run again), and key records whose window is over. Key records in force
-and lease grants are never dropped for space; the space of lease grants is reserved
+Each kind of data has a quota. When the disk is near full, dead records are compacted away first,
+which loses nothing. If that is not enough, the least valuable data is dropped first: the usual run
+times of a server, then the fleet's record, then the results of ended requests (a duplicate of such
+a request fails as unknown and is never run again), and key records whose window is over. Key
+records in force and lease grants are never dropped for space; the space of lease grants is reserved
 (gullyoke/storage/slot_file.py).
 """
 
@@ -46,7 +46,7 @@
     DataKind.KEY_RECORDS: 0.3,
 }
 DROPPABLE: Final = (DataKind.RUN_TIMES, DataKind.FLEET_RECORD, DataKind.RESULTS)
-RECLAIMED_SHARE: Final = 0.02  # of the quota, at each check while the disk is near full
+RECLAIMED_SHARE: Final = 0.02  # share of the quota to drop at each check of a near full disk
 # The least valuable kind that is still written in each state.
 LEAST_KIND_WRITTEN: Final = {
     DiskState.HEALTHY: DataKind.RUN_TIMES,
--- a/gullyoke/durability/folder_trust.py
+++ b/gullyoke/durability/folder_trust.py
@@ -16,7 +16,7 @@
 
 
 class FolderMark(NamedTuple):
-    """The start that wrote to a folder last. It is stored as these four values in this order.
+    """The last start that wrote to a folder. The mark is stored as these values in this order.
 
     Attributes:
         format: The format of the folder.
--- a/gullyoke/durability/key_record.py
+++ b/gullyoke/durability/key_record.py
@@ -2,7 +2,7 @@
 
 A record is written before the request runs, and the end of the run before the answer is sent. A
 record without an end therefore belongs to a request that may have run fully, in part or not at all:
-a duplicate of it is neither run nor rejected, it fails.
+a duplicate of this request fails; it is neither run nor rejected.
 """
 
 from __future__ import annotations
--- a/gullyoke/durability/pending_writes.py
+++ b/gullyoke/durability/pending_writes.py
@@ -61,7 +61,8 @@
     def meets_deadline(self, now_us: int, deadline_us: int, run_us: float) -> bool:
         """Return whether a request can meet its deadline if its record is written now.
 
-        Counted are two writes, of the start and of the end, and a run that usually takes `run_us`.
+        The request needs time for two writes, of its start and of its end, and for its run, which
+        usually takes `run_us`.
         """
         return now_us + 2 * self.expected_us(now_us) + run_us <= deadline_us
 
--- a/gullyoke/durability/record_table.py
+++ b/gullyoke/durability/record_table.py
@@ -65,7 +65,7 @@
 
 
 class RecordTable:
-    """The requests with keys of this server start, and those that earlier starts recorded.
+    """The requests with keys that this server start received and that earlier ones recorded.
 
     Attributes:
         rows: A row for each key; their records and results take at most `max_bytes`.
@@ -87,7 +87,7 @@
         self.size_bytes = 0
 
     def recover(self, now_us: int, found: Iterable[tuple[str, KeyRecord]]) -> list[str]:
-        """Add the records found on the disk; return the keys to remove, whose window is over."""
+        """Add the records found on the disk; return the keys of expired ones, to be removed."""
         expired = []
         for key, record in found:
             if judge_record(record, now_us) is DuplicateVerdict.MAY_RUN:
@@ -135,7 +135,7 @@
         return expired
 
     def _is_over(self, row: LedgerRow) -> bool:
-        """Return whether no run of a row goes on: it ended, or an earlier start recorded it."""
+        """Return whether the run of a row has ended, or an earlier start recorded the row."""
         if row.stage is KeyStage.RUNNING:
             return row.end_reported or row.record.incarnation != self.incarnation
         return row.stage is KeyStage.ENDED
--- a/gullyoke/storage/group_commit.py
+++ b/gullyoke/storage/group_commit.py
@@ -26,7 +26,7 @@
 
 
 class Entry(NamedTuple):
-    """A key to be written.
+    """A key to be written or deleted.
 
     Attributes:
         key: The key.
@@ -54,11 +54,12 @@
 class GroupCommitter(Generic[StoreT]):
     """Queues entries and commits them in groups on a thread of its own.
 
-    From then on only that thread uses the store. The owner calls `close`.
+    Once the committer exists, only its thread uses the store. The owner calls `close`.
 
     Attributes:
         degraded: Whether the last group could not be made durable.
-        rejected: How many entries were rejected because the queue was full.
+        rejected: How many entries were rejected because the queue was full or too many bytes were
+            pending.
         pending_bytes: The size of the keys and values that are queued or being written.
         committed_groups: How many groups were passed to the store, durable or not.
         committed_entries: How many entries these groups had.
@@ -100,7 +101,8 @@
         """Queue an entry; never waits.
 
         Returns:
-            False if the queue is full; `on_committed` is not called then.
+            False if the queue is full or too many bytes are pending; `on_committed` is not called
+            then.
         """
         size_bytes = len(key) + len(value or b"")
         with self.bytes_lock:
@@ -172,7 +174,8 @@
         """Write the queued entries, then end the thread.
 
         Args:
-            timeout_s: How long to wait for space in the queue, and then again for the thread.
+            timeout_s: How long to wait for space in the queue, and then again for the
+                thread to end.
 
         Returns:
             Whether the thread has written all entries and ended in time.
--- a/gullyoke/storage/run_time_history.py
+++ b/gullyoke/storage/run_time_history.py
@@ -28,8 +28,8 @@
 HALF_LIFE_S: Final = 3600.0  # time in which a snapshot loses half of its weight
 MAX_AGE_S: Final = 24 * 3600.0  # an older snapshot is not used
 MAX_WEIGHT: Final = 0.5  # weight of a new snapshot; the rest is the server's own first guess
-HEALTHY_AFTER_S: Final = 60.0  # service time without trouble after which a start was healthy
-MAX_UNHEALTHY_STARTS: Final = 3  # in a row; from then on the snapshot may be the cause
+HEALTHY_AFTER_S: Final = 60.0  # a start that has served this long without trouble is healthy
+MAX_UNHEALTHY_STARTS: Final = 3  # in a row, after which no snapshot is used: it may be the cause
 SLOW_FACTOR: Final = 2.0  # run times above this multiple of the usual ones are not saved
 MAX_GROWTH: Final = 1.1  # limit for the growth of usual times from one snapshot to the next
 
@@ -120,7 +120,7 @@
 ) -> SnapshotVerdict:
     """Judge how far a start may use a snapshot.
 
-    The weight falls with the age of the snapshot. If the clock was set back behind the snapshot,
+    The weight falls with the age of the snapshot. If the clock was set back to before it,
     its age counts as 0.
 
     Args:
@@ -149,7 +149,7 @@
 
 
 def is_healthy_start(served_s: float, internal_errors: int, overloaded: bool) -> bool:
-    """Return whether a start has served long enough, without internal errors or overload now."""
+    """Return whether a start has served long enough and has no internal errors or overload."""
     return served_s >= HEALTHY_AFTER_S and not internal_errors and not overloaded
 
 
--- a/gullyoke/storage/warmup_history.py
+++ b/gullyoke/storage/warmup_history.py
@@ -4,9 +4,9 @@
 
 Run times learned on a warm server don't help a cold one (gullyoke/storage/run_time_history.py), but
 those learned on a cold server do: they come from the same machine in the same state. The ninth
-decile of the run times is saved for age ranges that double in length: it is better for a cold
-server to overestimate its run times than to start runs that end too late (docs/store.md has the
-figures, with those of the mean and of other quantiles).
+decile of the run times is saved for age ranges that double in length. A cold server does better to
+overestimate its run times than to start runs that end too late (docs/store.md has the figures, with
+those of the mean and of other quantiles).
 """
 
 from __future__ import annotations
