--- a/gullyoke/extensions/back_ends.py
+++ b/gullyoke/extensions/back_ends.py
@@ -1,4 +1,4 @@
-"""SCGI back ends, which run the requests in the engine's place."""
+"""SCGI back ends, which run the requests instead of the engine."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 #: Keeps the draws of the routing apart from other uses of the daemon's seed.
 ROUTING_SEED: Final = 0x5C91
-#: Back ends may use one descriptor in this many.
+#: Connections to back ends may use at most one in this many of the descriptors.
 DESCRIPTORS_PER_BACKEND_CONNECTION: Final = 2
 
 
@@ -59,7 +59,7 @@
         """Create the pool of back ends.
 
         Raises:
-            ConfigurationError: they leave no descriptors for client connections.
+            ConfigurationError: the back ends would leave too few descriptors for clients.
         """
         self.max_descriptors = configuration.max_descriptors
         self._check_descriptors(self.wanted)
@@ -89,7 +89,7 @@
         return {backend.name: backend.zone for backend in self.wanted.back_ends}
 
     def ejected(self) -> set[str]:
-        """Return the names of the back ends that take no runs but probes."""
+        """Return the names of the ejected back ends, which get probes but no other runs."""
         return self.backends.ejected()
 
     def set_probe_gate(self, may_probe: Callable[[str], bool]) -> None:
@@ -101,10 +101,10 @@
         self.backends.log_backends()
 
     def check_reload(self, new: OperatorSettings) -> None:
-        """Check that the new back ends leave descriptors for client connections.
+        """Check that the new back ends leave enough descriptors for client connections.
 
         Raises:
-            ConfigurationError: they do not.
+            ConfigurationError: they would leave too few.
         """
         if new.pool is not None:
             self._check_descriptors(new.pool)
--- a/gullyoke/extensions/base.py
+++ b/gullyoke/extensions/base.py
@@ -18,7 +18,7 @@
     `gullyoke.extensions.operator_file.ReloadableExtension` for the last three.
 
     Attributes:
-        name: what the log calls this extension's section of the operator's file.
+        name: the name in the log of this extension's section of the operator's file.
         section: the attribute of the parsed file that has this section.
         initial: the section as it was at the start.
     """
--- a/gullyoke/extensions/class_pools.py
+++ b/gullyoke/extensions/class_pools.py
@@ -25,7 +25,7 @@
         self.wanted = wanted
 
     def attach(self, daemon: DaemonParts) -> None:
-        """Set the pools; the decisions use them from their start on.
+        """Set the pools, which are used from the first decision on.
 
         Raises:
             ConfigurationError: a pool names a request class that the site does not have.
--- a/gullyoke/extensions/data_folders.py
+++ b/gullyoke/extensions/data_folders.py
@@ -21,7 +21,7 @@
 class DataFolder:
     """A folder, the health of its disk, and how much of the quota each kind of data uses.
 
-    The functions that are registered run on the monitor's thread and may wait for the disk.
+    The registered functions run on the monitor's thread and may wait for the disk.
 
     Attributes:
         path: the folder.
@@ -34,7 +34,7 @@
         Args:
             path: the folder.
             quota_bytes: the most bytes that its files may take together.
-            metrics: counts what is deleted where space is short.
+            metrics: counts the deletions that free space.
         """
         self.path = path
         self.metrics = metrics
--- a/gullyoke/extensions/durable_executor.py
+++ b/gullyoke/extensions/durable_executor.py
@@ -1,9 +1,9 @@
 """An executor that makes key records durable before runs start and before their ends are reported.
 
-It stands between the dispatcher and the executor that runs the requests. The key ledger
-(gullyoke/durability/key_ledger.py) is called, and its writes are queued for the disk, under one
-lock, so that the disk gets the writes of a key in the ledger's order. Nothing waits for the
-disk under this lock.
+It lies between the dispatcher and the executor that runs the requests. One lock is held while the
+key ledger (gullyoke/durability/key_ledger.py) is called and its writes are queued for the disk, so
+that the disk gets the writes of a key in the ledger's order. Nothing waits for the disk under this
+lock.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 def pack_key_record(record: KeyRecord | None) -> bytes | None:
-    """Return a record as it is stored; None, which removes it, for None."""
+    """Return a record in its stored form; for None, return None, which removes the record."""
     return None if record is None else encode(tuple(record))
 
 
@@ -70,12 +70,12 @@
 class DurableExecutor:
     """Delays runs and the reports of their ends until their records are durable.
 
-    The entries of a request are removed at the end of its run, or when it is abandoned unrun.
+    The entries of a request are removed at the end of its run, or when it is abandoned before.
 
     Attributes:
         pending_requests: the requests whose records are being written or that run, by key.
         key_by_request: the keys of these requests, by request id.
-        end_reports: by key, what is called with whether the end of the run is durable.
+        end_reports: by key, a function to call with whether the end of the run is durable.
     """
 
     def __init__(
@@ -128,7 +128,7 @@
     # Called by the dispatcher, under its lock.
 
     def start_run(self, request: PendingRequest) -> None:
-        """Start the run of a request, if it needs a record once that is durable."""
+        """Start the run of a request; if it needs a record, only once that record is durable."""
         if not needs_record(request):
             self.inner.start_run(request)
             return
@@ -154,7 +154,7 @@
             )
 
         action = self.call_ledger(begin_run)
-        # A duplicate of a request that may have run before.
+        # The request is a duplicate of one that may have run before.
         if action is not None and action.kind is ActionKind.REPORT_DUPLICATE:
             self.metrics.increment("keys.known")
             self._dispatcher.post_event(request, RequestEvent.FAILED)
@@ -162,7 +162,7 @@
             self.perform(action, True)
 
     def post_event(self, request: PendingRequest, event: RequestEvent) -> None:
-        """Deliver an event on a run that was just started, and abandon one that did not start."""
+        """Deliver an event of a run; abandon the request's record if the run did not start."""
         if event in (RequestEvent.NO_CAPACITY, RequestEvent.NOT_STARTED):
             self.abandon_request(request.request_id)
         self._dispatcher.post_event(request, event)
@@ -170,7 +170,7 @@
     # Called by the inner executor.
 
     def on_run_ended(self, request_id: str, end: RunOutcome, result: bytes) -> None:
-        """Report the end of a run at the engine once it is durable."""
+        """Report the end of a run at the engine once its record is durable."""
         if end is RunOutcome.NOT_STARTED:
             self.abandon_request(request_id)
             self.listener.on_run_ended(request_id, end, result)
@@ -186,7 +186,7 @@
     def on_backend_run_ended(
         self, request: PendingRequest, event: RequestEvent, answer: Answer | None
     ) -> None:
-        """Report the end of a run at a back end once it is durable."""
+        """Report the end of a run at a back end once its record is durable."""
         if event not in END_EVENTS:
             self.abandon_request(request.request_id)
             self.listener.on_backend_run_ended(request, event, answer)
@@ -245,9 +245,9 @@
     def call_ledger(
         self, call: Callable[[], RecordWrite | LedgerAction | None]
     ) -> LedgerAction | None:
-        """Call the ledger by `call`, queue the write that it returns, or return the action.
+        """Call the ledger with `call`, then queue the write or return the action that it returns.
 
-        The write is queued under the lock, so before the ledger can return another one.
+        The write is queued under the lock, before the ledger can return another one.
         """
         with self.lock:
             outcome = call()
--- a/gullyoke/extensions/duties.py
+++ b/gullyoke/extensions/duties.py
@@ -42,12 +42,12 @@
 TASK_INTERVAL_US = 100_000  # microseconds between runs of the tasks
 ANNOUNCEMENT_INTERVAL_US = 2_000_000  # microseconds between announcements of each lease
 FOLDER_NAME, QUOTA_BYTES, OWNER_KEY = "duties", 4 * 2**20, "voter"
-CLOSE_TIMEOUT_S = 0.5  # seconds for which the end waits for a disk that hangs
+CLOSE_TIMEOUT_S = 0.5  # seconds for which `close` waits for a disk that hangs
 MAX_LEASE_CHANGES = 64  # lease changes that the status answer shows
 
 
 def unpack_owner(mark: bytes) -> tuple[str, int]:
-    """Return whose folder it is, as voter and voter set, by the mark in it; "" and 0 if invalid."""
+    """Return the voter and the voter set that a folder's mark names; "" and 0 if it is invalid."""
     words = mark.decode("utf-8", "replace").split()
     if len(words) != 2 or not words[1].isdigit():
         return "", 0
@@ -78,7 +78,7 @@
         """Check that this server has a folder if it is a voter.
 
         Raises:
-            ConfigurationError: the file names none.
+            ConfigurationError: this server is a voter, and the file names no folder.
         """
         name = fleet.daemon.configuration.name
         address = self.wanted.voters.get(name)
@@ -269,7 +269,7 @@
         return {"set": wanted.set}
 
     def is_next_voter_set(self, new: DutiesSection) -> bool:
-        """Return whether it is the next voter set: one voter more or fewer, the others unchanged.
+        """Return whether a section has the next voter set: one voter more or fewer, others kept.
 
         Majorities of two sets that differ by more need not have a voter in common.
         """
@@ -388,7 +388,7 @@
     def accept_forwarded_command(self, now: int, command: ForwardedCommand) -> None:
         """Carry out an operator's command that another server has forwarded to the holder.
 
-        A thread of its own does so, since the command takes locks that the link's thread must not.
+        A thread of its own does so: the command takes locks that the link's thread must not take.
         """
         words = command.what.split()[:8]
         if words and command.duty in self.tasks:
--- a/gullyoke/extensions/fleet.py
+++ b/gullyoke/extensions/fleet.py
@@ -1,8 +1,8 @@
 """Membership in a fleet, where the operator's file names one.
 
 No request waits for the membership: the decisions get the fleet's size from it once a second, and
-what its extensions state (gullyoke/extensions/fleet_extension.py). Whatever fails here, the four
-rules hold.
+further facts from its extensions (gullyoke/extensions/fleet_extension.py). Whatever fails here, the
+four rules hold.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from gullyoke.runtime.logs import log, log_fields
 
 SIZE_INTERVAL_US = 1_000_000  # microseconds between updates of the size
-# How often it is announced that this server has left, and seconds between the announcements.
+# Number of announcements that this server has left, and seconds between them.
 LEFT_ANNOUNCEMENTS, LEFT_INTERVAL_S = 3, 0.02
 MAX_DESCRIPTORS = 4
 
@@ -37,11 +37,11 @@
 
     Attributes:
         wanted: the section of the file, with the seeds and keys in force.
-        kept: the folder that the start number is kept in; None where there is none.
+        kept: the section of the folder that keeps the start number; None if the file has none.
         configured_size: the fleet's size in the settings.
         size: the fleet's size that the decisions use.
         new_keys: the keys of a file that is about to be applied.
-        fleet_extensions: what is added to the membership.
+        fleet_extensions: the extensions of the membership.
     """
 
     name = section = "fleet"
@@ -166,7 +166,7 @@
             self.start_number.store_version(row.version)
 
     def update_size(self) -> None:
-        """Update the extensions, and give the fleet's size to the decisions where the file says so."""
+        """Update the extensions, and give the fleet's size to the decisions if the file says so."""
         daemon = self.daemon
         daemon.timer.call_at(clock.now() + SIZE_INTERVAL_US, self.update_size)
         for extension in self.fleet_extensions:
--- a/gullyoke/extensions/fleet_extension.py
+++ b/gullyoke/extensions/fleet_extension.py
@@ -21,7 +21,7 @@
         """Check the configuration, while the daemon is built.
 
         Raises:
-            ConfigurationError: this server can't do what it asks for.
+            ConfigurationError: this server can't do what the configuration asks for.
         """
 
     def start(self, fleet: Fleet) -> None:
--- a/gullyoke/extensions/json_log.py
+++ b/gullyoke/extensions/json_log.py
@@ -1,4 +1,4 @@
-"""Log lines as JSON: one flat object in each, with the names of the key=value lines."""
+"""Log lines as JSON: each is one flat object with the names of the key=value lines."""
 
 from __future__ import annotations
 
--- a/gullyoke/extensions/keys.py
+++ b/gullyoke/extensions/keys.py
@@ -2,10 +2,11 @@
 
 This module connects the rules of gullyoke/durability to a folder.
 
-A run starts once its record is on the disk, and its end is reported once that is on the disk; both
-wait on the committer's thread, never under the dispatcher's lock. A request whose record can't be
-written is reported to the decisions as one that nothing has capacity to run (`NO_CAPACITY`). While
-the disk can't be used, the request classes with keys accept no requests (`accepting`).
+A run starts once its record is on the disk, and the end of a run is reported once that end is on
+the disk. The committer's thread waits for the disk, never under the dispatcher's lock. A request
+whose record can't be written is reported to the decisions as one that nothing has capacity to run
+(`NO_CAPACITY`). While the disk can't be used, the request classes with keys accept no requests
+(`accepting`).
 """
 
 from __future__ import annotations
@@ -65,7 +66,7 @@
 OPEN_TIMEOUT_S, CLOSE_TIMEOUT_S = (
     5.0,
     0.5,
-)  # Seconds for which a start waits for the folder, and an end for the queue
+)  # seconds for which the start waits for the folder to be read, and `close` for the queue
 MAX_MEMORY_BYTES = 16 * 2**20  # the most bytes of records and results in memory
 
 decode_mark = msgspec.msgpack.Decoder(tuple[int, str, int, int]).decode
@@ -84,7 +85,7 @@
 
         Args:
             fresh_for: for how long a result in memory is used, in microseconds.
-            find_record: returns the record of an earlier request by the time and its key.
+            find_record: returns the record of an earlier request, given the time and the key.
             doubts_retries: returns whether retries of unknown requests may be duplicates now.
         """
         super().__init__(fresh_for)
@@ -120,7 +121,7 @@
         mark: what identifies the folder, as it is stored; None before the folder could be read.
         previous_start: the number of the start before this one.
         doubted_until_us: until when retries of unknown requests may be duplicates.
-        next_check_us: when all the other checks are due.
+        next_check_us: when the checks other than that for overdue writes are due.
         rejecting: whether the request classes with keys accept no requests.
         must_reopen: whether the folder has to be read again once the disk can be used.
     """
@@ -173,7 +174,7 @@
         return self.durable_executor
 
     def attach(self, daemon: DaemonParts) -> None:
-        """Read the folder on a thread of its own, so that a disk that hangs can't block the start."""
+        """Read the folder on a thread of its own, so that a hanging disk can't block the start."""
         threading.Thread(target=self.read_folder, name="keys", daemon=True).start()
         if not self.ready.wait(OPEN_TIMEOUT_S):
             log.error("key records not read yet", extra=log_fields(folder=self.kept.folder))
@@ -339,7 +340,7 @@
             self.check_start_number(now)
 
     def update_accepting(self, writable: bool) -> None:
-        """Let the request classes with keys accept requests, or not.
+        """Set whether the request classes with keys accept requests.
 
         Args:
             writable: whether records can be written.
@@ -372,9 +373,10 @@
             self.committer.request_compaction()
 
     def on_disk_change(self, change: DiskStateChange) -> None:
-        """Read a folder again that was missing and is back: its records may be lost or another's.
+        """Read the folder again once the disk can be used, if it was missing or unreadable.
 
-        Called under the monitor's lock.
+        The records of a folder that was missing may be lost, or be those of another server. Called
+        under the monitor's lock.
         """
         self.must_reopen |= change.current is DiskState.MISSING
         if self.must_reopen and change.current not in BAD_STATES:
--- a/gullyoke/extensions/memory.py
+++ b/gullyoke/extensions/memory.py
@@ -1,4 +1,4 @@
-"""Keeps the run times that the decisions have learned over a restart.
+"""Keeps across a restart the run times that the decisions have learned.
 
 Both recorders run on the timer's thread and read the decisions under the dispatcher's lock.
 """
@@ -28,7 +28,7 @@
 LEARNER_INTERVAL_US: Final = 500_000
 SNAPSHOT_INTERVAL_US: Final = 5_000_000
 WARMUP_INTERVAL_US: Final = 50_000
-#: The counters of errors of the daemon's own code begin with this.
+#: The prefix of the counters of errors in the daemon's own code.
 INTERNAL_ERRORS: Final = "internal_errors."
 
 
@@ -64,7 +64,7 @@
         self.warmup = WarmupTracker(daemon, self.store)
 
     def start(self) -> None:
-        """Apply the rows once there are decisions, and keep what they learn."""
+        """Apply the rows once there are decisions, and keep what the decisions learn."""
         self.folder.register(
             DataKind.RUN_TIMES, self.store.size_bytes, lambda size: self.store.delete_all()
         )
@@ -87,7 +87,7 @@
         self.start_is_healthy = False
 
     def start(self) -> None:
-        """Read the decisions from now on, at each interval."""
+        """Read the learned run times after an interval, and again at each interval."""
         self.daemon.timer.call_at(clock.now() + LEARNER_INTERVAL_US, self._update)
 
     def _update(self) -> None:
@@ -147,7 +147,7 @@
 class WarmupTracker:
     """Sets the run times of earlier warm-ups while this one lasts, and records it.
 
-    A server that has just started is slower than it will be: run times depend on its age.
+    A server that has just started is slower than a warm one: run times depend on its age.
     """
 
     def __init__(self, daemon: DaemonParts, store: MemoryStore) -> None:
@@ -205,7 +205,7 @@
     def _finish(self, server: AdmissionController) -> None:
         """Keep the record of the warm-up that is over."""
         with self.daemon.dispatcher.lock:
-            del server.queue.run_finished  # the method of its class again
+            del server.queue.run_finished  # restores the method of the class
             snapshot = self.recorder.take_snapshot(
                 self.store.digest, time.time(), self.store.warmup
             )
--- a/gullyoke/extensions/memory_store.py
+++ b/gullyoke/extensions/memory_store.py
@@ -36,14 +36,14 @@
 
 
 class MemoryStore:
-    """The rows as they were read at the start; writes new ones.
+    """Holds the rows that were read at the start, and writes new ones.
 
     Attributes:
         digest: identifies the settings of the site; rows of other settings are not used.
         snapshot: the run times that were learned; None where there are none.
         weight: how far the snapshot is trusted, from 0 to 1.
         warmup: the run times during earlier warm-ups; None where there are none.
-        starts: how the starts before this one went.
+        starts: the outcome of the starts before this one.
         committer: writes the rows; None where the folder can't be used.
     """
 
--- a/gullyoke/extensions/operator_file.py
+++ b/gullyoke/extensions/operator_file.py
@@ -37,7 +37,7 @@
         """Check a new file before any of it is applied.
 
         Raises:
-            ConfigurationError: this extension can't apply it.
+            ConfigurationError: this extension can't apply the file.
         """
 
     def apply_reload(self, new: OperatorSettings) -> dict[str, object]:
@@ -93,7 +93,7 @@
         return True
 
     def _sections_added(self, new: OperatorSettings) -> list[str]:
-        """Return the sections that the file did not have: no extension can apply them."""
+        """Return the sections that the file lacked at the start; no extension applies them."""
         return [
             name
             for name, section in SECTIONS.items()
@@ -104,7 +104,7 @@
 def create_extensions(path: str, wanted: OperatorSettings) -> list[ReloadableExtension]:
     """Create the extensions that the file asks for, in the order in which they attach.
 
-    Modules that only some files need are imported here, since they take memory.
+    Modules that only some files need are imported only for those, since they take memory.
     """
     extensions: list[ReloadableExtension] = []
     back_ends = None
--- a/gullyoke/extensions/shares.py
+++ b/gullyoke/extensions/shares.py
@@ -33,7 +33,7 @@
 class Participation(NamedTuple):
     """This server's part of one limit.
 
-    Args:
+    Attributes:
         participant: borrows and lends tokens.
         floor: the tokens that each server has without borrowing.
     """
@@ -67,7 +67,7 @@
         """Check that the site has the limits that are to be shared.
 
         Raises:
-            ConfigurationError: it lacks one.
+            ConfigurationError: the site lacks one of these limits.
         """
         facts = fleet.daemon.configuration.facts
         if self.wanted.quotas and not facts.tenants:
@@ -97,7 +97,7 @@
             self._share_quotas(facts.tenants)
 
     def update(self, now: int) -> None:
-        """Log the slots where this server's part has changed."""
+        """Log the slots if this server's part has changed."""
         if self.shared is None:
             return
         status = self.shared.status(now)
@@ -161,7 +161,7 @@
         Args:
             tokens: the whole limit.
             linger_us: for how long a server's tokens stay in use after its end.
-            window_us: for how long they count in a mean after that.
+            window_us: for how long these tokens count in a mean after that.
         """
         wanted = self.wanted
         floor, lendable = split_limit(tokens, wanted.largest, wanted.homes, wanted.floor_share)
--- a/gullyoke/extensions/signals.py
+++ b/gullyoke/extensions/signals.py
@@ -39,7 +39,8 @@
         """Create the extension.
 
         Args:
-            acts: whether retry advice and health answers depend on the signals, which are shown anyway.
+            acts: whether retry advice and health answers depend on the signals; the status answer
+                shows the signals in either case.
         """
         self.acts = acts
         self.sender = ReportSmoother()
@@ -71,7 +72,7 @@
     def _read_load(self) -> LoadReport | None:
         """Return this server's load; None before there are decisions."""
         dispatcher = self.fleet.daemon.dispatcher
-        with dispatcher.lock:  # a few figures are read
+        with dispatcher.lock:  # held only to read a few figures
             if dispatcher.controller is None:
                 return None
             load = dispatcher.controller.load_snapshot(dispatcher.now)
@@ -92,7 +93,7 @@
     def _apply_judgement(self, reading: LoadReport) -> None:
         """Log whether this server alone is slow now, and let health answers follow.
 
-        They do not change while it drains.
+        Health answers do not change while the server drains.
         """
         daemon = self.fleet.daemon
         alone_slow = self.judgement.withdrawn
--- a/gullyoke/extensions/subsets.py
+++ b/gullyoke/extensions/subsets.py
@@ -19,7 +19,7 @@
 from gullyoke.runtime.logs import log, log_fields
 
 PROBE_TURN_US: Final = 250_000
-#: Within this many turns each member has one.
+#: Each member has a turn within this many turns.
 PROBE_TURNS: Final = 20
 
 
@@ -27,7 +27,8 @@
     """Selects this server's back ends.
 
     Attributes:
-        subset: the subset in force; None where all back ends are used and only probes take turns.
+        subset: the subset in force; None if all back ends are used; the members then only take
+            turns with probes.
         members: the names of the members that share the back ends.
     """
 
--- a/gullyoke/operator_config/__init__.py
+++ b/gullyoke/operator_config/__init__.py
@@ -1,6 +1,4 @@
-"""The operator's own file.
+"""The operator's file: its schema, its reading and checking, and the settings that result.
 
-Its schema, the reading and checking of it, and what the server is told by it.
-
-Imported only where such a file is named; `read` is the way in.
+The package is imported only if such a file is named; `read` is the entry point.
 """
--- a/gullyoke/operator_config/checked.py
+++ b/gullyoke/operator_config/checked.py
@@ -36,8 +36,8 @@
             description.
 
     Raises:
-        OperatorFileError: the file can't be read or is invalid; with all faults, in the order of
-            their lines.
+        OperatorFileError: the file can't be read or is invalid; the error has all faults, in the
+            order of their lines.
     """
     try:
         with open(path, "rb") as file:
@@ -97,7 +97,7 @@
             if KEY_NAME.fullmatch(last):
                 key, key_line = last, last_line
             else:
-                key_line = line  # a further message of a list
+                key_line = line  # another message of a list
             path = ".".join([*parents, key])
             nth = count[path] = count.get(path, -1) + 1
             numbered = f"{key}[{nth}]"
@@ -115,9 +115,9 @@
 
 
 def bound_faults(message: Message, path: str) -> Iterator[tuple[str, str]]:
-    """Yield the fields of a message, nested ones too, that violate the schema's bounds.
+    """Yield the faults of a message's fields, nested ones too, that violate the schema's bounds.
 
-    Each is a key and a description.
+    Each fault is a key and a description.
     """
     for field in message.DESCRIPTOR.fields:
         bounds = field.GetOptions().Extensions[schema.bounds]
@@ -135,7 +135,7 @@
 
 
 def field_values(message: Message, field: FieldDescriptor) -> list:
-    """Return the values of a field in a message; none where it is not set."""
+    """Return the values of a field in a message; an empty list if the field is not set."""
     if field.is_repeated:
         return list(getattr(message, field.name))
     if field.has_presence and not message.HasField(field.name):
@@ -158,6 +158,6 @@
 
 
 def has_valid_port(value: str) -> bool:
-    """Return whether the port is valid, if the text is a host and a port."""
+    """Return whether the port of a host and port is valid; True for any other text."""
     _, mark, port = value.rpartition(":")
     return not mark or not port.isdigit() or 0 < int(port) < 65536
--- a/gullyoke/operator_config/wanted.py
+++ b/gullyoke/operator_config/wanted.py
@@ -114,7 +114,7 @@
         largest: the most servers that the fleet may have.
         floor_share: the share of the slots that the servers have without borrowing.
         weight: this server's weight when slots are divided.
-        mean: whether the limit is on a mean over time, not on each moment.
+        mean: whether the limit applies to a mean over time, not to each moment.
         quotas: whether the quotas of tenants are lent too.
     """
 
@@ -144,7 +144,7 @@
 
 
 class ApplicationLeaseSection(NamedTuple):
-    """A lease of the application's own.
+    """A lease of the application.
 
     Attributes:
         name: the name of the lease.
@@ -164,13 +164,13 @@
         voters: the voters' addresses, by name.
         set: the number of the voter set.
         lease: the length of a lease.
-        drift: by how much clocks may differ, in parts per million.
+        drift: by how much the rates of clocks may differ, in parts per million.
         folder: where a voter keeps its promises.
         ask: whether one server checks the dependency's health.
         book: whether one server lends orphaned quota.
         roll: whether rolling restarts can be started.
         record: whether one server keeps the fleet's record.
-        own: the leases of the application's own.
+        own: the leases of the application.
     """
 
     voters: dict[str, str]
