--- a/gullyoke/coordination/lender.py
+++ b/gullyoke/coordination/lender.py
@@ -1,7 +1,7 @@
 """The lender of a part of a fleet's limit: it divides its tokens between borrowers.
 
-A lender never has more tokens lent than it owns, even when messages are lost or late. It counts a
-quota lease for longer than the borrower does, by the most that two clocks can drift apart.
+A lender never has more tokens lent than it owns, even when messages are lost or late. It
+counts a quota lease as longer than the borrower does, by the maximum drift between two clocks.
 """
 
 from __future__ import annotations
@@ -25,7 +25,8 @@
     Attributes:
         sequence: Number of the borrower's last request.
         tokens: Tokens that the borrower may have in use until `until_us`.
-        granted: Tokens of the last grant. The borrower starts to use no more once it has the grant.
+        granted: Tokens of the last grant. Once the borrower has received this grant, it starts no
+            use beyond these tokens.
         until_us: End of the lease, in microseconds.
     """
 
@@ -52,7 +53,7 @@
     Attributes:
         tenure: The process's right to lend under the name.
         total: Tokens to lend under the name.
-        after_us: How long use still counts after the end of a lease, where a mean is limited.
+        after_us: For a limit on a mean, how long use still counts after the end of a lease.
         leases: Leases by borrower; removed when they end.
         demands: Demands by borrower; removed after `DEMAND_VALID_US`.
         level: The fair level (gullyoke/coordination/max_min_fairness.py).
@@ -121,9 +122,9 @@
     def _fair_share(self, now: int, borrower: Hashable, demand: Demand) -> int:
         """Return the borrower's fair share in whole tokens.
 
-        A hash assigns the tokens that rounding leaves, to other borrowers each
-        `ROUNDING_INTERVAL_US`. So every borrower gets a token at times, even where there are fewer
-        tokens than borrowers.
+        A hash assigns the tokens that rounding leaves, and chooses other borrowers in each
+        `ROUNDING_INTERVAL_US`. Every borrower thus gets a token at times, even where there are
+        fewer tokens than borrowers.
         """
         last_us = self._level_at_us
         if last_us is None or now - last_us >= durations.FAIR_LEVEL_INTERVAL_US:
--- a/gullyoke/coordination/lender_tenure.py
+++ b/gullyoke/coordination/lender_tenure.py
@@ -25,8 +25,8 @@
     """One lender's votes on all names. Times are microseconds of its monotonic clock.
 
     Attributes:
-        silent_until_us: End of the grants that it may have made before this start; until then it
-            grants nothing.
+        silent_until_us: End of the grants that this voter may have made before this start; until
+            then it grants nothing.
         granted: The last grant by name, at most one for each lender.
     """
 
@@ -55,7 +55,7 @@
 
     Attributes:
         until_us: The end of the right.
-        since_us: When the right began, uninterrupted since; None before it first began.
+        since_us: Start of the last uninterrupted period of the right; None before the first one.
         granted_by: Voters that granted in the current round.
     """
 
--- a/gullyoke/coordination/limit_parts.py
+++ b/gullyoke/coordination/limit_parts.py
@@ -7,7 +7,7 @@
 uses a token from its start to its end; a lost call also uses it for the linger time that follows,
 because the dependency may still be working on it. `MeanConcurrencyPart` limits the mean number of
 calls in flight over a window. A token is then a fraction of that mean, and used call time counts
-for a whole window, so a token is passed on only once no call time counts on it.
+for a whole window, so a token is passed on only once no call time counts against it.
 
 A call must end while the server is certain to have the tokens that it uses. The need for tokens is
 estimated from the recent peak of calls in flight and waiting.
@@ -27,7 +27,7 @@
 MIN_SECURED_US: Final = 100_000  # a call starts only if its token is secured for this long
 SPARE_DIVISOR: Final = 8  # one spare token is requested per this many needed, for growth
 PEAK_WINDOW_US: Final = 2 * RENEW_US  # a peak counts for one to two windows
-CALL_US: Final = 600_000  # tokens of a mean must be secured for this and the linger time
+CALL_US: Final = 600_000  # tokens of a mean must be secured for this plus the linger time
 TOKENS_PER_CALL: Final = 16  # tokens that allow a mean of one call in flight
 USED_SHARE: Final = 0.95  # share of the mean that admission control uses; the rest is its margin
 MEAN_GROWTH: Final = 1.25  # tokens requested, relative to those in use, to allow for growth
@@ -36,7 +36,7 @@
 
 
 class RecentPeak:
-    """The highest value within the last `PEAK_WINDOW_US` and the window before."""
+    """The highest value in the current and the previous window of `PEAK_WINDOW_US`."""
 
     def __init__(self) -> None:
         """Start at 0."""
@@ -66,7 +66,7 @@
     """The base of all parts of limits: a participant, its need of tokens and its messages.
 
     Attributes:
-        refused: How often no token was free; operators see it under the same name.
+        refused: How often no token was free; operators see the count under this name.
     """
 
     def __init__(self, participant: QuotaParticipant, linger_us: int) -> None:
@@ -186,10 +186,10 @@
         ]
 
     def request_slot(self, now: int, waiting: int) -> bool:
-        """Return True: the mean limits the calls.
+        """Return True: calls are limited by their mean instead.
 
-        While calls wait, records a need for twice the tokens in force and those of one call more,
-        and counts in `refused`.
+        While calls wait, counts in `refused` and records a need for twice the tokens in force plus
+        the tokens of one call.
         """
         if waiting:
             self.refused += 1
--- a/gullyoke/coordination/max_min_fairness.py
+++ b/gullyoke/coordination/max_min_fairness.py
@@ -29,7 +29,7 @@
     def share_at(self, level: float) -> float:
         """Return this borrower's share at a level of tokens per weight.
 
-        The tokens that it has from elsewhere are subtracted, and it gets no more than it wants.
+        Tokens that the borrower has from elsewhere are subtracted; the share is at most `want`.
         """
         return min(float(self.want), max(0.0, level * self.weight - self.elsewhere))
 
@@ -37,7 +37,7 @@
 def fill_level(total: int, demands: Iterable[Demand]) -> float:
     """Return the level at which the shares of all demands add up to `total`.
 
-    Infinity where `total` covers all demands.
+    The level is infinite where `total` covers all demands.
     """
     demands = list(demands)
     if sum(demand.want for demand in demands) <= total:
--- a/gullyoke/coordination/quota_messages.py
+++ b/gullyoke/coordination/quota_messages.py
@@ -11,7 +11,7 @@
 
 
 class LenderClaim(NamedTuple):
-    """Asks all lenders for the right to lend under a name; the process numbers its rounds."""
+    """Asks all lenders for the right to lend under a name; the sender numbers its rounds."""
 
     lender: str
     incarnation: int
@@ -34,7 +34,7 @@
     Attributes:
         lender: The lender's name.
         borrower: The borrower's incarnation.
-        sequence: Number of the request; a lender ignores requests not above the last number.
+        sequence: Number of the request; a lender ignores numbers that are not above the last one.
         wanted: Tokens that the borrower wants from this lender in total.
         weight: Scarce tokens are divided in proportion to the weights of the borrowers.
         elsewhere: Tokens that the borrower has from its floor and from other lenders.
@@ -61,7 +61,7 @@
 
 
 class QuotaReturn(NamedTuple):
-    """States that the borrower uses at most `tokens` of the lease granted to `sequence`."""
+    """States that the borrower uses at most `tokens` of its lease, as of request `sequence`."""
 
     lender: str
     borrower: int
--- a/gullyoke/coordination/quota_participant.py
+++ b/gullyoke/coordination/quota_participant.py
@@ -71,7 +71,7 @@
             lender_name: The name under which the process lends, if any.
             votes: Whether the process is at the configured address of that lender.
             linger_us: How long calls of a process may still run after its end.
-            after_us: How long use still counts after the end of a lease, where a mean is limited.
+            after_us: For a limit on a mean, how long use still counts after the end of a lease.
 
         Raises:
             ValueError: If `lender_name` is not among `lender_names`.
@@ -149,11 +149,11 @@
         return self.lender if name == self.lender_name else self.substitutes.get(name)
 
     def take_over(self, tokens: Mapping[str, int]) -> None:
-        """Lend under these names of ended lenders, and under no others but this process's own.
+        """Lend only under these names of ended lenders and under this process's own name.
 
         Any caller may do this safely: the tokens of a name are lent only once a majority of the
-        lenders has granted the name, which it does only when no other process holds it. A process
-        that comes back gets its name once this one stops claiming it.
+        lenders has granted the name, and lenders grant it only while no other process holds it. A
+        process that comes back gets its name once this one stops claiming it.
 
         Args:
             tokens: By name, how many tokens there are to lend.
--- a/gullyoke/coordination/signals.py
+++ b/gullyoke/coordination/signals.py
@@ -24,14 +24,14 @@
 MAX_SENDERS = 64  # senders whose reports are kept
 MIN_SENDERS = 5  # with fewer valid reports no conclusion is drawn
 FULL_FREE_CAPACITY = 0.1  # a peer with at most this free capacity counts as full
-FULL_REJECTED_SHARE = 0.25  # as does a peer that rejects at least this share of its requests
+FULL_REJECTED_SHARE = 0.25  # a peer that rejects at least this share of its requests is full too
 SLOW_RATIO = 2.0  # a server is slow from this multiple of its peers' latency ratio on
 RECOVERED_RATIO = 1.3  # a slow server has recovered at this multiple or below
 MIN_LATENCY_RATIO = 0.2  # lower bound of the peers' ratio in the comparison
 STATE_DWELL_US = 3_000_000  # how long the reason to withdraw or to return must last
-MAX_WITHDRAWN_SHARE = 0.1  # no server withdraws while this share of its peers has
+MAX_WITHDRAWN_SHARE = 0.1  # no server withdraws while this share of its peers is withdrawn
 FULL_PEERS_SHARE = 0.3  # with this share of full peers, a retry elsewhere is not worth its cost
-WAIT_SPREAD = 0.5  # a wait is drawn within this share of its length, above and below
+WAIT_SPREAD = 0.5  # a wait is multiplied by a random factor from 1 - this to 1 + this
 SMOOTHING_WEIGHT = 0.25  # weight of a new report
 STEP_HYSTERESIS = 0.9  # share of a step by which a value must differ from the one sent
 
@@ -99,7 +99,7 @@
     """
 
     def __init__(self, weight: float = SMOOTHING_WEIGHT) -> None:
-        """Start without a report; `weight` is that of a new one."""
+        """Start without a report; `weight` is the weight of each new report."""
         self.weight = weight
         self._smoothed: LoadReport | None = None
         self._sent = 0
@@ -137,7 +137,7 @@
 
 
 class ReceivedReport(NamedTuple):
-    """A report, when it was received, in microseconds, and the sender's number for it."""
+    """A report, its time of receipt in microseconds, and the number that its sender gave it."""
 
     received_at_us: int
     sequence: int
@@ -185,9 +185,9 @@
     """Summary of the reports of the peers in service.
 
     Attributes:
-        free_capacity: Median of the peers' values, as the next two.
-        rejected_share: See `LoadReport`.
-        latency_ratio: See `LoadReport`.
+        free_capacity: Median of the peers' values (see `LoadReport`).
+        rejected_share: Median of the peers' values.
+        latency_ratio: Median of the peers' values.
         full_share: The share of peers that are full.
         withdrawn_share: The share of peers that have withdrawn.
     """
@@ -223,7 +223,7 @@
 
     Attributes:
         withdrawn: Whether this server has withdrawn because it is slow and its peers are not.
-        peers: The last summary. While it is None, answers are as they would be without reports.
+        peers: The last summary. While it is None, the methods answer as if no reports existed.
     """
 
     def __init__(self, draw: Callable[[], float]) -> None:
@@ -273,8 +273,8 @@
     def retry_after(self, own_advice: int) -> int:
         """Return how long a client should wait before it retries, in microseconds.
 
-        The wait is longer if the peers have more free capacity than this server, and is drawn
-        around that value, so that clients do not all return at the same time.
+        The wait is longer if the peers have more free capacity than this server. The result is
+        drawn around that wait, so that clients do not all return at the same time.
         """
         if self.peers is None:
             return own_advice
--- a/gullyoke/coordination/subsets.py
+++ b/gullyoke/coordination/subsets.py
@@ -22,7 +22,7 @@
 
 
 def apertures(servers: Sequence[str], back_ends: Sequence[str], size: int) -> SubsetsByServer:
-    """Return `size` back ends for each server, each in equally many subsets within one."""
+    """Return `size` back ends per server; all back ends are in equally many subsets, within one."""
     order = sorted(servers, key=stable_hash)
     ring = sorted(back_ends, key=stable_hash)
     count = min(size, len(ring))
@@ -77,13 +77,13 @@
 class Subset:
     """The subset in force of one server. Times are in microseconds.
 
-    The subset follows a choice that has lasted for `SETTLE_US`, one back end each
-    `MOVE_INTERVAL_US`. A back end that left keeps its place for as long, so a flapping back end
+    The subset changes to a choice that has lasted for `SETTLE_US`, by one back end each
+    `MOVE_INTERVAL_US`. A back end that left keeps its place for `SETTLE_US`, so a flapping back end
     moves no connections.
 
     If fewer than half of the subset are healthy for `HELP_DELAY_US`, the next back ends in order
     are added as helpers, one each `MOVE_INTERVAL_US`, until as many as half of the subset are
-    healthy. The helpers are dropped once half of the subset itself have been healthy for
+    healthy. The helpers are dropped once half of the subset's own back ends have been healthy for
     `SETTLE_US`.
 
     Attributes:
--- a/gullyoke/coordination/tenant_quotas.py
+++ b/gullyoke/coordination/tenant_quotas.py
@@ -3,7 +3,7 @@
 The quota is divided into tokens, each a small part of the rate. A server's part of the quota is the
 tokens that it has in force (gullyoke/coordination/borrower.py), so the parts of all servers never
 add up to more than the quota. A server may save up the requests that its rate allows for
-`SAVED_US`, so a lender counts tokens as in use for that long after the end of their lease.
+`SAVED_US`, so a lender counts tokens as in use for `SAVED_US` after the end of their lease.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from gullyoke.coordination.limit_parts import LimitPart
 from gullyoke.coordination.quota_participant import AddressedQuotaMessage, QuotaParticipant
 
-TOKENS_PER_SERVER: Final = 16  # for each server of the largest fleet; a floor of a quarter is four
+TOKENS_PER_SERVER: Final = 16  # per server of the largest fleet; a floor share of 1/4 is 4 tokens
 SAVED_US: Final = 2_000_000  # requests that the rate allows in this time may be saved up
 BIN_US: Final = 500_000  # length of the bins in which requests are counted
 GROWTH: Final = 1.25  # tokens requested, relative to the present rate, to allow for growth
--- a/gullyoke/coordination/time_slots.py
+++ b/gullyoke/coordination/time_slots.py
@@ -1,10 +1,10 @@
 """Time slots for actions that only a few members may take at the same time.
 
-The membership view and the clock alone decide which members have a slot. In each slot it is the
-next `k` of the `n` members, in the order of a hash of the subject, the round and the name, so every
-member has one within ceil(n / k) slots. An unused slot expires. Where members have different views,
-each of the views gives the slot to at most `k` members; actions that must be exclusive need a
-lease. A gap at both ends of a slot allows for clocks that differ.
+The membership view and the clock alone decide which members have a slot. Each slot belongs to
+the next `k` of the `n` members, in the order of a hash of the subject, the round and the name, so
+every member has a slot within ceil(n / k) slots. An unused slot expires. Where members have
+different views, each of the views gives the slot to at most `k` members; actions that must be
+exclusive need a lease. A gap at both ends of a slot allows for clocks that differ.
 """
 
 from __future__ import annotations
--- a/gullyoke/leases/candidate_rank.py
+++ b/gullyoke/leases/candidate_rank.py
@@ -21,9 +21,9 @@
 
     Attributes:
         name: The member's name.
-        settled: Whether it has been in the view for some time and its record is unchanged.
-        reached: Whether no member suspects it.
-        leaving: Whether it is about to leave.
+        settled: Whether the member has been in the view for some time with an unchanged record.
+        reached: Whether no member suspects this one.
+        leaving: Whether the member is about to leave.
         free_capacity: The free share of its cores, from 0 to 1.
         failed: Whether the work under the lease recently failed at this member.
     """
--- a/gullyoke/leases/dependency_probe.py
+++ b/gullyoke/leases/dependency_probe.py
@@ -12,16 +12,16 @@
 from typing import Final, NamedTuple
 
 FAILURES_TO_DEAD: Final = 5  # failed calls in a row until a dependency may count as dead
-SILENCE_TO_DEAD_US: Final = 500_000  # and the time without a successful call
+SILENCE_TO_DEAD_US: Final = 500_000  # time without a successful call that is required as well
 ANNOUNCEMENT_VALID_US: Final = 3_000_000
 HOLDER_PROBE_INTERVAL_US: Final = 500_000
-LONE_PROBE_INTERVAL_US: Final = 2_000_000  # without an announcement; drawn from 0.5 to 1.5 of it
+LONE_PROBE_INTERVAL_US: Final = 2_000_000  # without announcements; drawn from 0.5 to 1.5 times this
 SLOW_START_US: Final = 3_000_000  # from the dependency's return until all calls are sent
 SLOW_START_MIN_SHARE: Final = 0.1  # share of the calls sent at the beginning
 
 
 class HolderReport(NamedTuple):
-    """The holder's last announcement, when it was received, and whether it says dead."""
+    """The holder's last announcement: epoch, receipt time, and whether the dependency is dead."""
 
     epoch: int
     received_at_us: int
@@ -81,7 +81,8 @@
     def admit_call(self, now: int) -> bool:
         """Decide whether a call is sent now; to be called once for each call.
 
-        Counts a probe of a dead dependency and schedules the next one, and ends the slow start.
+        If the dependency is dead, counts the probe and schedules the next one. Ends the slow start
+        once its time is over.
         """
         if not self.dead:
             return self._admit_in_slow_start(now)
--- a/gullyoke/leases/durations.py
+++ b/gullyoke/leases/durations.py
@@ -9,11 +9,11 @@
     """The durations that all candidates and voters of a lease use.
 
     Attributes:
-        lease_us: Microseconds that a grant lasts on the holder's clock, counted from before its
-            request.
+        lease_us: Microseconds that a grant lasts on the holder's clock, counted from before the
+            holder sends its request.
         drift_ppm: Upper bound on the difference between the rates of two clocks, in parts per
-            million. All use their monotonic clocks, so steps of the wall clock do not matter.
-        margin_us: Microseconds before the end of its lease from which a holder no longer acts.
+            million. All processes use monotonic clocks, so steps of the wall clock do not matter.
+        margin_us: How many microseconds before the end of its lease a holder stops acting.
     """
 
     lease_us: int = 3_000_000
--- a/gullyoke/leases/fence.py
+++ b/gullyoke/leases/fence.py
@@ -36,8 +36,8 @@
     def admit(self, duty: str, epoch: int, incarnation: int) -> bool:
         """Admit or reject an operation: store its token, or count it as rejected.
 
-        Rejected are epochs older than the newest, a second process with the newest epoch, and a new
-        lease above `MAX_LEASES`.
+        The fence rejects epochs older than the newest, a second process with the newest epoch, and
+        a new lease above `MAX_LEASES`.
 
         Returns:
             Whether the operation is admitted.
--- a/gullyoke/leases/messages.py
+++ b/gullyoke/leases/messages.py
@@ -2,10 +2,10 @@
 
 Each message is sent as an array of its fields in the order of their definition, so fields may be
 renamed but neither reordered nor removed; new ones are appended. `duty` is the name of the lease in
-the operator's file. An `incarnation` is a random number drawn when a process starts; it identifies
-the process among earlier ones of the same name. `round` is chosen by the sender of a request and
-returned in the reply. `voter_set` is the number of the set of voters that the sender uses; replies
-with another number are ignored.
+the operator's file. An `incarnation` is a random number drawn when a process starts; it
+distinguishes the process from earlier ones of the same name. `round` is chosen by the sender of a
+request and returned in the reply. `voter_set` is the number of the set of voters that the sender
+uses; replies with another number are ignored.
 """
 
 from __future__ import annotations
@@ -44,8 +44,8 @@
         recipient: Incarnation of the candidate that sent the request.
         round: Round of the request.
         voter: Name of the voter.
-        granted: Whether the lease is granted durably, or would be for a `PreVote`.
-        to_request: Whether a `LeaseRequest` is answered, not a `PreVote`.
+        granted: Whether the lease is granted durably; for a `PreVote`, whether it would be granted.
+        to_request: True in the answer to a `LeaseRequest`, False in the answer to a `PreVote`.
         epoch: The highest epoch that this voter has promised.
         holder_incarnation: Incarnation of the holder; `NOBODY` if no lease is running.
         holder: Name of the holder; empty if no lease is running.
@@ -85,7 +85,7 @@
 
 
 class HandoverOffer(NamedTuple):
-    """Asks the successor that the holder chose to request the lease once it is released."""
+    """Asks the successor chosen by the holder to request the lease after its release."""
 
     duty: str
     incarnation: int
@@ -101,7 +101,7 @@
 
 
 class EpochQuery(NamedTuple):
-    """Asks another voter for its promises, on behalf of a voter that lost its own."""
+    """Asks another voter for its promises; sent by a voter that has none of its own."""
 
     voter: str
     incarnation: int
--- a/gullyoke/leases/promises.py
+++ b/gullyoke/leases/promises.py
@@ -27,7 +27,10 @@
 
 
 def replies_needed(others: int) -> int:
-    """Return how many other voters must reply to include one of any majority with this voter."""
+    """Return how many other voters must reply to a voter that recovers its promises.
+
+    Every majority that includes the recovering voter then includes one that has replied.
+    """
     voters = others + 1
     majority = voters // 2 + 1
     return others - (majority - 1) + 1
--- a/gullyoke/leases/replicated_record.py
+++ b/gullyoke/leases/replicated_record.py
@@ -81,8 +81,8 @@
     def accepts(self, request: WriteRecord, promised_epoch: int) -> bool:
         """Return whether a write should be stored.
 
-        It must be newer than the stored record, have at least the epoch that this voter has
-        promised, and be at most `MAX_RECORD_BYTES` long.
+        The write must be newer than the stored record, have at least the epoch that this voter has
+        promised, and have a body of at most `MAX_RECORD_BYTES`.
         """
         stored = self.records.get(request.duty, NO_RECORD)
         newer = (request.epoch, request.write_number) > (stored.epoch, stored.write_number)
@@ -94,7 +94,7 @@
         self.records[duty] = max(record, self.records.get(duty, NO_RECORD))
 
     def acknowledge(self, request: WriteRecord, voter: str) -> RecordWritten:
-        """Return the answer to a write: once it is durable, or at once if it is not accepted."""
+        """Return the answer to a write that is durable or was not accepted."""
         stored = self.records.get(request.duty, NO_RECORD)
         written = (stored.epoch, stored.write_number) == (request.epoch, request.write_number)
         return RecordWritten(
--- a/gullyoke/leases/voter.py
+++ b/gullyoke/leases/voter.py
@@ -6,9 +6,9 @@
 
 A voter that starts with its promises first waits until the leases that it may have granted have
 ended. A voter that starts without them (with a new folder, or a folder from an older copy) waits as
-well and then asks the other voters for their promises. It waits for enough replies to include a
-voter of every majority that it may have been part of, and stores the promises before it votes. A
-voter whose disk fails grants nothing new.
+well and then asks the other voters for their promises. It waits until the replies include a voter
+of every majority to which it may have belonged, and stores the promises before it votes. A voter
+whose disk fails grants nothing new.
 
 Sources: leases are from Gray and Cheriton (1989); epochs granted once by a majority are from Paxos
 (Lamport 1998); no grant to another candidate while a lease runs, and the pre-vote before a request,
@@ -67,8 +67,8 @@
         promises: Promises by the name of the lease; at most `MAX_LEASES`, never removed.
         pending_writes: Promises that are being written to disk, at most one per lease.
         fresh: Whether this voter has no promises of its own and still has to recover them.
-        silent_until_us: End of the leases that it may have granted before this start; until then it
-            grants no new ones.
+        silent_until_us: End of the leases that this voter may have granted before this start; until
+            then it grants no new ones.
         disk_ok: Whether the last write of a promise succeeded.
         failed_writes: How many writes of promises have failed.
     """
@@ -150,10 +150,10 @@
     def learn_epochs(self, now: int, reply: EpochReply) -> list[PromiseWrite]:
         """Add another voter's promises; once there are enough, return the promises to store.
 
-        This voter stays fresh until `promise_learned` has reported all of them as durable. If all
-        others have replied and some are fresh as well, either the fleet is new or promises are lost
-        for good. The voters then start with what there is, and candidates request epochs above any
-        earlier one (`epoch_floor` in `gullyoke/leases/candidate.py`).
+        This voter stays fresh until `promise_learned` has reported all these promises as durable.
+        If all others have replied and some are fresh as well, either the fleet is new or promises
+        are lost for good. The voters then start with the promises that are left, and candidates
+        request epochs above any earlier one (`epoch_floor` in `gullyoke/leases/candidate.py`).
         """
         if not self.fresh or reply.round != self._round or reply.voter not in self.others:
             return []
@@ -261,9 +261,9 @@
         return self.promises.get(duty, NO_PROMISE).incarnation == incarnation
 
     def _use_disk_retry(self, now: int) -> bool:
-        """Return whether the next promise may be written to a failed disk: once per lease duration.
+        """Return whether a failed disk may be retried now; allowed once per lease duration.
 
-        Starts the wait for the next retry if so.
+        If so, starts the wait for the next retry.
         """
         if now - self._last_disk_retry_us < self.durations.lease_us:
             return False
--- a/gullyoke/membership/dissemination.py
+++ b/gullyoke/membership/dissemination.py
@@ -77,7 +77,7 @@
         self.send(target.address, message, target.id)
 
     def send_untracked_ping(self, address: str) -> None:
-        """Probe another process with this member's name; no probe state awaits the answer."""
+        """Probe another process with this member's name; the answer is not tracked."""
         self.send(address, Ping(self._state.record, 0, 0, 0), self._state.id)
 
     def send_ping_request(self, helper: MemberRecord, seq: int, target: MemberRecord) -> None:
--- a/gullyoke/membership/gossip_queue.py
+++ b/gullyoke/membership/gossip_queue.py
@@ -1,7 +1,7 @@
 """The queue of updates to disseminate, piggybacked on messages that are sent anyway.
 
 As in SWIM (Das, Gupta and Motivala 2002, section 4.1) an update is carried a number of times that
-grows with the logarithm of the fleet's size, and those carried least often go first.
+grows with the logarithm of the fleet's size. Updates that were carried least often go first.
 """
 
 from __future__ import annotations
--- a/gullyoke/membership/joining.py
+++ b/gullyoke/membership/joining.py
@@ -13,7 +13,7 @@
 from gullyoke.membership.update_processing import UpdateProcessor
 from gullyoke.membership.view import BUCKETS
 
-MAX_HELLOS_PER_TICK: Final = 16  # that are answered; the senders of others retry
+MAX_HELLOS_PER_TICK: Final = 16  # only these are answered; the senders of further hellos retry
 RECORDS_PER_HELLO: Final = 6  # random members' records in the answer to a hello
 READ_PERIOD_US: Final = 200_000  # between requests while reading the fleet's view
 
--- a/gullyoke/membership/local_health.py
+++ b/gullyoke/membership/local_health.py
@@ -1,9 +1,9 @@
 """How far a member trusts its own observations.
 
-It detects pauses of its own process, measures how many of its own probes fail, and estimates the
-share of the fleet that is lost. The idea is from Lifeguard (Dadgar et al. 2018): a member whose own
-probes fail is probably itself at fault. Unlike in Lifeguard, such a member does not lengthen its
-timeouts but reports that it is unsure, and its suspicions do not count.
+The member detects pauses of its own process, measures how many of its own probes fail, and
+estimates the share of the fleet that is lost. The idea is from Lifeguard (Dadgar et al. 2018): a
+member whose own probes fail is probably itself at fault. Unlike in Lifeguard, such a member does
+not lengthen its timeouts but reports that it is unsure, and its suspicions do not count.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 PEER_REPORT_KEPT_US: Final = 1_500_000  # older reports of peers do not count
 MAX_PEER_REPORTS: Final = 64
 REQUIRED_SEEN_SHARE: Final = 0.6  # of the fleet, to remove a member for its silence
-MAX_FAILING_SHARE: Final = 0.5  # of its own probes; above this a member is unsure
+MAX_FAILING_SHARE: Final = 0.5  # of a member's own probes; above this share the member is unsure
 OWN_WEIGHT: Final = 0.3  # weight of this member's own lost share in the average
 PEERS_WEIGHT: Final = 0.7  # weight of the median of all shares, the own one included
 
@@ -31,7 +31,7 @@
     """A peer's last report of the fleet's state.
 
     Attributes:
-        at_us: When it was received, in microseconds.
+        at_us: When the report was received, in microseconds.
         lost: The share of the fleet that the peer considers lost, in 255ths.
         same_view: Whether the peer's view was the same as this member's.
     """
@@ -52,9 +52,9 @@
             the start, so that a new member is not unsure.
         received_at: When a message from another member was last received.
         peer_reports: The last report of each peer; the peer that was added first is dropped first.
-        failing: The share of its own probes that fail, from 0 to 1.
+        failing: The share of this member's probes that fail, from 0 to 1.
         lost: The share of the fleet that is considered lost, from 0 to 1, averaged with the peers'.
-        receives_nothing: Whether all its probes fail and it receives no messages.
+        receives_nothing: Whether all probes of this member fail and it receives no messages.
     """
 
     def __init__(self, now: int) -> None:
--- a/gullyoke/membership/member.py
+++ b/gullyoke/membership/member.py
@@ -1,8 +1,8 @@
 """One member: the entry points of the membership state machine.
 
-The caller passes in the time, in whole microseconds of any monotonic clock, and sends the messages
-that `Member.take_outgoing` returns. There is no I/O, and time and randomness come from the caller:
-the same calls give the same messages.
+The caller passes in the time, in whole microseconds of any monotonic clock, and the source of
+randomness, and sends the messages that `Member.take_outgoing` returns. There is no I/O: the same
+calls give the same messages.
 """
 
 from __future__ import annotations
@@ -75,8 +75,8 @@
         Args:
             now: The time in microseconds.
             record: The member's own record, with the status `JOINING`.
-            seeds: Addresses of members to join through; if there are none but its own, the member
-                starts a fleet.
+            seeds: Addresses of members to join through; if there is none but the member's
+                own address, the member starts a fleet.
             random: The source of all randomness.
             ring_count: The number of observers per member; has to be the same in the whole fleet.
         """
@@ -226,7 +226,7 @@
             self._updates.adopt_own_record(now, self.record.with_status(Status.LEAVING))
 
     def announce_left(self, now: int) -> None:
-        """Send some members the status `LEFT`; the last step, which may be repeated."""
+        """Send some members the status `LEFT`; the last step of a drain, which may be repeated."""
         if not self._state.join_state.is_inside():
             return
         record = self.record.with_status(Status.LEFT)
@@ -237,7 +237,7 @@
     # Parts of a tick.
 
     def _rejoin_if_settled(self, now: int) -> None:
-        """Rejoin after a removal, once settled; this member's own view is discarded."""
+        """Rejoin after a removal and the settle time; this member's own view is discarded."""
         health = self._state.local_health
         record = self._state.join_state.rejoin_if_settled(
             now, health.failing, health.receives_nothing
--- a/gullyoke/membership/member_record.py
+++ b/gullyoke/membership/member_record.py
@@ -80,10 +80,11 @@
         version: See the module's documentation.
         status: The member's status under this version.
         address: The address for datagrams to the member, as `host:port`.
-        zone: The failure domain in which it runs.
+        zone: The failure domain in which the member runs.
         incarnation: A random id of this start of the process, which distinguishes processes with
             the same name.
-        digest: A 64-bit hash of all fields; views are compared by the XOR of these.
+        digest: A 64-bit hash of all fields; views are compared by the XOR of their records'
+            digests.
     """
 
     __slots__ = ("address", "digest", "id", "incarnation", "name", "status", "version", "zone")
@@ -138,7 +139,7 @@
         version: The member's version to which the status applies.
         status: The new status.
         decided_by: The id of the member that decided on the status.
-        accusing: The number of eligible observers that suspected it; 0 if none were counted.
+        accusing: How many eligible observers suspected the member; 0 if none were counted.
         eligible: The number of observers whose suspicions counted; 0 if none were counted.
     """
 
@@ -167,8 +168,8 @@
 class SuspicionReport(NamedTuple):
     """All current suspicions of one observer.
 
-    The newest report, by (`version`, `seq`), replaces earlier ones from its observer, so single
-    suspicions are never withdrawn.
+    The newest report, by (`version`, `seq`), replaces earlier ones from its observer, so no message
+    has to withdraw a single suspicion.
 
     Attributes:
         observer: The observer's id.
--- a/gullyoke/membership/member_state.py
+++ b/gullyoke/membership/member_state.py
@@ -20,10 +20,10 @@
     Attributes:
         id: The member's own id.
         random: The only source of randomness.
-        view: The members that it knows, including itself.
-        join_state: Its stage and its own record.
-        local_health: How far it trusts its own observations.
-        edges: The edges to its subjects, by the subjects' ids.
+        view: The members that this one knows, including itself.
+        join_state: The member's stage and its own record.
+        local_health: How far the member trusts its own observations.
+        edges: The edges to the member's subjects, by the subjects' ids.
         suspicions: The suspicion reports of all observers.
         gossip: The updates to disseminate.
         reconciliation: When to reconcile the view with a peer's view.
--- a/gullyoke/membership/monitor_edge.py
+++ b/gullyoke/membership/monitor_edge.py
@@ -3,8 +3,8 @@
 A healthy subject is probed every `PROBE_PERIOD_US`. Once a probe is unanswered, the subject is
 probed more often, and by other members too (the indirect probes of SWIM, Das, Gupta and Motivala
 2002), which distinguishes lost datagrams from silence. The time without an answer counts from the
-first unanswered probe, not from the last answer: a subject that was paused just after an answer has
-the whole time to resume.
+first unanswered probe, not from the last answer: a subject that was paused just after an answer
+still has `SILENT_AFTER_US` to resume.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 SILENT_AFTER_US: Final = 1_500_000  # a subject is silent after this time without an answer
 SILENT_AFTER_PROBES: Final = 4  # and at least this many unanswered probes
 REFUSED_AFTER_COUNT: Final = 2  # a subject is refused after this many refusals
-REFUSED_AFTER_US: Final = 150_000  # and this time since the first of them
+REFUSED_AFTER_US: Final = 150_000  # and this time since the first refusal
 SLOW_DOWN_AFTER_US: Final = 10_000_000  # without answers; then PROBE_PERIOD_US applies again
 MAX_OUTSTANDING_PROBES: Final = 16  # remembered; the oldest is forgotten first
 ROUND_TRIP_GAIN: Final = 8  # a new measurement has the weight 1 / ROUND_TRIP_GAIN in the average
--- a/gullyoke/membership/probing.py
+++ b/gullyoke/membership/probing.py
@@ -62,7 +62,7 @@
         self._matched_rings = NO_RING_VERSION
 
     def match_subjects(self, now: int) -> None:
-        """Update the edges to the rings' assignment if the rings have changed."""
+        """If the rings have changed, make the edges match the subjects that the rings assign."""
         state = self._state
         rings = state.view.rings
         if self._matched_rings == rings.version or not state.join_state.has_joined():
@@ -100,7 +100,7 @@
         self._dissemination.send_ping(request.target, seq)
 
     def answer(self, to: MemberRecord, seq: int, subject: int) -> None:
-        """Answer a probe; a prober that counts as departed receives that update first."""
+        """Answer a probe; a prober that counts as departed here receives that status first."""
         departed = self._state.view.departed.get(to.id)
         first: tuple[StatusUpdate, ...] = ()
         if departed is not None and departed.record.rank() >= to.rank():
@@ -109,7 +109,7 @@
         self._dissemination.send_ack(to, seq, subject, first)
 
     def ack_received(self, now: int, sender: MemberRecord, ack: Ack) -> None:
-        """Relay an answer to its requester, and record it if it is from an own subject."""
+        """Relay an answer to its requester; record one that concerns a subject of this member."""
         relay = self.relays.pop(ack.seq, None)
         if relay is not None and relay.target == ack.subject:
             self.answer(relay.requester, relay.seq, ack.subject)
--- a/gullyoke/membership/reconciliation.py
+++ b/gullyoke/membership/reconciliation.py
@@ -19,7 +19,7 @@
 PART_BYTES: Final = 8  # a bucket's index and digest in a datagram
 MAX_DATAGRAMS: Final = 6  # in answer to one message
 MIN_INTERVAL_US: Final = 1_000_000  # between two exchanges that this member begins
-GRACE_US: Final = 700_000  # before an exchange, as gossip usually makes the views equal
+GRACE_US: Final = 700_000  # delay before an exchange, as gossip usually makes the views equal
 
 
 class ReconciliationSchedule:
@@ -114,7 +114,7 @@
 
 
 class _Packer:
-    """Fills messages with records, each up to `DATAGRAM_BUDGET_BYTES`."""
+    """Fills messages with records, up to `DATAGRAM_BUDGET_BYTES` per message."""
 
     def __init__(self, sender: MemberRecord, is_reply: bool, differing: int) -> None:
         self.sender = sender
--- a/gullyoke/membership/size_estimate.py
+++ b/gullyoke/membership/size_estimate.py
@@ -28,7 +28,7 @@
         return self.age_us < MAX_AGE_US and self.confidence >= MIN_CONFIDENCE
 
     def in_force(self, configured: int) -> int:
-        """Return the size to use in decisions: the view's, or the configured size.
+        """Return the size to use in decisions: the number of members in the view, or `configured`.
 
         Unreachable members count: otherwise each side of a partition would take over the other
         side's share.
--- a/gullyoke/membership/suspicion_tally.py
+++ b/gullyoke/membership/suspicion_tally.py
@@ -2,7 +2,7 @@
 
 A member is removed when at least 60% of its eligible observers, and at least two of them (one in a
 fleet of two), have suspected it for `REMOVAL_DELAY_US` without interruption. One of these observers
-applies the rule, and it has to see 60% of the fleet at that time. If the suspicions are refusals,
+applies the rule, and has to see 60% of the fleet at that time. If the suspicions are refusals,
 `REFUSED_REMOVAL_DELAY_US` is enough and no share of the fleet is required. An observer is not
 eligible if it reports that it is unsure, or if a third of its own observers suspect it.
 
@@ -139,7 +139,7 @@
 
 
 class SuspectedSince(NamedTuple):
-    """When the count became enough, and enough by refusals alone; 0 if it is not."""
+    """When the suspicions became enough, and when refusals alone did; 0 if they are not enough."""
 
     enough_at: int
     refused_enough_at: int
@@ -178,7 +178,7 @@
         return now - enough_at >= REMOVAL_DELAY_US and sees_most()
 
     def clear(self) -> None:
-        """Restart all delays, as after a pause of this process the counts may be out of date."""
+        """Restart all delays; after a pause of this process the counts may be out of date."""
         self.since.clear()
 
     def retain(self, members: Iterable[int]) -> None:
--- a/gullyoke/membership/update_processing.py
+++ b/gullyoke/membership/update_processing.py
@@ -18,7 +18,7 @@
 from gullyoke.membership.view import Change
 from gullyoke.membership.view_history import ViewHistory
 
-ACCEPT_OLD_REMOVAL_FAILING_SHARE: Final = 0.5  # of its own probes; see `_learn_own_status`
+ACCEPT_OLD_REMOVAL_FAILING_SHARE: Final = 0.5  # of this member's probes; see `_learn_own_status`
 UNKNOWN_NAME: Final = "-"
 
 
--- a/gullyoke/membership/view.py
+++ b/gullyoke/membership/view.py
@@ -1,8 +1,8 @@
 """A member's view of the fleet: the records that it knows.
 
 Records merge to the same view in any order of arrival, even if some arrive more than once. A view
-has a version, which counts this member's changes and is never sent, and a digest, by which members
-compare their views.
+has a version, which counts its changes at this member and is never sent, and a digest, by which
+members compare their views.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
 
 class DepartedMember(NamedTuple):
-    """A member that left or was removed, and when that was received, in microseconds."""
+    """A departed member's record, and the time in microseconds when that record was merged."""
 
     record: MemberRecord
     at_us: int
@@ -162,7 +162,7 @@
         return len(self.removal_times)
 
     def clear_except(self, member_to_keep: int) -> None:
-        """Drop all members but one; a removed member that rejoins starts over with this."""
+        """Drop all members but one; used when a removed member rejoins."""
         for member in [member for member in self.records if member != member_to_keep]:
             self._discard(member)
             self.rings.remove(member)
--- a/gullyoke/peer_transport/codec.py
+++ b/gullyoke/peer_transport/codec.py
@@ -90,7 +90,7 @@
         version: The version of the format.
         kind: The position of the message's type in `KINDS`.
         sender: The sender's record.
-        seq: A sequence number.
+        seq: The sequence number of a `Ping`, an `Ack` or a `PingRequest`.
         digest: The digest of the sender's view.
         lost: The share of the fleet that the sender considers lost.
         subject_or_topic: The subject of an `Ack`, or the topic of a `TopicMessage`.
--- a/gullyoke/peer_transport/lease_codec.py
+++ b/gullyoke/peer_transport/lease_codec.py
@@ -32,7 +32,7 @@
 )
 from gullyoke.peer_transport.field_readers import MessageKinds, malformed_on_error
 
-PROMISE_KEY_PREFIX: Final = "promise "  # of keys in a voter's folder, before the lease's name
+PROMISE_KEY_PREFIX: Final = "promise "  # comes before the lease's name in keys of a voter's folder
 RECORD_KEY_PREFIX: Final = "kept "
 
 # The position of a message type is its number on the wire; append new types at the end.
--- a/gullyoke/peer_transport/lease_service.py
+++ b/gullyoke/peer_transport/lease_service.py
@@ -1,4 +1,4 @@
-"""Leases over the peers' datagrams: addresses for messages, and one lock for all leases.
+"""Sends and receives lease messages in peers' datagrams, under one lock for all leases.
 
 The link's thread ticks the service and passes on received messages; other threads call the methods
 for holders.
@@ -46,7 +46,7 @@
 ANNOUNCEMENTS_A_TICK: Final = 64
 MAX_QUEUED_ANNOUNCEMENTS: Final = 4096
 
-# These go to a voter's configured address, all others to the member's address in the view.
+# Sent to a voter's configured address; all other messages go to the member's address in the view.
 TO_VOTERS: Final = (
     PreVote,
     LeaseRequest,
@@ -75,7 +75,7 @@
         voters: The voters' configured addresses, by name.
         fence: The newest epochs in received announcements and instructions.
         known_holders: The last announcements.
-        lock: Guards all of these; no code blocks while it holds the lock.
+        lock: Guards the attributes above; no code blocks while it holds the lock.
         send: Sends bodies from threads other than the link's; set by the owner.
         on_announcement: Called with the time and each new announcement.
         on_instruction: Called with the time and each instruction.
@@ -283,7 +283,7 @@
             self.on_announcement(now, message)
 
     def _addressed(self, messages: Iterable[AddressedMessage]) -> list[AddressedBody]:
-        """Return the encoded messages with addresses, except those with an unknown address."""
+        """Return the encoded messages with their addresses, without those of unknown address."""
         out: list[AddressedBody] = []
         for to, message in messages:
             to_voter = isinstance(message, TO_VOTERS)
--- a/gullyoke/peer_transport/lease_voter_requests.py
+++ b/gullyoke/peer_transport/lease_voter_requests.py
@@ -1,7 +1,7 @@
 """Passes requests to this process's voter, and delays replies until the folder is written.
 
-A reply that depends on a promise or a record is sent once it is on disk, by the thread that wrote
-it.
+A reply that depends on a promise or a record is sent once that promise or record is on disk, by
+the thread that wrote to the disk.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
     def __call__(self, key: str, data: bytes, on_written: Callable[[bool], None], /) -> bool:
         """Queue the write; return False if it cannot be queued.
 
-        `on_written` is called with whether the write succeeded.
+        `on_written` is called with True if the write succeeded, otherwise with False.
         """
 
 
@@ -80,7 +80,7 @@
         sender: MemberRecord,
         message: tuple[Any, ...],
     ) -> tuple[Any, ...] | None:
-        """Return the voter's answer; None if there is none or it waits for the disk."""
+        """Return the voter's answer; None if no answer exists or the answer waits for the disk."""
         match message:
             case PreVote():
                 return voter.answer_pre_vote(now, message)
--- a/gullyoke/peer_transport/quota_codec.py
+++ b/gullyoke/peer_transport/quota_codec.py
@@ -40,7 +40,7 @@
     Args:
         lender_addresses: The lenders' addresses by name, in any order.
         limit: The limit in tokens.
-        floor: The number of tokens that each process has without a loan.
+        floor: The number of tokens that each process has without a lease.
         more: For a tenant's quota, the tenant and the rate.
     """
     lenders = [f"{name}@{address}" for name, address in sorted(lender_addresses.items())]
--- a/gullyoke/peer_transport/quota_service.py
+++ b/gullyoke/peer_transport/quota_service.py
@@ -1,4 +1,4 @@
-"""Quota leases over the peers' datagrams: addresses for messages, and a lock for each limit.
+"""Sends and receives quota lease messages in peers' datagrams.
 
 Admission threads call the limits, and the link's thread ticks them and passes on received messages.
 Each limit has one lock, and no code blocks while it holds the lock.
@@ -19,14 +19,14 @@
 from gullyoke.peer_transport.quota_codec import digest_of, pack, unpack
 from gullyoke.runtime import clock
 
-TOPIC: Final = 1  # of the limit on calls to the dependency
+TOPIC: Final = 1  # topic of the limit on calls to the dependency
 TENANT_QUOTA_TOPIC: Final = 3  # topic of tenants' quotas
 
 PartT = TypeVar("PartT", bound=LimitPart)
 
 
 class Substitutes(NamedTuple):
-    """Addresses of the substitutes of stopped lenders, by lender; valid until `until_us`."""
+    """Addresses of the substitutes of stopped lenders, by lender's name; valid until `until_us`."""
 
     addresses: Mapping[str, str]
     until_us: int
--- a/gullyoke/peer_transport/seal.py
+++ b/gullyoke/peer_transport/seal.py
@@ -1,9 +1,9 @@
-"""The seal of a datagram: a keyed digest over its data, its count and the fleet's name.
+"""The seal of a datagram: a keyed digest over its data, the sender's count and the fleet's name.
 
 A datagram that does not verify is dropped and counted, never answered. The first key of the key
-file seals and both keys verify, so that keys can be replaced without interruption. A process's
-count increases with each datagram that it sends; a receiver drops a datagram whose count is too old
-or was received before.
+file seals and both keys verify, so that keys can be replaced without interruption. A process
+numbers the datagrams that it sends with an increasing count; a receiver drops a datagram whose
+count is too old or was received before.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 SHORTEST_KEY_BYTES: Final = 16
 MAX_KEYS: Final = 2  # in a key file
 WINDOW: Final = 1024  # counts that may arrive out of order
-MAX_SENDERS: Final = 4096  # whose counts are kept; the least recent sender is dropped first
+MAX_SENDERS: Final = 4096  # senders whose counts are kept; the least recent is dropped first
 
 
 class UnusableKeyError(GullyokeError, ValueError):
--- a/gullyoke/peer_transport/start_number.py
+++ b/gullyoke/peer_transport/start_number.py
@@ -1,6 +1,6 @@
 """Stores the version of a process's start on disk.
 
-The next start takes a version above it, even if the clock has gone back.
+The next start takes a version above the stored one, even if the clock has gone back.
 """
 
 from __future__ import annotations
--- a/gullyoke/peer_transport/status_server.py
+++ b/gullyoke/peer_transport/status_server.py
@@ -32,7 +32,7 @@
 
         Args:
             address: Host and port.
-            link: The link whose member and commands the answers are about.
+            link: The link whose member and commands provide the answers.
             metrics: Counts failed connections.
 
         Raises:
