--- a/gullyoke/coordination/limit_parts.py
+++ b/gullyoke/coordination/limit_parts.py
@@ -66,7 +66,7 @@
     """The base of all parts of limits: a participant, its need of tokens and its messages.
 
     Attributes:
-        refused: How often no token was free; operators see the count under this name.
+        refused: How often tokens were missing; operators see the count under this name.
     """
 
     def __init__(self, participant: QuotaParticipant, linger_us: int) -> None:
--- a/gullyoke/leases/candidate_rank.py
+++ b/gullyoke/leases/candidate_rank.py
@@ -12,7 +12,7 @@
 from gullyoke.membership.member_record import stable_hash
 
 DELAY_STEP_US: Final = 200_000  # head start of each member over the next one in rank
-MAX_DELAY_STEPS: Final = 4  # members that rank lower still compete at the same time
+MAX_DELAY_STEPS: Final = 4  # members from this rank on compete at the same time
 CAPACITY_STEPS: Final = 2  # free capacity is rounded to halves, so that ranks do not flicker
 
 
--- a/gullyoke/leases/replicated_record.py
+++ b/gullyoke/leases/replicated_record.py
@@ -94,7 +94,7 @@
         self.records[duty] = max(record, self.records.get(duty, NO_RECORD))
 
     def acknowledge(self, request: WriteRecord, voter: str) -> RecordWritten:
-        """Return the answer to a write that is durable or was not accepted."""
+        """Return the answer to a write that was rejected, or whose writing to disk has ended."""
         stored = self.records.get(request.duty, NO_RECORD)
         written = (stored.epoch, stored.write_number) == (request.epoch, request.write_number)
         return RecordWritten(
--- a/gullyoke/peer_transport/lease_voter_requests.py
+++ b/gullyoke/peer_transport/lease_voter_requests.py
@@ -1,7 +1,7 @@
 """Passes requests to this process's voter, and delays replies until the folder is written.
 
-A reply that depends on a promise or a record is sent once that promise or record is on disk, by
-the thread that wrote to the disk.
+A reply that depends on a promise or a record is sent after the write to disk has succeeded or
+failed, by the thread that wrote.
 """
 
 from __future__ import annotations
@@ -135,7 +135,7 @@
     def _write_record(
         self, voter: Voter, records: RecordStore, request: WriteRecord, requester: str
     ) -> RecordWritten | None:
-        """Return the answer to a rejected write; an accepted one is answered once it is on disk."""
+        """Return the answer to a rejected write; an accepted one is answered after it ends."""
         if voter.fresh:
             return None
         promise = voter.promises.get(request.duty)
